--- /dev/null
+++ b/cmd/switchfork/golden_test.go
@@ -0,0 +1,60 @@
+package main
+
+import (
+	"fmt"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/spf13/cobra"
+
+	"switchfork/brain"
+	"switchfork/fleet/council"
+	"switchfork/fleet/decider"
+	"switchfork/internal/golden"
+)
+
+// help is what each command prints about itself.
+func help(t *testing.T, c *cobra.Command, out *strings.Builder) {
+	t.Helper()
+	fmt.Fprintf(out, "== %s\n", c.CommandPath())
+	c.SetOut(out)
+	if err := c.Help(); err != nil {
+		t.Fatal(err)
+	}
+	for _, sub := range c.Commands() {
+		help(t, sub, out)
+	}
+}
+
+// What operators and their scripts read stays as it was: the help, and what check makes of the shipped file.
+func TestGoldenCommands(t *testing.T) {
+	t.Setenv("SWITCHFORK_OPERATOR", "")
+	var out strings.Builder
+	root := commands(&out)
+	root.InitDefaultHelpCmd()
+	root.InitDefaultCompletionCmd()
+	help(t, root, &out)
+	golden.Check(t, "help.golden", out.String())
+	text, err := run(t, "check", "../../deploy/operator.conf")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "check.golden", text)
+}
+
+type nowhere struct{}
+
+func (nowhere) Send(int, []byte) {}
+
+// The metrics keep their names.
+func TestGoldenMetrics(t *testing.T) {
+	c := council.New(council.Seat{Members: decider.First(3), Terms: decider.Terms{Lease: 1e6}}, nowhere{}, nil,
+		council.Desk{News: func(brain.Staged) {}})
+	var out strings.Builder
+	c.Metrics().WritePrometheus(&out)
+	lines := strings.Split(regexp.MustCompile(` [0-9.e+-]+\n`).ReplaceAllString(out.String(), " N\n"), "\n")
+	slices.Sort(lines)
+	golden.Check(t, "metrics.golden", strings.TrimSpace(strings.Join(lines, "\n"))+"\n")
+}
--- /dev/null
+++ b/fleet/vault/golden_test.go
@@ -0,0 +1,45 @@
+package vault
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"switchfork/fleet/decider"
+)
+
+// goldenMemory is what the file of testdata holds; an earlier version of the program wrote it.
+var goldenMemory = decider.Memory{Promised: 0x0b02, Accepted: 0x0a01, Yielded: 0x0901, Owner: 2,
+	Known:   decider.Record{Term: 0x0a01, Serial: 7, Decision: decider.Decision{Build: 42, Stage: 3, Verdict: decider.Back}, Prior: decider.On},
+	Members: decider.Members{Term: 0x0801, Serial: 4, Mask: 0b10111}}
+
+const (
+	goldenGroup = 0xfeedc0de12345678
+	goldenAgent = 4
+)
+
+// A state file of an earlier version is read, and written again.
+func TestGoldenStateFile(t *testing.T) {
+	raw, err := os.ReadFile(filepath.Join("testdata", fileName))
+	if err != nil {
+		t.Fatal(err)
+	}
+	folder := t.TempDir()
+	if err = os.WriteFile(filepath.Join(folder, fileName), raw, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	group, me, memory, err := Look(folder)
+	if err != nil || group != goldenGroup || me != goldenAgent || memory == nil || *memory != goldenMemory {
+		t.Fatalf("a look gives group %x, agent %d, %+v, %v", group, me, memory, err)
+	}
+	v, memory, err := Open(folder, goldenGroup, goldenAgent)
+	if err != nil || memory == nil || *memory != goldenMemory {
+		t.Fatalf("opened as %+v, %v", memory, err)
+	}
+	defer v.Close()
+	next := goldenMemory
+	next.Promised++
+	if err = v.Keep(next); err != nil {
+		t.Errorf("not written again: %v", err)
+	}
+}
--- /dev/null
+++ b/wire/golden_test.go
@@ -0,0 +1,106 @@
+package wire
+
+import (
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+
+	"switchfork/brain"
+	"switchfork/internal/golden"
+)
+
+// goldenRouter keeps the events that it is given, and answers each with every order.
+type goldenRouter struct{ events []brain.Event }
+
+func (g *goldenRouter) Handle(_ brain.Micros, ev brain.Event) []brain.Order {
+	g.events = append(g.events, ev)
+	return []brain.Order{
+		brain.Submit{ID: 0x0102030405060708, Appliance: 0x11121314, Patience: 123456, Before: 99},
+		brain.CallOff{ID: 0x2122232425262728, Seq: 3},
+		brain.Decline{ID: 0x3132333435363738, HoldOff: 1500000},
+		brain.Void{ID: 0x4142434445464748},
+		brain.Wake{At: 8256000123, Token: 0x5152535455565758},
+		brain.Probe{Appliance: 0x61626364},
+		brain.Tell{To: 0x71727374, Text: []byte("sheet")},
+		brain.Watch{},
+		brain.Vote{Build: 0x8182, Stage: 5, Verdict: brain.Back},
+		brain.Say{Text: "says"},
+	}
+}
+
+// values prints an event without the names of its type and fields.
+func values(v reflect.Value) string {
+	switch v.Kind() {
+	case reflect.Struct:
+		var parts []string
+		for i := range v.NumField() {
+			parts = append(parts, values(v.Field(i)))
+		}
+		return "{" + strings.Join(parts, " ") + "}"
+	case reflect.Slice:
+		var parts []string
+		for i := range v.Len() {
+			parts = append(parts, values(v.Index(i)))
+		}
+		return "[" + strings.Join(parts, " ") + "]"
+	case reflect.String:
+		return v.String()
+	}
+	if v.CanInt() {
+		return fmt.Sprint(v.Int())
+	}
+	return fmt.Sprint(v.Interface())
+}
+
+// The simulator's messages are read and written as they were, byte by byte.
+func TestGoldenMessages(t *testing.T) {
+	router := &goldenRouter{}
+	h := NewHost()
+	h.live[3] = router
+	records := []func(*writer){
+		list,
+		raw("01 0c000000 0300 01 2900000000000000 00"),
+		raw("01 0c000000 0300 03 2900000000000000 07"),
+		txn,
+		raw("03 0a000000 0300 4d00000000000000"),
+		raw("05 0a000000 0300 4e00000000000000"),
+		raw("06 0a000000 0300 4f00000000000000"),
+		raw("08 0b000000 0300 05000000 0300 616263"),
+		raw("0a 15000000 0300 2900 01 03 01 2e01 0000003f 0000000000607340"),
+		raw("0b 1e000000 0300 2900 0100 64000000 05000000 0000000000005940 0000000000607340"),
+		raw("0c 10000000 0300 0100 0000000000607340 11223344"),
+		func(w *writer) {
+			w.record(4, 3, func() {
+				w.u64(0x99)
+				w.u8(1)
+				w.u32(0x31323334)
+				w.u16(303)
+				w.ms(250500)
+				w.u8(1)
+				w.u8(2)
+				w.u32(0x3f000000)
+				w.u32(0x40000000)
+			})
+		},
+		func(w *writer) {
+			w.record(7, 3, func() {
+				w.u32(0x31323334)
+				w.u16(304)
+				w.ms(1500)
+				w.u8(0)
+			})
+		},
+	}
+	body := frame(records...)
+	reply, err := h.batch(body[4:])
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out strings.Builder
+	for _, ev := range router.events {
+		fmt.Fprintln(&out, values(reflect.ValueOf(ev)))
+	}
+	fmt.Fprintf(&out, "%x\n", reply[:min(len(reply), 400)])
+	golden.Check(t, "messages.golden", out.String())
+}
