--- a/charter/charter.go
+++ b/charter/charter.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"switchfork/brain"
+	"switchfork/internal/policy"
 )
 
 // File is what a real agent is told: the JSON that GW_CONFIG names, and the GW_* variables, which go before it.
@@ -96,7 +96,7 @@
 // Good is a product as clients name it.
 type Good struct {
 	Name   string
-	Effect brain.Effect
+	Effect policy.Effect
 	Expiry time.Duration
 }
 
--- a/charter/terms.go
+++ b/charter/terms.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"switchfork/brain"
+	"switchfork/internal/policy"
 )
 
 // Terms are the settings as path=value pairs; the first thing that is wrong with them sticks.
@@ -172,9 +172,9 @@
 
 func grade(i int, key string) string { return fmt.Sprintf("Grades.%d.%s", i, key) }
 
-func (t *Terms) effect(i int) brain.Effect {
-	return pick(t, grade(i, "Repeat"), map[string]brain.Effect{"read_like": brain.InquiryLike,
-		"idempotency_key": brain.Referenced, "non_idempotent": brain.OnceOnly})
+func (t *Terms) effect(i int) policy.Effect {
+	return pick(t, grade(i, "Repeat"), map[string]policy.Effect{"read_like": policy.InquiryLike,
+		"idempotency_key": policy.Referenced, "non_idempotent": policy.OnceOnly})
 }
 
 // sized tells whether the list tells the sizes of appliances; where the key is absent it does, as it always did.
@@ -189,7 +189,7 @@
 }
 
 // report tells where the figures stand that the module reads, by the simulator's names and the users'; others are passed over.
-func (t *Terms) report() (r brain.Report) {
+func (t *Terms) report() (r policy.Report) {
 	if !t.reported() {
 		return r
 	}
@@ -207,7 +207,7 @@
 }
 
 // tally is how often the launcher tells what it counted; 0 where it does not.
-func (t *Terms) tally() (every brain.Micros) {
+func (t *Terms) tally() (every policy.Micros) {
 	if t.has("FamilyInfo.TallyEveryMs") {
 		every = t.ms("FamilyInfo.TallyEveryMs")
 	}
@@ -238,8 +238,8 @@
 }
 
 // Open starts a module on these terms.
-func (t *Terms) Open(seed uint64) (brain.Router, error) {
-	st := brain.Station{Me: t.count("Me"), Agents: t.count("Balancers"), Zone: t.count("Zone"), Seed: int64(seed),
+func (t *Terms) Open(seed uint64) (policy.Router, error) {
+	st := policy.Station{Me: t.count("Me"), Agents: t.count("Balancers"), Zone: t.count("Zone"), Seed: int64(seed),
 		WarmKeys: t.flag("FamilyInfo.WarmKeys"), Sized: t.sized(), Report: t.report()}
 	t.unmixed()
 	if st.Agents < 1 {
@@ -248,15 +248,15 @@
 	if st.Me >= st.Agents {
 		t.fail("Me", fmt.Sprintf("is %d of %d agents", st.Me, st.Agents))
 	}
-	products := make([]brain.Product, t.count("Grades.count"))
+	products := make([]policy.Product, t.count("Grades.count"))
 	if len(products) == 0 {
 		t.fail("Grades", "has no product")
 	}
 	for i := range products {
 		p := &products[i]
-		if p.Effect = t.effect(i); p.Effect == brain.Referenced {
-			p.Group = pick(t, grade(i, "KeyScope"), map[string]brain.Scope{"all": brain.ScopeAll,
-				"zone": brain.ScopeZone, "cell": brain.ScopeCell})
+		if p.Effect = t.effect(i); p.Effect == policy.Referenced {
+			p.Group = pick(t, grade(i, "KeyScope"), map[string]policy.Scope{"all": policy.ScopeAll,
+				"zone": policy.ScopeZone, "cell": policy.ScopeCell})
 			p.Memory = t.ms(grade(i, "WindowMs"))
 		}
 		if p.SLA, p.Expiry = t.ms(grade(i, "SloMs")), t.ms(grade(i, "HardLimitMs")); p.SLA <= 0 {
@@ -264,27 +264,27 @@
 		}
 		p.Revenue, p.LateShare = t.num(grade(i, "Worth")), t.opt(grade(i, "LateValue"), 0)
 	}
-	plan := brain.LaunchPlan{Caps: t.list("FamilyInfo.StageCap"), Shares: t.list("FamilyInfo.StageShare"),
+	plan := policy.LaunchPlan{Caps: t.list("FamilyInfo.StageCap"), Shares: t.list("FamilyInfo.StageShare"),
 		Guarded: t.count("FamilyInfo.Shielded"), OneWay: t.flag("FamilyInfo.OneWay"),
 		InPlace: pick(t, "FamilyInfo.Swap", map[string]bool{"in_place": true, "beside": false})}
-	polling := brain.Polling{Stands: t.ms("FamilyInfo.VoteStandsMs"), Patience: t.ms("FamilyInfo.CallTimeoutMs"),
+	polling := policy.Polling{Stands: t.ms("FamilyInfo.VoteStandsMs"), Patience: t.ms("FamilyInfo.CallTimeoutMs"),
 		CallsPerS: t.num("FamilyInfo.ApiRate"), ToGo: t.count("FamilyInfo.VotesToGo"),
-		ToGoBack: t.count("FamilyInfo.NoesNeeded"), Ballot: pick(t, "FamilyInfo.VoteMode", map[string]brain.Ballot{
-			"any": brain.BallotAny, "share": brain.BallotShare, "timer": brain.BallotTimer})}
+		ToGoBack: t.count("FamilyInfo.NoesNeeded"), Ballot: pick(t, "FamilyInfo.VoteMode", map[string]policy.Ballot{
+			"any": policy.BallotAny, "share": policy.BallotShare, "timer": policy.BallotTimer})}
 	polling.Tally = t.tally()
-	count := brain.Exposure{Window: t.ms("FamilyInfo.CountedOverMs"), Free: t.num("FamilyInfo.Allowance"),
+	count := policy.Exposure{Window: t.ms("FamilyInfo.CountedOverMs"), Free: t.num("FamilyInfo.Allowance"),
 		ByProduct: pick(t, "FamilyInfo.CountedBy", map[string]bool{"class": true, "all": false})}
-	cold := brain.ColdStart{From: t.num("Safety.ColdFrom"), Warm: t.ms("Safety.ColdMs"),
+	cold := policy.ColdStart{From: t.num("Safety.ColdFrom"), Warm: t.ms("Safety.ColdMs"),
 		Multiple: t.num("Safety.TipMultiple"), After: t.ms("Safety.TipAfterMs")}
-	hand := brain.Handover{DrainGrace: t.ms("Safety.DrainGraceMs"), AnswerGrace: t.ms("Safety.GraceToAnswerMs"),
+	hand := policy.Handover{DrainGrace: t.ms("Safety.DrainGraceMs"), AnswerGrace: t.ms("Safety.GraceToAnswerMs"),
 		MaxSubmissions: t.count("Limits.MaxAttempts")}
 	if t.flag("Limits.RetryAfter") {
 		hand.MaxHoldOff = t.ms("Limits.MaxRetryAfterMs")
 	}
-	may := brain.Licence{Probe: t.flag("Limits.Probes"), CallOff: t.flag("Limits.Cancel"),
+	may := policy.Licence{Probe: t.flag("Limits.Probes"), CallOff: t.flag("Limits.Cancel"),
 		Tell: t.flag("Limits.MayTell"),
 		Ask:  pick(t, "Discovery", map[string]bool{"subscribe": true, "automatic": false})}
-	fares := brain.Fares{CrossZone: t.opt("Charges.CrossZone", 0), Waste: t.opt("Charges.Waste", 0),
+	fares := policy.Fares{CrossZone: t.opt("Charges.CrossZone", 0), Waste: t.opt("Charges.Waste", 0),
 		Probe: t.opt("Charges.Probe", 0), Tell: t.opt("Charges.Peer", 0)}
 	if polling.CallsPerS <= 0 {
 		t.fail("FamilyInfo.ApiRate", fmt.Sprintf("is %v, no rate of calls a second", polling.CallsPerS))
@@ -297,21 +297,21 @@
 	if t.err != nil {
 		return nil, t.err
 	}
-	return brain.New(st, products, plan, polling, count, cold, hand, may, fares), nil
+	return policy.New(st, products, plan, polling, count, cold, hand, may, fares), nil
 }
 
 // Votes are how votes are counted, and who casts them; times in microseconds.
 type Votes struct {
 	Me, Agents   int
-	Ballot       brain.Ballot
+	Ballot       policy.Ballot
 	ToGo         int
 	ToGoBack     int
-	Call, Stands brain.Micros
+	Call, Stands policy.Micros
 }
 
 // Votes reads them; what is wrong there is found when the module is opened.
 func (t *Terms) Votes() Votes {
 	return Votes{Me: t.count("Me"), Agents: t.count("Balancers"), ToGo: t.count("FamilyInfo.VotesToGo"), ToGoBack: t.count("FamilyInfo.NoesNeeded"),
 		Call: t.ms("FamilyInfo.CallTimeoutMs"), Stands: t.ms("FamilyInfo.VoteStandsMs"), Ballot: pick(t, "FamilyInfo.VoteMode",
-			map[string]brain.Ballot{"any": brain.BallotAny, "share": brain.BallotShare, "timer": brain.BallotTimer})}
+			map[string]policy.Ballot{"any": policy.BallotAny, "share": policy.BallotShare, "timer": policy.BallotTimer})}
 }
--- a/cmd/switchfork/chair.go
+++ b/cmd/switchfork/chair.go
@@ -11,12 +11,12 @@
 
 	"github.com/spf13/cobra"
 
-	"switchfork/brain"
 	"switchfork/charter"
 	"switchfork/fleet/council"
 	"switchfork/fleet/decider"
 	"switchfork/fleet/vault"
 	"switchfork/fleet/ways"
+	"switchfork/internal/policy"
 	"switchfork/operator"
 	"switchfork/sockets"
 )
@@ -53,7 +53,7 @@
 	rules := terms.Votes()
 	me, members := keep.Me, decider.Members{}
 	switch {
-	case rules.Ballot != brain.BallotAny || rules.ToGo > 1 || rules.ToGoBack > 1:
+	case rules.Ballot != policy.BallotAny || rules.ToGo > 1 || rules.ToGoBack > 1:
 		slog.Warn("decider stays off: here several agents' votes are counted, so that one alone can't stand for all")
 		return nil, nil
 	case keep.Listen == "" && circle.Listen == "":
@@ -95,7 +95,7 @@
 		}
 		store, seat.Memory = v, memory
 	}
-	desk := council.Desk{News: core.News, Cast: func(v brain.Vote, before time.Time, over func(bool)) {
+	desk := council.Desk{News: core.News, Cast: func(v policy.Vote, before time.Time, over func(bool)) {
 		launcher.Cast(sockets.Dated{Vote: v, Before: before, Over: over})
 	}}
 	var way council.Way = peers
--- a/cmd/switchfork/golden_test.go
+++ b/cmd/switchfork/golden_test.go
@@ -9,10 +9,10 @@
 
 	"github.com/spf13/cobra"
 
-	"switchfork/brain"
 	"switchfork/fleet/council"
 	"switchfork/fleet/decider"
 	"switchfork/internal/golden"
+	"switchfork/internal/policy"
 )
 
 // help is what each command prints about itself.
@@ -51,7 +51,7 @@
 // The metrics keep their names.
 func TestGoldenMetrics(t *testing.T) {
 	c := council.New(council.Seat{Members: decider.First(3), Terms: decider.Terms{Lease: 1e6}}, nowhere{}, nil,
-		council.Desk{News: func(brain.Staged) {}})
+		council.Desk{News: func(policy.Staged) {}})
 	var out strings.Builder
 	c.Metrics().WritePrometheus(&out)
 	lines := strings.Split(regexp.MustCompile(` [0-9.e+-]+\n`).ReplaceAllString(out.String(), " N\n"), "\n")
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
-	"switchfork/brain"
 	"switchfork/charter"
 	"switchfork/door"
+	"switchfork/internal/policy"
 	"switchfork/operator"
 	"switchfork/sockets"
 )
@@ -66,7 +66,7 @@
 	debug.SetGCPercent(collectAt)
 
 	var names []string
-	var effects []brain.Effect
+	var effects []policy.Effect
 	var expiry []time.Duration
 	longest := time.Duration(0)
 	for _, g := range goods {
@@ -199,7 +199,7 @@
 	var products []door.Product
 	for i, g := range goods {
 		products = append(products, door.Product{SLA: stalls[i].SLA.Microseconds(), Expiry: g.Expiry.Microseconds(),
-			Revenue: stalls[i].Revenue, Referenced: g.Effect == brain.Referenced})
+			Revenue: stalls[i].Revenue, Referenced: g.Effect == policy.Referenced})
 	}
 	room := door.RoomOf(ration.MemoryMB, min(lines.OpenCap, purse.Txns()), keep.Queues)
 	if keep.Txns > 0 {
--- a/fleet/council/council.go
+++ b/fleet/council/council.go
@@ -11,7 +11,7 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"switchfork/brain"
+	"switchfork/internal/policy"
 	"switchfork/fleet/decider"
 	"switchfork/fleet/ways"
 )
@@ -29,16 +29,16 @@
 type Desk struct {
 	// Cast writes a vote unless it is later than before by then; over is called once it is known to be carried out, or never
 	// to be. wrote tells whether it was written at all.
-	Cast func(v brain.Vote, before time.Time, over func(wrote bool))
+	Cast func(v policy.Vote, before time.Time, over func(wrote bool))
 	// News gives the module where a build stands.
-	News func(brain.Staged)
+	News func(policy.Staged)
 }
 
 // What comes into the mailbox.
 type (
 	message struct{ bytes []byte }
-	vote    struct{ brain.Vote }
-	news    struct{ brain.Staged }
+	vote    struct{ policy.Vote }
+	news    struct{ policy.Staged }
 	over    struct{ record decider.Record }
 	leave   struct{ gone chan struct{} }
 	ask     struct{ answer chan decider.Standing }
@@ -69,7 +69,7 @@
 
 	wish    decider.Decision
 	told    time.Time
-	newest  brain.Staged
+	newest  policy.Staged
 	known   bool // there was news
 	stopped *decider.Decision
 	term    uint64 // of this agent's lead; 0: none
@@ -119,10 +119,10 @@
 }
 
 // Vote takes the module's vote as a wish.
-func (c *Council) Vote(v brain.Vote) { c.box <- vote{v} }
+func (c *Council) Vote(v policy.Vote) { c.box <- vote{v} }
 
 // News takes what the launcher tells.
-func (c *Council) News(s brain.Staged) { c.box <- news{s} }
+func (c *Council) News(s policy.Staged) { c.box <- news{s} }
 
 // Leave passes the lead on, and returns when that is said.
 func (c *Council) Leave(ctx context.Context) {
@@ -194,8 +194,8 @@
 	}
 }
 
-var verdicts = map[brain.Verdict]decider.Verdict{brain.NoVote: decider.NoVote, brain.On: decider.On, brain.Hold: decider.Hold, brain.Back: decider.Back}
-var asVote = map[decider.Verdict]brain.Verdict{decider.NoVote: brain.NoVote, decider.On: brain.On, decider.Hold: brain.Hold, decider.Back: brain.Back}
+var verdicts = map[policy.Verdict]decider.Verdict{policy.NoVote: decider.NoVote, policy.On: decider.On, policy.Hold: decider.Hold, policy.Back: decider.Back}
+var asVote = map[decider.Verdict]policy.Verdict{decider.NoVote: policy.NoVote, decider.On: policy.On, decider.Hold: policy.Hold, decider.Back: policy.Back}
 
 func (c *Council) note(n any) {
 	now := c.now()
@@ -214,7 +214,7 @@
 	case news:
 		c.newest, c.known = n.Staged, true
 		c.newest.Answer = false
-		c.carry(c.decider.News(now, int32(n.Build), int32(n.Stage), n.Phase == brain.OnTrial))
+		c.carry(c.decider.News(now, int32(n.Build), int32(n.Stage), n.Phase == policy.OnTrial))
 		if s := c.stopped; s != nil && int(s.Build) == n.Build && int(s.Stage) == n.Stage {
 			c.stop(*s) // the news has told the cap again
 		}
@@ -279,7 +279,7 @@
 	r := o.Record
 	before := c.start.Add(time.Duration(o.Before-1) * time.Microsecond)
 	slog.Info("casts", "term", r.Term, "decision", r.Serial, "build", r.Build, "stage", r.Stage, "verdict", r.Verdict.String())
-	c.desk.Cast(brain.Vote{Build: int(r.Build), Stage: int(r.Stage), Verdict: asVote[r.Verdict]}, before, func(wrote bool) {
+	c.desk.Cast(policy.Vote{Build: int(r.Build), Stage: int(r.Stage), Verdict: asVote[r.Verdict]}, before, func(wrote bool) {
 		if wrote {
 			c.casts.Inc()
 		} else {
@@ -296,7 +296,7 @@
 		slog.Warn("no decider in reach: this agent stops sending to the build by itself", "build", d.Build, "stage", d.Stage)
 	}
 	c.stopped = &d
-	c.desk.News(brain.Staged{Build: int(d.Build), Stage: int(d.Stage), Phase: brain.OnTrial, Cap: 0, Age: c.newest.Age})
+	c.desk.News(policy.Staged{Build: int(d.Build), Stage: int(d.Stage), Phase: policy.OnTrial, Cap: 0, Age: c.newest.Age})
 }
 
 // account writes down where the lead is.
--- a/brain/brain.go
+++ b/internal/policy/brain.go
@@ -1,9 +1,9 @@
-// Package brain holds every decision of a switchfork agent: which build and which appliance a txn goes to,
+// Package policy holds every decision of a switchfork agent: which build and which appliance a txn goes to,
 // when it is sent again, declined or voided, and how the agent votes on a release. New makes a Router an
 // agent; Handle takes an event with the clock in whole microseconds and returns the orders to carry out
 // before the next. port.go has both, record.go the parts' records, loop.go the loop, without decisions. A
 // Router does no I/O and reads no clock; the same events give the same orders.
-package brain
+package policy
 
 import (
 	"cmp"
--- a/brain/loop.go
+++ b/internal/policy/loop.go
@@ -1,6 +1,6 @@
 // The loop that empties the inboxes, and other machinery that decides nothing.
 
-package brain
+package policy
 
 import (
 	"cmp"
--- a/brain/port.go
+++ b/internal/policy/port.go
@@ -2,7 +2,7 @@
 // the events that go in and the orders that come out. It holds types only;
 // every decision is in brain.go.
 
-package brain
+package policy
 
 // Micros is a clock time or a span in whole microseconds.
 type Micros = int64
--- a/brain/record.go
+++ b/internal/policy/record.go
@@ -1,6 +1,6 @@
 // The parts' records and the notes that pass between them: types only.
 
-package brain
+package policy
 
 import "math/rand"
 
--- a/brain/scenario_test.go
+++ b/internal/policy/scenario_test.go
@@ -1,4 +1,4 @@
-package brain
+package policy
 
 import (
 	"bufio"
--- a/rehearsal/lab/world.go
+++ b/rehearsal/lab/world.go
@@ -9,7 +9,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"switchfork/brain"
+	"switchfork/internal/policy"
 	"switchfork/door"
 )
 
@@ -131,7 +131,7 @@
 	seq    int
 	due    events
 	chance *rand.Rand
-	module brain.Router
+	module policy.Router
 	gate   gate
 	boxes  []*box
 	open   map[uint64]*txn
@@ -188,18 +188,18 @@
 func (d *Day) capacity() float64 { return float64(d.Appliances * d.Slots) }
 
 func (w *world) makeModule() {
-	product := brain.Product{Effect: brain.InquiryLike, SLA: slaWorks * w.Work, Expiry: expiryWorks * w.Work, Revenue: 1}
-	w.module = brain.New(brain.Station{Agents: 1, Seed: w.Seed}, []brain.Product{product},
-		brain.LaunchPlan{Caps: []float64{1}}, brain.Polling{Ballot: brain.BallotTimer, Stands: 4 * second, ToGoBack: 1},
-		brain.Exposure{Window: 4 * second, Free: 3}, brain.ColdStart{From: 0.3, Warm: 5 * second, Multiple: 2, After: 1500 * ms},
-		brain.Handover{MaxSubmissions: 3, MaxHoldOff: longestWait}, brain.Licence{Probe: true}, brain.Fares{})
-	list := brain.Listed{Full: true}
+	product := policy.Product{Effect: policy.InquiryLike, SLA: slaWorks * w.Work, Expiry: expiryWorks * w.Work, Revenue: 1}
+	w.module = policy.New(policy.Station{Agents: 1, Seed: w.Seed}, []policy.Product{product},
+		policy.LaunchPlan{Caps: []float64{1}}, policy.Polling{Ballot: policy.BallotTimer, Stands: 4 * second, ToGoBack: 1},
+		policy.Exposure{Window: 4 * second, Free: 3}, policy.ColdStart{From: 0.3, Warm: 5 * second, Multiple: 2, After: 1500 * ms},
+		policy.Handover{MaxSubmissions: 3, MaxHoldOff: longestWait}, policy.Licence{Probe: true}, policy.Fares{})
+	list := policy.Listed{Full: true}
 	for i := range w.Appliances {
 		w.boxes = append(w.boxes, &box{id: uint32(i + 1), slots: w.Slots})
-		list.Rows = append(list.Rows, brain.Row{ID: uint32(i + 1), Build: 1, State: brain.Ready, Weight: 1})
+		list.Rows = append(list.Rows, policy.Row{ID: uint32(i + 1), Build: 1, State: policy.Ready, Weight: 1})
 	}
 	w.tell(list)
-	w.tell(brain.Staged{Build: 1, Phase: brain.Released, Cap: 1, Age: 100 * second})
+	w.tell(policy.Staged{Build: 1, Phase: policy.Released, Cap: 1, Age: 100 * second})
 }
 
 func (w *world) makeGate(kind Kind) {
@@ -321,7 +321,7 @@
 		}
 		switch o.Kind {
 		case door.Admit:
-			w.tell(brain.Taken{ID: o.ID, Expires: t.expires, Came: t.came})
+			w.tell(policy.Taken{ID: o.ID, Expires: t.expires, Came: t.came})
 		case door.Refuse:
 			wait := o.Wait
 			if w.gate.told > 0 && o.Why != door.Replaced {
@@ -383,23 +383,23 @@
 }
 
 // tell hands an event to the module and carries its orders out.
-func (w *world) tell(ev brain.Event) {
+func (w *world) tell(ev policy.Event) {
 	for _, o := range w.module.Handle(w.now, ev) {
 		switch o := o.(type) {
-		case brain.Wake:
-			w.at(o.At, func() { w.tell(brain.Bell{Token: o.Token}) })
-		case brain.Submit:
+		case policy.Wake:
+			w.at(o.At, func() { w.tell(policy.Bell{Token: o.Token}) })
+		case policy.Submit:
 			w.submit(o)
-		case brain.Decline:
+		case policy.Decline:
 			if t := w.open[o.ID]; t != nil {
 				w.over(t, door.Declined)
 			}
-		case brain.Void:
+		case policy.Void:
 			if t := w.open[o.ID]; t != nil {
 				w.over(t, door.Voided)
 			}
-		case brain.Probe:
-			w.at(w.now+ms, func() { w.tell(brain.Probed{Appliance: o.Appliance, Took: ms}) })
+		case policy.Probe:
+			w.at(w.now+ms, func() { w.tell(policy.Probed{Appliance: o.Appliance, Took: ms}) })
 		}
 	}
 }
@@ -407,7 +407,7 @@
 // wire is the way to an appliance, and back.
 const wire = ms / 4
 
-func (w *world) submit(o brain.Submit) {
+func (w *world) submit(o policy.Submit) {
 	t := w.open[o.ID]
 	if t == nil {
 		return
@@ -424,11 +424,11 @@
 		if o.Patience > 0 {
 			until = min(until, w.now+o.Patience)
 		}
-		w.at(until, func() { w.answer(b, j, brain.TimedOut) })
+		w.at(until, func() { w.answer(b, j, policy.TimedOut) })
 	}
 	w.at(w.now+wire, func() {
 		if len(b.queue) >= 8*b.slots {
-			w.at(w.now+wire, func() { w.answer(b, j, brain.TurnedOff) })
+			w.at(w.now+wire, func() { w.answer(b, j, policy.TurnedOff) })
 			return
 		}
 		b.queue = append(b.queue, j)
@@ -447,21 +447,21 @@
 		}
 		w.at(w.now+int64(took), func() {
 			b.busy--
-			w.at(w.now+wire, func() { w.answer(b, j, brain.OK) })
+			w.at(w.now+wire, func() { w.answer(b, j, policy.OK) })
 			w.work(b)
 		})
 	}
 }
 
 // answer ends a submission, once.
-func (w *world) answer(b *box, j *job, how brain.Outcome) {
+func (w *world) answer(b *box, j *job, how policy.Outcome) {
 	if j.seq > 0 {
 		return
 	}
 	j.seq = 1
 	t := w.open[j.id]
-	ended := brain.Ended{ID: j.id, Appliance: b.id, Outcome: how, Took: w.now - j.sent, Over: t == nil || how == brain.OK}
-	if t != nil && how == brain.OK {
+	ended := policy.Ended{ID: j.id, Appliance: b.id, Outcome: how, Took: w.now - j.sent, Over: t == nil || how == policy.OK}
+	if t != nil && how == policy.OK {
 		w.over(t, door.Settled)
 	}
 	w.tell(ended)
--- a/sockets/appliance.go
+++ b/sockets/appliance.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"switchfork/brain"
+	"switchfork/internal/policy"
 )
 
 // This file owns the connections to appliances: each appliance is an actor with a mailbox that keeps its idle
@@ -426,14 +426,14 @@
 		// would cost a submission that may have run. It costs a handshake where only the one had ended.
 		a.dropIdle(0)
 	}
-	took := brain.Micros(time.Since(j.at).Microseconds())
+	took := policy.Micros(time.Since(j.at).Microseconds())
 	if how != Settled {
 		complaints.warn(a.name+how.String(), "appliance", "appliance", a.name, "ending", how.String(),
 			"probe", j.probe, "after_ms", took/1000)
 	}
 	if j.probe {
 		a.pending--
-		p := brain.Probed{Appliance: a.id, Outcome: how.outcome(), Took: took}
+		p := policy.Probed{Appliance: a.id, Outcome: how.outcome(), Took: took}
 		if ans != nil {
 			if p.Load = ans.load; p.Load == nil {
 				p.Load = report(ans.body, a.pool.fields)
@@ -443,7 +443,7 @@
 		return
 	}
 	delete(a.out, j.id)
-	e := ended{Ended: brain.Ended{ID: j.id, Appliance: a.id, Outcome: how.outcome(), Took: took}, ending: how, answer: ans}
+	e := ended{Ended: policy.Ended{ID: j.id, Appliance: a.id, Outcome: how.outcome(), Took: took}, ending: how, answer: ans}
 	if ans != nil {
 		e.Load = ans.load
 	}
--- a/sockets/codec.go
+++ b/sockets/codec.go
@@ -19,7 +19,7 @@
 	"strings"
 	"time"
 
-	"switchfork/brain"
+	"switchfork/internal/policy"
 )
 
 // This file owns the forms of the users' protocol: each message is decoded here once into a small typed value,
@@ -62,14 +62,14 @@
 	key               uint64
 	mark              uint64 // what its next try will carry too: its reference, or else its key
 	wait              time.Duration
-	work              brain.Micros
+	work              policy.Micros
 	repeat            bool
 }
 
 // counter reads clients' requests by the names that were told at the start.
 type counter struct {
 	names     []string
-	effects   []brain.Effect
+	effects   []policy.Effect
 	expiry    []time.Duration
 	customers []string
 }
@@ -104,11 +104,11 @@
 	if class := r.Header.Get("X-Class"); class != "" && class != first {
 		return bad(http.StatusBadRequest, "X-Class is %.40q under the path of %s", class, first)
 	}
-	inquiry := c.effects[o.product] == brain.InquiryLike
+	inquiry := c.effects[o.product] == policy.InquiryLike
 	if inquiry != (r.Method == http.MethodGet) || !inquiry && r.Method != http.MethodPost {
 		return bad(http.StatusMethodNotAllowed, "%.20q is not the method of %s", r.Method, first)
 	}
-	if c.effects[o.product] == brain.Referenced && r.Header.Get("Idempotency-Key") == "" {
+	if c.effects[o.product] == policy.Referenced && r.Header.Get("Idempotency-Key") == "" {
 		return bad(http.StatusBadRequest, "no Idempotency-Key")
 	}
 	if r.Header.Get("X-Request-Id") == "" {
@@ -135,7 +135,7 @@
 		o.mark = hash64(ref)
 	}
 	if us, err := strconv.ParseFloat(r.Header.Get("X-Cost-Hint"), 64); err == nil && us > 0 && us < 1e9 {
-		o.work = brain.Micros(us)
+		o.work = policy.Micros(us)
 	}
 	o.repeat = r.Header.Get("X-Retry") == "1"
 	return o, nil
@@ -387,24 +387,24 @@
 	return r, err
 }
 
-var healths = map[string]brain.State{"active": brain.Ready, "leaving": brain.Draining, "left": brain.Gone}
+var healths = map[string]policy.State{"active": policy.Ready, "leaving": policy.Draining, "left": policy.Gone}
 
 // row is the entry as the module knows it, but for its number.
-func (e entry) row(zones []string) (brain.Row, error) {
+func (e entry) row(zones []string) (policy.Row, error) {
 	state, known := healths[e.Health]
 	zone := slices.Index(zones, e.Site)
 	switch {
 	case e.Host == "":
-		return brain.Row{}, errors.New("an entry without host")
+		return policy.Row{}, errors.New("an entry without host")
 	case !known:
-		return brain.Row{}, fmt.Errorf("%.40q has health %.20q", e.Host, e.Health)
-	case zone < 0 && len(zones) > 0 && state != brain.Gone:
-		return brain.Row{}, fmt.Errorf("%.40q is at site %.20q", e.Host, e.Site)
+		return policy.Row{}, fmt.Errorf("%.40q has health %.20q", e.Host, e.Health)
+	case zone < 0 && len(zones) > 0 && state != policy.Gone:
+		return policy.Row{}, fmt.Errorf("%.40q is at site %.20q", e.Host, e.Site)
 	case !(e.BornMs >= 0 && e.BornMs < 1e15):
-		return brain.Row{}, fmt.Errorf("%.40q has born_ms %v", e.Host, e.BornMs)
+		return policy.Row{}, fmt.Errorf("%.40q has born_ms %v", e.Host, e.BornMs)
 	}
-	return brain.Row{Build: e.Build, Zone: max(0, zone), State: state, Cell: e.Block,
-		Started: brain.Micros(e.BornMs * 1000), Weight: e.Share}, nil
+	return policy.Row{Build: e.Build, Zone: max(0, zone), State: state, Cell: e.Block,
+		Started: policy.Micros(e.BornMs * 1000), Weight: e.Share}, nil
 }
 
 // news is where the newest build stands, in any of the launcher's three forms.
@@ -416,31 +416,31 @@
 	LagMs    float64 `json:"lag_ms" xml:"lag_ms"`
 }
 
-var phases = map[string]brain.Phase{"testing": brain.OnTrial, "recalling": brain.GoingBack,
-	"live": brain.Released, "recalled": brain.Withdrawn}
+var phases = map[string]policy.Phase{"testing": policy.OnTrial, "recalling": policy.GoingBack,
+	"live": policy.Released, "recalled": policy.Withdrawn}
 
-func (n news) staged() (brain.Staged, error) {
+func (n news) staged() (policy.Staged, error) {
 	phase, known := phases[n.Progress]
 	if !known || n.Image < 0 || n.Ring < 0 || !(n.Ceiling >= 0 && n.Ceiling <= 1) || !(n.LagMs >= 0 && n.LagMs < 1e12) {
-		return brain.Staged{}, fmt.Errorf("news that makes no sense: %+v", n)
+		return policy.Staged{}, fmt.Errorf("news that makes no sense: %+v", n)
 	}
-	return brain.Staged{Build: n.Image, Stage: n.Ring, Phase: phase, Cap: n.Ceiling,
-		Age: brain.Micros(n.LagMs * 1000)}, nil
+	return policy.Staged{Build: n.Image, Stage: n.Ring, Phase: phase, Cap: n.Ceiling,
+		Age: policy.Micros(n.LagMs * 1000)}, nil
 }
 
-func readNewsJSON(raw []byte) (brain.Staged, error) {
+func readNewsJSON(raw []byte) (policy.Staged, error) {
 	var n news
 	if err := json.Unmarshal(raw, &n); err != nil {
-		return brain.Staged{}, err
+		return policy.Staged{}, err
 	}
 	return n.staged()
 }
 
 // readNewsForm reads an event's data line.
-func readNewsForm(data string) (brain.Staged, error) {
+func readNewsForm(data string) (policy.Staged, error) {
 	v, err := url.ParseQuery(data)
 	if err != nil {
-		return brain.Staged{}, err
+		return policy.Staged{}, err
 	}
 	n := news{Progress: v.Get("progress")}
 	var errs [4]error
@@ -449,19 +449,19 @@
 	n.Ceiling, errs[2] = strconv.ParseFloat(v.Get("ceiling"), 64)
 	n.LagMs, errs[3] = strconv.ParseFloat(v.Get("lag_ms"), 64)
 	if err = errors.Join(errs[:]...); err != nil {
-		return brain.Staged{}, err
+		return policy.Staged{}, err
 	}
 	return n.staged()
 }
 
-var verdicts = []string{brain.NoVote: "clear", brain.On: "approve", brain.Hold: "wait", brain.Back: "reject"}
+var verdicts = []string{policy.NoVote: "clear", policy.On: "approve", policy.Hold: "wait", policy.Back: "reject"}
 
-func voteForm(v brain.Vote) string {
+func voteForm(v policy.Vote) string {
 	return fmt.Sprintf("Action=RecordOpinion&image=%d&ring=%d&opinion=%s", v.Build, v.Stage, verdicts[v.Verdict])
 }
 
 // readVoteAnswer tells how a vote ended and, if it counts, where the build stands.
-func readVoteAnswer(status int, raw []byte) (Ending, brain.Staged) {
+func readVoteAnswer(status int, raw []byte) (Ending, policy.Staged) {
 	var ok struct {
 		News []news `xml:"groups>item"`
 	}
@@ -479,14 +479,14 @@
 	case status == http.StatusBadRequest && xml.Unmarshal(raw, &no) == nil:
 		switch cmp.Or(no.Inside, no.Alone) {
 		case "Throttling":
-			return TurnedAway, brain.Staged{}
+			return TurnedAway, policy.Staged{}
 		case "ConditionFailed":
-			return Outdated, brain.Staged{}
+			return Outdated, policy.Staged{}
 		case "ValidationError":
-			return Errored, brain.Staged{}
+			return Errored, policy.Staged{}
 		}
 	case status == http.StatusInternalServerError:
-		return Errored, brain.Staged{}
+		return Errored, policy.Staged{}
 	}
-	return Silent, brain.Staged{} // it may count
+	return Silent, policy.Staged{} // it may count
 }
--- a/sockets/core.go
+++ b/sockets/core.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"switchfork/brain"
+	"switchfork/internal/policy"
 	"switchfork/door"
 )
 
@@ -51,13 +51,13 @@
 
 func NewClock() Clock { return Clock{time.Now()} }
 
-func (c Clock) at(t time.Time) brain.Micros {
+func (c Clock) at(t time.Time) policy.Micros {
 	return c.start.UnixMicro() + t.Sub(c.start).Microseconds()
 }
-func (c Clock) now() brain.Micros { return c.at(time.Now()) }
+func (c Clock) now() policy.Micros { return c.at(time.Now()) }
 
 // time is the other way round.
-func (c Clock) time(at brain.Micros) time.Time {
+func (c Clock) time(at policy.Micros) time.Time {
 	return c.start.Add(time.Duration(at-c.start.UnixMicro()) * time.Microsecond)
 }
 
@@ -65,7 +65,7 @@
 type reply struct {
 	settled *answer
 	refused bool // a repeat does no harm
-	holdOff brain.Micros
+	holdOff policy.Micros
 }
 
 // open is a txn that the module has, or that has a submission out.
@@ -95,16 +95,16 @@
 // What the others put into the core's mailbox; the module's own events come as they are.
 type (
 	arrived struct {
-		taken brain.Taken
+		taken policy.Taken
 		*open
 	}
 	ended struct {
-		brain.Ended
+		policy.Ended
 		ending Ending
 		answer *answer
 	}
 	listing struct {
-		brain.Listed
+		policy.Listed
 		hosts []entry // beside the rows
 	}
 	shortage struct{}                     // descriptors for connections to appliances are used up
@@ -113,35 +113,35 @@
 
 // Core is the module's actor.
 type Core struct {
-	module     brain.Router
+	module     policy.Router
 	clock      Clock
-	moment     brain.Micros // the clock stands while this is set
+	moment     policy.Micros // the clock stands while this is set
 	box        *mailbox[any]
 	urgent     *mailbox[any] // news and list changes are not kept waiting
-	wakes      []brain.Wake  // by time
+	wakes      []policy.Wake  // by time
 	asked      time.Time     // when the module was last asked
 	inflows    *inflows      // on which list and news come
 	mu         sync.Mutex
 	readers    []func(calledIn) // the actors that hand them on
-	late       brain.Micros     // the bell that was last found to be late
+	late       policy.Micros     // the bell that was last found to be late
 	txns       map[uint64]*open
 	appliances map[uint32]*appliance
 	all        []*appliance // in the order of their coming
 	hire       func(uint32, entry) *appliance
-	vote       func(brain.Vote)
-	tell       func(brain.Tell)
+	vote       func(policy.Vote)
+	tell       func(policy.Tell)
 	done       account
-	votes      func(brain.Vote) // takes the module's votes in the launcher's place; nil: nobody
+	votes      func(policy.Vote) // takes the module's votes in the launcher's place; nil: nobody
 }
 
 // Through names who takes the module's votes in the launcher's place. It is to be called before Serve.
-func (c *Core) Through(votes func(brain.Vote)) { c.votes = votes }
+func (c *Core) Through(votes func(policy.Vote)) { c.votes = votes }
 
 // News gives the module where a build stands, ahead of what waits.
-func (c *Core) News(s brain.Staged) { c.urgent.put(s) }
+func (c *Core) News(s policy.Staged) { c.urgent.put(s) }
 
 // NewCore puts the module behind a mailbox. hire makes an appliance's actor; vote and tell carry orders on.
-func NewCore(module brain.Router, clock Clock) *Core {
+func NewCore(module policy.Router, clock Clock) *Core {
 	return &Core{module: module, clock: clock, box: newMailbox[any](), urgent: newMailbox[any](), inflows: &inflows{open: map[*owing]bool{}},
 		txns: map[uint64]*open{}, appliances: map[uint32]*appliance{}}
 }
@@ -180,7 +180,7 @@
 		for now := c.clock.now(); len(c.wakes) > 0 && c.wakes[0].At <= now; {
 			token := c.wakes[0].Token
 			c.wakes = slices.Delete(c.wakes, 0, 1)
-			c.handle(brain.Bell{Token: token})
+			c.handle(policy.Bell{Token: token})
 		}
 	}
 }
@@ -235,7 +235,7 @@
 		c.txns[n.taken.ID] = n.open
 		c.done.taken++
 		c.handle(n.taken)
-	case brain.Abandoned:
+	case policy.Abandoned:
 		if t := c.txns[n.ID]; t != nil && !t.over {
 			t.how = door.Left
 			c.done.left++
@@ -246,8 +246,8 @@
 		c.ended(n)
 	case listing:
 		c.listing(n)
-	case brain.Staged:
-		if n.Answer && n.Outcome == brain.TurnedOff {
+	case policy.Staged:
+		if n.Answer && n.Outcome == policy.TurnedOff {
 			c.done.voteFull++
 		}
 		c.handle(n)
@@ -304,7 +304,7 @@
 	there := map[uint32]bool{}
 	for i, row := range n.Rows {
 		a := c.appliances[row.ID]
-		if row.State == brain.Gone {
+		if row.State == policy.Gone {
 			c.dismiss(a)
 			continue
 		}
@@ -336,7 +336,7 @@
 
 // handle is the only place that calls the module. A panic there ends the process: a module in an unknown state
 // could break any rule.
-func (c *Core) handle(ev brain.Event) {
+func (c *Core) handle(ev policy.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("module panicked", "panic", p, "event", fmt.Sprintf("%T%+v", ev, ev), "stack", string(debug.Stack()))
@@ -353,34 +353,34 @@
 	}
 }
 
-func (c *Core) carryOut(o brain.Order) {
+func (c *Core) carryOut(o policy.Order) {
 	switch o := o.(type) {
-	case brain.Wake:
-		at, _ := slices.BinarySearchFunc(c.wakes, o.At, func(w brain.Wake, at brain.Micros) int { return int(w.At - at) })
+	case policy.Wake:
+		at, _ := slices.BinarySearchFunc(c.wakes, o.At, func(w policy.Wake, at policy.Micros) int { return int(w.At - at) })
 		c.wakes = slices.Insert(c.wakes, at, o)
-	case brain.Submit:
+	case policy.Submit:
 		c.submit(o)
-	case brain.Decline:
+	case policy.Decline:
 		c.answer(o.ID, reply{refused: true, holdOff: o.HoldOff})
-	case brain.Void:
+	case policy.Void:
 		c.answer(o.ID, reply{})
-	case brain.Vote:
+	case policy.Vote:
 		c.done.votes++
 		c.vote(o)
-	case brain.Probe:
+	case policy.Probe:
 		if a := c.appliances[o.Appliance]; a != nil {
 			c.done.probes++
 			a.box.put(probe{})
 		}
-	case brain.CallOff:
+	case policy.CallOff:
 		if t := c.txns[o.ID]; t != nil && t.out > 0 {
 			c.done.calledOff++
 			t.on.box.put(callOff{o.ID})
 		}
-	case brain.Tell:
+	case policy.Tell:
 		c.tell(o)
-	case brain.Watch: // the watch on the list always stands
-	case brain.Say:
+	case policy.Watch: // the watch on the list always stands
+	case policy.Say:
 		slog.Info("module", "says", o.Text)
 	default:
 		panic(fmt.Sprintf("no way to carry out %T", o))
@@ -388,12 +388,12 @@
 }
 
 // submit hands a submission on; one that cannot be sent at all ends at once.
-func (c *Core) submit(o brain.Submit) {
+func (c *Core) submit(o policy.Submit) {
 	t, a := c.txns[o.ID], c.appliances[o.Appliance]
 	now := c.asked
 	if t == nil || t.over || t.out > 0 || a == nil {
 		slog.Error("submission that cannot be", "txn", o.ID, "appliance", o.Appliance)
-		c.box.put(ended{Ended: brain.Ended{ID: o.ID, Appliance: o.Appliance, Outcome: NotSent.outcome()}, ending: NotSent})
+		c.box.put(ended{Ended: policy.Ended{ID: o.ID, Appliance: o.Appliance, Outcome: NotSent.outcome()}, ending: NotSent})
 		if t != nil {
 			t.out++
 		}
--- a/sockets/ending.go
+++ b/sockets/ending.go
@@ -1,6 +1,6 @@
 package sockets
 
-import "switchfork/brain"
+import "switchfork/internal/policy"
 
 // This file owns the one list of ways in which a connection's use can end, and what each means to the module.
 // It must never look at figures or decide what to do about an ending.
@@ -27,24 +27,24 @@
 
 // meaning is the one place that maps endings to outcomes, with the words that the log uses.
 var meaning = [endingCount]struct {
-	outcome brain.Outcome
+	outcome policy.Outcome
 	word    string
 }{
-	Settled:    {brain.OK, "settled"},
-	Errored:    {brain.Errored, "error"},
-	Rejected:   {brain.Moot, "rejected"}, // the client's own doing, and final: no sign of the appliance's state
-	TurnedAway: {brain.TurnedOff, "turned away"},
-	Refused:    {brain.NoConnect, "connection refused"},
-	NeverUp:    {brain.NoConnect, "connection never came up"},
-	CutBefore:  {brain.NoConnect, "broke before the last byte"},
-	CutAfter:   {brain.Broken, "broke after the last byte"},
-	Silent:     {brain.TimedOut, "nothing in time"},
-	GivenUp:    {brain.CalledOff, "called off"},
-	Unreadable: {brain.Spoilt, "unreadable answer"},
-	NotSent:    {brain.Moot, "not sent"},
-	Outdated:   {brain.Moot, "outdated"},
+	Settled:    {policy.OK, "settled"},
+	Errored:    {policy.Errored, "error"},
+	Rejected:   {policy.Moot, "rejected"}, // the client's own doing, and final: no sign of the appliance's state
+	TurnedAway: {policy.TurnedOff, "turned away"},
+	Refused:    {policy.NoConnect, "connection refused"},
+	NeverUp:    {policy.NoConnect, "connection never came up"},
+	CutBefore:  {policy.NoConnect, "broke before the last byte"},
+	CutAfter:   {policy.Broken, "broke after the last byte"},
+	Silent:     {policy.TimedOut, "nothing in time"},
+	GivenUp:    {policy.CalledOff, "called off"},
+	Unreadable: {policy.Spoilt, "unreadable answer"},
+	NotSent:    {policy.Moot, "not sent"},
+	Outdated:   {policy.Moot, "outdated"},
 }
 
-func (e Ending) outcome() brain.Outcome { return meaning[e].outcome }
+func (e Ending) outcome() policy.Outcome { return meaning[e].outcome }
 
 func (e Ending) String() string { return meaning[e].word }
--- a/sockets/front.go
+++ b/sockets/front.go
@@ -18,7 +18,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"switchfork/brain"
+	"switchfork/internal/policy"
 	"switchfork/door"
 )
 
@@ -34,7 +34,7 @@
 	open   atomic.Int64
 	most   int // open txns that are told
 	// holdOff is the longest wait that clients follow, 0 where they are not told any
-	holdOff brain.Micros
+	holdOff policy.Micros
 	purse   *Purse
 	server  *http.Server
 	clients *clientListener
@@ -89,7 +89,7 @@
 // first txn's. The module places a txn without a warm key by its number. Where all agents counted from one, the n-th txn of
 // each went to one and the same appliance, and hundreds that started together filled its queue. It must differ from agent
 // to agent and from start to start, and costs nothing.
-func NewFront(core *Core, names []string, effects []brain.Effect, expiry []time.Duration, customers []string,
+func NewFront(core *Core, names []string, effects []policy.Effect, expiry []time.Duration, customers []string,
 	most int, holdOff time.Duration, purse *Purse, first uint64) *Front {
 	f := &Front{core: core, most: most, holdOff: holdOff.Microseconds(), purse: purse, count: &counter{names, effects, expiry, customers}}
 	f.ids.open = map[string]bool{}
@@ -238,9 +238,9 @@
 		t.expires = f.until // nobody is there to answer it later
 	}
 	id := f.lastID.Add(1)
-	taken := brain.Taken{ID: id, Product: o.product, Customer: o.customer, Key: o.key,
+	taken := policy.Taken{ID: id, Product: o.product, Customer: o.customer, Key: o.key,
 		Expires: f.core.clock.at(t.expires), Work: o.work, Repeat: o.repeat}
-	leave := func() { f.core.box.put(brain.Abandoned{ID: id}) }
+	leave := func() { f.core.box.put(policy.Abandoned{ID: id}) }
 	if f.gate == nil {
 		f.core.box.put(arrived{taken, t})
 	} else {
--- a/sockets/gate.go
+++ b/sockets/gate.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"switchfork/brain"
+	"switchfork/internal/policy"
 	"switchfork/door"
 )
 
@@ -16,7 +16,7 @@
 type (
 	knock struct {
 		door.Arrival
-		taken brain.Taken
+		taken policy.Taken
 		*open
 	}
 	found struct{ id uint64 } // the module has sent it
@@ -105,7 +105,7 @@
 		g.carryOut(g.door.Ended(now, n.id, n.how))
 	case left:
 		if g.in[n.id] { // the core tells when nothing of it is out any more
-			g.core.box.put(brain.Abandoned{ID: n.id})
+			g.core.box.put(policy.Abandoned{ID: n.id})
 			return
 		}
 		g.forget(n.id)
--- a/sockets/golden_test.go
+++ b/sockets/golden_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"switchfork/brain"
+	"switchfork/internal/policy"
 	"switchfork/internal/golden"
 )
 
@@ -80,11 +80,11 @@
 
 	address, first = capture(t)
 	launcher = NewLauncher(core, address, time.Second, patience, 1)
-	for v := brain.NoVote; v <= brain.Back; v++ {
-		launcher.cast(ctx, launcher.base, brain.Vote{Build: 42, Stage: 3, Verdict: v})
+	for v := policy.NoVote; v <= policy.Back; v++ {
+		launcher.cast(ctx, launcher.base, policy.Vote{Build: 42, Stage: 3, Verdict: v})
 		write(fmt.Sprintf("vote %d", v), first())
 	}
-	launcher.dated(ctx, launcher.base, Dated{Vote: brain.Vote{Build: 43, Stage: 1, Verdict: brain.Back}, Before: time.Now().Add(patience), Over: func(bool) {}})
+	launcher.dated(ctx, launcher.base, Dated{Vote: policy.Vote{Build: 43, Stage: 1, Verdict: policy.Back}, Before: time.Now().Add(patience), Over: func(bool) {}})
 	write("dated vote", first())
 
 	request, err := http.NewRequest(http.MethodGet, "http://client/", nil)
--- a/sockets/launcher.go
+++ b/sockets/launcher.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"switchfork/brain"
+	"switchfork/internal/policy"
 	"switchfork/pace"
 )
 
@@ -30,14 +30,14 @@
 	box     *mailbox[any]
 	client  *http.Client
 	once    *http.Client       // for votes that have a time after which they must not be written
-	also    func(brain.Staged) // hears the news, too; nil: nobody
+	also    func(policy.Staged) // hears the news, too; nil: nobody
 	now     *stream            // the one that is believed
 	next    *stream            // the one that is to take its place
 	again   *pace.Again
 
 	mu     sync.Mutex
 	told   int          // how often where things stand has been told
-	latest brain.Staged // as it was told last
+	latest policy.Staged // as it was told last
 }
 
 // stream is one connection that brings news.
@@ -51,7 +51,7 @@
 type (
 	lineIn struct {
 		from *stream
-		news *brain.Staged // nil: a sign of life
+		news *policy.Staged // nil: a sign of life
 	}
 	streamEnd struct {
 		from *stream
@@ -67,10 +67,10 @@
 }
 
 // Also names who else hears the news. It is to be called before Known and Serve.
-func (l *Launcher) Also(hear func(brain.Staged)) { l.also = hear }
+func (l *Launcher) Also(hear func(policy.Staged)) { l.also = hear }
 
 // tell gives news to the module, and to who else hears it.
-func (l *Launcher) tell(s brain.Staged) {
+func (l *Launcher) tell(s policy.Staged) {
 	l.mu.Lock()
 	l.told, l.latest = l.told+1, s
 	l.core.urgent.put(s)
@@ -90,10 +90,10 @@
 // answered gives a vote's answer to the module. Where things stand comes in answers and by the stream, on ways of their own: an answer
 // that was written before the launcher sent a build back may be read after its news, and would put the build on trial again. What was
 // told since the call began stands, then; the stream tells whatever is newer than that.
-func (l *Launcher) answered(s brain.Staged, since int) brain.Staged {
+func (l *Launcher) answered(s policy.Staged, since int) policy.Staged {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s.Outcome == brain.OK {
+	if s.Outcome == policy.OK {
 		if l.told > since {
 			latest := l.latest
 			latest.Answer, latest.Outcome = s.Answer, s.Outcome
@@ -123,7 +123,7 @@
 	return nil
 }
 
-func (l *Launcher) put(v brain.Vote) { l.box.put(v) }
+func (l *Launcher) put(v policy.Vote) { l.box.put(v) }
 
 const newsSign = time.Second // the protocol's
 
@@ -151,7 +151,7 @@
 
 func (l *Launcher) note(ctx context.Context, n any) {
 	switch n := n.(type) {
-	case brain.Vote:
+	case policy.Vote:
 		go l.call(ctx, l.base, n)
 	case Dated:
 		go l.dated(ctx, l.base, n)
@@ -261,7 +261,7 @@
 }
 
 // call casts one vote and hands its one answer to the core, at the latest after the told patience.
-func (l *Launcher) call(ctx context.Context, base string, v brain.Vote) {
+func (l *Launcher) call(ctx context.Context, base string, v policy.Vote) {
 	ctx, stop := context.WithTimeout(ctx, l.patient)
 	defer stop()
 	start, since := time.Now(), l.asOf()
@@ -275,32 +275,32 @@
 	l.answered(s, since)
 }
 
-func (l *Launcher) cast(ctx context.Context, base string, v brain.Vote) (Ending, brain.Staged) {
+func (l *Launcher) cast(ctx context.Context, base string, v policy.Vote) (Ending, policy.Staged) {
 	return l.castBy(ctx, l.client, base, v)
 }
 
-func (l *Launcher) castBy(ctx context.Context, client *http.Client, base string, v brain.Vote) (Ending, brain.Staged) {
+func (l *Launcher) castBy(ctx context.Context, client *http.Client, base string, v policy.Vote) (Ending, policy.Staged) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base, strings.NewReader(voteForm(v)))
 	if err != nil {
-		return NotSent, brain.Staged{}
+		return NotSent, policy.Staged{}
 	}
 	req.Header.Set("Content-Type", "application/x-www-form-urlencoded")
 	res, err := client.Do(req)
 	var op *net.OpError
 	switch {
 	case errors.Is(err, errTooLate):
-		return NotSent, brain.Staged{}
+		return NotSent, policy.Staged{}
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return Refused, brain.Staged{}
+		return Refused, policy.Staged{}
 	case errors.As(err, &op) && op.Op == "dial":
-		return NeverUp, brain.Staged{}
+		return NeverUp, policy.Staged{}
 	case err != nil:
-		return Silent, brain.Staged{} // it may count
+		return Silent, policy.Staged{} // it may count
 	}
 	defer res.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(res.Body, bodyLimit))
 	if err != nil {
-		return Silent, brain.Staged{}
+		return Silent, policy.Staged{}
 	}
 	return readVoteAnswer(res.StatusCode, raw)
 }
@@ -308,7 +308,7 @@
 // Dated is a vote that must not be written after a time. over is told once it is known to be carried out, or never to be;
 // a vote that nothing is known of is not over.
 type Dated struct {
-	brain.Vote
+	policy.Vote
 	Before time.Time
 	Over   func(wrote bool)
 }
--- a/sockets/peers.go
+++ b/sockets/peers.go
@@ -8,7 +8,7 @@
 	"net/netip"
 	"slices"
 
-	"switchfork/brain"
+	"switchfork/internal/policy"
 )
 
 // This file owns the datagrams between agents: one socket, senders known by their address. It must never read
@@ -19,7 +19,7 @@
 // Peers is the actor of that socket; with no address to listen on it drops what it is given.
 type Peers struct {
 	core  *Core
-	box   *mailbox[brain.Tell]
+	box   *mailbox[policy.Tell]
 	sock  *net.UDPConn
 	known []netip.AddrPort // by the agents' numbers
 	all   netip.AddrPort
@@ -30,10 +30,10 @@
 func (p *Peers) Beside(other func([]byte) bool) { p.other = other }
 
 // Send sends bytes to an agent by its number.
-func (p *Peers) Send(to int, b []byte) { p.put(brain.Tell{To: to, Text: b}) }
+func (p *Peers) Send(to int, b []byte) { p.put(policy.Tell{To: to, Text: b}) }
 
 func NewPeers(core *Core, listen string, known []string, all string) (*Peers, error) {
-	p := &Peers{core: core, box: newMailbox[brain.Tell]()}
+	p := &Peers{core: core, box: newMailbox[policy.Tell]()}
 	if listen == "" {
 		return p, nil
 	}
@@ -60,7 +60,7 @@
 	return p, nil
 }
 
-func (p *Peers) put(t brain.Tell) { p.box.put(t) }
+func (p *Peers) put(t policy.Tell) { p.box.put(t) }
 
 // Serve sends what the mailbox holds, and hands on what comes.
 func (p *Peers) Serve(ctx context.Context) {
@@ -80,7 +80,7 @@
 	}
 }
 
-func (p *Peers) send(t brain.Tell) {
+func (p *Peers) send(t policy.Tell) {
 	to := p.all
 	if uint32(t.To) != math.MaxUint32 {
 		if to = (netip.AddrPort{}); t.To >= 0 && t.To < len(p.known) {
@@ -111,6 +111,6 @@
 		if p.other != nil && p.other(slices.Clone(buf[:n])) {
 			continue
 		}
-		p.core.box.put(brain.Heard{From: who, Text: slices.Clone(buf[:n])})
+		p.core.box.put(policy.Heard{From: who, Text: slices.Clone(buf[:n])})
 	}
 }
--- a/sockets/roster.go
+++ b/sockets/roster.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"switchfork/brain"
+	"switchfork/internal/policy"
 	"switchfork/pace"
 )
 
@@ -197,7 +197,7 @@
 func (r *Roster) tell(l roll) {
 	r.seq = l.Seq
 	slices.SortStableFunc(l.Hosts, func(a, b entry) int { return strings.Compare(a.Host, b.Host) })
-	out := listing{Listed: brain.Listed{Full: l.Whole}}
+	out := listing{Listed: policy.Listed{Full: l.Whole}}
 	for _, e := range l.Hosts {
 		row, err := e.row(r.zones)
 		if err != nil {
@@ -213,7 +213,7 @@
 	// A host that is gone gives its number back; it is the same when it returns, but for two hosts that share one.
 	there := map[string]bool{}
 	for i, row := range out.Rows {
-		if there[out.hosts[i].Host] = row.State != brain.Gone; row.State == brain.Gone {
+		if there[out.hosts[i].Host] = row.State != policy.Gone; row.State == policy.Gone {
 			r.forget(out.hosts[i].Host)
 		}
 	}
--- a/sockets/roster_test.go
+++ b/sockets/roster_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"switchfork/brain"
+	"switchfork/internal/policy"
 )
 
 // These hold the list's side to its word over real connections.
@@ -23,14 +23,14 @@
 }
 
 // states are what the module was last told of each host's build and state, by number.
-func (r *rig) states() map[uint32]brain.Row {
-	out := map[uint32]brain.Row{}
-	for _, l := range seen[brain.Listed](r.script) {
+func (r *rig) states() map[uint32]policy.Row {
+	out := map[uint32]policy.Row{}
+	for _, l := range seen[policy.Listed](r.script) {
 		if l.Full {
 			clear(out)
 		}
 		for _, row := range l.Rows {
-			if out[row.ID] = row; row.State == brain.Gone {
+			if out[row.ID] = row; row.State == policy.Gone {
 				delete(out, row.ID)
 			}
 		}
@@ -93,7 +93,7 @@
 			eventually(t, "the watch", func() bool { return d.Open() == 1 })
 			d.Tell(cut + "\n" + rest)
 			r.has(t, 1, 9)
-			for _, l := range seen[brain.Listed](r.script) {
+			for _, l := range seen[policy.Listed](r.script) {
 				for _, row := range l.Rows {
 					if row.Build == 7 {
 						t.Errorf("told %+v, of which half came", row)
@@ -129,7 +129,7 @@
 // drained tells whether the module knows that the box drains.
 func (r *rig) drained() bool {
 	for _, row := range r.states() {
-		if row.State == brain.Draining {
+		if row.State == policy.Draining {
 			return true
 		}
 	}
@@ -153,9 +153,9 @@
 	new.Tell(line(11, false, host("box", "127.0.0.1:1", "leaving", 3), host("box3", "127.0.0.1:3", "left", 1)))
 	r.has(t, 2, 3)
 	eventually(t, "the end of the old watch", func() bool { return old.Left() == 1 })
-	for i, l := range seen[brain.Listed](r.script) {
+	for i, l := range seen[policy.Listed](r.script) {
 		for _, row := range l.Rows {
-			if i > 1 && row.ID == NewRoster(r.core, "", nil, 0, 0, 1, 1).number("box") && row.State != brain.Draining {
+			if i > 1 && row.ID == NewRoster(r.core, "", nil, 0, 0, 1, 1).number("box") && row.State != policy.Draining {
 				t.Errorf("list %d takes the drain back: %+v", i, row)
 			}
 		}
--- a/wire/adapter.go
+++ b/wire/adapter.go
@@ -5,22 +5,22 @@
 	"fmt"
 	"io"
 
-	"switchfork/brain"
+	"switchfork/internal/policy"
 	"switchfork/charter"
 )
 
-var outcomes = map[int]brain.Outcome{100: brain.OK, 301: brain.Errored, 302: brain.TurnedOff,
-	303: brain.TimedOut, 304: brain.NoConnect, 305: brain.Broken, 306: brain.CalledOff, 307: brain.Moot}
+var outcomes = map[int]policy.Outcome{100: policy.OK, 301: policy.Errored, 302: policy.TurnedOff,
+	303: policy.TimedOut, 304: policy.NoConnect, 305: policy.Broken, 306: policy.CalledOff, 307: policy.Moot}
 
-var phases = []brain.Phase{brain.OnTrial, brain.GoingBack, brain.Released, brain.Withdrawn}
+var phases = []policy.Phase{policy.OnTrial, policy.GoingBack, policy.Released, policy.Withdrawn}
 
 // Host runs the instances of one process; they share nothing but the wire.
 type Host struct {
-	live  map[int]brain.Router
-	lists map[int][]brain.Row
+	live  map[int]policy.Router
+	lists map[int][]policy.Row
 }
 
-func NewHost() *Host { return &Host{live: map[int]brain.Router{}, lists: map[int][]brain.Row{}} }
+func NewHost() *Host { return &Host{live: map[int]policy.Router{}, lists: map[int][]policy.Row{}} }
 
 // Serve answers batches until the input ends.
 func (h *Host) Serve(in io.Reader, out io.Writer) error {
@@ -109,7 +109,7 @@
 }
 
 // handle turns a panic of the module into the wire's word for it.
-func handle(m brain.Router, now int64, ev brain.Event, who int, w *writer) {
+func handle(m policy.Router, now int64, ev policy.Event, who int, w *writer) {
 	keep := len(w.buf)
 	defer func() {
 		if p := recover(); p != nil {
@@ -128,14 +128,14 @@
 	if r.err == nil && n*25 > len(r.buf) {
 		return fmt.Errorf("%s: %d list entries do not fit in %d bytes", r.what, n, len(r.buf))
 	}
-	rows := make([]brain.Row, 0, n)
+	rows := make([]policy.Row, 0, n)
 	for i := 0; i < n && r.err == nil; i++ {
-		row := brain.Row{ID: r.u32(), Build: int(r.f32()), Zone: r.u8()}
+		row := policy.Row{ID: r.u32(), Build: int(r.f32()), Zone: r.u8()}
 		state := r.u8()
 		if state > 2 {
 			return fmt.Errorf("%s: appliance %d has phase %d", r.what, row.ID, state)
 		}
-		row.State = brain.State(state)
+		row.State = policy.State(state)
 		r.u8()
 		row.Cell, row.Started, row.Weight = r.u16(), r.micros("UpSinceMs"), r.f32()
 		rows = append(rows, row)
@@ -144,8 +144,8 @@
 	return r.err
 }
 
-func (h *Host) event(code int, r *reader) (brain.Event, error) {
-	outcome := func() brain.Outcome {
+func (h *Host) event(code int, r *reader) (policy.Event, error) {
+	outcome := func() policy.Outcome {
 		c := r.u16()
 		o, ok := outcomes[c]
 		if !ok && r.err == nil {
@@ -153,7 +153,7 @@
 		}
 		return o
 	}
-	var ev brain.Event
+	var ev policy.Event
 	switch code {
 	case 1:
 		how := r.u8()
@@ -166,9 +166,9 @@
 		if how == 3 {
 			rows = nil
 		}
-		ev = brain.Listed{Full: how == 1 || how == 2, Failed: how == 3, Rows: rows}
+		ev = policy.Listed{Full: how == 1 || how == 2, Failed: how == 3, Rows: rows}
 	case 2:
-		t := brain.Taken{ID: r.u64(), Product: r.u16(), Customer: int(r.u32()), Key: r.u64(),
+		t := policy.Taken{ID: r.u64(), Product: r.u16(), Customer: int(r.u32()), Key: r.u64(),
 			Expires: r.micros("ExpiresMs")}
 		t.Work = r.micros("WeightHintMs")
 		opts := r.u8()
@@ -178,23 +178,23 @@
 		t.Repeat = opts&2 != 0
 		ev = t
 	case 3:
-		ev = brain.Begun{ID: r.u64()}
+		ev = policy.Begun{ID: r.u64()}
 	case 4:
-		e := brain.Ended{ID: r.u64()}
+		e := policy.Ended{ID: r.u64()}
 		r.u8()
 		e.Appliance, e.Outcome, e.Took, e.Over, e.Load = r.u32(), outcome(), r.micros("WaitTimeMs"), r.u8() != 0, r.floats()
 		ev = e
 	case 5:
-		ev = brain.Abandoned{ID: r.u64()}
+		ev = policy.Abandoned{ID: r.u64()}
 	case 6:
-		ev = brain.Bell{Token: r.u64()}
+		ev = policy.Bell{Token: r.u64()}
 	case 7:
-		ev = brain.Probed{Appliance: r.u32(), Outcome: outcome(), Took: r.micros("WaitTimeMs"), Load: r.floats()}
+		ev = policy.Probed{Appliance: r.u32(), Outcome: outcome(), Took: r.micros("WaitTimeMs"), Load: r.floats()}
 	case 8:
 		from := int(r.u32())
-		ev = brain.Heard{From: from, Text: r.text(r.u16())}
+		ev = policy.Heard{From: from, Text: r.text(r.u16())}
 	case 10:
-		s := brain.Staged{Build: r.u16(), Stage: r.u8()}
+		s := policy.Staged{Build: r.u16(), Stage: r.u8()}
 		p := r.u8()
 		if p >= len(phases) {
 			return nil, fmt.Errorf("%s: phase %d of a build is not known", r.what, p)
@@ -202,35 +202,35 @@
 		s.Phase, s.Answer, s.Outcome, s.Cap, s.Age = phases[p], r.u8() == 1, outcome(), r.f32(), r.micros("LatenessMs")
 		ev = s
 	case 11:
-		ev = brain.Tallied{Build: r.u16(), Product: r.u16(), Many: int(r.u32()), Lost: int(r.u32()),
+		ev = policy.Tallied{Build: r.u16(), Product: r.u16(), Many: int(r.u32()), Lost: int(r.u32()),
 			Took: r.micros("WaitTimeMs"), Age: r.micros("LatenessMs")}
 	case 12:
-		ev = brain.Flagged{Product: r.u16(), Age: r.micros("LatenessMs"), Appliance: r.u32()}
+		ev = policy.Flagged{Product: r.u16(), Age: r.micros("LatenessMs"), Appliance: r.u32()}
 	}
 	return ev, r.err
 }
 
-func encode(w *writer, who int, o brain.Order) {
+func encode(w *writer, who int, o policy.Order) {
 	switch o := o.(type) {
-	case brain.Decline:
+	case policy.Decline:
 		w.record(0, who, func() { w.u64(o.ID); w.ms(o.HoldOff) })
-	case brain.Say:
+	case policy.Say:
 		w.record(1, who, func() { w.text([]byte(o.Text)) })
-	case brain.Probe:
+	case policy.Probe:
 		w.record(2, who, func() { w.u32(o.Appliance) })
-	case brain.Wake:
+	case policy.Wake:
 		w.record(3, who, func() { w.ms(o.At); w.u64(o.Token) })
-	case brain.Tell:
+	case policy.Tell:
 		w.record(4, who, func() { w.u32(uint32(o.To)); w.text(o.Text) })
-	case brain.CallOff:
+	case policy.CallOff:
 		w.record(7, who, func() { w.u64(o.ID); w.u8(o.Seq) })
-	case brain.Vote:
+	case policy.Vote:
 		w.record(8, who, func() { w.u16(o.Build); w.u8(o.Stage); w.u8(int(o.Verdict)) })
-	case brain.Submit:
+	case policy.Submit:
 		w.record(10, who, func() { w.u64(o.ID); w.ms(o.Patience); w.u32(o.Appliance) })
-	case brain.Watch:
+	case policy.Watch:
 		w.record(11, who, func() { w.u8(1) })
-	case brain.Void:
+	case policy.Void:
 		w.record(12, who, func() { w.u64(o.ID) })
 	default:
 		panic(fmt.Sprintf("no wire form for order %T", o))
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -6,26 +6,26 @@
 	"strings"
 	"testing"
 
-	"switchfork/brain"
+	"switchfork/internal/policy"
 	"switchfork/internal/golden"
 )
 
 // goldenRouter keeps the events that it is given, and answers each with every order.
-type goldenRouter struct{ events []brain.Event }
+type goldenRouter struct{ events []policy.Event }
 
-func (g *goldenRouter) Handle(_ brain.Micros, ev brain.Event) []brain.Order {
+func (g *goldenRouter) Handle(_ policy.Micros, ev policy.Event) []policy.Order {
 	g.events = append(g.events, ev)
-	return []brain.Order{
-		brain.Submit{ID: 0x0102030405060708, Appliance: 0x11121314, Patience: 123456, Before: 99},
-		brain.CallOff{ID: 0x2122232425262728, Seq: 3},
-		brain.Decline{ID: 0x3132333435363738, HoldOff: 1500000},
-		brain.Void{ID: 0x4142434445464748},
-		brain.Wake{At: 8256000123, Token: 0x5152535455565758},
-		brain.Probe{Appliance: 0x61626364},
-		brain.Tell{To: 0x71727374, Text: []byte("sheet")},
-		brain.Watch{},
-		brain.Vote{Build: 0x8182, Stage: 5, Verdict: brain.Back},
-		brain.Say{Text: "says"},
+	return []policy.Order{
+		policy.Submit{ID: 0x0102030405060708, Appliance: 0x11121314, Patience: 123456, Before: 99},
+		policy.CallOff{ID: 0x2122232425262728, Seq: 3},
+		policy.Decline{ID: 0x3132333435363738, HoldOff: 1500000},
+		policy.Void{ID: 0x4142434445464748},
+		policy.Wake{At: 8256000123, Token: 0x5152535455565758},
+		policy.Probe{Appliance: 0x61626364},
+		policy.Tell{To: 0x71727374, Text: []byte("sheet")},
+		policy.Watch{},
+		policy.Vote{Build: 0x8182, Stage: 5, Verdict: policy.Back},
+		policy.Say{Text: "says"},
 	}
 }
 
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"switchfork/brain"
+	"switchfork/internal/policy"
 )
 
 var env = strings.ReplaceAll(`Me=0 Balancers=2 Zone=0 Grades.count=1 Grades.0.Repeat=read_like Grades.0.SloMs=100.0
@@ -96,11 +96,11 @@
 
 type broken struct{}
 
-func (broken) Handle(brain.Micros, brain.Event) []brain.Order { panic("index out of range") }
+func (broken) Handle(policy.Micros, policy.Event) []policy.Order { panic("index out of range") }
 
 func TestPanicBecomesBroken(t *testing.T) {
 	w := &writer{}
-	handle(broken{}, 0, brain.Bell{}, 3, w)
+	handle(broken{}, 0, policy.Bell{}, 3, w)
 	if got, want := hex.EncodeToString(w.buf), "05160000000300"+"1200"+hex.EncodeToString([]byte("index out of range")); got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
