--- a/ring/ring.go
+++ b/internal/hashring/ring.go
@@ -1,9 +1,9 @@
-// Package ring holds the points of one build's appliances on a circle of 64-bit hashes, and finds the owners of the next
+// Package hashring holds the points of one build's appliances on a circle of 64-bit hashes, and finds the owners of the next
 // points clockwise from a spot. It owns the points; it must never know why an appliance may or may not be taken.
 //
 // The points lie in buckets by their highest bits, so that a look-up takes a bucket and not a search of all, and a change of
 // one appliance touches its own points' buckets only. Use: one Ring a build, from one goroutine; no I/O, no clock.
-package ring
+package hashring
 
 import (
 	"math"
--- a/ring/ring_test.go
+++ b/internal/hashring/ring_test.go
@@ -1,4 +1,4 @@
-package ring
+package hashring
 
 import (
 	"fmt"
