--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"switchfork/charter"
-	"switchfork/door"
+	"switchfork/internal/admission"
 	"switchfork/internal/policy"
 	"switchfork/operator"
 	"switchfork/sockets"
@@ -195,35 +195,35 @@
 
 // open makes the door that the operator asks for.
 func open(keep operator.DoorKeeping, goods []charter.Good, stalls []charter.Stall, customers []string, shares []float64,
-	lines charter.Lines, ration charter.Ration, purse *sockets.Purse, seed uint64) *door.Door {
-	var products []door.Product
+	lines charter.Lines, ration charter.Ration, purse *sockets.Purse, seed uint64) *admission.Door {
+	var products []admission.Product
 	for i, g := range goods {
-		products = append(products, door.Product{SLA: stalls[i].SLA.Microseconds(), Expiry: g.Expiry.Microseconds(),
+		products = append(products, admission.Product{SLA: stalls[i].SLA.Microseconds(), Expiry: g.Expiry.Microseconds(),
 			Revenue: stalls[i].Revenue, Referenced: g.Effect == policy.Referenced})
 	}
-	room := door.RoomOf(ration.MemoryMB, min(lines.OpenCap, purse.Txns()), keep.Queues)
+	room := admission.RoomOf(ration.MemoryMB, min(lines.OpenCap, purse.Txns()), keep.Queues)
 	if keep.Txns > 0 {
 		room.Txns = min(room.Txns, keep.Txns)
 	}
 	if keep.Bytes > 0 {
 		room.Bytes = keep.Bytes
 	}
-	waits := door.Waits{}
+	waits := admission.Waits{}
 	if keep.ComeBack {
 		waits.Most = lines.HoldOff.Microseconds()
 	}
 	slog.Info("door", "txns", room.Txns, "kib", room.Bytes>>10, "queues", room.Queues, "tenants", len(customers))
-	return door.New(products, weights(keep, customers, shares), room, waits, keep.SameAnswer, int64(seed))
+	return admission.New(products, weights(keep, customers, shares), room, waits, keep.SameAnswer, int64(seed))
 }
 
 // weights are the told shares, or what the operator has put in their place.
-func weights(keep operator.DoorKeeping, customers []string, shares []float64) (out []door.Tenant) {
+func weights(keep operator.DoorKeeping, customers []string, shares []float64) (out []admission.Tenant) {
 	for i, name := range customers {
 		w := shares[i]
 		if own, is := keep.Shares[name]; is {
 			w = own
 		}
-		out = append(out, door.Tenant{Weight: w})
+		out = append(out, admission.Tenant{Weight: w})
 	}
 	return out
 }
--- a/cmd/switchlab/door.go
+++ b/cmd/switchlab/door.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"switchfork/door"
+	"switchfork/internal/admission"
 	"switchfork/rehearsal/lab"
 )
 
@@ -183,19 +183,19 @@
 
 // heapAfter is the heap that a door holds after so many clients that came once, half of whom were turned away.
 func heapAfter(clients int) int64 {
-	d := door.New([]door.Product{{SLA: 800_000, Expiry: 2_000_000, Revenue: 1}}, []door.Tenant{{Weight: 1}},
-		door.Room{Txns: 1000, Bytes: 1 << 30, Queues: 64}, door.Waits{Most: 2_000_000}, false, 1)
+	d := admission.New([]admission.Product{{SLA: 800_000, Expiry: 2_000_000, Revenue: 1}}, []admission.Tenant{{Weight: 1}},
+		admission.Room{Txns: 1000, Bytes: 1 << 30, Queues: 64}, admission.Waits{Most: 2_000_000}, false, 1)
 	now, in := int64(0), []uint64{}
-	take := func(orders []door.Order) {
+	take := func(orders []admission.Order) {
 		for _, o := range orders {
-			if o.Kind == door.Admit {
+			if o.Kind == admission.Admit {
 				in = append(in, o.ID)
 			}
 		}
 	}
 	for id := range uint64(clients) {
 		now += 1000
-		take(d.Arrive(now, door.Arrival{ID: id + 1, Client: id, Key: id + 1, Expires: now + 2_000_000, Bytes: 400}))
+		take(d.Arrive(now, admission.Arrival{ID: id + 1, Client: id, Key: id + 1, Expires: now + 2_000_000, Bytes: 400}))
 		if next := d.Next(); next > 0 && next <= now {
 			take(d.Bell(now))
 		}
@@ -203,7 +203,7 @@
 			first := in[0]
 			in = in[1:]
 			take(d.Sent(now, first))
-			take(d.Ended(now, first, door.Settled))
+			take(d.Ended(now, first, admission.Settled))
 		}
 	}
 	var m runtime.MemStats
--- a/door/door.go
+++ b/internal/admission/door.go
@@ -1,11 +1,11 @@
-// Package door holds every decision of who goes in to the module and when: fairness among tenants and among a tenant's
+// Package admission holds every decision of who goes in to the module and when: fairness among tenants and among a tenant's
 // clients, how many may be in at a time, who has to go when there is no room, and when those who are turned away should
 // come back. It owns the txns that wait and the promises given; it must never route a txn or look at an answer's content.
 //
 // Use: make one Door an agent with New, tell it what happens with the clock in whole microseconds, and carry out the
 // orders that each call returns before the next one; they stand in a slice that the next call uses again. A Door does no
 // I/O, reads no clock and starts no goroutine; the same calls give the same orders.
-package door
+package admission
 
 import (
 	"math/rand"
--- a/door/fair.go
+++ b/internal/admission/fair.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 // This file owns the order in which txns go in: start-time fair queueing among tenants, and within a tenant among a
 // fixed number of queues that its clients are spread over. A flow's start is the later of the level's present and its own
--- a/door/limit.go
+++ b/internal/admission/limit.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 import "math"
 
--- a/door/wheel.go
+++ b/internal/admission/wheel.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 // This file owns the tickets that wait, by the time at which they give up: a wheel of lists, one for each beat, so that
 // coming and going cost the same however many wait. A ticket is found up to two beats before its time and never after it.
--- a/rehearsal/lab/world.go
+++ b/rehearsal/lab/world.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"switchfork/internal/policy"
-	"switchfork/door"
+	"switchfork/internal/admission"
 )
 
 const (
@@ -52,14 +52,14 @@
 type Result struct {
 	Tenants []Account
 	Served  []float64 // work let in by tenant
-	Count   door.Count
+	Count   admission.Count
 	Told    []float64 // of those turned away: what they were told over what was needed
 	Limit   []float64 // once a second
 }
 
 // gate is what stands before the module: the door in one of its forms.
 type gate struct {
-	*door.Door
+	*admission.Door
 	tenant func(int) int // how the door sees a tenant
 	told   int64         // what a refusal without a time tells; 0: nothing
 	pass   func(now int64, tenant int) bool
@@ -203,14 +203,14 @@
 }
 
 func (w *world) makeGate(kind Kind) {
-	products := []door.Product{{SLA: slaWorks * w.Work, Expiry: expiryWorks * w.Work, Revenue: 1}}
-	room := door.Room{Txns: 1000, Bytes: 1 << 30, Queues: 64}
-	var shares []door.Tenant
+	products := []admission.Product{{SLA: slaWorks * w.Work, Expiry: expiryWorks * w.Work, Revenue: 1}}
+	room := admission.Room{Txns: 1000, Bytes: 1 << 30, Queues: 64}
+	var shares []admission.Tenant
 	for _, s := range w.Shares {
-		shares = append(shares, door.Tenant{Weight: s})
+		shares = append(shares, admission.Tenant{Weight: s})
 	}
 	g := gate{tenant: func(t int) int { return t }, pass: func(int64, int) bool { return true }}
-	waits := door.Waits{Most: longestWait}
+	waits := admission.Waits{Most: longestWait}
 	switch kind {
 	case NoCalendar:
 		waits.Most, g.told = 0, longestWait
@@ -237,7 +237,7 @@
 			return true
 		}
 	}
-	g.Door = door.New(products, shares, room, waits, false, w.Seed)
+	g.Door = admission.New(products, shares, room, waits, false, w.Seed)
 	w.gate = g
 }
 
@@ -297,7 +297,7 @@
 		w.refused(t, w.gate.told)
 		return
 	}
-	w.carry(w.gate.Arrive(w.now, door.Arrival{ID: t.id, Tenant: w.gate.tenant(t.tenant), Client: t.client, Key: t.key,
+	w.carry(w.gate.Arrive(w.now, admission.Arrival{ID: t.id, Tenant: w.gate.tenant(t.tenant), Client: t.client, Key: t.key,
 		Repeat: t.tries > 1, Expires: t.expires, Bytes: 400}))
 }
 
@@ -313,18 +313,18 @@
 	w.at(w.now+wait+int64(w.chance.Float64()*float64(3*ms)), func() { w.come(t) })
 }
 
-func (w *world) carry(orders []door.Order) {
+func (w *world) carry(orders []admission.Order) {
 	for _, o := range orders {
 		t := w.open[o.ID]
 		if t == nil {
 			continue
 		}
 		switch o.Kind {
-		case door.Admit:
+		case admission.Admit:
 			w.tell(policy.Taken{ID: o.ID, Expires: t.expires, Came: t.came})
-		case door.Refuse:
+		case admission.Refuse:
 			wait := o.Wait
-			if w.gate.told > 0 && o.Why != door.Replaced {
+			if w.gate.told > 0 && o.Why != admission.Replaced {
 				wait = w.gate.told
 			}
 			line := w.gate.Line(w.gate.tenant(t.tenant))
@@ -356,7 +356,7 @@
 }
 
 // over tells the door that a txn's answer is out.
-func (w *world) over(t *txn, how door.How) {
+func (w *world) over(t *txn, how admission.How) {
 	if t.done {
 		return
 	}
@@ -365,7 +365,7 @@
 	id := t.id
 	delete(w.open, id)
 	switch how {
-	case door.Settled:
+	case admission.Settled:
 		if w.now <= int64(w.Seconds)*second {
 			a.Settled++
 		}
@@ -374,7 +374,7 @@
 		if took <= slaWorks*w.Work {
 			a.InTime++
 		}
-	case door.Declined:
+	case admission.Declined:
 		w.refused(t, longestWait)
 	default:
 		a.GivenUp++
@@ -392,11 +392,11 @@
 			w.submit(o)
 		case policy.Decline:
 			if t := w.open[o.ID]; t != nil {
-				w.over(t, door.Declined)
+				w.over(t, admission.Declined)
 			}
 		case policy.Void:
 			if t := w.open[o.ID]; t != nil {
-				w.over(t, door.Voided)
+				w.over(t, admission.Voided)
 			}
 		case policy.Probe:
 			w.at(w.now+ms, func() { w.tell(policy.Probed{Appliance: o.Appliance, Took: ms}) })
@@ -462,7 +462,7 @@
 	t := w.open[j.id]
 	ended := policy.Ended{ID: j.id, Appliance: b.id, Outcome: how, Took: w.now - j.sent, Over: t == nil || how == policy.OK}
 	if t != nil && how == policy.OK {
-		w.over(t, door.Settled)
+		w.over(t, admission.Settled)
 	}
 	w.tell(ended)
 }
--- a/sockets/core.go
+++ b/sockets/core.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"switchfork/internal/policy"
-	"switchfork/door"
+	"switchfork/internal/admission"
 )
 
 // This file owns the module's actor: its mailbox, its clock, its bell, and who gets each of its orders. Nothing
@@ -79,7 +79,7 @@
 	on      *appliance
 	done    func() // when it is over and nothing of it is out; nil where nobody asks
 	sent    func() // when it is first sent; nil where nobody asks
-	how     door.How
+	how     admission.How
 	also    []chan reply // its next tries, which get its answer
 }
 
@@ -237,7 +237,7 @@
 		c.handle(n.taken)
 	case policy.Abandoned:
 		if t := c.txns[n.ID]; t != nil && !t.over {
-			t.how = door.Left
+			t.how = admission.Left
 			c.done.left++
 			c.over(n.ID, t)
 			c.handle(n)
@@ -286,7 +286,7 @@
 	} else {
 		t.out--
 		if !t.over && (n.ending == Settled || n.ending == Rejected) {
-			t.how = door.Settled
+			t.how = admission.Settled
 			c.done.settled++
 			t.tell(reply{settled: n.answer})
 			t.over = true
@@ -422,10 +422,10 @@
 func (c *Core) answer(id uint64, r reply) {
 	if t := c.txns[id]; t != nil && !t.over {
 		if r.refused {
-			t.how = door.Declined
+			t.how = admission.Declined
 			c.done.declined++
 		} else {
-			t.how = door.Voided
+			t.how = admission.Voided
 			c.done.voided++
 		}
 		t.tell(r)
--- a/sockets/front.go
+++ b/sockets/front.go
@@ -19,7 +19,7 @@
 	"golang.org/x/sys/unix"
 
 	"switchfork/internal/policy"
-	"switchfork/door"
+	"switchfork/internal/admission"
 )
 
 // This file owns the clients' side: httputil.ReverseProxy before a RoundTripper that hands each txn to the module's
@@ -246,7 +246,7 @@
 	} else {
 		taken.Came = f.core.clock.at(at)
 		leave = func() { f.gate.box.put(left{id}) }
-		f.gate.box.put(knock{door.Arrival{ID: id, Tenant: o.customer, Client: f.client(r), Product: o.product, Key: o.mark,
+		f.gate.box.put(knock{admission.Arrival{ID: id, Tenant: o.customer, Client: f.client(r), Product: o.product, Key: o.mark,
 			Repeat: o.repeat, Work: o.work, Expires: taken.Expires, Bytes: len(t.parcel.head) + len(body)}, taken, t})
 	}
 	// Who has not taken its answer some time after it stopped waiting holds a descriptor for nothing; before, it has its time, however
--- a/sockets/gate.go
+++ b/sockets/gate.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"switchfork/internal/policy"
-	"switchfork/door"
+	"switchfork/internal/admission"
 )
 
 // This file owns the door's actor: its mailbox, its bell, and who gets each of its orders. It stands between the clients'
@@ -15,18 +15,18 @@
 // What the others put into the gate's mailbox.
 type (
 	knock struct {
-		door.Arrival
+		admission.Arrival
 		taken policy.Taken
 		*open
 	}
 	found struct{ id uint64 } // the module has sent it
 	over  struct {
 		id  uint64
-		how door.How
+		how admission.How
 	}
 	left    struct{ id uint64 } // its client has gone
 	drain   struct{ until time.Time }
-	reshare struct{ shares []door.Tenant }
+	reshare struct{ shares []admission.Tenant }
 	ask     struct{ answer chan Standing }
 	sum     struct{ done chan struct{} } // writes the last line of figures
 )
@@ -39,13 +39,13 @@
 
 // Standing is what the door has in hand and has done.
 type Standing struct {
-	door.State
-	door.Count
+	admission.State
+	admission.Count
 }
 
 // Gate is the door's actor.
 type Gate struct {
-	door  *door.Door
+	door  *admission.Door
 	clock Clock
 	core  *Core
 	box   *mailbox[any]
@@ -55,7 +55,7 @@
 }
 
 // NewGate puts a door before the core.
-func NewGate(d *door.Door, clock Clock, core *Core) *Gate {
+func NewGate(d *admission.Door, clock Clock, core *Core) *Gate {
 	return &Gate{door: d, clock: clock, core: core, box: newMailbox[any](), known: map[uint64]knock{}, in: map[uint64]bool{}}
 }
 
@@ -132,10 +132,10 @@
 	return k, was
 }
 
-func (g *Gate) carryOut(orders []door.Order) {
+func (g *Gate) carryOut(orders []admission.Order) {
 	for _, o := range orders {
 		switch o.Kind {
-		case door.Admit:
+		case admission.Admit:
 			k := g.known[o.ID]
 			delete(g.known, o.ID)
 			g.in[o.ID] = true
@@ -148,11 +148,11 @@
 				g.box.put(over{id, k.open.how})
 			}
 			g.core.box.put(arrived{k.taken, k.open})
-		case door.Refuse:
+		case admission.Refuse:
 			if k, was := g.forget(o.ID); was {
 				k.reply <- reply{refused: true, holdOff: o.Wait}
 			}
-		case door.Share:
+		case admission.Share:
 			if k, was := g.forget(o.ID); was {
 				g.core.box.put(alsoTo{o.First, k.open})
 			}
@@ -191,14 +191,14 @@
 }
 
 // Reshare puts other weights in force.
-func (g *Gate) Reshare(shares []door.Tenant) { g.box.put(reshare{shares}) }
+func (g *Gate) Reshare(shares []admission.Tenant) { g.box.put(reshare{shares}) }
 
 // journal writes the door's figures: levels as they are, counts since the last line.
 func journal(now, last Standing) {
 	slog.Info("door", "in", now.In, "limit", int(now.Limit), "waiting", now.Waiting, "kib", now.Bytes>>10,
 		"arrived", now.Arrived-last.Arrived, "admitted", now.Admitted-last.Admitted, "joined", now.Joined-last.Joined,
-		"toolate", now.Refused[door.TooLate]-last.Refused[door.TooLate], "noroom", now.Refused[door.NoRoom]-last.Refused[door.NoRoom],
+		"toolate", now.Refused[admission.TooLate]-last.Refused[admission.TooLate], "noroom", now.Refused[admission.NoRoom]-last.Refused[admission.NoRoom],
 		"promised", now.Promised-last.Promised, "kept", now.Kept-last.Kept, "broken", now.Broken-last.Broken,
-		"unclaimed", now.Unclaimed-last.Unclaimed, "settled", now.Ended[door.Settled]-last.Ended[door.Settled],
-		"declined", now.Ended[door.Declined]-last.Ended[door.Declined], "voided", now.Ended[door.Voided]-last.Ended[door.Voided])
+		"unclaimed", now.Unclaimed-last.Unclaimed, "settled", now.Ended[admission.Settled]-last.Ended[admission.Settled],
+		"declined", now.Ended[admission.Declined]-last.Ended[admission.Declined], "voided", now.Ended[admission.Voided]-last.Ended[admission.Voided])
 }
--- a/sockets/gate_test.go
+++ b/sockets/gate_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"switchfork/internal/policy"
-	"switchfork/door"
+	"switchfork/internal/admission"
 )
 
 // gated is a core with a door before it, and a module that does as the test says.
@@ -25,11 +25,11 @@
 	t    *testing.T
 }
 
-func newGated(t *testing.T, room door.Room, same bool) *gated {
+func newGated(t *testing.T, room admission.Room, same bool) *gated {
 	r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
 	clock := NewClock()
-	d := door.New([]door.Product{{SLA: 10_000_000, Expiry: 20_000_000, Revenue: 1, Referenced: true}}, []door.Tenant{{Weight: 1}},
-		room, door.Waits{Most: 500_000}, same, 1)
+	d := admission.New([]admission.Product{{SLA: 10_000_000, Expiry: 20_000_000, Revenue: 1, Referenced: true}}, []admission.Tenant{{Weight: 1}},
+		room, admission.Waits{Most: 500_000}, same, 1)
 	g := &gated{r, NewGate(d, clock, r.core), t}
 	go g.gate.Serve(r.ctx)
 	return g
@@ -39,7 +39,7 @@
 func (g *gated) knock(id, key uint64) chan reply {
 	o := &open{parcel: posting, reply: make(chan reply, 1), expires: time.Now().Add(patience)}
 	expires := g.gate.clock.at(o.expires)
-	g.gate.box.put(knock{door.Arrival{ID: id, Client: id, Key: key, Expires: expires, Bytes: 100},
+	g.gate.box.put(knock{admission.Arrival{ID: id, Client: id, Key: key, Expires: expires, Bytes: 100},
 		policy.Taken{ID: id, Key: key, Expires: expires}, o})
 	return o.reply
 }
@@ -50,7 +50,7 @@
 
 // A next try does not go in while its first one is in, goes in when that is over, and takes over a place that waits.
 func TestNextTryAtTheGate(t *testing.T) {
-	g := newGated(t, door.Room{Txns: 10, Bytes: 1 << 20, Queues: 4}, false)
+	g := newGated(t, admission.Room{Txns: 10, Bytes: 1 << 20, Queues: 4}, false)
 	g.knock(1, 5)
 	eventually(t, "the first try", func() bool { return g.taken() == 1 })
 	g.knock(2, 5)
@@ -80,7 +80,7 @@
 
 // With same-answer a next try gets its first one's answer, whatever it is, and nothing of its own goes in.
 func TestSameAnswerAtTheGate(t *testing.T) {
-	g := newGated(t, door.Room{Txns: 10, Bytes: 1 << 20, Queues: 4}, true)
+	g := newGated(t, admission.Room{Txns: 10, Bytes: 1 << 20, Queues: 4}, true)
 	first := g.knock(1, 5)
 	eventually(t, "the first try", func() bool { return g.taken() == 1 })
 	second := g.knock(2, 5)
@@ -113,7 +113,7 @@
 
 // A client that leaves the queue is forgotten, and a drain answers all who will not get in.
 func TestLeavingAndDraining(t *testing.T) {
-	g := newGated(t, door.Room{Txns: 40, Bytes: 1 << 20, Queues: 4}, false)
+	g := newGated(t, admission.Room{Txns: 40, Bytes: 1 << 20, Queues: 4}, false)
 	for id := uint64(1); id <= 32; id++ { // as many as go in at first
 		g.knock(id, id)
 	}
