--- a/pace/pace.go
+++ b/internal/backoff/pace.go
@@ -1,7 +1,7 @@
-// Package pace decides when a call that failed is made again. It is for the calls that all agents make alike, to
+// Package backoff decides when a call that failed is made again. It is for the calls that all agents make alike, to
 // discovery and the launcher: what one agent repeats without harm, many in step make a storm of, which keeps a party
 // down that would long be back (a metastable overload). It does no I/O and reads no clock.
-package pace
+package backoff
 
 import "math/rand"
 
--- a/pace/pace_test.go
+++ b/internal/backoff/pace_test.go
@@ -1,4 +1,4 @@
-package pace
+package backoff
 
 import (
 	"container/heap"
--- a/sockets/launcher.go
+++ b/sockets/launcher.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"switchfork/internal/policy"
-	"switchfork/pace"
+	"switchfork/internal/backoff"
 )
 
 // This file owns the way to the launcher: votes with exactly one answer each, and the stream of its news. It must
@@ -33,7 +33,7 @@
 	also    func(policy.Staged) // hears the news, too; nil: nobody
 	now     *stream            // the one that is believed
 	next    *stream            // the one that is to take its place
-	again   *pace.Again
+	again   *backoff.Again
 
 	mu     sync.Mutex
 	told   int          // how often where things stand has been told
@@ -63,7 +63,7 @@
 
 func NewLauncher(core *Core, address string, dial, patient time.Duration, seed int64) *Launcher {
 	return &Launcher{core: core, base: at(address), patient: patient, box: newMailbox[any](),
-		client: newClient(dial, core.inflows), once: onceClient(dial), again: pace.New(0, ^seed)}
+		client: newClient(dial, core.inflows), once: onceClient(dial), again: backoff.New(0, ^seed)}
 }
 
 // Also names who else hears the news. It is to be called before Known and Serve.
@@ -202,7 +202,7 @@
 }
 
 // open starts a stream, after a pause where one failed.
-func (l *Launcher) open(ctx context.Context, pause pace.Micros) *stream {
+func (l *Launcher) open(ctx context.Context, pause backoff.Micros) *stream {
 	ctx, stop := context.WithCancel(ctx)
 	s := &stream{stop: stop, base: l.base, line: time.Now()}
 	go func() {
--- a/sockets/roster.go
+++ b/sockets/roster.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"switchfork/internal/policy"
-	"switchfork/pace"
+	"switchfork/internal/backoff"
 )
 
 // This file owns the list: the watch at discovery, the numbers of appliances, and which line is news. It must
@@ -44,7 +44,7 @@
 	base   string
 	seq    uint64
 	whole  bool // the next line has to be the whole list
-	again  *pace.Again
+	again  *backoff.Again
 	once   bool // its address has been left: not opened again
 	mu     sync.Mutex
 	stop   context.CancelFunc
@@ -69,7 +69,7 @@
 
 func (r *Roster) at(address string) *follower {
 	return &follower{roster: r, base: "http://" + address + "/catalog/members", stop: func() {},
-		again: pace.New(r.within.Microseconds(), r.seed)}
+		again: backoff.New(r.within.Microseconds(), r.seed)}
 }
 
 // Move goes to another address. The watch at the old one goes on until the new one has brought the whole list, so that
@@ -242,7 +242,7 @@
 )
 
 // wait is a pause that the end cuts short.
-func wait(ctx context.Context, span pace.Micros) {
+func wait(ctx context.Context, span backoff.Micros) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Duration(span) * time.Microsecond):
@@ -255,11 +255,11 @@
 func (r refusal) Error() string { return fmt.Sprintf("status %d", int(r)) }
 
 // why tells a party that has too much to do from one that is not there.
-func why(err error) pace.Reason {
+func why(err error) backoff.Reason {
 	if r := refusal(0); errors.As(err, &r) && (r == http.StatusServiceUnavailable || r == http.StatusTooManyRequests) {
-		return pace.Full
+		return backoff.Full
 	}
-	return pace.Gone
+	return backoff.Gone
 }
 
 func (f *follower) serve(ctx context.Context) {
