--- a/cmd/switchfork/chair.go
+++ b/cmd/switchfork/chair.go
@@ -11,11 +11,11 @@
 
 	"github.com/spf13/cobra"
 
-	"switchfork/charter"
 	"switchfork/fleet/council"
 	"switchfork/fleet/decider"
 	"switchfork/fleet/vault"
 	"switchfork/fleet/ways"
+	"switchfork/internal/config"
 	"switchfork/internal/policy"
 	"switchfork/operator"
 	"switchfork/sockets"
@@ -42,7 +42,7 @@
 )
 
 // sit makes the seat that the operator asks for, nil without one.
-func sit(keep operator.Chair, circle charter.Circle, terms *charter.Terms, seed int64, core *sockets.Core, launcher *sockets.Launcher,
+func sit(keep operator.Chair, circle config.Circle, terms *config.Terms, seed int64, core *sockets.Core, launcher *sockets.Launcher,
 	peers *sockets.Peers) (*chair, error) {
 	if !keep.On {
 		if keep.Admin != "" {
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"time"
 
-	"switchfork/charter"
 	"switchfork/internal/admission"
+	"switchfork/internal/config"
 	"switchfork/internal/policy"
 	"switchfork/operator"
 	"switchfork/sockets"
@@ -46,7 +46,7 @@
 		}
 	}
 	logTo(orders.Log)
-	file, err := charter.Read(os.Getenv)
+	file, err := config.Read(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -174,7 +174,7 @@
 }
 
 // reload hands on what the file has changed that may change at work; a faulty file leaves all as it is.
-func reload(file *charter.File, roster *sockets.Roster, launcher *sockets.Launcher) *charter.File {
+func reload(file *config.File, roster *sockets.Roster, launcher *sockets.Launcher) *config.File {
 	next, moved, left, err := file.Reread()
 	if err != nil {
 		slog.Error("reload: the old stays in force", "err", err)
@@ -194,8 +194,8 @@
 }
 
 // open makes the door that the operator asks for.
-func open(keep operator.DoorKeeping, goods []charter.Good, stalls []charter.Stall, customers []string, shares []float64,
-	lines charter.Lines, ration charter.Ration, purse *sockets.Purse, seed uint64) *admission.Door {
+func open(keep operator.DoorKeeping, goods []config.Good, stalls []config.Stall, customers []string, shares []float64,
+	lines config.Lines, ration config.Ration, purse *sockets.Purse, seed uint64) *admission.Door {
 	var products []admission.Product
 	for i, g := range goods {
 		products = append(products, admission.Product{SLA: stalls[i].SLA.Microseconds(), Expiry: g.Expiry.Microseconds(),
--- a/charter/charter.go
+++ b/internal/config/charter.go
@@ -1,4 +1,4 @@
-package charter
+package config
 
 import (
 	"encoding/json"
--- a/charter/terms.go
+++ b/internal/config/terms.go
@@ -1,7 +1,7 @@
-// Package charter is the one place where what is told at the start is read, checked and given its defaults: the
+// Package config is the one place where what is told at the start is read, checked and given its defaults: the
 // GW_* variables and the JSON beside them for the real agent, path=value pairs for the simulator. It turns the
 // settings into the module's start for both. It decides nothing, and no other package reads the environment.
-package charter
+package config
 
 import (
 	"encoding/json"
--- a/wire/adapter.go
+++ b/wire/adapter.go
@@ -6,7 +6,7 @@
 	"io"
 
 	"switchfork/internal/policy"
-	"switchfork/charter"
+	"switchfork/internal/config"
 )
 
 var outcomes = map[int]policy.Outcome{100: policy.OK, 301: policy.Errored, 302: policy.TurnedOff,
@@ -85,7 +85,7 @@
 		if r.err != nil {
 			return r.err
 		}
-		m, err := charter.Pairs(env).Open(seed)
+		m, err := config.Pairs(env).Open(seed)
 		if err != nil {
 			return fmt.Errorf("instance %d: %w", who, err)
 		}
