--- a/cmd/switchfork/chair.go
+++ b/cmd/switchfork/chair.go
@@ -16,8 +16,8 @@
 	"switchfork/fleet/vault"
 	"switchfork/fleet/ways"
 	"switchfork/internal/config"
+	"switchfork/internal/options"
 	"switchfork/internal/policy"
-	"switchfork/operator"
 	"switchfork/sockets"
 )
 
@@ -42,7 +42,7 @@
 )
 
 // sit makes the seat that the operator asks for, nil without one.
-func sit(keep operator.Chair, circle config.Circle, terms *config.Terms, seed int64, core *sockets.Core, launcher *sockets.Launcher,
+func sit(keep options.Chair, circle config.Circle, terms *config.Terms, seed int64, core *sockets.Core, launcher *sockets.Launcher,
 	peers *sockets.Peers) (*chair, error) {
 	if !keep.On {
 		if keep.Admin != "" {
@@ -119,7 +119,7 @@
 	return c, nil
 }
 
-func (c *chair) serve(ctx context.Context, keep operator.Chair) (err error) {
+func (c *chair) serve(ctx context.Context, keep options.Chair) (err error) {
 	if c.tcp != nil {
 		if c.tcp.Streams, err = ways.Listen(ctx, keep.Listen, c.council.Hear); err != nil {
 			return fmt.Errorf("decider-listen: %w", err)
--- a/cmd/switchfork/main.go
+++ b/cmd/switchfork/main.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"switchfork/operator"
+	"switchfork/internal/options"
 )
 
 // Exit codes: 0, failed, wrong use.
@@ -74,7 +74,7 @@
 
 // check prints what would be in force.
 func check(out io.Writer, path string) error {
-	orders, err := operator.Read(path)
+	orders, err := options.Read(path)
 	if err != nil {
 		return err
 	}
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -15,8 +15,8 @@
 
 	"switchfork/internal/admission"
 	"switchfork/internal/config"
+	"switchfork/internal/options"
 	"switchfork/internal/policy"
-	"switchfork/operator"
 	"switchfork/sockets"
 )
 
@@ -38,10 +38,10 @@
 func serve(operatorFile string) error {
 	hangup := make(chan os.Signal, 1) // taken from here on: one that nobody takes ends the process
 	signal.Notify(hangup, syscall.SIGHUP)
-	orders := operator.Defaults()
+	orders := options.Defaults()
 	if operatorFile != "" {
 		var err error
-		if orders, err = operator.Read(operatorFile); err != nil {
+		if orders, err = options.Read(operatorFile); err != nil {
 			return err
 		}
 	}
@@ -194,7 +194,7 @@
 }
 
 // open makes the door that the operator asks for.
-func open(keep operator.DoorKeeping, goods []config.Good, stalls []config.Stall, customers []string, shares []float64,
+func open(keep options.DoorKeeping, goods []config.Good, stalls []config.Stall, customers []string, shares []float64,
 	lines config.Lines, ration config.Ration, purse *sockets.Purse, seed uint64) *admission.Door {
 	var products []admission.Product
 	for i, g := range goods {
@@ -217,7 +217,7 @@
 }
 
 // weights are the told shares, or what the operator has put in their place.
-func weights(keep operator.DoorKeeping, customers []string, shares []float64) (out []admission.Tenant) {
+func weights(keep options.DoorKeeping, customers []string, shares []float64) (out []admission.Tenant) {
 	for i, name := range customers {
 		w := shares[i]
 		if own, is := keep.Shares[name]; is {
@@ -229,7 +229,7 @@
 }
 
 // logTo puts the log's level and form in force.
-func logTo(book operator.LogBook) {
+func logTo(book options.LogBook) {
 	var level slog.Level
 	level.UnmarshalText([]byte(book.Level))
 	how := &slog.HandlerOptions{Level: level}
@@ -242,11 +242,11 @@
 
 // reorder reads the operator's file again: log and shares take effect at once, other keywords need a restart, and a faulty
 // file changes nothing.
-func reorder(now *operator.Orders, customers []string, shares []float64, gate *sockets.Gate) *operator.Orders {
+func reorder(now *options.Orders, customers []string, shares []float64, gate *sockets.Gate) *options.Orders {
 	if now.Path == "" {
 		return now
 	}
-	next, err := operator.Read(now.Path)
+	next, err := options.Read(now.Path)
 	if err != nil {
 		slog.Error("operator's file: the old stays in force", "err", err)
 		return now
--- a/operator/operator.go
+++ b/internal/options/operator.go
@@ -1,7 +1,7 @@
-// Package operator reads the operator's file: one setting a line, a keyword and its values, '#' before a comment, quotes
+// Package options reads the operator's file: one setting a line, a keyword and its values, '#' before a comment, quotes
 // where a value holds spaces. It owns the keywords, their forms and their defaults, and finds all faults of a file at once;
 // it must never decide anything or touch what is at work.
-package operator
+package options
 
 import (
 	"bufio"
--- a/operator/operator_test.go
+++ b/internal/options/operator_test.go
@@ -1,4 +1,4 @@
-package operator
+package options
 
 import (
 	"errors"
