--- a/cmd/switchfork/chair.go
+++ b/cmd/switchfork/chair.go
@@ -12,9 +12,9 @@
 	"github.com/spf13/cobra"
 
 	"switchfork/fleet/council"
-	"switchfork/fleet/decider"
 	"switchfork/fleet/vault"
 	"switchfork/fleet/ways"
+	"switchfork/internal/cluster/election"
 	"switchfork/internal/config"
 	"switchfork/internal/options"
 	"switchfork/internal/policy"
@@ -51,7 +51,7 @@
 		return nil, nil
 	}
 	rules := terms.Votes()
-	me, members := keep.Me, decider.Members{}
+	me, members := keep.Me, election.Members{}
 	switch {
 	case rules.Ballot != policy.BallotAny || rules.ToGo > 1 || rules.ToGoBack > 1:
 		slog.Warn("decider stays off: here several agents' votes are counted, so that one alone can't stand for all")
@@ -63,11 +63,11 @@
 		if me < 0 {
 			me = rules.Me
 		}
-		if rules.Agents > decider.Most || len(circle.Peers) > decider.Most {
-			slog.Warn("decider stays off: too many agents", "agents", rules.Agents, "most", decider.Most)
+		if rules.Agents > election.Most || len(circle.Peers) > election.Most {
+			slog.Warn("decider stays off: too many agents", "agents", rules.Agents, "most", election.Most)
 			return nil, nil
 		}
-		members = decider.First(rules.Agents)
+		members = election.First(rules.Agents)
 	default:
 		if me < 0 {
 			me = rules.Me
@@ -76,16 +76,16 @@
 			members.Mask |= 1 << i
 		}
 		if !members.Has(me) {
-			members = decider.Members{} // it has to be let in
+			members = election.Members{} // it has to be let in
 		}
 	}
-	if me >= decider.Most {
-		return nil, fmt.Errorf("decider: this is agent %d, numbers go from 0 to %d", me, decider.Most-1)
+	if me >= election.Most {
+		return nil, fmt.Errorf("decider: this is agent %d, numbers go from 0 to %d", me, election.Most-1)
 	}
 	h := fnv.New64a()
 	io.WriteString(h, keep.Group)
 	seat := council.Seat{Me: me, Members: members, Group: h.Sum64(), Seed: seed ^ int64(me+1)<<32,
-		Terms: decider.Terms{Lease: keep.Lease.Microseconds(), Drift: drift, Late: rules.Call + callRoom.Microseconds(), Life: rules.Stands, Need: 1}}
+		Terms: election.Terms{Lease: keep.Lease.Microseconds(), Drift: drift, Late: rules.Call + callRoom.Microseconds(), Life: rules.Stands, Need: 1}}
 	c := &chair{}
 	var store council.Store
 	if keep.State != "" {
@@ -179,8 +179,8 @@
 	for verb, short := range map[string]string{"add": "let an agent in; to be asked of the one that leads", "remove": "take an agent out; to be asked of the one that leads"} {
 		members.AddCommand(with(&cobra.Command{Use: verb + " AGENT", Short: short, Args: oneArg, RunE: func(_ *cobra.Command, args []string) error {
 			n, err := strconv.Atoi(args[0])
-			if err != nil || n < 0 || n >= decider.Most {
-				return use{fmt.Errorf("%q is no agent, expected a number from 0 to %d", args[0], decider.Most-1)}
+			if err != nil || n < 0 || n >= election.Most {
+				return use{fmt.Errorf("%q is no agent, expected a number from 0 to %d", args[0], election.Most-1)}
 			}
 			return council.Move(admin, verb, n)
 		}}))
--- a/cmd/switchfork/golden_test.go
+++ b/cmd/switchfork/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 
 	"switchfork/fleet/council"
-	"switchfork/fleet/decider"
+	"switchfork/internal/cluster/election"
 	"switchfork/internal/golden"
 	"switchfork/internal/policy"
 )
@@ -50,7 +50,7 @@
 
 // The metrics keep their names.
 func TestGoldenMetrics(t *testing.T) {
-	c := council.New(council.Seat{Members: decider.First(3), Terms: decider.Terms{Lease: 1e6}}, nowhere{}, nil,
+	c := council.New(council.Seat{Members: election.First(3), Terms: election.Terms{Lease: 1e6}}, nowhere{}, nil,
 		council.Desk{News: func(policy.Staged) {}})
 	var out strings.Builder
 	c.Metrics().WritePrometheus(&out)
--- a/cmd/switchlab/decider.go
+++ b/cmd/switchlab/decider.go
@@ -11,14 +11,14 @@
 
 	"github.com/spf13/cobra"
 
-	"switchfork/fleet/decider"
 	"switchfork/fleet/ways"
+	"switchfork/internal/cluster/election"
 	"switchfork/rehearsal/lab"
 )
 
 // This file owns the experiment on the decider: random schedules of troubles, checked at the launcher's model.
 
-var guards = map[string]decider.Without{"": {}, "lease": {Lease: true}, "record": {Record: true}, "wait": {Wait: true}, "prevote": {Prevote: true}, "begin": {Begin: true}}
+var guards = map[string]election.Without{"": {}, "lease": {Lease: true}, "record": {Record: true}, "wait": {Wait: true}, "prevote": {Prevote: true}, "begin": {Begin: true}}
 
 func deciderCommand() *cobra.Command {
 	var seed int64
@@ -86,7 +86,7 @@
 	return of[min(len(of)-1, int(q*float64(len(of))))]
 }
 
-func deciders(out io.Writer, seed int64, schedules, agents, seconds int, without string, off decider.Without) error {
+func deciders(out io.Writer, seed int64, schedules, agents, seconds int, without string, off election.Without) error {
 	began := time.Now()
 	var drawn, crashes, planned []lab.Schedule
 	for i := range schedules {
--- a/fleet/council/admin.go
+++ b/fleet/council/admin.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"time"
 
-	"switchfork/fleet/decider"
+	"switchfork/internal/cluster/election"
 )
 
 // This file owns the admin address: a Unix socket on which the operator's commands ask an agent, and its metrics are read.
@@ -32,13 +32,13 @@
 }
 
 // ReportOf puts a standing into words.
-func ReportOf(me int, s decider.Standing) Report {
+func ReportOf(me int, s election.Standing) Report {
 	r := Report{Me: me, Leads: s.Leads, Owner: s.Owner, Term: s.Term, LeftMS: s.Left / 1000, Unresolved: s.Unresolved, WaitsMS: s.Clear / 1000,
 		AbstainsMS: s.Abstains / 1000, Newest: "none"}
 	if k := s.Known; k.Term != 0 {
 		r.Newest = fmt.Sprintf("%d.%d build %d stage %d %v", k.Term, k.Serial, k.Build, k.Stage, k.Verdict)
 	}
-	for i := range decider.Most {
+	for i := range election.Most {
 		if s.Members.Has(i) {
 			r.Members = append(r.Members, i)
 		}
@@ -78,8 +78,8 @@
 	move := func(in bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			who, err := strconv.Atoi(r.FormValue("agent"))
-			if err != nil || who < 0 || who >= decider.Most {
-				http.Error(w, fmt.Sprintf("agent is %q, expected a number from 0 to %d", r.FormValue("agent"), decider.Most-1), http.StatusBadRequest)
+			if err != nil || who < 0 || who >= election.Most {
+				http.Error(w, fmt.Sprintf("agent is %q, expected a number from 0 to %d", r.FormValue("agent"), election.Most-1), http.StatusBadRequest)
 				return
 			}
 			join, out := who, -1
--- a/fleet/council/council.go
+++ b/fleet/council/council.go
@@ -12,7 +12,7 @@
 	"github.com/VictoriaMetrics/metrics"
 
 	"switchfork/internal/policy"
-	"switchfork/fleet/decider"
+	"switchfork/internal/cluster/election"
 	"switchfork/fleet/ways"
 )
 
@@ -21,7 +21,7 @@
 
 // Store keeps a memory; when Keep returns without an error it is on a disk.
 type Store interface {
-	Keep(decider.Memory) error
+	Keep(election.Memory) error
 	Close() error
 }
 
@@ -39,9 +39,9 @@
 	message struct{ bytes []byte }
 	vote    struct{ policy.Vote }
 	news    struct{ policy.Staged }
-	over    struct{ record decider.Record }
+	over    struct{ record election.Record }
 	leave   struct{ gone chan struct{} }
-	ask     struct{ answer chan decider.Standing }
+	ask     struct{ answer chan election.Standing }
 	change  struct {
 		in, out int // an agent, or -1
 		answer  chan error
@@ -57,7 +57,7 @@
 
 // Council is the actor.
 type Council struct {
-	decider *decider.Decider
+	decider *election.Decider
 	group   uint64
 	me      int
 	lease   time.Duration
@@ -67,11 +67,11 @@
 	box     chan any
 	start   time.Time
 
-	wish    decider.Decision
+	wish    election.Decision
 	told    time.Time
 	newest  policy.Staged
 	known   bool // there was news
-	stopped *decider.Decision
+	stopped *election.Decision
 	term    uint64 // of this agent's lead; 0: none
 	failed  bool   // the disk
 	left    bool
@@ -84,9 +84,9 @@
 // Seat is how an agent sits in its council.
 type Seat struct {
 	Me      int
-	Members decider.Members
-	Memory  *decider.Memory // nil: none was ever kept
-	Terms   decider.Terms
+	Members election.Members
+	Memory  *election.Memory // nil: none was ever kept
+	Terms   election.Terms
 	Group   uint64
 	Seed    int64
 }
@@ -95,7 +95,7 @@
 func New(seat Seat, way Way, store Store, desk Desk) *Council {
 	c := &Council{group: seat.Group, me: seat.Me, way: way, store: store, desk: desk, box: make(chan any, boxMost), start: time.Now(),
 		lease: time.Duration(seat.Terms.Lease) * time.Microsecond, set: metrics.NewSet()}
-	c.decider = decider.New(seat.Me, seat.Members, seat.Memory, seat.Terms, decider.Without{}, seat.Memory == nil, c.now(), seat.Seed)
+	c.decider = election.New(seat.Me, seat.Members, seat.Memory, seat.Terms, election.Without{}, seat.Memory == nil, c.now(), seat.Seed)
 	for name, counter := range map[string]**metrics.Counter{"terms_total": &c.terms, "hand_overs_total": &c.handed, "casts_total": &c.casts,
 		"casts_refused_total": &c.late, "messages_in_total": &c.in, "messages_out_total": &c.out, "messages_dropped_total": &c.lost, "syncs_total": &c.kept} {
 		*counter = c.set.NewCounter("switchfork_decider_" + name)
@@ -107,7 +107,7 @@
 // Metrics are the council's figures.
 func (c *Council) Metrics() *metrics.Set { return c.set }
 
-func (c *Council) now() decider.Micros { return time.Since(c.start).Microseconds() + 1 }
+func (c *Council) now() election.Micros { return time.Since(c.start).Microseconds() + 1 }
 
 // Hear takes bytes from another agent.
 func (c *Council) Hear(b []byte) {
@@ -139,8 +139,8 @@
 }
 
 // Standing tells who leads.
-func (c *Council) Standing(ctx context.Context) (s decider.Standing, err error) {
-	answer := make(chan decider.Standing, 1)
+func (c *Council) Standing(ctx context.Context) (s election.Standing, err error) {
+	answer := make(chan election.Standing, 1)
 	select {
 	case c.box <- ask{answer}:
 	case <-ctx.Done():
@@ -182,7 +182,7 @@
 			return
 		case <-timer.C:
 			c.carry(c.decider.Tick(c.now()))
-			if c.wish != (decider.Decision{}) && time.Since(c.told) >= c.lease/2 {
+			if c.wish != (election.Decision{}) && time.Since(c.told) >= c.lease/2 {
 				c.told = time.Now()
 				c.carry(c.decider.Wishes(c.now(), c.wish))
 			}
@@ -194,8 +194,8 @@
 	}
 }
 
-var verdicts = map[policy.Verdict]decider.Verdict{policy.NoVote: decider.NoVote, policy.On: decider.On, policy.Hold: decider.Hold, policy.Back: decider.Back}
-var asVote = map[decider.Verdict]policy.Verdict{decider.NoVote: policy.NoVote, decider.On: policy.On, decider.Hold: policy.Hold, decider.Back: policy.Back}
+var verdicts = map[policy.Verdict]election.Verdict{policy.NoVote: election.NoVote, policy.On: election.On, policy.Hold: election.Hold, policy.Back: election.Back}
+var asVote = map[election.Verdict]policy.Verdict{election.NoVote: policy.NoVote, election.On: policy.On, election.Hold: policy.Hold, election.Back: policy.Back}
 
 func (c *Council) note(n any) {
 	now := c.now()
@@ -209,7 +209,7 @@
 		c.in.Inc()
 		c.carry(c.decider.Hear(now, from, m))
 	case vote:
-		c.wish, c.told = decider.Decision{Build: int32(n.Build), Stage: int32(n.Stage), Verdict: verdicts[n.Verdict]}, time.Now()
+		c.wish, c.told = election.Decision{Build: int32(n.Build), Stage: int32(n.Stage), Verdict: verdicts[n.Verdict]}, time.Now()
 		c.carry(c.decider.Wishes(now, c.wish))
 	case news:
 		c.newest, c.known = n.Staged, true
@@ -246,10 +246,10 @@
 	}
 }
 
-func (c *Council) carry(orders []decider.Order) {
-	for _, o := range append([]decider.Order(nil), orders...) {
+func (c *Council) carry(orders []election.Order) {
+	for _, o := range append([]election.Order(nil), orders...) {
 		switch o := o.(type) {
-		case decider.Keep:
+		case election.Keep:
 			if c.store == nil || c.failed {
 				continue
 			}
@@ -260,12 +260,12 @@
 				return // nothing that was to follow is answered for
 			}
 			c.kept.Inc()
-		case decider.Send:
+		case election.Send:
 			c.out.Inc()
 			c.way.Send(o.To, ways.Encode(c.group, c.me, o.Message))
-		case decider.Cast:
+		case election.Cast:
 			c.cast(o)
-		case decider.Alone:
+		case election.Alone:
 			if o.Stop {
 				c.stop(o.Decision)
 			} else if c.stopped = nil; c.known {
@@ -275,7 +275,7 @@
 	}
 }
 
-func (c *Council) cast(o decider.Cast) {
+func (c *Council) cast(o election.Cast) {
 	r := o.Record
 	before := c.start.Add(time.Duration(o.Before-1) * time.Microsecond)
 	slog.Info("casts", "term", r.Term, "decision", r.Serial, "build", r.Build, "stage", r.Stage, "verdict", r.Verdict.String())
@@ -291,7 +291,7 @@
 }
 
 // stop has the module send nothing more to a build that is on trial.
-func (c *Council) stop(d decider.Decision) {
+func (c *Council) stop(d election.Decision) {
 	if c.stopped == nil {
 		slog.Warn("no decider in reach: this agent stops sending to the build by itself", "build", d.Build, "stage", d.Stage)
 	}
--- a/fleet/vault/golden_test.go
+++ b/fleet/vault/golden_test.go
@@ -5,13 +5,13 @@
 	"path/filepath"
 	"testing"
 
-	"switchfork/fleet/decider"
+	"switchfork/internal/cluster/election"
 )
 
 // goldenMemory is what the file of testdata holds; an earlier version of the program wrote it.
-var goldenMemory = decider.Memory{Promised: 0x0b02, Accepted: 0x0a01, Yielded: 0x0901, Owner: 2,
-	Known:   decider.Record{Term: 0x0a01, Serial: 7, Decision: decider.Decision{Build: 42, Stage: 3, Verdict: decider.Back}, Prior: decider.On},
-	Members: decider.Members{Term: 0x0801, Serial: 4, Mask: 0b10111}}
+var goldenMemory = election.Memory{Promised: 0x0b02, Accepted: 0x0a01, Yielded: 0x0901, Owner: 2,
+	Known:   election.Record{Term: 0x0a01, Serial: 7, Decision: election.Decision{Build: 42, Stage: 3, Verdict: election.Back}, Prior: election.On},
+	Members: election.Members{Term: 0x0801, Serial: 4, Mask: 0b10111}}
 
 const (
 	goldenGroup = 0xfeedc0de12345678
--- a/fleet/vault/vault.go
+++ b/fleet/vault/vault.go
@@ -15,7 +15,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"switchfork/fleet/decider"
+	"switchfork/internal/cluster/election"
 )
 
 const (
@@ -34,7 +34,7 @@
 	Form   uint32
 	Group  uint64
 	Me     uint8
-	Memory decider.Memory
+	Memory election.Memory
 }
 
 // Vault is an open folder.
@@ -49,7 +49,7 @@
 
 // Open opens a folder, and reads what is kept there; nil: nothing was ever kept. A file that is torn, cut off or another
 // agent's is moved aside and refused.
-func Open(folder string, group uint64, me int) (*Vault, *decider.Memory, error) {
+func Open(folder string, group uint64, me int) (*Vault, *election.Memory, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("state folder: %w", err)
 	}
@@ -70,7 +70,7 @@
 }
 
 // Look reads a folder without changing anything in it.
-func Look(folder string) (group uint64, me int, memory *decider.Memory, err error) {
+func Look(folder string) (group uint64, me int, memory *election.Memory, err error) {
 	path := filepath.Join(folder, fileName)
 	if _, err = os.Stat(path); err != nil {
 		return 0, 0, nil, err
@@ -87,7 +87,7 @@
 }
 
 // open opens and checks a file. Damage may show as an error, a panic or a fault of the mapped file.
-func (v *Vault) open(path string, look bool) (memory *decider.Memory, err error) {
+func (v *Vault) open(path string, look bool) (memory *election.Memory, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -156,7 +156,7 @@
 }
 
 // Keep writes a memory; when it returns without an error, it is on the disk.
-func (v *Vault) Keep(m decider.Memory) error {
+func (v *Vault) Keep(m election.Memory) error {
 	var b bytes.Buffer
 	if err := binary.Write(&b, binary.LittleEndian, entry{form, v.group, uint8(v.me), m}); err != nil {
 		return err
--- a/fleet/vault/vault_test.go
+++ b/fleet/vault/vault_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	"switchfork/fleet/decider"
+	"switchfork/internal/cluster/election"
 )
 
-func memory(n uint64) decider.Memory {
-	return decider.Memory{Promised: n, Accepted: n, Owner: 1, Known: decider.Record{Term: n, Serial: 1}, Members: decider.First(3)}
+func memory(n uint64) election.Memory {
+	return election.Memory{Promised: n, Accepted: n, Owner: 1, Known: election.Record{Term: n, Serial: 1}, Members: election.First(3)}
 }
 
 // A memory is read again as it was kept; a folder of another agent or group is refused, and nothing in it is lost.
--- a/fleet/ways/codec.go
+++ b/fleet/ways/codec.go
@@ -8,7 +8,7 @@
 	"errors"
 	"hash/crc32"
 
-	"switchfork/fleet/decider"
+	"switchfork/internal/cluster/election"
 )
 
 // mark begins every message. The judges' sheets share the socket: they hold lines of nine bytes, which size is not.
@@ -19,12 +19,12 @@
 	Mark    uint32
 	Group   uint64 // of agents: another's messages are none of ours
 	From    uint8
-	Kind    decider.Kind
+	Kind    election.Kind
 	Ballot  uint64
 	After   uint64
-	Record  decider.Record
-	Wish    decider.Decision
-	Members decider.Members
+	Record  election.Record
+	Wish    election.Decision
+	Members election.Members
 }
 
 // size is what a message takes, its sum included: 85 bytes, of the 256 that a datagram of the users' platform may have.
@@ -40,7 +40,7 @@
 )
 
 // Encode puts a message into bytes.
-func Encode(group uint64, from int, m decider.Message) []byte {
+func Encode(group uint64, from int, m election.Message) []byte {
 	b, err := binary.Append(make([]byte, 0, size), binary.LittleEndian,
 		frame{mark, group, uint8(from), m.Kind, m.Ballot, m.After, m.Record, m.Wish, m.Members})
 	if err != nil {
@@ -53,7 +53,7 @@
 func Ours(b []byte) bool { return len(b) >= 4 && binary.LittleEndian.Uint32(b) == mark }
 
 // Decode reads bytes; nothing of a spoilt message is used.
-func Decode(group uint64, b []byte) (from int, m decider.Message, err error) {
+func Decode(group uint64, b []byte) (from int, m election.Message, err error) {
 	if !Ours(b) || len(b) != size {
 		return 0, m, ErrForeign
 	}
@@ -68,8 +68,8 @@
 	if f.Group != group {
 		return 0, m, ErrForeign
 	}
-	if f.From >= decider.Most || !f.Kind.Known() || f.Record.Verdict > decider.Back || f.Record.Prior > decider.Back || f.Wish.Verdict > decider.Back {
+	if f.From >= election.Most || !f.Kind.Known() || f.Record.Verdict > election.Back || f.Record.Prior > election.Back || f.Wish.Verdict > election.Back {
 		return 0, m, ErrSpoilt
 	}
-	return int(f.From), decider.Message{Kind: f.Kind, Ballot: f.Ballot, After: f.After, Record: f.Record, Wish: f.Wish, Members: f.Members}, nil
+	return int(f.From), election.Message{Kind: f.Kind, Ballot: f.Ballot, After: f.After, Record: f.Record, Wish: f.Wish, Members: f.Members}, nil
 }
--- a/fleet/ways/ways_test.go
+++ b/fleet/ways/ways_test.go
@@ -12,24 +12,24 @@
 
 	"pgregory.net/rapid"
 
-	"switchfork/fleet/decider"
+	"switchfork/internal/cluster/election"
 )
 
-func anyMessage(t *rapid.T) decider.Message {
-	verdict := func(name string) decider.Verdict { return decider.Verdict(rapid.IntRange(0, 3).Draw(t, name)) }
+func anyMessage(t *rapid.T) election.Message {
+	verdict := func(name string) election.Verdict { return election.Verdict(rapid.IntRange(0, 3).Draw(t, name)) }
 	number := rapid.Int32()
-	return decider.Message{Kind: decider.Kind(rapid.IntRange(int(decider.Prepare), int(decider.Settled)).Draw(t, "kind")),
+	return election.Message{Kind: election.Kind(rapid.IntRange(int(election.Prepare), int(election.Settled)).Draw(t, "kind")),
 		Ballot: rapid.Uint64().Draw(t, "ballot"), After: rapid.Uint64().Draw(t, "after"),
-		Record: decider.Record{Term: rapid.Uint64().Draw(t, "term"), Serial: rapid.Uint32().Draw(t, "serial"),
-			Decision: decider.Decision{Build: number.Draw(t, "build"), Stage: number.Draw(t, "stage"), Verdict: verdict("verdict")}, Prior: verdict("prior")},
-		Wish:    decider.Decision{Build: number.Draw(t, "wished"), Stage: number.Draw(t, "at"), Verdict: verdict("wish")},
-		Members: decider.Members{Term: rapid.Uint64().Draw(t, "stamp"), Serial: rapid.Uint32().Draw(t, "change"), Mask: rapid.Uint64().Draw(t, "mask")}}
+		Record: election.Record{Term: rapid.Uint64().Draw(t, "term"), Serial: rapid.Uint32().Draw(t, "serial"),
+			Decision: election.Decision{Build: number.Draw(t, "build"), Stage: number.Draw(t, "stage"), Verdict: verdict("verdict")}, Prior: verdict("prior")},
+		Wish:    election.Decision{Build: number.Draw(t, "wished"), Stage: number.Draw(t, "at"), Verdict: verdict("wish")},
+		Members: election.Members{Term: rapid.Uint64().Draw(t, "stamp"), Serial: rapid.Uint32().Draw(t, "change"), Mask: rapid.Uint64().Draw(t, "mask")}}
 }
 
 // What is written is read again as it was, fits into a datagram, and is no judge's sheet of nine-byte lines.
 func TestThereAndBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, from, group := anyMessage(t), rapid.IntRange(0, decider.Most-1).Draw(t, "from"), rapid.Uint64().Draw(t, "group")
+		m, from, group := anyMessage(t), rapid.IntRange(0, election.Most-1).Draw(t, "from"), rapid.Uint64().Draw(t, "group")
 		b := Encode(group, from, m)
 		if len(b) > 256 || len(b)%9 == 0 || !Ours(b) {
 			t.Fatalf("%d bytes", len(b))
@@ -51,7 +51,7 @@
 
 // Whatever comes is read without a panic, and what is taken is whole: it writes itself again.
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(7, 2, decider.Message{Kind: decider.Yield, Ballot: 513, After: 770}))
+	f.Add(Encode(7, 2, election.Message{Kind: election.Yield, Ballot: 513, After: 770}))
 	f.Add([]byte{0xa7, 0xc0, 0xd1, 0x5f})
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/fleet/decider/casts.go
+++ b/internal/cluster/election/casts.go
@@ -1,4 +1,4 @@
-package decider
+package election
 
 // This file owns what is cast and when: what the agents' wishes come to, the record before each cast, and how long a contrary
 // decision is held back. It must never cast for an agent that does not lead.
--- a/fleet/decider/decider.go
+++ b/internal/cluster/election/decider.go
@@ -1,10 +1,10 @@
-// Package decider decides which one agent of several casts the votes on a release, and what it may cast when. It owns the
+// Package election decides which one agent of several casts the votes on a release, and what it may cast when. It owns the
 // lease, the records of decisions and what the agents wish; it must never judge a build, talk to anybody or read a clock.
 //
 // Use: make one Decider an agent with New, tell it what happens with this machine's monotonic time in whole microseconds, and
 // carry out the orders that each call returns, in order. The argument why two contrary decisions never count together stands
 // in docs/design-decider.md.
-package decider
+package election
 
 import "math/rand"
 
--- a/fleet/decider/golden_test.go
+++ b/internal/cluster/election/golden_test.go
@@ -1,4 +1,4 @@
-package decider
+package election
 
 import (
 	"fmt"
--- a/rehearsal/lab/decider.go
+++ b/rehearsal/lab/decider.go
@@ -6,7 +6,7 @@
 	"math/rand"
 	"slices"
 
-	"switchfork/fleet/decider"
+	"switchfork/internal/cluster/election"
 )
 
 // This file owns the model in which deciders are tried: agents with clocks of their own that stand still and restart, a
@@ -18,7 +18,7 @@
 	Seed    int64
 	Agents  int
 	Seconds int
-	Without decider.Without
+	Without election.Without
 	Calm    bool // no troubles but the crash of whoever leads, at a third of the time
 	Planned bool // a hand-over instead of that crash
 	Rest    bool // calm, and nobody crashes or leaves
@@ -40,22 +40,22 @@
 	Changes    int // of the members
 }
 
-var nightTerms = decider.Terms{Lease: 2 * second, Drift: 0.005, Late: 800 * ms, Life: 3 * second, Need: 1}
+var nightTerms = election.Terms{Lease: 2 * second, Drift: 0.005, Late: 800 * ms, Life: 3 * second, Need: 1}
 
 // NightLease is the lease of the nights.
 func NightLease() int64 { return nightTerms.Lease }
 
 type agentOf struct {
-	d       *decider.Decider
+	d       *election.Decider
 	fast    float64 // how its clock runs
 	down    bool
 	stands  int64 // until then it does nothing
 	mail    []func()
 	started int64
 	epoch   int
-	wish    decider.Decision
+	wish    election.Decision
 	disk    bool // its memory survives a restart
-	kept    *decider.Memory
+	kept    *election.Memory
 }
 
 // calmTail: without troubles what is bad is sent back within a few leases and a vote's life.
@@ -66,7 +66,7 @@
 
 type voteOf struct {
 	agent int
-	rec   decider.Record
+	rec   election.Record
 	until int64
 }
 
@@ -136,15 +136,15 @@
 	a := n.agents[i]
 	a.epoch++
 	a.down, a.mail, a.stands = false, nil, 0
-	members := decider.First(n.Agents)
+	members := election.First(n.Agents)
 	if i >= n.Agents {
-		members = decider.Members{} // it has to be let in first
+		members = election.Members{} // it has to be let in first
 	}
-	var memory *decider.Memory
+	var memory *election.Memory
 	if a.disk && a.kept != nil {
 		memory, fresh = a.kept, false
 	}
-	a.d = decider.New(i, members, memory, nightTerms, n.Without, fresh, n.clock(a), n.Seed*31+int64(i)+int64(a.epoch)*7919)
+	a.d = election.New(i, members, memory, nightTerms, n.Without, fresh, n.clock(a), n.Seed*31+int64(i)+int64(a.epoch)*7919)
 	n.carry(i, a.d.News(n.clock(a), n.build, n.stage, true))
 	n.carry(i, a.d.Wishes(n.clock(a), a.wish))
 	n.tick(i, a.epoch)
@@ -193,23 +193,23 @@
 	})
 }
 
-func (n *night) carry(i int, orders []decider.Order) {
+func (n *night) carry(i int, orders []election.Order) {
 	for _, o := range slices.Clone(orders) {
 		switch o := o.(type) {
-		case decider.Send:
+		case election.Send:
 			n.post(i, o)
-		case decider.Cast:
+		case election.Cast:
 			if !n.Each {
 				n.write(i, o)
 			}
-		case decider.Keep:
+		case election.Keep:
 			n.agents[i].kept = &o.Memory
 		}
 	}
 }
 
 // post carries a message, or loses it.
-func (n *night) post(from int, o decider.Send) {
+func (n *night) post(from int, o election.Send) {
 	if n.now <= int64(n.Seconds)*second {
 		n.result.Messages++
 	}
@@ -235,7 +235,7 @@
 }
 
 // write is the vote's way to the launcher. The process may stand still just before it writes; it then sees the time.
-func (n *night) write(i int, o decider.Cast) {
+func (n *night) write(i int, o election.Cast) {
 	a := n.agents[i]
 	n.result.Casts++
 	epoch, ordered := a.epoch, n.now
@@ -268,7 +268,7 @@
 }
 
 // vote is carried out at the launcher, and looked at by the checker.
-func (n *night) vote(i int, r decider.Record, ordered int64) {
+func (n *night) vote(i int, r election.Record, ordered int64) {
 	if r.Build != n.build || r.Stage != n.stage {
 		return // moot
 	}
@@ -279,12 +279,12 @@
 			n.violation("at %d us agent %d's %v counts beside agent %d's %v", n.now, i, r, v.agent, v.rec)
 		}
 	}
-	if o := n.newest; o.agent != i && ordered < o.until && r.Verdict == decider.On && o.rec.Build == r.Build && o.rec.Stage == r.Stage && o.rec.Verdict != r.Verdict {
+	if o := n.newest; o.agent != i && ordered < o.until && r.Verdict == election.On && o.rec.Build == r.Build && o.rec.Stage == r.Stage && o.rec.Verdict != r.Verdict {
 		n.violation("at %d us deposed agent %d's %v is carried out after %v", n.now, i, r, o.rec)
 	}
 	n.newest = voteOf{i, r, n.now}
 	n.votes = append(n.votes, voteOf{i, r, n.now + nightTerms.Life})
-	if r.Verdict == decider.Back && n.badAt > 0 && n.result.BackAfter < 0 {
+	if r.Verdict == election.Back && n.badAt > 0 && n.result.BackAfter < 0 {
 		n.result.BackAfter = n.now - n.badAt
 	}
 }
@@ -337,24 +337,24 @@
 // troubles draws the night.
 func (n *night) troubles() {
 	end := int64(n.Seconds) * second
-	wish := func(i int, v decider.Verdict) {
-		n.agents[i].wish = decider.Decision{Build: n.build, Stage: n.stage, Verdict: v}
+	wish := func(i int, v election.Verdict) {
+		n.agents[i].wish = election.Decision{Build: n.build, Stage: n.stage, Verdict: v}
 		n.run(i, func(a *agentOf) {
 			n.carry(i, a.d.Wishes(n.clock(a), a.wish))
-			if n.Each && v != decider.NoVote {
-				n.write(i, decider.Cast{Record: decider.Record{Term: 1, Decision: a.wish}, Before: 1 << 60})
+			if n.Each && v != election.NoVote {
+				n.write(i, election.Cast{Record: election.Record{Term: 1, Decision: a.wish}, Before: 1 << 60})
 			}
 		})
 	}
 	// Each agent tells its wish again and again, as its judge would; in the troubled nights the wishes flap.
 	for i := range n.agents {
 		var again func()
-		verdict := decider.On
+		verdict := election.On
 		again = func() {
 			if n.badAt > 0 {
-				verdict = decider.Back
+				verdict = election.Back
 			} else if !n.Calm && n.chance.Float64() < 0.15 {
-				verdict = []decider.Verdict{decider.On, decider.Back, decider.Hold}[n.chance.Intn(3)]
+				verdict = []election.Verdict{election.On, election.Back, election.Hold}[n.chance.Intn(3)]
 			}
 			wish(i, verdict)
 			n.at(n.now+nightTerms.Lease/4+n.chance.Int63n(200*ms), again)
