--- a/cmd/switchfork/chair.go
+++ b/cmd/switchfork/chair.go
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
-	"switchfork/fleet/council"
 	"switchfork/fleet/vault"
 	"switchfork/fleet/ways"
+	"switchfork/internal/cluster/coordinator"
 	"switchfork/internal/cluster/election"
 	"switchfork/internal/config"
 	"switchfork/internal/options"
@@ -25,7 +25,7 @@
 
 // chair is an agent's seat among those of whom one casts the votes.
 type chair struct {
-	council *council.Council
+	council *coordinator.Council
 	tcp     *lazyStreams // nil: datagrams
 }
 
@@ -84,10 +84,10 @@
 	}
 	h := fnv.New64a()
 	io.WriteString(h, keep.Group)
-	seat := council.Seat{Me: me, Members: members, Group: h.Sum64(), Seed: seed ^ int64(me+1)<<32,
+	seat := coordinator.Seat{Me: me, Members: members, Group: h.Sum64(), Seed: seed ^ int64(me+1)<<32,
 		Terms: election.Terms{Lease: keep.Lease.Microseconds(), Drift: drift, Late: rules.Call + callRoom.Microseconds(), Life: rules.Stands, Need: 1}}
 	c := &chair{}
-	var store council.Store
+	var store coordinator.Store
 	if keep.State != "" {
 		v, memory, err := vault.Open(keep.State, seat.Group, me)
 		if err != nil {
@@ -95,15 +95,15 @@
 		}
 		store, seat.Memory = v, memory
 	}
-	desk := council.Desk{News: core.News, Cast: func(v policy.Vote, before time.Time, over func(bool)) {
+	desk := coordinator.Desk{News: core.News, Cast: func(v policy.Vote, before time.Time, over func(bool)) {
 		launcher.Cast(sockets.Dated{Vote: v, Before: before, Over: over})
 	}}
-	var way council.Way = peers
+	var way coordinator.Way = peers
 	if keep.Listen != "" {
 		c.tcp = &lazyStreams{}
 		way = c.tcp
 	}
-	c.council = council.New(seat, way, store, desk)
+	c.council = coordinator.New(seat, way, store, desk)
 	if c.tcp == nil {
 		peers.Beside(func(b []byte) bool {
 			if !ways.Ours(b) {
@@ -151,7 +151,7 @@
 	}
 	lead := with(&cobra.Command{Use: "lead", Short: "tell who casts the votes, as one agent knows", Args: noArgs,
 		RunE: func(*cobra.Command, []string) error {
-			r, err := council.Ask(admin)
+			r, err := coordinator.Ask(admin)
 			if err != nil {
 				return err
 			}
@@ -170,7 +170,7 @@
 		}})
 	members := &cobra.Command{Use: "members", Short: "the agents of whom one casts the votes"}
 	members.AddCommand(with(&cobra.Command{Use: "list", Short: "list them, as one agent knows", Args: noArgs, RunE: func(*cobra.Command, []string) error {
-		r, err := council.Ask(admin)
+		r, err := coordinator.Ask(admin)
 		for _, m := range r.Members {
 			fmt.Fprintln(out, m)
 		}
@@ -182,7 +182,7 @@
 			if err != nil || n < 0 || n >= election.Most {
 				return use{fmt.Errorf("%q is no agent, expected a number from 0 to %d", args[0], election.Most-1)}
 			}
-			return council.Move(admin, verb, n)
+			return coordinator.Move(admin, verb, n)
 		}}))
 	}
 	state := &cobra.Command{Use: "state", Short: "a decider's state folder"}
--- a/cmd/switchfork/golden_test.go
+++ b/cmd/switchfork/golden_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"switchfork/fleet/council"
+	"switchfork/internal/cluster/coordinator"
 	"switchfork/internal/cluster/election"
 	"switchfork/internal/golden"
 	"switchfork/internal/policy"
@@ -50,8 +50,8 @@
 
 // The metrics keep their names.
 func TestGoldenMetrics(t *testing.T) {
-	c := council.New(council.Seat{Members: election.First(3), Terms: election.Terms{Lease: 1e6}}, nowhere{}, nil,
-		council.Desk{News: func(policy.Staged) {}})
+	c := coordinator.New(coordinator.Seat{Members: election.First(3), Terms: election.Terms{Lease: 1e6}}, nowhere{}, nil,
+		coordinator.Desk{News: func(policy.Staged) {}})
 	var out strings.Builder
 	c.Metrics().WritePrometheus(&out)
 	lines := strings.Split(regexp.MustCompile(` [0-9.e+-]+\n`).ReplaceAllString(out.String(), " N\n"), "\n")
--- a/fleet/council/admin.go
+++ b/internal/cluster/coordinator/admin.go
@@ -1,4 +1,4 @@
-package council
+package coordinator
 
 import (
 	"context"
--- a/fleet/council/council.go
+++ b/internal/cluster/coordinator/council.go
@@ -1,6 +1,6 @@
-// Package council runs an agent's decider: it hands it what the module wishes, what the launcher tells and what other agents
+// Package coordinator runs an agent's decider: it hands it what the module wishes, what the launcher tells and what other agents
 // say, and carries its orders out. It owns the mailbox, the bell and the counts; every decision is package decider's.
-package council
+package coordinator
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"switchfork/internal/policy"
-	"switchfork/internal/cluster/election"
 	"switchfork/fleet/ways"
+	"switchfork/internal/cluster/election"
+	"switchfork/internal/policy"
 )
 
 // Way carries bytes to another agent, or loses them.
