--- a/cmd/switchfork/chair.go
+++ b/cmd/switchfork/chair.go
@@ -12,9 +12,9 @@
 	"github.com/spf13/cobra"
 
 	"switchfork/fleet/vault"
-	"switchfork/fleet/ways"
 	"switchfork/internal/cluster/coordinator"
 	"switchfork/internal/cluster/election"
+	"switchfork/internal/cluster/transport"
 	"switchfork/internal/config"
 	"switchfork/internal/options"
 	"switchfork/internal/policy"
@@ -30,7 +30,7 @@
 }
 
 // lazyStreams is the TCP way, which listens when the agent begins to serve.
-type lazyStreams struct{ *ways.Streams }
+type lazyStreams struct{ *transport.Streams }
 
 func (l *lazyStreams) Send(to int, b []byte) { l.Streams.Send(to, b) }
 
@@ -106,7 +106,7 @@
 	c.council = coordinator.New(seat, way, store, desk)
 	if c.tcp == nil {
 		peers.Beside(func(b []byte) bool {
-			if !ways.Ours(b) {
+			if !transport.Ours(b) {
 				return false
 			}
 			c.council.Hear(b)
@@ -121,7 +121,7 @@
 
 func (c *chair) serve(ctx context.Context, keep options.Chair) (err error) {
 	if c.tcp != nil {
-		if c.tcp.Streams, err = ways.Listen(ctx, keep.Listen, c.council.Hear); err != nil {
+		if c.tcp.Streams, err = transport.Listen(ctx, keep.Listen, c.council.Hear); err != nil {
 			return fmt.Errorf("decider-listen: %w", err)
 		}
 		c.reach(keep.Peers)
--- a/cmd/switchlab/decider.go
+++ b/cmd/switchlab/decider.go
@@ -11,8 +11,8 @@
 
 	"github.com/spf13/cobra"
 
-	"switchfork/fleet/ways"
 	"switchfork/internal/cluster/election"
+	"switchfork/internal/cluster/transport"
 	"switchfork/rehearsal/lab"
 )
 
@@ -155,7 +155,7 @@
 		if rest[1] = sum; i == 0 {
 			rest[0] = sum
 		}
-		fmt.Fprintf(t, "calm, %d agents: %.1f messages, %.0f bytes an agent a second\n", agents, sum, sum*float64(ways.Size()))
+		fmt.Fprintf(t, "calm, %d agents: %.1f messages, %.0f bytes an agent a second\n", agents, sum, sum*float64(transport.Size()))
 	}
 	if without == "" {
 		b.most("messages an agent a second, 9 agents beside 3", rest[1]/rest[0], 9.0/3)
--- a/internal/cluster/coordinator/council.go
+++ b/internal/cluster/coordinator/council.go
@@ -11,8 +11,8 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"switchfork/fleet/ways"
 	"switchfork/internal/cluster/election"
+	"switchfork/internal/cluster/transport"
 	"switchfork/internal/policy"
 )
 
@@ -201,7 +201,7 @@
 	now := c.now()
 	switch n := n.(type) {
 	case message:
-		from, m, err := ways.Decode(c.group, n.bytes)
+		from, m, err := transport.Decode(c.group, n.bytes)
 		if err != nil || from == c.me {
 			c.lost.Inc()
 			return
@@ -262,7 +262,7 @@
 			c.kept.Inc()
 		case election.Send:
 			c.out.Inc()
-			c.way.Send(o.To, ways.Encode(c.group, c.me, o.Message))
+			c.way.Send(o.To, transport.Encode(c.group, c.me, o.Message))
 		case election.Cast:
 			c.cast(o)
 		case election.Alone:
--- a/fleet/ways/codec.go
+++ b/internal/cluster/transport/codec.go
@@ -1,7 +1,7 @@
-// Package ways carries the decider's messages between agents: as datagrams of the users' platform, which others send and
+// Package transport carries the decider's messages between agents: as datagrams of the users' platform, which others send and
 // hand on, or over length-framed TCP. It owns the bytes on the wire and the connections; it must never look at what a
 // message asks for, nor answer one.
-package ways
+package transport
 
 import (
 	"encoding/binary"
--- a/fleet/ways/ways_test.go
+++ b/internal/cluster/transport/ways_test.go
@@ -1,4 +1,4 @@
-package ways
+package transport
 
 import (
 	"bytes"
