--- a/cmd/switchfork/chair.go
+++ b/cmd/switchfork/chair.go
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
-	"switchfork/fleet/vault"
 	"switchfork/internal/cluster/coordinator"
 	"switchfork/internal/cluster/election"
+	"switchfork/internal/cluster/storage"
 	"switchfork/internal/cluster/transport"
 	"switchfork/internal/config"
 	"switchfork/internal/options"
@@ -89,7 +89,7 @@
 	c := &chair{}
 	var store coordinator.Store
 	if keep.State != "" {
-		v, memory, err := vault.Open(keep.State, seat.Group, me)
+		v, memory, err := storage.Open(keep.State, seat.Group, me)
 		if err != nil {
 			return nil, fmt.Errorf("decider-state: %w", err)
 		}
@@ -188,7 +188,7 @@
 	state := &cobra.Command{Use: "state", Short: "a decider's state folder"}
 	for verb, short := range map[string]string{"show": "print what is kept in a folder", "verify": "check that a folder can be relied on"} {
 		state.AddCommand(&cobra.Command{Use: verb + " FOLDER", Short: short, Args: oneArg, RunE: func(_ *cobra.Command, args []string) error {
-			group, me, m, err := vault.Look(args[0])
+			group, me, m, err := storage.Look(args[0])
 			switch {
 			case err != nil:
 				return err
--- a/fleet/vault/vault.go
+++ b/internal/cluster/storage/vault.go
@@ -1,6 +1,6 @@
-// Package vault keeps what a decider must not forget in a folder, in one bbolt file that is synced before anything is
+// Package storage keeps what a decider must not forget in a folder, in one bbolt file that is synced before anything is
 // answered for. It owns the file and its form; it must never use a part of a file that is damaged, nor decide anything.
-package vault
+package storage
 
 import (
 	"bytes"
--- a/fleet/vault/vault_test.go
+++ b/internal/cluster/storage/vault_test.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"errors"
