--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -7,12 +7,12 @@
 	"os"
 	"runtime/debug"
 
-	"switchfork/wire"
+	"switchfork/internal/simprotocol"
 )
 
 func main() {
 	debug.SetGCPercent(400) // most of the heap is the instances' lists and rings, which stay
-	if err := wire.NewHost().Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simprotocol.NewHost().Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
--- a/wire/adapter.go
+++ b/internal/simprotocol/adapter.go
@@ -1,12 +1,12 @@
-package wire
+package simprotocol
 
 import (
 	"bufio"
 	"fmt"
 	"io"
 
-	"switchfork/internal/policy"
 	"switchfork/internal/config"
+	"switchfork/internal/policy"
 )
 
 var outcomes = map[int]policy.Outcome{100: policy.OK, 301: policy.Errored, 302: policy.TurnedOff,
--- a/wire/codec.go
+++ b/internal/simprotocol/codec.go
@@ -1,6 +1,6 @@
-// Package wire speaks the simulator's binary protocol and turns it into the
+// Package simprotocol speaks the simulator's binary protocol and turns it into the
 // decision module's events and orders. It decides nothing.
-package wire
+package simprotocol
 
 import (
 	"encoding/binary"
--- a/wire/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"switchfork/internal/policy"
 	"switchfork/internal/golden"
+	"switchfork/internal/policy"
 )
 
 // goldenRouter keeps the events that it is given, and answers each with every order.
--- a/wire/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"bytes"
