--- a/cmd/switchlab/demo.go
+++ b/cmd/switchlab/demo.go
@@ -17,7 +17,7 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
-	"switchfork/rehearsal/standin"
+	"switchfork/internal/fakes"
 )
 
 // This file owns what is played with the real agent: the demo, and the door's short form on loopback.
@@ -38,7 +38,7 @@
 	if named != "" {
 		return named, nil
 	}
-	return standin.BuildAgent(dir, "switchfork")
+	return fakes.BuildAgent(dir, "switchfork")
 }
 
 // tail keeps the agent's log and reads its lines.
@@ -74,8 +74,8 @@
 
 // stage is a world with an agent in it.
 type stage struct {
-	world *standin.World
-	agent *standin.Agent
+	world *fakes.World
+	agent *fakes.Agent
 	log   *tail
 	dir   string
 }
@@ -98,7 +98,7 @@
 		os.RemoveAll(dir)
 		return nil, err
 	}
-	if s.world, err = standin.NewWorld(crews, shares, demoSLA, demoExpiry); err != nil {
+	if s.world, err = fakes.NewWorld(crews, shares, demoSLA, demoExpiry); err != nil {
 		os.RemoveAll(dir)
 		return nil, err
 	}
@@ -145,12 +145,12 @@
 		return err
 	}
 	defer s.close()
-	clients := standin.NewClients(s.agent.URL, demoSLA, demoExpiry)
+	clients := fakes.NewClients(s.agent.URL, demoSLA, demoExpiry)
 	ctx, stop := context.WithTimeout(context.Background(), length)
 	defer stop()
-	var load []standin.Crew
+	var load []fakes.Crew
 	for i, name := range crews {
-		load = append(load, standin.Crew{Tenant: name, Rate: demoLoad * shares[i], Posting: 0.4})
+		load = append(load, fakes.Crew{Tenant: name, Rate: demoLoad * shares[i], Posting: 0.4})
 	}
 	done := make(chan struct{})
 	go func() { clients.Send(ctx, 1, load...); close(done) }()
@@ -160,7 +160,7 @@
 			select {
 			case <-ctx.Done():
 			case <-time.After(length / 3):
-				clients.Send(ctx, 99, standin.Crew{Tenant: flood, Rate: 19 * demoLoad * shares[i], Posting: 0.4})
+				clients.Send(ctx, 99, fakes.Crew{Tenant: flood, Rate: 19 * demoLoad * shares[i], Posting: 0.4})
 			}
 		}()
 	}
@@ -286,11 +286,11 @@
 		if err != nil {
 			return err
 		}
-		clients := standin.NewClients(s.agent.URL, demoSLA, demoExpiry)
+		clients := fakes.NewClients(s.agent.URL, demoSLA, demoExpiry)
 		ctx, stop := context.WithTimeout(context.Background(), time.Duration(seconds)*time.Second)
-		var load []standin.Crew
+		var load []fakes.Crew
 		for i, name := range crews {
-			crew := standin.Crew{Tenant: name, Rate: demoLoad * shares[i], Posting: 0.4}
+			crew := fakes.Crew{Tenant: name, Rate: demoLoad * shares[i], Posting: 0.4}
 			if i == noisy {
 				crew.Rate, crew.Fresh = crew.Rate*d.times, d.times > 1
 			}
--- a/cmd/switchlab/door_test.go
+++ b/cmd/switchlab/door_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"switchfork/rehearsal/standin"
+	"switchfork/internal/fakes"
 )
 
 // The real agent under more load than its appliances can do: the limit of txns in falls when they slow down fivefold, so that
@@ -27,10 +27,10 @@
 	}
 	pace(2)
 	ctx, stop := context.WithCancel(t.Context())
-	clients := standin.NewClients(s.agent.URL, demoSLA, demoExpiry)
+	clients := fakes.NewClients(s.agent.URL, demoSLA, demoExpiry)
 	done := make(chan struct{})
 	go func() {
-		clients.Send(ctx, 1, standin.Crew{Tenant: crews[0], Rate: 450, Posting: 0.4}, standin.Crew{Tenant: crews[1], Rate: 450, Posting: 0.4})
+		clients.Send(ctx, 1, fakes.Crew{Tenant: crews[0], Rate: 450, Posting: 0.4}, fakes.Crew{Tenant: crews[1], Rate: 450, Posting: 0.4})
 		close(done)
 	}()
 	defer func() { stop(); <-done }()
--- a/cmd/switchlab/trial.go
+++ b/cmd/switchlab/trial.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
 
-	"switchfork/rehearsal/standin"
+	"switchfork/internal/fakes"
 	"switchfork/rehearsal/trial"
 )
 
@@ -87,7 +87,7 @@
 		return err
 	}
 	for _, name := range others {
-		if how.Programs[name], err = standin.BuildAgent(dir, "other-"+name, "-ldflags", "-X main.version="+name); err != nil {
+		if how.Programs[name], err = fakes.BuildAgent(dir, "other-"+name, "-ldflags", "-X main.version="+name); err != nil {
 			return err
 		}
 	}
--- a/internal/cluster/coordinator/loopback_test.go
+++ b/internal/cluster/coordinator/loopback_test.go
@@ -14,7 +14,7 @@
 	"testing"
 
 	"switchfork/internal/cluster/coordinator"
-	"switchfork/rehearsal/standin"
+	"switchfork/internal/fakes"
 	"switchfork/rehearsal/trial"
 )
 
@@ -41,7 +41,7 @@
 func TestAskedWhileTheyRun(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	program, err := standin.BuildAgent(dir, "switchfork", "-race")
+	program, err := fakes.BuildAgent(dir, "switchfork", "-race")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/rehearsal/standin/appliance.go
+++ b/internal/fakes/appliance.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"context"
--- a/rehearsal/standin/protocol.go
+++ b/internal/fakes/protocol.go
@@ -1,6 +1,6 @@
-// Package standin holds the parties of the users' protocol, written from its page, for tests and experiments on loopback:
+// Package fakes holds the parties of the users' protocol, written from its page, for tests and experiments on loopback:
 // appliances, discovery, launcher and clients, with scripted behaviour. They decide nothing for the agent.
-package standin
+package fakes
 
 import (
 	"bufio"
--- a/rehearsal/trial/nights_test.go
+++ b/rehearsal/trial/nights_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"switchfork/rehearsal/standin"
+	"switchfork/internal/fakes"
 )
 
 // programs are the agent and another version of it, built once.
@@ -23,11 +23,11 @@
 		return nil, err
 	}
 	built = dir
-	now, err := standin.BuildAgent(dir, "switchfork", "-race")
+	now, err := fakes.BuildAgent(dir, "switchfork", "-race")
 	if err != nil {
 		return nil, err
 	}
-	other, err := standin.BuildAgent(dir, "other", "-ldflags", "-X main.version=other")
+	other, err := fakes.BuildAgent(dir, "other", "-ldflags", "-X main.version=other")
 	return map[string]string{firstProgram: now, "other": other}, err
 })
 
--- a/rehearsal/trial/places.go
+++ b/rehearsal/trial/places.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"switchfork/rehearsal/standin"
+	"switchfork/internal/fakes"
 	"switchfork/rehearsal/trial/links"
 )
 
@@ -65,7 +65,7 @@
 }
 
 func listen() (*ledger, error) {
-	l, err := standin.Listen()
+	l, err := fakes.Listen()
 	return &ledger{Listener: l}, err
 }
 
@@ -256,10 +256,10 @@
 	var rows []string
 	for _, r := range c.rows(serial) {
 		if r.Health != "left" {
-			rows = append(rows, standin.HostBorn(boxName(r.Box), c.address(who, r.Box), r.Health, r.Build, r.Born))
+			rows = append(rows, fakes.HostBorn(boxName(r.Box), c.address(who, r.Box), r.Health, r.Build, r.Born))
 		}
 	}
-	return standin.Line(serial+1, true, rows...)
+	return fakes.Line(serial+1, true, rows...)
 }
 
 // change makes a new version and tells it.
@@ -413,7 +413,7 @@
 
 func newGroup(now links.Clock) *group { return &group{now: now, known: map[string]links.Micros{}} }
 
-func (g *group) Came(a *standin.Appliance, r *http.Request) any {
+func (g *group) Came(a *fakes.Appliance, r *http.Request) any {
 	n, _ := strconv.Atoi(strings.TrimPrefix(a.Name, "s-"))
 	product, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	v := &Arrival{At: g.now(), Box: n, Build: a.Build, Agent: -1, ID: r.Header.Get("X-Request-Id"), Key: r.Header.Get("Idempotency-Key"), Product: product, Ran: -1}
@@ -432,12 +432,12 @@
 // The products of a night, as the configuration of package standin has them.
 const inquiry, posting, once = "lookup", "posting", "fee"
 
-func (g *group) Runs(_ *standin.Appliance, came any) bool {
+func (g *group) Runs(_ *fakes.Appliance, came any) bool {
 	v, now := came.(*Arrival), g.now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if v.Product == posting {
-		if at, is := g.known[v.Key]; is && now-at < standin.GroupMemory.Microseconds() {
+		if at, is := g.known[v.Key]; is && now-at < fakes.GroupMemory.Microseconds() {
 			v.Dropped = true
 			return false
 		}
@@ -462,5 +462,5 @@
 // newsJSON is the news as a configuration holds it.
 func (d *desk) newsJSON() (int, string) {
 	serial, s := d.newest()
-	return serial, standin.NewsJSON(s.Build, s.Stage, s.Phase, s.Cap, time.Duration(d.now()-s.At)*time.Microsecond)
+	return serial, fakes.NewsJSON(s.Build, s.Stage, s.Phase, s.Cap, time.Duration(d.now()-s.At)*time.Microsecond)
 }
--- a/rehearsal/trial/play.go
+++ b/rehearsal/trial/play.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"switchfork/internal/cluster/coordinator"
-	"switchfork/rehearsal/standin"
+	"switchfork/internal/fakes"
 	"switchfork/rehearsal/trial/links"
 )
 
@@ -423,7 +423,7 @@
 // reload writes an agent's files anew and has it read them.
 func (p *player) reload(i int, d reload) error {
 	a := p.agents[i]
-	conf, orders := filepath.Join(a.dir, standin.ConfigFile), filepath.Join(a.dir, standin.OperatorFile)
+	conf, orders := filepath.Join(a.dir, fakes.ConfigFile), filepath.Join(a.dir, fakes.OperatorFile)
 	switch d.what {
 	case "spoilt":
 		if err := os.WriteFile(conf, []byte(`{"name":"n`), 0o600); err != nil {
--- a/rehearsal/trial/rig.go
+++ b/rehearsal/trial/rig.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"switchfork/rehearsal/standin"
+	"switchfork/internal/fakes"
 	"switchfork/rehearsal/trial/links"
 )
 
@@ -37,7 +37,7 @@
 	mesh     *links.Mesh
 
 	mu     sync.Mutex
-	boxes  []*standin.Appliance
+	boxes  []*fakes.Appliance
 	born   []links.Micros    // when each began, cold; -1: long ago
 	toBox  [][]*links.Stream // agent, box
 	peers  [][]*links.Stream // from, to; nil where agents don't speak over TCP
@@ -61,8 +61,8 @@
 	listen, datagram  string
 	stream            string // where it hears the decider's streams
 	operator          []string
-	log               *standin.Log
-	proc              *standin.Agent
+	log               *fakes.Log
+	proc              *fakes.Agent
 	lives             []Life
 	told              []startWord
 	moved             int // how often discovery or launcher have moved
@@ -94,14 +94,14 @@
 	r.group = newGroup(r.now)
 	var urls, datagrams []string
 	for i := range n.Agents {
-		a := &agent{number: i, dir: filepath.Join(dir, fmt.Sprintf("agent-%d", i)), log: &standin.Log{}}
+		a := &agent{number: i, dir: filepath.Join(dir, fmt.Sprintf("agent-%d", i)), log: &fakes.Log{}}
 		// A path of a Unix socket is short.
 		a.state, a.admin = filepath.Join(a.dir, "state"), filepath.Join(dir, fmt.Sprintf("a%d", i))
 		if err = os.MkdirAll(a.dir, 0o700); err != nil {
 			return r, err
 		}
 		for _, to := range []*string{&a.listen, &a.datagram, &a.stream} {
-			if *to, err = standin.Free(); err != nil {
+			if *to, err = fakes.Free(); err != nil {
 				return r, err
 			}
 		}
@@ -196,7 +196,7 @@
 		r.mu.Lock()
 		n := len(r.boxes)
 		r.mu.Unlock()
-		box := standin.NewApplianceAt(l, boxName(n), build, r.night.Slots, r.night.Work, r.night.Seed*31+int64(n), r.group, withHop)
+		box := fakes.NewApplianceAt(l, boxName(n), build, r.night.Slots, r.night.Work, r.night.Seed*31+int64(n), r.group, withHop)
 		var relays []*links.Stream
 		for i := range r.agents {
 			if r.direct {
@@ -217,7 +217,7 @@
 		r.mu.Unlock()
 		row, born := Row{n, "active", build, 0}, links.Micros(-1)
 		if cold {
-			box.Begins(standin.ColdFrom, standin.ColdFor)
+			box.Begins(fakes.ColdFrom, fakes.ColdFor)
 			row.Born, born = time.Now().UnixMilli(), r.now()
 		}
 		r.mu.Lock()
@@ -260,7 +260,7 @@
 
 // file is an agent's configuration, and the serials of the list and the news that it holds.
 func (r *Rig) file(a *agent) (text string, list, news int) {
-	t := standin.Told{Me: a.number, Agents: r.night.Agents, Build: r.night.Build, MemoryMB: memoryMB, Listen: a.listen,
+	t := fakes.Told{Me: a.number, Agents: r.night.Agents, Build: r.night.Build, MemoryMB: memoryMB, Listen: a.listen,
 		Discovery: r.last(r.toList[a.number], r.list.l.Addr().String()), Launcher: r.last(r.toDesk[a.number], r.desk.l.Addr().String()),
 		Tenants: []string{"beqa"}, Shares: []float64{1}, SLA: SLA, Expiry: Expiry, Once: true}
 	list = r.list.newest()
@@ -295,7 +295,7 @@
 	a.lives = append(a.lives, Life{From: at, To: -1, Left: -1})
 	a.told = append(a.told, startWord{at, list, news})
 	r.mu.Unlock()
-	p, err := standin.Begin(path, a.dir, text, strings.Join(a.operator, "\n")+"\n", a.listen, a.log)
+	p, err := fakes.Begin(path, a.dir, text, strings.Join(a.operator, "\n")+"\n", a.listen, a.log)
 	if err != nil {
 		return err
 	}
--- a/sockets/agent_test.go
+++ b/sockets/agent_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"switchfork/rehearsal/standin"
+	"switchfork/internal/fakes"
 )
 
 // These start the program itself and speak to it as its parties do.
@@ -62,7 +62,7 @@
 	launcher  *streamer
 	file      string // the configuration, and what stands in it
 	conf      string
-	log       *standin.Log
+	log       *fakes.Log
 	exit      chan error
 }
 
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &agent{log: &standin.Log{}, exit: make(chan error, 1)}
+	a := &agent{log: &fakes.Log{}, exit: make(chan error, 1)}
 	a.discovery = newStreamer(t, "\n", 100*time.Millisecond, func(string) string { return "" })
 	a.launcher = newStreamer(t, ":\n", 100*time.Millisecond, func(asked string) string {
 		if strings.HasPrefix(asked, "POST") {
@@ -81,7 +81,7 @@
 		}
 		return ":\n"
 	})
-	own, err := standin.Free()
+	own, err := fakes.Free()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/sockets/stand_in_test.go
+++ b/sockets/stand_in_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"switchfork/rehearsal/standin"
+	"switchfork/internal/fakes"
 )
 
 // What the tests take from package standin. Waits have a long limit and end when what they wait for has come: no sleep
@@ -25,7 +25,7 @@
 
 func listen(t *testing.T) net.Listener {
 	t.Helper()
-	l, err := standin.Listen()
+	l, err := fakes.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,21 +33,21 @@
 	return l
 }
 
-type box = standin.Box
+type box = fakes.Box
 
 func newBox(t *testing.T, do func(c net.Conn, nth int) bool) *box {
-	return standin.NewBox(listen(t), do)
+	return fakes.NewBox(listen(t), do)
 }
 
-type streamer = standin.Streamer
+type streamer = fakes.Streamer
 
 func newStreamer(t *testing.T, sign string, every time.Duration, first func(asked string) string) *streamer {
-	s := standin.NewStreamer(listen(t), sign, every, first)
+	s := fakes.NewStreamer(listen(t), sign, every, first)
 	t.Cleanup(s.Close)
 	return s
 }
 
 var (
-	answers, hangUp, mute, ok = standin.Answers, standin.HangUp, standin.Silent, standin.OK
-	host, line, bulletin      = standin.Host, standin.Line, standin.Bulletin
+	answers, hangUp, mute, ok = fakes.Answers, fakes.HangUp, fakes.Silent, fakes.OK
+	host, line, bulletin      = fakes.Host, fakes.Line, fakes.Bulletin
 )
