--- a/cmd/switchlab/decider.go
+++ b/cmd/switchlab/decider.go
@@ -13,7 +13,7 @@
 
 	"switchfork/internal/cluster/election"
 	"switchfork/internal/cluster/transport"
-	"switchfork/rehearsal/lab"
+	"switchfork/internal/simulation"
 )
 
 // This file owns the experiment on the decider: random schedules of troubles, checked at the launcher's model.
@@ -48,8 +48,8 @@
 const slowWay = 10
 
 // playAll plays schedules on all cores, in the order of their seeds.
-func playAll(schedules []lab.Schedule) []*lab.Night {
-	nights := make([]*lab.Night, len(schedules))
+func playAll(schedules []simulation.Schedule) []*simulation.Night {
+	nights := make([]*simulation.Night, len(schedules))
 	next := make(chan int)
 	var wait sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -57,7 +57,7 @@
 		go func() {
 			defer wait.Done()
 			for i := range next {
-				nights[i] = lab.PlayNight(schedules[i])
+				nights[i] = simulation.PlayNight(schedules[i])
 			}
 		}()
 	}
@@ -70,7 +70,7 @@
 }
 
 // variant is the same schedules, changed.
-func variant(of []lab.Schedule, how func(*lab.Schedule)) []lab.Schedule {
+func variant(of []simulation.Schedule, how func(*simulation.Schedule)) []simulation.Schedule {
 	out := slices.Clone(of)
 	for i := range out {
 		how(&out[i])
@@ -88,12 +88,12 @@
 
 func deciders(out io.Writer, seed int64, schedules, agents, seconds int, without string, off election.Without) error {
 	began := time.Now()
-	var drawn, crashes, planned []lab.Schedule
+	var drawn, crashes, planned []simulation.Schedule
 	for i := range schedules {
-		drawn = append(drawn, lab.Schedule{Seed: seed + int64(i), Agents: agents, Seconds: seconds, Without: off})
+		drawn = append(drawn, simulation.Schedule{Seed: seed + int64(i), Agents: agents, Seconds: seconds, Without: off})
 	}
 	for i := range min(schedules, 1000) {
-		s := lab.Schedule{Seed: seed + int64(i), Agents: agents, Seconds: seconds, Without: off, Calm: true}
+		s := simulation.Schedule{Seed: seed + int64(i), Agents: agents, Seconds: seconds, Without: off, Calm: true}
 		crashes = append(crashes, s)
 		s.Planned = true
 		planned = append(planned, s)
@@ -101,9 +101,9 @@
 	var b bars
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "nights\tplayed\tleads\thand-overs\tvotes\tmembers changed\tmessages an agent a second\twithout a decider, s: median\t99th\tworst\tback after, s: median\tworst\tnever\tviolations")
-	lease := float64(lab.NightLease())
+	lease := float64(simulation.NightLease())
 	nevers := 0
-	row := func(name string, nights []*lab.Night, from []lab.Schedule) (gaps []float64) {
+	row := func(name string, nights []*simulation.Night, from []simulation.Schedule) (gaps []float64) {
 		leads, over, votes, messages, changes, broken, never := 0, 0, 0, 0, 0, 0, 0
 		var backs []float64
 		for i, n := range nights {
@@ -138,16 +138,16 @@
 	if without == "" && agents > 2 {
 		gaps := row("calm, who leads crashes", playAll(crashes), crashes)
 		b.most("leases without a decider after a crash, 99th", quantile(gaps, 0.99)*1e6/lease, gapBar)
-		slow := playAll(variant(crashes, func(s *lab.Schedule) { s.Slow = lab.NightLease() / slowWay }))
+		slow := playAll(variant(crashes, func(s *simulation.Schedule) { s.Slow = simulation.NightLease() / slowWay }))
 		gaps = row("calm, a way takes a tenth of a lease, who leads crashes", slow, crashes)
 		b.most("the same on ways that take a tenth of a lease, 99th", quantile(gaps, 0.99)*1e6/lease, gapBar)
 		gaps = row("calm, who leads leaves", playAll(planned), planned)
 		b.most("ms without a decider at a planned hand-over, 99th", quantile(gaps, 0.99)*1e3, handOverBar)
 	}
-	row("troubled, each votes by itself", playAll(variant(drawn, func(s *lab.Schedule) { s.Each = true })), nil)
+	row("troubled, each votes by itself", playAll(variant(drawn, func(s *simulation.Schedule) { s.Each = true })), nil)
 	var rest [2]float64
 	for i, agents := range []int{3, 5, 7, 9} {
-		nights := playAll(variant(drawn[:min(schedules, 50)], func(s *lab.Schedule) { s.Calm, s.Rest, s.Agents = true, true, agents }))
+		nights := playAll(variant(drawn[:min(schedules, 50)], func(s *simulation.Schedule) { s.Calm, s.Rest, s.Agents = true, true, agents }))
 		sum := 0.0
 		for _, n := range nights {
 			sum += float64(n.Messages) / float64(len(nights)*agents*seconds)
--- a/cmd/switchlab/door.go
+++ b/cmd/switchlab/door.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"switchfork/internal/admission"
-	"switchfork/rehearsal/lab"
+	"switchfork/internal/simulation"
 )
 
 // This file owns the experiment on the door: what the others get while one tenant floods, beside the same day without it
@@ -75,12 +75,12 @@
 var shares = []float64{0.4, 0.25, 0.2, 0.15}
 
 // settledInTime is a tenant's share of txns that were settled in their SLA time.
-func settledInTime(r *lab.Result, tenant int) float64 {
+func settledInTime(r *simulation.Result, tenant int) float64 {
 	a := r.Tenants[tenant]
 	return float64(a.InTime) / max(1, float64(a.Offered))
 }
 
-func total(r *lab.Result) (n float64) {
+func total(r *simulation.Result) (n float64) {
 	for _, a := range r.Tenants {
 		n += float64(a.Settled)
 	}
@@ -88,7 +88,7 @@
 }
 
 // jain is Jain's index of the work let in by weight.
-func jain(r *lab.Result) float64 {
+func jain(r *simulation.Result) float64 {
 	sum, squares := 0.0, 0.0
 	for i, s := range r.Served {
 		x := s / shares[i]
@@ -106,7 +106,7 @@
 }
 
 func simulatedDoor(out io.Writer, seed int64, times float64, noisy, oneOff, seconds int) error {
-	base := lab.Day{Seed: seed, Seconds: seconds, Appliances: 12, Slots: 4, Work: 40_000, Load: 0.6, Shares: shares, OneOff: oneOff, Times: 1}
+	base := simulation.Day{Seed: seed, Seconds: seconds, Appliances: 12, Slots: 4, Work: 40_000, Load: 0.6, Shares: shares, OneOff: oneOff, Times: 1}
 	loud := base
 	loud.Times = times
 	for i := range noisy {
@@ -120,19 +120,19 @@
 
 	type play struct {
 		name string
-		day  lab.Day
-		kind lab.Kind
+		day  simulation.Day
+		kind simulation.Kind
 	}
-	plays := []play{{"quiet", base, lab.Fair}, {"noisy", loud, lab.Fair}, {"two noisy", two, lab.Fair}, {"new names", fresh, lab.Fair},
-		{"all backlogged", all, lab.Fair}, {"slow fivefold", slow, lab.Fair}, {"noisy", loud, lab.NoCalendar}, {"quiet", base, lab.Fifo}, {"noisy", loud, lab.Fifo}, {"noisy", loud, lab.Bucket},
-		{"all backlogged", all, lab.Fifo}}
-	results := make([]*lab.Result, len(plays))
+	plays := []play{{"quiet", base, simulation.Fair}, {"noisy", loud, simulation.Fair}, {"two noisy", two, simulation.Fair}, {"new names", fresh, simulation.Fair},
+		{"all backlogged", all, simulation.Fair}, {"slow fivefold", slow, simulation.Fair}, {"noisy", loud, simulation.NoCalendar}, {"quiet", base, simulation.Fifo}, {"noisy", loud, simulation.Fifo}, {"noisy", loud, simulation.Bucket},
+		{"all backlogged", all, simulation.Fifo}}
+	results := make([]*simulation.Result, len(plays))
 	var wait sync.WaitGroup
 	for i, p := range plays {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			results[i] = lab.Play(p.day, p.kind)
+			results[i] = simulation.Play(p.day, p.kind)
 		}()
 	}
 	wait.Wait()
@@ -149,7 +149,7 @@
 		kept := float64(r.Count.Kept) / max(1, float64(r.Count.Kept+r.Count.Broken))
 		fmt.Fprintf(t, "%s\t%s\t%s\t%.0f\t%d\t%d\t%.3f\t%.2f\t%.4f\t%.0f\n", p.kind, p.name, strings.Join(parts, " "), total(r),
 			r.Count.Kept, r.Count.Broken, kept, median(r.Told), jain(r), r.Limit[len(r.Limit)-1])
-		if p.kind != lab.Fair {
+		if p.kind != simulation.Fair {
 			continue
 		}
 		quietOnes := func(from int) {
--- a/rehearsal/lab/world.go
+++ b/internal/simulation/world.go
@@ -1,7 +1,7 @@
-// Package lab plays the agent's own modules in simulated time, among modelled appliances and clients, for experiments at
+// Package simulation plays the agent's own modules in simulated time, among modelled appliances and clients, for experiments at
 // sizes that sockets don't reach. It owns the model and its account of what became of every txn; the module and the door
 // run in it untouched. The same day and seed give the same figures.
-package lab
+package simulation
 
 import (
 	"container/heap"
@@ -9,8 +9,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"switchfork/internal/policy"
 	"switchfork/internal/admission"
+	"switchfork/internal/policy"
 )
 
 const (
--- a/rehearsal/lab/world_test.go
+++ b/internal/simulation/world_test.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"reflect"
