--- a/cmd/switchlab/logs.go
+++ b/cmd/switchlab/logs.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"switchfork/rehearsal/logbook"
+	"switchfork/internal/loganalysis"
 )
 
 // This file owns the count over many agents' logs.
@@ -41,7 +41,7 @@
 	if err != nil || len(files) == 0 {
 		return use{fmt.Errorf("%s holds no *.log", folder)}
 	}
-	book := logbook.New(every)
+	book := loganalysis.New(every)
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
--- a/rehearsal/logbook/logbook.go
+++ b/internal/loganalysis/logbook.go
@@ -1,6 +1,6 @@
-// Package logbook counts what many agents did together from their logs, a file an agent. What each does without harm may
+// Package loganalysis counts what many agents did together from their logs, a file an agent. What each does without harm may
 // be harmful from all at once, and no single log shows that. It reads logs and judges nothing.
-package logbook
+package loganalysis
 
 import (
 	"bufio"
--- a/rehearsal/logbook/logbook_test.go
+++ b/internal/loganalysis/logbook_test.go
@@ -1,4 +1,4 @@
-package logbook
+package loganalysis
 
 import (
 	"bytes"
