--- a/cmd/switchlab/trial.go
+++ b/cmd/switchlab/trial.go
@@ -16,13 +16,13 @@
 	"golang.org/x/term"
 
 	"switchfork/internal/fakes"
-	"switchfork/rehearsal/trial"
+	"switchfork/internal/faulttest"
 )
 
 // This file owns the command that plays nights: several real agents, with faults between them.
 
 func trialCommand() *cobra.Command {
-	var how trial.Playing
+	var how faulttest.Playing
 	var named []string
 	var agent string
 	c := &cobra.Command{Use: "trial [flags] FILE...", Short: "play nights: several agents among stand-ins, with faults on ways and processes",
@@ -30,8 +30,8 @@
 			if len(args) == 0 {
 				return use{fmt.Errorf("%s wants the files of the nights", c.CommandPath())}
 			}
-			if how.Agents < 0 || how.Agents > trial.AgentsMost {
-				return use{fmt.Errorf("--agents is %d, expected 1 to %d, or 0 for each night's own", how.Agents, trial.AgentsMost)}
+			if how.Agents < 0 || how.Agents > faulttest.AgentsMost {
+				return use{fmt.Errorf("--agents is %d, expected 1 to %d, or 0 for each night's own", how.Agents, faulttest.AgentsMost)}
 			}
 			return nil
 		},
@@ -56,12 +56,12 @@
 	return c
 }
 
-func trials(out io.Writer, files []string, agent string, how trial.Playing) error {
-	var nights []*trial.Night
+func trials(out io.Writer, files []string, agent string, how faulttest.Playing) error {
+	var nights []*faulttest.Night
 	var faulty []error
 	var others []string // versions that none was named for: the same program under another version's name
 	for _, f := range files {
-		n, err := trial.ReadNight(f)
+		n, err := faulttest.ReadNight(f)
 		if err == nil {
 			for _, name := range n.Programs() {
 				if how.Programs[name] == "" {
@@ -104,7 +104,7 @@
 			}
 			defer bar.Finish()
 		}
-		v := trial.Play(ctx, n, how)
+		v := faulttest.Play(ctx, n, how)
 		if err := lines.Encode(v); err != nil {
 			return err
 		}
--- a/internal/cluster/coordinator/loopback_test.go
+++ b/internal/cluster/coordinator/loopback_test.go
@@ -15,7 +15,7 @@
 
 	"switchfork/internal/cluster/coordinator"
 	"switchfork/internal/fakes"
-	"switchfork/rehearsal/trial"
+	"switchfork/internal/faulttest"
 )
 
 // Most of what several deciders do together is played by the nights of rehearsal/trial: the lead that stands still or leaves, one
@@ -45,8 +45,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	how := trial.Playing{Programs: map[string]string{"": program}, Keep: dir, Checks: map[string]func(trial.Seats) error{
-		"asked": func(s trial.Seats) error {
+	how := faulttest.Playing{Programs: map[string]string{"": program}, Keep: dir, Checks: map[string]func(faulttest.Seats) error{
+		"asked": func(s faulttest.Seats) error {
 			lead := s.Names["lead"]
 			out, err := exec.Command(s.Program, "lead", "--admin", s.Admin[lead]).CombinedOutput()
 			if err != nil || !bytes.Contains(out, []byte("leads, term")) {
@@ -65,13 +65,13 @@
 			}
 			return nil
 		},
-		"folder": func(s trial.Seats) error {
+		"folder": func(s faulttest.Seats) error {
 			if out, err := exec.Command(s.Program, "state", "verify", s.State[s.Names["lead"]]).CombinedOutput(); err != nil {
 				return fmt.Errorf("state verify says %s, %v", out, err)
 			}
 			return nil
 		},
-		"refused": func(s trial.Seats) error {
+		"refused": func(s faulttest.Seats) error {
 			lead := s.Names["lead"]
 			if err := coordinator.Move(s.Admin[lead], "remove", (lead+1)%3); err == nil || !strings.Contains(err.Error(), "state folder") {
 				return fmt.Errorf("a change of members without disks: %v", err)
@@ -81,7 +81,7 @@
 			}
 			return nil
 		},
-		"abstains": func(s trial.Seats) error {
+		"abstains": func(s faulttest.Seats) error {
 			if r, err := coordinator.Ask(s.Admin[s.Names["lead"]]); err != nil || r.AbstainsMS <= 0 {
 				return fmt.Errorf("who started again without a memory stands as %+v, %v", r, err)
 			}
@@ -91,14 +91,14 @@
 	for name, text := range map[string]string{"asked": asked, "no-disks": strings.Replace(strings.Replace(strings.Replace(strings.Replace(asked,
 		"talk tcp", "talk datagrams", 1), "lease=600ms", "lease=600ms no-folders", 1), "check asked", "check refused", 1), "check folder", "start agent:lead\n+0s check abstains", 1)} {
 		t.Run(name, func(t *testing.T) {
-			n, err := trial.ParseNight(name, text)
+			n, err := faulttest.ParseNight(name, text)
 			if err == nil {
 				err = n.Playable(how)
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
-			if v := trial.Play(t.Context(), n, how); !v.Passed {
+			if v := faulttest.Play(t.Context(), n, how); !v.Passed {
 				log, err := os.ReadFile(v.Folder + "/timeline.txt")
 				t.Error(errors.Join(errors.New(strings.Join(v.Failures(), "\n")), err), string(log))
 			}
--- a/rehearsal/trial/account.go
+++ b/internal/faulttest/account.go
@@ -1,10 +1,10 @@
-package trial
+package faulttest
 
 import (
 	"fmt"
 	"slices"
 
-	"switchfork/rehearsal/trial/links"
+	"switchfork/internal/faulttest/links"
 )
 
 // This file owns the account of a night: what far ends and rig wrote down, joined with what the relays saw of the same connections.
--- a/rehearsal/trial/clients.go
+++ b/internal/faulttest/clients.go
@@ -1,4 +1,4 @@
-package trial
+package faulttest
 
 import (
 	"bufio"
@@ -19,7 +19,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"switchfork/rehearsal/trial/links"
+	"switchfork/internal/faulttest/links"
 )
 
 // This file owns the clients: an open load whose arrivals do not wait for answers, each try on a connection of its own time,
--- a/rehearsal/trial/expects.go
+++ b/internal/faulttest/expects.go
@@ -1,4 +1,4 @@
-package trial
+package faulttest
 
 import (
 	"slices"
--- a/rehearsal/trial/measure.go
+++ b/internal/faulttest/measure.go
@@ -1,10 +1,10 @@
-package trial
+package faulttest
 
 import (
 	"fmt"
 	"slices"
 
-	"switchfork/rehearsal/trial/links"
+	"switchfork/internal/faulttest/links"
 )
 
 // This file owns what is measured of the records, and how it is held against an expectation. It does no I/O.
--- a/rehearsal/trial/night.go
+++ b/internal/faulttest/night.go
@@ -1,11 +1,11 @@
-// Package trial plays nights: several processes of the program among stand-ins, with a relay on each way between them and faults
+// Package faulttest plays nights: several processes of the program among stand-ins, with a relay on each way between them and faults
 // on ways and processes. What is expected is held against the records of stand-ins and relays, never against what agents say.
-package trial
+package faulttest
 
 import (
 	"time"
 
-	"switchfork/rehearsal/trial/links"
+	"switchfork/internal/faulttest/links"
 )
 
 // This file owns what a night is made of.
--- a/rehearsal/trial/places.go
+++ b/internal/faulttest/places.go
@@ -1,4 +1,4 @@
-package trial
+package faulttest
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"time"
 
 	"switchfork/internal/fakes"
-	"switchfork/rehearsal/trial/links"
+	"switchfork/internal/faulttest/links"
 )
 
 // This file owns the far ends: discovery and launcher for many agents, each told in its own addresses, and what all far ends
--- a/rehearsal/trial/play.go
+++ b/internal/faulttest/play.go
@@ -1,4 +1,4 @@
-package trial
+package faulttest
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 	"switchfork/internal/cluster/coordinator"
 	"switchfork/internal/fakes"
-	"switchfork/rehearsal/trial/links"
+	"switchfork/internal/faulttest/links"
 )
 
 // This file owns how a night is played: its steps in their time, and its verdict.
--- a/rehearsal/trial/reader.go
+++ b/internal/faulttest/reader.go
@@ -1,4 +1,4 @@
-package trial
+package faulttest
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"switchfork/rehearsal/trial/links"
+	"switchfork/internal/faulttest/links"
 )
 
 // This file owns how a night is read. All faults of a file are told at once, each with file, line and what was expected.
--- a/rehearsal/trial/report.go
+++ b/internal/faulttest/report.go
@@ -1,4 +1,4 @@
-package trial
+package faulttest
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"switchfork/rehearsal/trial/links"
+	"switchfork/internal/faulttest/links"
 )
 
 // This file owns what is left of a night to read: each process's log, one time line of all, and the records.
--- a/rehearsal/trial/rig.go
+++ b/internal/faulttest/rig.go
@@ -1,4 +1,4 @@
-package trial
+package faulttest
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"time"
 
 	"switchfork/internal/fakes"
-	"switchfork/rehearsal/trial/links"
+	"switchfork/internal/faulttest/links"
 )
 
 // This file owns what stands in a night: processes, stand-ins, and a relay on each way between them.
--- a/rehearsal/trial/rules.go
+++ b/internal/faulttest/rules.go
@@ -1,4 +1,4 @@
-package trial
+package faulttest
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"time"
 
 	"switchfork/internal/fakes"
-	"switchfork/rehearsal/trial/links"
+	"switchfork/internal/faulttest/links"
 )
 
 // This file owns the rules that hold in each night, judged from the records alone: no I/O, no clock, nothing that an agent says.
--- a/rehearsal/trial/rules_test.go
+++ b/internal/faulttest/rules_test.go
@@ -1,10 +1,10 @@
-package trial
+package faulttest
 
 import (
 	"strings"
 	"testing"
 
-	"switchfork/rehearsal/trial/links"
+	"switchfork/internal/faulttest/links"
 )
 
 const s = links.Micros(1_000_000)
--- a/rehearsal/trial/spoil.go
+++ b/internal/faulttest/spoil.go
@@ -1,9 +1,9 @@
-package trial
+package faulttest
 
 import (
 	"slices"
 
-	"switchfork/rehearsal/trial/links"
+	"switchfork/internal/faulttest/links"
 )
 
 // This file owns which ways a line of a night spoils, and whether that touched anything.
--- a/rehearsal/trial/verdict.go
+++ b/internal/faulttest/verdict.go
@@ -1,4 +1,4 @@
-package trial
+package faulttest
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"switchfork/rehearsal/trial/links"
+	"switchfork/internal/faulttest/links"
 )
 
 // This file owns what came of a night.
