--- a/internal/faulttest/account.go
+++ b/internal/faulttest/account.go
@@ -4,14 +4,14 @@
 	"fmt"
 	"slices"
 
-	"switchfork/internal/faulttest/links"
+	"switchfork/internal/faulttest/netfault"
 )
 
 // This file owns the account of a night: what far ends and rig wrote down, joined with what the relays saw of the same connections.
 
 // relay is one of the streams with its ends.
 type relay struct {
-	s      *links.Stream
+	s      *netfault.Stream
 	from   int
 	to     string
 	peer   int     // -1: no agent
@@ -118,13 +118,13 @@
 
 // pairs finds the relay's trace of each connection that a far end had. A port may serve twice in a night: the first of it here is the
 // first of it there. Alone are the traces of connections that no far end had.
-func (r *Rig) pairs() (of map[*hop]*links.Trace, alone []string) {
+func (r *Rig) pairs() (of map[*hop]*netfault.Trace, alone []string) {
 	type key struct {
 		at        *ledger
 		who, port int
 	}
 	hops := map[key][]*hop{}
-	of = map[*hop]*links.Trace{}
+	of = map[*hop]*netfault.Trace{}
 	for _, s := range r.relays() {
 		if s.far == nil {
 			continue // its far end is a process, which keeps no record that counts
@@ -143,7 +143,7 @@
 		}
 		for _, t := range s.s.Traces() {
 			if t.Full() {
-				alone = append(alone, fmt.Sprintf("agent %d to %s: %v", s.from, s.to, links.ErrTrace))
+				alone = append(alone, fmt.Sprintf("agent %d to %s: %v", s.from, s.to, netfault.ErrTrace))
 			}
 			delivered, _, _, whole := t.Far()
 			k := key{s.far, t.From, t.FarPort()}
--- a/internal/faulttest/clients.go
+++ b/internal/faulttest/clients.go
@@ -19,7 +19,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"switchfork/internal/faulttest/links"
+	"switchfork/internal/faulttest/netfault"
 )
 
 // This file owns the clients: an open load whose arrivals do not wait for answers, each try on a connection of its own time,
@@ -34,9 +34,9 @@
 	ID        string
 	Product   string
 	Key       string
-	Sent      links.Micros // its last byte was written; -1: it never was
-	Ended     links.Micros // the last byte of its answer came, or what else ended it
-	Status    int          // 0: none came whole
+	Sent      netfault.Micros // its last byte was written; -1: it never was
+	Ended     netfault.Micros // the last byte of its answer came, or what else ended it
+	Status    int             // 0: none came whole
 	Err       string
 	Surplus   bool // bytes came behind the answer
 	Body      string
@@ -52,7 +52,7 @@
 
 // Txn is what a client wants, with all its tries.
 type Txn struct {
-	Came   links.Micros
+	Came   netfault.Micros
 	Agent  int // of the first try
 	Fate   string
 	InTime bool
@@ -61,7 +61,7 @@
 
 // crowd are the clients.
 type crowd struct {
-	now     links.Clock
+	now     netfault.Clock
 	urls    []string
 	serial  atomic.Int64
 	mu      sync.Mutex
@@ -73,14 +73,14 @@
 	places  []chan struct{}
 	living  func() []int
 	// killed tells that an agent's process that lived at a time is over: what ended on a connection to it may have been read.
-	killed func(agent int, at links.Micros) bool
+	killed func(agent int, at netfault.Micros) bool
 }
 
 // connsMost bounds a load's connections to one agent, well under what an agent with 1,024 descriptors lets in; triesMost
 // is what a client makes of a txn in all, as the users' do.
 const connsMost, triesMost = 300, 3
 
-func newCrowd(now links.Clock, urls []string, living func() []int, killed func(int, links.Micros) bool) *crowd {
+func newCrowd(now netfault.Clock, urls []string, living func() []int, killed func(int, netfault.Micros) bool) *crowd {
 	c := &crowd{now: now, urls: urls, idle: make([][]*clientConn, len(urls)), living: living, killed: killed}
 	for range urls {
 		c.places = append(c.places, make(chan struct{}, connsMost))
@@ -91,7 +91,7 @@
 type clientConn struct {
 	net.Conn
 	r    *bufio.Reader
-	at   links.Micros // it was dialed
+	at   netfault.Micros // it was dialed
 	used bool
 }
 
--- a/internal/faulttest/measure.go
+++ b/internal/faulttest/measure.go
@@ -4,15 +4,15 @@
 	"fmt"
 	"slices"
 
-	"switchfork/internal/faulttest/links"
+	"switchfork/internal/faulttest/netfault"
 )
 
 // This file owns what is measured of the records, and how it is held against an expectation. It does no I/O.
 
 // span is a part of a night.
-type span struct{ from, to links.Micros }
+type span struct{ from, to netfault.Micros }
 
-func (s span) has(at links.Micros) bool { return at >= s.from && at < s.to }
+func (s span) has(at netfault.Micros) bool { return at >= s.from && at < s.to }
 
 // chosen tells whether an agent is meant: nil means all.
 type chosen func(agent int) bool
--- a/internal/faulttest/links/fault.go
+++ b/internal/faulttest/netfault/fault.go
@@ -1,6 +1,6 @@
-// Package links holds the relays that stand on the ways between processes, and what may be wrong with a way. What becomes of a
+// Package netfault holds the relays that stand on the ways between processes, and what may be wrong with a way. What becomes of a
 // datagram or of a piece of a stream is decided here without I/O or a clock; the relays carry it out and keep the account.
-package links
+package netfault
 
 import (
 	"math/rand"
--- a/internal/faulttest/links/trace.go
+++ b/internal/faulttest/netfault/trace.go
@@ -1,4 +1,4 @@
-package links
+package netfault
 
 import (
 	"errors"
--- a/internal/faulttest/night.go
+++ b/internal/faulttest/night.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"switchfork/internal/faulttest/links"
+	"switchfork/internal/faulttest/netfault"
 )
 
 // This file owns what a night is made of.
@@ -80,7 +80,7 @@
 		posting, once float64
 	}
 	fault struct {
-		set      func(*links.Fault)
+		set      func(*netfault.Fault)
 		heal     bool
 		from, to Party
 		both     bool
--- a/internal/faulttest/places.go
+++ b/internal/faulttest/places.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"switchfork/internal/fakes"
-	"switchfork/internal/faulttest/links"
+	"switchfork/internal/faulttest/netfault"
 )
 
 // This file owns the far ends: discovery and launcher for many agents, each told in its own addresses, and what all far ends
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &hop{Conn: c, who: links.Party(c.RemoteAddr()), port: c.RemoteAddr().(*net.TCPAddr).Port, ledger: l}
+	h := &hop{Conn: c, who: netfault.Party(c.RemoteAddr()), port: c.RemoteAddr().(*net.TCPAddr).Port, ledger: l}
 	l.mu.Lock()
 	l.hops = append(l.hops, h)
 	l.mu.Unlock()
@@ -99,8 +99,8 @@
 type Told struct {
 	Agent  int
 	Bytes  int64
-	At     links.Micros // written by the far end
-	Serial int          // of the list or the news
+	At     netfault.Micros // written by the far end
+	Serial int             // of the list or the news
 	hop    *hop
 }
 
@@ -116,13 +116,13 @@
 	open  map[*stream]bool
 	told  []Told
 	calls []Call
-	now   links.Clock
+	now   netfault.Clock
 }
 
 // Call is something that an agent asked a place for.
 type Call struct {
 	Agent int
-	At    links.Micros
+	At    netfault.Micros
 	What  string
 }
 
@@ -205,16 +205,16 @@
 	srv      *http.Server
 	lmu      sync.Mutex
 	versions [][]Row                     // by serial
-	made     []links.Micros              // when
+	made     []netfault.Micros           // when
 	address  func(agent, box int) string // how an agent reaches an appliance
 }
 
-func newCatalog(now links.Clock, address func(agent, box int) string) (*catalog, error) {
+func newCatalog(now netfault.Clock, address func(agent, box int) string) (*catalog, error) {
 	l, err := listen()
 	if err != nil {
 		return nil, err
 	}
-	c := &catalog{streams: streams{open: map[*stream]bool{}, now: now}, l: l, address: address, versions: [][]Row{nil}, made: []links.Micros{now()}}
+	c := &catalog{streams: streams{open: map[*stream]bool{}, now: now}, l: l, address: address, versions: [][]Row{nil}, made: []netfault.Micros{now()}}
 	c.srv = &http.Server{ConnContext: withHop, Handler: http.HandlerFunc(c.answer)}
 	go c.srv.Serve(l)
 	return c, nil
@@ -279,12 +279,12 @@
 	Build, Stage int
 	Phase        string
 	Cap          float64
-	At           links.Micros
+	At           netfault.Micros
 }
 
 // Vote is one as it came.
 type Vote struct {
-	At           links.Micros
+	At           netfault.Micros
 	Agent        int
 	Build, Stage int
 	Opinion      string // on, back, hold, none
@@ -303,7 +303,7 @@
 	silent bool
 }
 
-func newDesk(now links.Clock, build int) (*desk, error) {
+func newDesk(now netfault.Clock, build int) (*desk, error) {
 	l, err := listen()
 	if err != nil {
 		return nil, err
@@ -392,26 +392,28 @@
 
 // Arrival is a txn as an appliance got it whole.
 type Arrival struct {
-	At         links.Micros
+	At         netfault.Micros
 	Box, Build int
 	Agent      int
 	hop        *hop
 	From       int64  // where its first byte stands on its connection
 	ID, Key    string // the client's id of this try; what a repeat is known by
 	Product    string
-	Ran        links.Micros // -1: it has not, or its group has dropped it as a repeat
+	Ran        netfault.Micros // -1: it has not, or its group has dropped it as a repeat
 	Dropped    bool
 }
 
 // group is the appliances that remember one another's references, and what they saw.
 type group struct {
 	mu       sync.Mutex
-	now      links.Clock
+	now      netfault.Clock
 	arrivals []*Arrival
-	known    map[string]links.Micros // when a reference was last known to run
+	known    map[string]netfault.Micros // when a reference was last known to run
 }
 
-func newGroup(now links.Clock) *group { return &group{now: now, known: map[string]links.Micros{}} }
+func newGroup(now netfault.Clock) *group {
+	return &group{now: now, known: map[string]netfault.Micros{}}
+}
 
 func (g *group) Came(a *fakes.Appliance, r *http.Request) any {
 	n, _ := strconv.Atoi(strings.TrimPrefix(a.Name, "s-"))
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -14,7 +14,7 @@
 
 	"switchfork/internal/cluster/coordinator"
 	"switchfork/internal/fakes"
-	"switchfork/internal/faulttest/links"
+	"switchfork/internal/faulttest/netfault"
 )
 
 // This file owns how a night is played: its steps in their time, and its verdict.
@@ -42,8 +42,8 @@
 type player struct {
 	*Rig
 	how    Playing
-	names  map[string]int          // agents
-	marks  map[string]links.Micros // moments
+	names  map[string]int             // agents
+	marks  map[string]netfault.Micros // moments
 	faults []*faultLine
 	lines  []Line
 }
@@ -79,7 +79,7 @@
 		}
 		return v
 	}
-	p := &player{Rig: rig, how: how, names: map[string]int{}, marks: map[string]links.Micros{}}
+	p := &player{Rig: rig, how: how, names: map[string]int{}, marks: map[string]netfault.Micros{}}
 	p.note("rig", "all serve")
 	p.marks["start"] = p.now()
 	err = p.steps()
@@ -107,7 +107,7 @@
 func (e errStep) Error() string { return e.seen }
 
 // zero is where a night's times count from: all serve.
-func (p *player) zero() links.Micros { return p.marks["start"] }
+func (p *player) zero() netfault.Micros { return p.marks["start"] }
 
 func (p *player) steps() error {
 	last := p.now()
@@ -132,7 +132,7 @@
 }
 
 // until waits for a moment; the night's own end comes first.
-func (p *player) until(at links.Micros) error {
+func (p *player) until(at netfault.Micros) error {
 	timer := time.NewTimer(time.Duration(at-p.now()) * time.Microsecond)
 	defer timer.Stop()
 	select {
@@ -372,7 +372,7 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if n := len(life.Standstill); d.verb == "stop" {
-			life.Standstill = append(life.Standstill, [2]links.Micros{p.now(), -1})
+			life.Standstill = append(life.Standstill, [2]netfault.Micros{p.now(), -1})
 			return proc.Freeze()
 		} else if n > 0 {
 			life.Standstill[n-1][1] = p.now()
--- a/internal/faulttest/reader.go
+++ b/internal/faulttest/reader.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"switchfork/internal/faulttest/links"
+	"switchfork/internal/faulttest/netfault"
 )
 
 // This file owns how a night is read. All faults of a file are told at once, each with file, line and what was expected.
@@ -200,7 +200,7 @@
 	}
 }
 
-func micros(d time.Duration) links.Micros { return d.Microseconds() }
+func micros(d time.Duration) netfault.Micros { return d.Microseconds() }
 
 func (r *reader) step(w string) any {
 	f := fault{}
@@ -218,35 +218,35 @@
 		}
 		return l
 	case "drop":
-		f.set = func(f *links.Fault) { f.Drop = true }
+		f.set = func(f *netfault.Fault) { f.Drop = true }
 	case "silent":
-		f.streams, f.set = true, func(f *links.Fault) { f.Silent = true }
+		f.streams, f.set = true, func(f *netfault.Fault) { f.Silent = true }
 	case "refuse":
-		f.streams, f.set = true, func(f *links.Fault) { f.Refuse = true }
+		f.streams, f.set = true, func(f *netfault.Fault) { f.Refuse = true }
 	case "lose":
 		share := r.number(r.word("a share from 0 to 1"), "the share", 0, 1)
-		f.set = func(f *links.Fault) { f.Lose = share }
+		f.set = func(f *netfault.Fault) { f.Lose = share }
 	case "slow":
 		mean, spread, spreads := strings.Cut(r.word("a delay such as 300ms or 300ms~50ms"), "~")
-		d, s := micros(r.span(mean, "the delay")), links.Micros(0)
+		d, s := micros(r.span(mean, "the delay")), netfault.Micros(0)
 		if spreads {
 			if s = micros(r.span(spread, "the spread")); s > d {
 				r.fail("the spread is over the delay, expected at most %v", mean)
 			}
 		}
-		f.set = func(f *links.Fault) { f.Slow, f.Spread = d, s }
+		f.set = func(f *netfault.Fault) { f.Slow, f.Spread = d, s }
 	case "trickle":
 		rate := r.whole(r.word("bytes a second"), "the rate", 1, 1<<30)
-		f.set = func(f *links.Fault) { f.Rate = rate }
+		f.set = func(f *netfault.Fault) { f.Rate = rate }
 	case "reset":
 		n := r.whole(r.word("bytes until the reset"), "the bytes", 1, 1<<30)
-		f.streams, f.set = true, func(f *links.Fault) { f.Reset = n }
+		f.streams, f.set = true, func(f *netfault.Fault) { f.Reset = n }
 	case "double":
 		share := r.number(r.word("a share from 0 to 1"), "the share", 0, 1)
-		f.datagram, f.set = true, func(f *links.Fault) { f.Double = share }
+		f.datagram, f.set = true, func(f *netfault.Fault) { f.Double = share }
 	case "swap":
 		share := r.number(r.word("a share from 0 to 0.5"), "the share", 0, 0.5)
-		f.datagram, f.set = true, func(f *links.Fault) { f.Swap = share }
+		f.datagram, f.set = true, func(f *netfault.Fault) { f.Swap = share }
 	case "heal":
 		if f.heal = true; r.next("all") {
 			return f
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"switchfork/internal/faulttest/links"
+	"switchfork/internal/faulttest/netfault"
 )
 
 // This file owns what is left of a night to read: each process's log, one time line of all, and the records.
@@ -95,7 +95,7 @@
 	for _, a := range r.agents {
 		for _, line := range strings.Split(a.log.String(), "\n") {
 			if at, is := logTime(line); is {
-				out = append(out, Moment{links.Micros(at.Sub(r.began) / time.Microsecond), fmt.Sprintf("agent %d", a.number), line})
+				out = append(out, Moment{netfault.Micros(at.Sub(r.began) / time.Microsecond), fmt.Sprintf("agent %d", a.number), line})
 			}
 		}
 	}
--- a/internal/faulttest/rig.go
+++ b/internal/faulttest/rig.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"switchfork/internal/fakes"
-	"switchfork/internal/faulttest/links"
+	"switchfork/internal/faulttest/netfault"
 )
 
 // This file owns what stands in a night: processes, stand-ins, and a relay on each way between them.
@@ -27,29 +27,29 @@
 	programs map[string]string
 	direct   bool // no relays: for the measure of what they cost
 	began    time.Time
-	now      links.Clock
+	now      netfault.Clock
 	ctx      context.Context
 	list     *catalog
 	desk     *desk
 	group    *group
 	agents   []*agent
 	crowd    *crowd
-	mesh     *links.Mesh
+	mesh     *netfault.Mesh
 
 	mu     sync.Mutex
 	boxes  []*fakes.Appliance
-	born   []links.Micros    // when each began, cold; -1: long ago
-	toBox  [][]*links.Stream // agent, box
-	peers  [][]*links.Stream // from, to; nil where agents don't speak over TCP
-	toList [][]*links.Stream // agent; the one in force is the last
-	toDesk [][]*links.Stream
+	born   []netfault.Micros    // when each began, cold; -1: long ago
+	toBox  [][]*netfault.Stream // agent, box
+	peers  [][]*netfault.Stream // from, to; nil where agents don't speak over TCP
+	toList [][]*netfault.Stream // agent; the one in force is the last
+	toDesk [][]*netfault.Stream
 	story  []Moment
 	load   context.CancelFunc
 }
 
 // Moment is something that the rig did or saw, for the time line.
 type Moment struct {
-	At   links.Micros
+	At   netfault.Micros
 	Who  string
 	What string
 }
@@ -70,7 +70,7 @@
 
 // startWord is what a process was told at its start.
 type startWord struct {
-	at         links.Micros
+	at         netfault.Micros
 	list, news int
 }
 
@@ -79,7 +79,7 @@
 // build sets all up, and starts the agents together.
 func build(ctx context.Context, n *Night, dir string, programs map[string]string, direct bool) (r *Rig, err error) {
 	r = &Rig{night: n, dir: dir, programs: programs, direct: direct, began: time.Now(), ctx: ctx}
-	r.now = func() links.Micros { return time.Since(r.began).Microseconds() }
+	r.now = func() netfault.Micros { return time.Since(r.began).Microseconds() }
 	defer func() {
 		if err != nil {
 			r.close()
@@ -109,7 +109,7 @@
 		urls, datagrams = append(urls, "http://"+a.listen), append(datagrams, a.datagram)
 	}
 	if n.Talk == "datagrams" && !direct {
-		if r.mesh, err = links.NewMesh(datagrams, n.Seed*7919, r.now); err != nil {
+		if r.mesh, err = netfault.NewMesh(datagrams, n.Seed*7919, r.now); err != nil {
 			return r, err
 		}
 	}
@@ -122,9 +122,9 @@
 			return r, err
 		}
 		for j := range n.Agents {
-			var s *links.Stream
+			var s *netfault.Stream
 			if n.Talk == "tcp" && i != j && !direct {
-				if s, err = links.NewStream(i, r.agents[j].stream, n.Seed*104_729+int64(i)*256+int64(j), r.now); err != nil {
+				if s, err = netfault.NewStream(i, r.agents[j].stream, n.Seed*104_729+int64(i)*256+int64(j), r.now); err != nil {
 					return r, err
 				}
 			}
@@ -152,11 +152,11 @@
 }
 
 // move gives an agent one more relay to a place.
-func (r *Rig) move(agent int, relays *[]*links.Stream, target string, salt int64) error {
+func (r *Rig) move(agent int, relays *[]*netfault.Stream, target string, salt int64) error {
 	if r.direct {
 		return nil
 	}
-	s, err := links.NewStream(agent, target, r.night.Seed*6151+int64(agent)*64+salt+int64(len(*relays))*32, r.now)
+	s, err := netfault.NewStream(agent, target, r.night.Seed*6151+int64(agent)*64+salt+int64(len(*relays))*32, r.now)
 	if err == nil {
 		r.mu.Lock()
 		*relays = append(*relays, s)
@@ -166,7 +166,7 @@
 }
 
 // last is where an agent reaches a place now.
-func (r *Rig) last(relays []*links.Stream, direct string) string {
+func (r *Rig) last(relays []*netfault.Stream, direct string) string {
 	if r.direct {
 		return direct
 	}
@@ -197,12 +197,12 @@
 		n := len(r.boxes)
 		r.mu.Unlock()
 		box := fakes.NewApplianceAt(l, boxName(n), build, r.night.Slots, r.night.Work, r.night.Seed*31+int64(n), r.group, withHop)
-		var relays []*links.Stream
+		var relays []*netfault.Stream
 		for i := range r.agents {
 			if r.direct {
 				break
 			}
-			s, err := links.NewStream(i, box.Addr(), r.night.Seed*15_485_863+int64(i)*1024+int64(n), r.now)
+			s, err := netfault.NewStream(i, box.Addr(), r.night.Seed*15_485_863+int64(i)*1024+int64(n), r.now)
 			if err != nil {
 				box.Close()
 				return err
@@ -215,7 +215,7 @@
 			r.toBox[i] = append(r.toBox[i], s)
 		}
 		r.mu.Unlock()
-		row, born := Row{n, "active", build, 0}, links.Micros(-1)
+		row, born := Row{n, "active", build, 0}, netfault.Micros(-1)
 		if cold {
 			box.Begins(fakes.ColdFrom, fakes.ColdFor)
 			row.Born, born = time.Now().UnixMilli(), r.now()
@@ -346,7 +346,7 @@
 
 // killed tells whether an agent's newest process is over, or one that was not told to leave and lived at a time: the next may have begun
 // by now.
-func (r *Rig) killed(agent int, at links.Micros) bool {
+func (r *Rig) killed(agent int, at netfault.Micros) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	lives := r.agents[agent].lives
--- a/internal/faulttest/rules.go
+++ b/internal/faulttest/rules.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"switchfork/internal/fakes"
-	"switchfork/internal/faulttest/links"
+	"switchfork/internal/faulttest/netfault"
 )
 
 // This file owns the rules that hold in each night, judged from the records alone: no I/O, no clock, nothing that an agent says.
@@ -16,12 +16,12 @@
 // Records are what stand-ins, relays and the rig itself wrote down.
 type Records struct {
 	Agents    int
-	End       links.Micros
+	End       netfault.Micros
 	Txns      []Txn
-	Surplus   int            // connections with bytes behind a whole answer
-	Born      []links.Micros // of each appliance; -1: long ago
-	Slots     int            // txns that an appliance works on at a time, and how long each takes when it is warm
-	Work      links.Micros
+	Surplus   int               // connections with bytes behind a whole answer
+	Born      []netfault.Micros // of each appliance; -1: long ago
+	Slots     int               // txns that an appliance works on at a time, and how long each takes when it is warm
+	Work      netfault.Micros
 	Calls     map[string][]Call // by place
 	Datagrams []int64           // delivered, by sender
 	Arrivals  []Arrival
@@ -33,26 +33,26 @@
 	// When an agent had each word, in the order of time: of the list and of the news.
 	HadList, HadNews [][]Had
 	// When each arrival was sent by its agent; -1 where the relay can't tell.
-	SentAt []links.Micros
+	SentAt []netfault.Micros
 }
 
 // Life is a process of an agent from its start to its end, with the spans in which it stood still, and when it was asked to leave.
 type Life struct {
-	From, To   links.Micros // To: -1 while it lives
-	Left       links.Micros // SIGTERM; -1: none
-	Standstill [][2]links.Micros
+	From, To   netfault.Micros // To: -1 while it lives
+	Left       netfault.Micros // SIGTERM; -1: none
+	Standstill [][2]netfault.Micros
 }
 
 // Had is when an agent was handed a word.
 type Had struct {
-	At     links.Micros
+	At     netfault.Micros
 	Serial int
 }
 
 // Breach is a rule that was broken.
 type Breach struct {
 	Rule string
-	At   links.Micros
+	At   netfault.Micros
 	What string
 }
 
@@ -88,7 +88,7 @@
 }
 
 // life is the process that had taken something at a time, nil without one.
-func (r *Records) life(agent int, at links.Micros) *Life {
+func (r *Records) life(agent int, at netfault.Micros) *Life {
 	for i := range r.Lives[agent] {
 		if l := &r.Lives[agent][i]; l.From <= at && (l.To < 0 || at < l.To) {
 			return l
@@ -98,7 +98,7 @@
 }
 
 // still tells whether a process stood still in a span.
-func (l *Life) still(from, to links.Micros) bool {
+func (l *Life) still(from, to netfault.Micros) bool {
 	for _, s := range l.Standstill {
 		if s[0] <= to && (s[1] < 0 || from <= s[1]) {
 			return true
@@ -158,7 +158,7 @@
 }
 
 // had is the newest word that an agent had by a time, and when it got it; -1: none.
-func had(words []Had, by links.Micros) (serial int, at links.Micros) {
+func had(words []Had, by netfault.Micros) (serial int, at netfault.Micros) {
 	serial, at = -1, -1
 	for _, w := range words {
 		if w.At > by {
@@ -199,7 +199,7 @@
 			continue
 		}
 		// Since when it knew: the first word of the run of words, up to the newest, that all say so.
-		since := links.Micros(-1)
+		since := netfault.Micros(-1)
 		best := -1
 		for _, w := range words {
 			if w.At > sent || w.Serial <= best {
@@ -226,10 +226,10 @@
 // the told time. What it can do in a span is its slots' time, by the part of its speed that it has.
 func coldSpared(r *Records) (out []Breach) {
 	window, span := fakes.TipAfter.Microseconds(), fakes.ColdFor.Microseconds()
-	speed := func(age links.Micros) float64 {
+	speed := func(age netfault.Micros) float64 {
 		return min(1, fakes.ColdFrom+(1-fakes.ColdFrom)*float64(max(0, age))/float64(span))
 	}
-	times := map[int][]links.Micros{}
+	times := map[int][]netfault.Micros{}
 	for _, a := range r.Arrivals {
 		if a.Box < len(r.Born) && r.Born[a.Box] >= 0 && a.At < r.Born[a.Box]+span+window {
 			times[a.Box] = append(times[a.Box], a.At)
@@ -259,7 +259,7 @@
 func underCap(r *Records) (out []Breach) {
 	window, grace := fakes.CapWindow.Microseconds(), (fakes.DrainGrace + capRoom).Microseconds()
 	for agent := range r.Agents {
-		var taken []links.Micros
+		var taken []netfault.Micros
 		for _, t := range r.Txns {
 			for _, y := range t.Tries {
 				if y.Agent == agent && y.Sent >= 0 {
@@ -268,7 +268,7 @@
 			}
 		}
 		slices.Sort(taken)
-		sent := map[int][]links.Micros{} // by build
+		sent := map[int][]netfault.Micros{} // by build
 		for i, a := range r.Arrivals {
 			if a.Agent == agent && r.SentAt[i] >= 0 {
 				sent[a.Build] = append(sent[a.Build], r.SentAt[i])
@@ -318,18 +318,18 @@
 }
 
 // after counts how many of sorted times are not later than one.
-func after(times []links.Micros, at links.Micros) int {
+func after(times []netfault.Micros, at netfault.Micros) int {
 	n, _ := slices.BinarySearch(times, at+1)
 	return n
 }
 
 // capSince is the cap of a build, as an agent knew it.
 type capSince struct {
-	at  links.Micros
+	at  netfault.Micros
 	cap float64
 }
 
-func capAt(caps []capSince, at links.Micros) float64 {
+func capAt(caps []capSince, at netfault.Micros) float64 {
 	cap := 1.0
 	for _, c := range caps {
 		if c.at > at {
@@ -390,7 +390,7 @@
 type Claim struct {
 	What     string
 	Agent    int
-	From, To links.Micros
+	From, To netfault.Micros
 }
 
 // claims are what the far ends can tell of who holds what: an agent holds the vote on a stage for as long as its vote stands.
--- a/internal/faulttest/rules_test.go
+++ b/internal/faulttest/rules_test.go
@@ -4,21 +4,21 @@
 	"strings"
 	"testing"
 
-	"switchfork/internal/faulttest/links"
+	"switchfork/internal/faulttest/netfault"
 )
 
-const s = links.Micros(1_000_000)
+const s = netfault.Micros(1_000_000)
 
 // sound are records in which every rule is kept, with something for each rule to look at.
 func sound() *Records {
-	r := &Records{Agents: 2, End: 20 * s, Decider: true, Born: []links.Micros{s, -1}, Slots: 2, Work: s / 100,
+	r := &Records{Agents: 2, End: 20 * s, Decider: true, Born: []netfault.Micros{s, -1}, Slots: 2, Work: s / 100,
 		Stages:  []Stage{{7, 2, "live", 1, 0}, {8, 0, "testing", 0.2, 0}, {8, 0, "recalling", 0, 0}},
 		Lists:   [][]Row{{{0, "active", 7, 0}, {1, "active", 8, 0}}, {{0, "leaving", 7, 0}, {1, "active", 8, 0}}},
 		Lives:   [][]Life{{{From: 0, To: -1, Left: -1}}, {{From: 0, To: 9 * s, Left: -1}}},
 		HadList: [][]Had{{{0, 0}, {5 * s, 1}}, {{0, 0}}}, HadNews: [][]Had{{{0, 0}, {2 * s, 1}, {10 * s, 2}}, {{0, 0}, {2 * s, 1}}},
 		Votes: []Vote{{3 * s, 0, 8, 0, "on"}, {8 * s, 1, 8, 0, "back"}, {8 * s, 1, 8, 1, "on"}}}
 	for i := range 20 {
-		at := 2*s + links.Micros(i)*s/10
+		at := 2*s + netfault.Micros(i)*s/10
 		r.Txns = append(r.Txns, Txn{Came: at, Agent: 0, Fate: settled, Tries: []Try{{Agent: 0, ID: "x", Product: inquiry, Sent: at, Ended: at + s/100, Status: 200}}})
 	}
 	r.arrives(0, 1, 3*s, posting, "k1")
@@ -26,7 +26,7 @@
 	return r
 }
 
-func (r *Records) arrives(agent, box int, at links.Micros, product, key string) {
+func (r *Records) arrives(agent, box int, at netfault.Micros, product, key string) {
 	r.Arrivals = append(r.Arrivals, Arrival{At: at, Box: box, Build: r.Lists[0][box].Build, Agent: agent, ID: "y", Key: key, Product: product, Ran: at})
 	r.SentAt = append(r.SentAt, at)
 }
@@ -50,7 +50,7 @@
 		{"no answer of a process that was killed", "", func(r *Records) { r.Txns[3].Tries[0].Status = 0; r.Lives[0][0].To = 4 * s }},
 		{"no answer of one that stands still", "", func(r *Records) {
 			r.Txns[3].Tries[0].Status = 0
-			r.Lives[0][0].Standstill = [][2]links.Micros{{2 * s, 9 * s}}
+			r.Lives[0][0].Standstill = [][2]netfault.Micros{{2 * s, 9 * s}}
 		}},
 		{"no answer of one that was asked to leave only later", "one answer", func(r *Records) {
 			r.Txns[3].Tries[0].Status = 0
@@ -64,28 +64,28 @@
 		}},
 		{"something new after the grace", "drains kept", func(r *Records) { r.arrives(0, 0, 6*s+s/2, inquiry, "") }},
 		{"the same by one who stood still when it was told", "drains kept", func(r *Records) {
-			r.Lives[0][0].Standstill = [][2]links.Micros{{4 * s, 7 * s}}
+			r.Lives[0][0].Standstill = [][2]netfault.Micros{{4 * s, 7 * s}}
 			r.arrives(0, 0, 7*s, inquiry, "")
 		}},
 		{"something new after the grace by one who was never told", "", func(r *Records) { r.arrives(1, 0, 8*s, inquiry, "") }},
 		{"a cold appliance that is sent too much", "cold spared", func(r *Records) {
-			for i := range links.Micros(400) {
+			for i := range netfault.Micros(400) {
 				r.arrives(int(i)%2, 0, s+i*s/400, inquiry, "")
 			}
 		}},
 		{"the same once it is warm", "", func(r *Records) {
 			r.Born[0] = -1
-			for i := range links.Micros(400) {
+			for i := range netfault.Micros(400) {
 				r.arrives(int(i)%2, 0, s+i*s/400, inquiry, "")
 			}
 		}},
 		{"too much on trial", "exposure", func(r *Records) {
-			for i := range links.Micros(10) {
+			for i := range netfault.Micros(10) {
 				r.arrives(0, 1, 3*s+i, inquiry, "")
 			}
 		}},
 		{"one after the cap is nothing", "exposure", func(r *Records) {
-			for i := range links.Micros(6) {
+			for i := range netfault.Micros(6) {
 				r.arrives(0, 1, 12*s+i, inquiry, "")
 			}
 		}},
@@ -180,7 +180,7 @@
 // A connection's end is a kill's also when the next process has begun by the time it is looked at; one that was told to leave is none.
 func TestKilledByNow(t *testing.T) {
 	r := &Rig{agents: []*agent{{lives: []Life{{From: 10, To: 50, Left: -1}, {From: 51, To: 80, Left: 70}, {From: 81, To: -1, Left: -1}}}}}
-	for at, want := range map[links.Micros]bool{20: true, 50: true, 60: false, 90: false} {
+	for at, want := range map[netfault.Micros]bool{20: true, 50: true, 60: false, 90: false} {
 		if got := r.killed(0, at); got != want {
 			t.Errorf("a connection of %d: killed %v, want %v", at, got, want)
 		}
--- a/internal/faulttest/spoil.go
+++ b/internal/faulttest/spoil.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"switchfork/internal/faulttest/links"
+	"switchfork/internal/faulttest/netfault"
 )
 
 // This file owns which ways a line of a night spoils, and whether that touched anything.
@@ -11,14 +11,14 @@
 // faultLine is a line that put something wrong on ways.
 type faultLine struct {
 	step  Step
-	ways  map[*links.Way]int64 // what each had acted when it began
+	ways  map[*netfault.Way]int64 // what each had acted when it began
 	acted int64
 }
 
 // waysOf are the directions that a fault means, each once.
-func (p *player) waysOf(d fault) (out []*links.Way) {
-	got := map[*links.Way]bool{}
-	put := func(w *links.Way) {
+func (p *player) waysOf(d fault) (out []*netfault.Way) {
+	got := map[*netfault.Way]bool{}
+	put := func(w *netfault.Way) {
 		if !got[w] {
 			got[w] = true
 			out = append(out, w)
@@ -80,11 +80,11 @@
 	if d.heal {
 		p.endFaults(ways)
 		for _, w := range ways {
-			w.Set(links.Fault{})
+			w.Set(netfault.Fault{})
 		}
 		return
 	}
-	line := &faultLine{step: s, ways: map[*links.Way]int64{}}
+	line := &faultLine{step: s, ways: map[*netfault.Way]int64{}}
 	for _, w := range ways {
 		if p.how.Idle {
 			w.Idle()
@@ -98,7 +98,7 @@
 }
 
 // endFaults counts what faults have done on ways that are healed, or on all.
-func (p *player) endFaults(healed []*links.Way) {
+func (p *player) endFaults(healed []*netfault.Way) {
 	for _, f := range p.faults {
 		for w, before := range f.ways {
 			if healed == nil || slices.Contains(healed, w) {
--- a/internal/faulttest/verdict.go
+++ b/internal/faulttest/verdict.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"switchfork/internal/faulttest/links"
+	"switchfork/internal/faulttest/netfault"
 )
 
 // This file owns what came of a night.
@@ -85,7 +85,7 @@
 	}
 }
 
-func (p *player) moment(t Time) links.Micros {
+func (p *player) moment(t Time) netfault.Micros {
 	if t.Mark == "" {
 		return p.zero() + micros(t.Plus)
 	}
