--- a/cmd/switchfork/chair.go
+++ b/cmd/switchfork/chair.go
@@ -11,6 +11,7 @@
 
 	"github.com/spf13/cobra"
 
+	"switchfork/internal/agent"
 	"switchfork/internal/cluster/coordinator"
 	"switchfork/internal/cluster/election"
 	"switchfork/internal/cluster/storage"
@@ -18,7 +19,6 @@
 	"switchfork/internal/config"
 	"switchfork/internal/options"
 	"switchfork/internal/policy"
-	"switchfork/sockets"
 )
 
 // This file owns how the decider's parts are put together, and the commands that ask a running agent.
@@ -42,8 +42,8 @@
 )
 
 // sit makes the seat that the operator asks for, nil without one.
-func sit(keep options.Chair, circle config.Circle, terms *config.Terms, seed int64, core *sockets.Core, launcher *sockets.Launcher,
-	peers *sockets.Peers) (*chair, error) {
+func sit(keep options.Chair, circle config.Circle, terms *config.Terms, seed int64, core *agent.Core, launcher *agent.Launcher,
+	peers *agent.Peers) (*chair, error) {
 	if !keep.On {
 		if keep.Admin != "" {
 			slog.Warn("admin address asked for without a decider: nothing to tell there yet")
@@ -96,7 +96,7 @@
 		store, seat.Memory = v, memory
 	}
 	desk := coordinator.Desk{News: core.News, Cast: func(v policy.Vote, before time.Time, over func(bool)) {
-		launcher.Cast(sockets.Dated{Vote: v, Before: before, Over: over})
+		launcher.Cast(agent.Dated{Vote: v, Before: before, Over: over})
 	}}
 	var way coordinator.Way = peers
 	if keep.Listen != "" {
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -14,10 +14,10 @@
 	"time"
 
 	"switchfork/internal/admission"
+	"switchfork/internal/agent"
 	"switchfork/internal/config"
 	"switchfork/internal/options"
 	"switchfork/internal/policy"
-	"switchfork/sockets"
 )
 
 // This file owns how an agent's parts are put together, its drain and its reload. It decides nothing about txns.
@@ -73,22 +73,22 @@
 		names, effects, expiry = append(names, g.Name), append(effects, g.Effect), append(expiry, g.Expiry)
 		longest = max(longest, g.Expiry)
 	}
-	purse := sockets.NewPurse(ration.Sockets - ownSockets)
-	clock := sockets.NewClock()
-	core := sockets.NewCore(module, clock)
-	pool := sockets.NewPool(lines.Dial, lines.Idle, lines.Report, purse)
-	roster := sockets.NewRoster(core, post.Discovery, zones, lines.Dial, lines.AskWithin, file.Settings.Votes().Agents, int64(seed))
-	launcher := sockets.NewLauncher(core, post.Launcher, lines.Dial, lines.Call, int64(seed))
-	peers, err := sockets.NewPeers(core, circle.Listen, circle.Peers, circle.All)
+	purse := agent.NewPurse(ration.Sockets - ownSockets)
+	clock := agent.NewClock()
+	core := agent.NewCore(module, clock)
+	pool := agent.NewPool(lines.Dial, lines.Idle, lines.Report, purse)
+	roster := agent.NewRoster(core, post.Discovery, zones, lines.Dial, lines.AskWithin, file.Settings.Votes().Agents, int64(seed))
+	launcher := agent.NewLauncher(core, post.Launcher, lines.Dial, lines.Call, int64(seed))
+	peers, err := agent.NewPeers(core, circle.Listen, circle.Peers, circle.All)
 	if err != nil {
 		return err
 	}
-	front := sockets.NewFront(core, names, effects, expiry, customers, lines.OpenCap, lines.HoldOff, purse,
+	front := agent.NewFront(core, names, effects, expiry, customers, lines.OpenCap, lines.HoldOff, purse,
 		rand.New(rand.NewSource(int64(seed))).Uint64()>>12)
-	var gate *sockets.Gate
+	var gate *agent.Gate
 	if orders.Door.On {
-		gate = sockets.NewGate(open(orders.Door, goods, stalls, customers, shares, lines, ration, purse, seed), clock, core)
-		front.Behind(gate, sockets.WhoAsks{Header: orders.Door.Header, Connection: orders.Door.Client == "connection"})
+		gate = agent.NewGate(open(orders.Door, goods, stalls, customers, shares, lines, ration, purse, seed), clock, core)
+		front.Behind(gate, agent.WhoAsks{Header: orders.Door.Header, Connection: orders.Door.Client == "connection"})
 	}
 	seat, err := sit(orders.Chair, circle, file.Settings, int64(seed), core, launcher, peers)
 	if err != nil {
@@ -174,7 +174,7 @@
 }
 
 // reload hands on what the file has changed that may change at work; a faulty file leaves all as it is.
-func reload(file *config.File, roster *sockets.Roster, launcher *sockets.Launcher) *config.File {
+func reload(file *config.File, roster *agent.Roster, launcher *agent.Launcher) *config.File {
 	next, moved, left, err := file.Reread()
 	if err != nil {
 		slog.Error("reload: the old stays in force", "err", err)
@@ -195,7 +195,7 @@
 
 // open makes the door that the operator asks for.
 func open(keep options.DoorKeeping, goods []config.Good, stalls []config.Stall, customers []string, shares []float64,
-	lines config.Lines, ration config.Ration, purse *sockets.Purse, seed uint64) *admission.Door {
+	lines config.Lines, ration config.Ration, purse *agent.Purse, seed uint64) *admission.Door {
 	var products []admission.Product
 	for i, g := range goods {
 		products = append(products, admission.Product{SLA: stalls[i].SLA.Microseconds(), Expiry: g.Expiry.Microseconds(),
@@ -242,7 +242,7 @@
 
 // reorder reads the operator's file again: log and shares take effect at once, other keywords need a restart, and a faulty
 // file changes nothing.
-func reorder(now *options.Orders, customers []string, shares []float64, gate *sockets.Gate) *options.Orders {
+func reorder(now *options.Orders, customers []string, shares []float64, gate *agent.Gate) *options.Orders {
 	if now.Path == "" {
 		return now
 	}
--- a/sockets/core.go
+++ b/internal/agent/core.go
@@ -1,4 +1,4 @@
-package sockets
+package agent
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"switchfork/internal/policy"
 	"switchfork/internal/admission"
+	"switchfork/internal/policy"
 )
 
 // This file owns the module's actor: its mailbox, its clock, its bell, and who gets each of its orders. Nothing
@@ -118,12 +118,12 @@
 	moment     policy.Micros // the clock stands while this is set
 	box        *mailbox[any]
 	urgent     *mailbox[any] // news and list changes are not kept waiting
-	wakes      []policy.Wake  // by time
+	wakes      []policy.Wake // by time
 	asked      time.Time     // when the module was last asked
 	inflows    *inflows      // on which list and news come
 	mu         sync.Mutex
 	readers    []func(calledIn) // the actors that hand them on
-	late       policy.Micros     // the bell that was last found to be late
+	late       policy.Micros    // the bell that was last found to be late
 	txns       map[uint64]*open
 	appliances map[uint32]*appliance
 	all        []*appliance // in the order of their coming
--- a/sockets/core_test.go
+++ b/internal/agent/core_test.go
@@ -1,4 +1,4 @@
-package sockets
+package agent
 
 import (
 	"context"
--- a/sockets/front.go
+++ b/internal/agent/front.go
@@ -1,4 +1,4 @@
-package sockets
+package agent
 
 import (
 	"bytes"
@@ -18,8 +18,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"switchfork/internal/policy"
 	"switchfork/internal/admission"
+	"switchfork/internal/policy"
 )
 
 // This file owns the clients' side: httputil.ReverseProxy before a RoundTripper that hands each txn to the module's
--- a/sockets/gate.go
+++ b/internal/agent/gate.go
@@ -1,12 +1,12 @@
-package sockets
+package agent
 
 import (
 	"context"
 	"log/slog"
 	"time"
 
-	"switchfork/internal/policy"
 	"switchfork/internal/admission"
+	"switchfork/internal/policy"
 )
 
 // This file owns the door's actor: its mailbox, its bell, and who gets each of its orders. It stands between the clients'
--- a/sockets/gate_test.go
+++ b/internal/agent/gate_test.go
@@ -1,4 +1,4 @@
-package sockets
+package agent
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"switchfork/internal/policy"
 	"switchfork/internal/admission"
+	"switchfork/internal/policy"
 )
 
 // gated is a core with a door before it, and a module that does as the test says.
--- a/sockets/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -1,4 +1,4 @@
-package sockets
+package agent
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"switchfork/internal/policy"
 	"switchfork/internal/golden"
+	"switchfork/internal/policy"
 )
 
 // capture takes connections, keeps the first bytes of each, and closes it.
--- a/sockets/launcher.go
+++ b/internal/agent/launcher.go
@@ -1,4 +1,4 @@
-package sockets
+package agent
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
-	"switchfork/internal/policy"
 	"switchfork/internal/backoff"
+	"switchfork/internal/policy"
 )
 
 // This file owns the way to the launcher: votes with exactly one answer each, and the stream of its news. It must
@@ -29,14 +29,14 @@
 	patient time.Duration // for the answer to a vote
 	box     *mailbox[any]
 	client  *http.Client
-	once    *http.Client       // for votes that have a time after which they must not be written
+	once    *http.Client        // for votes that have a time after which they must not be written
 	also    func(policy.Staged) // hears the news, too; nil: nobody
-	now     *stream            // the one that is believed
-	next    *stream            // the one that is to take its place
+	now     *stream             // the one that is believed
+	next    *stream             // the one that is to take its place
 	again   *backoff.Again
 
 	mu     sync.Mutex
-	told   int          // how often where things stand has been told
+	told   int           // how often where things stand has been told
 	latest policy.Staged // as it was told last
 }
 
--- a/sockets/roster.go
+++ b/internal/agent/roster.go
@@ -1,4 +1,4 @@
-package sockets
+package agent
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
-	"switchfork/internal/policy"
 	"switchfork/internal/backoff"
+	"switchfork/internal/policy"
 )
 
 // This file owns the list: the watch at discovery, the numbers of appliances, and which line is news. It must
