--- a/cmd/switchlab/demo.go
+++ b/cmd/switchfork-lab/demo.go
@@ -89,7 +89,7 @@
 }
 
 func raise(program, operator string) (*stage, error) {
-	dir, err := os.MkdirTemp("", "switchlab")
+	dir, err := os.MkdirTemp("", "switchfork-lab")
 	if err != nil {
 		return nil, err
 	}
@@ -258,7 +258,7 @@
 
 // socketDoor plays a quiet day, a noisy one with the door and a noisy one without, each with the real agent.
 func socketDoor(out io.Writer, seed int64, times float64, seconds int, logs string) error {
-	dir, err := os.MkdirTemp("", "switchlab")
+	dir, err := os.MkdirTemp("", "switchfork-lab")
 	if err != nil {
 		return err
 	}
--- a/cmd/switchlab/main.go
+++ b/cmd/switchfork-lab/main.go
@@ -1,4 +1,4 @@
-// Command switchlab holds the experiments: it plays the agent's own decisions in simulated time, or the agent itself on
+// Command switchfork-lab holds the experiments: it plays the agent's own decisions in simulated time, or the agent itself on
 // loopback among stand-ins, prints what came of it beside baselines, and fails where a bar does not hold. It is no part of
 // the agent.
 package main
@@ -17,7 +17,7 @@
 type use struct{ error }
 
 func main() {
-	root := &cobra.Command{Use: "switchlab", Short: "experiments with switchfork", SilenceUsage: true, SilenceErrors: true,
+	root := &cobra.Command{Use: "switchfork-lab", Short: "experiments with switchfork", SilenceUsage: true, SilenceErrors: true,
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) > 0 {
 				return use{fmt.Errorf("%q is no experiment", args[0])}
@@ -31,10 +31,10 @@
 	var wrong use
 	switch {
 	case errors.As(err, &wrong):
-		fmt.Fprintln(os.Stderr, "switchlab:", err)
+		fmt.Fprintln(os.Stderr, "switchfork-lab:", err)
 		os.Exit(wrongUse)
 	case err != nil:
-		fmt.Fprintln(os.Stderr, "switchlab:", err)
+		fmt.Fprintln(os.Stderr, "switchfork-lab:", err)
 		os.Exit(missed)
 	}
 }
--- a/cmd/switchlab/trial.go
+++ b/cmd/switchfork-lab/trial.go
@@ -78,7 +78,7 @@
 	if len(faulty) > 0 {
 		return use{errors.Join(faulty...)}
 	}
-	dir, err := os.MkdirTemp("", "switchlab")
+	dir, err := os.MkdirTemp("", "switchfork-lab")
 	if err != nil {
 		return err
 	}
--- a/internal/agent/account.go
+++ b/internal/agent/account.go
@@ -7,7 +7,7 @@
 )
 
 // This file owns an agent's account of what it did, one log line in a while: what many agents do together is counted from
-// their logs (`switchlab logs`). It must never be read by anything that acts.
+// their logs (`switchfork-lab logs`). It must never be read by anything that acts.
 
 // accountEvery bounds it to a line so often, and none while nothing was done.
 const accountEvery = 5 * time.Second
