--- a/internal/faulttest/nights_test.go
+++ b/internal/faulttest/nights_test.go
@@ -62,7 +62,7 @@
 
 // Every night that is shipped passes. SWITCHFORK_NIGHTS plays those whose names hold it, SWITCHFORK_TIMES so often.
 func TestNights(t *testing.T) {
-	files, _ := filepath.Glob("nights/*.txt")
+	files, _ := filepath.Glob("scenarios/*.txt")
 	if len(files) == 0 {
 		t.Fatal("no nights")
 	}
