--- a/cmd/switchfork/chair.go
+++ b/cmd/switchfork/chair.go
@@ -53,7 +53,7 @@
 	rules := terms.Votes()
 	me, members := keep.Me, election.Members{}
 	switch {
-	case rules.Ballot != policy.BallotAny || rules.ToGo > 1 || rules.ToGoBack > 1:
+	case rules.Ballot != policy.AnyVote || rules.ToGo > 1 || rules.ToGoBack > 1:
 		slog.Warn("decider stays off: here several agents' votes are counted, so that one alone can't stand for all")
 		return nil, nil
 	case keep.Listen == "" && circle.Listen == "":
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -66,7 +66,7 @@
 	debug.SetGCPercent(collectAt)
 
 	var names []string
-	var effects []policy.Effect
+	var effects []policy.Idempotency
 	var expiry []time.Duration
 	longest := time.Duration(0)
 	for _, g := range goods {
@@ -199,7 +199,7 @@
 	var products []admission.Product
 	for i, g := range goods {
 		products = append(products, admission.Product{SLA: stalls[i].SLA.Microseconds(), Expiry: g.Expiry.Microseconds(),
-			Revenue: stalls[i].Revenue, Referenced: g.Effect == policy.Referenced})
+			Revenue: stalls[i].Revenue, Referenced: g.Effect == policy.Keyed})
 	}
 	room := admission.RoomOf(ration.MemoryMB, min(lines.OpenCap, purse.Txns()), keep.Queues)
 	if keep.Txns > 0 {
--- a/internal/agent/appliance.go
+++ b/internal/agent/appliance.go
@@ -433,7 +433,7 @@
 	}
 	if j.probe {
 		a.pending--
-		p := policy.Probed{Appliance: a.id, Outcome: how.outcome(), Took: took}
+		p := policy.HealthCheckResult{EndpointID: a.id, Outcome: how.outcome(), Elapsed: took}
 		if ans != nil {
 			if p.Load = ans.load; p.Load == nil {
 				p.Load = report(ans.body, a.pool.fields)
@@ -443,7 +443,7 @@
 		return
 	}
 	delete(a.out, j.id)
-	e := ended{Ended: policy.Ended{ID: j.id, Appliance: a.id, Outcome: how.outcome(), Took: took}, ending: how, answer: ans}
+	e := ended{AttemptResult: policy.AttemptResult{RequestID: j.id, EndpointID: a.id, Outcome: how.outcome(), Elapsed: took}, ending: how, answer: ans}
 	if ans != nil {
 		e.Load = ans.load
 	}
--- a/internal/agent/appliance_test.go
+++ b/internal/agent/appliance_test.go
@@ -32,23 +32,23 @@
 
 // order hands a txn in, and has it submitted to the only appliance in the given way; its answer comes on the channel. What ends
 // unsettled is voided.
-func (r *rig) order(id uint64, p *parcel, with policy.Submit) chan reply {
+func (r *rig) order(id uint64, p *parcel, with policy.SendAttempt) chan reply {
 	r.mu.Lock()
-	r.do = func(ev policy.Event) []policy.Order {
+	r.do = func(ev policy.Event) []policy.Command {
 		switch ev := ev.(type) {
-		case policy.Taken:
-			with.ID, with.Appliance = ev.ID, r.roster.number("box")
-			return []policy.Order{with}
-		case policy.Ended:
-			if !ev.Over {
-				return []policy.Order{policy.Void{ID: ev.ID}}
+		case policy.RequestArrived:
+			with.RequestID, with.EndpointID = ev.ID, r.roster.number("box")
+			return []policy.Command{with}
+		case policy.AttemptResult:
+			if !ev.RequestDone {
+				return []policy.Command{policy.Fail{RequestID: ev.RequestID}}
 			}
 		}
 		return nil
 	}
 	r.mu.Unlock()
 	o := &open{parcel: p, reply: make(chan reply, 1), expires: time.Now().Add(patience)}
-	r.core.box.put(arrived{policy.Taken{ID: id}, o})
+	r.core.box.put(arrived{policy.RequestArrived{ID: id}, o})
 	return o.reply
 }
 
@@ -61,7 +61,7 @@
 		t.Fatal("its submission still waits for the connection")
 	}
 	r.core.Settle(r.ctx)
-	if ended := seen[policy.Ended](r.script); len(ended) != 1 || ended[0].Outcome != policy.Moot {
+	if ended := seen[policy.AttemptResult](r.script); len(ended) != 1 || ended[0].Outcome != policy.NotAttempted {
 		t.Fatalf("ended as %+v", ended)
 	}
 }
@@ -83,7 +83,7 @@
 			stands, let := heldDials(t, r)
 			was.Dial = b.Addr()
 			r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{was}})
-			answer := r.order(1, posting, policy.Submit{})
+			answer := r.order(1, posting, policy.SendAttempt{})
 			<-stands
 			now := was
 			change(&now, other.Addr())
@@ -94,7 +94,7 @@
 			next := was
 			next.Dial, next.BornMs, next.Build = other.Addr(), 7, 3
 			r.roster.tell(roll{Seq: 3, Hosts: []entry{next}})
-			if got := <-r.order(2, posting, policy.Submit{}); got.settled == nil {
+			if got := <-r.order(2, posting, policy.SendAttempt{}); got.settled == nil {
 				t.Fatalf("the next txn ended as %+v", got)
 			}
 			if n, m := len(b.Got()), len(other.Got()); n != 0 || m != 1 {
@@ -110,14 +110,14 @@
 	r := newRig(t, patience, "127.0.0.1:1", "127.0.0.1:1")
 	stands, let := heldDials(t, r)
 	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
-	answer := r.order(1, posting, policy.Submit{Before: r.core.clock.at(time.Now().Add(30 * time.Millisecond))})
+	answer := r.order(1, posting, policy.SendAttempt{WriteBefore: r.core.clock.at(time.Now().Add(30 * time.Millisecond))})
 	<-stands
 	r.moot(t, answer)
 	let()
-	if got := <-r.order(2, posting, policy.Submit{Before: r.core.clock.at(time.Now().Add(patience))}); got.settled == nil {
+	if got := <-r.order(2, posting, policy.SendAttempt{WriteBefore: r.core.clock.at(time.Now().Add(patience))}); got.settled == nil {
 		t.Fatalf("one that is in time ended as %+v", got)
 	}
-	if got := <-r.order(3, posting, policy.Submit{Before: r.core.clock.now() - 1}); got.settled != nil {
+	if got := <-r.order(3, posting, policy.SendAttempt{WriteBefore: r.core.clock.now() - 1}); got.settled != nil {
 		t.Error("one that is too late was settled")
 	}
 	if n := len(b.Got()); n != 1 {
@@ -132,14 +132,14 @@
 	r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
 	r.pool.settles = patience
 	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
-	if got := <-r.order(1, posting, policy.Submit{}); string(got.settled.body) != "first" {
+	if got := <-r.order(1, posting, policy.SendAttempt{}); string(got.settled.body) != "first" {
 		t.Fatalf("the first got %q", got.settled.body)
 	}
 	b.Then(func(own net.Conn, nth int) bool {
 		io.WriteString(c, ok("first")) // late, while the second txn is out
 		return answers(ok("second"))(own, nth)
 	})
-	if got := <-r.order(2, posting, policy.Submit{}); got.settled == nil || string(got.settled.body) != "second" {
+	if got := <-r.order(2, posting, policy.SendAttempt{}); got.settled == nil || string(got.settled.body) != "second" {
 		t.Fatalf("the second got %+v", got)
 	}
 }
@@ -151,7 +151,7 @@
 	r.pool.settles, r.pool.purse = patience, NewPurse(1)
 	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
 	for id := range uint64(3) {
-		if got := <-r.order(id+1, posting, policy.Submit{}); got.settled == nil {
+		if got := <-r.order(id+1, posting, policy.SendAttempt{}); got.settled == nil {
 			t.Fatalf("txn %d ended as %+v", id+1, got)
 		}
 	}
@@ -169,21 +169,21 @@
 	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{row}})
 	number := r.roster.number("box")
 	r.mu.Lock()
-	r.do = func(ev policy.Event) []policy.Order {
-		if _, is := ev.(policy.Heard); is {
-			return []policy.Order{policy.Probe{Appliance: number}}
+	r.do = func(ev policy.Event) []policy.Command {
+		if _, is := ev.(policy.GossipReceived); is {
+			return []policy.Command{policy.CheckHealth{EndpointID: number}}
 		}
 		return nil
 	}
 	r.mu.Unlock()
-	r.core.box.put(policy.Heard{})
+	r.core.box.put(policy.GossipReceived{})
 	<-stands
 	row.Dial, row.BornMs = other.Addr(), 7
 	r.roster.tell(roll{Seq: 2, Hosts: []entry{row}})
-	eventually(t, "the list", func() bool { return len(seen[policy.Listed](r.script)) == 2 })
+	eventually(t, "the list", func() bool { return len(seen[policy.EndpointUpdate](r.script)) == 2 })
 	let()
-	eventually(t, "the probe's end", func() bool { return len(seen[policy.Probed](r.script)) == 1 })
-	if p := seen[policy.Probed](r.script)[0]; p.Outcome != policy.Moot || len(b.Got())+len(other.Got()) != 0 {
+	eventually(t, "the probe's end", func() bool { return len(seen[policy.HealthCheckResult](r.script)) == 1 })
+	if p := seen[policy.HealthCheckResult](r.script)[0]; p.Outcome != policy.NotAttempted || len(b.Got())+len(other.Got()) != 0 {
 		t.Errorf("ended as %+v, %d and %d asked", p, len(b.Got()), len(other.Got()))
 	}
 }
@@ -194,7 +194,7 @@
 	for _, c := range []struct {
 		stops int // after so many bytes; 0: does not
 		want  policy.Outcome
-	}{{0, policy.OK}, {30, policy.Spoilt}} {
+	}{{0, policy.OK}, {30, policy.Malformed}} {
 		t.Run(fmt.Sprint(c.stops), func(t *testing.T) {
 			b := newBox(t, func(own net.Conn, _ int) bool {
 				for i := range whole {
@@ -211,9 +211,9 @@
 			})
 			r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
 			r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
-			<-r.order(1, posting, policy.Submit{})
+			<-r.order(1, posting, policy.SendAttempt{})
 			r.core.Settle(context.Background())
-			if ended := seen[policy.Ended](r.script); len(ended) != 1 || ended[0].Outcome != c.want {
+			if ended := seen[policy.AttemptResult](r.script); len(ended) != 1 || ended[0].Outcome != c.want {
 				t.Errorf("ended as %+v, want %v", ended, c.want)
 			}
 		})
@@ -228,14 +228,14 @@
 	r.pool.idle = 0 // no sweep
 	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
 	for id := range uint64(2) {
-		if got := <-r.order(id+1, posting, policy.Submit{}); got.settled == nil {
+		if got := <-r.order(id+1, posting, policy.SendAttempt{}); got.settled == nil {
 			t.Fatalf("txn %d ended as %+v", id+1, got)
 		}
 	}
 	r.core.Settle(r.ctx)
 	r.pool.idle = 20 * time.Millisecond
 	time.Sleep(r.pool.idle) // the time that has to be over; more does not matter
-	if got := <-r.order(3, posting, policy.Submit{}); got.settled == nil {
+	if got := <-r.order(3, posting, policy.SendAttempt{}); got.settled == nil {
 		t.Fatalf("the third ended as %+v", got)
 	}
 	if copies := b.Got(); len(copies) != 3 || copies[1].Conn != 1 || copies[2].Conn != 2 {
--- a/internal/agent/codec.go
+++ b/internal/agent/codec.go
@@ -69,7 +69,7 @@
 // counter reads clients' requests by the names that were told at the start.
 type counter struct {
 	names     []string
-	effects   []policy.Effect
+	effects   []policy.Idempotency
 	expiry    []time.Duration
 	customers []string
 }
@@ -104,11 +104,11 @@
 	if class := r.Header.Get("X-Class"); class != "" && class != first {
 		return bad(http.StatusBadRequest, "X-Class is %.40q under the path of %s", class, first)
 	}
-	inquiry := c.effects[o.product] == policy.InquiryLike
+	inquiry := c.effects[o.product] == policy.Idempotent
 	if inquiry != (r.Method == http.MethodGet) || !inquiry && r.Method != http.MethodPost {
 		return bad(http.StatusMethodNotAllowed, "%.20q is not the method of %s", r.Method, first)
 	}
-	if c.effects[o.product] == policy.Referenced && r.Header.Get("Idempotency-Key") == "" {
+	if c.effects[o.product] == policy.Keyed && r.Header.Get("Idempotency-Key") == "" {
 		return bad(http.StatusBadRequest, "no Idempotency-Key")
 	}
 	if r.Header.Get("X-Request-Id") == "" {
@@ -387,23 +387,23 @@
 	return r, err
 }
 
-var healths = map[string]policy.State{"active": policy.Ready, "leaving": policy.Draining, "left": policy.Gone}
+var healths = map[string]policy.EndpointState{"active": policy.Ready, "leaving": policy.Draining, "left": policy.Gone}
 
 // row is the entry as the module knows it, but for its number.
-func (e entry) row(zones []string) (policy.Row, error) {
+func (e entry) row(zones []string) (policy.Endpoint, error) {
 	state, known := healths[e.Health]
 	zone := slices.Index(zones, e.Site)
 	switch {
 	case e.Host == "":
-		return policy.Row{}, errors.New("an entry without host")
+		return policy.Endpoint{}, errors.New("an entry without host")
 	case !known:
-		return policy.Row{}, fmt.Errorf("%.40q has health %.20q", e.Host, e.Health)
+		return policy.Endpoint{}, fmt.Errorf("%.40q has health %.20q", e.Host, e.Health)
 	case zone < 0 && len(zones) > 0 && state != policy.Gone:
-		return policy.Row{}, fmt.Errorf("%.40q is at site %.20q", e.Host, e.Site)
+		return policy.Endpoint{}, fmt.Errorf("%.40q is at site %.20q", e.Host, e.Site)
 	case !(e.BornMs >= 0 && e.BornMs < 1e15):
-		return policy.Row{}, fmt.Errorf("%.40q has born_ms %v", e.Host, e.BornMs)
+		return policy.Endpoint{}, fmt.Errorf("%.40q has born_ms %v", e.Host, e.BornMs)
 	}
-	return policy.Row{Build: e.Build, Zone: max(0, zone), State: state, Cell: e.Block,
+	return policy.Endpoint{Build: e.Build, Zone: max(0, zone), State: state, Cell: e.Block,
 		Started: policy.Micros(e.BornMs * 1000), Weight: e.Share}, nil
 }
 
@@ -416,31 +416,31 @@
 	LagMs    float64 `json:"lag_ms" xml:"lag_ms"`
 }
 
-var phases = map[string]policy.Phase{"testing": policy.OnTrial, "recalling": policy.GoingBack,
-	"live": policy.Released, "recalled": policy.Withdrawn}
+var phases = map[string]policy.Phase{"testing": policy.Evaluating, "recalling": policy.RollingBack,
+	"live": policy.Released, "recalled": policy.RolledBack}
 
-func (n news) staged() (policy.Staged, error) {
+func (n news) staged() (policy.RolloutUpdate, error) {
 	phase, known := phases[n.Progress]
 	if !known || n.Image < 0 || n.Ring < 0 || !(n.Ceiling >= 0 && n.Ceiling <= 1) || !(n.LagMs >= 0 && n.LagMs < 1e12) {
-		return policy.Staged{}, fmt.Errorf("news that makes no sense: %+v", n)
+		return policy.RolloutUpdate{}, fmt.Errorf("news that makes no sense: %+v", n)
 	}
-	return policy.Staged{Build: n.Image, Stage: n.Ring, Phase: phase, Cap: n.Ceiling,
+	return policy.RolloutUpdate{Build: n.Image, Stage: n.Ring, Phase: phase, Cap: n.Ceiling,
 		Age: policy.Micros(n.LagMs * 1000)}, nil
 }
 
-func readNewsJSON(raw []byte) (policy.Staged, error) {
+func readNewsJSON(raw []byte) (policy.RolloutUpdate, error) {
 	var n news
 	if err := json.Unmarshal(raw, &n); err != nil {
-		return policy.Staged{}, err
+		return policy.RolloutUpdate{}, err
 	}
 	return n.staged()
 }
 
 // readNewsForm reads an event's data line.
-func readNewsForm(data string) (policy.Staged, error) {
+func readNewsForm(data string) (policy.RolloutUpdate, error) {
 	v, err := url.ParseQuery(data)
 	if err != nil {
-		return policy.Staged{}, err
+		return policy.RolloutUpdate{}, err
 	}
 	n := news{Progress: v.Get("progress")}
 	var errs [4]error
@@ -449,19 +449,19 @@
 	n.Ceiling, errs[2] = strconv.ParseFloat(v.Get("ceiling"), 64)
 	n.LagMs, errs[3] = strconv.ParseFloat(v.Get("lag_ms"), 64)
 	if err = errors.Join(errs[:]...); err != nil {
-		return policy.Staged{}, err
+		return policy.RolloutUpdate{}, err
 	}
 	return n.staged()
 }
 
-var verdicts = []string{policy.NoVote: "clear", policy.On: "approve", policy.Hold: "wait", policy.Back: "reject"}
+var verdicts = []string{policy.NoVote: "clear", policy.Advance: "approve", policy.Hold: "wait", policy.RollBack: "reject"}
 
 func voteForm(v policy.Vote) string {
 	return fmt.Sprintf("Action=RecordOpinion&image=%d&ring=%d&opinion=%s", v.Build, v.Stage, verdicts[v.Verdict])
 }
 
 // readVoteAnswer tells how a vote ended and, if it counts, where the build stands.
-func readVoteAnswer(status int, raw []byte) (Ending, policy.Staged) {
+func readVoteAnswer(status int, raw []byte) (Ending, policy.RolloutUpdate) {
 	var ok struct {
 		News []news `xml:"groups>item"`
 	}
@@ -479,14 +479,14 @@
 	case status == http.StatusBadRequest && xml.Unmarshal(raw, &no) == nil:
 		switch cmp.Or(no.Inside, no.Alone) {
 		case "Throttling":
-			return TurnedAway, policy.Staged{}
+			return TurnedAway, policy.RolloutUpdate{}
 		case "ConditionFailed":
-			return Outdated, policy.Staged{}
+			return Outdated, policy.RolloutUpdate{}
 		case "ValidationError":
-			return Errored, policy.Staged{}
+			return Errored, policy.RolloutUpdate{}
 		}
 	case status == http.StatusInternalServerError:
-		return Errored, policy.Staged{}
+		return Errored, policy.RolloutUpdate{}
 	}
-	return Silent, policy.Staged{} // it may count
+	return Silent, policy.RolloutUpdate{} // it may count
 }
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -95,16 +95,16 @@
 // What the others put into the core's mailbox; the module's own events come as they are.
 type (
 	arrived struct {
-		taken policy.Taken
+		taken policy.RequestArrived
 		*open
 	}
 	ended struct {
-		policy.Ended
+		policy.AttemptResult
 		ending Ending
 		answer *answer
 	}
 	listing struct {
-		policy.Listed
+		policy.EndpointUpdate
 		hosts []entry // beside the rows
 	}
 	shortage struct{}                     // descriptors for connections to appliances are used up
@@ -117,10 +117,10 @@
 	clock      Clock
 	moment     policy.Micros // the clock stands while this is set
 	box        *mailbox[any]
-	urgent     *mailbox[any] // news and list changes are not kept waiting
-	wakes      []policy.Wake // by time
-	asked      time.Time     // when the module was last asked
-	inflows    *inflows      // on which list and news come
+	urgent     *mailbox[any]     // news and list changes are not kept waiting
+	wakes      []policy.SetTimer // by time
+	asked      time.Time         // when the module was last asked
+	inflows    *inflows          // on which list and news come
 	mu         sync.Mutex
 	readers    []func(calledIn) // the actors that hand them on
 	late       policy.Micros    // the bell that was last found to be late
@@ -129,7 +129,7 @@
 	all        []*appliance // in the order of their coming
 	hire       func(uint32, entry) *appliance
 	vote       func(policy.Vote)
-	tell       func(policy.Tell)
+	tell       func(policy.SendGossip)
 	done       account
 	votes      func(policy.Vote) // takes the module's votes in the launcher's place; nil: nobody
 }
@@ -138,7 +138,7 @@
 func (c *Core) Through(votes func(policy.Vote)) { c.votes = votes }
 
 // News gives the module where a build stands, ahead of what waits.
-func (c *Core) News(s policy.Staged) { c.urgent.put(s) }
+func (c *Core) News(s policy.RolloutUpdate) { c.urgent.put(s) }
 
 // NewCore puts the module behind a mailbox. hire makes an appliance's actor; vote and tell carry orders on.
 func NewCore(module policy.Router, clock Clock) *Core {
@@ -180,7 +180,7 @@
 		for now := c.clock.now(); len(c.wakes) > 0 && c.wakes[0].At <= now; {
 			token := c.wakes[0].Token
 			c.wakes = slices.Delete(c.wakes, 0, 1)
-			c.handle(policy.Bell{Token: token})
+			c.handle(policy.TimerFired{Token: token})
 		}
 	}
 }
@@ -235,19 +235,19 @@
 		c.txns[n.taken.ID] = n.open
 		c.done.taken++
 		c.handle(n.taken)
-	case policy.Abandoned:
-		if t := c.txns[n.ID]; t != nil && !t.over {
+	case policy.RequestCancelled:
+		if t := c.txns[n.RequestID]; t != nil && !t.over {
 			t.how = admission.Left
 			c.done.left++
-			c.over(n.ID, t)
+			c.over(n.RequestID, t)
 			c.handle(n)
 		}
 	case ended:
 		c.ended(n)
 	case listing:
 		c.listing(n)
-	case policy.Staged:
-		if n.Answer && n.Outcome == policy.TurnedOff {
+	case policy.RolloutUpdate:
+		if n.IsVoteReply && n.Outcome == policy.Rejected {
 			c.done.voteFull++
 		}
 		c.handle(n)
@@ -280,9 +280,9 @@
 // ended closes a submission. The first settled answer is the client's, and so is the word that its request is wrong:
 // no other appliance would find it right.
 func (c *Core) ended(n ended) {
-	t := c.txns[n.ID]
+	t := c.txns[n.RequestID]
 	if t == nil {
-		n.Over = true
+		n.RequestDone = true
 	} else {
 		t.out--
 		if !t.over && (n.ending == Settled || n.ending == Rejected) {
@@ -291,18 +291,18 @@
 			t.tell(reply{settled: n.answer})
 			t.over = true
 		}
-		if n.Over = t.over; t.over {
-			c.over(n.ID, t)
+		if n.RequestDone = t.over; t.over {
+			c.over(n.RequestID, t)
 		}
 	}
-	c.handle(n.Ended)
+	c.handle(n.AttemptResult)
 }
 
 // listing makes actors for new appliances and passes addresses on before the module hears of the rows. Those that are
 // gone end by themselves once nothing of theirs is out; one that returns gets a new actor.
 func (c *Core) listing(n listing) {
 	there := map[uint32]bool{}
-	for i, row := range n.Rows {
+	for i, row := range n.Endpoints {
 		a := c.appliances[row.ID]
 		if row.State == policy.Gone {
 			c.dismiss(a)
@@ -322,7 +322,7 @@
 			}
 		}
 	}
-	c.handle(n.Listed)
+	c.handle(n.EndpointUpdate)
 }
 
 func (c *Core) dismiss(a *appliance) {
@@ -353,34 +353,34 @@
 	}
 }
 
-func (c *Core) carryOut(o policy.Order) {
+func (c *Core) carryOut(o policy.Command) {
 	switch o := o.(type) {
-	case policy.Wake:
-		at, _ := slices.BinarySearchFunc(c.wakes, o.At, func(w policy.Wake, at policy.Micros) int { return int(w.At - at) })
+	case policy.SetTimer:
+		at, _ := slices.BinarySearchFunc(c.wakes, o.At, func(w policy.SetTimer, at policy.Micros) int { return int(w.At - at) })
 		c.wakes = slices.Insert(c.wakes, at, o)
-	case policy.Submit:
+	case policy.SendAttempt:
 		c.submit(o)
-	case policy.Decline:
-		c.answer(o.ID, reply{refused: true, holdOff: o.HoldOff})
-	case policy.Void:
-		c.answer(o.ID, reply{})
+	case policy.Reject:
+		c.answer(o.RequestID, reply{refused: true, holdOff: o.RetryAfter})
+	case policy.Fail:
+		c.answer(o.RequestID, reply{})
 	case policy.Vote:
 		c.done.votes++
 		c.vote(o)
-	case policy.Probe:
-		if a := c.appliances[o.Appliance]; a != nil {
+	case policy.CheckHealth:
+		if a := c.appliances[o.EndpointID]; a != nil {
 			c.done.probes++
 			a.box.put(probe{})
 		}
-	case policy.CallOff:
-		if t := c.txns[o.ID]; t != nil && t.out > 0 {
+	case policy.CancelAttempt:
+		if t := c.txns[o.RequestID]; t != nil && t.out > 0 {
 			c.done.calledOff++
-			t.on.box.put(callOff{o.ID})
+			t.on.box.put(callOff{o.RequestID})
 		}
-	case policy.Tell:
+	case policy.SendGossip:
 		c.tell(o)
-	case policy.Watch: // the watch on the list always stands
-	case policy.Say:
+	case policy.WatchEndpoints: // the watch on the list always stands
+	case policy.LogMessage:
 		slog.Info("module", "says", o.Text)
 	default:
 		panic(fmt.Sprintf("no way to carry out %T", o))
@@ -388,19 +388,19 @@
 }
 
 // submit hands a submission on; one that cannot be sent at all ends at once.
-func (c *Core) submit(o policy.Submit) {
-	t, a := c.txns[o.ID], c.appliances[o.Appliance]
+func (c *Core) submit(o policy.SendAttempt) {
+	t, a := c.txns[o.RequestID], c.appliances[o.EndpointID]
 	now := c.asked
 	if t == nil || t.over || t.out > 0 || a == nil {
-		slog.Error("submission that cannot be", "txn", o.ID, "appliance", o.Appliance)
-		c.box.put(ended{Ended: policy.Ended{ID: o.ID, Appliance: o.Appliance, Outcome: NotSent.outcome()}, ending: NotSent})
+		slog.Error("submission that cannot be", "txn", o.RequestID, "appliance", o.EndpointID)
+		c.box.put(ended{AttemptResult: policy.AttemptResult{RequestID: o.RequestID, EndpointID: o.EndpointID, Outcome: NotSent.outcome()}, ending: NotSent})
 		if t != nil {
 			t.out++
 		}
 		return
 	}
 	until := t.expires
-	if patient := now.Add(time.Duration(o.Patience) * time.Microsecond); o.Patience != 0 && patient.Before(until) {
+	if patient := now.Add(time.Duration(o.Timeout) * time.Microsecond); o.Timeout != 0 && patient.Before(until) {
 		until = patient
 	}
 	if t.sent != nil {
@@ -412,9 +412,9 @@
 	}
 	c.done.submissions++
 	t.out, t.on = t.out+1, a
-	s := submission{id: o.ID, parcel: t.parcel, at: now, until: until}
-	if o.Before != 0 {
-		s.before = c.clock.time(o.Before)
+	s := submission{id: o.RequestID, parcel: t.parcel, at: now, until: until}
+	if o.WriteBefore != 0 {
+		s.before = c.clock.time(o.WriteBefore)
 	}
 	a.box.put(s)
 }
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -24,10 +24,10 @@
 	mu     sync.Mutex
 	events []policy.Event
 	times  []policy.Micros
-	do     func(policy.Event) []policy.Order
+	do     func(policy.Event) []policy.Command
 }
 
-func (s *script) Handle(now policy.Micros, ev policy.Event) []policy.Order {
+func (s *script) Handle(now policy.Micros, ev policy.Event) []policy.Command {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events, s.times = append(s.events, ev), append(s.times, now)
@@ -81,20 +81,20 @@
 func (r *rig) send(t *testing.T, id uint64, p *parcel, wait time.Duration) reply {
 	t.Helper()
 	r.mu.Lock()
-	r.do = func(ev policy.Event) []policy.Order {
+	r.do = func(ev policy.Event) []policy.Command {
 		switch ev := ev.(type) {
-		case policy.Taken:
-			return []policy.Order{policy.Submit{ID: ev.ID, Appliance: r.roster.number("box"), Patience: wait.Microseconds()}}
-		case policy.Ended:
-			if !ev.Over {
-				return []policy.Order{policy.Void{ID: ev.ID}}
+		case policy.RequestArrived:
+			return []policy.Command{policy.SendAttempt{RequestID: ev.ID, EndpointID: r.roster.number("box"), Timeout: wait.Microseconds()}}
+		case policy.AttemptResult:
+			if !ev.RequestDone {
+				return []policy.Command{policy.Fail{RequestID: ev.RequestID}}
 			}
 		}
 		return nil
 	}
 	r.mu.Unlock()
 	o := &open{parcel: p, reply: make(chan reply, 1), expires: time.Now().Add(patience)}
-	r.core.box.put(arrived{policy.Taken{ID: id}, o})
+	r.core.box.put(arrived{policy.RequestArrived{ID: id}, o})
 	select {
 	case got := <-o.reply:
 		r.core.Settle(r.ctx) // the module hears of the ending after the client
@@ -120,25 +120,25 @@
 		{"settled without length", func(c net.Conn, _ int) bool {
 			answers("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\ndone")(c, 0)
 			return false
-		}, policy.Spoilt, 1},
+		}, policy.Malformed, 1},
 		{"a word in between", answers("HTTP/1.1 102 Wait\r\n\r\n" + ok("done")), policy.OK, 1},
-		{"error", answers("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"), policy.Errored, 1},
-		{"turned away", answers(notRun), policy.TurnedOff, 1},
-		{"503 that may have run", answers("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"), policy.Errored, 1},
-		{"breaks after the last byte", hangUp, policy.Broken, 1},
+		{"error", answers("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"), policy.ServerError, 1},
+		{"turned away", answers(notRun), policy.Rejected, 1},
+		{"503 that may have run", answers("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"), policy.ServerError, 1},
+		{"breaks after the last byte", hangUp, policy.ConnectionLost, 1},
 		{"answer cut off", func(c net.Conn, _ int) bool {
 			return answers("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")(c, 0) && false
-		}, policy.Broken, 1},
-		{"not HTTP", answers("good evening\r\n\r\n"), policy.Spoilt, 1},
-		{"a head without end", answers("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20)), policy.Spoilt, 1},
-		{"words in between without end", answers(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 9999)), policy.Spoilt, 1},
-		{"half a head", answers("HTTP/1.1 200 OK\r\nConte"), policy.Spoilt, 1},
-		{"a body shorter than said", answers("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), policy.Spoilt, 1},
-		{"3 GB", answers("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<20)), policy.Spoilt, 1},
+		}, policy.ConnectionLost, 1},
+		{"not HTTP", answers("good evening\r\n\r\n"), policy.Malformed, 1},
+		{"a head without end", answers("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20)), policy.Malformed, 1},
+		{"words in between without end", answers(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 9999)), policy.Malformed, 1},
+		{"half a head", answers("HTTP/1.1 200 OK\r\nConte"), policy.Malformed, 1},
+		{"a body shorter than said", answers("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), policy.Malformed, 1},
+		{"3 GB", answers("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<20)), policy.Malformed, 1},
 		{"chunks without end", answers("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-			strings.Repeat("400\r\n"+strings.Repeat("x", 1024)+"\r\n", 999)), policy.Spoilt, 1},
-		{"the request is wrong", answers("HTTP/1.1 400 X\r\nContent-Length: 0\r\n\r\n"), policy.Moot, 1},
-		{"answer too long", answers("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537)), policy.Spoilt, 1},
+			strings.Repeat("400\r\n"+strings.Repeat("x", 1024)+"\r\n", 999)), policy.Malformed, 1},
+		{"the request is wrong", answers("HTTP/1.1 400 X\r\nContent-Length: 0\r\n\r\n"), policy.NotAttempted, 1},
+		{"answer too long", answers("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537)), policy.Malformed, 1},
 		{"nothing in time", mute, policy.TimedOut, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -146,20 +146,20 @@
 			r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
 			r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
 			got := r.send(t, 1, posting, 400*time.Millisecond)
-			ends := seen[policy.Ended](r.script)
-			if len(ends) != 1 || ends[0].Outcome != c.want || ends[0].Over != (c.want == policy.OK || c.want == policy.Moot) {
+			ends := seen[policy.AttemptResult](r.script)
+			if len(ends) != 1 || ends[0].Outcome != c.want || ends[0].RequestDone != (c.want == policy.OK || c.want == policy.NotAttempted) {
 				t.Errorf("ended as %+v, want outcome %d", ends, c.want)
 			}
 			if c.want == policy.OK && (got.settled == nil || string(got.settled.body) != "done") {
 				t.Errorf("client got %+v", got)
 			}
-			if c.want == policy.Moot && (got.settled == nil || got.settled.status != 400) {
+			if c.want == policy.NotAttempted && (got.settled == nil || got.settled.status != 400) {
 				t.Errorf("client got %+v", got)
 			}
 			if copies := b.Got(); len(copies) != c.copies || copies[0].Body != "body" {
 				t.Errorf("%d copies arrived: %+v", len(copies), copies)
 			}
-			if c.want == policy.TimedOut || c.want == policy.Broken || c.want == policy.Spoilt { // given up: never two out at once
+			if c.want == policy.TimedOut || c.want == policy.ConnectionLost || c.want == policy.Malformed { // given up: never two out at once
 				eventually(t, "the end of the connection", func() bool { return b.Ended() == 1 })
 			}
 		})
@@ -177,7 +177,7 @@
 		r := newRig(t, c.dial, "127.0.0.1:1", "127.0.0.1:1")
 		r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: c.addr, Site: "suva", Health: "active"}}})
 		r.send(t, 1, posting, time.Second)
-		if ends := seen[policy.Ended](r.script); len(ends) != 1 || ends[0].Outcome != policy.NoConnect {
+		if ends := seen[policy.AttemptResult](r.script); len(ends) != 1 || ends[0].Outcome != policy.ConnectFailed {
 			t.Errorf("%s: ended as %+v", name, ends)
 		}
 	}
@@ -192,8 +192,8 @@
 	r.send(t, 1, posting, time.Second)
 	b.Then(hangUp)
 	r.send(t, 2, posting, time.Second)
-	ends, copies := seen[policy.Ended](r.script), b.Got()
-	if len(copies) != 2 || copies[1].Conn != 1 || ends[1].Outcome != policy.Broken {
+	ends, copies := seen[policy.AttemptResult](r.script), b.Got()
+	if len(copies) != 2 || copies[1].Conn != 1 || ends[1].Outcome != policy.ConnectionLost {
 		t.Fatalf("ended as %+v after copies %+v", ends, copies)
 	}
 	b.Then(func(c net.Conn, nth int) bool { return answers(ok("done")+ok("not asked for"))(c, nth) })
@@ -267,8 +267,8 @@
 	r.roster.tell(roll{Seq: 2, Hosts: []entry{{Host: "box", Dial: after.Addr(), Site: "suva", Health: "active", Build: 2}}})
 	eventually(t, "the end of the old connection", func() bool { return before.Ended() == 1 })
 	r.send(t, 2, posting, time.Second)
-	lists := seen[policy.Listed](r.script)
-	if len(before.Got()) != 1 || len(after.Got()) != 1 || lists[0].Rows[0].ID != lists[1].Rows[0].ID || lists[1].Rows[0].Build != 2 {
+	lists := seen[policy.EndpointUpdate](r.script)
+	if len(before.Got()) != 1 || len(after.Got()) != 1 || lists[0].Endpoints[0].ID != lists[1].Endpoints[0].ID || lists[1].Endpoints[0].Build != 2 {
 		t.Errorf("%d and %d copies, lists %+v", len(before.Got()), len(after.Got()), lists)
 	}
 }
@@ -279,29 +279,29 @@
 	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
 	r.mu.Lock()
 	n := r.roster.number("box")
-	r.do = func(ev policy.Event) []policy.Order {
+	r.do = func(ev policy.Event) []policy.Command {
 		switch ev := ev.(type) {
-		case policy.Taken:
-			return []policy.Order{policy.Submit{ID: ev.ID, Appliance: n}}
-		case policy.Abandoned:
-			return []policy.Order{policy.CallOff{ID: ev.ID}}
-		case policy.Ended:
-			return []policy.Order{policy.Probe{Appliance: n}}
+		case policy.RequestArrived:
+			return []policy.Command{policy.SendAttempt{RequestID: ev.ID, EndpointID: n}}
+		case policy.RequestCancelled:
+			return []policy.Command{policy.CancelAttempt{RequestID: ev.RequestID}}
+		case policy.AttemptResult:
+			return []policy.Command{policy.CheckHealth{EndpointID: n}}
 		}
 		return nil
 	}
 	r.mu.Unlock()
-	r.core.box.put(arrived{policy.Taken{ID: 7}, &open{parcel: posting, reply: make(chan reply, 1), expires: time.Now().Add(patience)}})
+	r.core.box.put(arrived{policy.RequestArrived{ID: 7}, &open{parcel: posting, reply: make(chan reply, 1), expires: time.Now().Add(patience)}})
 	eventually(t, "the copy", func() bool { return len(b.Got()) == 1 })
 	b.Then(answers("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"queue\":3}"))
-	r.core.box.put(policy.Abandoned{ID: 7})
-	r.core.box.put(policy.Abandoned{ID: 7}) // told once
-	eventually(t, "the probe's answer", func() bool { return len(seen[policy.Probed](r.script)) == 1 })
-	if p := seen[policy.Probed](r.script)[0]; p.Outcome != policy.OK || len(p.Load) != 1 || p.Load[0] != 3 {
+	r.core.box.put(policy.RequestCancelled{RequestID: 7})
+	r.core.box.put(policy.RequestCancelled{RequestID: 7}) // told once
+	eventually(t, "the probe's answer", func() bool { return len(seen[policy.HealthCheckResult](r.script)) == 1 })
+	if p := seen[policy.HealthCheckResult](r.script)[0]; p.Outcome != policy.OK || len(p.Load) != 1 || p.Load[0] != 3 {
 		t.Errorf("probed as %+v", p)
 	}
-	ends := seen[policy.Ended](r.script)
-	if len(ends) != 1 || ends[0].Outcome != policy.CalledOff || !ends[0].Over || len(seen[policy.Abandoned](r.script)) != 1 {
+	ends := seen[policy.AttemptResult](r.script)
+	if len(ends) != 1 || ends[0].Outcome != policy.Cancelled || !ends[0].RequestDone || len(seen[policy.RequestCancelled](r.script)) != 1 {
 		t.Errorf("ended as %+v", ends)
 	}
 	if b.Got()[1].Line != "GET /_load" {
@@ -330,7 +330,7 @@
 	if len(s.events) != 2 || s.times[0] != s.times[1] {
 		t.Errorf("events %+v at %v", s.events, s.times)
 	}
-	if l, is := s.events[0].(policy.Listed); !is || !l.Full || len(l.Rows) != 1 {
+	if l, is := s.events[0].(policy.EndpointUpdate); !is || !l.Full || len(l.Endpoints) != 1 {
 		t.Errorf("first came %+v", s.events[0])
 	}
 }
@@ -339,20 +339,20 @@
 func TestListFirstAfterStall(t *testing.T) {
 	r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
 	r.mu.Lock()
-	r.do = func(ev policy.Event) []policy.Order {
-		if _, is := ev.(policy.Heard); !is {
+	r.do = func(ev policy.Event) []policy.Command {
+		if _, is := ev.(policy.GossipReceived); !is {
 			return nil
 		}
-		r.core.box.put(policy.Probed{})
+		r.core.box.put(policy.HealthCheckResult{})
 		time.AfterFunc(time.Millisecond, func() { r.roster.tell(roll{Seq: 1, Whole: true}) })
-		return []policy.Order{policy.Wake{At: r.core.clock.now() - 1e6}} // as if that time had passed
+		return []policy.Command{policy.SetTimer{At: r.core.clock.now() - 1e6}} // as if that time had passed
 	}
 	r.mu.Unlock()
-	r.core.box.put(policy.Heard{})
+	r.core.box.put(policy.GossipReceived{})
 	eventually(t, "three events", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.events) >= 3 })
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, is := r.events[1].(policy.Listed); !is {
+	if _, is := r.events[1].(policy.EndpointUpdate); !is {
 		t.Errorf("events came as %+v", r.events)
 	}
 }
@@ -373,23 +373,23 @@
 	defer far.Close()
 	io.WriteString(far, "line")
 	r.mu.Lock()
-	r.do = func(ev policy.Event) []policy.Order {
-		if _, is := ev.(policy.Heard); !is {
+	r.do = func(ev policy.Event) []policy.Command {
+		if _, is := ev.(policy.GossipReceived); !is {
 			return nil
 		}
-		r.core.box.put(policy.Probed{})
+		r.core.box.put(policy.HealthCheckResult{})
 		time.AfterFunc(8*catchUp, func() { // by then a moment is long over
 			r.roster.tell(roll{Seq: 1, Whole: true})
 			go io.Copy(io.Discard, c)
 		})
-		return []policy.Order{policy.Wake{At: r.core.clock.now() - 1e6}} // as if that time had passed
+		return []policy.Command{policy.SetTimer{At: r.core.clock.now() - 1e6}} // as if that time had passed
 	}
 	r.mu.Unlock()
-	r.core.box.put(policy.Heard{})
+	r.core.box.put(policy.GossipReceived{})
 	eventually(t, "three events", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.events) >= 3 })
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, is := r.events[1].(policy.Listed); !is {
+	if _, is := r.events[1].(policy.EndpointUpdate); !is {
 		t.Errorf("events came as %+v", r.events)
 	}
 	eventually(t, "a reader that has caught up", func() bool { return !r.core.inflows.behind() })
@@ -409,8 +409,8 @@
 	for id, age := range map[uint64]time.Duration{2: 0, 3: time.Second} {
 		a.box.put(submission{id: id, parcel: posting, at: now.Add(-age), until: now.Add(patience)})
 		eventually(t, "its ending", func() bool {
-			for _, e := range seen[policy.Ended](r.script) {
-				if e.ID == id {
+			for _, e := range seen[policy.AttemptResult](r.script) {
+				if e.RequestID == id {
 					return true
 				}
 			}
@@ -424,13 +424,13 @@
 
 // A panic of the module is not hidden: the process ends with it.
 func TestModulePanics(t *testing.T) {
-	c := NewCore(&script{do: func(policy.Event) []policy.Order { panic("index out of range") }}, NewClock())
+	c := NewCore(&script{do: func(policy.Event) []policy.Command { panic("index out of range") }}, NewClock())
 	defer func() {
 		if p := recover(); p != "index out of range" {
 			t.Errorf("recovered %v", p)
 		}
 	}()
-	c.handle(policy.Bell{})
+	c.handle(policy.TimerFired{})
 	t.Error("went on")
 }
 
@@ -449,8 +449,8 @@
 	}
 	go r.roster.Serve(r.ctx)
 	builds := func() (out []int) {
-		for _, l := range seen[policy.Listed](r.script) {
-			for _, row := range l.Rows {
+		for _, l := range seen[policy.EndpointUpdate](r.script) {
+			for _, row := range l.Endpoints {
 				out = append(out, row.Build)
 			}
 		}
@@ -480,20 +480,20 @@
 	}{
 		{"200|" + item, policy.OK},
 		{"200|no news", policy.TimedOut},
-		{"400|<Error><Code>Throttling</Code></Error>", policy.TurnedOff},
-		{"400|<Error><Code>ConditionFailed</Code></Error>", policy.Moot},
-		{"400|<?xml version=\"1.0\"?>\n<Response><Error><Code>Throttling</Code></Error></Response>", policy.TurnedOff},
-		{"400|<Response><Error><Code>ConditionFailed</Code></Error></Response>", policy.Moot},
-		{"400|<Error><Code>ValidationError</Code></Error>", policy.Errored},
-		{"500|<Error><Code>InternalFailure</Code></Error>", policy.Errored},
+		{"400|<Error><Code>Throttling</Code></Error>", policy.Rejected},
+		{"400|<Error><Code>ConditionFailed</Code></Error>", policy.NotAttempted},
+		{"400|<?xml version=\"1.0\"?>\n<Response><Error><Code>Throttling</Code></Error></Response>", policy.Rejected},
+		{"400|<Response><Error><Code>ConditionFailed</Code></Error></Response>", policy.NotAttempted},
+		{"400|<Error><Code>ValidationError</Code></Error>", policy.ServerError},
+		{"500|<Error><Code>InternalFailure</Code></Error>", policy.ServerError},
 		{"418|", policy.TimedOut},
 	} {
 		l := newStreamer(t, ":\n", time.Hour, func(string) string { return c.answer })
 		r := newRig(t, time.Second, "127.0.0.1:1", l.Addr())
-		r.launcher.call(r.ctx, r.launcher.base, policy.Vote{Build: 42, Stage: 1, Verdict: policy.On})
-		eventually(t, "the vote's answer", func() bool { return len(seen[policy.Staged](r.script)) == 1 })
-		s := seen[policy.Staged](r.script)[0]
-		if s.Outcome != c.want || !s.Answer || s.Build != 42 || s.Stage != 1 || c.want == policy.OK && (s.Cap != 0.28 || s.Age != 310000) {
+		r.launcher.call(r.ctx, r.launcher.base, policy.Vote{Build: 42, Stage: 1, Verdict: policy.Advance})
+		eventually(t, "the vote's answer", func() bool { return len(seen[policy.RolloutUpdate](r.script)) == 1 })
+		s := seen[policy.RolloutUpdate](r.script)[0]
+		if s.Outcome != c.want || !s.IsVoteReply || s.Build != 42 || s.Stage != 1 || c.want == policy.OK && (s.Cap != 0.28 || s.Age != 310000) {
 			t.Errorf("%s: told as %+v", c.answer, s)
 		}
 		if l.Calls("POST /api/ Action=RecordOpinion&image=42&ring=1&opinion=approve") != 1 {
@@ -502,11 +502,11 @@
 	}
 	silent, gone := newBox(t, mute), listen(t)
 	gone.Close()
-	for addr, want := range map[string]policy.Outcome{silent.Addr(): policy.TimedOut, gone.Addr().String(): policy.NoConnect} {
+	for addr, want := range map[string]policy.Outcome{silent.Addr(): policy.TimedOut, gone.Addr().String(): policy.ConnectFailed} {
 		r := newRig(t, time.Second, "127.0.0.1:1", addr)
 		r.launcher.call(r.ctx, r.launcher.base, policy.Vote{})
-		eventually(t, "the vote's answer", func() bool { return len(seen[policy.Staged](r.script)) == 1 })
-		if s := seen[policy.Staged](r.script)[0]; s.Outcome != want {
+		eventually(t, "the vote's answer", func() bool { return len(seen[policy.RolloutUpdate](r.script)) == 1 })
+		if s := seen[policy.RolloutUpdate](r.script)[0]; s.Outcome != want {
 			t.Errorf("told as %+v, want outcome %d", s, want)
 		}
 	}
@@ -517,7 +517,7 @@
 	l := newStreamer(t, ":\n", 100*time.Millisecond, func(string) string { return bulletin(42, 0, "testing", 0.1) })
 	r := newRig(t, time.Second, "127.0.0.1:1", l.Addr())
 	go r.launcher.Serve(r.ctx)
-	told := func(n int) func() bool { return func() bool { return len(seen[policy.Staged](r.script)) == n } }
+	told := func(n int) func() bool { return func() bool { return len(seen[policy.RolloutUpdate](r.script)) == n } }
 	eventually(t, "the state at once", told(1))
 	l.Tell("event: OTHER\ndata: image=1\n\n" + bulletin(42, 1, "recalling", 0))
 	eventually(t, "news", told(2))
@@ -529,7 +529,7 @@
 	}
 	l.Mute(true)
 	eventually(t, "another stream beside the silent one", told(6))
-	if s := seen[policy.Staged](r.script); s[1].Phase != policy.GoingBack || s[1].Stage != 1 || s[1].Age != 9000 || s[1].Answer {
+	if s := seen[policy.RolloutUpdate](r.script); s[1].Phase != policy.RollingBack || s[1].Stage != 1 || s[1].Age != 9000 || s[1].IsVoteReply {
 		t.Errorf("told as %+v", s[1])
 	}
 }
@@ -545,7 +545,7 @@
 		t.Fatal(err)
 	}
 	go p.Serve(r.ctx)
-	p.put(policy.Tell{To: 1, Text: []byte("hello")})
+	p.put(policy.SendGossip{To: 1, Payload: []byte("hello")})
 	buf := make([]byte, 300)
 	other.SetReadDeadline(time.Now().Add(patience))
 	n, from, err := other.ReadFrom(buf)
@@ -555,8 +555,8 @@
 	strange.WriteTo([]byte("who"), from)
 	other.WriteTo(make([]byte, 257), from)
 	other.WriteTo([]byte("yes"), from)
-	eventually(t, "the message", func() bool { return len(seen[policy.Heard](r.script)) > 0 })
-	if h := seen[policy.Heard](r.script); len(h) != 1 || h[0].From != 1 || string(h[0].Text) != "yes" {
+	eventually(t, "the message", func() bool { return len(seen[policy.GossipReceived](r.script)) > 0 })
+	if h := seen[policy.GossipReceived](r.script); len(h) != 1 || h[0].From != 1 || string(h[0].Payload) != "yes" {
 		t.Errorf("heard %+v", h)
 	}
 }
--- a/internal/agent/ending.go
+++ b/internal/agent/ending.go
@@ -31,18 +31,18 @@
 	word    string
 }{
 	Settled:    {policy.OK, "settled"},
-	Errored:    {policy.Errored, "error"},
-	Rejected:   {policy.Moot, "rejected"}, // the client's own doing, and final: no sign of the appliance's state
-	TurnedAway: {policy.TurnedOff, "turned away"},
-	Refused:    {policy.NoConnect, "connection refused"},
-	NeverUp:    {policy.NoConnect, "connection never came up"},
-	CutBefore:  {policy.NoConnect, "broke before the last byte"},
-	CutAfter:   {policy.Broken, "broke after the last byte"},
+	Errored:    {policy.ServerError, "error"},
+	Rejected:   {policy.NotAttempted, "rejected"}, // the client's own doing, and final: no sign of the appliance's state
+	TurnedAway: {policy.Rejected, "turned away"},
+	Refused:    {policy.ConnectFailed, "connection refused"},
+	NeverUp:    {policy.ConnectFailed, "connection never came up"},
+	CutBefore:  {policy.ConnectFailed, "broke before the last byte"},
+	CutAfter:   {policy.ConnectionLost, "broke after the last byte"},
 	Silent:     {policy.TimedOut, "nothing in time"},
-	GivenUp:    {policy.CalledOff, "called off"},
-	Unreadable: {policy.Spoilt, "unreadable answer"},
-	NotSent:    {policy.Moot, "not sent"},
-	Outdated:   {policy.Moot, "outdated"},
+	GivenUp:    {policy.Cancelled, "called off"},
+	Unreadable: {policy.Malformed, "unreadable answer"},
+	NotSent:    {policy.NotAttempted, "not sent"},
+	Outdated:   {policy.NotAttempted, "outdated"},
 }
 
 func (e Ending) outcome() policy.Outcome { return meaning[e].outcome }
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -89,7 +89,7 @@
 // first txn's. The module places a txn without a warm key by its number. Where all agents counted from one, the n-th txn of
 // each went to one and the same appliance, and hundreds that started together filled its queue. It must differ from agent
 // to agent and from start to start, and costs nothing.
-func NewFront(core *Core, names []string, effects []policy.Effect, expiry []time.Duration, customers []string,
+func NewFront(core *Core, names []string, effects []policy.Idempotency, expiry []time.Duration, customers []string,
 	most int, holdOff time.Duration, purse *Purse, first uint64) *Front {
 	f := &Front{core: core, most: most, holdOff: holdOff.Microseconds(), purse: purse, count: &counter{names, effects, expiry, customers}}
 	f.ids.open = map[string]bool{}
@@ -238,16 +238,16 @@
 		t.expires = f.until // nobody is there to answer it later
 	}
 	id := f.lastID.Add(1)
-	taken := policy.Taken{ID: id, Product: o.product, Customer: o.customer, Key: o.key,
-		Expires: f.core.clock.at(t.expires), Work: o.work, Repeat: o.repeat}
-	leave := func() { f.core.box.put(policy.Abandoned{ID: id}) }
+	taken := policy.RequestArrived{ID: id, Class: o.product, Tenant: o.customer, Key: o.key,
+		Deadline: f.core.clock.at(t.expires), CostHint: o.work, IsRetry: o.repeat}
+	leave := func() { f.core.box.put(policy.RequestCancelled{RequestID: id}) }
 	if f.gate == nil {
 		f.core.box.put(arrived{taken, t})
 	} else {
-		taken.Came = f.core.clock.at(at)
+		taken.ArrivedAt = f.core.clock.at(at)
 		leave = func() { f.gate.box.put(left{id}) }
 		f.gate.box.put(knock{admission.Arrival{ID: id, Tenant: o.customer, Client: f.client(r), Product: o.product, Key: o.mark,
-			Repeat: o.repeat, Work: o.work, Expires: taken.Expires, Bytes: len(t.parcel.head) + len(body)}, taken, t})
+			Repeat: o.repeat, Work: o.work, Expires: taken.Deadline, Bytes: len(t.parcel.head) + len(body)}, taken, t})
 	}
 	// Who has not taken its answer some time after it stopped waiting holds a descriptor for nothing; before, it has its time, however
 	// long that is: the library's own bound counts from the request.
--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -16,7 +16,7 @@
 type (
 	knock struct {
 		admission.Arrival
-		taken policy.Taken
+		taken policy.RequestArrived
 		*open
 	}
 	found struct{ id uint64 } // the module has sent it
@@ -105,7 +105,7 @@
 		g.carryOut(g.door.Ended(now, n.id, n.how))
 	case left:
 		if g.in[n.id] { // the core tells when nothing of it is out any more
-			g.core.box.put(policy.Abandoned{ID: n.id})
+			g.core.box.put(policy.RequestCancelled{RequestID: n.id})
 			return
 		}
 		g.forget(n.id)
--- a/internal/agent/gate_test.go
+++ b/internal/agent/gate_test.go
@@ -40,13 +40,13 @@
 	o := &open{parcel: posting, reply: make(chan reply, 1), expires: time.Now().Add(patience)}
 	expires := g.gate.clock.at(o.expires)
 	g.gate.box.put(knock{admission.Arrival{ID: id, Client: id, Key: key, Expires: expires, Bytes: 100},
-		policy.Taken{ID: id, Key: key, Expires: expires}, o})
+		policy.RequestArrived{ID: id, Key: key, Deadline: expires}, o})
 	return o.reply
 }
 
 func (g *gated) standing() Standing { return g.gate.Standing(context.Background()) }
 
-func (g *gated) taken() int { return len(seen[policy.Taken](g.script)) }
+func (g *gated) taken() int { return len(seen[policy.RequestArrived](g.script)) }
 
 // A next try does not go in while its first one is in, goes in when that is over, and takes over a place that waits.
 func TestNextTryAtTheGate(t *testing.T) {
@@ -66,7 +66,7 @@
 	}
 	g.gate.box.put(left{1}) // the first one's client leaves: it is over when the module has heard so
 	eventually(t, "the next try", func() bool { return g.taken() == 2 })
-	if got := seen[policy.Taken](g.script)[1].ID; got != 3 {
+	if got := seen[policy.RequestArrived](g.script)[1].ID; got != 3 {
 		t.Errorf("%d went in after the first try, want the last one", got)
 	}
 	g.gate.box.put(left{3})
@@ -88,14 +88,14 @@
 		t.Fatalf("next try stands as %+v", s)
 	}
 	g.mu.Lock()
-	g.do = func(ev policy.Event) []policy.Order {
-		if _, is := ev.(policy.Probed); is {
-			return []policy.Order{policy.Void{ID: 1}}
+	g.do = func(ev policy.Event) []policy.Command {
+		if _, is := ev.(policy.HealthCheckResult); is {
+			return []policy.Command{policy.Fail{RequestID: 1}}
 		}
 		return nil
 	}
 	g.mu.Unlock()
-	g.core.box.put(policy.Probed{})
+	g.core.box.put(policy.HealthCheckResult{})
 	for name, ch := range map[string]chan reply{"first": first, "next": second} {
 		select {
 		case r := <-ch:
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -80,11 +80,11 @@
 
 	address, first = capture(t)
 	launcher = NewLauncher(core, address, time.Second, patience, 1)
-	for v := policy.NoVote; v <= policy.Back; v++ {
+	for v := policy.NoVote; v <= policy.RollBack; v++ {
 		launcher.cast(ctx, launcher.base, policy.Vote{Build: 42, Stage: 3, Verdict: v})
 		write(fmt.Sprintf("vote %d", v), first())
 	}
-	launcher.dated(ctx, launcher.base, Dated{Vote: policy.Vote{Build: 43, Stage: 1, Verdict: policy.Back}, Before: time.Now().Add(patience), Over: func(bool) {}})
+	launcher.dated(ctx, launcher.base, Dated{Vote: policy.Vote{Build: 43, Stage: 1, Verdict: policy.RollBack}, Before: time.Now().Add(patience), Over: func(bool) {}})
 	write("dated vote", first())
 
 	request, err := http.NewRequest(http.MethodGet, "http://client/", nil)
--- a/internal/agent/launcher.go
+++ b/internal/agent/launcher.go
@@ -29,15 +29,15 @@
 	patient time.Duration // for the answer to a vote
 	box     *mailbox[any]
 	client  *http.Client
-	once    *http.Client        // for votes that have a time after which they must not be written
-	also    func(policy.Staged) // hears the news, too; nil: nobody
-	now     *stream             // the one that is believed
-	next    *stream             // the one that is to take its place
+	once    *http.Client               // for votes that have a time after which they must not be written
+	also    func(policy.RolloutUpdate) // hears the news, too; nil: nobody
+	now     *stream                    // the one that is believed
+	next    *stream                    // the one that is to take its place
 	again   *backoff.Again
 
 	mu     sync.Mutex
-	told   int           // how often where things stand has been told
-	latest policy.Staged // as it was told last
+	told   int                  // how often where things stand has been told
+	latest policy.RolloutUpdate // as it was told last
 }
 
 // stream is one connection that brings news.
@@ -51,7 +51,7 @@
 type (
 	lineIn struct {
 		from *stream
-		news *policy.Staged // nil: a sign of life
+		news *policy.RolloutUpdate // nil: a sign of life
 	}
 	streamEnd struct {
 		from *stream
@@ -67,10 +67,10 @@
 }
 
 // Also names who else hears the news. It is to be called before Known and Serve.
-func (l *Launcher) Also(hear func(policy.Staged)) { l.also = hear }
+func (l *Launcher) Also(hear func(policy.RolloutUpdate)) { l.also = hear }
 
 // tell gives news to the module, and to who else hears it.
-func (l *Launcher) tell(s policy.Staged) {
+func (l *Launcher) tell(s policy.RolloutUpdate) {
 	l.mu.Lock()
 	l.told, l.latest = l.told+1, s
 	l.core.urgent.put(s)
@@ -90,13 +90,13 @@
 // answered gives a vote's answer to the module. Where things stand comes in answers and by the stream, on ways of their own: an answer
 // that was written before the launcher sent a build back may be read after its news, and would put the build on trial again. What was
 // told since the call began stands, then; the stream tells whatever is newer than that.
-func (l *Launcher) answered(s policy.Staged, since int) policy.Staged {
+func (l *Launcher) answered(s policy.RolloutUpdate, since int) policy.RolloutUpdate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s.Outcome == policy.OK {
 		if l.told > since {
 			latest := l.latest
-			latest.Answer, latest.Outcome = s.Answer, s.Outcome
+			latest.IsVoteReply, latest.Outcome = s.IsVoteReply, s.Outcome
 			s = latest
 		}
 		l.told, l.latest = l.told+1, s
@@ -266,7 +266,7 @@
 	defer stop()
 	start, since := time.Now(), l.asOf()
 	how, s := l.cast(ctx, base, v)
-	s.Answer, s.Outcome = true, how.outcome()
+	s.IsVoteReply, s.Outcome = true, how.outcome()
 	if how != Settled {
 		s.Build, s.Stage = v.Build, v.Stage
 	}
@@ -275,32 +275,32 @@
 	l.answered(s, since)
 }
 
-func (l *Launcher) cast(ctx context.Context, base string, v policy.Vote) (Ending, policy.Staged) {
+func (l *Launcher) cast(ctx context.Context, base string, v policy.Vote) (Ending, policy.RolloutUpdate) {
 	return l.castBy(ctx, l.client, base, v)
 }
 
-func (l *Launcher) castBy(ctx context.Context, client *http.Client, base string, v policy.Vote) (Ending, policy.Staged) {
+func (l *Launcher) castBy(ctx context.Context, client *http.Client, base string, v policy.Vote) (Ending, policy.RolloutUpdate) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base, strings.NewReader(voteForm(v)))
 	if err != nil {
-		return NotSent, policy.Staged{}
+		return NotSent, policy.RolloutUpdate{}
 	}
 	req.Header.Set("Content-Type", "application/x-www-form-urlencoded")
 	res, err := client.Do(req)
 	var op *net.OpError
 	switch {
 	case errors.Is(err, errTooLate):
-		return NotSent, policy.Staged{}
+		return NotSent, policy.RolloutUpdate{}
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return Refused, policy.Staged{}
+		return Refused, policy.RolloutUpdate{}
 	case errors.As(err, &op) && op.Op == "dial":
-		return NeverUp, policy.Staged{}
+		return NeverUp, policy.RolloutUpdate{}
 	case err != nil:
-		return Silent, policy.Staged{} // it may count
+		return Silent, policy.RolloutUpdate{} // it may count
 	}
 	defer res.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(res.Body, bodyLimit))
 	if err != nil {
-		return Silent, policy.Staged{}
+		return Silent, policy.RolloutUpdate{}
 	}
 	return readVoteAnswer(res.StatusCode, raw)
 }
--- a/internal/agent/launcher_test.go
+++ b/internal/agent/launcher_test.go
@@ -20,15 +20,15 @@
 	r := newRig(t, time.Second, "127.0.0.1:1", l.Addr())
 	r.launcher.patient = patience
 	go r.launcher.Serve(r.ctx)
-	told := func() []policy.Staged { return seen[policy.Staged](r.script) }
+	told := func() []policy.RolloutUpdate { return seen[policy.RolloutUpdate](r.script) }
 	eventually(t, "the trial", func() bool { return len(told()) == 1 })
-	go r.launcher.call(r.ctx, at(votes.Addr()), policy.Vote{Build: 42, Verdict: policy.On})
+	go r.launcher.call(r.ctx, at(votes.Addr()), policy.Vote{Build: 42, Verdict: policy.Advance})
 	eventually(t, "the vote", func() bool { return len(votes.Got()) == 1 })
 	l.Tell(bulletin(42, 0, "recalling", 0))
 	eventually(t, "the news", func() bool { return len(told()) == 2 })
 	close(let)
 	eventually(t, "the answer", func() bool { return len(told()) == 3 })
-	if s := told()[2]; !s.Answer || s.Outcome != policy.OK || s.Phase != policy.GoingBack || s.Cap != 0 {
+	if s := told()[2]; !s.IsVoteReply || s.Outcome != policy.OK || s.Phase != policy.RollingBack || s.Cap != 0 {
 		t.Errorf("told as %+v after %+v", s, told()[1])
 	}
 }
--- a/internal/agent/listener_test.go
+++ b/internal/agent/listener_test.go
@@ -39,22 +39,22 @@
 // lingering is one whose connections stay half open behind a last answer for so long.
 func lingering(t *testing.T, descriptors int, hold bool, lingers time.Duration) *clientSide {
 	s := &clientSide{rig: newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1"), purse: NewPurse(descriptors), ended: make(chan error, 1)}
-	s.do = func(ev policy.Event) []policy.Order {
-		if taken, is := ev.(policy.Taken); is && !hold {
-			return []policy.Order{policy.Decline{ID: taken.ID}}
+	s.do = func(ev policy.Event) []policy.Command {
+		if taken, is := ev.(policy.RequestArrived); is && !hold {
+			return []policy.Command{policy.Reject{RequestID: taken.ID}}
 		}
-		if _, is := ev.(policy.Heard); is { // all go
-			var out []policy.Order
+		if _, is := ev.(policy.GossipReceived); is { // all go
+			var out []policy.Command
 			for _, past := range s.events {
-				if taken, is := past.(policy.Taken); is {
-					out = append(out, policy.Decline{ID: taken.ID})
+				if taken, is := past.(policy.RequestArrived); is {
+					out = append(out, policy.Reject{RequestID: taken.ID})
 				}
 			}
 			return out
 		}
 		return nil
 	}
-	s.front = NewFront(s.core, []string{"lookup", "posting", "_health"}, []policy.Effect{policy.InquiryLike, policy.Referenced, policy.InquiryLike},
+	s.front = NewFront(s.core, []string{"lookup", "posting", "_health"}, []policy.Idempotency{policy.Idempotent, policy.Keyed, policy.Idempotent},
 		[]time.Duration{patience, patience, patience}, nil, 1000, 0, s.purse, 1)
 	s.front.clients.lingers = lingers
 	if err := s.front.Listen("127.0.0.1:0"); err != nil {
@@ -65,12 +65,12 @@
 	return s
 }
 
-func (s *clientSide) letGo() { s.core.box.put(policy.Heard{}) }
+func (s *clientSide) letGo() { s.core.box.put(policy.GossipReceived{}) }
 
 // taken waits until the module has so many txns.
 func (s *clientSide) taken(t *testing.T, n int) {
 	t.Helper()
-	eventually(t, "the txn", func() bool { return len(seen[policy.Taken](s.script)) == n })
+	eventually(t, "the txn", func() bool { return len(seen[policy.RequestArrived](s.script)) == n })
 }
 
 // client is one client's connection.
@@ -278,7 +278,7 @@
 	case <-time.After(patience):
 		t.Fatal("the drain does not end")
 	}
-	eventually(t, "the txn's end", func() bool { return len(seen[policy.Abandoned](s.script)) == 1 })
+	eventually(t, "the txn's end", func() bool { return len(seen[policy.RequestCancelled](s.script)) == 1 })
 	s.front.ids.mu.Lock()
 	defer s.front.ids.mu.Unlock()
 	if len(s.front.ids.open) != 0 {
@@ -402,7 +402,7 @@
 		})
 		c.Close()
 		eventually(t, fmt.Sprintf("the end of a client that sent %d bytes too many", len(early)),
-			func() bool { return len(seen[policy.Abandoned](s.script)) == 1 })
+			func() bool { return len(seen[policy.RequestCancelled](s.script)) == 1 })
 		s.nothingLeft(t, s.drain(t, patience))
 	}
 }
@@ -438,7 +438,7 @@
 	c := s.dial(t)
 	c.send(request("_health?sid=1"))
 	c.answered(503, false)
-	if n := len(seen[policy.Taken](s.script)); n != 1 {
+	if n := len(seen[policy.RequestArrived](s.script)); n != 1 {
 		t.Errorf("%d txns were taken", n)
 	}
 	c.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -624,7 +624,7 @@
 			<-o.over
 		}
 		s.nothingLeft(t, done)
-		taken, told := len(seen[policy.Taken](s.script)), 0
+		taken, told := len(seen[policy.RequestArrived](s.script)), 0
 		for _, o := range all {
 			told += int(o.told.Load())
 		}
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -19,7 +19,7 @@
 // Peers is the actor of that socket; with no address to listen on it drops what it is given.
 type Peers struct {
 	core  *Core
-	box   *mailbox[policy.Tell]
+	box   *mailbox[policy.SendGossip]
 	sock  *net.UDPConn
 	known []netip.AddrPort // by the agents' numbers
 	all   netip.AddrPort
@@ -30,10 +30,10 @@
 func (p *Peers) Beside(other func([]byte) bool) { p.other = other }
 
 // Send sends bytes to an agent by its number.
-func (p *Peers) Send(to int, b []byte) { p.put(policy.Tell{To: to, Text: b}) }
+func (p *Peers) Send(to int, b []byte) { p.put(policy.SendGossip{To: to, Payload: b}) }
 
 func NewPeers(core *Core, listen string, known []string, all string) (*Peers, error) {
-	p := &Peers{core: core, box: newMailbox[policy.Tell]()}
+	p := &Peers{core: core, box: newMailbox[policy.SendGossip]()}
 	if listen == "" {
 		return p, nil
 	}
@@ -60,7 +60,7 @@
 	return p, nil
 }
 
-func (p *Peers) put(t policy.Tell) { p.box.put(t) }
+func (p *Peers) put(t policy.SendGossip) { p.box.put(t) }
 
 // Serve sends what the mailbox holds, and hands on what comes.
 func (p *Peers) Serve(ctx context.Context) {
@@ -80,18 +80,18 @@
 	}
 }
 
-func (p *Peers) send(t policy.Tell) {
+func (p *Peers) send(t policy.SendGossip) {
 	to := p.all
 	if uint32(t.To) != math.MaxUint32 {
 		if to = (netip.AddrPort{}); t.To >= 0 && t.To < len(p.known) {
 			to = p.known[t.To]
 		}
 	}
-	if p.sock == nil || !to.IsValid() || len(t.Text) > datagramLimit {
-		complaints.warn("tell", "message not sent", "to", t.To, "bytes", len(t.Text))
+	if p.sock == nil || !to.IsValid() || len(t.Payload) > datagramLimit {
+		complaints.warn("tell", "message not sent", "to", t.To, "bytes", len(t.Payload))
 		return
 	}
-	if _, err := p.sock.WriteToUDPAddrPort(t.Text, to); err != nil {
+	if _, err := p.sock.WriteToUDPAddrPort(t.Payload, to); err != nil {
 		complaints.warn("tell", "message not sent", "to", t.To, "err", err)
 	}
 }
@@ -111,6 +111,6 @@
 		if p.other != nil && p.other(slices.Clone(buf[:n])) {
 			continue
 		}
-		p.core.box.put(policy.Heard{From: who, Text: slices.Clone(buf[:n])})
+		p.core.box.put(policy.GossipReceived{From: who, Payload: slices.Clone(buf[:n])})
 	}
 }
--- a/internal/agent/roster.go
+++ b/internal/agent/roster.go
@@ -197,7 +197,7 @@
 func (r *Roster) tell(l roll) {
 	r.seq = l.Seq
 	slices.SortStableFunc(l.Hosts, func(a, b entry) int { return strings.Compare(a.Host, b.Host) })
-	out := listing{Listed: policy.Listed{Full: l.Whole}}
+	out := listing{EndpointUpdate: policy.EndpointUpdate{Full: l.Whole}}
 	for _, e := range l.Hosts {
 		row, err := e.row(r.zones)
 		if err != nil {
@@ -205,14 +205,14 @@
 			continue
 		}
 		row.ID = r.number(e.Host)
-		out.Rows, out.hosts = append(out.Rows, row), append(out.hosts, e)
+		out.Endpoints, out.hosts = append(out.Endpoints, row), append(out.hosts, e)
 	}
-	if len(out.Rows) > 0 || l.Whole {
+	if len(out.Endpoints) > 0 || l.Whole {
 		r.core.urgent.put(out)
 	}
 	// A host that is gone gives its number back; it is the same when it returns, but for two hosts that share one.
 	there := map[string]bool{}
-	for i, row := range out.Rows {
+	for i, row := range out.Endpoints {
 		if there[out.hosts[i].Host] = row.State != policy.Gone; row.State == policy.Gone {
 			r.forget(out.hosts[i].Host)
 		}
--- a/internal/agent/roster_test.go
+++ b/internal/agent/roster_test.go
@@ -23,13 +23,13 @@
 }
 
 // states are what the module was last told of each host's build and state, by number.
-func (r *rig) states() map[uint32]policy.Row {
-	out := map[uint32]policy.Row{}
-	for _, l := range seen[policy.Listed](r.script) {
+func (r *rig) states() map[uint32]policy.Endpoint {
+	out := map[uint32]policy.Endpoint{}
+	for _, l := range seen[policy.EndpointUpdate](r.script) {
 		if l.Full {
 			clear(out)
 		}
-		for _, row := range l.Rows {
+		for _, row := range l.Endpoints {
 			if out[row.ID] = row; row.State == policy.Gone {
 				delete(out, row.ID)
 			}
@@ -93,8 +93,8 @@
 			eventually(t, "the watch", func() bool { return d.Open() == 1 })
 			d.Tell(cut + "\n" + rest)
 			r.has(t, 1, 9)
-			for _, l := range seen[policy.Listed](r.script) {
-				for _, row := range l.Rows {
+			for _, l := range seen[policy.EndpointUpdate](r.script) {
+				for _, row := range l.Endpoints {
 					if row.Build == 7 {
 						t.Errorf("told %+v, of which half came", row)
 					}
@@ -153,8 +153,8 @@
 	new.Tell(line(11, false, host("box", "127.0.0.1:1", "leaving", 3), host("box3", "127.0.0.1:3", "left", 1)))
 	r.has(t, 2, 3)
 	eventually(t, "the end of the old watch", func() bool { return old.Left() == 1 })
-	for i, l := range seen[policy.Listed](r.script) {
-		for _, row := range l.Rows {
+	for i, l := range seen[policy.EndpointUpdate](r.script) {
+		for _, row := range l.Endpoints {
 			if i > 1 && row.ID == NewRoster(r.core, "", nil, 0, 0, 1, 1).number("box") && row.State != policy.Draining {
 				t.Errorf("list %d takes the drain back: %+v", i, row)
 			}
--- a/internal/cluster/coordinator/council.go
+++ b/internal/cluster/coordinator/council.go
@@ -31,14 +31,14 @@
 	// to be. wrote tells whether it was written at all.
 	Cast func(v policy.Vote, before time.Time, over func(wrote bool))
 	// News gives the module where a build stands.
-	News func(policy.Staged)
+	News func(policy.RolloutUpdate)
 }
 
 // What comes into the mailbox.
 type (
 	message struct{ bytes []byte }
 	vote    struct{ policy.Vote }
-	news    struct{ policy.Staged }
+	news    struct{ policy.RolloutUpdate }
 	over    struct{ record election.Record }
 	leave   struct{ gone chan struct{} }
 	ask     struct{ answer chan election.Standing }
@@ -69,7 +69,7 @@
 
 	wish    election.Decision
 	told    time.Time
-	newest  policy.Staged
+	newest  policy.RolloutUpdate
 	known   bool // there was news
 	stopped *election.Decision
 	term    uint64 // of this agent's lead; 0: none
@@ -122,7 +122,7 @@
 func (c *Council) Vote(v policy.Vote) { c.box <- vote{v} }
 
 // News takes what the launcher tells.
-func (c *Council) News(s policy.Staged) { c.box <- news{s} }
+func (c *Council) News(s policy.RolloutUpdate) { c.box <- news{s} }
 
 // Leave passes the lead on, and returns when that is said.
 func (c *Council) Leave(ctx context.Context) {
@@ -194,8 +194,8 @@
 	}
 }
 
-var verdicts = map[policy.Verdict]election.Verdict{policy.NoVote: election.NoVote, policy.On: election.On, policy.Hold: election.Hold, policy.Back: election.Back}
-var asVote = map[election.Verdict]policy.Verdict{election.NoVote: policy.NoVote, election.On: policy.On, election.Hold: policy.Hold, election.Back: policy.Back}
+var verdicts = map[policy.Verdict]election.Verdict{policy.NoVote: election.NoVote, policy.Advance: election.On, policy.Hold: election.Hold, policy.RollBack: election.Back}
+var asVote = map[election.Verdict]policy.Verdict{election.NoVote: policy.NoVote, election.On: policy.Advance, election.Hold: policy.Hold, election.Back: policy.RollBack}
 
 func (c *Council) note(n any) {
 	now := c.now()
@@ -212,9 +212,9 @@
 		c.wish, c.told = election.Decision{Build: int32(n.Build), Stage: int32(n.Stage), Verdict: verdicts[n.Verdict]}, time.Now()
 		c.carry(c.decider.Wishes(now, c.wish))
 	case news:
-		c.newest, c.known = n.Staged, true
-		c.newest.Answer = false
-		c.carry(c.decider.News(now, int32(n.Build), int32(n.Stage), n.Phase == policy.OnTrial))
+		c.newest, c.known = n.RolloutUpdate, true
+		c.newest.IsVoteReply = false
+		c.carry(c.decider.News(now, int32(n.Build), int32(n.Stage), n.Phase == policy.Evaluating))
 		if s := c.stopped; s != nil && int(s.Build) == n.Build && int(s.Stage) == n.Stage {
 			c.stop(*s) // the news has told the cap again
 		}
@@ -296,7 +296,7 @@
 		slog.Warn("no decider in reach: this agent stops sending to the build by itself", "build", d.Build, "stage", d.Stage)
 	}
 	c.stopped = &d
-	c.desk.News(policy.Staged{Build: int(d.Build), Stage: int(d.Stage), Phase: policy.OnTrial, Cap: 0, Age: c.newest.Age})
+	c.desk.News(policy.RolloutUpdate{Build: int(d.Build), Stage: int(d.Stage), Phase: policy.Evaluating, Cap: 0, Age: c.newest.Age})
 }
 
 // account writes down where the lead is.
--- a/internal/config/charter.go
+++ b/internal/config/charter.go
@@ -96,7 +96,7 @@
 // Good is a product as clients name it.
 type Good struct {
 	Name   string
-	Effect policy.Effect
+	Effect policy.Idempotency
 	Expiry time.Duration
 }
 
--- a/internal/config/terms.go
+++ b/internal/config/terms.go
@@ -172,9 +172,9 @@
 
 func grade(i int, key string) string { return fmt.Sprintf("Grades.%d.%s", i, key) }
 
-func (t *Terms) effect(i int) policy.Effect {
-	return pick(t, grade(i, "Repeat"), map[string]policy.Effect{"read_like": policy.InquiryLike,
-		"idempotency_key": policy.Referenced, "non_idempotent": policy.OnceOnly})
+func (t *Terms) effect(i int) policy.Idempotency {
+	return pick(t, grade(i, "Repeat"), map[string]policy.Idempotency{"read_like": policy.Idempotent,
+		"idempotency_key": policy.Keyed, "non_idempotent": policy.NonIdempotent})
 }
 
 // sized tells whether the list tells the sizes of appliances; where the key is absent it does, as it always did.
@@ -189,18 +189,18 @@
 }
 
 // report tells where the figures stand that the module reads, by the simulator's names and the users'; others are passed over.
-func (t *Terms) report() (r policy.Report) {
+func (t *Terms) report() (r policy.LoadReportFormat) {
 	if !t.reported() {
 		return r
 	}
 	for i, field := range t.words("Feedback.Fields") {
 		switch field {
 		case "utilization", "util":
-			r.Busy = i + 1
+			r.Utilization = i + 1
 		case "throughput", "qps":
 			r.Rate = i + 1
 		case "outstanding", "inflight":
-			r.Held = i + 1
+			r.InFlight = i + 1
 		}
 	}
 	return r
@@ -239,55 +239,55 @@
 
 // Open starts a module on these terms.
 func (t *Terms) Open(seed uint64) (policy.Router, error) {
-	st := policy.Station{Me: t.count("Me"), Agents: t.count("Balancers"), Zone: t.count("Zone"), Seed: int64(seed),
-		WarmKeys: t.flag("FamilyInfo.WarmKeys"), Sized: t.sized(), Report: t.report()}
+	st := policy.Instance{Index: t.count("Me"), Agents: t.count("Balancers"), Zone: t.count("Zone"), Seed: int64(seed),
+		KeyAffinity: t.flag("FamilyInfo.WarmKeys"), HasWeights: t.sized(), LoadReport: t.report()}
 	t.unmixed()
 	if st.Agents < 1 {
 		t.fail("Balancers", fmt.Sprintf("is %d; there is one agent at least, this one", st.Agents))
 	}
-	if st.Me >= st.Agents {
-		t.fail("Me", fmt.Sprintf("is %d of %d agents", st.Me, st.Agents))
+	if st.Index >= st.Agents {
+		t.fail("Me", fmt.Sprintf("is %d of %d agents", st.Index, st.Agents))
 	}
-	products := make([]policy.Product, t.count("Grades.count"))
+	products := make([]policy.RequestClass, t.count("Grades.count"))
 	if len(products) == 0 {
 		t.fail("Grades", "has no product")
 	}
 	for i := range products {
 		p := &products[i]
-		if p.Effect = t.effect(i); p.Effect == policy.Referenced {
-			p.Group = pick(t, grade(i, "KeyScope"), map[string]policy.Scope{"all": policy.ScopeAll,
-				"zone": policy.ScopeZone, "cell": policy.ScopeCell})
-			p.Memory = t.ms(grade(i, "WindowMs"))
+		if p.Idempotency = t.effect(i); p.Idempotency == policy.Keyed {
+			p.DedupScope = pick(t, grade(i, "KeyScope"), map[string]policy.DedupScope{"all": policy.DedupAll,
+				"zone": policy.DedupZone, "cell": policy.DedupCell})
+			p.DedupWindow = t.ms(grade(i, "WindowMs"))
 		}
-		if p.SLA, p.Expiry = t.ms(grade(i, "SloMs")), t.ms(grade(i, "HardLimitMs")); p.SLA <= 0 {
+		if p.LatencyObjective, p.Timeout = t.ms(grade(i, "SloMs")), t.ms(grade(i, "HardLimitMs")); p.LatencyObjective <= 0 {
 			t.fail(grade(i, "SloMs"), "is 0; no answer could be in time")
 		}
-		p.Revenue, p.LateShare = t.num(grade(i, "Worth")), t.opt(grade(i, "LateValue"), 0)
-	}
-	plan := policy.LaunchPlan{Caps: t.list("FamilyInfo.StageCap"), Shares: t.list("FamilyInfo.StageShare"),
-		Guarded: t.count("FamilyInfo.Shielded"), OneWay: t.flag("FamilyInfo.OneWay"),
-		InPlace: pick(t, "FamilyInfo.Swap", map[string]bool{"in_place": true, "beside": false})}
-	polling := policy.Polling{Stands: t.ms("FamilyInfo.VoteStandsMs"), Patience: t.ms("FamilyInfo.CallTimeoutMs"),
-		CallsPerS: t.num("FamilyInfo.ApiRate"), ToGo: t.count("FamilyInfo.VotesToGo"),
-		ToGoBack: t.count("FamilyInfo.NoesNeeded"), Ballot: pick(t, "FamilyInfo.VoteMode", map[string]policy.Ballot{
-			"any": policy.BallotAny, "share": policy.BallotShare, "timer": policy.BallotTimer})}
-	polling.Tally = t.tally()
-	count := policy.Exposure{Window: t.ms("FamilyInfo.CountedOverMs"), Free: t.num("FamilyInfo.Allowance"),
-		ByProduct: pick(t, "FamilyInfo.CountedBy", map[string]bool{"class": true, "all": false})}
-	cold := policy.ColdStart{From: t.num("Safety.ColdFrom"), Warm: t.ms("Safety.ColdMs"),
-		Multiple: t.num("Safety.TipMultiple"), After: t.ms("Safety.TipAfterMs")}
-	hand := policy.Handover{DrainGrace: t.ms("Safety.DrainGraceMs"), AnswerGrace: t.ms("Safety.GraceToAnswerMs"),
-		MaxSubmissions: t.count("Limits.MaxAttempts")}
+		p.PriorityWeight, p.LateWeightShare = t.num(grade(i, "Worth")), t.opt(grade(i, "LateValue"), 0)
+	}
+	plan := policy.RolloutPlan{Caps: t.list("FamilyInfo.StageCap"), Shares: t.list("FamilyInfo.StageShare"),
+		GuardedStages: t.count("FamilyInfo.Shielded"), KeysNeverGoBack: t.flag("FamilyInfo.OneWay"),
+		ReplacesInPlace: pick(t, "FamilyInfo.Swap", map[string]bool{"in_place": true, "beside": false})}
+	polling := policy.VotingRules{VoteLifetime: t.ms("FamilyInfo.VoteStandsMs"), CallTimeout: t.ms("FamilyInfo.CallTimeoutMs"),
+		CallsPerSecond: t.num("FamilyInfo.ApiRate"), VotesToAdvance: t.count("FamilyInfo.VotesToGo"),
+		VotesToRollBack: t.count("FamilyInfo.NoesNeeded"), Rule: pick(t, "FamilyInfo.VoteMode", map[string]policy.VotingRule{
+			"any": policy.AnyVote, "share": policy.VoteShare, "timer": policy.TimedStages})}
+	polling.MetricsInterval = t.tally()
+	count := policy.ExposureLimit{Window: t.ms("FamilyInfo.CountedOverMs"), Allowance: t.num("FamilyInfo.Allowance"),
+		PerClass: pick(t, "FamilyInfo.CountedBy", map[string]bool{"class": true, "all": false})}
+	cold := policy.SlowStart{InitialCapacity: t.num("Safety.ColdFrom"), Duration: t.ms("Safety.ColdMs"),
+		OverloadMultiple: t.num("Safety.TipMultiple"), OverloadAfter: t.ms("Safety.TipAfterMs")}
+	hand := policy.RetryLimits{DrainGrace: t.ms("Safety.DrainGraceMs"), AnswerGrace: t.ms("Safety.GraceToAnswerMs"),
+		MaxAttempts: t.count("Limits.MaxAttempts")}
 	if t.flag("Limits.RetryAfter") {
-		hand.MaxHoldOff = t.ms("Limits.MaxRetryAfterMs")
+		hand.MaxRetryAfter = t.ms("Limits.MaxRetryAfterMs")
 	}
-	may := policy.Licence{Probe: t.flag("Limits.Probes"), CallOff: t.flag("Limits.Cancel"),
-		Tell: t.flag("Limits.MayTell"),
-		Ask:  pick(t, "Discovery", map[string]bool{"subscribe": true, "automatic": false})}
-	fares := policy.Fares{CrossZone: t.opt("Charges.CrossZone", 0), Waste: t.opt("Charges.Waste", 0),
-		Probe: t.opt("Charges.Probe", 0), Tell: t.opt("Charges.Peer", 0)}
-	if polling.CallsPerS <= 0 {
-		t.fail("FamilyInfo.ApiRate", fmt.Sprintf("is %v, no rate of calls a second", polling.CallsPerS))
+	may := policy.Capabilities{HealthChecks: t.flag("Limits.Probes"), Cancellation: t.flag("Limits.Cancel"),
+		Gossip:          t.flag("Limits.MayTell"),
+		EndpointPolling: pick(t, "Discovery", map[string]bool{"subscribe": true, "automatic": false})}
+	fares := policy.CostWeights{CrossZone: t.opt("Charges.CrossZone", 0), Waste: t.opt("Charges.Waste", 0),
+		HealthCheck: t.opt("Charges.Probe", 0), Gossip: t.opt("Charges.Peer", 0)}
+	if polling.CallsPerSecond <= 0 {
+		t.fail("FamilyInfo.ApiRate", fmt.Sprintf("is %v, no rate of calls a second", polling.CallsPerSecond))
 	}
 	for _, key := range []string{"CrossZone", "Waste", "Probe", "Peer"} {
 		if v := t.opt("Charges."+key, 0); v < 0 {
@@ -303,7 +303,7 @@
 // Votes are how votes are counted, and who casts them; times in microseconds.
 type Votes struct {
 	Me, Agents   int
-	Ballot       policy.Ballot
+	Ballot       policy.VotingRule
 	ToGo         int
 	ToGoBack     int
 	Call, Stands policy.Micros
@@ -313,5 +313,5 @@
 func (t *Terms) Votes() Votes {
 	return Votes{Me: t.count("Me"), Agents: t.count("Balancers"), ToGo: t.count("FamilyInfo.VotesToGo"), ToGoBack: t.count("FamilyInfo.NoesNeeded"),
 		Call: t.ms("FamilyInfo.CallTimeoutMs"), Stands: t.ms("FamilyInfo.VoteStandsMs"), Ballot: pick(t, "FamilyInfo.VoteMode",
-			map[string]policy.Ballot{"any": policy.BallotAny, "share": policy.BallotShare, "timer": policy.BallotTimer})}
+			map[string]policy.VotingRule{"any": policy.AnyVote, "share": policy.VoteShare, "timer": policy.TimedStages})}
 }
--- a/internal/config/terms_test.go
+++ b/internal/config/terms_test.go
@@ -110,15 +110,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := file.report(); r.Busy != 1 || r.Rate != 3 || r.Held != 0 || file.sized() || file.Err() != nil {
+	if r := file.report(); r.Utilization != 1 || r.Rate != 3 || r.InFlight != 0 || file.sized() || file.Err() != nil {
 		t.Errorf("%+v, sized %v, %v", r, file.sized(), file.Err())
 	}
 	halls := Pairs("Feedback.How=inline\nFeedback.Fields=outstanding\nWeights=nominal\n")
-	if r := halls.report(); r.Held != 1 || r.Busy != 0 || r.Rate != 0 || !halls.sized() || halls.Err() != nil {
+	if r := halls.report(); r.InFlight != 1 || r.Utilization != 0 || r.Rate != 0 || !halls.sized() || halls.Err() != nil {
 		t.Errorf("%+v, sized %v, %v", r, halls.sized(), halls.Err())
 	}
 	old := Pairs("Feedback.How=on_probe\nFeedback.Fields=backlog\n")
-	if r := old.report(); r.Busy+r.Rate+r.Held != 0 || !old.sized() || old.Err() != nil {
+	if r := old.report(); r.Utilization+r.Rate+r.InFlight != 0 || !old.sized() || old.Err() != nil {
 		t.Errorf("%+v, sized %v, %v", r, old.sized(), old.Err())
 	}
 }
--- a/internal/policy/brain.go
+++ b/internal/policy/brain.go
@@ -23,10 +23,10 @@
 
 // pace is the part of its capacity that a starting one surely has; all where no time to push it over is told.
 func (a *appliance) pace() float64 {
-	if a.Started <= 0 || a.cold.Warm <= 0 || a.cold.After <= 0 {
+	if a.Started <= 0 || a.cold.Duration <= 0 || a.cold.OverloadAfter <= 0 {
 		return 1
 	}
-	return min(1, a.cold.From+(1-a.cold.From)*float64(max(0, a.now-a.Started))/float64(a.cold.Warm))
+	return min(1, a.cold.InitialCapacity+(1-a.cold.InitialCapacity)*float64(max(0, a.now-a.Started))/float64(a.cold.Duration))
 }
 
 // weight is the told size, or else what the reports show that it can do, by what it can do of it while cold.
@@ -45,11 +45,11 @@
 const reportFade, fleetFade, leastBusy, sizeApart = 0.1, 0.01, 0.15, 3
 
 // measure learns from a load report what the appliance can do: what it serves by how busy that makes it.
-func (a *appliance) measure(load []float32, at Report) {
-	if at.Busy == 0 || at.Rate == 0 || len(load) < max(at.Busy, at.Rate) || a.pace() < 1 {
+func (a *appliance) measure(load []float32, at LoadReportFormat) {
+	if at.Utilization == 0 || at.Rate == 0 || len(load) < max(at.Utilization, at.Rate) || a.pace() < 1 {
 		return
 	}
-	busy, rate, f := float64(load[at.Busy-1]), float64(load[at.Rate-1]), a.fleet
+	busy, rate, f := float64(load[at.Utilization-1]), float64(load[at.Rate-1]), a.fleet
 	if a.rate, a.busy = a.rate+(rate-a.rate)*reportFade, a.busy+(busy-a.busy)*reportFade; busy >= leastBusy {
 		if f.size == 0 {
 			f.size = rate / busy
@@ -90,13 +90,13 @@
 func (a *appliance) ask() {
 	if a.probes && a.aside > 0 && a.now >= a.aside && !a.asking && a.ready() {
 		a.asking = true
-		a.give(Probe{Appliance: a.ID})
+		a.give(CheckHealth{EndpointID: a.ID})
 	}
 }
 
 // answered: an error is an answer too: checks may fail where txns are served.
 func (a *appliance) answered(o Outcome) {
-	if a.aside = 0; a.asking && o != OK && o != Errored {
+	if a.aside = 0; a.asking && o != OK && o != ServerError {
 		a.setAside()
 	}
 	a.asking = false
@@ -119,11 +119,11 @@
 // It guards against any appliance that answers too slowly (slowed, overloaded, cold, a heavy build): txns
 // then go elsewhere. It may harm where a product's own work nears its SLA time.
 func (a *appliance) learn(n told) {
-	took, sla := float64(n.Took), float64(n.sla)
+	took, sla := float64(n.Elapsed), float64(n.sla)
 	switch {
 	case n.Outcome == OK && took < quickPart*sla && float64(a.out+1) >= a.limit/2:
 		a.limit += min(a.limit, 1/a.limit)
-	case n.Outcome == TurnedOff, n.Outcome == TimedOut && sla > 0, n.Outcome == OK && took > latePart*sla:
+	case n.Outcome == Rejected, n.Outcome == TimedOut && sla > 0, n.Outcome == OK && took > latePart*sla:
 		if a.now >= a.cutAt+cutEvery {
 			a.limit, a.cutAt = max(a.least(), a.limit*limitCut), a.now
 		}
@@ -131,21 +131,21 @@
 	switch n.Outcome {
 	case OK:
 		a.strikes, a.heard, a.errs = 0, a.now, a.errs*(1-errFade)
-	case Errored, Spoilt:
+	case ServerError, Malformed:
 		if n.own {
 			break
 		}
 		// One that fails fast looks idle and draws ever more. On trial the judge first gets its evidence.
 		a.strikes, a.heard, a.errs = 0, a.now, a.errs+(1-a.errs)*errFade
-		if a.errs > errMost && (!n.trial || n.Outcome == Spoilt || a.said+a.lag >= crossing) {
+		if a.errs > errMost && (!n.trial || n.Outcome == Malformed || a.said+a.lag >= crossing) {
 			a.setAside()
 		}
-	case TurnedOff:
+	case Rejected:
 		a.full = a.now + fullFor
-	case TimedOut, Broken: // one connection may break for itself; a dead process breaks the next, or refuses it
-		a.strikes += int(one(n.Outcome == Broken || a.heard < a.now-n.Took))
+	case TimedOut, ConnectionLost: // one connection may break for itself; a dead process breaks the next, or refuses it
+		a.strikes += int(one(n.Outcome == ConnectionLost || a.heard < a.now-n.Elapsed))
 	}
-	if n.Outcome == NoConnect || a.strikes >= silentStrikes {
+	if n.Outcome == ConnectFailed || a.strikes >= silentStrikes {
 		a.setAside()
 	}
 }
@@ -155,7 +155,7 @@
 
 func (r *lister) take(n note) {
 	switch n := n.(type) {
-	case Listed:
+	case EndpointUpdate:
 		if !n.Failed {
 			r.fails = 0
 			return
@@ -165,7 +165,7 @@
 	case beat:
 		if r.ask && r.due >= 0 && r.now >= r.due {
 			r.due = -1
-			r.give(Watch{})
+			r.give(WatchEndpoints{})
 		}
 	}
 }
@@ -204,8 +204,8 @@
 // meet keeps what is usual: the told work, and the time between two txns. To a client who was turned away and
 // is back it is the same txn, and its time runs from the first try.
 func (d *desk) meet(t *txn) {
-	if t.Work > 0 {
-		d.usual += (float64(t.Work) - d.usual) * usualFade
+	if t.CostHint > 0 {
+		d.usual += (float64(t.CostHint) - d.usual) * usualFade
 	}
 	if last, back := d.gone[t.who]; back {
 		t.at = last.first
@@ -218,7 +218,7 @@
 
 // spot is a txn's place on the ring; a key has its own only where that gains, as a hot one strains it.
 func (d *desk) spot(t *txn) uint64 {
-	if d.post.WarmKeys && t.Key != 0 {
+	if d.post.KeyAffinity && t.Key != 0 {
 		return mix(mix(t.Key^ringSalt) - 1 - d.arc(t.Key)) // never an appliance's own point
 	}
 	return mix(t.ID ^ ringSalt)
@@ -237,36 +237,36 @@
 	return (r.seq - 1) % uint64(math.Ceil(r.load))
 }
 
-func (d *desk) ended(n Ended) {
-	a, t := d.fleet.byID[n.Appliance], d.txns[n.ID]
+func (d *desk) ended(n AttemptResult) {
+	a, t := d.fleet.byID[n.EndpointID], d.txns[n.RequestID]
 	if a == nil {
 		return
 	}
 	k, t := d.entitle(n, a, t)
 	a.put(k)
-	a.measure(n.Load, d.post.Report)
+	a.measure(n.Load, d.post.LoadReport)
 	d.fleet.carries = max(1, d.fleet.size*d.usual/float64(second))
 	d.judge.put(k)
 	z := d.zone(a.Zone)
-	if z.out--; k.sla > 0 && n.Outcome != Errored && n.Outcome < Moot {
+	if z.out--; k.sla > 0 && n.Outcome != ServerError && n.Outcome < NotAttempted {
 		least := max(fewOpen, openPart*d.fleet.carries) * d.fleet.part(a.Zone, d.post.Agents)
-		z.feel(n.Outcome != OK || n.Took > k.sla, max(1, least))
+		z.feel(n.Outcome != OK || n.Elapsed > k.sla, max(1, least))
 	}
 	if t == nil {
 		return
 	}
-	if n.Outcome == OK && t.Work == 0 {
-		d.usual += (float64(n.Took) - d.usual) * usualFade
+	if n.Outcome == OK && t.CostHint == 0 {
+		d.usual += (float64(n.Elapsed) - d.usual) * usualFade
 	}
-	if n.Over {
-		delete(d.txns, n.ID)
+	if n.RequestDone {
+		delete(d.txns, n.RequestID)
 		return
 	}
 	switch n.Outcome {
-	case Errored, TimedOut, Broken, CalledOff, Spoilt:
-		t.errs += int(one(n.Outcome == Errored))
-		if row := a.Row; t.ran == nil {
-			t.ran, t.forgets = &row, d.products[t.Product].forgets(t.sentAt)
+	case ServerError, TimedOut, ConnectionLost, Cancelled, Malformed:
+		t.errs += int(one(n.Outcome == ServerError))
+		if row := a.Endpoint; t.ran == nil {
+			t.ran, t.forgets = &row, d.products[t.Class].forgets(t.sentAt)
 		}
 	}
 	t.on, t.tried = nil, append(t.tried, a)
@@ -283,7 +283,7 @@
 	}
 	balance, l := 1.0, *d.slot(product)
 	for i := len(l) - 1; i >= 0; i-- {
-		if i < len(l)-1 && l[i].at != l[i+1].at && balance > d.count.Free {
+		if i < len(l)-1 && l[i].at != l[i+1].at && balance > d.count.Allowance {
 			break // no window parts what came at one time
 		}
 		switch l[i].build {
@@ -293,7 +293,7 @@
 			balance -= cap
 		}
 	}
-	return cap > 0 && balance <= d.count.Free
+	return cap > 0 && balance <= d.count.Allowance
 }
 
 // coldShare of the told multiple, for what the estimates of work miss.
@@ -306,13 +306,13 @@
 
 // mayGo: rule 1, nothing goes out after the end; rule 2, never two at once.
 func (d *desk) mayGo(t *txn) bool {
-	return !t.closed && d.txns[t.ID] == t && d.now < t.Expires && t.on == nil && t.seq < d.hand.MaxSubmissions
+	return !t.closed && d.txns[t.ID] == t && d.now < t.Deadline && t.on == nil && t.seq < d.hand.MaxAttempts
 }
 
 // mayTry: rule 5, the cap, the guarded stages, and the one way.
 func (d *desk) mayTry(t *txn, build int) bool {
 	if cap, stage, bound := d.capped(build); bound {
-		if stage < d.plan.Guarded && d.products[t.Product].Effect != InquiryLike || !d.room(t.Product, build, cap) {
+		if stage < d.plan.GuardedStages && d.products[t.Class].Idempotency != Idempotent || !d.room(t.Class, build, cap) {
 			return false
 		}
 	}
@@ -322,10 +322,10 @@
 
 func (d *desk) mayAt(t *txn, a *appliance) bool {
 	// Rule 2: what may have run goes only where a repeat does no harm.
-	if p := &d.products[t.Product]; t.ran != nil && p.Effect != InquiryLike {
-		same := p.Group == ScopeAll || p.Group == ScopeZone && a.Zone == t.ran.Zone ||
-			p.Group == ScopeCell && a.Cell == t.ran.Cell
-		if p.Effect == OnceOnly || !same || d.now >= t.forgets {
+	if p := &d.products[t.Class]; t.ran != nil && p.Idempotency != Idempotent {
+		same := p.DedupScope == DedupAll || p.DedupScope == DedupZone && a.Zone == t.ran.Zone ||
+			p.DedupScope == DedupCell && a.Cell == t.ran.Cell
+		if p.Idempotency == NonIdempotent || !same || d.now >= t.forgets {
 			return false
 		}
 	}
@@ -346,7 +346,7 @@
 
 // coldPart is an agent's part of what a cold appliance can take; where it is under one txn, they take turns.
 func (d *desk) coldPart(a *appliance) float64 {
-	all := coldShare * d.cold.Multiple * a.pace() * float64(d.cold.After) * d.fleet.carries
+	all := coldShare * d.cold.OverloadMultiple * a.pace() * float64(d.cold.OverloadAfter) * d.fleet.carries
 	return all / float64(d.post.Agents)
 }
 
@@ -357,7 +357,7 @@
 // turn guards a cold appliance against all agents together, also in hot keys and moved traffic: one txn in an
 // agent's turn, which comes by the agents' numbers and lasts for the told span. It may leave it idle.
 func (d *desk) turn(a *appliance) bool {
-	if len(a.sends) > 0 && a.sends[len(a.sends)-1].at > d.now-d.cold.After {
+	if len(a.sends) > 0 && a.sends[len(a.sends)-1].at > d.now-d.cold.OverloadAfter {
 		return false
 	}
 	// Of agents that take little, few have a txn in their turn, so that more may be in turn at once.
@@ -365,20 +365,20 @@
 	if d.rank(a.Build, d.top) != trial {
 		part = 1 - part
 	}
-	some := 1 - math.Exp(-float64(d.cold.After)*part/max(1, d.pulse))
-	load := d.fleet.carries * min(coldLoad/max(some, 1e-9), max(coldLoad, coldShare*d.cold.Multiple))
-	_, place := math.Modf(float64(d.post.Me)*math.Phi + float64(mix(uint64(a.ID))>>40)/(1<<24))
+	some := 1 - math.Exp(-float64(d.cold.OverloadAfter)*part/max(1, d.pulse))
+	load := d.fleet.carries * min(coldLoad/max(some, 1e-9), max(coldLoad, coldShare*d.cold.OverloadMultiple))
+	_, place := math.Modf(float64(d.post.Index)*math.Phi + float64(mix(uint64(a.ID))>>40)/(1<<24))
 	due := func(age float64) float64 {
 		age = max(0, age)
-		paced := age * (d.cold.From + (1-d.cold.From)*age/2/float64(d.cold.Warm))
+		paced := age * (d.cold.InitialCapacity + (1-d.cold.InitialCapacity)*age/2/float64(d.cold.Duration))
 		return math.Floor(place + load*paced/d.usual/float64(d.post.Agents))
 	}
 	age := float64(d.now - a.Started)
-	return due(age) > due(age-float64(d.cold.After))
+	return due(age) > due(age-float64(d.cold.OverloadAfter))
 }
 
 // work is what a txn is expected to need, never under the usual: a budget would fill with the falsely small.
-func (d *desk) work(t *txn) float64 { return max(float64(t.Work), d.usual) }
+func (d *desk) work(t *txn) float64 { return max(float64(t.CostHint), d.usual) }
 
 func (d *desk) submit(t *txn, a *appliance) {
 	if !d.may(t, a) {
@@ -386,12 +386,12 @@
 	}
 	t.on, t.sentAt, t.seq = a, d.now, t.seq+1
 	if _, _, bound := d.capped(a.Build); bound {
-		d.enter(t.Product, a.Build)
+		d.enter(t.Class, a.Build)
 	}
 	d.zone(a.Zone).out++
-	a.put(sent{d.work(t), d.products[t.Product].SLA})
+	a.put(sent{d.work(t), d.products[t.Class].LatencyObjective})
 	d.judge.put(went{to: a})
-	d.give(Submit{ID: t.ID, Appliance: a.ID, Patience: d.patience(t), Before: t.forgets})
+	d.give(SendAttempt{RequestID: t.ID, EndpointID: a.ID, Timeout: d.patience(t), WriteBefore: t.forgets})
 }
 
 const (
@@ -405,15 +405,15 @@
 // patience: to the client's expiry, or, where clients turned away do not come back, to the SLA time.
 func (d *desk) patience(t *txn) Micros {
 	few := fewReturn * min(1, float64(d.fleet.zones)/float64(d.post.Agents))
-	if left := t.at + d.products[t.Product].SLA - d.now; d.returns < few && left > 0 {
-		return min(left, t.Expires-d.now)
+	if left := t.at + d.products[t.Class].LatencyObjective - d.now; d.returns < few && left > 0 {
+		return min(left, t.Deadline-d.now)
 	}
 	return 0
 }
 
 func (d *desk) rank(build, top int) int {
 	switch {
-	case d.spoiled[build] || build == d.build && d.phase == OnTrial && build < top:
+	case d.spoiled[build] || build == d.build && d.phase == Evaluating && build < top:
 		return leaving
 	case build == top && build >= d.build && build > 0:
 		return trial
@@ -436,7 +436,7 @@
 		}
 	}
 	places := max(ready[trial], ready[earlier])
-	if d.plan.InPlace {
+	if d.plan.ReplacesInPlace {
 		places = ready[trial] + ready[earlier]
 	}
 	share = ready[trial] / max(places, 1e-9)
@@ -450,7 +450,7 @@
 	if t.closed || d.txns[t.ID] != t || t.on != nil {
 		return
 	}
-	if d.now >= t.at+d.products[t.Product].SLA && (t.seq > 0 || d.now-d.jammed < jamFor) {
+	if d.now >= t.at+d.products[t.Class].LatencyObjective && (t.seq > 0 || d.now-d.jammed < jamFor) {
 		d.answer(t) // too late to go again, or at all in a jam: more work for no worth
 		return
 	}
@@ -485,14 +485,14 @@
 	if len(d.blame) > blamesMost {
 		clear(d.blame)
 	}
-	own := o == Errored && d.blamed(t)
-	if !trial && (o == OK || o == Errored) { // a bad build's errors are its own
-		d.blame[t.Customer] += (one(o == Errored) - d.blame[t.Customer]) * blameFade
+	own := o == ServerError && d.blamed(t)
+	if !trial && (o == OK || o == ServerError) { // a bad build's errors are its own
+		d.blame[t.Tenant] += (one(o == ServerError) - d.blame[t.Tenant]) * blameFade
 	}
 	return own
 }
 
-func (d *desk) blamed(t *txn) bool { return d.blame[t.Customer]-d.luckiest() > ownErrors }
+func (d *desk) blamed(t *txn) bool { return d.blame[t.Tenant]-d.luckiest() > ownErrors }
 
 // errsMost: an error may be the build's or the machine's, three at different ones are the txn's own; of a
 // customer with many, one, as each further try leaves less of the cap to others.
@@ -500,10 +500,10 @@
 
 // hopeless: no appliance may take the txn now and none will in time.
 func (d *desk) hopeless(t *txn) bool {
-	p := &d.products[t.Product]
-	last := min(t.Expires-2*beatEvery, t.at+Micros(holdPart*float64(p.SLA)))
-	return t.seq >= d.hand.MaxSubmissions || d.now >= last || t.errs >= d.errsMost(t) ||
-		t.ran != nil && (p.Effect == OnceOnly || p.Effect == Referenced && d.now >= t.forgets)
+	p := &d.products[t.Class]
+	last := min(t.Deadline-2*beatEvery, t.at+Micros(holdPart*float64(p.LatencyObjective)))
+	return t.seq >= d.hand.MaxAttempts || d.now >= last || t.errs >= d.errsMost(t) ||
+		t.ran != nil && (p.Idempotency == NonIdempotent || p.Idempotency == Keyed && d.now >= t.forgets)
 }
 
 const (
@@ -564,16 +564,16 @@
 
 // answer is the one final answer of a txn that was not settled: a decline where a repeat does no harm.
 func (d *desk) answer(t *txn) {
-	p := &d.products[t.Product]
+	p := &d.products[t.Class]
 	d.close(t)
 	d.judge.put(turned{})
 	last := parting{d.now, t.at, t.who}
 	d.gone[t.who], d.left = last, append(d.left, last)
-	if t.ran == nil || p.Effect == InquiryLike ||
-		p.Effect == Referenced && p.Group == ScopeAll && d.now < t.forgets {
-		d.give(Decline{ID: t.ID, HoldOff: d.hand.MaxHoldOff}) // a jam; nothing sooner would find it gone
+	if t.ran == nil || p.Idempotency == Idempotent ||
+		p.Idempotency == Keyed && p.DedupScope == DedupAll && d.now < t.forgets {
+		d.give(Reject{RequestID: t.ID, RetryAfter: d.hand.MaxRetryAfter}) // a jam; nothing sooner would find it gone
 	} else {
-		d.give(Void{ID: t.ID})
+		d.give(Fail{RequestID: t.ID})
 	}
 }
 
@@ -601,21 +601,21 @@
 // refused puts the next vote off, not all agents in step.
 func (j *judge) refused(how Outcome) {
 	j.cast, j.quiet = NoVote, j.now+voteRetry+j.upTo(j.queue()+1)
-	if how == TurnedOff {
+	if how == Rejected {
 		j.quiet += fullPause - voteRetry + j.upTo(fullPause)
 	}
 }
 
 // outcome: a time-out says that something is overloaded, not what: good builds were sent back for it.
 func (j *judge) outcome(n told) {
-	if !n.own && (n.Outcome == OK || n.Outcome == Errored) {
+	if !n.own && (n.Outcome == OK || n.Outcome == ServerError) {
 		j.weigh(n.by, failures, n.Outcome != OK)
 	}
 	if n.product < 0 || n.Outcome != OK && n.Outcome != TimedOut {
 		return
 	}
 	j.time(n)
-	good := n.Outcome == OK && n.Took <= n.sla
+	good := n.Outcome == OK && n.Elapsed <= n.sla
 	j.inTime(good)
 	// A slow build that still answers: later than the earlier one. Only while that carries most, and warm.
 	if j.judges() && j.dose < mostEarlier && n.by.pace() >= 1 {
@@ -705,17 +705,17 @@
 	beside := j.period()
 	fails, late := 0.0, 0.0
 	for _, n := range j.tallies {
-		e, good, lost := &j.earlier[n.Product], float64(n.Many-n.Lost), float64(n.Lost)
+		e, good, lost := &j.earlier[n.Class], float64(n.Requests-n.Failures), float64(n.Failures)
 		if j.besides(n) {
 			continue
 		}
 		mean := e.took / max(1, e.many-e.lost) / j.fleet.warmth(j.build)
-		r0 := max(0.01, e.lost/max(1, e.many), math.Exp(-float64(j.products[n.Product].SLA)/max(1, mean)))
+		r0 := max(0.01, e.lost/max(1, e.many), math.Exp(-float64(j.products[n.Class].LatencyObjective)/max(1, mean)))
 		r1 := min(3*r0, 0.95)
 		r0 = min(r0, r1/1.05)
 		fails += lost*math.Log(r1/r0) + good*math.Log((1-r1)/(1-r0))
 		if usual := goodTimes * mean; usual > 0 {
-			late += good * (float64(n.Took)/usual*(1-1/slowTimes) - math.Log(slowTimes))
+			late += good * (float64(n.MeanLatency)/usual*(1-1/slowTimes) - math.Log(slowTimes))
 		}
 	}
 	if j.tallies = j.tallies[:0]; beside >= leastSeen && !j.settled() {
@@ -835,7 +835,7 @@
 
 // settled: the release has been out for a while, or since before this agent came.
 func (j *judge) settled() bool {
-	return j.phase != OnTrial && (j.since <= j.began || j.now-j.since > settleAfter)
+	return j.phase != Evaluating && (j.since <= j.began || j.now-j.since > settleAfter)
 }
 
 func (j *judge) calmNow() bool { return j.slow == 0 && (j.build == 0 || j.settled()) }
@@ -876,31 +876,31 @@
 	case j.bench != nil, j.polls():
 		return crossing + math.Log(float64(j.agents))
 	}
-	return max(holdAbove, crossing-math.Log(float64(max(1, j.polling.ToGoBack))))
+	return max(holdAbove, crossing-math.Log(float64(max(1, j.polling.VotesToRollBack))))
 }
 
 // opinion is the verdict without the clock.
 func (j *judge) opinion(ratio float64) Verdict {
-	least, bar := leastSeen/max(1, j.polling.ToGoBack), j.bar()
+	least, bar := leastSeen/max(1, j.polling.VotesToRollBack), j.bar()
 	drags, last := !j.settled(), j.stage == len(j.plan.Caps)-1
 	switch {
 	case j.build == 0 || j.spoiled[j.build]:
 		return NoVote
 	case j.seen >= least && ratio >= bar, j.polls() && j.poll >= crossing && ratio >= holdAbove,
 		drags && j.judges() && j.slow >= dragLasts:
-		return Back
-	case j.phase != OnTrial:
+		return RollBack
+	case j.phase != Evaluating:
 		return NoVote
-	case j.polling.Ballot == BallotTimer && ratio > holdAbove:
+	case j.polling.Rule == TimedStages && ratio > holdAbove:
 		return Hold
 	case j.sits && !last && j.dose >= pausesFrom && (j.middle >= dragTimes || j.share < shareDone*j.calmShare):
 		return NoVote // it hears all, and that they slow with the build's part: no need to wait how long it lasts
-	case j.polling.Ballot == BallotTimer, drags && !last && j.slow >= dragPauses && j.dose >= pausesFrom,
+	case j.polling.Rule == TimedStages, drags && !last && j.slow >= dragPauses && j.dose >= pausesFrom,
 		last && (drags && j.slow >= dragHolds || j.share < shareDone),
 		ratio > holdAbove, j.polls() && j.poll > holdAbove:
 		return NoVote
 	}
-	return On
+	return Advance
 }
 
 // polls tells whether the launcher's counts stand in for what agents who may not talk can't tell each other.
@@ -916,10 +916,10 @@
 	most, told := j.most()
 	if j.sits {
 		j.speak(v)
-	} else if told && v != Back {
+	} else if told && v != RollBack {
 		v = most
 	}
-	if v != On {
+	if v != Advance {
 		return v
 	}
 	if j.fleet.count(j.build) == 0 {
@@ -931,7 +931,7 @@
 	if last {
 		clock = min(clock, j.now-newest)
 	}
-	if last && len(j.times) < j.lasts() && j.polling.ToGo <= 1 {
+	if last && len(j.times) < j.lasts() && j.polling.VotesToAdvance <= 1 {
 		clock -= blindWait // this agent can not feel a drag; where one vote is enough, others may
 	}
 	if !j.judges() && !told {
@@ -939,7 +939,7 @@
 	}
 	if j.seen >= leastSeen && ratio <= -crossing && min(clock, j.now-newest) >= onAfter ||
 		clock >= stageClock {
-		return On
+		return Advance
 	}
 	return NoVote
 }
@@ -950,10 +950,10 @@
 	if j.sits {
 		voters = seats
 	}
-	if j.polling.CallsPerS <= 0 {
+	if j.polling.CallsPerSecond <= 0 {
 		return 0 // none told
 	}
-	return min(j.polling.Stands, Micros(float64(voters)*float64(second)/j.polling.CallsPerS))
+	return min(j.polling.VoteLifetime, Micros(float64(voters)*float64(second)/j.polling.CallsPerSecond))
 }
 
 // turn keeps those not on the bench, when it is silent, from voting all in one moment: a few suffice.
@@ -965,7 +965,7 @@
 }
 
 func (j *judge) vote() {
-	v, life := j.verdict(), Micros(renewAt*float64(j.polling.Stands))
+	v, life := j.verdict(), Micros(renewAt*float64(j.polling.VoteLifetime))
 	if v != j.want {
 		j.want, j.wantAt = v, j.now
 	}
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -12,36 +12,36 @@
 // goldenDeployment is one set of settings that a random stream of events is played against.
 type goldenDeployment struct {
 	name     string
-	products []Product
-	station  Station
-	plan     LaunchPlan
-	polling  Polling
-	count    Exposure
-	may      Licence
+	products []RequestClass
+	station  Instance
+	plan     RolloutPlan
+	polling  VotingRules
+	count    ExposureLimit
+	may      Capabilities
 }
 
 func goldenDeployments() []goldenDeployment {
-	inquiry := Product{Effect: InquiryLike, SLA: 100 * ms, Expiry: 400 * ms, Revenue: 1}
-	keyed := Product{Effect: Referenced, Memory: 500 * ms, SLA: 200 * ms, Expiry: 900 * ms, Revenue: 5, LateShare: 0.3}
-	zoned := Product{Effect: Referenced, Group: ScopeZone, Memory: 300 * ms, SLA: 150 * ms, Expiry: 700 * ms, Revenue: 3}
-	once := Product{Effect: OnceOnly, SLA: 300 * ms, Expiry: 1200 * ms, Revenue: 9}
-	cell := Product{Effect: Referenced, Group: ScopeCell, Memory: 800 * ms, SLA: 250 * ms, Expiry: 1000 * ms, Revenue: 2}
+	inquiry := RequestClass{Idempotency: Idempotent, LatencyObjective: 100 * ms, Timeout: 400 * ms, PriorityWeight: 1}
+	keyed := RequestClass{Idempotency: Keyed, DedupWindow: 500 * ms, LatencyObjective: 200 * ms, Timeout: 900 * ms, PriorityWeight: 5, LateWeightShare: 0.3}
+	zoned := RequestClass{Idempotency: Keyed, DedupScope: DedupZone, DedupWindow: 300 * ms, LatencyObjective: 150 * ms, Timeout: 700 * ms, PriorityWeight: 3}
+	once := RequestClass{Idempotency: NonIdempotent, LatencyObjective: 300 * ms, Timeout: 1200 * ms, PriorityWeight: 9}
+	cell := RequestClass{Idempotency: Keyed, DedupScope: DedupCell, DedupWindow: 800 * ms, LatencyObjective: 250 * ms, Timeout: 1000 * ms, PriorityWeight: 2}
 	caps := []float64{0.05, 0.3, 1}
-	all := []Product{inquiry, keyed, zoned, once, cell}
-	votes := Polling{Ballot: BallotAny, Stands: 4 * second, Patience: 800 * ms, CallsPerS: 20, ToGo: 1, ToGoBack: 1}
+	all := []RequestClass{inquiry, keyed, zoned, once, cell}
+	votes := VotingRules{Rule: AnyVote, VoteLifetime: 4 * second, CallTimeout: 800 * ms, CallsPerSecond: 20, VotesToAdvance: 1, VotesToRollBack: 1}
 	share, timer := votes, votes
-	share.Ballot, share.ToGo, share.ToGoBack, share.Tally = BallotShare, 4, 3, 1*second
-	timer.Ballot = BallotTimer
-	window := Exposure{Window: 4 * second, Free: 3}
-	byProduct := Exposure{Window: 2 * second, Free: 1, ByProduct: true}
+	share.Rule, share.VotesToAdvance, share.VotesToRollBack, share.MetricsInterval = VoteShare, 4, 3, 1*second
+	timer.Rule = TimedStages
+	window := ExposureLimit{Window: 4 * second, Allowance: 3}
+	byProduct := ExposureLimit{Window: 2 * second, Allowance: 1, PerClass: true}
 	return []goldenDeployment{
-		{"alone", all, Station{Agents: 1, Sized: true}, LaunchPlan{Caps: caps, Guarded: 1}, votes, window, Licence{Probe: true}},
-		{"three", all, Station{Me: 1, Agents: 3, Zone: 1, WarmKeys: true, Sized: true}, LaunchPlan{Caps: caps, OneWay: true}, votes, byProduct, Licence{Tell: true}},
-		{"evaluator", all, Station{Agents: 40, WarmKeys: true, Report: Report{Busy: 1, Rate: 2, Held: 3}}, LaunchPlan{Caps: caps, Guarded: 2, InPlace: true}, votes, window, Licence{Probe: true, Tell: true, Ask: true}},
-		{"observer", all, Station{Agents: 40, Report: Report{Busy: 1, Rate: 2, Held: 3}}, LaunchPlan{Caps: caps, OneWay: true}, votes, window, Licence{Probe: true, Tell: true}},
-		{"counted", all, Station{Me: 7, Agents: 60, Sized: true}, LaunchPlan{Caps: caps}, share, window, Licence{Ask: true}},
-		{"timed", []Product{inquiry, keyed}, Station{Me: 2, Agents: 5, Sized: true}, LaunchPlan{Caps: caps}, timer, window, Licence{Tell: true, Probe: true}},
-		{"large", []Product{inquiry, once}, Station{Me: 2, Agents: 12, Sized: true}, LaunchPlan{Caps: []float64{0.2, 1}}, votes, window, Licence{Probe: true}},
+		{"alone", all, Instance{Agents: 1, HasWeights: true}, RolloutPlan{Caps: caps, GuardedStages: 1}, votes, window, Capabilities{HealthChecks: true}},
+		{"three", all, Instance{Index: 1, Agents: 3, Zone: 1, KeyAffinity: true, HasWeights: true}, RolloutPlan{Caps: caps, KeysNeverGoBack: true}, votes, byProduct, Capabilities{Gossip: true}},
+		{"evaluator", all, Instance{Agents: 40, KeyAffinity: true, LoadReport: LoadReportFormat{Utilization: 1, Rate: 2, InFlight: 3}}, RolloutPlan{Caps: caps, GuardedStages: 2, ReplacesInPlace: true}, votes, window, Capabilities{HealthChecks: true, Gossip: true, EndpointPolling: true}},
+		{"observer", all, Instance{Agents: 40, LoadReport: LoadReportFormat{Utilization: 1, Rate: 2, InFlight: 3}}, RolloutPlan{Caps: caps, KeysNeverGoBack: true}, votes, window, Capabilities{HealthChecks: true, Gossip: true}},
+		{"counted", all, Instance{Index: 7, Agents: 60, HasWeights: true}, RolloutPlan{Caps: caps}, share, window, Capabilities{EndpointPolling: true}},
+		{"timed", []RequestClass{inquiry, keyed}, Instance{Index: 2, Agents: 5, HasWeights: true}, RolloutPlan{Caps: caps}, timer, window, Capabilities{Gossip: true, HealthChecks: true}},
+		{"large", []RequestClass{inquiry, once}, Instance{Index: 2, Agents: 12, HasWeights: true}, RolloutPlan{Caps: []float64{0.2, 1}}, votes, window, Capabilities{HealthChecks: true}},
 	}
 }
 
@@ -53,10 +53,10 @@
 	digest   *golden.Digest
 	now      Micros
 	nextID   uint64
-	open     []Submit
-	probes   []Probe
+	open     []SendAttempt
+	probes   []CheckHealth
 	wakes    []Micros
-	rows     map[uint32]Row
+	rows     map[uint32]Endpoint
 	ids      []uint32
 	build    int
 	stage    int
@@ -70,18 +70,18 @@
 		s.orders++
 		s.digest.Add(o)
 		switch o := o.(type) {
-		case Submit:
+		case SendAttempt:
 			s.open = append(s.open, o)
-		case Probe:
+		case CheckHealth:
 			s.probes = append(s.probes, o)
-		case Wake:
+		case SetTimer:
 			s.wakes = append(s.wakes, o.At)
 		}
 	}
 }
 
-func (s *goldenStream) row(id uint32) Row {
-	row := Row{ID: id, Build: 1, Zone: int(id) % 3, State: Ready, Cell: int(id) % 5, Weight: 0.5 + float64(id%4)/2}
+func (s *goldenStream) row(id uint32) Endpoint {
+	row := Endpoint{ID: id, Build: 1, Zone: int(id) % 3, State: Ready, Cell: int(id) % 5, Weight: 0.5 + float64(id%4)/2}
 	if s.chance.Intn(3) == 0 {
 		row.Build = s.build
 	}
@@ -89,17 +89,17 @@
 		row.Started = s.now - Micros(s.chance.Int63n(int64(4*second)))
 	}
 	if s.chance.Intn(12) == 0 {
-		row.State = []State{Draining, Gone}[s.chance.Intn(2)]
+		row.State = []EndpointState{Draining, Gone}[s.chance.Intn(2)]
 	}
 	return row
 }
 
 func (s *goldenStream) list(full bool) {
-	l := Listed{Full: full}
+	l := EndpointUpdate{Full: full}
 	for _, id := range s.ids {
 		if full || s.chance.Intn(len(s.ids)) == 0 {
 			s.rows[id] = s.row(id)
-			l.Rows = append(l.Rows, s.rows[id])
+			l.Endpoints = append(l.Endpoints, s.rows[id])
 		}
 	}
 	s.give(l)
@@ -118,7 +118,7 @@
 			return
 		}
 		s.wakes = append(s.wakes[:least], s.wakes[least+1:]...)
-		s.give(Bell{})
+		s.give(TimerFired{})
 	}
 }
 
@@ -138,8 +138,8 @@
 	var raw []byte
 	for range 1 + s.chance.Intn(12) {
 		row := s.rows[s.ids[s.chance.Intn(len(s.ids))]]
-		n := told{Ended: Ended{Appliance: row.ID, Outcome: Outcome(s.chance.Intn(9)), Took: Micros(s.chance.Int63n(int64(400 * ms)))},
-			by: &appliance{Row: row}, product: s.chance.Intn(len(s.d.products)), held: float64(s.chance.Intn(6)) - 1}
+		n := told{AttemptResult: AttemptResult{EndpointID: row.ID, Outcome: Outcome(s.chance.Intn(9)), Elapsed: Micros(s.chance.Int63n(int64(400 * ms)))},
+			by: &appliance{Endpoint: row}, product: s.chance.Intn(len(s.d.products)), held: float64(s.chance.Intn(6)) - 1}
 		switch s.chance.Intn(10) {
 		case 0:
 			n.Outcome = turnedLine
@@ -168,15 +168,15 @@
 		s.nextID++
 		product := s.chance.Intn(len(s.d.products))
 		p := s.d.products[product]
-		t := Taken{ID: s.nextID, Product: product, Customer: s.chance.Intn(4), Expires: s.now + p.Expiry, Repeat: s.chance.Intn(6) == 0}
+		t := RequestArrived{ID: s.nextID, Class: product, Tenant: s.chance.Intn(4), Deadline: s.now + p.Timeout, IsRetry: s.chance.Intn(6) == 0}
 		if s.chance.Intn(2) == 0 {
 			t.Key = uint64(1 + s.chance.Intn(50))
 		}
 		if s.chance.Intn(3) == 0 {
-			t.Work = Micros(s.chance.Int63n(int64(60 * ms)))
+			t.CostHint = Micros(s.chance.Int63n(int64(60 * ms)))
 		}
 		if s.chance.Intn(5) == 0 {
-			t.Came = s.now - Micros(s.chance.Int63n(int64(50*ms)))
+			t.ArrivedAt = s.now - Micros(s.chance.Int63n(int64(50*ms)))
 		}
 		s.products[t.ID] = product
 		s.give(t)
@@ -188,13 +188,13 @@
 		o := s.open[i]
 		s.open = append(s.open[:i], s.open[i+1:]...)
 		how := s.outcome()
-		if s.rows[o.Appliance].Build == s.build && s.chance.Intn(4) == 0 {
-			how = Errored
+		if s.rows[o.EndpointID].Build == s.build && s.chance.Intn(4) == 0 {
+			how = ServerError
 		}
-		s.give(Ended{ID: o.ID, Appliance: o.Appliance, Outcome: how, Took: Micros(s.chance.Int63n(int64(150 * ms))), Over: how == OK, Load: s.load()})
+		s.give(AttemptResult{RequestID: o.RequestID, EndpointID: o.EndpointID, Outcome: how, Elapsed: Micros(s.chance.Int63n(int64(150 * ms))), RequestDone: how == OK, Load: s.load()})
 	case n < 84:
 		if s.nextID > 0 {
-			s.give(Abandoned{ID: 1 + uint64(s.chance.Int63n(int64(s.nextID)))})
+			s.give(RequestCancelled{RequestID: 1 + uint64(s.chance.Int63n(int64(s.nextID)))})
 		}
 	case n < 86:
 		s.list(s.chance.Intn(6) == 0)
@@ -202,10 +202,10 @@
 		if len(s.probes) > 0 {
 			p := s.probes[0]
 			s.probes = s.probes[1:]
-			s.give(Probed{Appliance: p.Appliance, Outcome: s.outcome(), Took: ms, Load: s.load()})
+			s.give(HealthCheckResult{EndpointID: p.EndpointID, Outcome: s.outcome(), Elapsed: ms, Load: s.load()})
 		}
 	case n < 93:
-		s.give(Heard{From: s.chance.Intn(s.d.station.Agents), Text: s.sheet()})
+		s.give(GossipReceived{From: s.chance.Intn(s.d.station.Agents), Payload: s.sheet()})
 	case n < 94:
 		if s.chance.Intn(3) == 0 {
 			s.stage = s.chance.Intn(len(s.d.plan.Caps))
@@ -213,21 +213,21 @@
 				s.build++
 			}
 		}
-		st := Staged{Build: s.build, Stage: s.stage, Cap: s.d.plan.Caps[s.stage], Age: Micros(s.chance.Int63n(int64(second)))}
+		st := RolloutUpdate{Build: s.build, Stage: s.stage, Cap: s.d.plan.Caps[s.stage], Age: Micros(s.chance.Int63n(int64(second)))}
 		if s.chance.Intn(6) == 0 {
 			st.Phase = Phase(s.chance.Intn(4))
 		}
 		if s.chance.Intn(5) == 0 {
-			st.Answer, st.Outcome = true, Outcome(s.chance.Intn(5))
+			st.IsVoteReply, st.Outcome = true, Outcome(s.chance.Intn(5))
 		}
 		s.give(st)
 	case n < 96:
 		many := 1 + s.chance.Intn(200)
-		s.give(Tallied{Build: s.build - s.chance.Intn(2), Product: s.chance.Intn(len(s.d.products)), Many: many, Lost: s.chance.Intn(many), Took: Micros(s.chance.Int63n(int64(200 * ms)))})
+		s.give(MetricsReport{Build: s.build - s.chance.Intn(2), Class: s.chance.Intn(len(s.d.products)), Requests: many, Failures: s.chance.Intn(many), MeanLatency: Micros(s.chance.Int63n(int64(200 * ms)))})
 	case n < 97:
-		s.give(Flagged{Appliance: s.ids[s.chance.Intn(len(s.ids))]})
+		s.give(ErrorReport{EndpointID: s.ids[s.chance.Intn(len(s.ids))]})
 	case n < 98:
-		s.give(Listed{Failed: true})
+		s.give(EndpointUpdate{Failed: true})
 	default:
 		s.now += Micros(s.chance.Int63n(int64(200 * ms)))
 	}
@@ -244,12 +244,12 @@
 			station := d.station
 			station.Seed = seed
 			if d.name == "evaluator" {
-				station.Me = lot(station.Agents, seats, ringSalt)[0]
+				station.Index = lot(station.Agents, seats, ringSalt)[0]
 			} else if d.name == "observer" {
-				station.Me = lot(station.Agents, station.Agents, ringSalt)[seats]
+				station.Index = lot(station.Agents, station.Agents, ringSalt)[seats]
 			}
-			s := &goldenStream{chance: rand.New(rand.NewSource(seed)), d: d, now: 1000 * second, build: 2, rows: map[uint32]Row{}, products: map[uint64]int{},
-				digest: golden.NewDigest(Submit{}, CallOff{}, Decline{}, Void{}, Wake{}, Probe{}, Tell{}, Watch{}, Vote{}, Say{})}
+			s := &goldenStream{chance: rand.New(rand.NewSource(seed)), d: d, now: 1000 * second, build: 2, rows: map[uint32]Endpoint{}, products: map[uint64]int{},
+				digest: golden.NewDigest(SendAttempt{}, CancelAttempt{}, Reject{}, Fail{}, SetTimer{}, CheckHealth{}, SendGossip{}, WatchEndpoints{}, Vote{}, LogMessage{})}
 			appliances := 9
 			if d.name == "large" {
 				appliances = 60
@@ -257,10 +257,10 @@
 			for id := range appliances {
 				s.ids = append(s.ids, uint32(101+id*7))
 			}
-			s.r = New(station, d.products, d.plan, d.polling, d.count, ColdStart{From: 0.3, Warm: 3 * second, Multiple: 2, After: 500 * ms},
-				Handover{MaxSubmissions: 3, MaxHoldOff: 2 * second}, d.may, Fares{CrossZone: 0.05})
+			s.r = New(station, d.products, d.plan, d.polling, d.count, SlowStart{InitialCapacity: 0.3, Duration: 3 * second, OverloadMultiple: 2, OverloadAfter: 500 * ms},
+				RetryLimits{MaxAttempts: 3, MaxRetryAfter: 2 * second}, d.may, CostWeights{CrossZone: 0.05})
 			s.list(true)
-			s.give(Staged{Build: 2, Cap: d.plan.Caps[0]})
+			s.give(RolloutUpdate{Build: 2, Cap: d.plan.Caps[0]})
 			for range goldenEvents {
 				s.now += Micros(s.chance.Int63n(int64(6 * ms)))
 				s.bells()
@@ -276,15 +276,15 @@
 func TestGoldenSheets(t *testing.T) {
 	var out strings.Builder
 	for i, n := range []told{
-		{Ended: Ended{Appliance: 0xa1b2c3d4, Outcome: OK, Took: 123456}, by: &appliance{Row: Row{Build: 7}}, product: 2, held: 3},
-		{Ended: Ended{Appliance: 5, Outcome: Spoilt, Took: 99 * second}, by: &appliance{Row: Row{Build: 258}}, product: 0, held: -1},
-		{Ended: Ended{Outcome: turnedLine}, by: &appliance{}},
-		{Ended: Ended{Appliance: 77, Outcome: wentLine}, by: &appliance{Row: Row{ID: 77}}},
+		{AttemptResult: AttemptResult{EndpointID: 0xa1b2c3d4, Outcome: OK, Elapsed: 123456}, by: &appliance{Endpoint: Endpoint{Build: 7}}, product: 2, held: 3},
+		{AttemptResult: AttemptResult{EndpointID: 5, Outcome: Malformed, Elapsed: 99 * second}, by: &appliance{Endpoint: Endpoint{Build: 258}}, product: 0, held: -1},
+		{AttemptResult: AttemptResult{Outcome: turnedLine}, by: &appliance{}},
+		{AttemptResult: AttemptResult{EndpointID: 77, Outcome: wentLine}, by: &appliance{Endpoint: Endpoint{ID: 77}}},
 	} {
 		fmt.Fprintf(&out, "line %d: %x\n", i, putLine(nil, n))
 	}
 	j := &judge{wave: wave{build: 300, stage: 4}}
-	for v := NoVote; v <= Back; v++ {
+	for v := NoVote; v <= RollBack; v++ {
 		fmt.Fprintf(&out, "word %d: %x\n", v, j.wordFor(v))
 	}
 	for _, id := range []uint32{0, 1, 77, 0xffffffff} {
--- a/internal/policy/loop.go
+++ b/internal/policy/loop.go
@@ -12,9 +12,9 @@
 )
 
 // Handle hands an event to the parts, empties the inboxes, and sees that a bell is asked for.
-func (g *agent) Handle(now Micros, ev Event) []Order {
+func (g *agent) Handle(now Micros, ev Event) []Command {
 	g.now, g.out = now, nil
-	_, ring := ev.(Bell)
+	_, ring := ev.(TimerFired)
 	if ring = ring && now >= g.due; g.began < 0 {
 		g.began, ring = now, true
 	}
@@ -29,7 +29,7 @@
 	next := now + g.desk.rest()
 	if ring || next < g.due {
 		g.due = next
-		g.give(Wake{At: next})
+		g.give(SetTimer{At: next})
 	}
 	return g.out
 }
@@ -68,7 +68,7 @@
 	take(note)
 }
 
-func (l *line) give(o Order) { l.out = append(l.out, o) }
+func (l *line) give(o Command) { l.out = append(l.out, o) }
 
 // upTo is a random span below the given one.
 func (l *line) upTo(span Micros) Micros { return Micros(l.chance.Int63n(int64(span))) }
@@ -109,7 +109,7 @@
 
 // slot is the ledger that counts for a product.
 func (d *desk) slot(product int) *[]entry {
-	if d.count.ByProduct {
+	if d.count.PerClass {
 		return &d.ledger[product]
 	}
 	return &d.ledger[0]
@@ -144,11 +144,11 @@
 // take keeps the records by the list and hands on what concerns a single one.
 func (f *fleet) take(n note) {
 	switch n := n.(type) {
-	case Listed:
+	case EndpointUpdate:
 		for _, a := range f.all {
 			a.listed = a.listed && !n.Full
 		}
-		for _, row := range n.Rows {
+		for _, row := range n.Endpoints {
 			a := f.byID[row.ID]
 			if a == nil {
 				a = &appliance{line: f.line, fleet: f, probes: f.probes, cold: f.cold, points: points(row.ID, f.points, f.salt)}
@@ -159,7 +159,7 @@
 			a.put(row)
 		}
 		for _, a := range f.all {
-			if row := a.Row; !a.listed && a.State != Gone {
+			if row := a.Endpoint; !a.listed && a.State != Gone {
 				row.State = Gone
 				a.put(row)
 			}
@@ -177,8 +177,8 @@
 				a.put(n)
 			}
 		}
-	case Probed:
-		if a := f.byID[n.Appliance]; a != nil {
+	case HealthCheckResult:
+		if a := f.byID[n.EndpointID]; a != nil {
 			a.put(n)
 		}
 	}
@@ -195,13 +195,13 @@
 }
 
 // hear keeps the launcher's news and tells whether build, stage or phase are new.
-func (w *wave) hear(n Staged) bool {
-	if n.Answer && n.Outcome != OK {
+func (w *wave) hear(n RolloutUpdate) bool {
+	if n.IsVoteReply && n.Outcome != OK {
 		return false
 	}
 	fresh := n.Build != w.build || n.Stage != w.stage || n.Phase != w.phase
 	w.build, w.stage, w.phase, w.cap = n.Build, n.Stage, n.Phase, n.Cap
-	w.spoiled[n.Build] = n.Phase == GoingBack || n.Phase == Withdrawn
+	w.spoiled[n.Build] = n.Phase == RollingBack || n.Phase == RolledBack
 	return fresh
 }
 
@@ -256,9 +256,9 @@
 const lineBytes, turnedLine, wordLine, wentLine = 10, 0xff, 0xfe, 0xfd
 
 func putLine(to []byte, n told) []byte {
-	to = binary.LittleEndian.AppendUint32(to, n.Appliance)
+	to = binary.LittleEndian.AppendUint32(to, n.EndpointID)
 	to = append(to, byte(n.by.Build), byte(n.product), byte(n.Outcome))
-	to = binary.LittleEndian.AppendUint16(to, uint16(min(max(0, n.Took/ms), math.MaxUint16)))
+	to = binary.LittleEndian.AppendUint16(to, uint16(min(max(0, n.Elapsed/ms), math.MaxUint16)))
 	return append(to, byte(min(max(0, n.held+1), math.MaxUint8))) // 0: it does not say
 }
 
@@ -278,11 +278,11 @@
 			out = append(out, went{to: a, peer: true})
 			continue
 		}
-		if a == nil || byte(a.Build) != sheet[4] || p >= len(j.products) || sheet[6] > byte(Spoilt) {
+		if a == nil || byte(a.Build) != sheet[4] || p >= len(j.products) || sheet[6] > byte(Malformed) {
 			continue
 		}
-		out = append(out, told{Ended: Ended{Appliance: a.ID, Outcome: Outcome(sheet[6]),
-			Took: Micros(binary.LittleEndian.Uint16(sheet[7:])) * ms}, by: a, product: p, sla: j.products[p].SLA, peer: true, held: float64(sheet[9]) - 1})
+		out = append(out, told{AttemptResult: AttemptResult{EndpointID: a.ID, Outcome: Outcome(sheet[6]),
+			Elapsed: Micros(binary.LittleEndian.Uint16(sheet[7:])) * ms}, by: a, product: p, sla: j.products[p].LatencyObjective, peer: true, held: float64(sheet[9]) - 1})
 	}
 	return out
 }
@@ -319,7 +319,7 @@
 func (j *judge) toll(text []byte) {
 	for i := range j.agents {
 		if i != j.me {
-			j.give(Tell{To: i, Text: text})
+			j.give(SendGossip{To: i, Payload: text})
 		}
 	}
 }
@@ -335,9 +335,9 @@
 
 // most is what more than half of the bench hold of this stage, if their words are new enough.
 func (j *judge) most() (Verdict, bool) {
-	var says [Back + 1]int
+	var says [RollBack + 1]int
 	for _, w := range j.words {
-		if w.build == j.build && (w.stage == j.stage || w.verdict == Back) && w.verdict <= Back && j.now-w.at < wordLasts {
+		if w.build == j.build && (w.stage == j.stage || w.verdict == RollBack) && w.verdict <= RollBack && j.now-w.at < wordLasts {
 			says[max(0, w.verdict)]++
 		}
 	}
@@ -352,7 +352,7 @@
 func (j *judge) send() {
 	for _, i := range j.bench {
 		if i != j.me {
-			j.give(Tell{To: i, Text: j.sheet})
+			j.give(SendGossip{To: i, Payload: j.sheet})
 		}
 	}
 	j.sheet = nil
@@ -368,14 +368,14 @@
 func (z *zone) open() bool { return float64(z.out+1) <= z.limit }
 
 // New puts an agent's parts together from what it is told at its start.
-func New(st Station, products []Product, plan LaunchPlan, polling Polling, count Exposure, cold ColdStart,
-	hand Handover, may Licence, fares Fares) Router {
+func New(st Instance, products []RequestClass, plan RolloutPlan, polling VotingRules, count ExposureLimit, cold SlowStart,
+	hand RetryLimits, may Capabilities, fares CostWeights) Router {
 	g := &agent{line: &line{chance: rand.New(rand.NewSource(st.Seed)), began: -1}}
-	g.fleet = &fleet{line: g.line, byID: map[uint32]*appliance{}, probes: may.Probe, cold: cold, sized: st.Sized,
+	g.fleet = &fleet{line: g.line, byID: map[uint32]*appliance{}, probes: may.HealthChecks, cold: cold, sized: st.HasWeights,
 		points: ringPoints, salt: ringSalt, carries: 1, least: 1 / float64(st.Agents)} // one open of all agents together
 	g.judge = &judge{line: g.line, wave: wave{spoiled: map[int]bool{}, plan: plan}, fleet: g.fleet,
-		polling: polling, products: products, agents: st.Agents, me: st.Me, earlier: make([]sampled, len(products)), share: 1, calmShare: 1, calm: make([]float64, len(products)), calmSeen: make([]float64, len(products))}
-	if may.Tell {
+		polling: polling, products: products, agents: st.Agents, me: st.Index, earlier: make([]sampled, len(products)), share: 1, calmShare: 1, calm: make([]float64, len(products)), calmSeen: make([]float64, len(products))}
+	if may.Gossip {
 		g.judge.seat(st)
 	}
 	g.desk = &desk{line: g.line, wave: wave{spoiled: map[int]bool{}, plan: plan}, fleet: g.fleet, judge: g.judge,
@@ -383,9 +383,9 @@
 		fare: fares.CrossZone, ledger: make([][]entry, len(products)),
 		blame: map[int]float64{}, txns: map[uint64]*txn{}, gone: map[uint64]parting{}, returns: returnsFirst, bound: map[uint64]int{}, recent: map[uint64]popular{}}
 	for _, p := range products {
-		g.desk.usual = max(g.desk.usual, float64(p.SLA)/4) // until txns tell
+		g.desk.usual = max(g.desk.usual, float64(p.LatencyObjective)/4) // until txns tell
 	}
-	g.lister = &lister{line: g.line, ask: may.Ask}
+	g.lister = &lister{line: g.line, ask: may.EndpointPolling}
 	g.parts = []part{g.fleet, g.judge, g.desk, g.lister}
 	return g
 }
@@ -401,7 +401,7 @@
 
 // expect counts those turned away who have not come back in the time that they had.
 func (d *desk) expect() {
-	for len(d.left) > 0 && d.left[0].at < d.now-d.hand.MaxHoldOff-backWithin {
+	for len(d.left) > 0 && d.left[0].at < d.now-d.hand.MaxRetryAfter-backWithin {
 		if last := d.left[0]; d.gone[last.who] == last {
 			delete(d.gone, last.who)
 			d.returns *= 1 - returnFade
@@ -422,10 +422,10 @@
 	p := n.product
 	if j.calmNow() {
 		j.calmSeen[p]++
-		j.calm[p] += (float64(n.Took) - j.calm[p]) * max(calmFade, 1/j.calmSeen[p])
+		j.calm[p] += (float64(n.Elapsed) - j.calm[p]) * max(calmFade, 1/j.calmSeen[p])
 	}
 	if j.calmSeen[p] >= leastSeen {
-		j.times = append(j.times, float64(n.Took)/j.calm[p])
+		j.times = append(j.times, float64(n.Elapsed)/j.calm[p])
 		j.times = j.times[max(0, len(j.times)-j.lasts()):]
 	}
 }
@@ -510,11 +510,11 @@
 // take keeps an appliance's counts and hands its notes to what decides on them.
 func (a *appliance) take(n note) {
 	switch n := n.(type) {
-	case Row:
+	case Endpoint:
 		if n.Started != a.Started || n.Build != a.Build || n.State == Gone || a.limit == 0 {
 			a.health, a.sends = health{limit: firstLimit}, nil
 		}
-		a.Row = n
+		a.Endpoint = n
 	case sent:
 		if a.sla = n.sla; a.out == 0 {
 			a.waits = a.now
@@ -541,11 +541,11 @@
 			a.said, a.fails, a.late, a.lag, a.spoke = 0, 0, 0, 0, false
 		}
 	case beat:
-		for len(a.sends) > 0 && a.sends[0].at <= a.now-a.cold.After {
+		for len(a.sends) > 0 && a.sends[0].at <= a.now-a.cold.OverloadAfter {
 			a.sends = a.sends[1:]
 		}
 		a.ask()
-	case Probed:
+	case HealthCheckResult:
 		a.answered(n.Outcome)
 	}
 }
@@ -555,25 +555,25 @@
 // take keeps the desk's books and hands its notes to what decides on them.
 func (d *desk) take(n note) {
 	switch n := n.(type) {
-	case Taken:
-		t := &txn{Taken: n, at: cmp.Or(n.Came, d.now)}
+	case RequestArrived:
+		t := &txn{RequestArrived: n, at: cmp.Or(n.ArrivedAt, d.now)}
 		h := cmp.Or(n.Key, n.ID)
 		t.fraction = float64(mix(h^sliceSalt)>>11) / (1 << 53)
-		t.who = mix(mix(h+uint64(n.Product)) + uint64(n.Customer))
+		t.who = mix(mix(h+uint64(n.Class)) + uint64(n.Tenant))
 		d.meet(t)
 		t.spot = d.spot(t)
 		d.txns[n.ID] = t
-		d.enter(n.Product, takenMark)
+		d.enter(n.Class, takenMark)
 		d.route(t)
-	case Ended:
+	case AttemptResult:
 		d.ended(n)
-	case Abandoned:
-		d.close(d.txns[n.ID])
-	case Staged:
+	case RequestCancelled:
+		d.close(d.txns[n.RequestID])
+	case RolloutUpdate:
 		d.hear(n) // a lower cap binds at once, and what was sent before still counts: never too much
 	case beat:
 		d.expect()
-		worth := func(i int) float64 { return d.products[d.held[i].Product].Revenue }
+		worth := func(i int) float64 { return d.products[d.held[i].Class].PriorityWeight }
 		sort.SliceStable(d.held, func(i, j int) bool { return worth(i) > worth(j) })
 		for _, t := range d.held {
 			d.put(t) // one note each: appliances read their mail in between, or all would go to one
@@ -585,21 +585,21 @@
 }
 
 // entitle makes an ending the note that appliance and judge get; the txn is none where it was over before.
-func (d *desk) entitle(n Ended, a *appliance, t *txn) (told, *txn) {
-	if t != nil && n.Outcome == OK && d.plan.OneWay && t.Key != 0 && a.Build > d.bound[t.Key] {
+func (d *desk) entitle(n AttemptResult, a *appliance, t *txn) (told, *txn) {
+	if t != nil && n.Outcome == OK && d.plan.KeysNeverGoBack && t.Key != 0 && a.Build > d.bound[t.Key] {
 		d.bound[t.Key] = a.Build
 	}
 	if t != nil && t.closed {
-		delete(d.txns, n.ID)
+		delete(d.txns, n.RequestID)
 		t = nil
 	}
-	k := told{Ended: n, by: a, product: -1, held: -1}
-	if at := d.post.Report.Held; at > 0 && at <= len(n.Load) {
+	k := told{AttemptResult: n, by: a, product: -1, held: -1}
+	if at := d.post.LoadReport.InFlight; at > 0 && at <= len(n.Load) {
 		k.held = float64(n.Load[at-1])
 	}
 	_, _, k.trial = d.capped(a.Build)
 	if t != nil {
-		k.product, k.sla = t.Product, d.products[t.Product].SLA
+		k.product, k.sla = t.Class, d.products[t.Class].LatencyObjective
 		k.own = d.owns(t, n.Outcome, k.trial)
 	}
 	return k, t
@@ -608,16 +608,16 @@
 // take hands the judge's notes to what decides on them.
 func (j *judge) take(n note) {
 	switch n := n.(type) {
-	case Heard:
-		if len(n.Text) == digestBytes && slices.Contains(j.bench, n.From) {
-			j.fleet.digest, j.fleet.digestAt = n.Text, j.now
+	case GossipReceived:
+		if len(n.Payload) == digestBytes && slices.Contains(j.bench, n.From) {
+			j.fleet.digest, j.fleet.digestAt = n.Payload, j.now
 			return
 		}
-		for _, l := range j.lines(n.From, n.Text) {
+		for _, l := range j.lines(n.From, n.Payload) {
 			j.put(l)
 		}
-	case Staged:
-		if n.Answer && n.Outcome != OK {
+	case RolloutUpdate:
+		if n.IsVoteReply && n.Outcome != OK {
 			j.refused(n.Outcome)
 		}
 		same := n.Build == j.build && (n.Stage == j.stage || j.polls())
@@ -646,20 +646,20 @@
 		}
 	case went:
 		if n.to.put(n); !n.peer && j.shares {
-			j.pass(told{Ended: Ended{Appliance: n.to.ID, Outcome: wentLine}, by: n.to})
+			j.pass(told{AttemptResult: AttemptResult{EndpointID: n.to.ID, Outcome: wentLine}, by: n.to})
 		}
 	case turned:
 		if !n.peer {
-			j.pass(told{Ended: Ended{Outcome: turnedLine}, by: &appliance{}})
+			j.pass(told{AttemptResult: AttemptResult{Outcome: turnedLine}, by: &appliance{}})
 		}
 		j.inTime(false)
-	case Tallied:
-		j.counted = j.polling.Tally > 0
-		if j.polls() && n.Many > 0 && n.Product < len(j.products) && n.Build <= j.build && !j.spoiled[n.Build] {
+	case MetricsReport:
+		j.counted = j.polling.MetricsInterval > 0
+		if j.polls() && n.Requests > 0 && n.Class < len(j.products) && n.Build <= j.build && !j.spoiled[n.Build] {
 			j.tallies = append(j.tallies, n)
 		}
-	case Flagged:
-		if a := j.fleet.byID[n.Appliance]; a != nil {
+	case ErrorReport:
+		if a := j.fleet.byID[n.EndpointID]; a != nil {
 			j.weigh(a, failures, true)
 		}
 	case beat:
@@ -675,13 +675,13 @@
 
 // seat: where agents are more than seats and may tell each other, a few judge on the outcomes of all. Each
 // alone sees too little, and of hundreds the one with the worst luck would decide.
-func (j *judge) seat(st Station) {
+func (j *judge) seat(st Instance) {
 	if st.Agents <= seats {
 		return
 	}
 	j.bench = lot(st.Agents, seats, ringSalt)
-	j.shares = st.Report.Held > 0
-	j.sits, j.words = slices.Contains(j.bench, st.Me), make([]word, seats)
+	j.shares = st.LoadReport.InFlight > 0
+	j.sits, j.words = slices.Contains(j.bench, st.Index), make([]word, seats)
 }
 
 // load is what all ready appliances hold, and their weight.
@@ -719,7 +719,7 @@
 
 // speak tells the others what this one of the bench holds.
 func (j *judge) speak(v Verdict) {
-	if v != j.holds || (v != NoVote || j.phase == OnTrial) && j.now >= j.wordAt+wordEvery {
+	if v != j.holds || (v != NoVote || j.phase == Evaluating) && j.now >= j.wordAt+wordEvery {
 		j.holds, j.wordAt = v, j.now
 		j.toll(j.wordFor(v))
 	}
@@ -737,7 +737,7 @@
 }
 
 // besides tells whether a count is of what the build on trial is held against.
-func (j *judge) besides(n Tallied) bool { return n.Build < j.build || j.settled() }
+func (j *judge) besides(n MetricsReport) bool { return n.Build < j.build || j.settled() }
 
 // period keeps what the launcher counted in one: of the earlier builds, fading, and how many those are now; of all,
 // against the calm.
@@ -748,15 +748,15 @@
 	}
 	at, took, calm, many := 0.0, 0.0, 0.0, 0.0
 	for _, n := range j.tallies {
-		e, good := &j.earlier[n.Product], float64(n.Many-n.Lost)
-		many += float64(n.Many)
-		at += float64(n.Many) * one(n.Build == j.build)
-		if j.calmSeen[n.Product] >= leastSeen {
-			took, calm = took+good*float64(n.Took), calm+good*j.calm[n.Product]
+		e, good := &j.earlier[n.Class], float64(n.Requests-n.Failures)
+		many += float64(n.Requests)
+		at += float64(n.Requests) * one(n.Build == j.build)
+		if j.calmSeen[n.Class] >= leastSeen {
+			took, calm = took+good*float64(n.MeanLatency), calm+good*j.calm[n.Class]
 		}
 		if j.besides(n) {
-			*e = sampled{e.many + float64(n.Many), e.lost + float64(n.Lost), e.took + good*float64(n.Took)}
-			beside += float64(n.Many)
+			*e = sampled{e.many + float64(n.Requests), e.lost + float64(n.Failures), e.took + good*float64(n.MeanLatency)}
+			beside += float64(n.Requests)
 		}
 	}
 	j.sampleMiddle, j.sampleDose, j.in = took/max(1, calm), at/many, many
--- a/internal/policy/record.go
+++ b/internal/policy/record.go
@@ -29,7 +29,7 @@
 		sla  Micros
 	} // a submission is on its way to this appliance
 	told struct { // an outcome, with the record of the appliance that gave it
-		Ended
+		AttemptResult
 		by      *appliance
 		product int     // -1: the txn is over and forgotten
 		trial   bool    // its build is on trial
@@ -49,7 +49,7 @@
 type line struct {
 	now, began Micros
 	chance     *rand.Rand
-	out        []Order
+	out        []Command
 	mail       []*appliance // those with notes to read
 }
 
@@ -70,7 +70,7 @@
 	byID     map[uint32]*appliance
 	all      []*appliance
 	probes   bool
-	cold     ColdStart
+	cold     SlowStart
 	least    float64 // the lowest limit of one core
 	carries  float64 // the txns that a warm appliance does at one time: one core's where no report shows more
 	digest   []byte  // which appliances the bench last called busy
@@ -86,13 +86,13 @@
 type appliance struct {
 	inbox
 	*line
-	Row
+	Endpoint
 	fleet  *fleet
 	listed bool
 	queued bool // in the loop's mail
 	points []uint64
 	probes bool
-	cold   ColdStart
+	cold   SlowStart
 	out    int    // own submissions that have no outcome yet
 	sends  []load // own submissions while it was cold
 	health
@@ -127,7 +127,7 @@
 
 // wave is what a part knows of the release in hand.
 type wave struct {
-	plan         LaunchPlan
+	plan         RolloutPlan
 	build, stage int
 	phase        Phase
 	cap          float64
@@ -135,15 +135,15 @@
 }
 
 type txn struct {
-	Taken
+	RequestArrived
 	at, sentAt Micros
 	fraction   float64
 	spot, who  uint64 // its place on the ring; its key, product and customer
 	on         *appliance
 	seq, errs  int
-	closed     bool   // answered or abandoned, with a submission still out
-	ran        *Row   // where it may have run first
-	forgets    Micros // when its group forgets what may have run; 0: it has none, or nothing has
+	closed     bool      // answered or abandoned, with a submission still out
+	ran        *Endpoint // where it may have run first
+	forgets    Micros    // when its group forgets what may have run; 0: it has none, or nothing has
 	tried      []*appliance
 }
 
@@ -169,11 +169,11 @@
 	wave
 	fleet    *fleet
 	judge    *judge
-	post     Station
-	products []Product
-	hand     Handover
-	cold     ColdStart
-	count    Exposure
+	post     Instance
+	products []RequestClass
+	hand     RetryLimits
+	cold     SlowStart
+	count    ExposureLimit
 	fare     float64 // of a submission to another zone
 	zones    []*zone // by their index
 	ledger   [][]entry
@@ -203,17 +203,17 @@
 	*line
 	wave
 	fleet                                *fleet
-	polling                              Polling
+	polling                              VotingRules
 	since                                Micros // the stage's start, or this agent's if later
 	seen                                 int
-	sum                                  float64   // of failures, over all of the build's appliances
-	tallies                              []Tallied // not weighed yet
-	counted                              bool      // a count has come
-	earlier                              []sampled // by product: what the launcher counted of earlier builds, fading
+	sum                                  float64         // of failures, over all of the build's appliances
+	tallies                              []MetricsReport // not weighed yet
+	counted                              bool            // a count has come
+	earlier                              []sampled       // by product: what the launcher counted of earlier builds, fading
 	polled                               int
 	poll                                 float64    // what its counts say against the build
 	good, bad                            [2]float64 // the earlier build's outcomes, fading
-	products                             []Product
+	products                             []RequestClass
 	bench                                []int // the agents who judge for all; none where each judges alone
 	me, agents                           int
 	sits                                 bool   // this agent is one of them
@@ -268,9 +268,9 @@
 const takenMark = -1 // an entry of the ledger that is a txn taken
 
 // forgets is when the group forgets a txn of this product that was sent at a time; 0: it has none.
-func (p *Product) forgets(sent Micros) Micros {
-	if p.Effect != Referenced {
+func (p *RequestClass) forgets(sent Micros) Micros {
+	if p.Idempotency != Keyed {
 		return 0
 	}
-	return sent + p.Memory
+	return sent + p.DedupWindow
 }
--- a/internal/policy/scenario_test.go
+++ b/internal/policy/scenario_test.go
@@ -37,18 +37,18 @@
 	r      Router
 	now    Micros
 	words  map[string]string
-	prods  []Product
+	prods  []RequestClass
 	builds map[uint32]int
 	on     map[uint64]uint32
 	wakes  []Micros
 	load   []float32 // the report that comes with an ending
-	log    []Order   // all orders
+	log    []Command // all orders
 	since  int       // where the last event's begin
 	checks int
 }
 
-var outcomeWords = map[string]Outcome{"ok": OK, "error": Errored, "full": TurnedOff, "timeout": TimedOut,
-	"noconnect": NoConnect, "broken": Broken, "cancelled": CalledOff, "moot": Moot, "spoilt": Spoilt}
+var outcomeWords = map[string]Outcome{"ok": OK, "error": ServerError, "full": Rejected, "timeout": TimedOut,
+	"noconnect": ConnectFailed, "broken": ConnectionLost, "cancelled": Cancelled, "moot": NotAttempted, "spoilt": Malformed}
 
 func play(t *testing.T, file string) *stage {
 	in, err := os.Open(file)
@@ -100,10 +100,10 @@
 		s.words = opts(w[1:])
 	case "product":
 		m := opts(w[2:])
-		s.prods = append(s.prods, Product{Effect: map[string]Effect{"inquiry": InquiryLike, "referenced": Referenced,
-			"once": OnceOnly}[w[1]], Group: map[string]Scope{"": ScopeAll, "zone": ScopeZone, "cell": ScopeCell}[m["group"]],
-			Memory: Micros(s.val(m, "memory", 0)) * ms, SLA: Micros(s.val(m, "sla", 1000)) * ms,
-			Expiry: Micros(s.val(m, "expiry", 3000)) * ms, Revenue: s.val(m, "revenue", 1)})
+		s.prods = append(s.prods, RequestClass{Idempotency: map[string]Idempotency{"inquiry": Idempotent, "referenced": Keyed,
+			"once": NonIdempotent}[w[1]], DedupScope: map[string]DedupScope{"": DedupAll, "zone": DedupZone, "cell": DedupCell}[m["group"]],
+			DedupWindow: Micros(s.val(m, "memory", 0)) * ms, LatencyObjective: Micros(s.val(m, "sla", 1000)) * ms,
+			Timeout: Micros(s.val(m, "expiry", 3000)) * ms, PriorityWeight: s.val(m, "revenue", 1)})
 	case ">":
 		s.expect(w[1:])
 	default:
@@ -122,14 +122,14 @@
 		m["me"] = strconv.Itoa(s.seat(n))
 	}
 	span := func(k string, def float64) Micros { return Micros(s.val(m, k, def)) * ms }
-	s.r = New(Station{Me: int(s.val(m, "me", 0)), Agents: int(s.val(m, "agents", 1)), Seed: 7, WarmKeys: m["warmkeys"] != "",
-		Sized: m["unsized"] == "", Report: map[string]Report{"1": {Busy: 1, Rate: 2}, "": {Held: int(s.val(m, "holds", 0))}}[m["reports"]]}, s.prods,
-		LaunchPlan{Caps: caps, Guarded: int(s.val(m, "guarded", 0)), OneWay: m["oneway"] != "", InPlace: m["inplace"] != ""},
-		Polling{Ballot: map[string]Ballot{"": BallotAny, "share": BallotShare, "timer": BallotTimer}[m["ballot"]],
-			Stands: span("stands", 4000), Tally: span("tally", 0), ToGo: int(s.val(m, "togo", 0)), ToGoBack: int(s.val(m, "togoback", 1)), CallsPerS: s.val(m, "calls", 0)},
-		Exposure{Window: span("window", 4000), Free: s.val(m, "free", 3), ByProduct: m["byproduct"] != ""},
-		ColdStart{From: s.val(m, "from", 0.3), Warm: span("warm", 5000), Multiple: s.val(m, "multiple", 2), After: span("after", 1500)},
-		Handover{MaxSubmissions: int(s.val(m, "max", 3))}, Licence{Ask: m["ask"] != "", Probe: m["probe"] != "", Tell: m["tell"] != ""}, Fares{})
+	s.r = New(Instance{Index: int(s.val(m, "me", 0)), Agents: int(s.val(m, "agents", 1)), Seed: 7, KeyAffinity: m["warmkeys"] != "",
+		HasWeights: m["unsized"] == "", LoadReport: map[string]LoadReportFormat{"1": {Utilization: 1, Rate: 2}, "": {InFlight: int(s.val(m, "holds", 0))}}[m["reports"]]}, s.prods,
+		RolloutPlan{Caps: caps, GuardedStages: int(s.val(m, "guarded", 0)), KeysNeverGoBack: m["oneway"] != "", ReplacesInPlace: m["inplace"] != ""},
+		VotingRules{Rule: map[string]VotingRule{"": AnyVote, "share": VoteShare, "timer": TimedStages}[m["ballot"]],
+			VoteLifetime: span("stands", 4000), MetricsInterval: span("tally", 0), VotesToAdvance: int(s.val(m, "togo", 0)), VotesToRollBack: int(s.val(m, "togoback", 1)), CallsPerSecond: s.val(m, "calls", 0)},
+		ExposureLimit{Window: span("window", 4000), Allowance: s.val(m, "free", 3), PerClass: m["byproduct"] != ""},
+		SlowStart{InitialCapacity: s.val(m, "from", 0.3), Duration: span("warm", 5000), OverloadMultiple: s.val(m, "multiple", 2), OverloadAfter: span("after", 1500)},
+		RetryLimits{MaxAttempts: int(s.val(m, "max", 3))}, Capabilities{EndpointPolling: m["ask"] != "", HealthChecks: m["probe"] != "", Gossip: m["tell"] != ""}, CostWeights{})
 }
 
 // seat is the number of one of the bench; a number over the seats is another agent.
@@ -144,11 +144,11 @@
 func (s *stage) give(ev Event) {
 	for _, o := range s.r.Handle(s.now, ev) {
 		switch o := o.(type) {
-		case Wake:
+		case SetTimer:
 			s.wakes = append(s.wakes, o.At)
 			continue
-		case Submit:
-			s.on[o.ID] = o.Appliance
+		case SendAttempt:
+			s.on[o.RequestID] = o.EndpointID
 		}
 		s.log = append(s.log, o)
 	}
@@ -161,7 +161,7 @@
 	s.since = len(s.log)
 	for len(s.wakes) > 0 && s.wakes[0] <= at {
 		s.now, s.wakes = max(s.now, s.wakes[0]), s.wakes[1:]
-		s.give(Bell{})
+		s.give(TimerFired{})
 	}
 	s.now = at
 }
@@ -170,7 +170,7 @@
 	switch what {
 	case "wait":
 	case "list":
-		l := Listed{Full: w[0] == "full", Failed: w[0] == "failed"}
+		l := EndpointUpdate{Full: w[0] == "full", Failed: w[0] == "failed"}
 		var rows []string
 		for _, x := range w[1:] { // first..last/build/zone is a row each
 			first, rest, many := strings.Cut(x, "..")
@@ -184,24 +184,24 @@
 		}
 		for _, x := range rows { // id/build/zone, then - draining, ! gone, @ms started
 			x, started, _ := strings.Cut(x, "@")
-			row := Row{State: Ready, Weight: 1}
+			row := Endpoint{State: Ready, Weight: 1}
 			if started != "" {
 				row.Started = Micros(s.num(started)) * ms
 			}
 			if y := strings.TrimRight(x, "-!"); y != x {
-				row.State = map[string]State{"-": Draining, "!": Gone}[x[len(y):]]
+				row.State = map[string]EndpointState{"-": Draining, "!": Gone}[x[len(y):]]
 				x = y
 			}
 			p := strings.Split(x, "/")
 			row.ID, row.Build, row.Zone = uint32(s.num(p[0])), int(s.num(p[1])), int(s.num(p[2]))
 			s.builds[row.ID] = row.Build
-			l.Rows = append(l.Rows, row)
+			l.Endpoints = append(l.Endpoints, row)
 		}
 		s.give(l)
 	case "stage": // build stage phase cap, then the outcome if it answers a vote
-		n := Staged{Build: int(s.num(w[0])), Stage: int(s.num(w[1])), Cap: s.num(w[3]), Phase: map[string]Phase{
-			"trial": OnTrial, "back": GoingBack, "released": Released, "withdrawn": Withdrawn}[w[2]]}
-		if n.Answer = len(w) > 4; n.Answer {
+		n := RolloutUpdate{Build: int(s.num(w[0])), Stage: int(s.num(w[1])), Cap: s.num(w[3]), Phase: map[string]Phase{
+			"trial": Evaluating, "back": RollingBack, "released": Released, "withdrawn": RolledBack}[w[2]]}
+		if n.IsVoteReply = len(w) > 4; n.IsVoteReply {
 			n.Outcome = outcomeWords[w[4]]
 		}
 		s.give(n)
@@ -222,36 +222,36 @@
 			}
 		}
 	case "abandon":
-		s.give(Abandoned{ID: uint64(s.num(w[0]))})
+		s.give(RequestCancelled{RequestID: uint64(s.num(w[0]))})
 	case "heard": // APPLIANCE OUTCOME TIMES took=, a sheet from a peer
 		for n := s.num(w[2]); n > 0; n-- {
 			a := uint32(s.num(w[0]))
-			s.give(Heard{From: 1, Text: putLine(nil, told{Ended: Ended{Appliance: a, Outcome: outcomeWords[w[1]],
-				Took: Micros(s.val(opts(w), "took", 50)) * ms}, by: &appliance{Row: Row{Build: s.builds[a]}}})})
+			s.give(GossipReceived{From: 1, Payload: putLine(nil, told{AttemptResult: AttemptResult{EndpointID: a, Outcome: outcomeWords[w[1]],
+				Elapsed: Micros(s.val(opts(w), "took", 50)) * ms}, by: &appliance{Endpoint: Endpoint{Build: s.builds[a]}}})})
 		}
 	case "probed":
-		s.give(Probed{Appliance: uint32(s.num(w[0])), Outcome: outcomeWords[w[1]]})
+		s.give(HealthCheckResult{EndpointID: uint32(s.num(w[0])), Outcome: outcomeWords[w[1]]})
 	case "digest": // SEAT ID,ID..: those that one of the bench calls busy
 		text := make([]byte, digestBytes)
 		for _, id := range strings.Split(w[1], ",") {
 			at, bit := spotOf(uint32(s.num(id)))
 			text[at] |= bit
 		}
-		s.give(Heard{From: s.seat(w[0]), Text: text})
+		s.give(GossipReceived{From: s.seat(w[0]), Payload: text})
 	case "went": // ID TIMES, a peer's submissions
 		for n := s.num(w[1]); n > 0; n-- {
-			s.give(Heard{From: 1, Text: putLine(nil, told{Ended: Ended{Appliance: uint32(s.num(w[0])), Outcome: wentLine}, by: &appliance{}})})
+			s.give(GossipReceived{From: 1, Payload: putLine(nil, told{AttemptResult: AttemptResult{EndpointID: uint32(s.num(w[0])), Outcome: wentLine}, by: &appliance{}})})
 		}
 	case "tally": // BUILD PRODUCT MANY LOST took=
-		s.give(Tallied{Build: int(s.num(w[0])), Product: int(s.num(w[1])), Many: int(s.num(w[2])), Lost: int(s.num(w[3])),
-			Took: Micros(s.val(opts(w[4:]), "took", 0)) * ms, Age: second})
+		s.give(MetricsReport{Build: int(s.num(w[0])), Class: int(s.num(w[1])), Requests: int(s.num(w[2])), Failures: int(s.num(w[3])),
+			MeanLatency: Micros(s.val(opts(w[4:]), "took", 0)) * ms, Age: second})
 	case "word": // SEAT BUILD STAGE VERDICT, what one of the bench holds; a number over the seats is another agent
 		from := s.seat(w[0])
-		v := map[string]Verdict{"none": NoVote, "on": On, "back": Back, "9": 9}[w[3]]
-		s.give(Heard{From: from, Text: []byte{byte(s.num(w[1])), 0, 0, 0, byte(s.num(w[2])), byte(v), wordLine, 0, 0, 0}})
+		v := map[string]Verdict{"none": NoVote, "on": Advance, "back": RollBack, "9": 9}[w[3]]
+		s.give(GossipReceived{From: from, Payload: []byte{byte(s.num(w[1])), 0, 0, 0, byte(s.num(w[2])), byte(v), wordLine, 0, 0, 0}})
 	case "flag":
 		for n := s.num(w[1]); n > 0; n-- { // ID TIMES
-			s.give(Flagged{Appliance: uint32(s.num(w[0]))})
+			s.give(ErrorReport{EndpointID: uint32(s.num(w[0]))})
 		}
 	case "run": // until=ms every=ms fail=build failat=id slowat=id,id errs=every keys=many: traffic, each txn answered in time
 		m := opts(w)
@@ -270,7 +270,7 @@
 				how := OK
 				if s.builds[a] == int(s.val(m, "fail", -1)) || a == uint32(s.val(m, "failat", 0)) ||
 					customer == failFor || spoil {
-					how, spoil = Errored, false
+					how, spoil = ServerError, false
 				}
 				took := Micros(s.val(m, "took", 20)) * ms
 				if s.builds[a] == int(s.val(m, "slow", -1)) || slices.Contains(strings.Split(m["slowat"], ","), fmt.Sprint(a)) {
@@ -294,14 +294,14 @@
 
 func (s *stage) txn(id uint64, m map[string]string) {
 	p := int(s.val(m, "product", 0))
-	s.give(Taken{ID: id, Product: p, Customer: int(s.val(m, "customer", 0)), Key: uint64(s.val(m, "key", 0)), Work: Micros(s.val(m, "work", 0)) * ms,
-		Expires: s.now + Micros(s.val(m, "for", float64(s.prods[p].Expiry/ms)))*ms})
+	s.give(RequestArrived{ID: id, Class: p, Tenant: int(s.val(m, "customer", 0)), Key: uint64(s.val(m, "key", 0)), CostHint: Micros(s.val(m, "work", 0)) * ms,
+		Deadline: s.now + Micros(s.val(m, "for", float64(s.prods[p].Timeout/ms)))*ms})
 }
 
 func (s *stage) end(id uint64, how Outcome, took Micros) {
 	a := s.on[id]
 	delete(s.on, id)
-	s.give(Ended{ID: id, Appliance: a, Outcome: how, Took: took, Over: how == OK, Load: s.load})
+	s.give(AttemptResult{RequestID: id, EndpointID: a, Outcome: how, Elapsed: took, RequestDone: how == OK, Load: s.load})
 }
 
 func (s *stage) expect(w []string) {
@@ -325,8 +325,8 @@
 			}
 		}
 		switch o := o.(type) {
-		case Submit:
-			got["build"], got["before"] = float64(s.builds[o.Appliance]), float64(o.Before/ms)
+		case SendAttempt:
+			got["build"], got["before"] = float64(s.builds[o.EndpointID]), float64(o.WriteBefore/ms)
 		case Vote:
 			name += []string{"-none", "-on", "-hold", "-back"}[o.Verdict]
 		}
@@ -346,21 +346,21 @@
 
 // Keys that are always new and appliances that come and go leave nothing behind.
 func TestNothingGrows(t *testing.T) {
-	g := New(Station{Agents: 3, Seed: 7, WarmKeys: true}, []Product{{SLA: second, Expiry: 3 * second, Revenue: 1}},
-		LaunchPlan{Caps: []float64{1}}, Polling{}, Exposure{Window: second}, ColdStart{}, Handover{MaxSubmissions: 3},
-		Licence{}, Fares{}).(*agent)
+	g := New(Instance{Agents: 3, Seed: 7, KeyAffinity: true}, []RequestClass{{LatencyObjective: second, Timeout: 3 * second, PriorityWeight: 1}},
+		RolloutPlan{Caps: []float64{1}}, VotingRules{}, ExposureLimit{Window: second}, SlowStart{}, RetryLimits{MaxAttempts: 3},
+		Capabilities{}, CostWeights{}).(*agent)
 	most := 0
 	for id := range uint64(20000) {
 		now := Micros(id) * ms
 		if id%10 == 0 {
-			g.Handle(now, Listed{Full: true, Rows: []Row{{ID: uint32(id), Build: 1, State: Ready, Weight: 1}}})
+			g.Handle(now, EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: uint32(id), Build: 1, State: Ready, Weight: 1}}})
 		}
-		for _, o := range g.Handle(now, Taken{ID: id, Key: id + 1, Work: 10 * ms, Expires: now + 3*second}) {
-			if s, is := o.(Submit); is {
-				g.Handle(now, Ended{ID: id, Appliance: s.Appliance, Outcome: OK, Took: 10 * ms, Over: true})
+		for _, o := range g.Handle(now, RequestArrived{ID: id, Key: id + 1, CostHint: 10 * ms, Deadline: now + 3*second}) {
+			if s, is := o.(SendAttempt); is {
+				g.Handle(now, AttemptResult{RequestID: id, EndpointID: s.EndpointID, Outcome: OK, Elapsed: 10 * ms, RequestDone: true})
 			}
 		}
-		g.Handle(now, Bell{})
+		g.Handle(now, TimerFired{})
 		if id > 10000 {
 			most = max(most, len(g.desk.recent)+len(g.desk.before)+len(g.fleet.all)+len(g.fleet.byID)+len(g.desk.txns))
 		}
--- a/internal/simprotocol/adapter.go
+++ b/internal/simprotocol/adapter.go
@@ -9,18 +9,18 @@
 	"switchfork/internal/policy"
 )
 
-var outcomes = map[int]policy.Outcome{100: policy.OK, 301: policy.Errored, 302: policy.TurnedOff,
-	303: policy.TimedOut, 304: policy.NoConnect, 305: policy.Broken, 306: policy.CalledOff, 307: policy.Moot}
+var outcomes = map[int]policy.Outcome{100: policy.OK, 301: policy.ServerError, 302: policy.Rejected,
+	303: policy.TimedOut, 304: policy.ConnectFailed, 305: policy.ConnectionLost, 306: policy.Cancelled, 307: policy.NotAttempted}
 
-var phases = []policy.Phase{policy.OnTrial, policy.GoingBack, policy.Released, policy.Withdrawn}
+var phases = []policy.Phase{policy.Evaluating, policy.RollingBack, policy.Released, policy.RolledBack}
 
 // Host runs the instances of one process; they share nothing but the wire.
 type Host struct {
 	live  map[int]policy.Router
-	lists map[int][]policy.Row
+	lists map[int][]policy.Endpoint
 }
 
-func NewHost() *Host { return &Host{live: map[int]policy.Router{}, lists: map[int][]policy.Row{}} }
+func NewHost() *Host { return &Host{live: map[int]policy.Router{}, lists: map[int][]policy.Endpoint{}} }
 
 // Serve answers batches until the input ends.
 func (h *Host) Serve(in io.Reader, out io.Writer) error {
@@ -128,14 +128,14 @@
 	if r.err == nil && n*25 > len(r.buf) {
 		return fmt.Errorf("%s: %d list entries do not fit in %d bytes", r.what, n, len(r.buf))
 	}
-	rows := make([]policy.Row, 0, n)
+	rows := make([]policy.Endpoint, 0, n)
 	for i := 0; i < n && r.err == nil; i++ {
-		row := policy.Row{ID: r.u32(), Build: int(r.f32()), Zone: r.u8()}
+		row := policy.Endpoint{ID: r.u32(), Build: int(r.f32()), Zone: r.u8()}
 		state := r.u8()
 		if state > 2 {
 			return fmt.Errorf("%s: appliance %d has phase %d", r.what, row.ID, state)
 		}
-		row.State = policy.State(state)
+		row.State = policy.EndpointState(state)
 		r.u8()
 		row.Cell, row.Started, row.Weight = r.u16(), r.micros("UpSinceMs"), r.f32()
 		rows = append(rows, row)
@@ -166,72 +166,72 @@
 		if how == 3 {
 			rows = nil
 		}
-		ev = policy.Listed{Full: how == 1 || how == 2, Failed: how == 3, Rows: rows}
+		ev = policy.EndpointUpdate{Full: how == 1 || how == 2, Failed: how == 3, Endpoints: rows}
 	case 2:
-		t := policy.Taken{ID: r.u64(), Product: r.u16(), Customer: int(r.u32()), Key: r.u64(),
-			Expires: r.micros("ExpiresMs")}
-		t.Work = r.micros("WeightHintMs")
+		t := policy.RequestArrived{ID: r.u64(), Class: r.u16(), Tenant: int(r.u32()), Key: r.u64(),
+			Deadline: r.micros("ExpiresMs")}
+		t.CostHint = r.micros("WeightHintMs")
 		opts := r.u8()
 		if opts&1 == 0 {
-			t.Work = 0
+			t.CostHint = 0
 		}
-		t.Repeat = opts&2 != 0
+		t.IsRetry = opts&2 != 0
 		ev = t
 	case 3:
-		ev = policy.Begun{ID: r.u64()}
+		ev = policy.ResponseStarted{RequestID: r.u64()}
 	case 4:
-		e := policy.Ended{ID: r.u64()}
+		e := policy.AttemptResult{RequestID: r.u64()}
 		r.u8()
-		e.Appliance, e.Outcome, e.Took, e.Over, e.Load = r.u32(), outcome(), r.micros("WaitTimeMs"), r.u8() != 0, r.floats()
+		e.EndpointID, e.Outcome, e.Elapsed, e.RequestDone, e.Load = r.u32(), outcome(), r.micros("WaitTimeMs"), r.u8() != 0, r.floats()
 		ev = e
 	case 5:
-		ev = policy.Abandoned{ID: r.u64()}
+		ev = policy.RequestCancelled{RequestID: r.u64()}
 	case 6:
-		ev = policy.Bell{Token: r.u64()}
+		ev = policy.TimerFired{Token: r.u64()}
 	case 7:
-		ev = policy.Probed{Appliance: r.u32(), Outcome: outcome(), Took: r.micros("WaitTimeMs"), Load: r.floats()}
+		ev = policy.HealthCheckResult{EndpointID: r.u32(), Outcome: outcome(), Elapsed: r.micros("WaitTimeMs"), Load: r.floats()}
 	case 8:
 		from := int(r.u32())
-		ev = policy.Heard{From: from, Text: r.text(r.u16())}
+		ev = policy.GossipReceived{From: from, Payload: r.text(r.u16())}
 	case 10:
-		s := policy.Staged{Build: r.u16(), Stage: r.u8()}
+		s := policy.RolloutUpdate{Build: r.u16(), Stage: r.u8()}
 		p := r.u8()
 		if p >= len(phases) {
 			return nil, fmt.Errorf("%s: phase %d of a build is not known", r.what, p)
 		}
-		s.Phase, s.Answer, s.Outcome, s.Cap, s.Age = phases[p], r.u8() == 1, outcome(), r.f32(), r.micros("LatenessMs")
+		s.Phase, s.IsVoteReply, s.Outcome, s.Cap, s.Age = phases[p], r.u8() == 1, outcome(), r.f32(), r.micros("LatenessMs")
 		ev = s
 	case 11:
-		ev = policy.Tallied{Build: r.u16(), Product: r.u16(), Many: int(r.u32()), Lost: int(r.u32()),
-			Took: r.micros("WaitTimeMs"), Age: r.micros("LatenessMs")}
+		ev = policy.MetricsReport{Build: r.u16(), Class: r.u16(), Requests: int(r.u32()), Failures: int(r.u32()),
+			MeanLatency: r.micros("WaitTimeMs"), Age: r.micros("LatenessMs")}
 	case 12:
-		ev = policy.Flagged{Product: r.u16(), Age: r.micros("LatenessMs"), Appliance: r.u32()}
+		ev = policy.ErrorReport{Class: r.u16(), Age: r.micros("LatenessMs"), EndpointID: r.u32()}
 	}
 	return ev, r.err
 }
 
-func encode(w *writer, who int, o policy.Order) {
+func encode(w *writer, who int, o policy.Command) {
 	switch o := o.(type) {
-	case policy.Decline:
-		w.record(0, who, func() { w.u64(o.ID); w.ms(o.HoldOff) })
-	case policy.Say:
+	case policy.Reject:
+		w.record(0, who, func() { w.u64(o.RequestID); w.ms(o.RetryAfter) })
+	case policy.LogMessage:
 		w.record(1, who, func() { w.text([]byte(o.Text)) })
-	case policy.Probe:
-		w.record(2, who, func() { w.u32(o.Appliance) })
-	case policy.Wake:
+	case policy.CheckHealth:
+		w.record(2, who, func() { w.u32(o.EndpointID) })
+	case policy.SetTimer:
 		w.record(3, who, func() { w.ms(o.At); w.u64(o.Token) })
-	case policy.Tell:
-		w.record(4, who, func() { w.u32(uint32(o.To)); w.text(o.Text) })
-	case policy.CallOff:
-		w.record(7, who, func() { w.u64(o.ID); w.u8(o.Seq) })
+	case policy.SendGossip:
+		w.record(4, who, func() { w.u32(uint32(o.To)); w.text(o.Payload) })
+	case policy.CancelAttempt:
+		w.record(7, who, func() { w.u64(o.RequestID); w.u8(o.Attempt) })
 	case policy.Vote:
 		w.record(8, who, func() { w.u16(o.Build); w.u8(o.Stage); w.u8(int(o.Verdict)) })
-	case policy.Submit:
-		w.record(10, who, func() { w.u64(o.ID); w.ms(o.Patience); w.u32(o.Appliance) })
-	case policy.Watch:
+	case policy.SendAttempt:
+		w.record(10, who, func() { w.u64(o.RequestID); w.ms(o.Timeout); w.u32(o.EndpointID) })
+	case policy.WatchEndpoints:
 		w.record(11, who, func() { w.u8(1) })
-	case policy.Void:
-		w.record(12, who, func() { w.u64(o.ID) })
+	case policy.Fail:
+		w.record(12, who, func() { w.u64(o.RequestID) })
 	default:
 		panic(fmt.Sprintf("no wire form for order %T", o))
 	}
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -13,19 +13,19 @@
 // goldenRouter keeps the events that it is given, and answers each with every order.
 type goldenRouter struct{ events []policy.Event }
 
-func (g *goldenRouter) Handle(_ policy.Micros, ev policy.Event) []policy.Order {
+func (g *goldenRouter) Handle(_ policy.Micros, ev policy.Event) []policy.Command {
 	g.events = append(g.events, ev)
-	return []policy.Order{
-		policy.Submit{ID: 0x0102030405060708, Appliance: 0x11121314, Patience: 123456, Before: 99},
-		policy.CallOff{ID: 0x2122232425262728, Seq: 3},
-		policy.Decline{ID: 0x3132333435363738, HoldOff: 1500000},
-		policy.Void{ID: 0x4142434445464748},
-		policy.Wake{At: 8256000123, Token: 0x5152535455565758},
-		policy.Probe{Appliance: 0x61626364},
-		policy.Tell{To: 0x71727374, Text: []byte("sheet")},
-		policy.Watch{},
-		policy.Vote{Build: 0x8182, Stage: 5, Verdict: policy.Back},
-		policy.Say{Text: "says"},
+	return []policy.Command{
+		policy.SendAttempt{RequestID: 0x0102030405060708, EndpointID: 0x11121314, Timeout: 123456, WriteBefore: 99},
+		policy.CancelAttempt{RequestID: 0x2122232425262728, Attempt: 3},
+		policy.Reject{RequestID: 0x3132333435363738, RetryAfter: 1500000},
+		policy.Fail{RequestID: 0x4142434445464748},
+		policy.SetTimer{At: 8256000123, Token: 0x5152535455565758},
+		policy.CheckHealth{EndpointID: 0x61626364},
+		policy.SendGossip{To: 0x71727374, Payload: []byte("sheet")},
+		policy.WatchEndpoints{},
+		policy.Vote{Build: 0x8182, Stage: 5, Verdict: policy.RollBack},
+		policy.LogMessage{Text: "says"},
 	}
 }
 
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -96,11 +96,11 @@
 
 type broken struct{}
 
-func (broken) Handle(policy.Micros, policy.Event) []policy.Order { panic("index out of range") }
+func (broken) Handle(policy.Micros, policy.Event) []policy.Command { panic("index out of range") }
 
 func TestPanicBecomesBroken(t *testing.T) {
 	w := &writer{}
-	handle(broken{}, 0, policy.Bell{}, 3, w)
+	handle(broken{}, 0, policy.TimerFired{}, 3, w)
 	if got, want := hex.EncodeToString(w.buf), "05160000000300"+"1200"+hex.EncodeToString([]byte("index out of range")); got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -188,18 +188,18 @@
 func (d *Day) capacity() float64 { return float64(d.Appliances * d.Slots) }
 
 func (w *world) makeModule() {
-	product := policy.Product{Effect: policy.InquiryLike, SLA: slaWorks * w.Work, Expiry: expiryWorks * w.Work, Revenue: 1}
-	w.module = policy.New(policy.Station{Agents: 1, Seed: w.Seed}, []policy.Product{product},
-		policy.LaunchPlan{Caps: []float64{1}}, policy.Polling{Ballot: policy.BallotTimer, Stands: 4 * second, ToGoBack: 1},
-		policy.Exposure{Window: 4 * second, Free: 3}, policy.ColdStart{From: 0.3, Warm: 5 * second, Multiple: 2, After: 1500 * ms},
-		policy.Handover{MaxSubmissions: 3, MaxHoldOff: longestWait}, policy.Licence{Probe: true}, policy.Fares{})
-	list := policy.Listed{Full: true}
+	product := policy.RequestClass{Idempotency: policy.Idempotent, LatencyObjective: slaWorks * w.Work, Timeout: expiryWorks * w.Work, PriorityWeight: 1}
+	w.module = policy.New(policy.Instance{Agents: 1, Seed: w.Seed}, []policy.RequestClass{product},
+		policy.RolloutPlan{Caps: []float64{1}}, policy.VotingRules{Rule: policy.TimedStages, VoteLifetime: 4 * second, VotesToRollBack: 1},
+		policy.ExposureLimit{Window: 4 * second, Allowance: 3}, policy.SlowStart{InitialCapacity: 0.3, Duration: 5 * second, OverloadMultiple: 2, OverloadAfter: 1500 * ms},
+		policy.RetryLimits{MaxAttempts: 3, MaxRetryAfter: longestWait}, policy.Capabilities{HealthChecks: true}, policy.CostWeights{})
+	list := policy.EndpointUpdate{Full: true}
 	for i := range w.Appliances {
 		w.boxes = append(w.boxes, &box{id: uint32(i + 1), slots: w.Slots})
-		list.Rows = append(list.Rows, policy.Row{ID: uint32(i + 1), Build: 1, State: policy.Ready, Weight: 1})
+		list.Endpoints = append(list.Endpoints, policy.Endpoint{ID: uint32(i + 1), Build: 1, State: policy.Ready, Weight: 1})
 	}
 	w.tell(list)
-	w.tell(policy.Staged{Build: 1, Phase: policy.Released, Cap: 1, Age: 100 * second})
+	w.tell(policy.RolloutUpdate{Build: 1, Phase: policy.Released, Cap: 1, Age: 100 * second})
 }
 
 func (w *world) makeGate(kind Kind) {
@@ -321,7 +321,7 @@
 		}
 		switch o.Kind {
 		case admission.Admit:
-			w.tell(policy.Taken{ID: o.ID, Expires: t.expires, Came: t.came})
+			w.tell(policy.RequestArrived{ID: o.ID, Deadline: t.expires, ArrivedAt: t.came})
 		case admission.Refuse:
 			wait := o.Wait
 			if w.gate.told > 0 && o.Why != admission.Replaced {
@@ -386,20 +386,20 @@
 func (w *world) tell(ev policy.Event) {
 	for _, o := range w.module.Handle(w.now, ev) {
 		switch o := o.(type) {
-		case policy.Wake:
-			w.at(o.At, func() { w.tell(policy.Bell{Token: o.Token}) })
-		case policy.Submit:
+		case policy.SetTimer:
+			w.at(o.At, func() { w.tell(policy.TimerFired{Token: o.Token}) })
+		case policy.SendAttempt:
 			w.submit(o)
-		case policy.Decline:
-			if t := w.open[o.ID]; t != nil {
+		case policy.Reject:
+			if t := w.open[o.RequestID]; t != nil {
 				w.over(t, admission.Declined)
 			}
-		case policy.Void:
-			if t := w.open[o.ID]; t != nil {
+		case policy.Fail:
+			if t := w.open[o.RequestID]; t != nil {
 				w.over(t, admission.Voided)
 			}
-		case policy.Probe:
-			w.at(w.now+ms, func() { w.tell(policy.Probed{Appliance: o.Appliance, Took: ms}) })
+		case policy.CheckHealth:
+			w.at(w.now+ms, func() { w.tell(policy.HealthCheckResult{EndpointID: o.EndpointID, Elapsed: ms}) })
 		}
 	}
 }
@@ -407,8 +407,8 @@
 // wire is the way to an appliance, and back.
 const wire = ms / 4
 
-func (w *world) submit(o policy.Submit) {
-	t := w.open[o.ID]
+func (w *world) submit(o policy.SendAttempt) {
+	t := w.open[o.RequestID]
 	if t == nil {
 		return
 	}
@@ -416,19 +416,19 @@
 		id := t.id
 		w.at(w.now, func() { w.carry(w.gate.Sent(w.now, id)) })
 	}
-	b := w.boxes[o.Appliance-1]
+	b := w.boxes[o.EndpointID-1]
 	t.on = b
 	j := &job{t: t, id: t.id, sent: w.now}
-	if o.Patience > 0 || t.expires > 0 {
+	if o.Timeout > 0 || t.expires > 0 {
 		until := t.expires
-		if o.Patience > 0 {
-			until = min(until, w.now+o.Patience)
+		if o.Timeout > 0 {
+			until = min(until, w.now+o.Timeout)
 		}
 		w.at(until, func() { w.answer(b, j, policy.TimedOut) })
 	}
 	w.at(w.now+wire, func() {
 		if len(b.queue) >= 8*b.slots {
-			w.at(w.now+wire, func() { w.answer(b, j, policy.TurnedOff) })
+			w.at(w.now+wire, func() { w.answer(b, j, policy.Rejected) })
 			return
 		}
 		b.queue = append(b.queue, j)
@@ -460,7 +460,7 @@
 	}
 	j.seq = 1
 	t := w.open[j.id]
-	ended := policy.Ended{ID: j.id, Appliance: b.id, Outcome: how, Took: w.now - j.sent, Over: t == nil || how == policy.OK}
+	ended := policy.AttemptResult{RequestID: j.id, EndpointID: b.id, Outcome: how, Elapsed: w.now - j.sent, RequestDone: t == nil || how == policy.OK}
 	if t != nil && how == policy.OK {
 		w.over(t, admission.Settled)
 	}
