--- a/cmd/switchfork-lab/decider.go
+++ b/cmd/switchfork-lab/decider.go
@@ -18,7 +18,7 @@
 
 // This file owns the experiment on the decider: random schedules of troubles, checked at the launcher's model.
 
-var guards = map[string]election.Without{"": {}, "lease": {Lease: true}, "record": {Record: true}, "wait": {Wait: true}, "prevote": {Prevote: true}, "begin": {Begin: true}}
+var guards = map[string]election.DisabledGuards{"": {}, "lease": {LeaseExpiry: true}, "record": {QuorumBeforeCast: true}, "wait": {WaitForEarlierVotes: true}, "prevote": {Prevote: true}, "begin": {LeaseFromStart: true}}
 
 func deciderCommand() *cobra.Command {
 	var seed int64
@@ -86,7 +86,7 @@
 	return of[min(len(of)-1, int(q*float64(len(of))))]
 }
 
-func deciders(out io.Writer, seed int64, schedules, agents, seconds int, without string, off election.Without) error {
+func deciders(out io.Writer, seed int64, schedules, agents, seconds int, without string, off election.DisabledGuards) error {
 	began := time.Now()
 	var drawn, crashes, planned []simulation.Schedule
 	for i := range schedules {
@@ -155,7 +155,7 @@
 		if rest[1] = sum; i == 0 {
 			rest[0] = sum
 		}
-		fmt.Fprintf(t, "calm, %d agents: %.1f messages, %.0f bytes an agent a second\n", agents, sum, sum*float64(transport.Size()))
+		fmt.Fprintf(t, "calm, %d agents: %.1f messages, %.0f bytes an agent a second\n", agents, sum, sum*float64(transport.FrameSize()))
 	}
 	if without == "" {
 		b.most("messages an agent a second, 9 agents beside 3", rest[1]/rest[0], 9.0/3)
--- a/cmd/switchfork/chair.go
+++ b/cmd/switchfork/chair.go
@@ -25,14 +25,14 @@
 
 // chair is an agent's seat among those of whom one casts the votes.
 type chair struct {
-	council *coordinator.Council
+	council *coordinator.Coordinator
 	tcp     *lazyStreams // nil: datagrams
 }
 
 // lazyStreams is the TCP way, which listens when the agent begins to serve.
-type lazyStreams struct{ *transport.Streams }
+type lazyStreams struct{ *transport.TCP }
 
-func (l *lazyStreams) Send(to int, b []byte) { l.Streams.Send(to, b) }
+func (l *lazyStreams) Send(to int, b []byte) { l.TCP.Send(to, b) }
 
 const (
 	// drift bounds how much faster or slower a machine's monotonic clock may run: ten times what a bad quartz does.
@@ -63,11 +63,11 @@
 		if me < 0 {
 			me = rules.Me
 		}
-		if rules.Agents > election.Most || len(circle.Peers) > election.Most {
-			slog.Warn("decider stays off: too many agents", "agents", rules.Agents, "most", election.Most)
+		if rules.Agents > election.MaxReplicas || len(circle.Peers) > election.MaxReplicas {
+			slog.Warn("decider stays off: too many agents", "agents", rules.Agents, "most", election.MaxReplicas)
 			return nil, nil
 		}
-		members = election.First(rules.Agents)
+		members = election.InitialMembers(rules.Agents)
 	default:
 		if me < 0 {
 			me = rules.Me
@@ -75,17 +75,17 @@
 		for i := range keep.Peers {
 			members.Mask |= 1 << i
 		}
-		if !members.Has(me) {
+		if !members.Contains(me) {
 			members = election.Members{} // it has to be let in
 		}
 	}
-	if me >= election.Most {
-		return nil, fmt.Errorf("decider: this is agent %d, numbers go from 0 to %d", me, election.Most-1)
+	if me >= election.MaxReplicas {
+		return nil, fmt.Errorf("decider: this is agent %d, numbers go from 0 to %d", me, election.MaxReplicas-1)
 	}
 	h := fnv.New64a()
 	io.WriteString(h, keep.Group)
-	seat := coordinator.Seat{Me: me, Members: members, Group: h.Sum64(), Seed: seed ^ int64(me+1)<<32,
-		Terms: election.Terms{Lease: keep.Lease.Microseconds(), Drift: drift, Late: rules.Call + callRoom.Microseconds(), Life: rules.Stands, Need: 1}}
+	seat := coordinator.Replica{Index: me, Members: members, Group: h.Sum64(), Seed: seed ^ int64(me+1)<<32,
+		Settings: election.Settings{Lease: keep.Lease.Microseconds(), ClockDrift: drift, MaxVoteDelay: rules.Call + callRoom.Microseconds(), VoteLifetime: rules.Stands, RollBackQuorum: 1}}
 	c := &chair{}
 	var store coordinator.Store
 	if keep.State != "" {
@@ -93,12 +93,12 @@
 		if err != nil {
 			return nil, fmt.Errorf("decider-state: %w", err)
 		}
-		store, seat.Memory = v, memory
+		store, seat.State = v, memory
 	}
-	desk := coordinator.Desk{News: core.News, Cast: func(v policy.Vote, before time.Time, over func(bool)) {
+	desk := coordinator.Callbacks{UpdateRollout: core.News, CastVote: func(v policy.Vote, before time.Time, over func(bool)) {
 		launcher.Cast(agent.Dated{Vote: v, Before: before, Over: over})
 	}}
-	var way coordinator.Way = peers
+	var way coordinator.Transport = peers
 	if keep.Listen != "" {
 		c.tcp = &lazyStreams{}
 		way = c.tcp
@@ -106,28 +106,28 @@
 	c.council = coordinator.New(seat, way, store, desk)
 	if c.tcp == nil {
 		peers.Beside(func(b []byte) bool {
-			if !transport.Ours(b) {
+			if !transport.IsFrame(b) {
 				return false
 			}
-			c.council.Hear(b)
+			c.council.Receive(b)
 			return true
 		})
 	}
-	core.Through(c.council.Vote)
-	launcher.Also(c.council.News)
-	slog.Info("decider", "me", me, "members", members.Many(), "lease", keep.Lease, "state", keep.State != "", "memory", seat.Memory != nil, "tcp", c.tcp != nil)
+	core.Through(c.council.Recommend)
+	launcher.Also(c.council.UpdateRollout)
+	slog.Info("decider", "me", me, "members", members.Count(), "lease", keep.Lease, "state", keep.State != "", "memory", seat.State != nil, "tcp", c.tcp != nil)
 	return c, nil
 }
 
 func (c *chair) serve(ctx context.Context, keep options.Chair) (err error) {
 	if c.tcp != nil {
-		if c.tcp.Streams, err = transport.Listen(ctx, keep.Listen, c.council.Hear); err != nil {
+		if c.tcp.TCP, err = transport.Listen(ctx, keep.Listen, c.council.Receive); err != nil {
 			return fmt.Errorf("decider-listen: %w", err)
 		}
 		c.reach(keep.Peers)
 	}
 	if keep.Admin != "" {
-		if err = c.council.Admin(ctx, keep.Admin); err != nil {
+		if err = c.council.ServeAdmin(ctx, keep.Admin); err != nil {
 			return err
 		}
 	}
@@ -138,7 +138,7 @@
 // reach puts other addresses in force.
 func (c *chair) reach(peers map[int]string) {
 	if c.tcp != nil {
-		c.tcp.Reach(peers)
+		c.tcp.SetPeers(peers)
 	}
 }
 
@@ -151,7 +151,7 @@
 	}
 	lead := with(&cobra.Command{Use: "lead", Short: "tell who casts the votes, as one agent knows", Args: noArgs,
 		RunE: func(*cobra.Command, []string) error {
-			r, err := coordinator.Ask(admin)
+			r, err := coordinator.QueryStatus(admin)
 			if err != nil {
 				return err
 			}
@@ -170,7 +170,7 @@
 		}})
 	members := &cobra.Command{Use: "members", Short: "the agents of whom one casts the votes"}
 	members.AddCommand(with(&cobra.Command{Use: "list", Short: "list them, as one agent knows", Args: noArgs, RunE: func(*cobra.Command, []string) error {
-		r, err := coordinator.Ask(admin)
+		r, err := coordinator.QueryStatus(admin)
 		for _, m := range r.Members {
 			fmt.Fprintln(out, m)
 		}
@@ -179,16 +179,16 @@
 	for verb, short := range map[string]string{"add": "let an agent in; to be asked of the one that leads", "remove": "take an agent out; to be asked of the one that leads"} {
 		members.AddCommand(with(&cobra.Command{Use: verb + " AGENT", Short: short, Args: oneArg, RunE: func(_ *cobra.Command, args []string) error {
 			n, err := strconv.Atoi(args[0])
-			if err != nil || n < 0 || n >= election.Most {
-				return use{fmt.Errorf("%q is no agent, expected a number from 0 to %d", args[0], election.Most-1)}
+			if err != nil || n < 0 || n >= election.MaxReplicas {
+				return use{fmt.Errorf("%q is no agent, expected a number from 0 to %d", args[0], election.MaxReplicas-1)}
 			}
-			return coordinator.Move(admin, verb, n)
+			return coordinator.RequestMemberChange(admin, verb, n)
 		}}))
 	}
 	state := &cobra.Command{Use: "state", Short: "a decider's state folder"}
 	for verb, short := range map[string]string{"show": "print what is kept in a folder", "verify": "check that a folder can be relied on"} {
 		state.AddCommand(&cobra.Command{Use: verb + " FOLDER", Short: short, Args: oneArg, RunE: func(_ *cobra.Command, args []string) error {
-			group, me, m, err := storage.Look(args[0])
+			group, me, m, err := storage.Inspect(args[0])
 			switch {
 			case err != nil:
 				return err
@@ -197,9 +197,9 @@
 			case m == nil:
 				fmt.Fprintln(out, "nothing was ever kept")
 			default:
-				k := m.Known
+				k := m.Newest
 				fmt.Fprintf(out, "agent %d of group %016x\npromised %d, accepted %d of agent %d, given up %d\nnewest decision: term %d, %d: build %d stage %d %v\nmembers %b, stamped %d.%d\n",
-					me, group, m.Promised, m.Accepted, m.Owner, m.Yielded, k.Term, k.Serial, k.Build, k.Stage, k.Verdict, m.Members.Mask, m.Members.Term, m.Members.Serial)
+					me, group, m.Promised, m.Accepted, m.LeaseHolder, m.Released, k.Term, k.Index, k.Build, k.Stage, k.Verdict, m.Members.Mask, m.Members.Term, m.Members.Version)
 			}
 			return nil
 		}})
--- a/cmd/switchfork/golden_test.go
+++ b/cmd/switchfork/golden_test.go
@@ -50,8 +50,8 @@
 
 // The metrics keep their names.
 func TestGoldenMetrics(t *testing.T) {
-	c := coordinator.New(coordinator.Seat{Members: election.First(3), Terms: election.Terms{Lease: 1e6}}, nowhere{}, nil,
-		coordinator.Desk{News: func(policy.RolloutUpdate) {}})
+	c := coordinator.New(coordinator.Replica{Members: election.InitialMembers(3), Settings: election.Settings{Lease: 1e6}}, nowhere{}, nil,
+		coordinator.Callbacks{UpdateRollout: func(policy.RolloutUpdate) {}})
 	var out strings.Builder
 	c.Metrics().WritePrometheus(&out)
 	lines := strings.Split(regexp.MustCompile(` [0-9.e+-]+\n`).ReplaceAllString(out.String(), " N\n"), "\n")
--- a/internal/cluster/coordinator/admin.go
+++ b/internal/cluster/coordinator/admin.go
@@ -17,8 +17,8 @@
 
 // This file owns the admin address: a Unix socket on which the operator's commands ask an agent, and its metrics are read.
 
-// Report is what the admin address tells of the lead.
-type Report struct {
+// StatusReport is what the admin address tells of the lead.
+type StatusReport struct {
 	Me         int    `json:"me"`
 	Leads      bool   `json:"leads"`
 	Owner      int    `json:"owner"` // -1: nobody, as far as this agent knows
@@ -31,15 +31,15 @@
 	Members    []int  `json:"members"`
 }
 
-// ReportOf puts a standing into words.
-func ReportOf(me int, s election.Standing) Report {
-	r := Report{Me: me, Leads: s.Leads, Owner: s.Owner, Term: s.Term, LeftMS: s.Left / 1000, Unresolved: s.Unresolved, WaitsMS: s.Clear / 1000,
-		AbstainsMS: s.Abstains / 1000, Newest: "none"}
-	if k := s.Known; k.Term != 0 {
-		r.Newest = fmt.Sprintf("%d.%d build %d stage %d %v", k.Term, k.Serial, k.Build, k.Stage, k.Verdict)
+// NewStatusReport puts a standing into words.
+func NewStatusReport(me int, s election.Status) StatusReport {
+	r := StatusReport{Me: me, Leads: s.IsLeader, Owner: s.LeaseHolder, Term: s.Term, LeftMS: s.LeaseRemaining / 1000, Unresolved: s.HasUnresolvedVote, WaitsMS: s.EarlierVotesExpireIn / 1000,
+		AbstainsMS: s.AbstainsFor / 1000, Newest: "none"}
+	if k := s.Newest; k.Term != 0 {
+		r.Newest = fmt.Sprintf("%d.%d build %d stage %d %v", k.Term, k.Index, k.Build, k.Stage, k.Verdict)
 	}
-	for i := range election.Most {
-		if s.Members.Has(i) {
+	for i := range election.MaxReplicas {
+		if s.Members.Contains(i) {
 			r.Members = append(r.Members, i)
 		}
 	}
@@ -48,8 +48,8 @@
 
 const askWait = 2 * time.Second
 
-// Admin serves the admin address until the end. A socket that a dead agent has left is taken over; a living one's is not.
-func (c *Council) Admin(ctx context.Context, path string) error {
+// ServeAdmin serves the admin address until the end. A socket that a dead agent has left is taken over; a living one's is not.
+func (c *Coordinator) ServeAdmin(ctx context.Context, path string) error {
 	if d, err := net.DialTimeout("unix", path, askWait); err == nil {
 		d.Close()
 		return fmt.Errorf("admin address %s is another process's", path)
@@ -67,26 +67,26 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /lead", func(w http.ResponseWriter, r *http.Request) {
-		s, err := c.Standing(r.Context())
+		s, err := c.Status(r.Context())
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(ReportOf(c.me, s))
+		json.NewEncoder(w).Encode(NewStatusReport(c.me, s))
 	})
 	move := func(in bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			who, err := strconv.Atoi(r.FormValue("agent"))
-			if err != nil || who < 0 || who >= election.Most {
-				http.Error(w, fmt.Sprintf("agent is %q, expected a number from 0 to %d", r.FormValue("agent"), election.Most-1), http.StatusBadRequest)
+			if err != nil || who < 0 || who >= election.MaxReplicas {
+				http.Error(w, fmt.Sprintf("agent is %q, expected a number from 0 to %d", r.FormValue("agent"), election.MaxReplicas-1), http.StatusBadRequest)
 				return
 			}
 			join, out := who, -1
 			if !in {
 				join, out = -1, who
 			}
-			if err = c.Change(r.Context(), join, out); err != nil {
+			if err = c.ChangeMembers(r.Context(), join, out); err != nil {
 				http.Error(w, err.Error(), http.StatusConflict)
 			}
 		}
@@ -108,8 +108,8 @@
 		}}}
 }
 
-// Ask asks an agent who leads.
-func Ask(path string) (r Report, err error) {
+// QueryStatus asks an agent who leads.
+func QueryStatus(path string) (r StatusReport, err error) {
 	res, err := client(path).Get("http://agent/lead")
 	if err != nil {
 		return r, err
@@ -121,8 +121,8 @@
 	return r, json.NewDecoder(res.Body).Decode(&r)
 }
 
-// Move asks an agent that leads to let another in, or take one out.
-func Move(path, verb string, agent int) error {
+// RequestMemberChange asks an agent that leads to let another in, or take one out.
+func RequestMemberChange(path, verb string, agent int) error {
 	res, err := client(path).PostForm("http://agent/members/"+verb, url.Values{"agent": {strconv.Itoa(agent)}})
 	if err != nil {
 		return err
--- a/internal/cluster/coordinator/council.go
+++ b/internal/cluster/coordinator/council.go
@@ -16,22 +16,22 @@
 	"switchfork/internal/policy"
 )
 
-// Way carries bytes to another agent, or loses them.
-type Way interface{ Send(to int, b []byte) }
+// Transport carries bytes to another agent, or loses them.
+type Transport interface{ Send(to int, b []byte) }
 
 // Store keeps a memory; when Keep returns without an error it is on a disk.
 type Store interface {
-	Keep(election.Memory) error
+	Save(election.DurableState) error
 	Close() error
 }
 
-// Desk is what the council asks of the rest of the agent.
-type Desk struct {
+// Callbacks is what the council asks of the rest of the agent.
+type Callbacks struct {
 	// Cast writes a vote unless it is later than before by then; over is called once it is known to be carried out, or never
 	// to be. wrote tells whether it was written at all.
-	Cast func(v policy.Vote, before time.Time, over func(wrote bool))
+	CastVote func(v policy.Vote, before time.Time, over func(wrote bool))
 	// News gives the module where a build stands.
-	News func(policy.RolloutUpdate)
+	UpdateRollout func(policy.RolloutUpdate)
 }
 
 // What comes into the mailbox.
@@ -41,7 +41,7 @@
 	news    struct{ policy.RolloutUpdate }
 	over    struct{ record election.Record }
 	leave   struct{ gone chan struct{} }
-	ask     struct{ answer chan election.Standing }
+	ask     struct{ answer chan election.Status }
 	change  struct {
 		in, out int // an agent, or -1
 		answer  chan error
@@ -55,15 +55,15 @@
 // boxMost: what others say is dropped when so much waits; what the agent itself says waits for room.
 const boxMost = 1024
 
-// Council is the actor.
-type Council struct {
-	decider *election.Decider
+// Coordinator is the actor.
+type Coordinator struct {
+	decider *election.Replica
 	group   uint64
 	me      int
 	lease   time.Duration
-	way     Way
+	way     Transport
 	store   Store // nil: no disk
-	desk    Desk
+	desk    Callbacks
 	box     chan any
 	start   time.Time
 
@@ -81,21 +81,21 @@
 	leads                                           atomic.Int64 // microseconds of the lease left
 }
 
-// Seat is how an agent sits in its council.
-type Seat struct {
-	Me      int
-	Members election.Members
-	Memory  *election.Memory // nil: none was ever kept
-	Terms   election.Terms
-	Group   uint64
-	Seed    int64
+// Replica is how an agent sits in its council.
+type Replica struct {
+	Index    int
+	Members  election.Members
+	State    *election.DurableState // nil: none was ever kept
+	Settings election.Settings
+	Group    uint64
+	Seed     int64
 }
 
 // New makes a council. Without a memory the agent abstains at first: it may have run before.
-func New(seat Seat, way Way, store Store, desk Desk) *Council {
-	c := &Council{group: seat.Group, me: seat.Me, way: way, store: store, desk: desk, box: make(chan any, boxMost), start: time.Now(),
-		lease: time.Duration(seat.Terms.Lease) * time.Microsecond, set: metrics.NewSet()}
-	c.decider = election.New(seat.Me, seat.Members, seat.Memory, seat.Terms, election.Without{}, seat.Memory == nil, c.now(), seat.Seed)
+func New(seat Replica, way Transport, store Store, desk Callbacks) *Coordinator {
+	c := &Coordinator{group: seat.Group, me: seat.Index, way: way, store: store, desk: desk, box: make(chan any, boxMost), start: time.Now(),
+		lease: time.Duration(seat.Settings.Lease) * time.Microsecond, set: metrics.NewSet()}
+	c.decider = election.New(seat.Index, seat.Members, seat.State, seat.Settings, election.DisabledGuards{}, seat.State == nil, c.now(), seat.Seed)
 	for name, counter := range map[string]**metrics.Counter{"terms_total": &c.terms, "hand_overs_total": &c.handed, "casts_total": &c.casts,
 		"casts_refused_total": &c.late, "messages_in_total": &c.in, "messages_out_total": &c.out, "messages_dropped_total": &c.lost, "syncs_total": &c.kept} {
 		*counter = c.set.NewCounter("switchfork_decider_" + name)
@@ -105,12 +105,12 @@
 }
 
 // Metrics are the council's figures.
-func (c *Council) Metrics() *metrics.Set { return c.set }
+func (c *Coordinator) Metrics() *metrics.Set { return c.set }
 
-func (c *Council) now() election.Micros { return time.Since(c.start).Microseconds() + 1 }
+func (c *Coordinator) now() election.Micros { return time.Since(c.start).Microseconds() + 1 }
 
-// Hear takes bytes from another agent.
-func (c *Council) Hear(b []byte) {
+// Receive takes bytes from another agent.
+func (c *Coordinator) Receive(b []byte) {
 	select {
 	case c.box <- message{b}:
 	default:
@@ -118,14 +118,14 @@
 	}
 }
 
-// Vote takes the module's vote as a wish.
-func (c *Council) Vote(v policy.Vote) { c.box <- vote{v} }
+// Recommend takes the module's vote as a wish.
+func (c *Coordinator) Recommend(v policy.Vote) { c.box <- vote{v} }
 
-// News takes what the launcher tells.
-func (c *Council) News(s policy.RolloutUpdate) { c.box <- news{s} }
+// UpdateRollout takes what the launcher tells.
+func (c *Coordinator) UpdateRollout(s policy.RolloutUpdate) { c.box <- news{s} }
 
 // Leave passes the lead on, and returns when that is said.
-func (c *Council) Leave(ctx context.Context) {
+func (c *Coordinator) Leave(ctx context.Context) {
 	gone := make(chan struct{})
 	select {
 	case c.box <- leave{gone}:
@@ -138,9 +138,9 @@
 	}
 }
 
-// Standing tells who leads.
-func (c *Council) Standing(ctx context.Context) (s election.Standing, err error) {
-	answer := make(chan election.Standing, 1)
+// Status tells who leads.
+func (c *Coordinator) Status(ctx context.Context) (s election.Status, err error) {
+	answer := make(chan election.Status, 1)
 	select {
 	case c.box <- ask{answer}:
 	case <-ctx.Done():
@@ -154,8 +154,8 @@
 	}
 }
 
-// Change lets an agent in, or takes one out; -1 is none.
-func (c *Council) Change(ctx context.Context, in, out int) error {
+// ChangeMembers lets an agent in, or takes one out; -1 is none.
+func (c *Coordinator) ChangeMembers(ctx context.Context, in, out int) error {
 	answer := make(chan error, 1)
 	select {
 	case c.box <- change{in, out, answer}:
@@ -171,7 +171,7 @@
 }
 
 // Serve empties the mailbox until the end.
-func (c *Council) Serve(ctx context.Context) {
+func (c *Coordinator) Serve(ctx context.Context) {
 	timer := time.NewTimer(0)
 	for {
 		select {
@@ -184,9 +184,9 @@
 			c.carry(c.decider.Tick(c.now()))
 			if c.wish != (election.Decision{}) && time.Since(c.told) >= c.lease/2 {
 				c.told = time.Now()
-				c.carry(c.decider.Wishes(c.now(), c.wish))
+				c.carry(c.decider.Recommend(c.now(), c.wish))
 			}
-			timer.Reset(time.Duration(c.decider.Next()-c.now()) * time.Microsecond)
+			timer.Reset(time.Duration(c.decider.NextTick()-c.now()) * time.Microsecond)
 		case n := <-c.box:
 			c.note(n)
 		}
@@ -194,10 +194,10 @@
 	}
 }
 
-var verdicts = map[policy.Verdict]election.Verdict{policy.NoVote: election.NoVote, policy.Advance: election.On, policy.Hold: election.Hold, policy.RollBack: election.Back}
-var asVote = map[election.Verdict]policy.Verdict{election.NoVote: policy.NoVote, election.On: policy.Advance, election.Hold: policy.Hold, election.Back: policy.RollBack}
+var verdicts = map[policy.Verdict]election.Verdict{policy.NoVote: election.NoVote, policy.Advance: election.Advance, policy.Hold: election.Hold, policy.RollBack: election.RollBack}
+var asVote = map[election.Verdict]policy.Verdict{election.NoVote: policy.NoVote, election.Advance: policy.Advance, election.Hold: policy.Hold, election.RollBack: policy.RollBack}
 
-func (c *Council) note(n any) {
+func (c *Coordinator) note(n any) {
 	now := c.now()
 	switch n := n.(type) {
 	case message:
@@ -207,108 +207,108 @@
 			return
 		}
 		c.in.Inc()
-		c.carry(c.decider.Hear(now, from, m))
+		c.carry(c.decider.Receive(now, from, m))
 	case vote:
 		c.wish, c.told = election.Decision{Build: int32(n.Build), Stage: int32(n.Stage), Verdict: verdicts[n.Verdict]}, time.Now()
-		c.carry(c.decider.Wishes(now, c.wish))
+		c.carry(c.decider.Recommend(now, c.wish))
 	case news:
 		c.newest, c.known = n.RolloutUpdate, true
 		c.newest.IsVoteReply = false
-		c.carry(c.decider.News(now, int32(n.Build), int32(n.Stage), n.Phase == policy.Evaluating))
+		c.carry(c.decider.UpdateRollout(now, int32(n.Build), int32(n.Stage), n.Phase == policy.Evaluating))
 		if s := c.stopped; s != nil && int(s.Build) == n.Build && int(s.Stage) == n.Stage {
 			c.stop(*s) // the news has told the cap again
 		}
 	case over:
-		c.carry(c.decider.Answered(now, n.record))
+		c.carry(c.decider.ResolveVote(now, n.record))
 	case leave:
 		c.left = true
 		c.carry(c.decider.Leave(now))
 		close(n.gone)
 	case ask:
-		n.answer <- c.decider.Standing(now)
+		n.answer <- c.decider.Status(now)
 	case change:
 		if c.store == nil {
 			n.answer <- errNoDisk
 			return
 		}
-		mask := c.decider.Standing(now).Members.Mask
+		mask := c.decider.Status(now).Members.Mask
 		if n.in >= 0 {
 			mask |= 1 << n.in
 		}
 		if n.out >= 0 {
 			mask &^= 1 << n.out
 		}
-		orders, err := c.decider.Change(now, mask)
+		orders, err := c.decider.ChangeMembers(now, mask)
 		if c.carry(orders); err == nil {
-			slog.Info("members change", "in", n.in, "out", n.out, "members", c.decider.Standing(now).Members.Mask)
+			slog.Info("members change", "in", n.in, "out", n.out, "members", c.decider.Status(now).Members.Mask)
 		}
 		n.answer <- err
 	}
 }
 
-func (c *Council) carry(orders []election.Order) {
-	for _, o := range append([]election.Order(nil), orders...) {
+func (c *Coordinator) carry(orders []election.Command) {
+	for _, o := range append([]election.Command(nil), orders...) {
 		switch o := o.(type) {
-		case election.Keep:
+		case election.Persist:
 			if c.store == nil || c.failed {
 				continue
 			}
-			if err := c.store.Keep(o.Memory); err != nil {
+			if err := c.store.Save(o.DurableState); err != nil {
 				c.failed = true
 				slog.Error("decider: the state folder can't be written; this agent takes no part any more", "err", err)
-				c.decider.Forget(c.now())
+				c.decider.StopParticipating(c.now())
 				return // nothing that was to follow is answered for
 			}
 			c.kept.Inc()
-		case election.Send:
+		case election.SendMessage:
 			c.out.Inc()
 			c.way.Send(o.To, transport.Encode(c.group, c.me, o.Message))
-		case election.Cast:
+		case election.CastVote:
 			c.cast(o)
-		case election.Alone:
+		case election.SelfStop:
 			if o.Stop {
 				c.stop(o.Decision)
 			} else if c.stopped = nil; c.known {
-				c.desk.News(c.newest)
+				c.desk.UpdateRollout(c.newest)
 			}
 		}
 	}
 }
 
-func (c *Council) cast(o election.Cast) {
+func (c *Coordinator) cast(o election.CastVote) {
 	r := o.Record
-	before := c.start.Add(time.Duration(o.Before-1) * time.Microsecond)
-	slog.Info("casts", "term", r.Term, "decision", r.Serial, "build", r.Build, "stage", r.Stage, "verdict", r.Verdict.String())
-	c.desk.Cast(policy.Vote{Build: int(r.Build), Stage: int(r.Stage), Verdict: asVote[r.Verdict]}, before, func(wrote bool) {
+	before := c.start.Add(time.Duration(o.WriteBefore-1) * time.Microsecond)
+	slog.Info("casts", "term", r.Term, "decision", r.Index, "build", r.Build, "stage", r.Stage, "verdict", r.Verdict.String())
+	c.desk.CastVote(policy.Vote{Build: int(r.Build), Stage: int(r.Stage), Verdict: asVote[r.Verdict]}, before, func(wrote bool) {
 		if wrote {
 			c.casts.Inc()
 		} else {
 			c.late.Inc()
-			slog.Warn("a vote was not written: its time was over", "term", r.Term, "decision", r.Serial)
+			slog.Warn("a vote was not written: its time was over", "term", r.Term, "decision", r.Index)
 		}
 		c.box <- over{r}
 	})
 }
 
 // stop has the module send nothing more to a build that is on trial.
-func (c *Council) stop(d election.Decision) {
+func (c *Coordinator) stop(d election.Decision) {
 	if c.stopped == nil {
 		slog.Warn("no decider in reach: this agent stops sending to the build by itself", "build", d.Build, "stage", d.Stage)
 	}
 	c.stopped = &d
-	c.desk.News(policy.RolloutUpdate{Build: int(d.Build), Stage: int(d.Stage), Phase: policy.Evaluating, Cap: 0, Age: c.newest.Age})
+	c.desk.UpdateRollout(policy.RolloutUpdate{Build: int(d.Build), Stage: int(d.Stage), Phase: policy.Evaluating, Cap: 0, Age: c.newest.Age})
 }
 
 // account writes down where the lead is.
-func (c *Council) account() {
-	s := c.decider.Standing(c.now())
-	c.leads.Store(s.Left)
+func (c *Coordinator) account() {
+	s := c.decider.Status(c.now())
+	c.leads.Store(s.LeaseRemaining)
 	switch {
-	case s.Leads && s.Term != c.term:
+	case s.IsLeader && s.Term != c.term:
 		c.terms.Inc()
-		slog.Info("leads", "term", s.Term, "members", s.Members.Many(), "waits_ms", s.Clear/1000)
+		slog.Info("leads", "term", s.Term, "members", s.Members.Count(), "waits_ms", s.EarlierVotesExpireIn/1000)
 		c.term = s.Term
-	case !s.Leads && c.term != 0:
+	case !s.IsLeader && c.term != 0:
 		if c.left {
 			c.handed.Inc()
 		}
--- a/internal/cluster/coordinator/loopback_test.go
+++ b/internal/cluster/coordinator/loopback_test.go
@@ -73,16 +73,16 @@
 		},
 		"refused": func(s faulttest.Seats) error {
 			lead := s.Names["lead"]
-			if err := coordinator.Move(s.Admin[lead], "remove", (lead+1)%3); err == nil || !strings.Contains(err.Error(), "state folder") {
+			if err := coordinator.RequestMemberChange(s.Admin[lead], "remove", (lead+1)%3); err == nil || !strings.Contains(err.Error(), "state folder") {
 				return fmt.Errorf("a change of members without disks: %v", err)
 			}
-			if r, err := coordinator.Ask(s.Admin[lead]); err != nil || len(r.Members) != 3 {
+			if r, err := coordinator.QueryStatus(s.Admin[lead]); err != nil || len(r.Members) != 3 {
 				return fmt.Errorf("after it was refused: %+v, %v", r, err)
 			}
 			return nil
 		},
 		"abstains": func(s faulttest.Seats) error {
-			if r, err := coordinator.Ask(s.Admin[s.Names["lead"]]); err != nil || r.AbstainsMS <= 0 {
+			if r, err := coordinator.QueryStatus(s.Admin[s.Names["lead"]]); err != nil || r.AbstainsMS <= 0 {
 				return fmt.Errorf("who started again without a memory stands as %+v, %v", r, err)
 			}
 			return nil
--- a/internal/cluster/election/golden_test.go
+++ b/internal/cluster/election/golden_test.go
@@ -16,8 +16,8 @@
 type goldenNight struct {
 	chance *rand.Rand
 	digest *golden.Digest
-	all    []*Decider
-	kept   []*Memory
+	all    []*Replica
+	kept   []*DurableState
 	stands []bool
 	bag    []mail
 	now    Micros
@@ -25,27 +25,27 @@
 	seed   int64
 }
 
-func (g *goldenNight) start(i, members int, without Without) {
+func (g *goldenNight) start(i, members int, without DisabledGuards) {
 	g.seed++
-	g.all[i] = New(i, First(members), g.kept[i], terms, without, g.kept[i] == nil && g.now > second, g.now, g.seed)
-	g.carry(i, g.all[i].News(g.now, 1, 0, true))
+	g.all[i] = New(i, InitialMembers(members), g.kept[i], terms, without, g.kept[i] == nil && g.now > second, g.now, g.seed)
+	g.carry(i, g.all[i].UpdateRollout(g.now, 1, 0, true))
 }
 
-func (g *goldenNight) carry(i int, orders []Order) {
-	for _, o := range append([]Order(nil), orders...) {
+func (g *goldenNight) carry(i int, orders []Command) {
+	for _, o := range append([]Command(nil), orders...) {
 		g.orders++
 		g.digest.Add(i)
 		g.digest.Add(o)
 		switch o := o.(type) {
-		case Keep:
-			g.kept[i] = &o.Memory
-		case Send:
+		case Persist:
+			g.kept[i] = &o.DurableState
+		case SendMessage:
 			if len(g.bag) < bagMost {
 				g.bag = append(g.bag, mail{i, o.To, o.Message})
 			}
-		case Cast:
+		case CastVote:
 			if g.chance.Intn(3) > 0 {
-				g.carry(i, g.all[i].Answered(g.now, o.Record))
+				g.carry(i, g.all[i].ResolveVote(g.now, o.Record))
 			}
 		}
 	}
@@ -64,11 +64,11 @@
 		g.bag = append(g.bag[:at], g.bag[at+1:]...)
 	}
 	if !g.stands[m.to] && g.chance.Intn(25) > 0 {
-		g.carry(m.to, g.all[m.to].Hear(g.now, m.from, m.m))
+		g.carry(m.to, g.all[m.to].Receive(g.now, m.from, m.m))
 	}
 }
 
-func (g *goldenNight) step(members int, without Without) {
+func (g *goldenNight) step(members int, without DisabledGuards) {
 	who := g.chance.Intn(len(g.all))
 	switch n := g.chance.Intn(1000); {
 	case n < 600:
@@ -76,19 +76,19 @@
 	case n < 900:
 		g.now += Micros(g.chance.Int63n(int64(40 * ms)))
 		for i, d := range g.all {
-			g.digest.Add(d.Next())
-			if !g.stands[i] && d.Next() <= g.now {
+			g.digest.Add(d.NextTick())
+			if !g.stands[i] && d.NextTick() <= g.now {
 				g.carry(i, d.Tick(g.now))
 			}
 		}
 	case n < 950:
 		if !g.stands[who] {
-			g.carry(who, g.all[who].Wishes(g.now, Decision{1, int32(g.chance.Intn(2)), Verdict(g.chance.Intn(4))}))
+			g.carry(who, g.all[who].Recommend(g.now, Decision{1, int32(g.chance.Intn(2)), Verdict(g.chance.Intn(4))}))
 		}
 	case n < 955:
 		stage := int32(g.chance.Intn(2))
 		for i, d := range g.all {
-			g.carry(i, d.News(g.now, 1, stage, g.chance.Intn(8) > 0))
+			g.carry(i, d.UpdateRollout(g.now, 1, stage, g.chance.Intn(8) > 0))
 		}
 	case n < 960:
 		g.stands[who] = !g.stands[who]
@@ -100,15 +100,15 @@
 	case n < 967:
 		g.carry(who, g.all[who].Leave(g.now))
 	case n < 985:
-		mask := g.all[who].Standing(g.now).Members.Mask ^ 1<<g.chance.Intn(len(g.all))
-		orders, err := g.all[who].Change(g.now, mask)
+		mask := g.all[who].Status(g.now).Members.Mask ^ 1<<g.chance.Intn(len(g.all))
+		orders, err := g.all[who].ChangeMembers(g.now, mask)
 		g.digest.Add(fmt.Sprint(err == nil))
 		g.carry(who, orders)
 	default:
 		for i := range g.stands {
 			g.stands[i] = g.stands[i] && g.chance.Intn(2) == 0
 		}
-		g.digest.Add(g.all[who].Standing(g.now))
+		g.digest.Add(g.all[who].Status(g.now))
 	}
 }
 
@@ -116,10 +116,10 @@
 func TestGoldenDecisions(t *testing.T) {
 	var out strings.Builder
 	for _, members := range []int{1, 3, 5} {
-		for i, without := range []Without{{}, {}, {}, {Lease: true}, {Record: true}, {Wait: true}, {Prevote: true}, {Begin: true}} {
+		for i, without := range []DisabledGuards{{}, {}, {}, {LeaseExpiry: true}, {QuorumBeforeCast: true}, {WaitForEarlierVotes: true}, {Prevote: true}, {LeaseFromStart: true}} {
 			g := &goldenNight{chance: rand.New(rand.NewSource(int64(i + 1))), now: second, seed: int64(i) * 1000,
-				digest: golden.NewDigest(Send{}, Cast{}, Keep{}, Alone{}, Standing{}, Micros(0), 0, "")}
-			g.all, g.kept, g.stands = make([]*Decider, members+1), make([]*Memory, members+1), make([]bool, members+1)
+				digest: golden.NewDigest(SendMessage{}, CastVote{}, Persist{}, SelfStop{}, Status{}, Micros(0), 0, "")}
+			g.all, g.kept, g.stands = make([]*Replica, members+1), make([]*DurableState, members+1), make([]bool, members+1)
 			for a := range g.all {
 				g.start(a, members, without)
 			}
--- a/internal/cluster/election/machine_test.go
+++ b/internal/cluster/election/machine_test.go
@@ -9,8 +9,8 @@
 
 // machine is a group of agents, a bag of messages that may be delivered in any order, doubled or lost, and one true time.
 type machine struct {
-	all    []*Decider
-	kept   []*Memory // what each has on its disk
+	all    []*Replica
+	kept   []*DurableState // what each has on its disk
 	stands []bool
 	bag    []mail
 	now    Micros
@@ -27,44 +27,44 @@
 
 type casted struct {
 	by int
-	Cast
+	CastVote
 	at Micros
 }
 
 // agents of the machine; the last is let in by a change only.
 const machineAgents, machineMembers, bagMost = 4, 3, 400
 
-func (w *machine) start(i int, memory *Memory, fresh bool) {
-	members := First(machineMembers)
+func (w *machine) start(i int, memory *DurableState, fresh bool) {
+	members := InitialMembers(machineMembers)
 	if i >= machineMembers {
 		members = Members{}
 	}
 	w.seed++
-	w.all[i] = New(i, members, memory, terms, Without{}, fresh, w.now, w.seed)
+	w.all[i] = New(i, members, memory, terms, DisabledGuards{}, fresh, w.now, w.seed)
 	w.stands[i] = false
-	w.carry(i, w.all[i].News(w.now, 1, 0, true))
+	w.carry(i, w.all[i].UpdateRollout(w.now, 1, 0, true))
 }
 
-func (w *machine) carry(i int, orders []Order) {
+func (w *machine) carry(i int, orders []Command) {
 	kept := false
-	for _, o := range append([]Order(nil), orders...) {
+	for _, o := range append([]Command(nil), orders...) {
 		switch o := o.(type) {
-		case Keep:
-			kept, w.kept[i] = true, &o.Memory
-		case Send:
+		case Persist:
+			kept, w.kept[i] = true, &o.DurableState
+		case SendMessage:
 			if len(w.bag) < bagMost {
 				w.bag = append(w.bag, mail{i, o.To, o.Message})
 			}
-		case Cast:
+		case CastVote:
 			w.casts = append(w.casts, casted{i, o, w.now})
 			know, members := 0, w.all[i].members // most of those who count know it, or something newer
 			for j, d := range w.all {
-				if members.Has(j) && !o.Record.newer(d.known) {
+				if members.Contains(j) && !o.Record.newer(d.known) {
 					know++
 				}
 			}
-			if 2*know <= members.Many() {
-				w.unknown = fmt.Sprintf("%+v was cast, %d of %d know", o, know, members.Many())
+			if 2*know <= members.Count() {
+				w.unknown = fmt.Sprintf("%+v was cast, %d of %d know", o, know, members.Count())
 			}
 			if w.kept[i] == nil && !kept {
 				panic("a cast of one that has kept nothing")
@@ -76,7 +76,7 @@
 func (w *machine) check(t *rapid.T) {
 	leads := []int{}
 	for i, d := range w.all {
-		if !w.stands[i] && d.Leads(w.now) {
+		if !w.stands[i] && d.IsLeader(w.now) {
 			leads = append(leads, i)
 		}
 	}
@@ -86,7 +86,7 @@
 	for i := range w.casts {
 		c := w.casts[len(w.casts)-1]
 		o := w.casts[i]
-		if o.by != c.by && o.Build == c.Build && o.Stage == c.Stage && o.Verdict != c.Verdict && c.at < o.at+terms.Late+terms.Life {
+		if o.by != c.by && o.Build == c.Build && o.Stage == c.Stage && o.Verdict != c.Verdict && c.at < o.at+terms.MaxVoteDelay+terms.VoteLifetime {
 			t.Fatalf("%+v beside %+v", c, o)
 		}
 	}
@@ -100,7 +100,7 @@
 func TestMachine(t *testing.T) {
 	casts, changes := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := &machine{all: make([]*Decider, machineAgents), kept: make([]*Memory, machineAgents), stands: make([]bool, machineAgents), now: second}
+		w := &machine{all: make([]*Replica, machineAgents), kept: make([]*DurableState, machineAgents), stands: make([]bool, machineAgents), now: second}
 		for i := range w.all {
 			w.start(i, nil, false)
 		}
@@ -113,7 +113,7 @@
 					w.bag = append(w.bag[:at], w.bag[at+1:]...)
 				}
 				if !w.stands[m.to] {
-					w.carry(m.to, w.all[m.to].Hear(w.now, m.from, m.m))
+					w.carry(m.to, w.all[m.to].Receive(w.now, m.from, m.m))
 				}
 			}
 		}
@@ -135,7 +135,7 @@
 				for len(w.bag) > 0 {
 					m := w.bag[0]
 					if w.bag = w.bag[1:]; !w.stands[m.to] {
-						w.carry(m.to, w.all[m.to].Hear(w.now, m.from, m.m))
+						w.carry(m.to, w.all[m.to].Receive(w.now, m.from, m.m))
 						w.check(t)
 					}
 				}
@@ -153,7 +153,7 @@
 			"wish": func(t *rapid.T) {
 				i, v := who.Draw(t, "who"), Verdict(rapid.IntRange(0, 3).Draw(t, "verdict"))
 				if !w.stands[i] {
-					w.carry(i, w.all[i].Wishes(w.now, Decision{1, 0, v}))
+					w.carry(i, w.all[i].Recommend(w.now, Decision{1, 0, v}))
 				}
 			},
 			"stand": func(t *rapid.T) { w.stands[who.Draw(t, "who")] = true },
@@ -165,8 +165,8 @@
 			},
 			"change": func(t *rapid.T) {
 				for i, d := range w.all {
-					if !w.stands[i] && d.Leads(w.now) {
-						orders, err := d.Change(w.now, d.members.Mask^1<<who.Draw(t, "member"))
+					if !w.stands[i] && d.IsLeader(w.now) {
+						orders, err := d.ChangeMembers(w.now, d.members.Mask^1<<who.Draw(t, "member"))
 						if w.carry(i, orders); err == nil {
 							changes++
 						}
@@ -190,22 +190,22 @@
 // With nobody to decide, an agent whose judge wishes to go back stops by itself, and goes on when it wishes otherwise.
 func TestStopsAlone(t *testing.T) {
 	said := []string{}
-	d := New(0, First(3), nil, terms, Without{}, false, second, 1)
-	take := func(orders []Order) {
+	d := New(0, InitialMembers(3), nil, terms, DisabledGuards{}, false, second, 1)
+	take := func(orders []Command) {
 		for _, o := range orders {
-			if a, is := o.(Alone); is {
+			if a, is := o.(SelfStop); is {
 				said = append(said, fmt.Sprint(a.Stop, a.Decision))
 			}
 		}
 	}
-	take(d.News(second, 8, 1, true))
-	take(d.Wishes(second, Decision{8, 1, On}))
+	take(d.UpdateRollout(second, 8, 1, true))
+	take(d.Recommend(second, Decision{8, 1, Advance}))
 	if len(said) != 0 {
 		t.Fatalf("said %v without a bad build", said)
 	}
-	take(d.Wishes(2*second, Decision{8, 1, Back}))
+	take(d.Recommend(2*second, Decision{8, 1, RollBack}))
 	take(d.Tick(2*second + 100*ms))
-	take(d.Wishes(3*second, Decision{8, 1, NoVote}))
+	take(d.Recommend(3*second, Decision{8, 1, NoVote}))
 	if want := []string{"true {8 1 back}", "false {8 1 back}"}; fmt.Sprint(said) != fmt.Sprint(want) {
 		t.Errorf("said %v, want %v", said, want)
 	}
@@ -213,11 +213,11 @@
 	r := newRing(false)
 	r.until(3 * second)
 	for i := range r.all {
-		if r.all[i].Leads(r.now) {
+		if r.all[i].IsLeader(r.now) {
 			continue
 		}
-		for _, o := range r.all[i].Wishes(r.now, Decision{1, 0, Back}) {
-			if a, is := o.(Alone); is {
+		for _, o := range r.all[i].Recommend(r.now, Decision{1, 0, RollBack}) {
+			if a, is := o.(SelfStop); is {
 				t.Errorf("agent %d says %+v while another leads", i, a)
 			}
 		}
--- a/internal/cluster/storage/golden_test.go
+++ b/internal/cluster/storage/golden_test.go
@@ -9,9 +9,9 @@
 )
 
 // goldenMemory is what the file of testdata holds; an earlier version of the program wrote it.
-var goldenMemory = election.Memory{Promised: 0x0b02, Accepted: 0x0a01, Yielded: 0x0901, Owner: 2,
-	Known:   election.Record{Term: 0x0a01, Serial: 7, Decision: election.Decision{Build: 42, Stage: 3, Verdict: election.Back}, Prior: election.On},
-	Members: election.Members{Term: 0x0801, Serial: 4, Mask: 0b10111}}
+var goldenMemory = election.DurableState{Promised: 0x0b02, Accepted: 0x0a01, Released: 0x0901, LeaseHolder: 2,
+	Newest:  election.Record{Term: 0x0a01, Index: 7, Decision: election.Decision{Build: 42, Stage: 3, Verdict: election.RollBack}, Prior: election.Advance},
+	Members: election.Members{Term: 0x0801, Version: 4, Mask: 0b10111}}
 
 const (
 	goldenGroup = 0xfeedc0de12345678
@@ -28,7 +28,7 @@
 	if err = os.WriteFile(filepath.Join(folder, fileName), raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	group, me, memory, err := Look(folder)
+	group, me, memory, err := Inspect(folder)
 	if err != nil || group != goldenGroup || me != goldenAgent || memory == nil || *memory != goldenMemory {
 		t.Fatalf("a look gives group %x, agent %d, %+v, %v", group, me, memory, err)
 	}
@@ -39,7 +39,7 @@
 	defer v.Close()
 	next := goldenMemory
 	next.Promised++
-	if err = v.Keep(next); err != nil {
+	if err = v.Save(next); err != nil {
 		t.Errorf("not written again: %v", err)
 	}
 }
--- a/internal/cluster/storage/vault.go
+++ b/internal/cluster/storage/vault.go
@@ -34,29 +34,29 @@
 	Form   uint32
 	Group  uint64
 	Me     uint8
-	Memory election.Memory
+	Memory election.DurableState
 }
 
-// Vault is an open folder.
-type Vault struct {
+// Store is an open folder.
+type Store struct {
 	db    *bbolt.DB
 	group uint64
 	me    int
 }
 
-// ErrDamaged is of a file that can't be relied on.
-var ErrDamaged = errors.New("damaged")
+// ErrCorrupt is of a file that can't be relied on.
+var ErrCorrupt = errors.New("damaged")
 
 // Open opens a folder, and reads what is kept there; nil: nothing was ever kept. A file that is torn, cut off or another
 // agent's is moved aside and refused.
-func Open(folder string, group uint64, me int) (*Vault, *election.Memory, error) {
+func Open(folder string, group uint64, me int) (*Store, *election.DurableState, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("state folder: %w", err)
 	}
 	path := filepath.Join(folder, fileName)
-	v := &Vault{group: group, me: me}
+	v := &Store{group: group, me: me}
 	memory, err := v.open(path, false)
-	if errors.Is(err, ErrDamaged) {
+	if errors.Is(err, ErrCorrupt) {
 		aside := fmt.Sprintf("%s.refused-%d", path, time.Now().UnixNano())
 		if moved := os.Rename(path, aside); moved != nil {
 			return nil, nil, fmt.Errorf("%s: %w; moving it aside: %w", path, err, moved)
@@ -69,13 +69,13 @@
 	return v, memory, nil
 }
 
-// Look reads a folder without changing anything in it.
-func Look(folder string) (group uint64, me int, memory *election.Memory, err error) {
+// Inspect reads a folder without changing anything in it.
+func Inspect(folder string) (group uint64, me int, memory *election.DurableState, err error) {
 	path := filepath.Join(folder, fileName)
 	if _, err = os.Stat(path); err != nil {
 		return 0, 0, nil, err
 	}
-	v := &Vault{me: -1}
+	v := &Store{me: -1}
 	memory, err = v.open(path, true)
 	if v.db != nil {
 		v.db.Close()
@@ -87,11 +87,11 @@
 }
 
 // open opens and checks a file. Damage may show as an error, a panic or a fault of the mapped file.
-func (v *Vault) open(path string, look bool) (memory *election.Memory, err error) {
+func (v *Store) open(path string, look bool) (memory *election.DurableState, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			memory, err = nil, fmt.Errorf("%w: %v", ErrDamaged, p)
+			memory, err = nil, fmt.Errorf("%w: %v", ErrCorrupt, p)
 		}
 		if err != nil && v.db != nil {
 			db := v.db
@@ -103,7 +103,7 @@
 		}
 	}()
 	if info, err := os.Stat(path); err == nil && info.Size() == 0 {
-		return nil, fmt.Errorf("%w: the file is empty", ErrDamaged)
+		return nil, fmt.Errorf("%w: the file is empty", ErrCorrupt)
 	}
 	v.db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWait, ReadOnly: look})
 	switch {
@@ -112,11 +112,11 @@
 	case errors.Is(err, os.ErrPermission):
 		return nil, err
 	case err != nil:
-		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
+		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	err = v.db.View(func(tx *bbolt.Tx) error {
 		for bad := range tx.Check() {
-			return fmt.Errorf("%w: %w", ErrDamaged, bad)
+			return fmt.Errorf("%w: %w", ErrCorrupt, bad)
 		}
 		b := tx.Bucket(bucket)
 		if b == nil {
@@ -133,7 +133,7 @@
 		case v.me < 0:
 			v.group, v.me = e.Group, int(e.Me)
 		case e.Group != v.group || int(e.Me) != v.me:
-			return fmt.Errorf("%w: it is agent %d's of group %016x, not agent %d's of %016x", ErrDamaged, e.Me, e.Group, v.me, v.group)
+			return fmt.Errorf("%w: it is agent %d's of group %016x, not agent %d's of %016x", ErrCorrupt, e.Me, e.Group, v.me, v.group)
 		}
 		memory = &e.Memory
 		return nil
@@ -143,20 +143,20 @@
 
 func read(raw []byte) (e entry, err error) {
 	if len(raw) != binary.Size(e)+4 {
-		return e, fmt.Errorf("%w: a record of %d bytes, expected %d", ErrDamaged, len(raw), binary.Size(e)+4)
+		return e, fmt.Errorf("%w: a record of %d bytes, expected %d", ErrCorrupt, len(raw), binary.Size(e)+4)
 	}
 	body := raw[:len(raw)-4]
 	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(raw[len(body):]) {
-		return e, fmt.Errorf("%w: the record's sum is wrong", ErrDamaged)
+		return e, fmt.Errorf("%w: the record's sum is wrong", ErrCorrupt)
 	}
 	if _, err = binary.Decode(body, binary.LittleEndian, &e); err == nil && e.Form != form {
-		err = fmt.Errorf("%w: a record of form %d, expected %d", ErrDamaged, e.Form, form)
+		err = fmt.Errorf("%w: a record of form %d, expected %d", ErrCorrupt, e.Form, form)
 	}
 	return e, err
 }
 
-// Keep writes a memory; when it returns without an error, it is on the disk.
-func (v *Vault) Keep(m election.Memory) error {
+// Save writes a memory; when it returns without an error, it is on the disk.
+func (v *Store) Save(m election.DurableState) error {
 	var b bytes.Buffer
 	if err := binary.Write(&b, binary.LittleEndian, entry{form, v.group, uint8(v.me), m}); err != nil {
 		return err
@@ -175,4 +175,4 @@
 }
 
 // Close lets go of the folder.
-func (v *Vault) Close() error { return v.db.Close() }
+func (v *Store) Close() error { return v.db.Close() }
--- a/internal/cluster/storage/vault_test.go
+++ b/internal/cluster/storage/vault_test.go
@@ -13,8 +13,8 @@
 	"switchfork/internal/cluster/election"
 )
 
-func memory(n uint64) election.Memory {
-	return election.Memory{Promised: n, Accepted: n, Owner: 1, Known: election.Record{Term: n, Serial: 1}, Members: election.First(3)}
+func memory(n uint64) election.DurableState {
+	return election.DurableState{Promised: n, Accepted: n, LeaseHolder: 1, Newest: election.Record{Term: n, Index: 1}, Members: election.InitialMembers(3)}
 }
 
 // A memory is read again as it was kept; a folder of another agent or group is refused, and nothing in it is lost.
@@ -25,18 +25,18 @@
 		t.Fatalf("a new folder gives %v, %v", m, err)
 	}
 	for n := range uint64(300) {
-		if err = v.Keep(memory(n + 1)); err != nil {
+		if err = v.Save(memory(n + 1)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, _, err = Open(dir, 5, 1); err == nil || errors.Is(err, ErrDamaged) {
+	if _, _, err = Open(dir, 5, 1); err == nil || errors.Is(err, ErrCorrupt) {
 		t.Errorf("a folder that is open gives %v", err)
 	}
 	v.Close()
 	if info, err := os.Stat(filepath.Join(dir, fileName)); err != nil || info.Size() > 256<<10 {
 		t.Errorf("after 300 syncs the file has %d bytes, %v", info.Size(), err)
 	}
-	if group, me, m, err := Look(dir); err != nil || group != 5 || me != 1 || m == nil || *m != memory(300) {
+	if group, me, m, err := Inspect(dir); err != nil || group != 5 || me != 1 || m == nil || *m != memory(300) {
 		t.Errorf("a look gives %d %d %v %v", group, me, m, err)
 	}
 	v, m, err = Open(dir, 5, 1)
@@ -44,7 +44,7 @@
 		t.Fatalf("kept as %v, %v", m, err)
 	}
 	v.Close()
-	if _, _, err = Open(dir, 5, 2); !errors.Is(err, ErrDamaged) || !strings.Contains(err.Error(), "agent 1") {
+	if _, _, err = Open(dir, 5, 2); !errors.Is(err, ErrCorrupt) || !strings.Contains(err.Error(), "agent 1") {
 		t.Errorf("another agent's folder gives %v", err)
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, fileName+".refused-*")); len(left) != 1 {
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	for n := range uint64(5) {
-		if err = v.Keep(memory(n + 1)); err != nil {
+		if err = v.Save(memory(n + 1)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -77,7 +77,7 @@
 		}
 		v, m, err := Open(at, 5, 1)
 		switch {
-		case errors.Is(err, ErrDamaged):
+		case errors.Is(err, ErrCorrupt):
 			refused++
 		case err != nil:
 			t.Errorf("%s: %v", what, err)
@@ -117,14 +117,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v.Keep(memory(1))
-	v.Keep(memory(2))
+	v.Save(memory(1))
+	v.Save(memory(2))
 	v.Close()
 	before, _ := os.ReadFile(file)
 	if v, _, err = Open(dir, 5, 1); err != nil {
 		t.Fatal(err)
 	}
-	v.Keep(memory(3))
+	v.Save(memory(3))
 	v.Close()
 	after, _ := os.ReadFile(file)
 	page := os.Getpagesize()
@@ -181,7 +181,7 @@
 		}
 		for {
 			n++
-			if err := v.Keep(memory(n)); err != nil {
+			if err := v.Save(memory(n)); err != nil {
 				os.Exit(1)
 			}
 			fmt.Println(n)
--- a/internal/cluster/transport/stream.go
+++ b/internal/cluster/transport/stream.go
@@ -32,8 +32,8 @@
 	callersMost = 128
 )
 
-// Streams is the TCP way.
-type Streams struct {
+// TCP is the TCP way.
+type TCP struct {
 	listener net.Listener
 	dial     func(ctx context.Context, address string) (net.Conn, error) // the callers' work puts TLS here
 	hand     func([]byte)
@@ -51,12 +51,12 @@
 }
 
 // Listen opens the TCP way; what comes is given to hand, from several goroutines.
-func Listen(ctx context.Context, address string, hand func([]byte)) (*Streams, error) {
+func Listen(ctx context.Context, address string, hand func([]byte)) (*TCP, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	s := &Streams{listener: l, hand: hand, lines: map[int]*line{}, ctx: ctx, places: make(chan struct{}, callersMost),
+	s := &TCP{listener: l, hand: hand, lines: map[int]*line{}, ctx: ctx, places: make(chan struct{}, callersMost),
 		dial: func(ctx context.Context, address string) (net.Conn, error) {
 			return (&net.Dialer{Timeout: dialWait}).DialContext(ctx, "tcp", address)
 		}}
@@ -66,10 +66,10 @@
 }
 
 // Addr is where it listens.
-func (s *Streams) Addr() string { return s.listener.Addr().String() }
+func (s *TCP) Addr() string { return s.listener.Addr().String() }
 
-// Reach names the agents' addresses; lines to others end, and new ones begin.
-func (s *Streams) Reach(addresses map[int]string) {
+// SetPeers names the agents' addresses; lines to others end, and new ones begin.
+func (s *TCP) SetPeers(addresses map[int]string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, l := range s.lines {
@@ -89,7 +89,7 @@
 }
 
 // Send queues a message; without a line to that agent it is dropped.
-func (s *Streams) Send(to int, b []byte) {
+func (s *TCP) Send(to int, b []byte) {
 	s.mu.Lock()
 	l := s.lines[to]
 	s.mu.Unlock()
@@ -107,7 +107,7 @@
 }
 
 // run keeps a line up while there is something to say.
-func (s *Streams) run(ctx context.Context, l *line) {
+func (s *TCP) run(ctx context.Context, l *line) {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval, pause.MaxInterval = firstPause, longPause
 	var c net.Conn
@@ -151,7 +151,7 @@
 	c.Close()
 }
 
-func (s *Streams) accept() {
+func (s *TCP) accept() {
 	for {
 		c, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -170,7 +170,7 @@
 	}
 }
 
-func (s *Streams) read(c net.Conn) {
+func (s *TCP) read(c net.Conn) {
 	defer func() { c.Close(); <-s.places }()
 	defer context.AfterFunc(s.ctx, func() { c.Close() })() // a goroutine for each would stay until the agent's end
 	r := bufio.NewReaderSize(c, 2*most)
--- a/internal/cluster/transport/ways_test.go
+++ b/internal/cluster/transport/ways_test.go
@@ -18,20 +18,20 @@
 func anyMessage(t *rapid.T) election.Message {
 	verdict := func(name string) election.Verdict { return election.Verdict(rapid.IntRange(0, 3).Draw(t, name)) }
 	number := rapid.Int32()
-	return election.Message{Kind: election.Kind(rapid.IntRange(int(election.Prepare), int(election.Settled)).Draw(t, "kind")),
-		Ballot: rapid.Uint64().Draw(t, "ballot"), After: rapid.Uint64().Draw(t, "after"),
-		Record: election.Record{Term: rapid.Uint64().Draw(t, "term"), Serial: rapid.Uint32().Draw(t, "serial"),
+	return election.Message{Kind: election.Kind(rapid.IntRange(int(election.Prepare), int(election.MembersCommitted)).Draw(t, "kind")),
+		Ballot: rapid.Uint64().Draw(t, "ballot"), ReleasedUpTo: rapid.Uint64().Draw(t, "after"),
+		Record: election.Record{Term: rapid.Uint64().Draw(t, "term"), Index: rapid.Uint32().Draw(t, "serial"),
 			Decision: election.Decision{Build: number.Draw(t, "build"), Stage: number.Draw(t, "stage"), Verdict: verdict("verdict")}, Prior: verdict("prior")},
-		Wish:    election.Decision{Build: number.Draw(t, "wished"), Stage: number.Draw(t, "at"), Verdict: verdict("wish")},
-		Members: election.Members{Term: rapid.Uint64().Draw(t, "stamp"), Serial: rapid.Uint32().Draw(t, "change"), Mask: rapid.Uint64().Draw(t, "mask")}}
+		Recommendation: election.Decision{Build: number.Draw(t, "wished"), Stage: number.Draw(t, "at"), Verdict: verdict("wish")},
+		Members:        election.Members{Term: rapid.Uint64().Draw(t, "stamp"), Version: rapid.Uint32().Draw(t, "change"), Mask: rapid.Uint64().Draw(t, "mask")}}
 }
 
 // What is written is read again as it was, fits into a datagram, and is no judge's sheet of nine-byte lines.
 func TestThereAndBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, from, group := anyMessage(t), rapid.IntRange(0, election.Most-1).Draw(t, "from"), rapid.Uint64().Draw(t, "group")
+		m, from, group := anyMessage(t), rapid.IntRange(0, election.MaxReplicas-1).Draw(t, "from"), rapid.Uint64().Draw(t, "group")
 		b := Encode(group, from, m)
-		if len(b) > 256 || len(b)%9 == 0 || !Ours(b) {
+		if len(b) > 256 || len(b)%9 == 0 || !IsFrame(b) {
 			t.Fatalf("%d bytes", len(b))
 		}
 		who, got, err := Decode(group, b)
@@ -51,7 +51,7 @@
 
 // Whatever comes is read without a panic, and what is taken is whole: it writes itself again.
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(7, 2, election.Message{Kind: election.Yield, Ballot: 513, After: 770}))
+	f.Add(Encode(7, 2, election.Message{Kind: election.HandOver, Ballot: 513, ReleasedUpTo: 770}))
 	f.Add([]byte{0xa7, 0xc0, 0xd1, 0x5f})
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -115,7 +115,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.Reach(map[int]string{1: b.Addr()})
+		a.SetPeers(map[int]string{1: b.Addr()})
 		n := byte(0)
 		eventually(t, "a message", func() bool { n++; a.Send(1, []byte{n}); return h.last() != nil })
 		stop()
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -260,7 +260,7 @@
 				if !not(i) {
 					continue
 				}
-				if r, err := coordinator.Ask(a.admin); err == nil && r.Leads {
+				if r, err := coordinator.QueryStatus(a.admin); err == nil && r.Leads {
 					p.names[d.name] = i
 					p.note("night", "%s is agent %d", d.name, i)
 					return true, ""
@@ -317,11 +317,11 @@
 		many++
 		switch m.Name {
 		case "leads":
-			if r, err := coordinator.Ask(a.admin); err == nil && r.Leads {
+			if r, err := coordinator.QueryStatus(a.admin); err == nil && r.Leads {
 				n++
 			}
 		case "members": // the least that any of them knows of
-			r, err := coordinator.Ask(a.admin)
+			r, err := coordinator.QueryStatus(a.admin)
 			if k := len(r.Members); err == nil && (many == 1 || k < n) {
 				n = k
 			} else if err != nil {
--- a/internal/simulation/decider.go
+++ b/internal/simulation/decider.go
@@ -18,7 +18,7 @@
 	Seed    int64
 	Agents  int
 	Seconds int
-	Without election.Without
+	Without election.DisabledGuards
 	Calm    bool // no troubles but the crash of whoever leads, at a third of the time
 	Planned bool // a hand-over instead of that crash
 	Rest    bool // calm, and nobody crashes or leaves
@@ -40,13 +40,13 @@
 	Changes    int // of the members
 }
 
-var nightTerms = election.Terms{Lease: 2 * second, Drift: 0.005, Late: 800 * ms, Life: 3 * second, Need: 1}
+var nightTerms = election.Settings{Lease: 2 * second, ClockDrift: 0.005, MaxVoteDelay: 800 * ms, VoteLifetime: 3 * second, RollBackQuorum: 1}
 
 // NightLease is the lease of the nights.
 func NightLease() int64 { return nightTerms.Lease }
 
 type agentOf struct {
-	d       *election.Decider
+	d       *election.Replica
 	fast    float64 // how its clock runs
 	down    bool
 	stands  int64 // until then it does nothing
@@ -55,7 +55,7 @@
 	epoch   int
 	wish    election.Decision
 	disk    bool // its memory survives a restart
-	kept    *election.Memory
+	kept    *election.DurableState
 }
 
 // calmTail: without troubles what is bad is sent back within a few leases and a vote's life.
@@ -103,7 +103,7 @@
 	n.cut = make([][]bool, all)
 	for i := range n.agents {
 		n.cut[i] = make([]bool, all)
-		n.agents[i] = &agentOf{fast: 1 + (n.chance.Float64()*2-1)*nightTerms.Drift, disk: n.change || n.chance.Float64() < 0.5}
+		n.agents[i] = &agentOf{fast: 1 + (n.chance.Float64()*2-1)*nightTerms.ClockDrift, disk: n.change || n.chance.Float64() < 0.5}
 	}
 	for i := range n.agents {
 		n.start(i, false)
@@ -136,17 +136,17 @@
 	a := n.agents[i]
 	a.epoch++
 	a.down, a.mail, a.stands = false, nil, 0
-	members := election.First(n.Agents)
+	members := election.InitialMembers(n.Agents)
 	if i >= n.Agents {
 		members = election.Members{} // it has to be let in first
 	}
-	var memory *election.Memory
+	var memory *election.DurableState
 	if a.disk && a.kept != nil {
 		memory, fresh = a.kept, false
 	}
 	a.d = election.New(i, members, memory, nightTerms, n.Without, fresh, n.clock(a), n.Seed*31+int64(i)+int64(a.epoch)*7919)
-	n.carry(i, a.d.News(n.clock(a), n.build, n.stage, true))
-	n.carry(i, a.d.Wishes(n.clock(a), a.wish))
+	n.carry(i, a.d.UpdateRollout(n.clock(a), n.build, n.stage, true))
+	n.carry(i, a.d.Recommend(n.clock(a), a.wish))
 	n.tick(i, a.epoch)
 }
 
@@ -193,23 +193,23 @@
 	})
 }
 
-func (n *night) carry(i int, orders []election.Order) {
+func (n *night) carry(i int, orders []election.Command) {
 	for _, o := range slices.Clone(orders) {
 		switch o := o.(type) {
-		case election.Send:
+		case election.SendMessage:
 			n.post(i, o)
-		case election.Cast:
+		case election.CastVote:
 			if !n.Each {
 				n.write(i, o)
 			}
-		case election.Keep:
-			n.agents[i].kept = &o.Memory
+		case election.Persist:
+			n.agents[i].kept = &o.DurableState
 		}
 	}
 }
 
 // post carries a message, or loses it.
-func (n *night) post(from int, o election.Send) {
+func (n *night) post(from int, o election.SendMessage) {
 	if n.now <= int64(n.Seconds)*second {
 		n.result.Messages++
 	}
@@ -228,14 +228,14 @@
 		}
 		n.at(n.now+way, func() {
 			if n.agents[o.To].epoch == epoch {
-				n.run(o.To, func(a *agentOf) { n.carry(o.To, a.d.Hear(n.clock(a), from, o.Message)) })
+				n.run(o.To, func(a *agentOf) { n.carry(o.To, a.d.Receive(n.clock(a), from, o.Message)) })
 			}
 		})
 	}
 }
 
 // write is the vote's way to the launcher. The process may stand still just before it writes; it then sees the time.
-func (n *night) write(i int, o election.Cast) {
+func (n *night) write(i int, o election.CastVote) {
 	a := n.agents[i]
 	n.result.Casts++
 	epoch, ordered := a.epoch, n.now
@@ -244,21 +244,21 @@
 			return
 		}
 		n.run(i, func(a *agentOf) {
-			if n.clock(a) >= o.Before && !n.Without.Lease {
+			if n.clock(a) >= o.WriteBefore && !n.Without.LeaseExpiry {
 				return // written too late: not at all
 			}
 			late := n.chance.Int63n(40*ms) + 1
 			if n.chance.Float64() < 0.2 && !n.Calm {
-				late = n.chance.Int63n(nightTerms.Late - ms)
+				late = n.chance.Int63n(nightTerms.MaxVoteDelay - ms)
 			}
 			lost := !n.Calm && n.chance.Float64() < 0.1
-			done := max(n.now+late, min(n.stalls, n.now+nightTerms.Late-ms))
+			done := max(n.now+late, min(n.stalls, n.now+nightTerms.MaxVoteDelay-ms))
 			n.at(done, func() {
 				n.vote(i, o.Record, ordered)
 				if !lost {
 					n.run(i, func(a *agentOf) {
 						if a.epoch == epoch {
-							n.carry(i, a.d.Answered(n.clock(a), o.Record))
+							n.carry(i, a.d.ResolveVote(n.clock(a), o.Record))
 						}
 					})
 				}
@@ -279,12 +279,12 @@
 			n.violation("at %d us agent %d's %v counts beside agent %d's %v", n.now, i, r, v.agent, v.rec)
 		}
 	}
-	if o := n.newest; o.agent != i && ordered < o.until && r.Verdict == election.On && o.rec.Build == r.Build && o.rec.Stage == r.Stage && o.rec.Verdict != r.Verdict {
+	if o := n.newest; o.agent != i && ordered < o.until && r.Verdict == election.Advance && o.rec.Build == r.Build && o.rec.Stage == r.Stage && o.rec.Verdict != r.Verdict {
 		n.violation("at %d us deposed agent %d's %v is carried out after %v", n.now, i, r, o.rec)
 	}
 	n.newest = voteOf{i, r, n.now}
-	n.votes = append(n.votes, voteOf{i, r, n.now + nightTerms.Life})
-	if r.Verdict == election.Back && n.badAt > 0 && n.result.BackAfter < 0 {
+	n.votes = append(n.votes, voteOf{i, r, n.now + nightTerms.VoteLifetime})
+	if r.Verdict == election.RollBack && n.badAt > 0 && n.result.BackAfter < 0 {
 		n.result.BackAfter = n.now - n.badAt
 	}
 }
@@ -299,7 +299,7 @@
 func (n *night) watch() {
 	leader, many := -1, 0
 	for i, a := range n.agents {
-		if !a.down && n.now >= a.stands && a.d.Leads(n.clock(a)) {
+		if !a.down && n.now >= a.stands && a.d.IsLeader(n.clock(a)) {
 			leader, many = i, many+1
 		}
 	}
@@ -327,7 +327,7 @@
 // leader is who leads now, or else one by chance.
 func (n *night) leader() int {
 	for i, a := range n.agents {
-		if !a.down && a.d.Leads(n.clock(a)) {
+		if !a.down && a.d.IsLeader(n.clock(a)) {
 			return i
 		}
 	}
@@ -340,21 +340,21 @@
 	wish := func(i int, v election.Verdict) {
 		n.agents[i].wish = election.Decision{Build: n.build, Stage: n.stage, Verdict: v}
 		n.run(i, func(a *agentOf) {
-			n.carry(i, a.d.Wishes(n.clock(a), a.wish))
+			n.carry(i, a.d.Recommend(n.clock(a), a.wish))
 			if n.Each && v != election.NoVote {
-				n.write(i, election.Cast{Record: election.Record{Term: 1, Decision: a.wish}, Before: 1 << 60})
+				n.write(i, election.CastVote{Record: election.Record{Term: 1, Decision: a.wish}, WriteBefore: 1 << 60})
 			}
 		})
 	}
 	// Each agent tells its wish again and again, as its judge would; in the troubled nights the wishes flap.
 	for i := range n.agents {
 		var again func()
-		verdict := election.On
+		verdict := election.Advance
 		again = func() {
 			if n.badAt > 0 {
-				verdict = election.Back
+				verdict = election.RollBack
 			} else if !n.Calm && n.chance.Float64() < 0.15 {
-				verdict = []election.Verdict{election.On, election.Back, election.Hold}[n.chance.Intn(3)]
+				verdict = []election.Verdict{election.Advance, election.RollBack, election.Hold}[n.chance.Intn(3)]
 			}
 			wish(i, verdict)
 			n.at(n.now+nightTerms.Lease/4+n.chance.Int63n(200*ms), again)
@@ -412,8 +412,8 @@
 				for range 1 + n.chance.Intn(3) {
 					if i = n.leader(); !n.agents[i].down && n.now >= n.agents[i].stands {
 						d, at := n.agents[i].d, n.chance.Intn(len(n.agents))
-						if mask := d.Standing(n.clock(n.agents[i])).Members.Mask ^ 1<<at; mask != 0 {
-							orders, err := d.Change(n.clock(n.agents[i]), mask)
+						if mask := d.Status(n.clock(n.agents[i])).Members.Mask ^ 1<<at; mask != 0 {
+							orders, err := d.ChangeMembers(n.clock(n.agents[i]), mask)
 							if n.carry(i, orders); err == nil {
 								n.result.Changes++
 							}
@@ -433,7 +433,7 @@
 			n.votes = nil
 			for i := range n.agents {
 				n.at(n.now+n.chance.Int63n(300*ms), func() {
-					n.run(i, func(a *agentOf) { n.carry(i, a.d.News(n.clock(a), n.build, n.stage, true)) })
+					n.run(i, func(a *agentOf) { n.carry(i, a.d.UpdateRollout(n.clock(a), n.build, n.stage, true)) })
 				})
 			}
 		})
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -58,7 +58,7 @@
 // Random schedules of troubles break nothing, and do where a guard is off.
 func TestNights(t *testing.T) {
 	first := int64(1)
-	broken := func(off election.Without) (n int) {
+	broken := func(off election.DisabledGuards) (n int) {
 		for seed := first; seed < first+150; seed++ {
 			if len(PlayNight(Schedule{Seed: seed, Agents: 3, Seconds: 40, Without: off}).Violations) > 0 {
 				n++
@@ -66,16 +66,16 @@
 		}
 		return n
 	}
-	if n := broken(election.Without{}); n > 0 {
+	if n := broken(election.DisabledGuards{}); n > 0 {
 		t.Errorf("%d of 150 schedules break a rule", n)
 	}
-	for name, off := range map[string]election.Without{"lease": {Lease: true}, "wait": {Wait: true}, "record": {Record: true}} {
+	for name, off := range map[string]election.DisabledGuards{"lease": {LeaseExpiry: true}, "wait": {WaitForEarlierVotes: true}, "record": {QuorumBeforeCast: true}} {
 		if broken(off) == 0 {
 			t.Errorf("without %s nothing is found", name)
 		}
 	}
 	first = 400 // it takes a ballot that is put again and whose first answers come late: one night in some hundreds
-	if broken(election.Without{Begin: true}) == 0 {
+	if broken(election.DisabledGuards{LeaseFromStart: true}) == 0 {
 		t.Error("a lease that counts from when its ballot was put again breaks nothing")
 	}
 }
