--- a/cmd/switchfork-lab/door.go
+++ b/cmd/switchfork-lab/door.go
@@ -146,9 +146,9 @@
 		for tenant := range shares {
 			parts = append(parts, fmt.Sprintf("%.3f", settledInTime(r, tenant)))
 		}
-		kept := float64(r.Count.Kept) / max(1, float64(r.Count.Kept+r.Count.Broken))
+		kept := float64(r.Count.ReservationsHonored) / max(1, float64(r.Count.ReservationsHonored+r.Count.ReservationsMissed))
 		fmt.Fprintf(t, "%s\t%s\t%s\t%.0f\t%d\t%d\t%.3f\t%.2f\t%.4f\t%.0f\n", p.kind, p.name, strings.Join(parts, " "), total(r),
-			r.Count.Kept, r.Count.Broken, kept, median(r.Told), jain(r), r.Limit[len(r.Limit)-1])
+			r.Count.ReservationsHonored, r.Count.ReservationsMissed, kept, median(r.Told), jain(r), r.Limit[len(r.Limit)-1])
 		if p.kind != simulation.Fair {
 			continue
 		}
@@ -183,10 +183,10 @@
 
 // heapAfter is the heap that a door holds after so many clients that came once, half of whom were turned away.
 func heapAfter(clients int) int64 {
-	d := admission.New([]admission.Product{{SLA: 800_000, Expiry: 2_000_000, Revenue: 1}}, []admission.Tenant{{Weight: 1}},
-		admission.Room{Txns: 1000, Bytes: 1 << 30, Queues: 64}, admission.Waits{Most: 2_000_000}, false, 1)
+	d := admission.New([]admission.RequestClass{{LatencyObjective: 800_000, Timeout: 2_000_000, PriorityWeight: 1}}, []admission.Tenant{{Weight: 1}},
+		admission.Limits{Requests: 1000, Bytes: 1 << 30, Queues: 64}, admission.RetryAfterLimits{Max: 2_000_000}, false, 1)
 	now, in := int64(0), []uint64{}
-	take := func(orders []admission.Order) {
+	take := func(orders []admission.Command) {
 		for _, o := range orders {
 			if o.Kind == admission.Admit {
 				in = append(in, o.ID)
@@ -195,15 +195,15 @@
 	}
 	for id := range uint64(clients) {
 		now += 1000
-		take(d.Arrive(now, admission.Arrival{ID: id + 1, Client: id, Key: id + 1, Expires: now + 2_000_000, Bytes: 400}))
-		if next := d.Next(); next > 0 && next <= now {
-			take(d.Bell(now))
+		take(d.Arrive(now, admission.Arrival{ID: id + 1, Client: id, Key: id + 1, Deadline: now + 2_000_000, Bytes: 400}))
+		if next := d.NextTimer(); next > 0 && next <= now {
+			take(d.TimerFired(now))
 		}
 		if id%2 == 0 && len(in) > 0 {
 			first := in[0]
 			in = in[1:]
-			take(d.Sent(now, first))
-			take(d.Ended(now, first, admission.Settled))
+			take(d.AttemptSent(now, first))
+			take(d.Finish(now, first, admission.Succeeded))
 		}
 	}
 	var m runtime.MemStats
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -195,24 +195,24 @@
 
 // open makes the door that the operator asks for.
 func open(keep options.DoorKeeping, goods []config.Good, stalls []config.Stall, customers []string, shares []float64,
-	lines config.Lines, ration config.Ration, purse *agent.Purse, seed uint64) *admission.Door {
-	var products []admission.Product
+	lines config.Lines, ration config.Ration, purse *agent.Purse, seed uint64) *admission.Controller {
+	var products []admission.RequestClass
 	for i, g := range goods {
-		products = append(products, admission.Product{SLA: stalls[i].SLA.Microseconds(), Expiry: g.Expiry.Microseconds(),
-			Revenue: stalls[i].Revenue, Referenced: g.Effect == policy.Keyed})
+		products = append(products, admission.RequestClass{LatencyObjective: stalls[i].SLA.Microseconds(), Timeout: g.Expiry.Microseconds(),
+			PriorityWeight: stalls[i].Revenue, Keyed: g.Effect == policy.Keyed})
 	}
-	room := admission.RoomOf(ration.MemoryMB, min(lines.OpenCap, purse.Txns()), keep.Queues)
+	room := admission.LimitsFor(ration.MemoryMB, min(lines.OpenCap, purse.Txns()), keep.Queues)
 	if keep.Txns > 0 {
-		room.Txns = min(room.Txns, keep.Txns)
+		room.Requests = min(room.Requests, keep.Txns)
 	}
 	if keep.Bytes > 0 {
 		room.Bytes = keep.Bytes
 	}
-	waits := admission.Waits{}
+	waits := admission.RetryAfterLimits{}
 	if keep.ComeBack {
-		waits.Most = lines.HoldOff.Microseconds()
+		waits.Max = lines.HoldOff.Microseconds()
 	}
-	slog.Info("door", "txns", room.Txns, "kib", room.Bytes>>10, "queues", room.Queues, "tenants", len(customers))
+	slog.Info("door", "txns", room.Requests, "kib", room.Bytes>>10, "queues", room.Queues, "tenants", len(customers))
 	return admission.New(products, weights(keep, customers, shares), room, waits, keep.SameAnswer, int64(seed))
 }
 
--- a/internal/admission/door.go
+++ b/internal/admission/door.go
@@ -19,92 +19,92 @@
 	second        = 1000 * ms
 )
 
-// Product is what the door knows of a kind of txn.
-type Product struct {
-	SLA, Expiry Micros
-	Revenue     float64
-	Referenced  bool // its key marks the repeats of one txn
+// RequestClass is what the door knows of a kind of txn.
+type RequestClass struct {
+	LatencyObjective, Timeout Micros
+	PriorityWeight            float64
+	Keyed                     bool // its key marks the repeats of one txn
 }
 
 // Tenant is a customer with its share of the whole.
 type Tenant struct{ Weight float64 }
 
-// Room is what may be kept at a time, waiting or in; Queues is how many each tenant's clients are spread over.
-type Room struct {
-	Txns   int
-	Bytes  int64
-	Queues int
+// Limits is what may be kept at a time, waiting or in; Queues is how many each tenant's clients are spread over.
+type Limits struct {
+	Requests int
+	Bytes    int64
+	Queues   int
 }
 
-// RoomOf works out the bounds from the memory that the agent may use and the places that it has for clients.
-func RoomOf(memoryMB, places, queues int) Room {
+// LimitsFor works out the bounds from the memory that the agent may use and the places that it has for clients.
+func LimitsFor(memoryMB, places, queues int) Limits {
 	memory := int64(memoryMB) << 20
-	return Room{Txns: max(1, min(places, int(memory/memoryPart/ticketBytes))), Bytes: memory / memoryPart / 2, Queues: queues}
+	return Limits{Requests: max(1, min(places, int(memory/memoryPart/ticketBytes))), Bytes: memory / memoryPart / 2, Queues: queues}
 }
 
 // memoryPart of the memory is for those at the door and in; half of that for what they send. ticketBytes is what a txn
 // holds beside it, garbage included: on loopback an agent with 730 connections held 50 MB more than a quiet one.
 const memoryPart, ticketBytes = 4, 64 << 10
 
-// Waits are the told limits of come-back times; Most 0: clients are told none.
-type Waits struct{ Most Micros }
+// RetryAfterLimits are the told limits of come-back times; Most 0: clients are told none.
+type RetryAfterLimits struct{ Max Micros }
 
 // Arrival is a txn at the door.
 type Arrival struct {
-	ID      uint64
-	Tenant  int    // its index; one that was not told counts with all others of that sort
-	Client  uint64 // who asks, hashed
-	Product int
-	Key     uint64 // the reference or the thing it concerns, hashed with nothing else; 0: none
-	Repeat  bool   // marked as a client's next try
-	Work    Micros // the told hint; 0: none
-	Expires Micros
-	Bytes   int
+	ID       uint64
+	Tenant   int    // its index; one that was not told counts with all others of that sort
+	Client   uint64 // who asks, hashed
+	Class    int
+	Key      uint64 // the reference or the thing it concerns, hashed with nothing else; 0: none
+	IsRetry  bool   // marked as a client's next try
+	CostHint Micros // the told hint; 0: none
+	Deadline Micros
+	Bytes    int
 }
 
-// How an admitted txn ended.
-type How int
+// Result an admitted txn ended.
+type Result int
 
 const (
-	Settled  How = iota
-	Declined     // the module had no way for it
-	Voided
-	Left // its client has gone
-	howNumber
+	Succeeded Result = iota
+	Rejected         // the module had no way for it
+	Failed
+	ClientGone // its client has gone
+	resultCount
 )
 
-// Kind of an order.
-type Kind int
+// CommandKind of an order.
+type CommandKind int
 
 const (
-	Admit  Kind = iota // hand it to the module
-	Refuse             // tell the client to come back after Wait
-	Share              // it gets the answer of First, which is in
+	Admit    CommandKind = iota // hand it to the module
+	Reject                      // tell the client to come back after Wait
+	Coalesce                    // it gets the answer of First, which is in
 )
 
-// Why a txn is refused.
-type Why int
+// Reason a txn is refused.
+type Reason int
 
 const (
-	NoReason  Why = iota
-	TooLate       // it would not get in in time
-	NoRoom        // the bound is reached, and its tenant is furthest over its share
-	Replaced      // its own next try has taken its place
-	Draining      // the agent ends
-	whyNumber     // how many there are
+	NoReason    Reason = iota
+	TooLate            // it would not get in in time
+	NoCapacity         // the bound is reached, and its tenant is furthest over its share
+	Replaced           // its own next try has taken its place
+	Draining           // the agent ends
+	reasonCount        // how many there are
 )
 
-func (w Why) String() string {
+func (w Reason) String() string {
 	return [...]string{"none", "too late", "no room", "replaced", "draining"}[w]
 }
 
-// Order is what is to be done with one txn.
-type Order struct {
-	Kind  Kind
-	ID    uint64
-	First uint64 // of a Share
-	Wait  Micros // of a Refuse; 0: no advice
-	Why   Why
+// Command is what is to be done with one txn.
+type Command struct {
+	Kind       CommandKind
+	ID         uint64
+	LeaderID   uint64 // of a Share
+	RetryAfter Micros // of a Refuse; 0: no advice
+	Reason     Reason
 }
 
 // state of a ticket.
@@ -138,16 +138,16 @@
 	sent     bool
 }
 
-// Door decides; see the package.
-type Door struct {
+// Controller decides; see the package.
+type Controller struct {
 	now      Micros
-	products []Product
+	products []RequestClass
 	rank     []int // of a product: 0 the dearest
 	lanes    int
 	tenants  []*tenant
 	fair     level
-	room     Room
-	waits    Waits
+	room     Limits
+	waits    RetryAfterLimits
 	shared   bool // a next try gets the first one's answer
 	salt     uint64
 	chance   *rand.Rand
@@ -155,7 +155,7 @@
 	tries    map[uint64]*ticket // by who
 	spare    *ticket            // records to use again, linked by next
 	dues     wheel
-	out      []Order
+	out      []Command
 	waitN    int
 	inN      int
 	outN     int // of those, the module has sent
@@ -168,31 +168,31 @@
 	flow     flow
 	until    Micros // the drain's end; 0: none
 	promises book
-	Count    Count
+	Counters Counters
 }
 
-// Count is what has happened since the start; it decides nothing.
-type Count struct {
-	Arrived, Admitted, Joined, Shared uint64
-	Refused                           [whyNumber]uint64
-	Promised, Kept, Broken, Unclaimed uint64
-	Early                             uint64
-	Ended                             [howNumber]uint64 // of those that were in
+// Counters is what has happened since the start; it decides nothing.
+type Counters struct {
+	Arrived, Admitted, Rejoined, Coalesced                                   uint64
+	Rejected                                                                 [reasonCount]uint64
+	Reserved, ReservationsHonored, ReservationsMissed, ReservationsUnclaimed uint64
+	EarlyRetries                                                             uint64
+	Finished                                                                 [resultCount]uint64 // of those that were in
 }
 
 // New makes a door. shares are by tenant index, one more stands for all that were not told. shared: a next try that
 // comes while its first is in is given that one's answer instead of waiting for it.
-func New(products []Product, shares []Tenant, room Room, waits Waits, shared bool, seed int64) *Door {
-	d := &Door{products: products, room: room, waits: waits, shared: shared, chance: rand.New(rand.NewSource(seed)),
+func New(products []RequestClass, shares []Tenant, room Limits, waits RetryAfterLimits, shared bool, seed int64) *Controller {
+	d := &Controller{products: products, room: room, waits: waits, shared: shared, chance: rand.New(rand.NewSource(seed)),
 		tickets: map[uint64]*ticket{}, tries: map[uint64]*ticket{}, usual: make([]float64, len(products))}
 	d.salt = d.chance.Uint64()
 	d.rank, d.lanes = ranks(products)
 	for i, p := range products {
-		d.usual[i] = float64(p.SLA) / usualPart
+		d.usual[i] = float64(p.LatencyObjective) / usualPart
 		d.took = max(d.took, d.usual[i])
 	}
-	d.room.Txns, d.room.Queues = max(1, room.Txns), max(1, room.Queues)
-	d.limit, d.wanted = newLimit(float64(d.room.Txns)), -1
+	d.room.Requests, d.room.Queues = max(1, room.Requests), max(1, room.Queues)
+	d.limit, d.wanted = newLimit(float64(d.room.Requests)), -1
 	d.fair.init(len(shares) + 1)
 	for i := 0; i <= len(shares); i++ {
 		t := &tenant{weight: strangers}
@@ -204,7 +204,7 @@
 		t.all = make([]queue, d.room.Queues)
 		d.tenants = append(d.tenants, t)
 	}
-	d.promises.init(d.room.Txns, len(d.tenants), waits.Most)
+	d.promises.init(d.room.Requests, len(d.tenants), waits.Max)
 	return d
 }
 
@@ -222,17 +222,17 @@
 )
 
 // patience is how long a txn of a product may wait here.
-func (d *Door) patience(product int) Micros {
-	sla := float64(d.products[product].SLA)
+func (d *Controller) patience(product int) Micros {
+	sla := float64(d.products[product].LatencyObjective)
 	return Micros(max(leastWait*sla, min(waitPart*sla, sla-answerParts*d.took)))
 }
 
 // Arrive takes a txn to the door.
-func (d *Door) Arrive(now Micros, a Arrival) []Order {
+func (d *Controller) Arrive(now Micros, a Arrival) []Command {
 	d.begin(now)
-	d.Count.Arrived++
-	if a.Work > 0 {
-		d.usual[a.Product] += (float64(a.Work) - d.usual[a.Product]) * usualFade
+	d.Counters.Arrived++
+	if a.CostHint > 0 {
+		d.usual[a.Class] += (float64(a.CostHint) - d.usual[a.Class]) * usualFade
 	}
 	if a.Tenant < 0 || a.Tenant >= len(d.tenants) {
 		a.Tenant = len(d.tenants) - 1
@@ -248,12 +248,12 @@
 	switch {
 	case promised == onTime && d.inN < d.limit.most()+d.limit.reserve():
 		// Its place was booked ahead, so it goes in before those who wait; its tenant pays as for any other.
-		d.Count.Kept++
+		d.Counters.ReservationsHonored++
 		d.unline(t)
 		d.pay(t)
 		d.admit(t)
 	case promised == onTime:
-		d.Count.Broken++
+		d.Counters.ReservationsMissed++
 		fallthrough
 	default:
 		d.enter()
@@ -269,8 +269,8 @@
 }
 
 // fit holds the bound.
-func (d *Door) fit() {
-	for d.waitN+d.inN > d.room.Txns || d.bytes > d.room.Bytes {
+func (d *Controller) fit() {
+	for d.waitN+d.inN > d.room.Requests || d.bytes > d.room.Bytes {
 		last := d.over()
 		if last == nil {
 			d.dues.each(func(t *ticket) { last = t }) // only next tries are left, behind first ones that are in
@@ -278,12 +278,12 @@
 		if last == nil {
 			return
 		}
-		d.refuse(last, NoRoom)
+		d.refuse(last, NoCapacity)
 	}
 }
 
-// Sent tells that the module has found a way for a txn: until then it waits in there.
-func (d *Door) Sent(now Micros, id uint64) []Order {
+// AttemptSent tells that the module has found a way for a txn: until then it waits in there.
+func (d *Controller) AttemptSent(now Micros, id uint64) []Command {
 	d.begin(now)
 	if t := d.tickets[id]; t != nil && t.state == in && !t.sent {
 		t.sent = true
@@ -293,15 +293,15 @@
 	return d.flush()
 }
 
-// Ended tells that an admitted txn has its answer, or that nobody waits for one; nothing of it is out any more.
-func (d *Door) Ended(now Micros, id uint64, how How) []Order {
+// Finish tells that an admitted txn has its answer, or that nobody waits for one; nothing of it is out any more.
+func (d *Controller) Finish(now Micros, id uint64, how Result) []Command {
 	d.begin(now)
 	t := d.tickets[id]
 	if t == nil || t.state != in {
-		return d.Gone(now, id)
+		return d.Abandon(now, id)
 	}
 	d.inN--
-	d.Count.Ended[how]++
+	d.Counters.Finished[how]++
 	took := now - t.entered
 	if t.sent {
 		d.outN--
@@ -309,8 +309,8 @@
 	d.limit.moved(now, d.inN, d.outN)
 	d.limit.ended(now, how, t.sent)
 	d.inCost -= t.cost
-	if how == Settled {
-		if usual := &d.usual[t.Product]; t.Work == 0 {
+	if how == Succeeded {
+		if usual := &d.usual[t.Class]; t.CostHint == 0 {
 			*usual += (float64(took) - *usual) * usualFade
 		}
 		d.took += (float64(took) - d.took) * usualFade
@@ -327,8 +327,8 @@
 	return d.flush()
 }
 
-// Gone tells that a client of a txn that waits has left. One that is in ends with Ended.
-func (d *Door) Gone(now Micros, id uint64) []Order {
+// Abandon tells that a client of a txn that waits has left. One that is in ends with Ended.
+func (d *Controller) Abandon(now Micros, id uint64) []Command {
 	d.begin(now)
 	if t := d.tickets[id]; t != nil && t.state != in {
 		d.leave(t)
@@ -338,8 +338,8 @@
 	return d.flush()
 }
 
-// Bell is to be called at the time that Next gave, or later.
-func (d *Door) Bell(now Micros) []Order {
+// TimerFired is to be called at the time that Next gave, or later.
+func (d *Controller) TimerFired(now Micros) []Command {
 	d.begin(now)
 	d.dues.expired(now, func(t *ticket) { d.refuse(t, TooLate) })
 	if d.until > 0 && now >= d.until {
@@ -354,8 +354,8 @@
 // beatEvery: the limit's rounds are looked at so often while anything waits: well inside any SLA time.
 const beatEvery = 10 * ms
 
-// Next is when the door wants a Bell; 0: not before something happens.
-func (d *Door) Next() Micros {
+// NextTimer is when the door wants a Bell; 0: not before something happens.
+func (d *Controller) NextTimer() Micros {
 	next := Micros(0)
 	sooner := func(at Micros) {
 		if at > 0 && (next == 0 || at < next) {
@@ -371,7 +371,7 @@
 }
 
 // Drain: the agent ends at the time until. Who will not get in before it is told so at once, here and on arrival.
-func (d *Door) Drain(now, until Micros) []Order {
+func (d *Controller) Drain(now, until Micros) []Command {
 	d.begin(now)
 	d.until = max(until, 1)
 	var late []*ticket
@@ -386,8 +386,8 @@
 	return d.flush()
 }
 
-// Reshare puts other weights in force; tenants keep their order.
-func (d *Door) Reshare(shares []Tenant) {
+// SetWeights puts other weights in force; tenants keep their order.
+func (d *Controller) SetWeights(shares []Tenant) {
 	for i, s := range shares {
 		if i < len(d.tenants)-1 {
 			d.tenants[i].weight = max(s.Weight, 1e-6)
@@ -395,33 +395,33 @@
 	}
 }
 
-// State is what is in hand now, for figures and logs.
-type State struct {
-	Waiting, In, Promises int
-	Limit                 float64
-	Bytes                 int64
+// Status is what is in hand now, for figures and logs.
+type Status struct {
+	Waiting, Admitted, Reservations int
+	Limit                           float64
+	Bytes                           int64
 }
 
-func (d *Door) State() State {
-	return State{d.waitN, d.inN, d.promises.n, d.limit.now, d.bytes}
+func (d *Controller) Status() Status {
+	return Status{d.waitN, d.inN, d.promises.n, d.limit.now, d.bytes}
 }
 
-// Line is a tenant's part of the state.
-type Line struct {
-	Waiting int
-	Cost    float64
-	Served  float64 // work admitted since the start, in microseconds
-	Booked  float64 // work promised a time that has not come
+// TenantStatus is a tenant's part of the state.
+type TenantStatus struct {
+	Waiting      int
+	Cost         float64
+	AdmittedCost float64 // work admitted since the start, in microseconds
+	ReservedCost float64 // work promised a time that has not come
 }
 
-func (d *Door) Line(tenant int) Line {
+func (d *Controller) Tenant(tenant int) TenantStatus {
 	t := d.tenants[tenant]
-	return Line{t.n, t.cost, t.served, d.promises.ahead(tenant, d.now)}
+	return TenantStatus{t.n, t.cost, t.served, d.promises.ahead(tenant, d.now)}
 }
 
-func (d *Door) begin(now Micros) { d.now, d.out = max(d.now, now), d.out[:0] }
+func (d *Controller) begin(now Micros) { d.now, d.out = max(d.now, now), d.out[:0] }
 
-func (d *Door) flush() []Order {
+func (d *Controller) flush() []Command {
 	if d.waitN == 0 {
 		d.wanted = -1
 	} else if d.wanted < 0 {
@@ -431,17 +431,17 @@
 }
 
 // take makes the record of an arrival.
-func (d *Door) take(a Arrival) *ticket {
+func (d *Controller) take(a Arrival) *ticket {
 	t := d.spare
 	if t != nil {
 		d.spare = t.next
 	} else {
 		t = new(ticket)
 	}
-	*t = ticket{Arrival: a, came: d.now, due: -1, tenant: d.tenants[a.Tenant], lane: d.rank[a.Product]}
+	*t = ticket{Arrival: a, came: d.now, due: -1, tenant: d.tenants[a.Tenant], lane: d.rank[a.Class]}
 	t.who = d.whoOf(&a)
 	t.cost = d.price(t)
-	t.giveUp = min(t.came+d.patience(a.Product), a.Expires)
+	t.giveUp = min(t.came+d.patience(a.Class), a.Deadline)
 	if d.until > 0 {
 		t.giveUp = min(t.giveUp, max(d.until, d.now))
 	}
@@ -452,10 +452,10 @@
 
 // whoOf is what the next try of a txn is known by: the reference that it carries, else what it concerns and who asks.
 // Without either it is not known: each of a client's txns is then its own.
-func (d *Door) whoOf(a *Arrival) uint64 {
-	h := mix(d.salt ^ uint64(a.Tenant)<<32 ^ uint64(a.Product))
+func (d *Controller) whoOf(a *Arrival) uint64 {
+	h := mix(d.salt ^ uint64(a.Tenant)<<32 ^ uint64(a.Class))
 	switch {
-	case a.Key != 0 && d.products[a.Product].Referenced:
+	case a.Key != 0 && d.products[a.Class].Keyed:
 		return mix(h ^ a.Key)
 	case a.Key != 0:
 		return mix(mix(h^a.Key) + a.Client)
@@ -464,10 +464,10 @@
 }
 
 // price is the work that a txn is charged: its hint, or the mean of its product.
-func (d *Door) price(t *ticket) float64 {
-	usual := max(d.usual[t.Product], 1)
-	if t.Work > 0 {
-		return max(float64(t.Work), leastHint*usual)
+func (d *Controller) price(t *ticket) float64 {
+	usual := max(d.usual[t.Class], 1)
+	if t.CostHint > 0 {
+		return max(float64(t.CostHint), leastHint*usual)
 	}
 	return usual
 }
@@ -475,21 +475,21 @@
 // join puts a next try into its first one's place. While that one waits, it takes over the place, and the first is told
 // so; while it is in, nothing may be sent twice: the next try waits for its end. Inquiry-like txns on one thing are many
 // clients' own, so they join only where the client says that it is a next try.
-func (d *Door) join(t *ticket) bool {
-	if t.Key == 0 || !t.Repeat && !d.products[t.Product].Referenced {
+func (d *Controller) join(t *ticket) bool {
+	if t.Key == 0 || !t.IsRetry && !d.products[t.Class].Keyed {
 		return false
 	}
 	first := d.tries[t.who]
 	if first == nil {
 		return false
 	}
-	d.Count.Joined++
+	d.Counters.Rejoined++
 	switch first.state {
 	case waiting:
-		t.came, t.giveUp = first.came, min(max(first.giveUp, first.came), t.Expires)
+		t.came, t.giveUp = first.came, min(max(first.giveUp, first.came), t.Deadline)
 		d.swap(first, t)
 		d.know(t)
-		d.say(Order{Kind: Refuse, ID: first.ID, Why: Replaced})
+		d.say(Command{Kind: Reject, ID: first.ID, Reason: Replaced})
 		d.forget(first)
 	case behind, in:
 		for first.state == behind {
@@ -499,15 +499,15 @@
 			d.refuse(old, Replaced)
 		}
 		if d.shared {
-			d.Count.Shared++
-			d.say(Order{Kind: Share, ID: t.ID, First: first.ID})
+			d.Counters.Coalesced++
+			d.say(Command{Kind: Coalesce, ID: t.ID, LeaderID: first.ID})
 			d.bytes -= int64(t.Bytes)
 			delete(d.tickets, t.ID)
 			d.recycle(t)
 			return true
 		}
 		first.follower, t.first, t.state = t, first, behind
-		t.giveUp = t.Expires
+		t.giveUp = t.Deadline
 		if d.until > 0 {
 			t.giveUp = min(t.giveUp, d.until)
 		}
@@ -518,14 +518,14 @@
 }
 
 // know keeps a ticket to be found by its next try; one without a key has none that could be known.
-func (d *Door) know(t *ticket) {
+func (d *Controller) know(t *ticket) {
 	if t.Key != 0 {
 		d.tries[t.who] = t
 	}
 }
 
 // enter lets in as many as may be, the one whose turn it is first.
-func (d *Door) enter() {
+func (d *Controller) enter() {
 	for d.inN < d.limit.most() {
 		t := d.turn()
 		if t == nil {
@@ -535,28 +535,28 @@
 	}
 }
 
-func (d *Door) admit(t *ticket) {
+func (d *Controller) admit(t *ticket) {
 	t.state, t.entered = in, d.now
 	d.inN, d.inCost = d.inN+1, d.inCost+t.cost
-	d.Count.Admitted++
+	d.Counters.Admitted++
 	d.flow.add(d.now, t.cost)
 	d.limit.moved(d.now, d.inN, d.outN)
-	d.say(Order{Kind: Admit, ID: t.ID})
+	d.say(Command{Kind: Admit, ID: t.ID})
 }
 
 // refuse turns a txn away that waits, and tells when to come back.
-func (d *Door) refuse(t *ticket, why Why) {
+func (d *Controller) refuse(t *ticket, why Reason) {
 	d.leave(t)
 	wait := Micros(0)
-	if why == TooLate || why == NoRoom {
+	if why == TooLate || why == NoCapacity {
 		wait = d.promises.give(d, t)
 	}
-	d.say(Order{Kind: Refuse, ID: t.ID, Wait: wait, Why: why})
+	d.say(Command{Kind: Reject, ID: t.ID, RetryAfter: wait, Reason: why})
 	d.drop(t)
 }
 
 // leave takes a ticket out of where it waits.
-func (d *Door) leave(t *ticket) {
+func (d *Controller) leave(t *ticket) {
 	switch t.state {
 	case waiting:
 		d.unline(t)
@@ -571,27 +571,27 @@
 }
 
 // drop ends a ticket that is nowhere any more.
-func (d *Door) drop(t *ticket) {
+func (d *Controller) drop(t *ticket) {
 	if t.Key != 0 && d.tries[t.who] == t {
 		delete(d.tries, t.who)
 	}
 	d.forget(t)
 }
 
-func (d *Door) forget(t *ticket) {
+func (d *Controller) forget(t *ticket) {
 	d.bytes -= int64(t.Bytes)
 	delete(d.tickets, t.ID)
 	d.recycle(t)
 }
 
-func (d *Door) recycle(t *ticket) {
+func (d *Controller) recycle(t *ticket) {
 	*t = ticket{next: d.spare}
 	d.spare = t
 }
 
-func (d *Door) say(o Order) {
-	if o.Kind == Refuse {
-		d.Count.Refused[o.Why]++
+func (d *Controller) say(o Command) {
+	if o.Kind == Reject {
+		d.Counters.Rejected[o.Reason]++
 	}
 	d.out = append(d.out, o)
 }
@@ -624,7 +624,7 @@
 
 // pace is the work a microsecond that goes in while all is wanted: what was let in of late, or, where nothing has waited
 // for long and so less was let in than could be, what is in over the time that it takes.
-func (d *Door) pace() float64 {
+func (d *Controller) pace() float64 {
 	pace := d.flow.per(d.now)
 	if d.wanted < 0 || d.now-d.wanted < flowSpan {
 		pace = max(pace, d.inCost/max(d.took, 1))
--- a/internal/admission/door_test.go
+++ b/internal/admission/door_test.go
@@ -13,53 +13,53 @@
 
 // rig is a door with the account of a test: what each txn has been told, by its id.
 type rig struct {
-	*Door
+	*Controller
 	now     Micros
 	finals  map[uint64]int
 	open    map[uint64]bool // arrived, without a final answer
 	in      map[uint64]bool
 	shares  map[uint64][]uint64
-	refused map[uint64]Order
+	refused map[uint64]Command
 	order   []uint64 // admitted, in order
 }
 
-var goods = []Product{{SLA: second, Expiry: 3 * second, Revenue: 1}, {SLA: second, Expiry: 3 * second, Revenue: 5, Referenced: true}}
+var goods = []RequestClass{{LatencyObjective: second, Timeout: 3 * second, PriorityWeight: 1}, {LatencyObjective: second, Timeout: 3 * second, PriorityWeight: 5, Keyed: true}}
 
-func newRig(shares []float64, room Room, shared bool) *rig {
+func newRig(shares []float64, room Limits, shared bool) *rig {
 	var ts []Tenant
 	for _, s := range shares {
 		ts = append(ts, Tenant{s})
 	}
-	return &rig{Door: New(goods, ts, room, Waits{Most: 2 * second}, shared, 7), finals: map[uint64]int{}, open: map[uint64]bool{},
-		in: map[uint64]bool{}, shares: map[uint64][]uint64{}, refused: map[uint64]Order{}}
+	return &rig{Controller: New(goods, ts, room, RetryAfterLimits{Max: 2 * second}, shared, 7), finals: map[uint64]int{}, open: map[uint64]bool{},
+		in: map[uint64]bool{}, shares: map[uint64][]uint64{}, refused: map[uint64]Command{}}
 }
 
 func (r *rig) final(id uint64) { r.finals[id]++; delete(r.open, id) }
 
-func (r *rig) do(orders []Order) {
+func (r *rig) do(orders []Command) {
 	for _, o := range orders {
 		switch o.Kind {
 		case Admit:
 			r.in[o.ID] = true
 			r.order = append(r.order, o.ID)
-		case Refuse:
+		case Reject:
 			r.final(o.ID)
 			r.refused[o.ID] = o
-		case Share:
-			r.shares[o.First] = append(r.shares[o.First], o.ID)
+		case Coalesce:
+			r.shares[o.LeaderID] = append(r.shares[o.LeaderID], o.ID)
 		}
 	}
 }
 
 func (r *rig) arrive(a Arrival) {
 	r.open[a.ID] = true
-	if a.Expires == 0 {
-		a.Expires = r.now + goods[a.Product].Expiry
+	if a.Deadline == 0 {
+		a.Deadline = r.now + goods[a.Class].Timeout
 	}
 	r.do(r.Arrive(r.now, a))
 }
 
-func (r *rig) end(id uint64, how How) {
+func (r *rig) end(id uint64, how Result) {
 	if !r.in[id] {
 		return
 	}
@@ -69,19 +69,19 @@
 		r.final(s)
 	}
 	delete(r.shares, id)
-	r.do(r.Ended(r.now, id, how))
+	r.do(r.Finish(r.now, id, how))
 }
 
 // step lets time pass, with the bells that are due.
 func (r *rig) step(by Micros) {
 	for end := r.now + by; ; {
-		next := r.Next()
+		next := r.NextTimer()
 		if next == 0 || next > end {
 			r.now = end
 			return
 		}
 		r.now = max(r.now, next)
-		r.do(r.Bell(r.now))
+		r.do(r.TimerFired(r.now))
 	}
 }
 
@@ -98,7 +98,7 @@
 func TestEveryTxnEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shared := rapid.Bool().Draw(t, "shared")
-		room := Room{Txns: rapid.IntRange(3, 60).Draw(t, "room"), Bytes: 20000, Queues: 4}
+		room := Limits{Requests: rapid.IntRange(3, 60).Draw(t, "room"), Bytes: 20000, Queues: 4}
 		r := newRig([]float64{0.5, 0.3, 0.2}, room, shared)
 		ref := map[uint64]uint64{} // of those in
 		drained := false
@@ -106,19 +106,19 @@
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			default:
 				a := Arrival{ID: id, Tenant: rapid.IntRange(-1, 4).Draw(t, "tenant"), Client: rapid.Uint64Range(1, 9).Draw(t, "client"),
-					Product: rapid.IntRange(0, 1).Draw(t, "product"), Key: rapid.Uint64Range(0, 12).Draw(t, "key"),
-					Repeat: rapid.Bool().Draw(t, "repeat"), Work: rapid.Int64Range(0, 50*ms).Draw(t, "work"),
-					Expires: r.now + rapid.Int64Range(1, 3*second).Draw(t, "expires"), Bytes: rapid.IntRange(0, 900).Draw(t, "bytes")}
+					Class: rapid.IntRange(0, 1).Draw(t, "product"), Key: rapid.Uint64Range(0, 12).Draw(t, "key"),
+					IsRetry: rapid.Bool().Draw(t, "repeat"), CostHint: rapid.Int64Range(0, 50*ms).Draw(t, "work"),
+					Deadline: r.now + rapid.Int64Range(1, 3*second).Draw(t, "expires"), Bytes: rapid.IntRange(0, 900).Draw(t, "bytes")}
 				r.arrive(a)
-				if a.Product == 1 && a.Key > 0 {
+				if a.Class == 1 && a.Key > 0 {
 					ref[id] = a.Key<<8 | uint64(a.Tenant&7)
 				}
 			case 5, 6, 7:
 				if some, is := keyOf(t, r.in, "ended"); is {
 					if rapid.Bool().Draw(t, "sent") {
-						r.do(r.Sent(r.now, some))
+						r.do(r.AttemptSent(r.now, some))
 					}
-					r.end(some, How(rapid.IntRange(0, 3).Draw(t, "how")))
+					r.end(some, Result(rapid.IntRange(0, 3).Draw(t, "how")))
 				}
 			case 8:
 				if some, is := keyOf(t, r.open, "gone"); is && !r.in[some] {
@@ -130,7 +130,7 @@
 					}
 					if !shares {
 						r.final(some)
-						r.do(r.Gone(r.now, some))
+						r.do(r.Abandon(r.now, some))
 					}
 				}
 			case 9:
@@ -140,12 +140,12 @@
 					r.do(r.Drain(r.now, r.now+second))
 				}
 			}
-			s := r.State()
-			if s.Waiting+s.In > room.Txns && s.In <= room.Txns || s.Bytes > room.Bytes && s.Waiting > 0 {
+			s := r.Status()
+			if s.Waiting+s.Admitted > room.Requests && s.Admitted <= room.Requests || s.Bytes > room.Bytes && s.Waiting > 0 {
 				t.Fatalf("bound %+v is passed: %+v", room, s)
 			}
-			if s.In != len(r.in) {
-				t.Fatalf("%d are in, the door counts %d", len(r.in), s.In)
+			if s.Admitted != len(r.in) {
+				t.Fatalf("%d are in, the door counts %d", len(r.in), s.Admitted)
 			}
 			held := map[uint64]uint64{}
 			for in := range r.in {
@@ -156,15 +156,15 @@
 			}
 		}
 		for id := range r.in {
-			r.end(id, Settled)
+			r.end(id, Succeeded)
 		}
 		for range 40 {
 			r.step(200 * ms)
 			for id := range r.in {
-				r.end(id, Settled)
+				r.end(id, Succeeded)
 			}
 		}
-		if s := r.State(); s.Waiting+s.In > 0 || len(r.open) > 0 || s.Bytes != 0 || len(r.tickets)+len(r.tries) > 0 {
+		if s := r.Status(); s.Waiting+s.Admitted > 0 || len(r.open) > 0 || s.Bytes != 0 || len(r.tickets)+len(r.tries) > 0 {
 			t.Fatalf("left at the end: %+v, %d open, %d tickets, %d tries", s, len(r.open), len(r.tickets), len(r.tries))
 		}
 		for id, n := range r.finals {
@@ -180,7 +180,7 @@
 func TestFairByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := []float64{rapid.Float64Range(0.1, 1).Draw(t, "w0"), rapid.Float64Range(0.1, 1).Draw(t, "w1")}
-		r := newRig(w, Room{Txns: 4000, Bytes: 1 << 30, Queues: 8}, false)
+		r := newRig(w, Limits{Requests: 4000, Bytes: 1 << 30, Queues: 8}, false)
 		r.limit.now, r.limit.quick = 1, false
 		r.took = float64(ms)
 		costs, most, id := map[uint64]float64{}, [2]float64{}, uint64(0)
@@ -189,11 +189,11 @@
 				id++
 				work := rapid.Int64Range(20*ms, 60*ms).Draw(t, "work")
 				costs[id], most[tenant] = float64(work)/w[tenant], max(most[tenant], float64(work)/w[tenant])
-				r.arrive(Arrival{ID: id, Tenant: tenant, Client: id % uint64(3+20*tenant), Work: work, Expires: r.now + 1000*second})
+				r.arrive(Arrival{ID: id, Tenant: tenant, Client: id % uint64(3+20*tenant), CostHint: work, Deadline: r.now + 1000*second})
 			}
 		}
-		r.products[0].SLA = 1000 * second
-		defer func() { goods[0].SLA = second }()
+		r.products[0].LatencyObjective = 1000 * second
+		defer func() { goods[0].LatencyObjective = second }()
 		r.usual[0] = float64(40 * ms)
 		served, of := [2]float64{}, map[uint64]int{}
 		for range 150 {
@@ -206,7 +206,7 @@
 			}
 			last := r.order[len(r.order)-1]
 			served[of[last]] += costs[last]
-			r.end(last, Settled)
+			r.end(last, Succeeded)
 			r.limit.now = 1
 			if gap := math.Abs(served[0] - served[1]); gap > most[0]+most[1]+1 {
 				t.Fatalf("work by weight %v differs by %.0f, the dearest are %v", served, gap, most)
@@ -218,7 +218,7 @@
 // flood fills the door with txns of one tenant.
 func flood(r *rig, tenant, many int, from uint64) uint64 {
 	for i := range many {
-		r.arrive(Arrival{ID: from + uint64(i), Tenant: tenant, Client: uint64(i) % 50, Work: 20 * ms})
+		r.arrive(Arrival{ID: from + uint64(i), Tenant: tenant, Client: uint64(i) % 50, CostHint: 20 * ms})
 	}
 	return from + uint64(many)
 }
@@ -230,14 +230,14 @@
 
 // When there is no room, the one who came last is not the one to go, unless it is his tenant that fills it.
 func TestNoRoomTakesFromWhoFills(t *testing.T) {
-	r := newRig([]float64{0.5, 0.5}, Room{Txns: 40, Bytes: 1 << 20, Queues: 8}, false)
+	r := newRig([]float64{0.5, 0.5}, Limits{Requests: 40, Bytes: 1 << 20, Queues: 8}, false)
 	narrow(r, 10)
 	id := flood(r, 0, 40, 1)
 	for i := range 5 {
-		r.arrive(Arrival{ID: id + uint64(i), Tenant: 1, Client: uint64(i), Work: 20 * ms})
+		r.arrive(Arrival{ID: id + uint64(i), Tenant: 1, Client: uint64(i), CostHint: 20 * ms})
 	}
-	if r.Line(1).Waiting != 5 {
-		t.Errorf("of five quiet txns %d wait; refused %v", r.Line(1).Waiting, r.Count.Refused)
+	if r.Tenant(1).Waiting != 5 {
+		t.Errorf("of five quiet txns %d wait; refused %v", r.Tenant(1).Waiting, r.Counters.Rejected)
 	}
 	for i := range 5 {
 		if o, is := r.refused[id+uint64(i)]; is {
@@ -248,15 +248,15 @@
 
 // One noisy client of a tenant does not spoil the others' queues.
 func TestNoisyClientKeepsItsHands(t *testing.T) {
-	r := newRig([]float64{1}, Room{Txns: 2000, Bytes: 1 << 30, Queues: 64}, false)
+	r := newRig([]float64{1}, Limits{Requests: 2000, Bytes: 1 << 30, Queues: 64}, false)
 	narrow(r, 4)
-	r.products = []Product{{SLA: 1000 * second, Expiry: 1000 * second, Revenue: 1}}
+	r.products = []RequestClass{{LatencyObjective: 1000 * second, Timeout: 1000 * second, PriorityWeight: 1}}
 	for id := uint64(1); id <= 400; id++ {
-		r.arrive(Arrival{ID: id, Client: 1, Work: 20 * ms, Expires: 1000 * second})
+		r.arrive(Arrival{ID: id, Client: 1, CostHint: 20 * ms, Deadline: 1000 * second})
 	}
 	spoilt := 0
 	for c := uint64(2); c < 102; c++ {
-		r.arrive(Arrival{ID: 1000 + c, Client: c, Work: 20 * ms, Expires: 1000 * second})
+		r.arrive(Arrival{ID: 1000 + c, Client: c, CostHint: 20 * ms, Deadline: 1000 * second})
 		if q := r.tickets[1000+c].queue; q.n > 20 {
 			spoilt++
 		}
@@ -270,24 +270,24 @@
 // when that is over.
 func TestNextTryJoinsItsFirst(t *testing.T) {
 	for _, shared := range []bool{false, true} {
-		r := newRig([]float64{1}, Room{Txns: 100, Bytes: 1 << 20, Queues: 8}, shared)
+		r := newRig([]float64{1}, Limits{Requests: 100, Bytes: 1 << 20, Queues: 8}, shared)
 		narrow(r, 1)
-		r.arrive(Arrival{ID: 1, Client: 1, Product: 1, Key: 5, Work: 5 * ms})
-		r.arrive(Arrival{ID: 2, Client: 2, Product: 1, Key: 6, Work: 5 * ms})
-		r.arrive(Arrival{ID: 3, Client: 3, Product: 1, Key: 7, Work: 5 * ms})
+		r.arrive(Arrival{ID: 1, Client: 1, Class: 1, Key: 5, CostHint: 5 * ms})
+		r.arrive(Arrival{ID: 2, Client: 2, Class: 1, Key: 6, CostHint: 5 * ms})
+		r.arrive(Arrival{ID: 3, Client: 3, Class: 1, Key: 7, CostHint: 5 * ms})
 		r.step(50 * ms)
-		r.arrive(Arrival{ID: 4, Client: 2, Product: 1, Key: 6, Work: 5 * ms, Expires: r.now + second})
-		if o := r.refused[2]; o.Why != Replaced {
+		r.arrive(Arrival{ID: 4, Client: 2, Class: 1, Key: 6, CostHint: 5 * ms, Deadline: r.now + second})
+		if o := r.refused[2]; o.Reason != Replaced {
 			t.Fatalf("first try was told %+v", o)
 		}
 		if at := r.tickets[4]; at.came != 0 || at.giveUp != 500*ms {
 			t.Errorf("next try has its own time: came %d, gives up %d", at.came, at.giveUp)
 		}
-		r.arrive(Arrival{ID: 5, Client: 1, Product: 1, Key: 5}) // its first is in
+		r.arrive(Arrival{ID: 5, Client: 1, Class: 1, Key: 5}) // its first is in
 		if len(r.in) != 1 {
 			t.Fatalf("two of one reference are in: %v", r.in)
 		}
-		r.end(1, Settled)
+		r.end(1, Succeeded)
 		switch {
 		case shared && r.finals[5] != 1:
 			t.Error("next try did not get its first one's answer")
@@ -296,10 +296,10 @@
 		}
 		for range 3 {
 			for id := range r.in {
-				r.end(id, Settled)
+				r.end(id, Succeeded)
 			}
 		}
-		r.arrive(Arrival{ID: 9, Client: 1, Product: 1, Key: 5})
+		r.arrive(Arrival{ID: 9, Client: 1, Class: 1, Key: 5})
 		if !r.in[9] {
 			t.Error("a reference that is over was not let in anew")
 		}
@@ -311,19 +311,19 @@
 
 // Inquiries of many clients on one thing are their own: only one that is marked as a next try joins.
 func TestInquiriesOnOneThingDoNotJoin(t *testing.T) {
-	r := newRig([]float64{1}, Room{Txns: 100, Bytes: 1 << 20, Queues: 8}, false)
+	r := newRig([]float64{1}, Limits{Requests: 100, Bytes: 1 << 20, Queues: 8}, false)
 	narrow(r, 1)
 	for id := uint64(1); id <= 4; id++ {
-		r.arrive(Arrival{ID: id, Client: 3, Key: 9, Work: 5 * ms, Repeat: id == 4})
+		r.arrive(Arrival{ID: id, Client: 3, Key: 9, CostHint: 5 * ms, IsRetry: id == 4})
 	}
-	if r.Count.Joined != 1 || r.refused[3].Why != Replaced || len(r.refused) != 1 {
-		t.Errorf("joined %d, refused %v", r.Count.Joined, r.refused)
+	if r.Counters.Rejoined != 1 || r.refused[3].Reason != Replaced || len(r.refused) != 1 {
+		t.Errorf("joined %d, refused %v", r.Counters.Rejoined, r.refused)
 	}
 }
 
 // Who is turned away is told a time, and goes in at once when it comes then; the calendar books no more than its tenant's part.
 func TestPromisesAreKept(t *testing.T) {
-	r := newRig([]float64{0.5, 0.5}, Room{Txns: 60, Bytes: 1 << 20, Queues: 8}, false)
+	r := newRig([]float64{0.5, 0.5}, Limits{Requests: 60, Bytes: 1 << 20, Queues: 8}, false)
 	narrow(r, 8)
 	chance := rand.New(rand.NewSource(3))
 	type back struct {
@@ -339,78 +339,78 @@
 			if at, is := ends[in]; !is {
 				ends[in] = now + 20*ms
 			} else if now >= at {
-				r.do(r.Sent(now, in))
-				r.end(in, Settled)
+				r.do(r.AttemptSent(now, in))
+				r.end(in, Succeeded)
 				delete(ends, in)
 			}
 		}
 		arrive := func(a Arrival, returned bool) {
 			r.arrive(a)
-			if o, is := r.refused[a.ID]; is && o.Wait > 0 {
-				if o.Wait > 2*second {
-					t.Fatalf("told %d, over the longest wait", o.Wait)
+			if o, is := r.refused[a.ID]; is && o.RetryAfter > 0 {
+				if o.RetryAfter > 2*second {
+					t.Fatalf("told %d, over the longest wait", o.RetryAfter)
 				}
-				due = append(due, back{now + o.Wait, a})
+				due = append(due, back{now + o.RetryAfter, a})
 			}
 		}
 		for i := 0; i < len(due); i++ {
 			if b := due[i]; now >= b.at {
 				due = append(due[:i], due[i+1:]...)
 				i--
-				before := r.Count.Kept
+				before := r.Counters.ReservationsHonored
 				id++
 				b.a.ID = id
-				b.a.Expires = 0
+				b.a.Deadline = 0
 				promised := r.promises.by[r.whoOf(&b.a)] != nil
 				arrive(b.a, true)
 				if promised {
 					came++
-					kept += int(r.Count.Kept - before)
+					kept += int(r.Counters.ReservationsHonored - before)
 				}
 			}
 		}
 		if chance.Float64() < 0.8 { // twice what the door lets in, all of one tenant
 			id++
-			arrive(Arrival{ID: id, Tenant: 0, Client: id, Key: id, Product: 1, Work: 20 * ms}, false)
+			arrive(Arrival{ID: id, Tenant: 0, Client: id, Key: id, Class: 1, CostHint: 20 * ms}, false)
 		}
 	}
 	if came < 100 || float64(kept) < 0.9*float64(came) {
-		t.Errorf("%d of %d who came at their time went in at once; %+v", kept, came, r.Count)
+		t.Errorf("%d of %d who came at their time went in at once; %+v", kept, came, r.Counters)
 	}
 }
 
 // What will not get in in time is told so at once, and what was wrongly hoped for at its time.
 func TestTooLateIsToldAtOnce(t *testing.T) {
-	r := newRig([]float64{1}, Room{Txns: 500, Bytes: 1 << 20, Queues: 8}, false)
+	r := newRig([]float64{1}, Limits{Requests: 500, Bytes: 1 << 20, Queues: 8}, false)
 	narrow(r, 1)
 	r.took = float64(100 * ms)
 	for id := uint64(1); id <= 100; id++ {
-		r.arrive(Arrival{ID: id, Client: id, Work: 100 * ms})
+		r.arrive(Arrival{ID: id, Client: id, CostHint: 100 * ms})
 	}
-	if n := r.State().Waiting; n > 8 || n < 2 {
+	if n := r.Status().Waiting; n > 8 || n < 2 {
 		t.Errorf("%d wait for half a second of work", n)
 	}
 	r.step(600 * ms)
-	if n := r.State().Waiting; n != 0 {
+	if n := r.Status().Waiting; n != 0 {
 		t.Errorf("%d still wait after their time", n)
 	}
 }
 
 // A drain tells those who will not get in at once, and leaves nobody.
 func TestDrainEmpties(t *testing.T) {
-	r := newRig([]float64{1}, Room{Txns: 500, Bytes: 1 << 20, Queues: 8}, false)
+	r := newRig([]float64{1}, Limits{Requests: 500, Bytes: 1 << 20, Queues: 8}, false)
 	narrow(r, 1)
 	flood(r, 0, 20, 1)
 	r.do(r.Drain(r.now, r.now+100*ms))
-	if n := r.State().Waiting; n > 8 || n < 2 { // of 19, to within one a queue
+	if n := r.Status().Waiting; n > 8 || n < 2 { // of 19, to within one a queue
 		t.Errorf("%d wait when there is time for five", n)
 	}
 	r.step(150 * ms)
-	if n := r.State().Waiting; n != 0 {
+	if n := r.Status().Waiting; n != 0 {
 		t.Errorf("%d wait after the drain", n)
 	}
-	r.arrive(Arrival{ID: 900, Client: 1, Work: ms})
-	if r.refused[900].Why == NoReason {
+	r.arrive(Arrival{ID: 900, Client: 1, CostHint: ms})
+	if r.refused[900].Reason == NoReason {
 		t.Error("a txn after the drain waits")
 	}
 }
@@ -418,8 +418,8 @@
 // The limit follows what finds a way: down when the module holds txns, up again when it doesn't, at any speed of answers.
 func TestLimitFollowsTheFleet(t *testing.T) {
 	for _, slow := range []Micros{20 * ms, 100 * ms} {
-		r := newRig([]float64{1}, Room{Txns: 4000, Bytes: 1 << 30, Queues: 8}, false)
-		r.products = []Product{{SLA: 2 * second, Expiry: 5 * second, Revenue: 1}}
+		r := newRig([]float64{1}, Limits{Requests: 4000, Bytes: 1 << 30, Queues: 8}, false)
+		r.products = []RequestClass{{LatencyObjective: 2 * second, Timeout: 5 * second, PriorityWeight: 1}}
 		slots := 50
 		type job struct {
 			id uint64
@@ -432,14 +432,14 @@
 					if j := work[i]; r.now >= j.at {
 						work = append(work[:i], work[i+1:]...)
 						i--
-						r.end(j.id, Settled)
+						r.end(j.id, Succeeded)
 					}
 				}
-				for n := r.State().Waiting; n < 60; n++ {
-					id := uint64(r.Count.Arrived + 1)
+				for n := r.Status().Waiting; n < 60; n++ {
+					id := uint64(r.Counters.Arrived + 1)
 					before := len(r.order)
-					r.arrive(Arrival{ID: id, Client: id, Work: 20 * ms})
-					if len(r.order) == before && r.State().Waiting <= n {
+					r.arrive(Arrival{ID: id, Client: id, CostHint: 20 * ms})
+					if len(r.order) == before && r.Status().Waiting <= n {
 						break
 					}
 				}
@@ -448,21 +448,21 @@
 				}
 				r.order = nil
 				for len(held) > 0 && len(work) < slots {
-					r.do(r.Sent(r.now, held[0].id))
+					r.do(r.AttemptSent(r.now, held[0].id))
 					work, held = append(work, job{held[0].id, r.now + slow}), held[1:]
 				}
 			}
 		}
 		phase(slots, 5*second)
-		if l := r.State().Limit; l < 45 || l > 90 {
+		if l := r.Status().Limit; l < 45 || l > 90 {
 			t.Errorf("answers in %d us, 50 at a time: the limit is %.0f", slow, l)
 		}
 		phase(10, 12*second)
-		if l := r.State().Limit; l < 9 || l > 10+keptLeast+4 {
+		if l := r.Status().Limit; l < 9 || l > 10+keptLeast+4 {
 			t.Errorf("answers in %d us, 10 at a time: the limit is %.0f", slow, l)
 		}
 		phase(50, 20*second)
-		if l := r.State().Limit; l < 45 || l > 90 {
+		if l := r.Status().Limit; l < 45 || l > 90 {
 			t.Errorf("answers in %d us, 50 again: the limit is %.0f", slow, l)
 		}
 	}
@@ -470,15 +470,15 @@
 
 // Clients that come once leave nothing behind.
 func TestNothingGrowsAtTheDoor(t *testing.T) {
-	r := newRig([]float64{1}, Room{Txns: 100, Bytes: 1 << 20, Queues: 16}, false)
+	r := newRig([]float64{1}, Limits{Requests: 100, Bytes: 1 << 20, Queues: 16}, false)
 	most := 0
 	for id := uint64(1); id <= 50000; id++ {
 		r.now += ms / 4
-		r.arrive(Arrival{ID: id, Client: id, Key: id, Product: 1, Work: 20 * ms})
+		r.arrive(Arrival{ID: id, Client: id, Key: id, Class: 1, CostHint: 20 * ms})
 		r.step(0)
 		if id%5 == 0 {
 			for in := range r.in {
-				r.end(in, Settled)
+				r.end(in, Succeeded)
 				break
 			}
 		}
@@ -494,13 +494,13 @@
 func BenchmarkInAndOut(b *testing.B) {
 	for _, queues := range []int{10, 10000} {
 		b.Run(fmt.Sprint(queues), func(b *testing.B) {
-			d := New(goods, []Tenant{{0.5}, {0.5}}, Room{Txns: 100000, Bytes: 1 << 40, Queues: queues}, Waits{}, false, 7)
+			d := New(goods, []Tenant{{0.5}, {0.5}}, Limits{Requests: 100000, Bytes: 1 << 40, Queues: queues}, RetryAfterLimits{}, false, 7)
 			d.limit = limit{now: 1, cap: 1, roundAt: math.MaxInt64 / 2}
-			d.products = []Product{{SLA: math.MaxInt64 / 4, Expiry: math.MaxInt64 / 4, Revenue: 1}}
+			d.products = []RequestClass{{LatencyObjective: math.MaxInt64 / 4, Timeout: math.MaxInt64 / 4, PriorityWeight: 1}}
 			now, id, first := Micros(1), uint64(0), uint64(1)
 			arrive := func() {
 				id++
-				for _, o := range d.Arrive(now, Arrival{ID: id, Tenant: int(id & 1), Client: id * 7, Work: ms, Expires: math.MaxInt64 / 4}) {
+				for _, o := range d.Arrive(now, Arrival{ID: id, Tenant: int(id & 1), Client: id * 7, CostHint: ms, Deadline: math.MaxInt64 / 4}) {
 					if o.Kind == Admit {
 						first = o.ID
 					}
@@ -513,7 +513,7 @@
 			for b.Loop() {
 				now += 10
 				arrive()
-				for _, o := range d.Ended(now, first, Settled) {
+				for _, o := range d.Finish(now, first, Succeeded) {
 					if o.Kind == Admit {
 						first = o.ID
 					}
--- a/internal/admission/fair.go
+++ b/internal/admission/fair.go
@@ -148,7 +148,7 @@
 const hands = 4
 
 // place is the queue for a txn of a client.
-func (d *Door) place(t *ticket) *queue {
+func (d *Controller) place(t *ticket) *queue {
 	all := t.tenant.all
 	var best *queue
 	h := mix(d.salt ^ t.Client)
@@ -167,7 +167,7 @@
 }
 
 // line puts a ticket at the end of a queue.
-func (d *Door) line(t *ticket) {
+func (d *Controller) line(t *ticket) {
 	t.state = waiting
 	if t.queue == nil {
 		t.queue = d.place(t)
@@ -195,7 +195,7 @@
 }
 
 // unlink takes a ticket out of its lane and the counts, and leaves the flows as they are.
-func (d *Door) unlink(t *ticket) {
+func (d *Controller) unlink(t *ticket) {
 	q, te := t.queue, t.tenant
 	l := &q.lanes[t.lane]
 	if t.prev != nil {
@@ -224,7 +224,7 @@
 }
 
 // unline takes a ticket that waits out of all; nobody pays.
-func (d *Door) unline(t *ticket) {
+func (d *Controller) unline(t *ticket) {
 	d.unlink(t)
 	if t.queue.n == 0 {
 		t.tenant.queues.sleep(&t.queue.flow)
@@ -235,7 +235,7 @@
 }
 
 // swap puts a ticket into another's place.
-func (d *Door) swap(old, t *ticket) {
+func (d *Controller) swap(old, t *ticket) {
 	t.queue, t.lane, t.prev, t.next = old.queue, old.lane, old.prev, old.next
 	l := &t.queue.lanes[t.lane]
 	if t.prev != nil {
@@ -255,7 +255,7 @@
 }
 
 // turn takes out the ticket whose turn it is; its flows pay.
-func (d *Door) turn() *ticket {
+func (d *Controller) turn() *ticket {
 	if len(d.fair.active) == 0 {
 		return nil
 	}
@@ -273,7 +273,7 @@
 }
 
 // pay charges tenant and queue for a ticket that goes in.
-func (d *Door) pay(t *ticket) {
+func (d *Controller) pay(t *ticket) {
 	te := t.tenant
 	te.queues.pay(&t.queue.flow, t.cost, t.queue.n > 0)
 	d.fair.pay(&te.flow, t.cost/te.weight, te.n > 0)
@@ -282,7 +282,7 @@
 
 // over is the ticket that has to go when there is no room: the newest of the longest queue of the tenant that waits with
 // most beyond its share, the cheapest product first. It is nobody's fault to have come last.
-func (d *Door) over() *ticket {
+func (d *Controller) over() *ticket {
 	var worst *tenant
 	for _, te := range d.tenants {
 		if te.n > 0 && (worst == nil || te.cost/te.weight > worst.cost/worst.weight) {
@@ -308,7 +308,7 @@
 
 // ahead is how long a ticket will wait: the work before it in its own queue and in those of its tenant that take turns
 // with it, at its tenant's part of what goes in less what is promised.
-func (d *Door) ahead(t *ticket) Micros {
+func (d *Controller) ahead(t *ticket) Micros {
 	te, q := t.tenant, t.queue
 	before := q.cost
 	if q.lanes[t.lane].tail != t || t.lane+1 < len(q.lanes) {
@@ -321,7 +321,7 @@
 }
 
 // before is the work in a ticket's queue that goes in before it, and its own.
-func (d *Door) before(t *ticket) (work float64) {
+func (d *Controller) before(t *ticket) (work float64) {
 	for i := 0; i < t.lane; i++ {
 		for o := t.queue.lanes[i].head; o != nil; o = o.next {
 			work += o.cost
@@ -334,7 +334,7 @@
 }
 
 // part is the work a microsecond that a tenant gets while the others that wait want theirs.
-func (d *Door) part(te *tenant) float64 {
+func (d *Controller) part(te *tenant) float64 {
 	weights := 0.0
 	for _, f := range d.fair.active {
 		weights += f.item.(*tenant).weight
@@ -346,15 +346,15 @@
 }
 
 // ranks are the products' lanes, the dearest first; products of one revenue share one.
-func ranks(products []Product) (rank []int, lanes int) {
+func ranks(products []RequestClass) (rank []int, lanes int) {
 	rank = make([]int, len(products))
 	for i, p := range products {
 		for j, o := range products {
 			first := true
 			for _, before := range products[:j] {
-				first = first && before.Revenue != o.Revenue
+				first = first && before.PriorityWeight != o.PriorityWeight
 			}
-			if o.Revenue > p.Revenue && first {
+			if o.PriorityWeight > p.PriorityWeight && first {
 				rank[i]++
 			}
 		}
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -16,22 +16,22 @@
 func TestGoldenDecisions(t *testing.T) {
 	var out strings.Builder
 	for _, shared := range []bool{false, true} {
-		for _, room := range []Room{{Txns: 20, Bytes: 20000, Queues: 4}, {Txns: 300, Bytes: 300000, Queues: 16}} {
+		for _, room := range []Limits{{Requests: 20, Bytes: 20000, Queues: 4}, {Requests: 300, Bytes: 300000, Queues: 16}} {
 			for seed := int64(1); seed <= 3; seed++ {
 				chance := rand.New(rand.NewSource(seed))
-				d := New([]Product{{SLA: second, Expiry: 3 * second, Revenue: 1}, {SLA: second, Expiry: 3 * second, Revenue: 5, Referenced: true}},
-					[]Tenant{{0.5}, {0.3}, {0.2}}, room, Waits{Most: 2 * second}, shared, seed)
-				digest := golden.NewDigest(Order{}, State{}, Count{}, Line{}, Micros(0))
+				d := New([]RequestClass{{LatencyObjective: second, Timeout: 3 * second, PriorityWeight: 1}, {LatencyObjective: second, Timeout: 3 * second, PriorityWeight: 5, Keyed: true}},
+					[]Tenant{{0.5}, {0.3}, {0.2}}, room, RetryAfterLimits{Max: 2 * second}, shared, seed)
+				digest := golden.NewDigest(Command{}, Status{}, Counters{}, TenantStatus{}, Micros(0))
 				now, orders := 1000*second, 0
 				var in, waiting []uint64
-				carry := func(list []Order) {
+				carry := func(list []Command) {
 					for _, o := range list {
 						orders++
 						digest.Add(o)
 						switch o.Kind {
 						case Admit:
 							in = append(in, o.ID)
-						case Refuse, Share:
+						case Reject, Coalesce:
 						}
 					}
 				}
@@ -42,30 +42,30 @@
 					return id
 				}
 				for id := uint64(1); id <= goldenSteps; id++ {
-					for next := d.Next(); next > 0 && next <= now; next = d.Next() {
-						carry(d.Bell(now))
+					for next := d.NextTimer(); next > 0 && next <= now; next = d.NextTimer() {
+						carry(d.TimerFired(now))
 					}
-					digest.Add(d.Next())
+					digest.Add(d.NextTimer())
 					switch n := chance.Intn(20); {
 					case n < 9:
 						waiting = append(waiting, id)
-						carry(d.Arrive(now, Arrival{ID: id, Tenant: chance.Intn(6) - 1, Client: uint64(1 + chance.Intn(9)), Product: chance.Intn(2),
-							Key: uint64(chance.Intn(40)), Repeat: chance.Intn(3) == 0, Work: Micros(chance.Int63n(int64(50 * ms))),
-							Expires: now + Micros(chance.Int63n(int64(3*second))), Bytes: chance.Intn(900)}))
+						carry(d.Arrive(now, Arrival{ID: id, Tenant: chance.Intn(6) - 1, Client: uint64(1 + chance.Intn(9)), Class: chance.Intn(2),
+							Key: uint64(chance.Intn(40)), IsRetry: chance.Intn(3) == 0, CostHint: Micros(chance.Int63n(int64(50 * ms))),
+							Deadline: now + Micros(chance.Int63n(int64(3*second))), Bytes: chance.Intn(900)}))
 					case n < 15:
 						if len(in) > 0 {
 							some := remove(&in)
 							if chance.Intn(2) == 0 {
-								carry(d.Sent(now, some))
+								carry(d.AttemptSent(now, some))
 							}
-							carry(d.Ended(now, some, How(chance.Intn(4))))
+							carry(d.Finish(now, some, Result(chance.Intn(4))))
 						}
 					case n < 16:
 						if len(waiting) > 0 {
-							carry(d.Gone(now, remove(&waiting)))
+							carry(d.Abandon(now, remove(&waiting)))
 						}
 					case n < 17:
-						d.Reshare([]Tenant{{0.1 + chance.Float64()}, {0.3}, {0.2}})
+						d.SetWeights([]Tenant{{0.1 + chance.Float64()}, {0.3}, {0.2}})
 					default:
 						now += Micros(chance.Int63n(int64(120 * ms)))
 					}
@@ -73,12 +73,12 @@
 						carry(d.Drain(now, now+2*second))
 					}
 				}
-				digest.Add(d.State())
-				digest.Add(d.Count)
+				digest.Add(d.Status())
+				digest.Add(d.Counters)
 				for tenant := range 4 {
-					digest.Add(d.Line(tenant))
+					digest.Add(d.Tenant(tenant))
 				}
-				fmt.Fprintf(&out, "shared %t room %d seed %d: %d orders %s\n", shared, room.Txns, seed, orders, digest)
+				fmt.Fprintf(&out, "shared %t room %d seed %d: %d orders %s\n", shared, room.Requests, seed, orders, digest)
 			}
 		}
 	}
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -56,9 +56,9 @@
 // ended: a txn is out again. One that was sent and declined in the end was turned off by appliances that are full. One that
 // the module declined without sending it was kept, which counts by its time, or came too late to be of worth, which says
 // nothing of the limit: counted as too much, late next tries shut the door for all.
-func (l *limit) ended(now Micros, how How, sent bool) {
+func (l *limit) ended(now Micros, how Result, sent bool) {
 	l.ends++
-	if how == Declined && sent {
+	if how == Rejected && sent {
 		l.bad++
 	}
 	l.round(now)
--- a/internal/admission/promise.go
+++ b/internal/admission/promise.go
@@ -61,11 +61,11 @@
 }
 
 // give tells a ticket that is turned away when to come back; 0 where nothing may be told.
-func (b *book) give(d *Door, t *ticket) Micros {
+func (b *book) give(d *Controller, t *ticket) Micros {
 	if b.width == 0 {
 		return 0
 	}
-	far := d.waits.Most - Micros(d.chance.Float64()*(1-mostPart)*float64(d.waits.Most))
+	far := d.waits.Max - Micros(d.chance.Float64()*(1-mostPart)*float64(d.waits.Max))
 	if d.until > 0 || len(b.by) >= b.most {
 		return far
 	}
@@ -76,8 +76,8 @@
 	part := d.part(te)
 	cal := b.clean(t.Tenant, d.now)
 	// Behind those who wait, as far as they leave it nothing.
-	first := (d.now + Micros(min(te.cost*(1-bookPart)/part, float64(d.waits.Most)))) / b.width
-	now, last := d.now/b.width, (d.now+d.waits.Most)/b.width
+	first := (d.now + Micros(min(te.cost*(1-bookPart)/part, float64(d.waits.Max)))) / b.width
+	now, last := d.now/b.width, (d.now+d.waits.Max)/b.width
 	booked := 0.0
 	for s := now + 1; s < last; s++ {
 		booked += cal[s%(slots+1)]
@@ -91,14 +91,14 @@
 		b.by[t.who] = p
 		heap.Push(&b.dues, p)
 		b.n = len(b.by)
-		d.Count.Promised++
+		d.Counters.Reserved++
 		return max(1, p.at-d.now)
 	}
 	return far
 }
 
 // until is how long a tenant needs for some work beside what it has been promised to others.
-func (b *book) until(d *Door, tenant int, work float64) Micros {
+func (b *book) until(d *Controller, tenant int, work float64) Micros {
 	part := d.part(d.tenants[tenant])
 	if b.width == 0 || len(b.by) == 0 {
 		return Micros(work / part)
@@ -112,7 +112,7 @@
 		}
 		work, now = work-free, end
 	}
-	return d.waits.Most + Micros(work/part)
+	return d.waits.Max + Micros(work/part)
 }
 
 // ahead is the work that a tenant has been promised room for and that has not come.
@@ -137,7 +137,7 @@
 }
 
 // claim looks whether a ticket was told to come, and now.
-func (b *book) claim(d *Door, t *ticket) claimed {
+func (b *book) claim(d *Controller, t *ticket) claimed {
 	p := b.by[t.who]
 	if p == nil {
 		return nothing
@@ -145,20 +145,20 @@
 	how := onTime
 	if d.now < p.at-earlyBy {
 		how = early
-		d.Count.Early++
+		d.Counters.EarlyRetries++
 		b.free(p)
 	} else if d.now > p.at+b.width+graceFor {
 		how = nothing
-		d.Count.Unclaimed++
+		d.Counters.ReservationsUnclaimed++
 	}
 	b.drop(p)
 	return how
 }
 
 // sweep lets go of promises whose time is over.
-func (b *book) sweep(d *Door) {
+func (b *book) sweep(d *Controller) {
 	for len(b.dues) > 0 && b.dues[0].at+b.width+graceFor < d.now {
-		d.Count.Unclaimed++
+		d.Counters.ReservationsUnclaimed++
 		b.drop(b.dues[0])
 	}
 }
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -79,7 +79,7 @@
 	on      *appliance
 	done    func() // when it is over and nothing of it is out; nil where nobody asks
 	sent    func() // when it is first sent; nil where nobody asks
-	how     admission.How
+	how     admission.Result
 	also    []chan reply // its next tries, which get its answer
 }
 
@@ -237,7 +237,7 @@
 		c.handle(n.taken)
 	case policy.RequestCancelled:
 		if t := c.txns[n.RequestID]; t != nil && !t.over {
-			t.how = admission.Left
+			t.how = admission.ClientGone
 			c.done.left++
 			c.over(n.RequestID, t)
 			c.handle(n)
@@ -286,7 +286,7 @@
 	} else {
 		t.out--
 		if !t.over && (n.ending == Settled || n.ending == Rejected) {
-			t.how = admission.Settled
+			t.how = admission.Succeeded
 			c.done.settled++
 			t.tell(reply{settled: n.answer})
 			t.over = true
@@ -422,10 +422,10 @@
 func (c *Core) answer(id uint64, r reply) {
 	if t := c.txns[id]; t != nil && !t.over {
 		if r.refused {
-			t.how = admission.Declined
+			t.how = admission.Rejected
 			c.done.declined++
 		} else {
-			t.how = admission.Voided
+			t.how = admission.Failed
 			c.done.voided++
 		}
 		t.tell(r)
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -246,8 +246,8 @@
 	} else {
 		taken.ArrivedAt = f.core.clock.at(at)
 		leave = func() { f.gate.box.put(left{id}) }
-		f.gate.box.put(knock{admission.Arrival{ID: id, Tenant: o.customer, Client: f.client(r), Product: o.product, Key: o.mark,
-			Repeat: o.repeat, Work: o.work, Expires: taken.Deadline, Bytes: len(t.parcel.head) + len(body)}, taken, t})
+		f.gate.box.put(knock{admission.Arrival{ID: id, Tenant: o.customer, Client: f.client(r), Class: o.product, Key: o.mark,
+			IsRetry: o.repeat, CostHint: o.work, Deadline: taken.Deadline, Bytes: len(t.parcel.head) + len(body)}, taken, t})
 	}
 	// Who has not taken its answer some time after it stopped waiting holds a descriptor for nothing; before, it has its time, however
 	// long that is: the library's own bound counts from the request.
--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -22,7 +22,7 @@
 	found struct{ id uint64 } // the module has sent it
 	over  struct {
 		id  uint64
-		how admission.How
+		how admission.Result
 	}
 	left    struct{ id uint64 } // its client has gone
 	drain   struct{ until time.Time }
@@ -39,13 +39,13 @@
 
 // Standing is what the door has in hand and has done.
 type Standing struct {
-	admission.State
-	admission.Count
+	admission.Status
+	admission.Counters
 }
 
 // Gate is the door's actor.
 type Gate struct {
-	door  *admission.Door
+	door  *admission.Controller
 	clock Clock
 	core  *Core
 	box   *mailbox[any]
@@ -55,7 +55,7 @@
 }
 
 // NewGate puts a door before the core.
-func NewGate(d *admission.Door, clock Clock, core *Core) *Gate {
+func NewGate(d *admission.Controller, clock Clock, core *Core) *Gate {
 	return &Gate{door: d, clock: clock, core: core, box: newMailbox[any](), known: map[uint64]knock{}, in: map[uint64]bool{}}
 }
 
@@ -70,7 +70,7 @@
 	var notes []any
 	for {
 		wait := time.Hour
-		if next := g.door.Next(); next > 0 {
+		if next := g.door.NextTimer(); next > 0 {
 			wait = time.Duration(next-g.clock.now()) * time.Microsecond
 		}
 		timer.Reset(max(0, wait))
@@ -86,8 +86,8 @@
 		for _, n := range notes {
 			g.note(n)
 		}
-		if next := g.door.Next(); next > 0 && next <= g.clock.now() {
-			g.carryOut(g.door.Bell(g.clock.now()))
+		if next := g.door.NextTimer(); next > 0 && next <= g.clock.now() {
+			g.carryOut(g.door.TimerFired(g.clock.now()))
 		}
 	}
 }
@@ -99,26 +99,26 @@
 		g.known[n.ID] = n
 		g.carryOut(g.door.Arrive(now, n.Arrival))
 	case found:
-		g.carryOut(g.door.Sent(now, n.id))
+		g.carryOut(g.door.AttemptSent(now, n.id))
 	case over:
 		delete(g.in, n.id)
-		g.carryOut(g.door.Ended(now, n.id, n.how))
+		g.carryOut(g.door.Finish(now, n.id, n.how))
 	case left:
 		if g.in[n.id] { // the core tells when nothing of it is out any more
 			g.core.box.put(policy.RequestCancelled{RequestID: n.id})
 			return
 		}
 		g.forget(n.id)
-		g.carryOut(g.door.Gone(now, n.id))
+		g.carryOut(g.door.Abandon(now, n.id))
 	case drain:
 		g.carryOut(g.door.Drain(now, g.clock.at(n.until)))
 	case reshare:
-		g.door.Reshare(n.shares)
+		g.door.SetWeights(n.shares)
 	case sum:
 		g.log()
 		close(n.done)
 	case ask:
-		n.answer <- Standing{g.door.State(), g.door.Count}
+		n.answer <- Standing{g.door.Status(), g.door.Counters}
 	}
 }
 
@@ -132,7 +132,7 @@
 	return k, was
 }
 
-func (g *Gate) carryOut(orders []admission.Order) {
+func (g *Gate) carryOut(orders []admission.Command) {
 	for _, o := range orders {
 		switch o.Kind {
 		case admission.Admit:
@@ -148,13 +148,13 @@
 				g.box.put(over{id, k.open.how})
 			}
 			g.core.box.put(arrived{k.taken, k.open})
-		case admission.Refuse:
+		case admission.Reject:
 			if k, was := g.forget(o.ID); was {
-				k.reply <- reply{refused: true, holdOff: o.Wait}
+				k.reply <- reply{refused: true, holdOff: o.RetryAfter}
 			}
-		case admission.Share:
+		case admission.Coalesce:
 			if k, was := g.forget(o.ID); was {
-				g.core.box.put(alsoTo{o.First, k.open})
+				g.core.box.put(alsoTo{o.LeaderID, k.open})
 			}
 		}
 	}
@@ -162,7 +162,7 @@
 
 // log writes a line of figures where anything has happened since the last.
 func (g *Gate) log() {
-	now := Standing{g.door.State(), g.door.Count}
+	now := Standing{g.door.Status(), g.door.Counters}
 	if now.Arrived != g.last.Arrived || now.Waiting > 0 {
 		journal(now, g.last)
 	}
@@ -195,10 +195,10 @@
 
 // journal writes the door's figures: levels as they are, counts since the last line.
 func journal(now, last Standing) {
-	slog.Info("door", "in", now.In, "limit", int(now.Limit), "waiting", now.Waiting, "kib", now.Bytes>>10,
-		"arrived", now.Arrived-last.Arrived, "admitted", now.Admitted-last.Admitted, "joined", now.Joined-last.Joined,
-		"toolate", now.Refused[admission.TooLate]-last.Refused[admission.TooLate], "noroom", now.Refused[admission.NoRoom]-last.Refused[admission.NoRoom],
-		"promised", now.Promised-last.Promised, "kept", now.Kept-last.Kept, "broken", now.Broken-last.Broken,
-		"unclaimed", now.Unclaimed-last.Unclaimed, "settled", now.Ended[admission.Settled]-last.Ended[admission.Settled],
-		"declined", now.Ended[admission.Declined]-last.Ended[admission.Declined], "voided", now.Ended[admission.Voided]-last.Ended[admission.Voided])
+	slog.Info("door", "in", now.Admitted, "limit", int(now.Limit), "waiting", now.Waiting, "kib", now.Bytes>>10,
+		"arrived", now.Arrived-last.Arrived, "admitted", now.Admitted-last.Admitted, "joined", now.Rejoined-last.Rejoined,
+		"toolate", now.Rejected[admission.TooLate]-last.Rejected[admission.TooLate], "noroom", now.Rejected[admission.NoCapacity]-last.Rejected[admission.NoCapacity],
+		"promised", now.Reserved-last.Reserved, "kept", now.ReservationsHonored-last.ReservationsHonored, "broken", now.ReservationsMissed-last.ReservationsMissed,
+		"unclaimed", now.ReservationsUnclaimed-last.ReservationsUnclaimed, "settled", now.Finished[admission.Succeeded]-last.Finished[admission.Succeeded],
+		"declined", now.Finished[admission.Rejected]-last.Finished[admission.Rejected], "voided", now.Finished[admission.Failed]-last.Finished[admission.Failed])
 }
--- a/internal/agent/gate_test.go
+++ b/internal/agent/gate_test.go
@@ -25,11 +25,11 @@
 	t    *testing.T
 }
 
-func newGated(t *testing.T, room admission.Room, same bool) *gated {
+func newGated(t *testing.T, room admission.Limits, same bool) *gated {
 	r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
 	clock := NewClock()
-	d := admission.New([]admission.Product{{SLA: 10_000_000, Expiry: 20_000_000, Revenue: 1, Referenced: true}}, []admission.Tenant{{Weight: 1}},
-		room, admission.Waits{Most: 500_000}, same, 1)
+	d := admission.New([]admission.RequestClass{{LatencyObjective: 10_000_000, Timeout: 20_000_000, PriorityWeight: 1, Keyed: true}}, []admission.Tenant{{Weight: 1}},
+		room, admission.RetryAfterLimits{Max: 500_000}, same, 1)
 	g := &gated{r, NewGate(d, clock, r.core), t}
 	go g.gate.Serve(r.ctx)
 	return g
@@ -39,7 +39,7 @@
 func (g *gated) knock(id, key uint64) chan reply {
 	o := &open{parcel: posting, reply: make(chan reply, 1), expires: time.Now().Add(patience)}
 	expires := g.gate.clock.at(o.expires)
-	g.gate.box.put(knock{admission.Arrival{ID: id, Client: id, Key: key, Expires: expires, Bytes: 100},
+	g.gate.box.put(knock{admission.Arrival{ID: id, Client: id, Key: key, Deadline: expires, Bytes: 100},
 		policy.RequestArrived{ID: id, Key: key, Deadline: expires}, o})
 	return o.reply
 }
@@ -50,18 +50,18 @@
 
 // A next try does not go in while its first one is in, goes in when that is over, and takes over a place that waits.
 func TestNextTryAtTheGate(t *testing.T) {
-	g := newGated(t, admission.Room{Txns: 10, Bytes: 1 << 20, Queues: 4}, false)
+	g := newGated(t, admission.Limits{Requests: 10, Bytes: 1 << 20, Queues: 4}, false)
 	g.knock(1, 5)
 	eventually(t, "the first try", func() bool { return g.taken() == 1 })
 	g.knock(2, 5)
-	if s := g.standing(); s.Joined != 1 || s.In != 1 || s.Waiting != 1 {
+	if s := g.standing(); s.Rejoined != 1 || s.Admitted != 1 || s.Waiting != 1 {
 		t.Fatalf("next try stands as %+v", s)
 	}
 	if g.taken() != 1 {
 		t.Fatal("two of one reference are in")
 	}
 	third := g.knock(3, 5)
-	if s := g.standing(); s.Joined != 2 || s.Waiting != 1 {
+	if s := g.standing(); s.Rejoined != 2 || s.Waiting != 1 {
 		t.Fatalf("third try stands as %+v", s)
 	}
 	g.gate.box.put(left{1}) // the first one's client leaves: it is over when the module has heard so
@@ -70,7 +70,7 @@
 		t.Errorf("%d went in after the first try, want the last one", got)
 	}
 	g.gate.box.put(left{3})
-	eventually(t, "an empty door", func() bool { s := g.standing(); return s.In+s.Waiting == 0 })
+	eventually(t, "an empty door", func() bool { s := g.standing(); return s.Admitted+s.Waiting == 0 })
 	if len(third) != 0 {
 		t.Error("who left was answered")
 	}
@@ -80,11 +80,11 @@
 
 // With same-answer a next try gets its first one's answer, whatever it is, and nothing of its own goes in.
 func TestSameAnswerAtTheGate(t *testing.T) {
-	g := newGated(t, admission.Room{Txns: 10, Bytes: 1 << 20, Queues: 4}, true)
+	g := newGated(t, admission.Limits{Requests: 10, Bytes: 1 << 20, Queues: 4}, true)
 	first := g.knock(1, 5)
 	eventually(t, "the first try", func() bool { return g.taken() == 1 })
 	second := g.knock(2, 5)
-	if s := g.standing(); s.Shared != 1 {
+	if s := g.standing(); s.Coalesced != 1 {
 		t.Fatalf("next try stands as %+v", s)
 	}
 	g.mu.Lock()
@@ -113,7 +113,7 @@
 
 // A client that leaves the queue is forgotten, and a drain answers all who will not get in.
 func TestLeavingAndDraining(t *testing.T) {
-	g := newGated(t, admission.Room{Txns: 40, Bytes: 1 << 20, Queues: 4}, false)
+	g := newGated(t, admission.Limits{Requests: 40, Bytes: 1 << 20, Queues: 4}, false)
 	for id := uint64(1); id <= 32; id++ { // as many as go in at first
 		g.knock(id, id)
 	}
@@ -123,7 +123,7 @@
 		replies[id] = g.knock(id, id)
 	}
 	g.gate.box.put(left{33})
-	if s := g.standing(); s.In != 32 || s.Waiting != 5 {
+	if s := g.standing(); s.Admitted != 32 || s.Waiting != 5 {
 		t.Fatalf("stands as %+v", s)
 	}
 	g.gate.box.put(drain{time.Now()})
--- a/internal/agent/launcher.go
+++ b/internal/agent/launcher.go
@@ -33,7 +33,7 @@
 	also    func(policy.RolloutUpdate) // hears the news, too; nil: nobody
 	now     *stream                    // the one that is believed
 	next    *stream                    // the one that is to take its place
-	again   *backoff.Again
+	again   *backoff.Backoff
 
 	mu     sync.Mutex
 	told   int                  // how often where things stand has been told
@@ -176,15 +176,15 @@
 		switch n.from {
 		case l.next:
 			if l.next = nil; l.now.base != l.base { // the old one is about to end
-				l.next = l.open(ctx, l.again.Failed(why(n.err)))
+				l.next = l.open(ctx, l.again.Next(why(n.err)))
 			}
 		case l.now:
 			if n.from.spoke {
-				l.again.Served()
+				l.again.Reset()
 			}
 			complaints.warn("news", "news stream ended", "err", n.err)
 			if l.now, l.next = l.next, nil; l.now == nil {
-				l.now = l.open(ctx, l.again.Failed(why(n.err)))
+				l.now = l.open(ctx, l.again.Next(why(n.err)))
 			}
 		}
 	case look:
--- a/internal/agent/roster.go
+++ b/internal/agent/roster.go
@@ -44,7 +44,7 @@
 	base   string
 	seq    uint64
 	whole  bool // the next line has to be the whole list
-	again  *backoff.Again
+	again  *backoff.Backoff
 	once   bool // its address has been left: not opened again
 	mu     sync.Mutex
 	stop   context.CancelFunc
@@ -257,31 +257,31 @@
 // why tells a party that has too much to do from one that is not there.
 func why(err error) backoff.Reason {
 	if r := refusal(0); errors.As(err, &r) && (r == http.StatusServiceUnavailable || r == http.StatusTooManyRequests) {
-		return backoff.Full
+		return backoff.Overloaded
 	}
-	return backoff.Gone
+	return backoff.Unreachable
 }
 
 func (f *follower) serve(ctx context.Context) {
 	if f.seq > 0 || !f.whole { // what was told at the start will do for a moment
-		wait(ctx, f.again.Begin(f.roster.agents))
+		wait(ctx, f.again.Initial(f.roster.agents))
 	}
 	for ctx.Err() == nil && !f.left() {
 		start := time.Now()
 		if f.whole {
 			if err := f.fetch(ctx); err != nil {
 				complaints.warn("list", "list not fetched", "err", err, "after_ms", time.Since(start).Milliseconds())
-				wait(ctx, f.again.Failed(why(err)))
+				wait(ctx, f.again.Next(why(err)))
 				continue
 			}
 		}
 		lines, err := f.watch(ctx)
 		if lines > 0 {
-			f.again.Served()
+			f.again.Reset()
 		}
 		if ctx.Err() == nil {
 			complaints.warn("watch", "watch ended", "err", err, "seq", f.seq, "after_ms", time.Since(start).Milliseconds())
-			wait(ctx, f.again.Failed(why(err)))
+			wait(ctx, f.again.Next(why(err)))
 		}
 	}
 }
--- a/internal/backoff/pace.go
+++ b/internal/backoff/pace.go
@@ -12,8 +12,8 @@
 type Reason int
 
 const (
-	Gone Reason = iota // the connection broke, was refused or was silent: the party may be back at once
-	Full               // the party said that it has too much to do
+	Unreachable Reason = iota // the connection broke, was refused or was silent: the party may be back at once
+	Overloaded                // the party said that it has too much to do
 )
 
 const (
@@ -30,8 +30,8 @@
 	eachCall Micros = 60_000
 )
 
-// Again keeps one caller's waits.
-type Again struct {
+// Backoff keeps one caller's waits.
+type Backoff struct {
 	chance      *rand.Rand
 	told        bool
 	first, most Micros // after Full
@@ -40,29 +40,29 @@
 }
 
 // New makes one for a caller that is told to ask within a time (0: not told).
-func New(within Micros, seed int64) *Again {
-	a := &Again{chance: rand.New(rand.NewSource(seed)), first: fullFirst, most: fullMost}
+func New(within Micros, seed int64) *Backoff {
+	a := &Backoff{chance: rand.New(rand.NewSource(seed)), first: fullFirst, most: fullMost}
 	if within > 0 {
 		a.told, a.first, a.most = true, within/firstPart, within
 	}
 	return a
 }
 
-// Begin is the wait before the first call: alike agents that start in one moment come one after another, inside half of
+// Initial is the wait before the first call: alike agents that start in one moment come one after another, inside half of
 // the time in which they should ask. Few agents wait next to nothing. Where no time is told there is none: the list comes
 // by itself, and a drain told while an agent was away binds as soon as it is back.
-func (a *Again) Begin(agents int) Micros {
+func (a *Backoff) Initial(agents int) Micros {
 	if !a.told {
 		return 0
 	}
 	return a.upTo(min(a.most/2, Micros(agents-1)*eachCall))
 }
 
-// Failed is the wait before the next try. After a break it grows from 50 ms with a random part. After Full it is
+// Next is the wait before the next try. After a break it grows from 50 ms with a random part. After Full it is
 // decorrelated jitter: callers that were turned away together spread out within a few tries, over more time the longer the
 // party stays full.
-func (a *Again) Failed(why Reason) Micros {
-	if why == Full {
+func (a *Backoff) Next(why Reason) Micros {
+	if why == Overloaded {
 		a.gone = 0
 		a.last = a.first + a.upTo(min(a.most, fullGrows*max(a.last, a.first))-a.first)
 		return a.last
@@ -72,10 +72,10 @@
 	return wait/2 + a.upTo(wait)
 }
 
-// Served forgets the failures.
-func (a *Again) Served() { a.gone, a.last = 0, 0 }
+// Reset forgets the failures.
+func (a *Backoff) Reset() { a.gone, a.last = 0, 0 }
 
-func (a *Again) upTo(span Micros) Micros {
+func (a *Backoff) upTo(span Micros) Micros {
 	if span <= 0 {
 		return 0
 	}
--- a/internal/backoff/pace_test.go
+++ b/internal/backoff/pace_test.go
@@ -56,12 +56,12 @@
 func TestAFullPartyIsReachedByAll(t *testing.T) {
 	const callers, each, until = 80, 65 * ms, 20_000 * ms
 	for seed := int64(1); seed <= 20; seed++ {
-		var all []*Again
+		var all []*Backoff
 		for i := range callers {
 			all = append(all, New(10_000*ms, seed*1000+int64(i)))
 		}
-		done, made := served(callers, each, until, func(i int) Micros { return all[i].Begin(callers) },
-			func(i int) Micros { return all[i].Failed(Full) })
+		done, made := served(callers, each, until, func(i int) Micros { return all[i].Initial(callers) },
+			func(i int) Micros { return all[i].Next(Overloaded) })
 		if done < callers || made > 2*callers {
 			t.Errorf("seed %d: %d of %d callers served by %d calls", seed, done, callers, made)
 		}
@@ -76,24 +76,24 @@
 func TestWaits(t *testing.T) {
 	told, untold := New(8_000*ms, 1), New(0, 1)
 	for range 1000 {
-		if w := told.Failed(Full); w < 2_000*ms || w > 8_000*ms {
+		if w := told.Next(Overloaded); w < 2_000*ms || w > 8_000*ms {
 			t.Fatalf("told 8 s, waits %d", w)
 		}
-		if w := untold.Failed(Full); w < 400*ms || w > 3_200*ms {
+		if w := untold.Next(Overloaded); w < 400*ms || w > 3_200*ms {
 			t.Fatalf("not told, waits %d", w)
 		}
 	}
 	for again, most := New(8_000*ms, 2), Micros(75*ms); most < 1200*ms; most *= 2 {
-		if w := again.Failed(Gone); w > most {
+		if w := again.Next(Unreachable); w > most {
 			t.Errorf("after a break waits %d, over %d", w, most)
 		}
 	}
 	again := New(8_000*ms, 3)
 	for range 9 {
-		again.Failed(Gone)
+		again.Next(Unreachable)
 	}
-	again.Served()
-	if w := again.Failed(Gone); w > 75*ms {
+	again.Reset()
+	if w := again.Next(Unreachable); w > 75*ms {
 		t.Errorf("failures are not forgotten: waits %d", w)
 	}
 	for _, c := range []struct {
@@ -101,16 +101,16 @@
 		most   Micros
 	}{{1, 0}, {3, 120 * ms}, {80, 4_000 * ms}, {100_000, 4_000 * ms}} {
 		for seed := range int64(50) {
-			if w := New(8_000*ms, seed).Begin(c.agents); w < 0 || w > c.most {
+			if w := New(8_000*ms, seed).Initial(c.agents); w < 0 || w > c.most {
 				t.Errorf("%d agents: begins after %d, over %d", c.agents, w, c.most)
 			}
 		}
 	}
 	for seed := range int64(50) {
-		if w := New(0, seed).Begin(100_000); w != 0 {
+		if w := New(0, seed).Initial(100_000); w != 0 {
 			t.Errorf("no time told: begins after %d", w)
 		}
 	}
-	New(-1, 1).Begin(-5) // absurd figures do no harm
-	New(1, 1).Failed(Full)
+	New(-1, 1).Initial(-5) // absurd figures do no harm
+	New(1, 1).Next(Overloaded)
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -52,14 +52,14 @@
 type Result struct {
 	Tenants []Account
 	Served  []float64 // work let in by tenant
-	Count   admission.Count
+	Count   admission.Counters
 	Told    []float64 // of those turned away: what they were told over what was needed
 	Limit   []float64 // once a second
 }
 
 // gate is what stands before the module: the door in one of its forms.
 type gate struct {
-	*admission.Door
+	*admission.Controller
 	tenant func(int) int // how the door sees a tenant
 	told   int64         // what a refusal without a time tells; 0: nothing
 	pass   func(now int64, tenant int) bool
@@ -162,7 +162,7 @@
 	w.arrivals()
 	end := int64(day.Seconds) * second
 	for s := int64(1); s <= int64(day.Seconds); s++ {
-		w.at(s*second, func() { w.result.Limit = append(w.result.Limit, w.gate.State().Limit) })
+		w.at(s*second, func() { w.result.Limit = append(w.result.Limit, w.gate.Status().Limit) })
 	}
 	for len(w.due) > 0 {
 		e := heap.Pop(&w.due).(event)
@@ -172,9 +172,9 @@
 		w.now = e.at
 		e.do()
 	}
-	w.result.Count = w.gate.Count
+	w.result.Count = w.gate.Counters
 	for i := range n {
-		w.result.Served = append(w.result.Served, w.gate.Line(w.gate.tenant(i)).Served)
+		w.result.Served = append(w.result.Served, w.gate.Tenant(w.gate.tenant(i)).AdmittedCost)
 	}
 	return w.result
 }
@@ -203,20 +203,20 @@
 }
 
 func (w *world) makeGate(kind Kind) {
-	products := []admission.Product{{SLA: slaWorks * w.Work, Expiry: expiryWorks * w.Work, Revenue: 1}}
-	room := admission.Room{Txns: 1000, Bytes: 1 << 30, Queues: 64}
+	products := []admission.RequestClass{{LatencyObjective: slaWorks * w.Work, Timeout: expiryWorks * w.Work, PriorityWeight: 1}}
+	room := admission.Limits{Requests: 1000, Bytes: 1 << 30, Queues: 64}
 	var shares []admission.Tenant
 	for _, s := range w.Shares {
 		shares = append(shares, admission.Tenant{Weight: s})
 	}
 	g := gate{tenant: func(t int) int { return t }, pass: func(int64, int) bool { return true }}
-	waits := admission.Waits{Most: longestWait}
+	waits := admission.RetryAfterLimits{Max: longestWait}
 	switch kind {
 	case NoCalendar:
-		waits.Most, g.told = 0, longestWait
+		waits.Max, g.told = 0, longestWait
 	case Fifo, Bucket:
 		// One tenant with one queue is a line: who comes first goes first.
-		shares, room.Queues, waits.Most, g.told = nil, 1, 0, longestWait
+		shares, room.Queues, waits.Max, g.told = nil, 1, 0, longestWait
 		g.tenant = func(int) int { return 0 }
 	}
 	if kind == Bucket {
@@ -237,7 +237,7 @@
 			return true
 		}
 	}
-	g.Door = admission.New(products, shares, room, waits, false, w.Seed)
+	g.Controller = admission.New(products, shares, room, waits, false, w.Seed)
 	w.gate = g
 }
 
@@ -298,7 +298,7 @@
 		return
 	}
 	w.carry(w.gate.Arrive(w.now, admission.Arrival{ID: t.id, Tenant: w.gate.tenant(t.tenant), Client: t.client, Key: t.key,
-		Repeat: t.tries > 1, Expires: t.expires, Bytes: 400}))
+		IsRetry: t.tries > 1, Deadline: t.expires, Bytes: 400}))
 }
 
 // refused sends a client away, to come back when it was told, or never.
@@ -313,7 +313,7 @@
 	w.at(w.now+wait+int64(w.chance.Float64()*float64(3*ms)), func() { w.come(t) })
 }
 
-func (w *world) carry(orders []admission.Order) {
+func (w *world) carry(orders []admission.Command) {
 	for _, o := range orders {
 		t := w.open[o.ID]
 		if t == nil {
@@ -322,20 +322,20 @@
 		switch o.Kind {
 		case admission.Admit:
 			w.tell(policy.RequestArrived{ID: o.ID, Deadline: t.expires, ArrivedAt: t.came})
-		case admission.Refuse:
-			wait := o.Wait
-			if w.gate.told > 0 && o.Why != admission.Replaced {
+		case admission.Reject:
+			wait := o.RetryAfter
+			if w.gate.told > 0 && o.Reason != admission.Replaced {
 				wait = w.gate.told
 			}
-			line := w.gate.Line(w.gate.tenant(t.tenant))
-			if o.Wait > 0 {
-				w.needs[t.tenant] = append(w.needs[t.tenant], need{line.Served + line.Cost + line.Booked, float64(o.Wait), w.now})
+			line := w.gate.Tenant(w.gate.tenant(t.tenant))
+			if o.RetryAfter > 0 {
+				w.needs[t.tenant] = append(w.needs[t.tenant], need{line.AdmittedCost + line.Cost + line.ReservedCost, float64(o.RetryAfter), w.now})
 			}
 			w.refused(t, wait)
 		}
 	}
 	for i := range w.needs {
-		served := w.gate.Line(w.gate.tenant(i)).Served
+		served := w.gate.Tenant(w.gate.tenant(i)).AdmittedCost
 		for len(w.needs[i]) > 0 && served >= w.needs[i][0].target {
 			n := w.needs[i][0]
 			w.needs[i] = w.needs[i][1:]
@@ -344,19 +344,19 @@
 			}
 		}
 	}
-	if next := w.gate.Next(); next > 0 && next < w.bell {
+	if next := w.gate.NextTimer(); next > 0 && next < w.bell {
 		w.bell = next
 		w.at(next, func() {
 			if w.bell <= w.now {
 				w.bell = 1 << 60
-				w.carry(w.gate.Bell(w.now))
+				w.carry(w.gate.TimerFired(w.now))
 			}
 		})
 	}
 }
 
 // over tells the door that a txn's answer is out.
-func (w *world) over(t *txn, how admission.How) {
+func (w *world) over(t *txn, how admission.Result) {
 	if t.done {
 		return
 	}
@@ -365,7 +365,7 @@
 	id := t.id
 	delete(w.open, id)
 	switch how {
-	case admission.Settled:
+	case admission.Succeeded:
 		if w.now <= int64(w.Seconds)*second {
 			a.Settled++
 		}
@@ -374,12 +374,12 @@
 		if took <= slaWorks*w.Work {
 			a.InTime++
 		}
-	case admission.Declined:
+	case admission.Rejected:
 		w.refused(t, longestWait)
 	default:
 		a.GivenUp++
 	}
-	w.at(w.now, func() { w.carry(w.gate.Ended(w.now, id, how)) })
+	w.at(w.now, func() { w.carry(w.gate.Finish(w.now, id, how)) })
 }
 
 // tell hands an event to the module and carries its orders out.
@@ -392,11 +392,11 @@
 			w.submit(o)
 		case policy.Reject:
 			if t := w.open[o.RequestID]; t != nil {
-				w.over(t, admission.Declined)
+				w.over(t, admission.Rejected)
 			}
 		case policy.Fail:
 			if t := w.open[o.RequestID]; t != nil {
-				w.over(t, admission.Voided)
+				w.over(t, admission.Failed)
 			}
 		case policy.CheckHealth:
 			w.at(w.now+ms, func() { w.tell(policy.HealthCheckResult{EndpointID: o.EndpointID, Elapsed: ms}) })
@@ -414,7 +414,7 @@
 	}
 	if t.on == nil {
 		id := t.id
-		w.at(w.now, func() { w.carry(w.gate.Sent(w.now, id)) })
+		w.at(w.now, func() { w.carry(w.gate.AttemptSent(w.now, id)) })
 	}
 	b := w.boxes[o.EndpointID-1]
 	t.on = b
@@ -462,7 +462,7 @@
 	t := w.open[j.id]
 	ended := policy.AttemptResult{RequestID: j.id, EndpointID: b.id, Outcome: how, Elapsed: w.now - j.sent, RequestDone: t == nil || how == policy.OK}
 	if t != nil && how == policy.OK {
-		w.over(t, admission.Settled)
+		w.over(t, admission.Succeeded)
 	}
 	w.tell(ended)
 }
