--- a/internal/admission/door.go
+++ b/internal/admission/door.go
@@ -397,9 +397,9 @@
 
 // Status is what is in hand now, for figures and logs.
 type Status struct {
-	Waiting, Admitted, Reservations int
-	Limit                           float64
-	Bytes                           int64
+	Waiting, InProgress, Reservations int
+	Limit                             float64
+	Bytes                             int64
 }
 
 func (d *Controller) Status() Status {
--- a/internal/admission/door_test.go
+++ b/internal/admission/door_test.go
@@ -141,11 +141,11 @@
 				}
 			}
 			s := r.Status()
-			if s.Waiting+s.Admitted > room.Requests && s.Admitted <= room.Requests || s.Bytes > room.Bytes && s.Waiting > 0 {
+			if s.Waiting+s.InProgress > room.Requests && s.InProgress <= room.Requests || s.Bytes > room.Bytes && s.Waiting > 0 {
 				t.Fatalf("bound %+v is passed: %+v", room, s)
 			}
-			if s.Admitted != len(r.in) {
-				t.Fatalf("%d are in, the door counts %d", len(r.in), s.Admitted)
+			if s.InProgress != len(r.in) {
+				t.Fatalf("%d are in, the door counts %d", len(r.in), s.InProgress)
 			}
 			held := map[uint64]uint64{}
 			for in := range r.in {
@@ -164,7 +164,7 @@
 				r.end(id, Succeeded)
 			}
 		}
-		if s := r.Status(); s.Waiting+s.Admitted > 0 || len(r.open) > 0 || s.Bytes != 0 || len(r.tickets)+len(r.tries) > 0 {
+		if s := r.Status(); s.Waiting+s.InProgress > 0 || len(r.open) > 0 || s.Bytes != 0 || len(r.tickets)+len(r.tries) > 0 {
 			t.Fatalf("left at the end: %+v, %d open, %d tickets, %d tries", s, len(r.open), len(r.tickets), len(r.tries))
 		}
 		for id, n := range r.finals {
--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -195,7 +195,7 @@
 
 // journal writes the door's figures: levels as they are, counts since the last line.
 func journal(now, last Standing) {
-	slog.Info("door", "in", now.Admitted, "limit", int(now.Limit), "waiting", now.Waiting, "kib", now.Bytes>>10,
+	slog.Info("door", "in", now.InProgress, "limit", int(now.Limit), "waiting", now.Waiting, "kib", now.Bytes>>10,
 		"arrived", now.Arrived-last.Arrived, "admitted", now.Admitted-last.Admitted, "joined", now.Rejoined-last.Rejoined,
 		"toolate", now.Rejected[admission.TooLate]-last.Rejected[admission.TooLate], "noroom", now.Rejected[admission.NoCapacity]-last.Rejected[admission.NoCapacity],
 		"promised", now.Reserved-last.Reserved, "kept", now.ReservationsHonored-last.ReservationsHonored, "broken", now.ReservationsMissed-last.ReservationsMissed,
--- a/internal/agent/gate_test.go
+++ b/internal/agent/gate_test.go
@@ -54,7 +54,7 @@
 	g.knock(1, 5)
 	eventually(t, "the first try", func() bool { return g.taken() == 1 })
 	g.knock(2, 5)
-	if s := g.standing(); s.Rejoined != 1 || s.Admitted != 1 || s.Waiting != 1 {
+	if s := g.standing(); s.Rejoined != 1 || s.InProgress != 1 || s.Waiting != 1 {
 		t.Fatalf("next try stands as %+v", s)
 	}
 	if g.taken() != 1 {
@@ -70,7 +70,7 @@
 		t.Errorf("%d went in after the first try, want the last one", got)
 	}
 	g.gate.box.put(left{3})
-	eventually(t, "an empty door", func() bool { s := g.standing(); return s.Admitted+s.Waiting == 0 })
+	eventually(t, "an empty door", func() bool { s := g.standing(); return s.InProgress+s.Waiting == 0 })
 	if len(third) != 0 {
 		t.Error("who left was answered")
 	}
@@ -123,7 +123,7 @@
 		replies[id] = g.knock(id, id)
 	}
 	g.gate.box.put(left{33})
-	if s := g.standing(); s.Admitted != 32 || s.Waiting != 5 {
+	if s := g.standing(); s.InProgress != 32 || s.Waiting != 5 {
 		t.Fatalf("stands as %+v", s)
 	}
 	g.gate.box.put(drain{time.Now()})
--- a/internal/policy/scenario_test.go
+++ b/internal/policy/scenario_test.go
@@ -304,6 +304,33 @@
 	s.give(AttemptResult{RequestID: id, EndpointID: a, Outcome: how, Elapsed: took, RequestDone: how == OK, Load: s.load})
 }
 
+// describe gives a command's word in the notation, and the figures that a scenario may ask for.
+func (s *stage) describe(c Command) (word string, figures map[string]float64) {
+	switch c := c.(type) {
+	case SendAttempt:
+		return "submit", map[string]float64{"id": float64(c.RequestID), "to": float64(c.EndpointID),
+			"build": float64(s.builds[c.EndpointID]), "before": float64(c.WriteBefore / ms)}
+	case CancelAttempt:
+		return "calloff", map[string]float64{"id": float64(c.RequestID)}
+	case Reject:
+		return "decline", map[string]float64{"id": float64(c.RequestID)}
+	case Fail:
+		return "void", map[string]float64{"id": float64(c.RequestID)}
+	case CheckHealth:
+		return "probe", map[string]float64{"to": float64(c.EndpointID)}
+	case SendGossip:
+		return "tell", nil
+	case WatchEndpoints:
+		return "watch", nil
+	case Vote:
+		return "vote" + []string{"-none", "-on", "-hold", "-back"}[c.Verdict], map[string]float64{"build": float64(c.Build), "stage": float64(c.Stage)}
+	case LogMessage:
+		return "say", nil
+	}
+	s.t.Fatalf("%s: no word for %T", s.at, c)
+	return "", nil
+}
+
 func (s *stage) expect(w []string) {
 	s.checks++
 	least, most := 1, 1<<30
@@ -317,19 +344,7 @@
 	least = int(s.val(m, "at-least", float64(least)))
 	n := 0
 	for _, o := range s.log[s.since:] {
-		got := map[string]float64{}
-		name := strings.ToLower(reflect.TypeOf(o).Name())
-		for word, field := range map[string]string{"id": "ID", "to": "Appliance", "build": "Build", "stage": "Stage"} {
-			if f := reflect.ValueOf(o).FieldByName(field); f.IsValid() {
-				got[word] = s.num(fmt.Sprint(f.Interface()))
-			}
-		}
-		switch o := o.(type) {
-		case SendAttempt:
-			got["build"], got["before"] = float64(s.builds[o.EndpointID]), float64(o.WriteBefore/ms)
-		case Vote:
-			name += []string{"-none", "-on", "-hold", "-back"}[o.Verdict]
-		}
+		name, got := s.describe(o)
 		hit := name == kind
 		for k, v := range m {
 			hit = hit && (strings.HasPrefix(k, "at-") || got[k] == s.num(v))
