--- a/cmd/switchfork-lab/demo.go
+++ b/cmd/switchfork-lab/demo.go
@@ -74,7 +74,7 @@
 
 // stage is a world with an agent in it.
 type stage struct {
-	world *fakes.World
+	world *fakes.Deployment
 	agent *fakes.Agent
 	log   *tail
 	dir   string
@@ -98,7 +98,7 @@
 		os.RemoveAll(dir)
 		return nil, err
 	}
-	if s.world, err = fakes.NewWorld(crews, shares, demoSLA, demoExpiry); err != nil {
+	if s.world, err = fakes.NewDeployment(crews, shares, demoSLA, demoExpiry); err != nil {
 		os.RemoveAll(dir)
 		return nil, err
 	}
@@ -148,9 +148,9 @@
 	clients := fakes.NewClients(s.agent.URL, demoSLA, demoExpiry)
 	ctx, stop := context.WithTimeout(context.Background(), length)
 	defer stop()
-	var load []fakes.Crew
+	var load []fakes.ClientGroup
 	for i, name := range crews {
-		load = append(load, fakes.Crew{Tenant: name, Rate: demoLoad * shares[i], Posting: 0.4})
+		load = append(load, fakes.ClientGroup{Tenant: name, Rate: demoLoad * shares[i], PostShare: 0.4})
 	}
 	done := make(chan struct{})
 	go func() { clients.Send(ctx, 1, load...); close(done) }()
@@ -160,7 +160,7 @@
 			select {
 			case <-ctx.Done():
 			case <-time.After(length / 3):
-				clients.Send(ctx, 99, fakes.Crew{Tenant: flood, Rate: 19 * demoLoad * shares[i], Posting: 0.4})
+				clients.Send(ctx, 99, fakes.ClientGroup{Tenant: flood, Rate: 19 * demoLoad * shares[i], PostShare: 0.4})
 			}
 		}()
 	}
@@ -176,14 +176,14 @@
 			}
 			for _, a := range fresh {
 				if bad {
-					a.Fail(0.33)
+					a.SetErrorShare(0.33)
 				}
 			}
-			s.world.News(demoBuild+1, stage, "testing", ceiling)
+			s.world.UpdateRollout(demoBuild+1, stage, "testing", ceiling)
 			state.Store(fmt.Sprintf("build 8 on trial, stage %d, cap %.0f%%", stage, 100*ceiling))
 			for s.world.Votes("approve") == 0 {
 				if s.world.Votes("reject") > 0 {
-					s.world.News(demoBuild+1, stage, "recalled", 0)
+					s.world.UpdateRollout(demoBuild+1, stage, "recalled", 0)
 					state.Store(fmt.Sprintf("build 8 sent back at stage %d", stage))
 					return
 				}
@@ -194,7 +194,7 @@
 				}
 			}
 		}
-		s.world.News(demoBuild+1, len(ceilings)-1, "live", 1)
+		s.world.UpdateRollout(demoBuild+1, len(ceilings)-1, "live", 1)
 		state.Store("build 8 released")
 	}
 	released := make(chan struct{})
@@ -211,16 +211,16 @@
 			over = true
 		case <-tick.C:
 		}
-		memory, descriptors := s.agent.Held()
+		memory, descriptors := s.agent.Usage()
 		lines := []string{fmt.Sprintf("%3.0f s of %.0f  %s  agent %.0f MB, %d descriptors", time.Since(began).Seconds(), length.Seconds(), state.Load(), memory, descriptors)}
 		builds := map[string]int{}
 		for _, name := range crews {
-			t := clients.Tally(name)
+			t := clients.Totals(name)
 			for b, n := range t.Builds {
 				builds[b] += n
 			}
 			lines = append(lines, fmt.Sprintf("  %-12s offered %6d  settled %6d (in time %3.0f%%)  declined %5d  voided or failed %4d  back %5d",
-				name, t.Offered, t.Settled, 100*float64(t.InTime)/max(1, float64(t.Offered)), t.Declined, t.Failed, t.Back))
+				name, t.Offered, t.Succeeded, 100*float64(t.InTime)/max(1, float64(t.Offered)), t.Rejected, t.Failed, t.Returned))
 		}
 		aside := 0
 		for _, l := range s.log.lines("appliance") {
@@ -241,11 +241,11 @@
 	<-released
 	settled, offered := 0, 0
 	for _, name := range crews {
-		t := clients.Tally(name)
-		settled, offered = settled+t.Settled, offered+t.Offered
+		t := clients.Totals(name)
+		settled, offered = settled+t.Succeeded, offered+t.Offered
 	}
 	fmt.Fprintf(out, "\n%d of %d txns settled, half of them within %v, 99 in 100 within %v; %s\n", settled, offered,
-		clients.Took(50).Round(time.Millisecond), clients.Took(99).Round(time.Millisecond), state.Load())
+		clients.LatencyPercentile(50).Round(time.Millisecond), clients.LatencyPercentile(99).Round(time.Millisecond), state.Load())
 	return nil
 }
 
@@ -288,11 +288,11 @@
 		}
 		clients := fakes.NewClients(s.agent.URL, demoSLA, demoExpiry)
 		ctx, stop := context.WithTimeout(context.Background(), time.Duration(seconds)*time.Second)
-		var load []fakes.Crew
+		var load []fakes.ClientGroup
 		for i, name := range crews {
-			crew := fakes.Crew{Tenant: name, Rate: demoLoad * shares[i], Posting: 0.4}
+			crew := fakes.ClientGroup{Tenant: name, Rate: demoLoad * shares[i], PostShare: 0.4}
 			if i == noisy {
-				crew.Rate, crew.Fresh = crew.Rate*d.times, d.times > 1
+				crew.Rate, crew.UniqueClients = crew.Rate*d.times, d.times > 1
 			}
 			load = append(load, crew)
 		}
@@ -300,7 +300,7 @@
 		go func() { clients.Send(ctx, seed, load...); close(done) }()
 		for quarter := range 4 {
 			time.Sleep(time.Duration(seconds)*time.Second/4 - time.Duration(quarter)*time.Millisecond)
-			memory, descriptors := s.agent.Held()
+			memory, descriptors := s.agent.Usage()
 			d.memory, d.descriptors = append(d.memory, memory), append(d.descriptors, descriptors)
 		}
 		<-done
@@ -320,11 +320,11 @@
 			d.kept, d.broken = d.kept+kept, d.broken+broken
 		}
 		for _, name := range crews {
-			t := clients.Tally(name)
+			t := clients.Totals(name)
 			d.shares = append(d.shares, float64(t.InTime)/max(1, float64(t.Offered)))
-			d.settled += t.Settled
+			d.settled += t.Succeeded
 			if name != crews[noisy] {
-				for i, n := range []int{t.Settled - t.InTime, t.Declined, t.Failed, t.Back} {
+				for i, n := range []int{t.Succeeded - t.InTime, t.Rejected, t.Failed, t.Returned} {
 					d.others[i] += n
 				}
 			}
--- a/cmd/switchfork-lab/door_test.go
+++ b/cmd/switchfork-lab/door_test.go
@@ -21,8 +21,8 @@
 	}
 	defer s.close()
 	pace := func(times float64) {
-		for _, a := range s.world.Appliances() {
-			a.Slow(times)
+		for _, a := range s.world.Endpoints() {
+			a.SetSlowdown(times)
 		}
 	}
 	pace(2)
@@ -30,7 +30,7 @@
 	clients := fakes.NewClients(s.agent.URL, demoSLA, demoExpiry)
 	done := make(chan struct{})
 	go func() {
-		clients.Send(ctx, 1, fakes.Crew{Tenant: crews[0], Rate: 450, Posting: 0.4}, fakes.Crew{Tenant: crews[1], Rate: 450, Posting: 0.4})
+		clients.Send(ctx, 1, fakes.ClientGroup{Tenant: crews[0], Rate: 450, PostShare: 0.4}, fakes.ClientGroup{Tenant: crews[1], Rate: 450, PostShare: 0.4})
 		close(done)
 	}()
 	defer func() { stop(); <-done }()
--- a/cmd/switchfork/chair.go
+++ b/cmd/switchfork/chair.go
@@ -42,18 +42,18 @@
 )
 
 // sit makes the seat that the operator asks for, nil without one.
-func sit(keep options.Chair, circle config.Circle, terms *config.Terms, seed int64, core *agent.Core, launcher *agent.Launcher,
+func sit(keep options.Coordinator, circle config.Peers, terms *config.Settings, seed int64, core *agent.Core, launcher *agent.Launcher,
 	peers *agent.Peers) (*chair, error) {
-	if !keep.On {
-		if keep.Admin != "" {
+	if !keep.Enabled {
+		if keep.AdminSocket != "" {
 			slog.Warn("admin address asked for without a decider: nothing to tell there yet")
 		}
 		return nil, nil
 	}
-	rules := terms.Votes()
-	me, members := keep.Me, election.Members{}
+	rules := terms.Voting()
+	me, members := keep.Index, election.Members{}
 	switch {
-	case rules.Ballot != policy.AnyVote || rules.ToGo > 1 || rules.ToGoBack > 1:
+	case rules.Rule != policy.AnyVote || rules.VotesToAdvance > 1 || rules.VotesToRollBack > 1:
 		slog.Warn("decider stays off: here several agents' votes are counted, so that one alone can't stand for all")
 		return nil, nil
 	case keep.Listen == "" && circle.Listen == "":
@@ -61,16 +61,16 @@
 		return nil, nil
 	case keep.Listen == "":
 		if me < 0 {
-			me = rules.Me
+			me = rules.Index
 		}
-		if rules.Agents > election.MaxReplicas || len(circle.Peers) > election.MaxReplicas {
+		if rules.Agents > election.MaxReplicas || len(circle.Addresses) > election.MaxReplicas {
 			slog.Warn("decider stays off: too many agents", "agents", rules.Agents, "most", election.MaxReplicas)
 			return nil, nil
 		}
 		members = election.InitialMembers(rules.Agents)
 	default:
 		if me < 0 {
-			me = rules.Me
+			me = rules.Index
 		}
 		for i := range keep.Peers {
 			members.Mask |= 1 << i
@@ -85,11 +85,11 @@
 	h := fnv.New64a()
 	io.WriteString(h, keep.Group)
 	seat := coordinator.Replica{Index: me, Members: members, Group: h.Sum64(), Seed: seed ^ int64(me+1)<<32,
-		Settings: election.Settings{Lease: keep.Lease.Microseconds(), ClockDrift: drift, MaxVoteDelay: rules.Call + callRoom.Microseconds(), VoteLifetime: rules.Stands, RollBackQuorum: 1}}
+		Settings: election.Settings{Lease: keep.Lease.Microseconds(), ClockDrift: drift, MaxVoteDelay: rules.CallTimeout + callRoom.Microseconds(), VoteLifetime: rules.VoteLifetime, RollBackQuorum: 1}}
 	c := &chair{}
 	var store coordinator.Store
-	if keep.State != "" {
-		v, memory, err := storage.Open(keep.State, seat.Group, me)
+	if keep.StateDir != "" {
+		v, memory, err := storage.Open(keep.StateDir, seat.Group, me)
 		if err != nil {
 			return nil, fmt.Errorf("decider-state: %w", err)
 		}
@@ -115,19 +115,19 @@
 	}
 	core.Through(c.council.Recommend)
 	launcher.Also(c.council.UpdateRollout)
-	slog.Info("decider", "me", me, "members", members.Count(), "lease", keep.Lease, "state", keep.State != "", "memory", seat.State != nil, "tcp", c.tcp != nil)
+	slog.Info("decider", "me", me, "members", members.Count(), "lease", keep.Lease, "state", keep.StateDir != "", "memory", seat.State != nil, "tcp", c.tcp != nil)
 	return c, nil
 }
 
-func (c *chair) serve(ctx context.Context, keep options.Chair) (err error) {
+func (c *chair) serve(ctx context.Context, keep options.Coordinator) (err error) {
 	if c.tcp != nil {
 		if c.tcp.TCP, err = transport.Listen(ctx, keep.Listen, c.council.Receive); err != nil {
 			return fmt.Errorf("decider-listen: %w", err)
 		}
 		c.reach(keep.Peers)
 	}
-	if keep.Admin != "" {
-		if err = c.council.ServeAdmin(ctx, keep.Admin); err != nil {
+	if keep.AdminSocket != "" {
+		if err = c.council.ServeAdmin(ctx, keep.AdminSocket); err != nil {
 			return err
 		}
 	}
--- a/cmd/switchfork/main_test.go
+++ b/cmd/switchfork/main_test.go
@@ -30,7 +30,7 @@
 	}
 	file := filepath.Join(t.TempDir(), "operator.conf")
 	os.WriteFile(file, []byte("door on\ndoor-queus 5\n"), 0o600)
-	var faults options.Faults
+	var faults options.FileErrors
 	if _, err := run(t, "check", file); !errors.As(err, &faults) || faults[0].Line != 2 || faults[0].Keyword != "door-queus" ||
 		!strings.Contains(faults[0].Why, "door-queues") {
 		t.Errorf("a faulty file: %v", err)
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -46,18 +46,18 @@
 		}
 	}
 	logTo(orders.Log)
-	file, err := config.Read(os.Getenv)
+	file, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
-	post, ration, circle, seed := file.Post(), file.Ration(), file.Circle(), file.Seed()
-	goods, customers := file.Settings.Goods(), file.Settings.Customers()
-	shares, stalls := file.Settings.Shares(), file.Settings.Stalls()
-	zones, lines := file.Settings.Zones(), file.Settings.Lines()
+	post, ration, circle, seed := file.Identity(), file.ResourceLimits(), file.Peers(), file.Seed()
+	goods, customers := file.Deployment.RequestClasses(), file.Deployment.Tenants()
+	shares, stalls := file.Deployment.TenantShares(), file.Deployment.ClassPriorities()
+	zones, lines := file.Deployment.Zones(), file.Deployment.Connections()
 	if err = file.Err(); err != nil {
 		return err
 	}
-	module, err := file.Settings.Open(seed)
+	module, err := file.Deployment.NewRouter(seed)
 	if err != nil {
 		return err
 	}
@@ -70,31 +70,31 @@
 	var expiry []time.Duration
 	longest := time.Duration(0)
 	for _, g := range goods {
-		names, effects, expiry = append(names, g.Name), append(effects, g.Effect), append(expiry, g.Expiry)
-		longest = max(longest, g.Expiry)
+		names, effects, expiry = append(names, g.Name), append(effects, g.Idempotency), append(expiry, g.Timeout)
+		longest = max(longest, g.Timeout)
 	}
 	purse := agent.NewPurse(ration.Sockets - ownSockets)
 	clock := agent.NewClock()
 	core := agent.NewCore(module, clock)
-	pool := agent.NewPool(lines.Dial, lines.Idle, lines.Report, purse)
-	roster := agent.NewRoster(core, post.Discovery, zones, lines.Dial, lines.AskWithin, file.Settings.Votes().Agents, int64(seed))
-	launcher := agent.NewLauncher(core, post.Launcher, lines.Dial, lines.Call, int64(seed))
-	peers, err := agent.NewPeers(core, circle.Listen, circle.Peers, circle.All)
+	pool := agent.NewPool(lines.DialTimeout, lines.IdleTimeout, lines.LoadReportFields, purse)
+	roster := agent.NewRoster(core, post.Discovery, zones, lines.DialTimeout, lines.PollWithin, file.Deployment.Voting().Agents, int64(seed))
+	launcher := agent.NewLauncher(core, post.Rollout, lines.DialTimeout, lines.CallTimeout, int64(seed))
+	peers, err := agent.NewPeers(core, circle.Listen, circle.Addresses, circle.Broadcast)
 	if err != nil {
 		return err
 	}
-	front := agent.NewFront(core, names, effects, expiry, customers, lines.OpenCap, lines.HoldOff, purse,
+	front := agent.NewFront(core, names, effects, expiry, customers, lines.MaxOpenRequests, lines.MaxRetryAfter, purse,
 		rand.New(rand.NewSource(int64(seed))).Uint64()>>12)
 	var gate *agent.Gate
-	if orders.Door.On {
-		gate = agent.NewGate(open(orders.Door, goods, stalls, customers, shares, lines, ration, purse, seed), clock, core)
-		front.Behind(gate, agent.WhoAsks{Header: orders.Door.Header, Connection: orders.Door.Client == "connection"})
+	if orders.Admission.Enabled {
+		gate = agent.NewGate(open(orders.Admission, goods, stalls, customers, shares, lines, ration, purse, seed), clock, core)
+		front.Behind(gate, agent.WhoAsks{Header: orders.Admission.Header, Connection: orders.Admission.Client == "connection"})
 	}
-	seat, err := sit(orders.Chair, circle, file.Settings, int64(seed), core, launcher, peers)
+	seat, err := sit(orders.Coordinator, circle, file.Deployment, int64(seed), core, launcher, peers)
 	if err != nil {
 		return err
 	}
-	for _, name := range orders.Strangers(customers) {
+	for _, name := range orders.UnknownTenants(customers) {
 		slog.Warn("operator's file names a tenant that was not told", "tenant", name)
 	}
 
@@ -102,14 +102,14 @@
 	defer stop()
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	if err = roster.Known(file.Known); err != nil {
+	if err = roster.Known(file.Endpoints); err != nil {
 		return err
 	}
-	if err = launcher.Known(file.News); err != nil {
+	if err = launcher.Known(file.Rollout); err != nil {
 		return err
 	}
 	if seat != nil {
-		if err = seat.serve(ctx, orders.Chair); err != nil {
+		if err = seat.serve(ctx, orders.Coordinator); err != nil {
 			return err
 		}
 	}
@@ -128,7 +128,7 @@
 		for range hangup {
 			file = reload(file, roster, launcher)
 			if orders = reorder(orders, customers, shares, gate); seat != nil {
-				seat.reach(orders.Chair.Peers)
+				seat.reach(orders.Coordinator.Peers)
 			}
 		}
 	}()
@@ -175,52 +175,52 @@
 
 // reload hands on what the file has changed that may change at work; a faulty file leaves all as it is.
 func reload(file *config.File, roster *agent.Roster, launcher *agent.Launcher) *config.File {
-	next, moved, left, err := file.Reread()
+	next, moved, left, err := file.Reload()
 	if err != nil {
 		slog.Error("reload: the old stays in force", "err", err)
 		return file
 	}
-	slog.Info("reload", "discovery", moved.Discovery, "platform.address", moved.Launcher)
+	slog.Info("reload", "discovery", moved.Discovery, "platform.address", moved.Rollout)
 	if len(left) > 0 {
 		slog.Warn("reload: other keys need a restart", "keys", left)
 	}
 	if moved.Discovery != "" {
 		roster.Move(moved.Discovery)
 	}
-	if moved.Launcher != "" {
-		launcher.Move(moved.Launcher)
+	if moved.Rollout != "" {
+		launcher.Move(moved.Rollout)
 	}
 	return next
 }
 
 // open makes the door that the operator asks for.
-func open(keep options.DoorKeeping, goods []config.Good, stalls []config.Stall, customers []string, shares []float64,
-	lines config.Lines, ration config.Ration, purse *agent.Purse, seed uint64) *admission.Controller {
+func open(keep options.Admission, goods []config.RequestClass, stalls []config.ClassPriority, customers []string, shares []float64,
+	lines config.Connections, ration config.ResourceLimits, purse *agent.Purse, seed uint64) *admission.Controller {
 	var products []admission.RequestClass
 	for i, g := range goods {
-		products = append(products, admission.RequestClass{LatencyObjective: stalls[i].SLA.Microseconds(), Timeout: g.Expiry.Microseconds(),
-			PriorityWeight: stalls[i].Revenue, Keyed: g.Effect == policy.Keyed})
+		products = append(products, admission.RequestClass{LatencyObjective: stalls[i].LatencyObjective.Microseconds(), Timeout: g.Timeout.Microseconds(),
+			PriorityWeight: stalls[i].PriorityWeight, Keyed: g.Idempotency == policy.Keyed})
 	}
-	room := admission.LimitsFor(ration.MemoryMB, min(lines.OpenCap, purse.Txns()), keep.Queues)
-	if keep.Txns > 0 {
-		room.Requests = min(room.Requests, keep.Txns)
+	room := admission.LimitsFor(ration.MemoryMB, min(lines.MaxOpenRequests, purse.Txns()), keep.Queues)
+	if keep.Requests > 0 {
+		room.Requests = min(room.Requests, keep.Requests)
 	}
 	if keep.Bytes > 0 {
 		room.Bytes = keep.Bytes
 	}
 	waits := admission.RetryAfterLimits{}
-	if keep.ComeBack {
-		waits.Max = lines.HoldOff.Microseconds()
+	if keep.SendsRetryAfter {
+		waits.Max = lines.MaxRetryAfter.Microseconds()
 	}
 	slog.Info("door", "txns", room.Requests, "kib", room.Bytes>>10, "queues", room.Queues, "tenants", len(customers))
-	return admission.New(products, weights(keep, customers, shares), room, waits, keep.SameAnswer, int64(seed))
+	return admission.New(products, weights(keep, customers, shares), room, waits, keep.Coalesces, int64(seed))
 }
 
 // weights are the told shares, or what the operator has put in their place.
-func weights(keep options.DoorKeeping, customers []string, shares []float64) (out []admission.Tenant) {
+func weights(keep options.Admission, customers []string, shares []float64) (out []admission.Tenant) {
 	for i, name := range customers {
 		w := shares[i]
-		if own, is := keep.Shares[name]; is {
+		if own, is := keep.Weights[name]; is {
 			w = own
 		}
 		out = append(out, admission.Tenant{Weight: w})
@@ -229,11 +229,11 @@
 }
 
 // logTo puts the log's level and form in force.
-func logTo(book options.LogBook) {
+func logTo(book options.Log) {
 	var level slog.Level
 	level.UnmarshalText([]byte(book.Level))
 	how := &slog.HandlerOptions{Level: level}
-	if book.Form == "json" {
+	if book.Format == "json" {
 		slog.SetDefault(slog.New(slog.NewJSONHandler(os.Stderr, how)))
 	} else {
 		slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, how)))
@@ -242,7 +242,7 @@
 
 // reorder reads the operator's file again: log and shares take effect at once, other keywords need a restart, and a faulty
 // file changes nothing.
-func reorder(now *options.Orders, customers []string, shares []float64, gate *agent.Gate) *options.Orders {
+func reorder(now *options.Options, customers []string, shares []float64, gate *agent.Gate) *options.Options {
 	if now.Path == "" {
 		return now
 	}
@@ -253,9 +253,9 @@
 	}
 	logTo(next.Log)
 	if gate != nil {
-		gate.Reshare(weights(next.Door, customers, shares))
+		gate.Reshare(weights(next.Admission, customers, shares))
 	}
-	if left := now.Differs(next); len(left) > 0 {
+	if left := now.ChangedKeywords(next); len(left) > 0 {
 		slog.Warn("operator's file: other keywords need a restart", "keywords", left)
 	}
 	slog.Info("operator's file read again", "file", next.Path)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -81,7 +81,7 @@
 		}
 		return ":\n"
 	})
-	own, err := fakes.Free()
+	own, err := fakes.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -180,20 +180,20 @@
 	if got.status != 200 || got.body != "\x00\xff\n!" || got.header.Get("Content-Type") != "text/odd" {
 		t.Errorf("client got %+v", got)
 	}
-	copies := b.Got()
+	copies := b.Requests()
 	if len(copies) != 1 {
 		t.Fatalf("%d copies arrived", len(copies))
 	}
 	c, wait := copies[0], 0
 	fmt.Sscan(c.Header.Get("X-Deadline-Ms"), &wait)
-	if c.Line != "POST "+target || c.Body != "some\r\nbody" || c.Header.Get("X-Request-Id") != "9b1f03aa5c7e2d41" ||
+	if c.RequestLine != "POST "+target || c.Body != "some\r\nbody" || c.Header.Get("X-Request-Id") != "9b1f03aa5c7e2d41" ||
 		c.Header.Get("Idempotency-Key") != "5c0f6e1a" || c.Header.Get("X-Other") != "kept" || wait < 1 || wait > 900 ||
 		len(c.Header["X-Deadline-Ms"]) != 1 {
 		t.Errorf("arrived: %+v", c)
 	}
 	time.Sleep(2 * settles) // from then on it is used, however much later
 	a.ask(t, "GET", "/lookup", "")
-	if copies = b.Got(); copies[1].Conn != 1 {
+	if copies = b.Requests(); copies[1].Conn != 1 {
 		t.Error("the connection was not used again")
 	}
 }
@@ -260,7 +260,7 @@
 			t.Errorf("%s %s %v: got %d %q, want %d", c.method, c.target, c.with, got.status, got.body, c.want)
 		}
 	}
-	if n := len(b.Got()); n != 1 {
+	if n := len(b.Requests()); n != 1 {
 		t.Errorf("%d copies arrived, want the last one's", n)
 	}
 }
@@ -314,8 +314,8 @@
 		})
 	}
 	wait.Wait()
-	if n := len(b.Got()); n != 0 {
-		t.Errorf("%d copies arrived: %+v", n, b.Got())
+	if n := len(b.Requests()); n != 0 {
+		t.Errorf("%d copies arrived: %+v", n, b.Requests())
 	}
 }
 
@@ -329,13 +329,13 @@
 		got, _ := a.try(context.Background(), "GET", "/lookup", "", "X-Request-Id", "a1")
 		first <- got
 	}()
-	eventually(t, "the copy", func() bool { return len(b.Got()) == 1 })
+	eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
 	if got := a.ask(t, "POST", "/posting", "x", "X-Request-Id", "a1"); got.status != 409 {
 		t.Errorf("the second got %+v", got)
 	}
 	close(let)
-	if got := <-first; got.status != 200 || len(b.Got()) != 1 {
-		t.Errorf("the first got %+v, %d copies", got, len(b.Got()))
+	if got := <-first; got.status != 200 || len(b.Requests()) != 1 {
+		t.Errorf("the first got %+v, %d copies", got, len(b.Requests()))
 	}
 	eventually(t, "the id's freedom", func() bool { return a.ask(t, "GET", "/lookup", "", "X-Request-Id", "a1").status == 200 })
 }
@@ -347,11 +347,11 @@
 	if got := a.ask(t, "POST", "/posting", ""); got.status != 503 || got.header.Get("Retry-After") != "0.500" {
 		t.Errorf("declined with %+v", got)
 	}
-	a.discovery.Tell(line(2, false, host("s-1", b.Addr(), "active", 41)))
+	a.discovery.Publish(line(2, false, host("s-1", b.Addr(), "active", 41)))
 	eventually(t, "the list", func() bool { return strings.Contains(a.log.String(), "seq=2") })
 	got := a.ask(t, "POST", "/posting", "", "X-Deadline-Ms", "300")
-	if got.status != 504 || len(b.Got()) != 1 {
-		t.Errorf("got %+v after %d copies", got, len(b.Got()))
+	if got.status != 504 || len(b.Requests()) != 1 {
+		t.Errorf("got %+v after %d copies", got, len(b.Requests()))
 	}
 	if got.took < 200*time.Millisecond {
 		t.Errorf("answered after %v, before its time", got.took)
@@ -365,12 +365,12 @@
 	ctx, leave := context.WithCancel(context.Background())
 	left := make(chan error)
 	go func() { _, err := a.try(ctx, "GET", "/lookup", ""); left <- err }()
-	eventually(t, "the copy", func() bool { return len(b.Got()) == 1 })
+	eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
 	leave()
 	if err := <-left; err == nil {
 		t.Error("answered all the same")
 	}
-	b.Then(answers(ok("done")))
+	b.SetHandler(answers(ok("done")))
 	eventually(t, "the next one's answer", func() bool { return a.ask(t, "GET", "/lookup", "").status == 200 })
 }
 
@@ -381,17 +381,17 @@
 	if got := a.ask(t, "GET", "/lookup", ""); got.body != "1" {
 		t.Errorf("got %+v", got)
 	}
-	a.discovery.Tell(line(2, false, host("s-1", first.Addr(), "leaving", 41), host("s-2", second.Addr(), "active", 41)))
+	a.discovery.Publish(line(2, false, host("s-1", first.Addr(), "leaving", 41), host("s-2", second.Addr(), "active", 41)))
 	eventually(t, "the drain", func() bool { return strings.Contains(a.log.String(), "seq=2") })
 	for range 5 {
 		if got := a.ask(t, "GET", "/lookup", ""); got.body != "2" {
 			t.Errorf("after the drain notice: %+v", got)
 		}
 	}
-	a.discovery.Tell(line(3, false, host("s-1", third.Addr(), "active", 41), host("s-2", second.Addr(), "left", 41)))
+	a.discovery.Publish(line(3, false, host("s-1", third.Addr(), "active", 41), host("s-2", second.Addr(), "left", 41)))
 	eventually(t, "the return", func() bool { return a.ask(t, "GET", "/lookup", "").body == "3" })
-	if len(first.Got()) != 1 {
-		t.Errorf("%d copies at the first", len(first.Got()))
+	if len(first.Requests()) != 1 {
+		t.Errorf("%d copies at the first", len(first.Requests()))
 	}
 }
 
@@ -403,8 +403,8 @@
 		hosts = append(hosts, host(fmt.Sprint("t-", i), bad.Addr(), "active", 42))
 	}
 	a := launch(t, nil, hosts...)
-	eventually(t, "the bulletin", func() bool { return a.launcher.Calls("/api/bulletin") > 0 })
-	a.launcher.Tell(bulletin(42, 0, "testing", 0.5))
+	eventually(t, "the bulletin", func() bool { return a.launcher.CallsContaining("/api/bulletin") > 0 })
+	a.launcher.Publish(bulletin(42, 0, "testing", 0.5))
 	eventually(t, "the news", func() bool { return strings.Contains(a.log.String(), "build=42") })
 	asked := 0
 	vote := "image=42&ring=0&opinion=reject"
@@ -413,10 +413,10 @@
 		if got := a.ask(t, "GET", fmt.Sprintf("/lookup?sid=%016x", asked), ""); got.status != 200 && got.status != 503 {
 			t.Errorf("got %+v", got)
 		}
-		return a.launcher.Calls(vote) >= 2
+		return a.launcher.CallsContaining(vote) >= 2
 	})
-	if len(bad.Got()) < 10 {
-		t.Errorf("voted after %d outcomes", len(bad.Got()))
+	if len(bad.Requests()) < 10 {
+		t.Errorf("voted after %d outcomes", len(bad.Requests()))
 	}
 }
 
@@ -436,7 +436,7 @@
 		got, _ := a.try(context.Background(), "GET", "/lookup", "", "X-Deadline-Ms", "2000")
 		open <- got
 	}()
-	eventually(t, "the copy", func() bool { return len(b.Got()) == 1 })
+	eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
 	if err := a.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -489,8 +489,8 @@
 	eventually(t, "a refusal for want of room", func() bool { return strings.Contains(few.log.String(), "no room for another txn") })
 	close(let)
 	wait.Wait()
-	if got[200] == 0 || got[200] != len(b.Got()) || got[503] == 0 || got[200]+got[503] != 100 {
-		t.Errorf("answers by status: %v, with %d copies", got, len(b.Got()))
+	if got[200] == 0 || got[200] != len(b.Requests()) || got[503] == 0 || got[200]+got[503] != 100 {
+		t.Errorf("answers by status: %v, with %d copies", got, len(b.Requests()))
 	}
 	if again := few.ask(t, "GET", "/lookup", ""); again.status != 200 {
 		t.Errorf("then got %+v", again)
@@ -577,9 +577,9 @@
 	if err := a.cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the copy", func() bool { return len(b.Got()) == 1 })
+	eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
 	wait := 0
-	fmt.Sscan(b.Got()[0].Header.Get("X-Deadline-Ms"), &wait)
+	fmt.Sscan(b.Requests()[0].Header.Get("X-Deadline-Ms"), &wait)
 	if wait < 1 || wait > 1050 {
 		t.Errorf("the appliance was told to have %d ms", wait)
 	}
@@ -602,7 +602,9 @@
 func TestReload(t *testing.T) {
 	first, second := newBox(t, answers(ok("1"))), newBox(t, answers(ok("2")))
 	a := launch(t, nil, host("s-1", first.Addr(), "active", 41))
-	eventually(t, "the start's watch and news", func() bool { return a.discovery.Calls("index=1") == 1 && a.launcher.Calls("bulletin") == 1 })
+	eventually(t, "the start's watch and news", func() bool {
+		return a.discovery.CallsContaining("index=1") == 1 && a.launcher.CallsContaining("bulletin") == 1
+	})
 	reload := func(want string, change ...string) {
 		t.Helper()
 		conf, seen := strings.NewReplacer(change...).Replace(a.conf), strings.Count(a.log.String(), want)
@@ -618,8 +620,8 @@
 	reload("config.settings.Limits.DialTimeoutMs is 0", `"DialTimeoutMs":250.0`, `"DialTimeoutMs":0`)
 	reload(`platform.address=""`)
 	reload("config.limits.sockets", `"sockets":1024`, `"sockets":512`)
-	if a.discovery.Calls("") != 1 || a.launcher.Calls("") != 1 {
-		t.Errorf("what did not change was asked anew: %q, %q", a.discovery.Asked(), a.launcher.Asked())
+	if a.discovery.CallsContaining("") != 1 || a.launcher.CallsContaining("") != 1 {
+		t.Errorf("what did not change was asked anew: %q, %q", a.discovery.Targets(), a.launcher.Targets())
 	}
 
 	hosts := line(2, true, host("s-1", first.Addr(), "leaving", 41), host("s-2", second.Addr(), "active", 41))
@@ -632,15 +634,15 @@
 	news := newStreamer(t, ":\n", 100*time.Millisecond, func(string) string { return bulletin(43, 0, "testing", 0.5) })
 	silent := listen(t)
 	reload("reload", a.discovery.Addr(), silent.Addr().String()) // one that says nothing leaves the old one in force
-	a.discovery.Tell(line(2, false, host("s-3", second.Addr(), "left", 41)))
+	a.discovery.Publish(line(2, false, host("s-3", second.Addr(), "left", 41)))
 	eventually(t, "a change from the old address", func() bool { return strings.Contains(a.log.String(), "seq=2") })
 	reload("reload", a.discovery.Addr(), there.Addr(), a.launcher.Addr(), news.Addr())
 	eventually(t, "the new list", func() bool { return a.ask(t, "GET", "/lookup", "").body == "2" })
 	eventually(t, "the new news", func() bool { return strings.Contains(a.log.String(), "build=43") })
-	eventually(t, "the end of the old streams", func() bool { return a.discovery.Left() == 1 && a.launcher.Left() == 1 })
-	eventually(t, "the new watch", func() bool { return there.Calls("index=2") == 1 })
-	if a.discovery.Calls("") != 1 || a.launcher.Calls("") != 1 {
-		t.Errorf("the old addresses were asked again: %q, %q", a.discovery.Asked(), a.launcher.Asked())
+	eventually(t, "the end of the old streams", func() bool { return a.discovery.Closed() == 1 && a.launcher.Closed() == 1 })
+	eventually(t, "the new watch", func() bool { return there.CallsContaining("index=2") == 1 })
+	if a.discovery.CallsContaining("") != 1 || a.launcher.CallsContaining("") != 1 {
+		t.Errorf("the old addresses were asked again: %q, %q", a.discovery.Targets(), a.launcher.Targets())
 	}
 }
 
--- a/internal/agent/appliance_test.go
+++ b/internal/agent/appliance_test.go
@@ -97,7 +97,7 @@
 			if got := <-r.order(2, posting, policy.SendAttempt{}); got.settled == nil {
 				t.Fatalf("the next txn ended as %+v", got)
 			}
-			if n, m := len(b.Got()), len(other.Got()); n != 0 || m != 1 {
+			if n, m := len(b.Requests()), len(other.Requests()); n != 0 || m != 1 {
 				t.Errorf("%d and %d copies arrived", n, m)
 			}
 		})
@@ -120,7 +120,7 @@
 	if got := <-r.order(3, posting, policy.SendAttempt{WriteBefore: r.core.clock.now() - 1}); got.settled != nil {
 		t.Error("one that is too late was settled")
 	}
-	if n := len(b.Got()); n != 1 {
+	if n := len(b.Requests()); n != 1 {
 		t.Errorf("%d copies arrived", n)
 	}
 }
@@ -135,7 +135,7 @@
 	if got := <-r.order(1, posting, policy.SendAttempt{}); string(got.settled.body) != "first" {
 		t.Fatalf("the first got %q", got.settled.body)
 	}
-	b.Then(func(own net.Conn, nth int) bool {
+	b.SetHandler(func(own net.Conn, nth int) bool {
 		io.WriteString(c, ok("first")) // late, while the second txn is out
 		return answers(ok("second"))(own, nth)
 	})
@@ -155,7 +155,7 @@
 			t.Fatalf("txn %d ended as %+v", id+1, got)
 		}
 	}
-	if copies := b.Got(); len(copies) != 3 || copies[2].Conn != 3 {
+	if copies := b.Requests(); len(copies) != 3 || copies[2].Conn != 3 {
 		t.Errorf("arrived: %+v", copies)
 	}
 }
@@ -183,8 +183,8 @@
 	eventually(t, "the list", func() bool { return len(seen[policy.EndpointUpdate](r.script)) == 2 })
 	let()
 	eventually(t, "the probe's end", func() bool { return len(seen[policy.HealthCheckResult](r.script)) == 1 })
-	if p := seen[policy.HealthCheckResult](r.script)[0]; p.Outcome != policy.NotAttempted || len(b.Got())+len(other.Got()) != 0 {
-		t.Errorf("ended as %+v, %d and %d asked", p, len(b.Got()), len(other.Got()))
+	if p := seen[policy.HealthCheckResult](r.script)[0]; p.Outcome != policy.NotAttempted || len(b.Requests())+len(other.Requests()) != 0 {
+		t.Errorf("ended as %+v, %d and %d asked", p, len(b.Requests()), len(other.Requests()))
 	}
 }
 
@@ -238,7 +238,7 @@
 	if got := <-r.order(3, posting, policy.SendAttempt{}); got.settled == nil {
 		t.Fatalf("the third ended as %+v", got)
 	}
-	if copies := b.Got(); len(copies) != 3 || copies[1].Conn != 1 || copies[2].Conn != 2 {
+	if copies := b.Requests(); len(copies) != 3 || copies[1].Conn != 1 || copies[2].Conn != 2 {
 		t.Errorf("arrived: %+v", copies)
 	}
 }
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -156,11 +156,11 @@
 			if c.want == policy.NotAttempted && (got.settled == nil || got.settled.status != 400) {
 				t.Errorf("client got %+v", got)
 			}
-			if copies := b.Got(); len(copies) != c.copies || copies[0].Body != "body" {
+			if copies := b.Requests(); len(copies) != c.copies || copies[0].Body != "body" {
 				t.Errorf("%d copies arrived: %+v", len(copies), copies)
 			}
 			if c.want == policy.TimedOut || c.want == policy.ConnectionLost || c.want == policy.Malformed { // given up: never two out at once
-				eventually(t, "the end of the connection", func() bool { return b.Ended() == 1 })
+				eventually(t, "the end of the connection", func() bool { return b.Closed() == 1 })
 			}
 		})
 	}
@@ -190,18 +190,18 @@
 	r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
 	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
 	r.send(t, 1, posting, time.Second)
-	b.Then(hangUp)
+	b.SetHandler(hangUp)
 	r.send(t, 2, posting, time.Second)
-	ends, copies := seen[policy.AttemptResult](r.script), b.Got()
+	ends, copies := seen[policy.AttemptResult](r.script), b.Requests()
 	if len(copies) != 2 || copies[1].Conn != 1 || ends[1].Outcome != policy.ConnectionLost {
 		t.Fatalf("ended as %+v after copies %+v", ends, copies)
 	}
-	b.Then(func(c net.Conn, nth int) bool { return answers(ok("done")+ok("not asked for"))(c, nth) })
+	b.SetHandler(func(c net.Conn, nth int) bool { return answers(ok("done")+ok("not asked for"))(c, nth) })
 	r.send(t, 3, posting, time.Second)
-	eventually(t, "the end of a connection that brought too much", func() bool { return b.Ended() == 2 })
-	b.Then(answers(ok("done")))
-	if got := r.send(t, 4, posting, time.Second); got.settled == nil || len(b.Got()) != 4 || b.Got()[3].Conn != 3 {
-		t.Errorf("got %+v after copies %+v", got, b.Got())
+	eventually(t, "the end of a connection that brought too much", func() bool { return b.Closed() == 2 })
+	b.SetHandler(answers(ok("done")))
+	if got := r.send(t, 4, posting, time.Second); got.settled == nil || len(b.Requests()) != 4 || b.Requests()[3].Conn != 3 {
+		t.Errorf("got %+v after copies %+v", got, b.Requests())
 	}
 }
 
@@ -214,7 +214,7 @@
 	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
 	got := make(chan reply)
 	go func() { got <- r.send(t, 1, posting, patience) }()
-	eventually(t, "the copy", func() bool { return len(b.Got()) == 1 })
+	eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
 	for i := range 300 {
 		host := entry{Host: fmt.Sprint("h", i), Dial: "127.0.0.1:1", Site: "suva", Health: "active"}
 		r.roster.tell(roll{Seq: 2, Hosts: []entry{host, {Host: "box", Health: "left"}}})
@@ -231,7 +231,7 @@
 	if n := len(r.core.appliances) + len(r.core.all) + len(r.roster.numbers) + len(r.roster.taken); n != 0 {
 		t.Errorf("%d records are kept", n)
 	}
-	eventually(t, "the end of the connection and the actors", func() bool { return b.Ended() == 1 && runtime.NumGoroutine() <= before+2 })
+	eventually(t, "the end of the connection and the actors", func() bool { return b.Closed() == 1 && runtime.NumGoroutine() <= before+2 })
 }
 
 // What an appliance sends behind an answer, at once or later, never meets the next txn.
@@ -241,7 +241,7 @@
 		r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
 		r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
 		behind := make(chan bool, 50)
-		b.Then(func(c net.Conn, nth int) bool {
+		b.SetHandler(func(c net.Conn, nth int) bool {
 			io.WriteString(c, ok(fmt.Sprint(nth)))
 			time.Sleep(pause)
 			_, err := io.WriteString(c, ok("not asked for"))
@@ -265,11 +265,11 @@
 	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: before.Addr(), Site: "suva", Health: "active", Build: 1}}})
 	r.send(t, 1, posting, time.Second)
 	r.roster.tell(roll{Seq: 2, Hosts: []entry{{Host: "box", Dial: after.Addr(), Site: "suva", Health: "active", Build: 2}}})
-	eventually(t, "the end of the old connection", func() bool { return before.Ended() == 1 })
+	eventually(t, "the end of the old connection", func() bool { return before.Closed() == 1 })
 	r.send(t, 2, posting, time.Second)
 	lists := seen[policy.EndpointUpdate](r.script)
-	if len(before.Got()) != 1 || len(after.Got()) != 1 || lists[0].Endpoints[0].ID != lists[1].Endpoints[0].ID || lists[1].Endpoints[0].Build != 2 {
-		t.Errorf("%d and %d copies, lists %+v", len(before.Got()), len(after.Got()), lists)
+	if len(before.Requests()) != 1 || len(after.Requests()) != 1 || lists[0].Endpoints[0].ID != lists[1].Endpoints[0].ID || lists[1].Endpoints[0].Build != 2 {
+		t.Errorf("%d and %d copies, lists %+v", len(before.Requests()), len(after.Requests()), lists)
 	}
 }
 
@@ -292,8 +292,8 @@
 	}
 	r.mu.Unlock()
 	r.core.box.put(arrived{policy.RequestArrived{ID: 7}, &open{parcel: posting, reply: make(chan reply, 1), expires: time.Now().Add(patience)}})
-	eventually(t, "the copy", func() bool { return len(b.Got()) == 1 })
-	b.Then(answers("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"queue\":3}"))
+	eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
+	b.SetHandler(answers("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"queue\":3}"))
 	r.core.box.put(policy.RequestCancelled{RequestID: 7})
 	r.core.box.put(policy.RequestCancelled{RequestID: 7}) // told once
 	eventually(t, "the probe's answer", func() bool { return len(seen[policy.HealthCheckResult](r.script)) == 1 })
@@ -304,8 +304,8 @@
 	if len(ends) != 1 || ends[0].Outcome != policy.Cancelled || !ends[0].RequestDone || len(seen[policy.RequestCancelled](r.script)) != 1 {
 		t.Errorf("ended as %+v", ends)
 	}
-	if b.Got()[1].Line != "GET /_load" {
-		t.Errorf("probed by %s", b.Got()[1].Line)
+	if b.Requests()[1].RequestLine != "GET /_load" {
+		t.Errorf("probed by %s", b.Requests()[1].RequestLine)
 	}
 }
 
@@ -417,7 +417,7 @@
 			return false
 		})
 	}
-	if n := len(b.Got()); n != 2 {
+	if n := len(b.Requests()); n != 2 {
 		t.Errorf("%d arrived, want the two fresh ones", n)
 	}
 }
@@ -457,17 +457,17 @@
 		return out
 	}
 	eventually(t, "the first change", func() bool { return len(builds()) == 2 })
-	d.Tell(line(11, false, host("box", "127.0.0.1:1", "active", 2)) + line(20, false, host("box", "127.0.0.1:1", "leaving", 4)))
+	d.Publish(line(11, false, host("box", "127.0.0.1:1", "active", 2)) + line(20, false, host("box", "127.0.0.1:1", "leaving", 4)))
 	eventually(t, "the second change", func() bool { return len(builds()) == 3 })
-	d.Cut()
-	eventually(t, "the watch again", func() bool { return d.Calls("stream=1&index=20") == 1 })
+	d.CloseStreams()
+	eventually(t, "the watch again", func() bool { return d.CallsContaining("stream=1&index=20") == 1 })
 	eventually(t, "its stream", func() bool { return d.Open() == 1 })
-	d.Tell("{\"seq\":21,\"hosts\":[" + "\n")
+	d.Publish("{\"seq\":21,\"hosts\":[" + "\n")
 	eventually(t, "the whole list", func() bool { return len(builds()) == 4 })
 	if got := builds(); got[1] != 3 || got[2] != 4 || got[3] != 9 {
 		t.Errorf("builds told: %v", got)
 	}
-	eventually(t, "the watch from the whole list on", func() bool { return d.Calls("index=30") > 0 })
+	eventually(t, "the watch from the whole list on", func() bool { return d.CallsContaining("index=30") > 0 })
 }
 
 // Every answer to a vote by the protocol's table; each vote has exactly one, at the latest after the told wait.
@@ -496,8 +496,8 @@
 		if s.Outcome != c.want || !s.IsVoteReply || s.Build != 42 || s.Stage != 1 || c.want == policy.OK && (s.Cap != 0.28 || s.Age != 310000) {
 			t.Errorf("%s: told as %+v", c.answer, s)
 		}
-		if l.Calls("POST /api/ Action=RecordOpinion&image=42&ring=1&opinion=approve") != 1 {
-			t.Errorf("voted by %q", l.Asked())
+		if l.CallsContaining("POST /api/ Action=RecordOpinion&image=42&ring=1&opinion=approve") != 1 {
+			t.Errorf("voted by %q", l.Targets())
 		}
 	}
 	silent, gone := newBox(t, mute), listen(t)
@@ -519,15 +519,15 @@
 	go r.launcher.Serve(r.ctx)
 	told := func(n int) func() bool { return func() bool { return len(seen[policy.RolloutUpdate](r.script)) == n } }
 	eventually(t, "the state at once", told(1))
-	l.Tell("event: OTHER\ndata: image=1\n\n" + bulletin(42, 1, "recalling", 0))
+	l.Publish("event: OTHER\ndata: image=1\n\n" + bulletin(42, 1, "recalling", 0))
 	eventually(t, "news", told(2))
 	for i, spoilt := range []string{"event: ROLLOUT\ndata: image=x&ring=0\n\n", "noise\n", "event: ROLLOUT\ndata: image=42&ring=1&progress=testing&ceiling=0.2"} {
-		if l.Tell(spoilt); strings.HasPrefix(spoilt, "event") && !strings.HasSuffix(spoilt, "\n") {
-			l.Cut() // what is cut off may read as another, and is none
+		if l.Publish(spoilt); strings.HasPrefix(spoilt, "event") && !strings.HasSuffix(spoilt, "\n") {
+			l.CloseStreams() // what is cut off may read as another, and is none
 		}
 		eventually(t, "the state on a new stream", told(3+i))
 	}
-	l.Mute(true)
+	l.SetMuted(true)
 	eventually(t, "another stream beside the silent one", told(6))
 	if s := seen[policy.RolloutUpdate](r.script); s[1].Phase != policy.RollingBack || s[1].Stage != 1 || s[1].Age != 9000 || s[1].IsVoteReply {
 		t.Errorf("told as %+v", s[1])
@@ -605,7 +605,7 @@
 	r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
 	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
 	gate := make(chan struct{})
-	b.Then(func(c net.Conn, nth int) bool {
+	b.SetHandler(func(c net.Conn, nth int) bool {
 		if nth == 2 {
 			close(gate)
 		}
@@ -617,9 +617,9 @@
 		both.Go(func() { r.send(t, id+1, posting, patience) })
 	}
 	both.Wait()
-	b.Then(hangUp)
+	b.SetHandler(hangUp)
 	r.send(t, 3, posting, time.Second)
-	eventually(t, "the end of both connections", func() bool { return b.Ended() == 2 })
+	eventually(t, "the end of both connections", func() bool { return b.Closed() == 2 })
 }
 
 // A discovery that says it is full is asked again in the told time, not at once: all agents ask alike.
--- a/internal/agent/gate_test.go
+++ b/internal/agent/gate_test.go
@@ -155,7 +155,7 @@
 	t.Setenv("SWITCHFORK_OPERATOR", file)
 	let := make(chan struct{})
 	b := newBox(t, nil)
-	b.Then(func(c net.Conn, nth int) bool { <-let; return answers(ok("yes"))(c, nth) })
+	b.SetHandler(func(c net.Conn, nth int) bool { <-let; return answers(ok("yes"))(c, nth) })
 	a := launch(t, nil, host("s-1", b.Addr(), "active", 41))
 	ask := func(n int) (status int, wait string) {
 		r, _ := http.NewRequest("GET", fmt.Sprintf("%s/lookup?sid=%016x", a.url, n), nil)
@@ -176,7 +176,7 @@
 		wait.Add(1)
 		go func() { defer wait.Done(); settled[n], _ = ask(n + 1) }()
 	}
-	eventually(t, "three at the appliance", func() bool { return len(b.Got()) == 3 })
+	eventually(t, "three at the appliance", func() bool { return len(b.Requests()) == 3 })
 	for n := range 5 {
 		status, back := ask(10 + n)
 		if s, err := strconv.ParseFloat(back, 64); status != 503 || err != nil || s <= 0 || s > 0.5 {
@@ -208,7 +208,7 @@
 	t.Setenv("SWITCHFORK_OPERATOR", file)
 	let := make(chan struct{})
 	b := newBox(t, nil)
-	b.Then(func(c net.Conn, nth int) bool { <-let; return answers(ok("yes"))(c, nth) })
+	b.SetHandler(func(c net.Conn, nth int) bool { <-let; return answers(ok("yes"))(c, nth) })
 	a := launch(t, func(conf string) string {
 		conf = strings.ReplaceAll(conf, `"SloMs":600.0,"HardLimitMs":2000.0`, `"SloMs":30000.0,"HardLimitMs":60000.0`)
 		return strings.ReplaceAll(conf, `"Parties":[{"Name":"acme"}]`, `"Parties":[{"Name":"acme","Fraction":0.5},{"Name":"beqa","Fraction":0.5}]`)
--- a/internal/agent/launcher_test.go
+++ b/internal/agent/launcher_test.go
@@ -23,8 +23,8 @@
 	told := func() []policy.RolloutUpdate { return seen[policy.RolloutUpdate](r.script) }
 	eventually(t, "the trial", func() bool { return len(told()) == 1 })
 	go r.launcher.call(r.ctx, at(votes.Addr()), policy.Vote{Build: 42, Verdict: policy.Advance})
-	eventually(t, "the vote", func() bool { return len(votes.Got()) == 1 })
-	l.Tell(bulletin(42, 0, "recalling", 0))
+	eventually(t, "the vote", func() bool { return len(votes.Requests()) == 1 })
+	l.Publish(bulletin(42, 0, "recalling", 0))
 	eventually(t, "the news", func() bool { return len(told()) == 2 })
 	close(let)
 	eventually(t, "the answer", func() bool { return len(told()) == 3 })
--- a/internal/agent/listener_test.go
+++ b/internal/agent/listener_test.go
@@ -299,7 +299,7 @@
 		got, _ := a.try(context.Background(), "POST", "/posting", "")
 		open <- got
 	}()
-	eventually(t, "the copy", func() bool { return len(b.Got()) == 1 })
+	eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
 	start := time.Now()
 	if err := a.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
--- a/internal/agent/roster_test.go
+++ b/internal/agent/roster_test.go
@@ -63,12 +63,12 @@
 	go r.roster.Serve(r.ctx)
 	r.has(t, 2, 1)
 	eventually(t, "the watch", func() bool { return d.Open() == 1 })
-	d.Tell(indented(line(6, false, host("box", "127.0.0.1:1", "active", 2))))
+	d.Publish(indented(line(6, false, host("box", "127.0.0.1:1", "active", 2))))
 	r.has(t, 2, 2)
-	d.Tell(line(7, false, host("box", "127.0.0.1:1", "active", 3)) + indented(line(8, false, host("box2", "127.0.0.1:2", "left", 1))))
+	d.Publish(line(7, false, host("box", "127.0.0.1:1", "active", 3)) + indented(line(8, false, host("box2", "127.0.0.1:2", "left", 1))))
 	r.has(t, 1, 3)
-	if n := d.Calls(""); n != 2 {
-		t.Errorf("asked %q", d.Asked())
+	if n := d.CallsContaining(""); n != 2 {
+		t.Errorf("asked %q", d.Targets())
 	}
 }
 
@@ -91,7 +91,7 @@
 			}
 			go r.roster.Serve(r.ctx)
 			eventually(t, "the watch", func() bool { return d.Open() == 1 })
-			d.Tell(cut + "\n" + rest)
+			d.Publish(cut + "\n" + rest)
 			r.has(t, 1, 9)
 			for _, l := range seen[policy.EndpointUpdate](r.script) {
 				for _, row := range l.Endpoints {
@@ -120,7 +120,7 @@
 	}
 	go r.roster.Serve(r.ctx)
 	eventually(t, "the old watch", func() bool { return old.Open() == 1 })
-	old.Tell(line(9, false, host("box", "127.0.0.1:1", "leaving", 1)))
+	old.Publish(line(9, false, host("box", "127.0.0.1:1", "leaving", 1)))
 	eventually(t, "the drain", r.drained)
 	r.roster.Move(new.Addr())
 	return r, old, new
@@ -139,20 +139,20 @@
 // A discovery that is behind does not take a drain back: its whole list is held until its watch has brought it as far.
 func TestMoveToAnOlderList(t *testing.T) {
 	r, old, new := moving(t, time.Hour)
-	eventually(t, "the new watch", func() bool { return new.Calls("index=7") == 1 && new.Open() == 1 })
+	eventually(t, "the new watch", func() bool { return new.CallsContaining("index=7") == 1 && new.Open() == 1 })
 	done := make(chan struct{}) // all that the new one has brought is handled
 	r.roster.box.put(calledIn{done})
 	<-done
 	r.core.Settle(r.ctx)
-	if !r.drained() || old.Left() != 0 {
+	if !r.drained() || old.Closed() != 0 {
 		t.Fatalf("the older list is in force: %+v", r.states())
 	}
-	old.Tell(line(10, false, host("box", "127.0.0.1:1", "leaving", 2))) // which goes on telling
+	old.Publish(line(10, false, host("box", "127.0.0.1:1", "leaving", 2))) // which goes on telling
 	r.has(t, 1, 2)
-	new.Tell(line(9, false, host("box", "127.0.0.1:1", "leaving", 1)))
-	new.Tell(line(11, false, host("box", "127.0.0.1:1", "leaving", 3), host("box3", "127.0.0.1:3", "left", 1)))
+	new.Publish(line(9, false, host("box", "127.0.0.1:1", "leaving", 1)))
+	new.Publish(line(11, false, host("box", "127.0.0.1:1", "leaving", 3), host("box3", "127.0.0.1:3", "left", 1)))
 	r.has(t, 2, 3)
-	eventually(t, "the end of the old watch", func() bool { return old.Left() == 1 })
+	eventually(t, "the end of the old watch", func() bool { return old.Closed() == 1 })
 	for i, l := range seen[policy.EndpointUpdate](r.script) {
 		for _, row := range l.Endpoints {
 			if i > 1 && row.ID == NewRoster(r.core, "", nil, 0, 0, 1, 1).number("box") && row.State != policy.Draining {
@@ -166,8 +166,8 @@
 func TestMoveToOtherNumbers(t *testing.T) {
 	r, old, new := moving(t, 50*time.Millisecond)
 	r.has(t, 2, 1)
-	eventually(t, "the end of the old watch", func() bool { return old.Left() == 1 })
-	new.Tell(line(8, false, host("box", "127.0.0.1:1", "active", 5)))
+	eventually(t, "the end of the old watch", func() bool { return old.Closed() == 1 })
+	new.Publish(line(8, false, host("box", "127.0.0.1:1", "active", 5)))
 	r.has(t, 2, 5)
 }
 
@@ -181,9 +181,9 @@
 	}
 	start := time.Now()
 	go r.roster.Serve(r.ctx)
-	eventually(t, "the watch again", func() bool { return d.Calls("stream=1&index=5") == 2 })
-	eventually(t, "its stream", func() bool { return d.Open() == 2 || d.Left() == 1 })
-	d.Tell(told)
+	eventually(t, "the watch again", func() bool { return d.CallsContaining("stream=1&index=5") == 2 })
+	eventually(t, "its stream", func() bool { return d.Open() == 2 || d.Closed() == 1 })
+	d.Publish(told)
 	eventually(t, "the drain", r.drained)
 	if took := time.Since(start); took < watchSign || took > 3*watchSign-watchSign/4 {
 		t.Errorf("the drain came %v after the last line", took)
--- a/internal/agent/stand_in_test.go
+++ b/internal/agent/stand_in_test.go
@@ -33,21 +33,21 @@
 	return l
 }
 
-type box = fakes.Box
+type box = fakes.ScriptedServer
 
 func newBox(t *testing.T, do func(c net.Conn, nth int) bool) *box {
-	return fakes.NewBox(listen(t), do)
+	return fakes.NewScriptedServer(listen(t), do)
 }
 
-type streamer = fakes.Streamer
+type streamer = fakes.StreamServer
 
 func newStreamer(t *testing.T, sign string, every time.Duration, first func(asked string) string) *streamer {
-	s := fakes.NewStreamer(listen(t), sign, every, first)
+	s := fakes.NewStreamServer(listen(t), sign, every, first)
 	t.Cleanup(s.Close)
 	return s
 }
 
 var (
-	answers, hangUp, mute, ok = fakes.Answers, fakes.HangUp, fakes.Silent, fakes.OK
-	host, line, bulletin      = fakes.Host, fakes.Line, fakes.Bulletin
+	answers, hangUp, mute, ok = fakes.Respond, fakes.CloseUnanswered, fakes.NeverRespond, fakes.OKResponse
+	host, line, bulletin      = fakes.ListEntry, fakes.ListDocument, fakes.RolloutEvent
 )
--- a/internal/config/charter.go
+++ b/internal/config/charter.go
@@ -15,35 +15,35 @@
 
 // File is what a real agent is told: the JSON that GW_CONFIG names, and the GW_* variables, which go before it.
 type File struct {
-	*Terms
-	Settings *Terms
-	Known    json.RawMessage // the list as this agent last had it, in discovery's form
-	News     json.RawMessage // where the newest build stands, in the launcher's form
-	getenv   func(string) string
-	places   Places
+	*Settings
+	Deployment *Settings
+	Endpoints  json.RawMessage // the list as this agent last had it, in discovery's form
+	Rollout    json.RawMessage // where the newest build stands, in the launcher's form
+	getenv     func(string) string
+	addresses  UpstreamAddresses
 }
 
-// Places are the addresses that a reload may change, as the file has them.
-type Places struct{ Discovery, Launcher string }
+// UpstreamAddresses are the addresses that a reload may change, as the file has them.
+type UpstreamAddresses struct{ Discovery, Rollout string }
 
-// Reread reads the file again for an agent at work, and checks all of it as at a start. Moved holds the addresses that
+// Reload reads the file again for an agent at work, and checks all of it as at a start. Moved holds the addresses that
 // the file has changed, empty where it has not: a GW_DISCOVERY of the start can't change any more, so it goes before a
 // file that says what it said then, and not before one that says otherwise. Left names the other keys that have
 // changed, which need a restart. What is as it is in the old file stays in force with an error.
-func (f *File) Reread() (next *File, moved Places, left []string, err error) {
-	if next, err = Read(f.getenv); err != nil {
+func (f *File) Reload() (next *File, moved UpstreamAddresses, left []string, err error) {
+	if next, err = Load(f.getenv); err != nil {
 		return f, moved, nil, err
 	}
-	if err = next.Check(); err != nil {
+	if err = next.Validate(); err != nil {
 		return f, moved, nil, err
 	}
-	if next.places.Discovery != f.places.Discovery {
-		moved.Discovery = next.places.Discovery
+	if next.addresses.Discovery != f.addresses.Discovery {
+		moved.Discovery = next.addresses.Discovery
 	}
-	if next.places.Launcher != f.places.Launcher {
-		moved.Launcher = next.places.Launcher
+	if next.addresses.Rollout != f.addresses.Rollout {
+		moved.Rollout = next.addresses.Rollout
 	}
-	apart := func(a, b *Terms) {
+	apart := func(a, b *Settings) {
 		for k, v := range a.pairs {
 			mine := k == "discovery" || k == "seed" || strings.HasPrefix(k, "platform.") || strings.HasPrefix(k, "known.") ||
 				strings.HasPrefix(k, "settings.") // read apart; the others are of the moment
@@ -52,66 +52,66 @@
 			}
 		}
 	}
-	apart(f.Terms, next.Terms)
-	apart(next.Terms, f.Terms)
 	apart(f.Settings, next.Settings)
 	apart(next.Settings, f.Settings)
+	apart(f.Deployment, next.Deployment)
+	apart(next.Deployment, f.Deployment)
 	slices.Sort(left)
 	return next, moved, left, nil
 }
 
-// Check reads all that a start reads.
-func (f *File) Check() error {
-	f.Post()
-	f.Ration()
-	f.Circle()
+// Validate reads all that a start reads.
+func (f *File) Validate() error {
+	f.Identity()
+	f.ResourceLimits()
+	f.Peers()
 	seed := f.Seed()
-	f.Settings.Goods()
-	f.Settings.Customers()
-	f.Settings.Shares()
-	f.Settings.Stalls()
-	f.Settings.Lines()
+	f.Deployment.RequestClasses()
+	f.Deployment.Tenants()
+	f.Deployment.TenantShares()
+	f.Deployment.ClassPriorities()
+	f.Deployment.Connections()
 	if f.Err() != nil {
 		return f.Err()
 	}
-	_, err := f.Settings.Open(seed)
+	_, err := f.Deployment.NewRouter(seed)
 	return err
 }
 
-// Post is where the agent stands.
-type Post struct{ Name, Listen, Discovery, Launcher string }
+// Identity is where the agent stands.
+type Identity struct{ Name, Listen, Discovery, Rollout string }
 
-// Ration is what the agent may use.
-type Ration struct {
+// ResourceLimits is what the agent may use.
+type ResourceLimits struct {
 	Cores             float64
 	MemoryMB, Sockets int
 }
 
-// Circle is how agents reach each other; no Listen where they may not.
-type Circle struct {
-	Listen, All string
-	Peers       []string
+// Peers is how agents reach each other; no Listen where they may not.
+type Peers struct {
+	Listen, Broadcast string
+	Addresses         []string
 }
 
-// Good is a product as clients name it.
-type Good struct {
-	Name   string
-	Effect policy.Idempotency
-	Expiry time.Duration
+// RequestClass is a product as clients name it.
+type RequestClass struct {
+	Name        string
+	Idempotency policy.Idempotency
+	Timeout     time.Duration
 }
 
-// Lines are the figures of connections to appliances and the launcher.
-type Lines struct {
-	Dial, Idle, Call time.Duration
-	AskWithin        time.Duration // where the list must be asked, in this time; 0: it comes by itself
-	OpenCap          int           // txns that the agent may have open
-	HoldOff          time.Duration // the longest wait that clients follow; 0 where they are told none
-	Probes           bool
-	Report           []string // the fields of a load report, none where there are none
+// Connections are the figures of connections to appliances and the launcher.
+type Connections struct {
+	DialTimeout, IdleTimeout, CallTimeout time.Duration
+	PollWithin                            time.Duration // where the list must be asked, in this time; 0: it comes by itself
+	MaxOpenRequests                       int           // txns that the agent may have open
+	MaxRetryAfter                         time.Duration // the longest wait that clients follow; 0 where they are told none
+	HealthChecks                          bool
+	LoadReportFields                      []string // the fields of a load report, none where there are none
 }
 
-// Read opens the file that GW_CONFIG names.
-func Read(getenv func(string) string) (*File, error) {
+// Load opens the file that GW_CONFIG names.
+func Load(getenv func(string) string) (*File, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
 		return nil, fmt.Errorf("GW_CONFIG is not set")
@@ -130,17 +130,17 @@
 	if err = json.Unmarshal(raw, &parts); err != nil {
 		return nil, fmt.Errorf("GW_CONFIG %s: %w", path, err)
 	}
-	f := &File{getenv: getenv, Known: parts.Known, News: parts.Platform.News}
-	if f.Terms, err = nested("config", raw); err != nil {
+	f := &File{getenv: getenv, Endpoints: parts.Known, Rollout: parts.Platform.News}
+	if f.Settings, err = nested("config", raw); err != nil {
 		return nil, err
 	}
 	if len(parts.Settings) == 0 {
 		return nil, fmt.Errorf("setting config.settings is missing")
 	}
-	if f.Settings, err = nested("config.settings", parts.Settings); err != nil {
+	if f.Deployment, err = nested("config.settings", parts.Settings); err != nil {
 		return nil, err
 	}
-	f.places = Places{f.address("discovery", f.pairs["discovery"]), f.address("platform.address", f.str("platform.address"))}
+	f.addresses = UpstreamAddresses{f.address("discovery", f.pairs["discovery"]), f.address("platform.address", f.str("platform.address"))}
 	if err = f.Err(); err != nil {
 		return nil, err
 	}
@@ -162,15 +162,15 @@
 	return v
 }
 
-func (f *File) Post() Post {
-	return Post{Name: f.either("GW_NAME", "name"), Listen: f.address("listen", f.either("GW_LISTEN", "listen")),
+func (f *File) Identity() Identity {
+	return Identity{Name: f.either("GW_NAME", "name"), Listen: f.address("listen", f.either("GW_LISTEN", "listen")),
 		Discovery: f.address("discovery", f.either("GW_DISCOVERY", "discovery")),
-		Launcher:  f.address("platform.address", f.str("platform.address"))}
+		Rollout:   f.address("platform.address", f.str("platform.address"))}
 }
 
-// Ration's defaults are what every machine of this platform has at least.
-func (f *File) Ration() Ration {
-	r := Ration{f.opt("limits.cores", 1), int(f.opt("limits.memory_mb", 192)), int(f.opt("limits.sockets", 1024))}
+// ResourceLimits's defaults are what every machine of this platform has at least.
+func (f *File) ResourceLimits() ResourceLimits {
+	r := ResourceLimits{f.opt("limits.cores", 1), int(f.opt("limits.memory_mb", 192)), int(f.opt("limits.sockets", 1024))}
 	if r.Cores <= 0 {
 		f.fail("limits.cores", fmt.Sprintf("is %v", r.Cores))
 	}
@@ -183,16 +183,16 @@
 	return r
 }
 
-func (f *File) Circle() Circle {
-	if !f.Settings.flag("Limits.MayTell") || !f.has("peer_listen") {
-		return Circle{}
+func (f *File) Peers() Peers {
+	if !f.Deployment.flag("Limits.MayTell") || !f.has("peer_listen") {
+		return Peers{}
 	}
-	c := Circle{Listen: f.address("peer_listen", f.str("peer_listen")), Peers: f.words("peers")}
-	for i, p := range c.Peers {
+	c := Peers{Listen: f.address("peer_listen", f.str("peer_listen")), Addresses: f.words("peers")}
+	for i, p := range c.Addresses {
 		f.address(fmt.Sprintf("peers.%d", i), p)
 	}
 	if f.has("peers_all") {
-		c.All = f.address("peers_all", f.str("peers_all"))
+		c.Broadcast = f.address("peers_all", f.str("peers_all"))
 	}
 	return c
 }
@@ -207,19 +207,19 @@
 	return v
 }
 
-// Goods are the products in the order that the module numbers them.
-func (t *Terms) Goods() []Good {
-	out := make([]Good, t.count("Grades.count"))
+// RequestClasses are the products in the order that the module numbers them.
+func (t *Settings) RequestClasses() []RequestClass {
+	out := make([]RequestClass, t.count("Grades.count"))
 	seen := map[string]int{}
 	for i := range out {
 		g := &out[i]
-		*g = Good{t.str(grade(i, "Name")), t.effect(i), time.Duration(t.ms(grade(i, "HardLimitMs"))) * time.Microsecond}
+		*g = RequestClass{t.str(grade(i, "Name")), t.effect(i), time.Duration(t.ms(grade(i, "HardLimitMs"))) * time.Microsecond}
 		switch other, twice := seen[g.Name]; {
 		case g.Name == "":
 			t.fail(grade(i, "Name"), "is empty; requests name their class by it")
 		case twice:
 			t.fail(grade(i, "Name"), fmt.Sprintf("is %q, like that of class %d; requests name their class by it", g.Name, other))
-		case g.Expiry <= 0:
+		case g.Timeout <= 0:
 			t.fail(grade(i, "HardLimitMs"), "is 0; no answer could come in time")
 		}
 		seen[g.Name] = i
@@ -227,16 +227,16 @@
 	return out
 }
 
-// Customers and Zones are names in the order of their numbers.
-func (t *Terms) Customers() (out []string) {
+// Tenants and Zones are names in the order of their numbers.
+func (t *Settings) Tenants() (out []string) {
 	for i := 0; i < int(t.opt("Parties.count", 0)); i++ {
 		out = append(out, t.str(fmt.Sprintf("Parties.%d.Name", i)))
 	}
 	return out
 }
 
-// Shares are the customers' told parts of the whole; an even part where none is told.
-func (t *Terms) Shares() []float64 {
+// TenantShares are the customers' told parts of the whole; an even part where none is told.
+func (t *Settings) TenantShares() []float64 {
 	out := make([]float64, int(t.opt("Parties.count", 0)))
 	for i := range out {
 		if out[i] = t.opt(fmt.Sprintf("Parties.%d.Fraction", i), 1/float64(len(out))); out[i] <= 0 {
@@ -246,23 +246,23 @@
 	return out
 }
 
-// Stall is what the door knows of a product.
-type Stall struct {
-	SLA     time.Duration
-	Revenue float64
+// ClassPriority is what the door knows of a product.
+type ClassPriority struct {
+	LatencyObjective time.Duration
+	PriorityWeight   float64
 }
 
-// Stalls are in the order of Goods.
-func (t *Terms) Stalls() []Stall {
-	out := make([]Stall, t.count("Grades.count"))
+// ClassPriorities are in the order of Goods.
+func (t *Settings) ClassPriorities() []ClassPriority {
+	out := make([]ClassPriority, t.count("Grades.count"))
 	for i := range out {
-		out[i] = Stall{time.Duration(t.ms(grade(i, "SloMs"))) * time.Microsecond, t.num(grade(i, "Worth"))}
+		out[i] = ClassPriority{time.Duration(t.ms(grade(i, "SloMs"))) * time.Microsecond, t.num(grade(i, "Worth"))}
 	}
 	return out
 }
 
 // A deployment that names no zone has one, and whatever site the list tells is in it.
-func (t *Terms) Zones() []string {
+func (t *Settings) Zones() []string {
 	zones := t.words("Localities")
 	if own := t.count("Zone"); len(zones) > 0 && own >= len(zones) {
 		t.fail("Zone", fmt.Sprintf("is %d, the own zone's number from 0 on, but %sLocalities has %d", own, t.under, len(zones)))
@@ -270,7 +270,7 @@
 	return zones
 }
 
-func (t *Terms) Lines() Lines {
+func (t *Settings) Connections() Connections {
 	span := func(key string) time.Duration {
 		us := t.ms(key)
 		if us == 0 {
@@ -278,19 +278,19 @@
 		}
 		return time.Duration(us) * time.Microsecond
 	}
-	l := Lines{Dial: span("Limits.DialTimeoutMs"), Idle: span("Limits.ConnIdleMs"),
-		Call: span("FamilyInfo.CallTimeoutMs"), OpenCap: 20000, Probes: t.flag("Limits.Probes")}
+	l := Connections{DialTimeout: span("Limits.DialTimeoutMs"), IdleTimeout: span("Limits.ConnIdleMs"),
+		CallTimeout: span("FamilyInfo.CallTimeoutMs"), MaxOpenRequests: 20000, HealthChecks: t.flag("Limits.Probes")}
 	if t.flag("Limits.RetryAfter") {
-		l.HoldOff = time.Duration(t.ms("Limits.MaxRetryAfterMs")) * time.Microsecond
+		l.MaxRetryAfter = time.Duration(t.ms("Limits.MaxRetryAfterMs")) * time.Microsecond
 	}
 	if t.has("Safety.AskWithinMs") && t.pairs["Discovery"] == "subscribe" {
-		l.AskWithin = time.Duration(t.ms("Safety.AskWithinMs")) * time.Microsecond
+		l.PollWithin = time.Duration(t.ms("Safety.AskWithinMs")) * time.Microsecond
 	}
 	if t.has("Limits.OpenCap") {
-		l.OpenCap = t.count("Limits.OpenCap")
+		l.MaxOpenRequests = t.count("Limits.OpenCap")
 	}
 	if how := t.pairs["Feedback.How"]; how != "" && how != "off" {
-		l.Report = t.words("Feedback.Fields")
+		l.LoadReportFields = t.words("Feedback.Fields")
 	}
 	return l
 }
--- a/internal/config/terms.go
+++ b/internal/config/terms.go
@@ -13,16 +13,16 @@
 	"switchfork/internal/policy"
 )
 
-// Terms are the settings as path=value pairs; the first thing that is wrong with them sticks.
-type Terms struct {
+// Settings are the settings as path=value pairs; the first thing that is wrong with them sticks.
+type Settings struct {
 	under string // what stands before a path in messages
 	pairs map[string]string
 	err   error
 }
 
-// Pairs reads terms from lines of path=value.
-func Pairs(text string) *Terms {
-	t := &Terms{pairs: map[string]string{}}
+// ParsePairs reads terms from lines of path=value.
+func ParsePairs(text string) *Settings {
+	t := &Settings{pairs: map[string]string{}}
 	for _, line := range strings.Split(text, "\n") {
 		if k, v, ok := strings.Cut(strings.TrimSpace(line), "="); ok {
 			t.pairs[k] = v
@@ -33,7 +33,7 @@
 
 // nested turns a JSON object into the same pairs: dots between names, .count and .0 for lists of objects,
 // commas between plain values.
-func nested(under string, raw []byte) (*Terms, error) {
+func nested(under string, raw []byte) (*Settings, error) {
 	var root any
 	if err := json.Unmarshal(raw, &root); err != nil {
 		return nil, fmt.Errorf("%s: %w", under, err)
@@ -41,12 +41,12 @@
 	if _, ok := root.(map[string]any); !ok {
 		return nil, fmt.Errorf("%s is not an object", under)
 	}
-	t := &Terms{under: under + ".", pairs: map[string]string{}}
+	t := &Settings{under: under + ".", pairs: map[string]string{}}
 	t.flatten("", root)
 	return t, nil
 }
 
-func (t *Terms) flatten(path string, v any) {
+func (t *Settings) flatten(path string, v any) {
 	under := func(key string) string { return strings.TrimPrefix(path+"."+key, ".") }
 	switch v := v.(type) {
 	case map[string]any:
@@ -81,16 +81,16 @@
 	return fmt.Sprint(v)
 }
 
-func (t *Terms) fail(key, why string) {
+func (t *Settings) fail(key, why string) {
 	if t.err == nil {
 		t.err = fmt.Errorf("setting %s%s %s", t.under, key, why)
 	}
 }
 
 // Err tells what was wrong first.
-func (t *Terms) Err() error { return t.err }
+func (t *Settings) Err() error { return t.err }
 
-func (t *Terms) str(key string) string {
+func (t *Settings) str(key string) string {
 	v, ok := t.pairs[key]
 	if !ok {
 		t.fail(key, "is missing")
@@ -98,7 +98,7 @@
 	return v
 }
 
-func (t *Terms) num(key string) float64 {
+func (t *Settings) num(key string) float64 {
 	s := t.str(key)
 	if t.err != nil {
 		return 0
@@ -110,17 +110,17 @@
 	return v
 }
 
-func (t *Terms) has(key string) bool { _, ok := t.pairs[key]; return ok }
+func (t *Settings) has(key string) bool { _, ok := t.pairs[key]; return ok }
 
 // opt is num for a key that may be absent.
-func (t *Terms) opt(key string, def float64) float64 {
+func (t *Settings) opt(key string, def float64) float64 {
 	if !t.has(key) {
 		return def
 	}
 	return t.num(key)
 }
 
-func (t *Terms) count(key string) int {
+func (t *Settings) count(key string) int {
 	v := t.num(key)
 	if v != math.Trunc(v) || v < 0 || v > 1e6 {
 		t.fail(key, fmt.Sprintf("is %v, not a count", v))
@@ -129,7 +129,7 @@
 	return int(v)
 }
 
-func (t *Terms) ms(key string) int64 {
+func (t *Settings) ms(key string) int64 {
 	v := t.num(key)
 	if v < 0 || v > 1e12 {
 		t.fail(key, fmt.Sprintf("is %v, not a span of time", v))
@@ -138,18 +138,18 @@
 	return int64(math.Round(v * 1000))
 }
 
-func (t *Terms) flag(key string) bool {
+func (t *Settings) flag(key string) bool {
 	return t.has(key) && pick(t, key, map[string]bool{"true": true, "false": false})
 }
 
-func (t *Terms) words(key string) []string {
+func (t *Settings) words(key string) []string {
 	if v := t.pairs[key]; v != "" {
 		return strings.Split(v, ",")
 	}
 	return nil
 }
 
-func (t *Terms) list(key string) []float64 {
+func (t *Settings) list(key string) []float64 {
 	var out []float64
 	for _, s := range strings.Split(t.str(key), ",") {
 		v, err := strconv.ParseFloat(s, 64)
@@ -161,7 +161,7 @@
 	return out
 }
 
-func pick[T any](t *Terms, key string, known map[string]T) T {
+func pick[T any](t *Settings, key string, known map[string]T) T {
 	s := t.str(key)
 	v, ok := known[s]
 	if !ok {
@@ -172,24 +172,24 @@
 
 func grade(i int, key string) string { return fmt.Sprintf("Grades.%d.%s", i, key) }
 
-func (t *Terms) effect(i int) policy.Idempotency {
+func (t *Settings) effect(i int) policy.Idempotency {
 	return pick(t, grade(i, "Repeat"), map[string]policy.Idempotency{"read_like": policy.Idempotent,
 		"idempotency_key": policy.Keyed, "non_idempotent": policy.NonIdempotent})
 }
 
 // sized tells whether the list tells the sizes of appliances; where the key is absent it does, as it always did.
-func (t *Terms) sized() bool {
+func (t *Settings) sized() bool {
 	return !t.has("Weights") || pick(t, "Weights", map[string]bool{"off": false, "none": false, "nominal": true, "rough": true, "live": true})
 }
 
 // reported tells whether load reports come with answers; a key that is absent means none.
-func (t *Terms) reported() bool {
+func (t *Settings) reported() bool {
 	return t.has("Feedback.How") && pick(t, "Feedback.How",
 		map[string]bool{"inline": true, "answers": true, "on_probe": false, "probe": false, "off": false, "none": false})
 }
 
 // report tells where the figures stand that the module reads, by the simulator's names and the users'; others are passed over.
-func (t *Terms) report() (r policy.LoadReportFormat) {
+func (t *Settings) report() (r policy.LoadReportFormat) {
 	if !t.reported() {
 		return r
 	}
@@ -207,7 +207,7 @@
 }
 
 // tally is how often the launcher tells what it counted; 0 where it does not.
-func (t *Terms) tally() (every policy.Micros) {
+func (t *Settings) tally() (every policy.Micros) {
 	if t.has("FamilyInfo.TallyEveryMs") {
 		every = t.ms("FamilyInfo.TallyEveryMs")
 	}
@@ -222,7 +222,7 @@
 }
 
 // unmixed refuses settings of two shapes of deployment in one configuration: what one key promises another forbids.
-func (t *Terms) unmixed() {
+func (t *Settings) unmixed() {
 	if how := t.pairs["Feedback.How"]; (how == "on_probe" || how == "probe") && t.has("Limits.Probes") && !t.flag("Limits.Probes") {
 		t.fail("Feedback.How", fmt.Sprintf("is %q, but %sLimits.Probes is false: no report would come; expected inline or off", how, t.under))
 	}
@@ -237,8 +237,8 @@
 	}
 }
 
-// Open starts a module on these terms.
-func (t *Terms) Open(seed uint64) (policy.Router, error) {
+// NewRouter starts a module on these terms.
+func (t *Settings) NewRouter(seed uint64) (policy.Router, error) {
 	st := policy.Instance{Index: t.count("Me"), Agents: t.count("Balancers"), Zone: t.count("Zone"), Seed: int64(seed),
 		KeyAffinity: t.flag("FamilyInfo.WarmKeys"), HasWeights: t.sized(), LoadReport: t.report()}
 	t.unmixed()
@@ -300,18 +300,18 @@
 	return policy.New(st, products, plan, polling, count, cold, hand, may, fares), nil
 }
 
-// Votes are how votes are counted, and who casts them; times in microseconds.
-type Votes struct {
-	Me, Agents   int
-	Ballot       policy.VotingRule
-	ToGo         int
-	ToGoBack     int
-	Call, Stands policy.Micros
+// Voting are how votes are counted, and who casts them; times in microseconds.
+type Voting struct {
+	Index, Agents             int
+	Rule                      policy.VotingRule
+	VotesToAdvance            int
+	VotesToRollBack           int
+	CallTimeout, VoteLifetime policy.Micros
 }
 
-// Votes reads them; what is wrong there is found when the module is opened.
-func (t *Terms) Votes() Votes {
-	return Votes{Me: t.count("Me"), Agents: t.count("Balancers"), ToGo: t.count("FamilyInfo.VotesToGo"), ToGoBack: t.count("FamilyInfo.NoesNeeded"),
-		Call: t.ms("FamilyInfo.CallTimeoutMs"), Stands: t.ms("FamilyInfo.VoteStandsMs"), Ballot: pick(t, "FamilyInfo.VoteMode",
+// Voting reads them; what is wrong there is found when the module is opened.
+func (t *Settings) Voting() Voting {
+	return Voting{Index: t.count("Me"), Agents: t.count("Balancers"), VotesToAdvance: t.count("FamilyInfo.VotesToGo"), VotesToRollBack: t.count("FamilyInfo.NoesNeeded"),
+		CallTimeout: t.ms("FamilyInfo.CallTimeoutMs"), VoteLifetime: t.ms("FamilyInfo.VoteStandsMs"), Rule: pick(t, "FamilyInfo.VoteMode",
 			map[string]policy.VotingRule{"any": policy.AnyVote, "share": policy.VoteShare, "timer": policy.TimedStages})}
 }
--- a/internal/config/terms_test.go
+++ b/internal/config/terms_test.go
@@ -41,7 +41,7 @@
 
 // What counts over all agents must be told soundly, or the start ends with the key; prices may be absent.
 func TestFleetTerms(t *testing.T) {
-	if _, err := Pairs(sound).Open(1); err != nil {
+	if _, err := ParsePairs(sound).NewRouter(1); err != nil {
 		t.Fatal(err)
 	}
 	for from, to := range map[string]string{
@@ -53,15 +53,15 @@
 			key = "FamilyInfo.ApiRate"
 		}
 		text := strings.Replace(sound, from, to, 1)
-		if _, err := Pairs(text).Open(1); err == nil || !strings.Contains(err.Error(), key+" ") {
+		if _, err := ParsePairs(text).NewRouter(1); err == nil || !strings.Contains(err.Error(), key+" ") {
 			t.Errorf("%q for %q: %v", to, from, err)
 		}
 	}
 	for _, price := range []string{"CrossZone", "Waste", "Probe", "Peer"} {
-		if _, err := Pairs(sound + "Charges." + price + "=-0.1\n").Open(1); err == nil || !strings.Contains(err.Error(), "Charges."+price) {
+		if _, err := ParsePairs(sound + "Charges." + price + "=-0.1\n").NewRouter(1); err == nil || !strings.Contains(err.Error(), "Charges."+price) {
 			t.Errorf("a negative price: %v", err)
 		}
-		if _, err := Pairs(sound + "Charges." + price + "=0.1\n").Open(1); err != nil {
+		if _, err := ParsePairs(sound + "Charges." + price + "=0.1\n").NewRouter(1); err != nil {
 			t.Error(err)
 		}
 	}
@@ -71,9 +71,9 @@
 func TestAskWithin(t *testing.T) {
 	lines := "Limits.DialTimeoutMs=250\nLimits.ConnIdleMs=30000\nSafety.AskWithinMs=10000\n"
 	for how, want := range map[string]time.Duration{"subscribe": 10 * time.Second, "automatic": 0} {
-		terms := Pairs(strings.Replace(sound, "subscribe", how, 1) + lines)
-		if l := terms.Lines(); l.AskWithin != want || terms.Err() != nil {
-			t.Errorf("%s: %v, %v", how, l.AskWithin, terms.Err())
+		terms := ParsePairs(strings.Replace(sound, "subscribe", how, 1) + lines)
+		if l := terms.Connections(); l.PollWithin != want || terms.Err() != nil {
+			t.Errorf("%s: %v, %v", how, l.PollWithin, terms.Err())
 		}
 	}
 }
@@ -97,7 +97,7 @@
 		"Grades.0.SloMs=0\n":                                          "setting Grades.0.SloMs is 0; no answer could be in time",
 		"FamilyInfo.VoteMode=timer\n":                                 "setting FamilyInfo.VotesToGo is 1, but FamilyInfo.VoteMode is timer",
 	} {
-		_, err := Pairs(sound + lines).Open(1)
+		_, err := ParsePairs(sound + lines).NewRouter(1)
 		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 			t.Errorf("%q: %v, want %q", lines, err, want)
 		}
@@ -113,11 +113,11 @@
 	if r := file.report(); r.Utilization != 1 || r.Rate != 3 || r.InFlight != 0 || file.sized() || file.Err() != nil {
 		t.Errorf("%+v, sized %v, %v", r, file.sized(), file.Err())
 	}
-	halls := Pairs("Feedback.How=inline\nFeedback.Fields=outstanding\nWeights=nominal\n")
+	halls := ParsePairs("Feedback.How=inline\nFeedback.Fields=outstanding\nWeights=nominal\n")
 	if r := halls.report(); r.InFlight != 1 || r.Utilization != 0 || r.Rate != 0 || !halls.sized() || halls.Err() != nil {
 		t.Errorf("%+v, sized %v, %v", r, halls.sized(), halls.Err())
 	}
-	old := Pairs("Feedback.How=on_probe\nFeedback.Fields=backlog\n")
+	old := ParsePairs("Feedback.How=on_probe\nFeedback.Fields=backlog\n")
 	if r := old.report(); r.Utilization+r.Rate+r.InFlight != 0 || !old.sized() || old.Err() != nil {
 		t.Errorf("%+v, sized %v, %v", r, old.sized(), old.Err())
 	}
--- a/internal/fakes/agent.go
+++ b/internal/fakes/agent.go
@@ -23,25 +23,25 @@
 }
 
 // Start writes the agent's files into a folder, starts the program and waits until it serves.
-func (w *World) Start(program, dir, operator string, build, memoryMB int, log io.Writer) (*Agent, error) {
-	listen, err := Free()
+func (w *Deployment) Start(program, dir, operator string, build, memoryMB int, log io.Writer) (*Agent, error) {
+	listen, err := FreeAddress()
 	if err != nil {
 		return nil, err
 	}
-	return Launch(program, dir, w.config(listen, build, memoryMB), operator, listen, log)
+	return StartReadyAgent(program, dir, w.config(listen, build, memoryMB), operator, listen, log)
 }
 
-// Launch starts the program with these files in a folder, and waits until it serves.
-func Launch(program, dir, config, operator, listen string, log io.Writer) (*Agent, error) {
-	a, err := Begin(program, dir, config, operator, listen, log)
+// StartReadyAgent starts the program with these files in a folder, and waits until it serves.
+func StartReadyAgent(program, dir, config, operator, listen string, log io.Writer) (*Agent, error) {
+	a, err := StartAgent(program, dir, config, operator, listen, log)
 	if err != nil {
 		return nil, err
 	}
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if a.Ended() {
+		if a.HasExited() {
 			return nil, fmt.Errorf("the agent has ended: %w", <-a.exit)
 		}
-		if a.Healthy() {
+		if a.IsHealthy() {
 			return a, nil
 		}
 	}
@@ -49,12 +49,12 @@
 	return nil, fmt.Errorf("the agent is not healthy after 10 s")
 }
 
-// ConfigFile and OperatorFile are the names of an agent's files in its folder.
-const ConfigFile, OperatorFile = "config.json", "operator.conf"
+// ConfigName and OperatorFile are the names of an agent's files in its folder.
+const ConfigName, OptionsName = "config.json", "operator.conf"
 
-// Begin starts the program and does not wait until it serves. On Linux it does not outlive who started it.
-func Begin(program, dir, config, operator, listen string, log io.Writer) (*Agent, error) {
-	file := filepath.Join(dir, ConfigFile)
+// StartAgent starts the program and does not wait until it serves. On Linux it does not outlive who started it.
+func StartAgent(program, dir, config, operator, listen string, log io.Writer) (*Agent, error) {
+	file := filepath.Join(dir, ConfigName)
 	if err := os.WriteFile(file, []byte(config), 0o600); err != nil {
 		return nil, err
 	}
@@ -63,7 +63,7 @@
 	a.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	a.cmd.Env, a.cmd.Stderr = append(os.Environ(), "GW_CONFIG="+file, "SWITCHFORK_OPERATOR="), log
 	if operator != "" {
-		path := filepath.Join(dir, OperatorFile)
+		path := filepath.Join(dir, OptionsName)
 		if err := os.WriteFile(path, []byte(operator), 0o600); err != nil {
 			return nil, err
 		}
@@ -83,8 +83,8 @@
 	return a, <-started
 }
 
-// Healthy tells whether the agent says that it serves.
-func (a *Agent) Healthy() bool {
+// IsHealthy tells whether the agent says that it serves.
+func (a *Agent) IsHealthy() bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	r, err := client.Get(a.URL + "/_health")
 	if err != nil {
@@ -94,8 +94,8 @@
 	return r.StatusCode == http.StatusOK
 }
 
-// Ended tells whether the process is over; Over is closed then.
-func (a *Agent) Ended() bool {
+// HasExited tells whether the process is over; Over is closed then.
+func (a *Agent) HasExited() bool {
 	select {
 	case <-a.over:
 		return true
@@ -104,14 +104,14 @@
 	}
 }
 
-func (a *Agent) Over() <-chan struct{} { return a.over }
+func (a *Agent) Done() <-chan struct{} { return a.over }
 
-// Leave asks the agent to drain and end.
-func (a *Agent) Leave() error { return a.cmd.Process.Signal(syscall.SIGTERM) }
+// Terminate asks the agent to drain and end.
+func (a *Agent) Terminate() error { return a.cmd.Process.Signal(syscall.SIGTERM) }
 
 // Stop drains the agent and waits for its end.
 func (a *Agent) Stop() error {
-	a.Leave()
+	a.Terminate()
 	select {
 	case err := <-a.exit:
 		return err
@@ -121,9 +121,9 @@
 	}
 }
 
-// Freeze stops the process where it is, and Thaw lets it go on; Kill ends it at once.
-func (a *Agent) Freeze() error { return a.cmd.Process.Signal(syscall.SIGSTOP) }
-func (a *Agent) Thaw() error   { return a.cmd.Process.Signal(syscall.SIGCONT) }
+// Pause stops the process where it is, and Thaw lets it go on; Kill ends it at once.
+func (a *Agent) Pause() error  { return a.cmd.Process.Signal(syscall.SIGSTOP) }
+func (a *Agent) Resume() error { return a.cmd.Process.Signal(syscall.SIGCONT) }
 func (a *Agent) Kill() {
 	a.cmd.Process.Kill()
 	<-a.exit
@@ -132,8 +132,8 @@
 // Reload has the agent read its files again.
 func (a *Agent) Reload() error { return a.cmd.Process.Signal(syscall.SIGHUP) }
 
-// Held is what the process holds now: memory in MB and descriptors. Zeros where the system does not tell.
-func (a *Agent) Held() (memoryMB float64, descriptors int) {
+// Usage is what the process holds now: memory in MB and descriptors. Zeros where the system does not tell.
+func (a *Agent) Usage() (memoryMB float64, descriptors int) {
 	pid := strconv.Itoa(a.cmd.Process.Pid)
 	status, _ := os.ReadFile("/proc/" + pid + "/status")
 	for _, l := range strings.Split(string(status), "\n") {
--- a/internal/fakes/appliance.go
+++ b/internal/fakes/appliance.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// Appliance is a ledger appliance on loopback: so many txns at a time, so much work for each, a queue with a bound. Its
+// Endpoint is a ledger appliance on loopback: so many txns at a time, so much work for each, a queue with a bound. Its
 // speed and failures may change while it serves.
-type Appliance struct {
+type Endpoint struct {
 	Name   string
 	Build  int
 	slots  chan struct{}
@@ -29,7 +29,7 @@
 	srv    *http.Server
 	mu     sync.Mutex
 	chance *rand.Rand
-	seen   Witness
+	seen   Observer
 	cold   atomic.Pointer[warmUp]
 }
 
@@ -40,13 +40,13 @@
 	span  time.Duration
 }
 
-// Begins has the appliance start now, with a part of its speed that is whole after a span.
-func (a *Appliance) Begins(from float64, span time.Duration) {
+// SetSlowStart has the appliance start now, with a part of its speed that is whole after a span.
+func (a *Endpoint) SetSlowStart(from float64, span time.Duration) {
 	a.cold.Store(&warmUp{time.Now(), from, span})
 }
 
 // speed is the part of its speed that it has now.
-func (a *Appliance) speed() float64 {
+func (a *Endpoint) speed() float64 {
 	c := a.cold.Load()
 	if c == nil {
 		return 1
@@ -54,33 +54,33 @@
 	return min(1, c.from+(1-c.from)*float64(time.Since(c.since))/float64(c.span))
 }
 
-// Witness sees what comes to an appliance; its calls come from several goroutines.
-type Witness interface {
+// Observer sees what comes to an appliance; its calls come from several goroutines.
+type Observer interface {
 	// Came tells of a txn that has come whole; what it gives is handed to Runs.
-	Came(a *Appliance, r *http.Request) any
+	RequestArrived(a *Endpoint, r *http.Request) any
 	// Runs tells of one whose turn has come. Where its group has run it before, and so drops it, the answer is false.
-	Runs(a *Appliance, came any) bool
+	RequestRuns(a *Endpoint, came any) bool
 }
 
 // unseen is for those whom nobody watches.
 type unseen struct{}
 
-func (unseen) Came(*Appliance, *http.Request) any { return nil }
-func (unseen) Runs(*Appliance, any) bool          { return true }
+func (unseen) RequestArrived(*Endpoint, *http.Request) any { return nil }
+func (unseen) RequestRuns(*Endpoint, any) bool             { return true }
 
-// NewAppliance starts one.
-func NewAppliance(name string, build, slots int, work time.Duration, seed int64) (*Appliance, error) {
+// NewEndpoint starts one.
+func NewEndpoint(name string, build, slots int, work time.Duration, seed int64) (*Endpoint, error) {
 	l, err := Listen()
 	if err != nil {
 		return nil, err
 	}
-	return NewApplianceAt(l, name, build, slots, work, seed, unseen{}, nil), nil
+	return NewEndpointAt(l, name, build, slots, work, seed, unseen{}, nil), nil
 }
 
-// NewApplianceAt starts one that is watched on a listener; with, unless it is nil, marks each connection.
-func NewApplianceAt(l net.Listener, name string, build, slots int, work time.Duration, seed int64, seen Witness,
-	with func(context.Context, net.Conn) context.Context) *Appliance {
-	a := &Appliance{Name: name, Build: build, slots: make(chan struct{}, slots), queue: int64(8 * slots), work: work, l: l,
+// NewEndpointAt starts one that is watched on a listener; with, unless it is nil, marks each connection.
+func NewEndpointAt(l net.Listener, name string, build, slots int, work time.Duration, seed int64, seen Observer,
+	with func(context.Context, net.Conn) context.Context) *Endpoint {
+	a := &Endpoint{Name: name, Build: build, slots: make(chan struct{}, slots), queue: int64(8 * slots), work: work, l: l,
 		chance: rand.New(rand.NewSource(seed)), seen: seen}
 	a.slow.Store(1000)
 	a.srv = &http.Server{Handler: http.HandlerFunc(a.serve), IdleTimeout: 30 * time.Second, ConnContext: with}
@@ -88,7 +88,7 @@
 	return a
 }
 
-func (a *Appliance) serve(w http.ResponseWriter, r *http.Request) {
+func (a *Endpoint) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/ping" || r.URL.Path == "/_load" {
 		io.WriteString(w, "ok")
 		return
@@ -97,7 +97,7 @@
 		return // it has not come whole
 	}
 	a.got.Add(1)
-	came := a.seen.Came(a, r)
+	came := a.seen.RequestArrived(a, r)
 	if a.held.Add(1) > int64(cap(a.slots))+a.queue {
 		a.held.Add(-1)
 		w.Header().Set("X-Not-Run", "1")
@@ -106,7 +106,7 @@
 	}
 	defer a.held.Add(-1)
 	a.slots <- struct{}{}
-	if a.seen.Runs(a, came) {
+	if a.seen.RequestRuns(a, came) {
 		a.mu.Lock()
 		took, luck := a.chance.ExpFloat64(), a.chance.Int63n(1000)
 		a.mu.Unlock()
@@ -124,16 +124,16 @@
 	io.WriteString(w, body)
 }
 
-// Slow makes each txn take so many times its work; Fail makes a share of them fail.
-func (a *Appliance) Slow(times float64)  { a.slow.Store(int64(1000 * times)) }
-func (a *Appliance) Fail(share float64)  { a.fails.Store(int64(1000 * share)) }
-func (a *Appliance) Served() int64       { return a.served.Load() }
-func (a *Appliance) Got() int64          { return a.got.Load() }
-func (a *Appliance) Addr() string        { return a.l.Addr().String() }
-func (a *Appliance) Row(h string) string { return Host(a.Name, a.Addr(), h, a.Build) }
+// SetSlowdown makes each txn take so many times its work; Fail makes a share of them fail.
+func (a *Endpoint) SetSlowdown(times float64)   { a.slow.Store(int64(1000 * times)) }
+func (a *Endpoint) SetErrorShare(share float64) { a.fails.Store(int64(1000 * share)) }
+func (a *Endpoint) Served() int64               { return a.served.Load() }
+func (a *Endpoint) Received() int64             { return a.got.Load() }
+func (a *Endpoint) Addr() string                { return a.l.Addr().String() }
+func (a *Endpoint) ListEntry(h string) string   { return ListEntry(a.Name, a.Addr(), h, a.Build) }
 
 // Close ends it.
-func (a *Appliance) Close() { a.srv.Close() }
+func (a *Endpoint) Close() { a.srv.Close() }
 
 // Listener is the one that it serves on.
-func (a *Appliance) Listener() net.Listener { return a.l }
+func (a *Endpoint) Listener() net.Listener { return a.l }
--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -16,18 +16,18 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Tally is what became of one tenant's txns.
-type Tally struct {
-	Offered, Settled, InTime, Declined, Failed, Back int
-	Builds                                           map[string]int
+// Totals is what became of one tenant's txns.
+type Totals struct {
+	Offered, Succeeded, InTime, Rejected, Failed, Returned int
+	Builds                                                 map[string]int
 }
 
-// Crew is a tenant's clients: an open load, whose arrivals do not wait for answers.
-type Crew struct {
-	Tenant  string
-	Rate    float64 // txns a second
-	Posting float64 // the part that posts
-	Fresh   bool    // every txn from a client of its own
+// ClientGroup is a tenant's clients: an open load, whose arrivals do not wait for answers.
+type ClientGroup struct {
+	Tenant        string
+	Rate          float64 // txns a second
+	PostShare     float64 // the part that posts
+	UniqueClients bool    // every txn from a client of its own
 }
 
 // Clients send for crews and keep the account.
@@ -37,7 +37,7 @@
 	expiry   time.Duration
 	pools    map[string]*pool // each tenant's clients have connections of their own
 	mu       sync.Mutex
-	tallies  map[string]*Tally
+	tallies  map[string]*Totals
 	took     *hdrhistogram.Histogram
 	serial   atomic.Int64
 	inflight sync.WaitGroup
@@ -48,7 +48,7 @@
 const quietConns, loudConns, loudRate, backTries = 50, 400, 400.0, 2
 
 func NewClients(url string, sla, expiry time.Duration) *Clients {
-	return &Clients{url: url, sla: sla, expiry: expiry, pools: map[string]*pool{}, tallies: map[string]*Tally{},
+	return &Clients{url: url, sla: sla, expiry: expiry, pools: map[string]*pool{}, tallies: map[string]*Totals{},
 		took: hdrhistogram.New(1, 60_000_000, 3)}
 }
 
@@ -59,7 +59,7 @@
 }
 
 // pool is where a crew's clients have their connections.
-func (c *Clients) pool(crew Crew) *pool {
+func (c *Clients) pool(crew ClientGroup) *pool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	most, name := quietConns, crew.Tenant
@@ -74,7 +74,7 @@
 }
 
 // Send runs the crews' load until the context ends, and then waits for the last answers.
-func (c *Clients) Send(ctx context.Context, seed int64, crews ...Crew) {
+func (c *Clients) Send(ctx context.Context, seed int64, crews ...ClientGroup) {
 	var senders sync.WaitGroup
 	for i, crew := range crews {
 		senders.Add(1)
@@ -90,10 +90,10 @@
 				case <-time.After(time.Until(next)):
 				}
 				client := strconv.Itoa(n % 10)
-				if crew.Fresh {
+				if crew.UniqueClients {
 					client = fmt.Sprint("fresh-", n)
 				}
-				post := chance.Float64() < crew.Posting
+				post := chance.Float64() < crew.PostShare
 				c.inflight.Add(1)
 				go func() {
 					defer c.inflight.Done()
@@ -110,7 +110,7 @@
 func (c *Clients) ask(pool *pool, tenant, client string, post bool) {
 	serial := c.serial.Add(1)
 	key := fmt.Sprintf("%032x", serial)
-	c.count(tenant, func(t *Tally) { t.Offered++ })
+	c.count(tenant, func(t *Totals) { t.Offered++ })
 	for try := 0; try <= backTries; try++ {
 		began := time.Now()
 		method, target := "GET", fmt.Sprintf("/lookup?sid=%016x", serial)
@@ -120,7 +120,7 @@
 		select {
 		case pool.places <- struct{}{}:
 		case <-time.After(c.expiry):
-			c.count(tenant, func(t *Tally) { t.Failed++ }) // it never got as far as the agent
+			c.count(tenant, func(t *Totals) { t.Failed++ }) // it never got as far as the agent
 			return
 		}
 		left := c.expiry - time.Since(began)
@@ -141,7 +141,7 @@
 		if err != nil {
 			<-pool.places
 			stop()
-			c.count(tenant, func(t *Tally) { t.Failed++ })
+			c.count(tenant, func(t *Totals) { t.Failed++ })
 			return
 		}
 		body, _ := io.ReadAll(res.Body)
@@ -152,8 +152,8 @@
 		switch {
 		case res.StatusCode == http.StatusOK:
 			_, build, _ := strings.Cut(string(body), " ")
-			c.count(tenant, func(t *Tally) {
-				t.Settled++
+			c.count(tenant, func(t *Totals) {
+				t.Succeeded++
 				t.Builds[build]++
 				if took <= c.sla {
 					t.InTime++
@@ -164,31 +164,31 @@
 		case res.StatusCode == http.StatusServiceUnavailable:
 			wait, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
 			if err != nil || try == backTries {
-				c.count(tenant, func(t *Tally) { t.Declined++ })
+				c.count(tenant, func(t *Totals) { t.Rejected++ })
 				return
 			}
 			time.Sleep(time.Duration(wait * float64(time.Second)))
-			c.count(tenant, func(t *Tally) { t.Back++ })
+			c.count(tenant, func(t *Totals) { t.Returned++ })
 		default:
-			c.count(tenant, func(t *Tally) { t.Failed++ })
+			c.count(tenant, func(t *Totals) { t.Failed++ })
 			return
 		}
 	}
 }
 
-func (c *Clients) count(tenant string, what func(*Tally)) {
+func (c *Clients) count(tenant string, what func(*Totals)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.tallies[tenant]
 	if t == nil {
-		t = &Tally{Builds: map[string]int{}}
+		t = &Totals{Builds: map[string]int{}}
 		c.tallies[tenant] = t
 	}
 	what(t)
 }
 
-// Tally is what became of a tenant's txns so far.
-func (c *Clients) Tally(tenant string) Tally {
+// Totals is what became of a tenant's txns so far.
+func (c *Clients) Totals(tenant string) Totals {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t := c.tallies[tenant]; t != nil {
@@ -199,11 +199,11 @@
 		}
 		return copied
 	}
-	return Tally{Builds: map[string]int{}}
+	return Totals{Builds: map[string]int{}}
 }
 
-// Took is a quantile, in percent, of the settled answers' times.
-func (c *Clients) Took(percent float64) time.Duration {
+// LatencyPercentile is a quantile, in percent, of the settled answers' times.
+func (c *Clients) LatencyPercentile(percent float64) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Duration(c.took.ValueAtQuantile(percent)) * time.Microsecond
--- a/internal/fakes/protocol.go
+++ b/internal/fakes/protocol.go
@@ -25,8 +25,8 @@
 
 var freeNext atomic.Int64
 
-// Free finds an address of loopback for a process that is to listen there soon.
-func Free() (string, error) {
+// FreeAddress finds an address of loopback for a process that is to listen there soon.
+func FreeAddress() (string, error) {
 	freeNext.CompareAndSwap(0, int64(os.Getpid()*97%(freeTo-freeFrom))+1)
 	for range freeTo - freeFrom {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", freeFrom+freeNext.Add(1)%(freeTo-freeFrom)))
@@ -38,41 +38,41 @@
 	return "", errors.New("no port of loopback is free")
 }
 
-// Copy is one request as an appliance got it.
-type Copy struct {
-	Line, Body string
-	Header     http.Header
-	Conn       int // which connection, from 1
+// CapturedRequest is one request as an appliance got it.
+type CapturedRequest struct {
+	RequestLine, Body string
+	Header            http.Header
+	Conn              int // which connection, from 1
 }
 
-// Box is a stand-in for an appliance: it notes each whole request, then does as it is told.
-type Box struct {
+// ScriptedServer is a stand-in for an appliance: it notes each whole request, then does as it is told.
+type ScriptedServer struct {
 	net.Listener
 	mu     sync.Mutex
-	copies []Copy
+	copies []CapturedRequest
 	conns  int
 	closed int // connections that are over
 	do     func(c net.Conn, nth int) bool
 }
 
-// Answers writes a text and keeps the connection.
-func Answers(text string) func(net.Conn, int) bool {
+// Respond writes a text and keeps the connection.
+func Respond(text string) func(net.Conn, int) bool {
 	return func(c net.Conn, _ int) bool { _, err := io.WriteString(c, text); return err == nil }
 }
 
-// OK is a whole answer with a body.
-func OK(body string) string {
+// OKResponse is a whole answer with a body.
+func OKResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// HangUp ends the connection.
-func HangUp(net.Conn, int) bool { return false }
+// CloseUnanswered ends the connection.
+func CloseUnanswered(net.Conn, int) bool { return false }
 
-// Silent says nothing until the agent ends the connection.
-func Silent(c net.Conn, _ int) bool { io.Copy(io.Discard, c); return false }
+// NeverRespond says nothing until the agent ends the connection.
+func NeverRespond(c net.Conn, _ int) bool { io.Copy(io.Discard, c); return false }
 
-func NewBox(l net.Listener, do func(c net.Conn, nth int) bool) *Box {
-	b := &Box{Listener: l, do: do}
+func NewScriptedServer(l net.Listener, do func(c net.Conn, nth int) bool) *ScriptedServer {
+	b := &ScriptedServer{Listener: l, do: do}
 	go func() {
 		for {
 			c, err := b.Accept()
@@ -89,7 +89,7 @@
 	return b
 }
 
-func (b *Box) serve(c net.Conn, n int) {
+func (b *ScriptedServer) serve(c net.Conn, n int) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -105,7 +105,7 @@
 			return
 		}
 		b.mu.Lock()
-		b.copies = append(b.copies, Copy{req.Method + " " + req.RequestURI, string(body), req.Header, n})
+		b.copies = append(b.copies, CapturedRequest{req.Method + " " + req.RequestURI, string(body), req.Header, n})
 		nth, do := len(b.copies), b.do
 		b.mu.Unlock()
 		if !do(c, nth) {
@@ -117,32 +117,32 @@
 	}
 }
 
-func (b *Box) Got() []Copy {
+func (b *ScriptedServer) Requests() []CapturedRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]Copy(nil), b.copies...)
+	return append([]CapturedRequest(nil), b.copies...)
 }
 
-func (b *Box) Ended() int {
+func (b *ScriptedServer) Closed() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.closed
 }
 
-func (b *Box) Then(do func(net.Conn, int) bool) {
+func (b *ScriptedServer) SetHandler(do func(net.Conn, int) bool) {
 	b.mu.Lock()
 	b.do = do
 	b.mu.Unlock()
 }
 
 // Addr hides the listener's, which is no string.
-func (b *Box) Addr() string { return b.Listener.Addr().String() }
+func (b *ScriptedServer) Addr() string { return b.Listener.Addr().String() }
 
 // NoAnswer, given for a call, leaves it open without a word.
 const NoAnswer = "no answer"
 
-// Streamer is a stand-in for a party that keeps an answer open: discovery's watch, the launcher's bulletin.
-type Streamer struct {
+// StreamServer is a stand-in for a party that keeps an answer open: discovery's watch, the launcher's bulletin.
+type StreamServer struct {
 	net.Listener
 	mu    sync.Mutex
 	asked []string // method, path and query, and the body
@@ -153,8 +153,8 @@
 	srv   *http.Server
 }
 
-func NewStreamer(l net.Listener, sign string, every time.Duration, first func(asked string) string) *Streamer {
-	s := &Streamer{Listener: l, first: first}
+func NewStreamServer(l net.Listener, sign string, every time.Duration, first func(asked string) string) *StreamServer {
+	s := &StreamServer{Listener: l, first: first}
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		asked := strings.TrimSpace(r.Method + " " + r.RequestURI + " " + string(body))
@@ -206,8 +206,8 @@
 	return s
 }
 
-// Calls counts what was asked with a text in it.
-func (s *Streamer) Calls(with string) (n int) {
+// CallsContaining counts what was asked with a text in it.
+func (s *StreamServer) CallsContaining(with string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, a := range s.asked {
@@ -218,72 +218,74 @@
 	return n
 }
 
-// Tell writes to the stream opened last; Cut ends it.
-func (s *Streamer) Tell(text string) {
+// Publish writes to the stream opened last; Cut ends it.
+func (s *StreamServer) Publish(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open[len(s.open)-1] <- text
 }
 
-func (s *Streamer) Cut() {
+func (s *StreamServer) CloseStreams() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.open[len(s.open)-1])
 	s.open = s.open[:len(s.open)-1]
 }
 
-func (s *Streamer) Left() int {
+func (s *StreamServer) Closed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.gone
 }
 
-func (s *Streamer) Mute(yes bool) {
+func (s *StreamServer) SetMuted(yes bool) {
 	s.mu.Lock()
 	s.quiet = yes
 	s.mu.Unlock()
 }
 
 // Close ends it.
-func (s *Streamer) Close() { s.srv.Close() }
+func (s *StreamServer) Close() { s.srv.Close() }
 
-func (s *Streamer) Addr() string { return s.Listener.Addr().String() }
+func (s *StreamServer) Addr() string { return s.Listener.Addr().String() }
 
-// Host is a row of the list, as discovery writes it, of an appliance that has long been up.
-func Host(name, dial, health string, build int) string { return HostBorn(name, dial, health, build, 0) }
+// ListEntry is a row of the list, as discovery writes it, of an appliance that has long been up.
+func ListEntry(name, dial, health string, build int) string {
+	return ListEntryStartedAt(name, dial, health, build, 0)
+}
 
-// HostBorn is one of an appliance that started at a time, in Unix milliseconds.
-func HostBorn(name, dial, health string, build int, born int64) string {
+// ListEntryStartedAt is one of an appliance that started at a time, in Unix milliseconds.
+func ListEntryStartedAt(name, dial, health string, build int, born int64) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"suva","class":"m","block":1,"health":%q,"share":1.0,"born_ms":%d,"build":%d}`,
 		name, dial, health, born, build)
 }
 
-// Line is a line of the list.
-func Line(seq int, whole bool, hosts ...string) string {
+// ListDocument is a line of the list.
+func ListDocument(seq int, whole bool, hosts ...string) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(hosts, ",")) + "\n"
 }
 
-// Bulletin is the launcher's news.
-func Bulletin(image, ring int, progress string, ceiling float64) string {
+// RolloutEvent is the launcher's news.
+func RolloutEvent(image, ring int, progress string, ceiling float64) string {
 	return fmt.Sprintf("event: ROLLOUT\ndata: image=%d&ring=%d&progress=%s&ceiling=%g&lag_ms=9\n\n", image, ring, progress, ceiling)
 }
 
-// Asked is all that was asked, in order.
-func (s *Streamer) Asked() []string {
+// Targets is all that was asked, in order.
+func (s *StreamServer) Targets() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.asked...)
 }
 
 // Open is the number of streams that stand.
-func (s *Streamer) Open() int {
+func (s *StreamServer) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.open)
 }
 
-// Say writes to all streams that stand; Tell writes to the last one only.
-func (s *Streamer) Say(text string) {
+// Write writes to all streams that stand; Tell writes to the last one only.
+func (s *StreamServer) Write(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, lines := range s.open {
--- a/internal/fakes/told.go
+++ b/internal/fakes/told.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// Told is what an agent is told by its configuration. Times of a vote, a drain and the cap's window are the same in all worlds.
-type Told struct {
-	Me, Agents, Build, MemoryMB        int
-	Listen, Discovery, Launcher, Known string
-	PeerListen, PeersAll               string
-	Peers                              []string // none: agents may say nothing to each other
-	Tenants                            []string
-	Shares                             []float64
-	SLA, Expiry                        time.Duration
-	News                               string // what the launcher last told, in JSON; empty: the build has long been released
-	Once                               bool   // there is a product that must never run twice
+// AgentConfig is what an agent is told by its configuration. Times of a vote, a drain and the cap's window are the same in all worlds.
+type AgentConfig struct {
+	Index, Agents, Build, MemoryMB        int
+	Listen, Discovery, Rollout, Endpoints string
+	PeerListen, PeersAll                  string
+	Peers                                 []string // none: agents may say nothing to each other
+	Tenants                               []string
+	Shares                                []float64
+	LatencyObjective, Timeout             time.Duration
+	RolloutState                          string // what the launcher last told, in JSON; empty: the build has long been released
+	HasNonIdempotent                      bool   // there is a product that must never run twice
 }
 
 // The figures that every world's agents are told, for those who judge by them.
 const (
-	VoteStands, CallWithin, DrainGrace, CapWindow = 4 * time.Second, 800 * time.Millisecond, time.Second, 4 * time.Second
-	GroupMemory, AnswerGrace                      = 8 * time.Second, 20 * time.Millisecond
-	CapFree                                       = 3
+	VoteLifetime, CallTimeout, DrainGrace, CapWindow = 4 * time.Second, 800 * time.Millisecond, time.Second, 4 * time.Second
+	DedupWindow, AnswerGrace                         = 8 * time.Second, 20 * time.Millisecond
+	CapAllowance                                     = 3
 	// A cold appliance begins with ColdFrom of its speed and is warm after ColdFor; sent TipMultiple of what it can do for TipAfter, it falls over.
-	ColdFrom, TipMultiple = 0.3, 2.0
-	ColdFor, TipAfter     = 3 * time.Second, 1500 * time.Millisecond
+	InitialCapacity, OverloadMultiple = 0.3, 2.0
+	SlowStartDuration, OverloadAfter  = 3 * time.Second, 1500 * time.Millisecond
 )
 
-// NewsJSON is where a build stands, as a configuration has it.
-func NewsJSON(image, ring int, progress string, ceiling float64, lag time.Duration) string {
+// RolloutJSON is where a build stands, as a configuration has it.
+func RolloutJSON(image, ring int, progress string, ceiling float64, lag time.Duration) string {
 	return fmt.Sprintf(`{"image":%d,"ring":%d,"progress":%q,"ceiling":%g,"lag_ms":%d}`, image, ring, progress, ceiling, lag.Milliseconds())
 }
 
 // File is the configuration.
-func (t Told) File() string {
+func (t AgentConfig) File() string {
 	var parties []string
 	for i, name := range t.Tenants {
 		parties = append(parties, fmt.Sprintf(`{"Name":%q,"Fraction":%g}`, name, t.Shares[i]))
 	}
-	sla, expiry := float64(t.SLA.Milliseconds()), float64(t.Expiry.Milliseconds())
+	sla, expiry := float64(t.LatencyObjective.Milliseconds()), float64(t.Timeout.Milliseconds())
 	circle, once := "", ""
 	if len(t.Peers) > 0 {
 		circle = fmt.Sprintf(`"peer_listen":%q,"peers":["%s"],`, t.PeerListen, strings.Join(t.Peers, `","`))
@@ -48,13 +48,13 @@
 			circle += fmt.Sprintf(`"peers_all":%q,`, t.PeersAll)
 		}
 	}
-	if t.Once {
+	if t.HasNonIdempotent {
 		once = fmt.Sprintf(`,
 {"Name":"fee","Repeat":"non_idempotent","SloMs":%g,"HardLimitMs":%g,"Worth":2.0}`, sla, expiry)
 	}
-	news := t.News
+	news := t.RolloutState
 	if news == "" {
-		news = NewsJSON(t.Build, 2, "live", 1, 90*time.Second)
+		news = RolloutJSON(t.Build, 2, "live", 1, 90*time.Second)
 	}
 	return fmt.Sprintf(`{"name":"n%d",%s"listen":%q,"discovery":%q,"seed":"%016x","limits":{"cores":1.0,"memory_mb":%d,
 "sockets":1024},"platform":{"address":%q,"news":%s},"known":%s,
@@ -66,8 +66,8 @@
 "CountedOverMs":%d,"Allowance":%d,"CountedBy":"all"},"Safety":{"ColdFrom":%g,"ColdMs":%d,"TipMultiple":%g,
 "TipAfterMs":%d,"DrainGraceMs":%d,"GraceToAnswerMs":%d},"Limits":{"MaxAttempts":3,"DialTimeoutMs":250.0,
 "ConnIdleMs":30000.0,"RetryAfter":true,"MaxRetryAfterMs":2000.0,"OpenCap":1000,"Probes":true,"MayTell":%t}}}`,
-		t.Me, circle, t.Listen, t.Discovery, uint64(0x8c1f30d27a5be964)+uint64(t.Me)*0x9e3779b97f4a7c15, t.MemoryMB, t.Launcher, news, strings.TrimSpace(t.Known),
-		t.Me, t.Agents, sla, expiry, GroupMemory.Milliseconds(), sla, expiry, once, strings.Join(parties, ","),
-		VoteStands.Milliseconds(), CallWithin.Milliseconds(), CapWindow.Milliseconds(), CapFree,
-		ColdFrom, ColdFor.Milliseconds(), TipMultiple, TipAfter.Milliseconds(), DrainGrace.Milliseconds(), AnswerGrace.Milliseconds(), circle != "")
+		t.Index, circle, t.Listen, t.Discovery, uint64(0x8c1f30d27a5be964)+uint64(t.Index)*0x9e3779b97f4a7c15, t.MemoryMB, t.Rollout, news, strings.TrimSpace(t.Endpoints),
+		t.Index, t.Agents, sla, expiry, DedupWindow.Milliseconds(), sla, expiry, once, strings.Join(parties, ","),
+		VoteLifetime.Milliseconds(), CallTimeout.Milliseconds(), CapWindow.Milliseconds(), CapAllowance,
+		InitialCapacity, SlowStartDuration.Milliseconds(), OverloadMultiple, OverloadAfter.Milliseconds(), DrainGrace.Milliseconds(), AnswerGrace.Milliseconds(), circle != "")
 }
--- a/internal/fakes/world.go
+++ b/internal/fakes/world.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// World is all that an agent meets but clients: appliances, discovery and launcher.
-type World struct {
-	Discovery, Launcher *Streamer
-	mu                  sync.Mutex
-	all                 []*Appliance
-	seq                 int
-	votes               map[string]int // by verdict, of the newest build
-	Tenants             []string
-	Shares              []float64
-	SLA, Expiry         time.Duration
-	news                string
+// Deployment is all that an agent meets but clients: appliances, discovery and launcher.
+type Deployment struct {
+	Discovery, Rollout        *StreamServer
+	mu                        sync.Mutex
+	all                       []*Endpoint
+	seq                       int
+	votes                     map[string]int // by verdict, of the newest build
+	Tenants                   []string
+	Shares                    []float64
+	LatencyObjective, Timeout time.Duration
+	news                      string
 }
 
-// NewWorld starts discovery and launcher, with a build that has long been released.
-func NewWorld(tenants []string, shares []float64, sla, expiry time.Duration) (*World, error) {
-	w := &World{Tenants: tenants, Shares: shares, SLA: sla, Expiry: expiry, seq: 1, votes: map[string]int{}}
+// NewDeployment starts discovery and launcher, with a build that has long been released.
+func NewDeployment(tenants []string, shares []float64, sla, expiry time.Duration) (*Deployment, error) {
+	w := &Deployment{Tenants: tenants, Shares: shares, LatencyObjective: sla, Timeout: expiry, seq: 1, votes: map[string]int{}}
 	list, err := Listen()
 	if err != nil {
 		return nil, err
@@ -32,12 +32,12 @@
 	if err != nil {
 		return nil, err
 	}
-	w.Discovery = NewStreamer(list, "\n", time.Second, func(asked string) string {
+	w.Discovery = NewStreamServer(list, "\n", time.Second, func(asked string) string {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return w.line()
 	})
-	w.Launcher = NewStreamer(desk, ":\n", time.Second, func(asked string) string {
+	w.Rollout = NewStreamServer(desk, ":\n", time.Second, func(asked string) string {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if form, is := strings.CutPrefix(asked, "POST /api/ "); is {
@@ -53,19 +53,19 @@
 	return w, nil
 }
 
-func (w *World) line() string {
+func (w *Deployment) line() string {
 	var rows []string
 	for _, a := range w.all {
-		rows = append(rows, a.Row("active"))
+		rows = append(rows, a.ListEntry("active"))
 	}
-	return Line(w.seq, true, rows...)
+	return ListDocument(w.seq, true, rows...)
 }
 
 // Add starts appliances and lists them.
-func (w *World) Add(many, build, slots int, work time.Duration, seed int64) ([]*Appliance, error) {
-	var fresh []*Appliance
+func (w *Deployment) Add(many, build, slots int, work time.Duration, seed int64) ([]*Endpoint, error) {
+	var fresh []*Endpoint
 	for i := range many {
-		a, err := NewAppliance(fmt.Sprintf("s-%d-%d", build, i), build, slots, work, seed+int64(i))
+		a, err := NewEndpoint(fmt.Sprintf("s-%d-%d", build, i), build, slots, work, seed+int64(i))
 		if err != nil {
 			return fresh, err
 		}
@@ -76,49 +76,49 @@
 	w.seq++
 	text := w.line()
 	w.mu.Unlock()
-	w.Discovery.Say(text)
+	w.Discovery.Write(text)
 	return fresh, nil
 }
 
-// News tells where the newest build stands, and forgets the votes on what stood before.
-func (w *World) News(build, stage int, progress string, ceiling float64) {
-	text := Bulletin(build, stage, progress, ceiling)
+// UpdateRollout tells where the newest build stands, and forgets the votes on what stood before.
+func (w *Deployment) UpdateRollout(build, stage int, progress string, ceiling float64) {
+	text := RolloutEvent(build, stage, progress, ceiling)
 	w.mu.Lock()
 	w.news = text
 	w.votes = map[string]int{}
 	w.mu.Unlock()
-	w.Launcher.Say(text)
+	w.Rollout.Write(text)
 }
 
 // Votes counts a verdict since the last news.
-func (w *World) Votes(verdict string) int {
+func (w *Deployment) Votes(verdict string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.votes[verdict]
 }
 
-// Appliances are all that were added.
-func (w *World) Appliances() []*Appliance {
+// Endpoints are all that were added.
+func (w *Deployment) Endpoints() []*Endpoint {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]*Appliance(nil), w.all...)
+	return append([]*Endpoint(nil), w.all...)
 }
 
 // Close ends all parties.
-func (w *World) Close() {
+func (w *Deployment) Close() {
 	w.Discovery.Close()
-	w.Launcher.Close()
-	for _, a := range w.Appliances() {
+	w.Rollout.Close()
+	for _, a := range w.Endpoints() {
 		a.Close()
 	}
 }
 
 // config is an agent's file for this world.
-func (w *World) config(listen string, build, memoryMB int) string {
-	t := Told{Agents: 1, Listen: listen, Discovery: w.Discovery.Addr(), Launcher: w.Launcher.Addr(), Build: build, MemoryMB: memoryMB,
-		Tenants: w.Tenants, Shares: w.Shares, SLA: w.SLA, Expiry: w.Expiry}
+func (w *Deployment) config(listen string, build, memoryMB int) string {
+	t := AgentConfig{Agents: 1, Listen: listen, Discovery: w.Discovery.Addr(), Rollout: w.Rollout.Addr(), Build: build, MemoryMB: memoryMB,
+		Tenants: w.Tenants, Shares: w.Shares, LatencyObjective: w.LatencyObjective, Timeout: w.Timeout}
 	w.mu.Lock()
-	t.Known = w.line()
+	t.Endpoints = w.line()
 	w.mu.Unlock()
 	return t.File()
 }
--- a/internal/faulttest/places.go
+++ b/internal/faulttest/places.go
@@ -256,10 +256,10 @@
 	var rows []string
 	for _, r := range c.rows(serial) {
 		if r.Health != "left" {
-			rows = append(rows, fakes.HostBorn(boxName(r.Box), c.address(who, r.Box), r.Health, r.Build, r.Born))
+			rows = append(rows, fakes.ListEntryStartedAt(boxName(r.Box), c.address(who, r.Box), r.Health, r.Build, r.Born))
 		}
 	}
-	return fakes.Line(serial+1, true, rows...)
+	return fakes.ListDocument(serial+1, true, rows...)
 }
 
 // change makes a new version and tells it.
@@ -415,7 +415,7 @@
 	return &group{now: now, known: map[string]netfault.Micros{}}
 }
 
-func (g *group) Came(a *fakes.Appliance, r *http.Request) any {
+func (g *group) RequestArrived(a *fakes.Endpoint, r *http.Request) any {
 	n, _ := strconv.Atoi(strings.TrimPrefix(a.Name, "s-"))
 	product, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	v := &Arrival{At: g.now(), Box: n, Build: a.Build, Agent: -1, ID: r.Header.Get("X-Request-Id"), Key: r.Header.Get("Idempotency-Key"), Product: product, Ran: -1}
@@ -434,12 +434,12 @@
 // The products of a night, as the configuration of package standin has them.
 const inquiry, posting, once = "lookup", "posting", "fee"
 
-func (g *group) Runs(_ *fakes.Appliance, came any) bool {
+func (g *group) RequestRuns(_ *fakes.Endpoint, came any) bool {
 	v, now := came.(*Arrival), g.now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if v.Product == posting {
-		if at, is := g.known[v.Key]; is && now-at < fakes.GroupMemory.Microseconds() {
+		if at, is := g.known[v.Key]; is && now-at < fakes.DedupWindow.Microseconds() {
 			v.Dropped = true
 			return false
 		}
@@ -464,5 +464,5 @@
 // newsJSON is the news as a configuration holds it.
 func (d *desk) newsJSON() (int, string) {
 	serial, s := d.newest()
-	return serial, fakes.NewsJSON(s.Build, s.Stage, s.Phase, s.Cap, time.Duration(d.now()-s.At)*time.Microsecond)
+	return serial, fakes.RolloutJSON(s.Build, s.Stage, s.Phase, s.Cap, time.Duration(d.now()-s.At)*time.Microsecond)
 }
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -239,11 +239,11 @@
 		return p.addBoxes(d.many, d.build, true)
 	case work:
 		for _, i := range p.those(d.boxes) {
-			p.boxes[i].Slow(d.times)
+			p.boxes[i].SetSlowdown(d.times)
 		}
 	case failing:
 		for _, i := range p.those(d.boxes) {
-			p.boxes[i].Fail(d.share)
+			p.boxes[i].SetErrorShare(d.share)
 		}
 	case news:
 		p.desk.change(Stage{Build: d.build, Stage: d.stage, Phase: d.phase, Cap: d.ceiling})
@@ -328,7 +328,7 @@
 				return 0, "no answer at the admin address", true
 			}
 		case "healthy":
-			if a.proc != nil && !a.proc.Ended() && a.proc.Healthy() {
+			if a.proc != nil && !a.proc.HasExited() && a.proc.IsHealthy() {
 				n++
 			}
 		case "log":
@@ -366,18 +366,18 @@
 	}
 	switch d.verb {
 	case "stop", "go":
-		if proc.Ended() {
+		if proc.HasExited() {
 			return fmt.Errorf("agent %d has no process", i)
 		}
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if n := len(life.Standstill); d.verb == "stop" {
 			life.Standstill = append(life.Standstill, [2]netfault.Micros{p.now(), -1})
-			return proc.Freeze()
+			return proc.Pause()
 		} else if n > 0 {
 			life.Standstill[n-1][1] = p.now()
 		}
-		return proc.Thaw()
+		return proc.Resume()
 	case "kill":
 		p.ends(life)
 		proc.Kill()
@@ -386,20 +386,20 @@
 		p.mu.Lock()
 		life.Left = p.now()
 		p.mu.Unlock()
-		return proc.Leave()
+		return proc.Terminate()
 	case "restart", "start":
-		if !proc.Ended() && d.verb == "start" { // it was asked to leave
+		if !proc.HasExited() && d.verb == "start" { // it was asked to leave
 			select {
-			case <-proc.Over():
+			case <-proc.Done():
 			case <-time.After(leaveWithin):
 				return fmt.Errorf("agent %d still runs %v after it was to end", i, leaveWithin)
 			}
 		}
-		if !proc.Ended() {
+		if !proc.HasExited() {
 			p.ends(life)
 			proc.Kill()
 		}
-		<-proc.Over()
+		<-proc.Done()
 		if d.fresh {
 			os.RemoveAll(a.state)
 		}
@@ -423,7 +423,7 @@
 // reload writes an agent's files anew and has it read them.
 func (p *player) reload(i int, d reload) error {
 	a := p.agents[i]
-	conf, orders := filepath.Join(a.dir, fakes.ConfigFile), filepath.Join(a.dir, fakes.OperatorFile)
+	conf, orders := filepath.Join(a.dir, fakes.ConfigName), filepath.Join(a.dir, fakes.OptionsName)
 	switch d.what {
 	case "spoilt":
 		if err := os.WriteFile(conf, []byte(`{"name":"n`), 0o600); err != nil {
--- a/internal/faulttest/rig.go
+++ b/internal/faulttest/rig.go
@@ -37,7 +37,7 @@
 	mesh     *netfault.Mesh
 
 	mu     sync.Mutex
-	boxes  []*fakes.Appliance
+	boxes  []*fakes.Endpoint
 	born   []netfault.Micros    // when each began, cold; -1: long ago
 	toBox  [][]*netfault.Stream // agent, box
 	peers  [][]*netfault.Stream // from, to; nil where agents don't speak over TCP
@@ -101,7 +101,7 @@
 			return r, err
 		}
 		for _, to := range []*string{&a.listen, &a.datagram, &a.stream} {
-			if *to, err = fakes.Free(); err != nil {
+			if *to, err = fakes.FreeAddress(); err != nil {
 				return r, err
 			}
 		}
@@ -196,7 +196,7 @@
 		r.mu.Lock()
 		n := len(r.boxes)
 		r.mu.Unlock()
-		box := fakes.NewApplianceAt(l, boxName(n), build, r.night.Slots, r.night.Work, r.night.Seed*31+int64(n), r.group, withHop)
+		box := fakes.NewEndpointAt(l, boxName(n), build, r.night.Slots, r.night.Work, r.night.Seed*31+int64(n), r.group, withHop)
 		var relays []*netfault.Stream
 		for i := range r.agents {
 			if r.direct {
@@ -217,7 +217,7 @@
 		r.mu.Unlock()
 		row, born := Row{n, "active", build, 0}, netfault.Micros(-1)
 		if cold {
-			box.Begins(fakes.ColdFrom, fakes.ColdFor)
+			box.SetSlowStart(fakes.InitialCapacity, fakes.SlowStartDuration)
 			row.Born, born = time.Now().UnixMilli(), r.now()
 		}
 		r.mu.Lock()
@@ -260,12 +260,12 @@
 
 // file is an agent's configuration, and the serials of the list and the news that it holds.
 func (r *Rig) file(a *agent) (text string, list, news int) {
-	t := fakes.Told{Me: a.number, Agents: r.night.Agents, Build: r.night.Build, MemoryMB: memoryMB, Listen: a.listen,
-		Discovery: r.last(r.toList[a.number], r.list.l.Addr().String()), Launcher: r.last(r.toDesk[a.number], r.desk.l.Addr().String()),
-		Tenants: []string{"beqa"}, Shares: []float64{1}, SLA: SLA, Expiry: Expiry, Once: true}
+	t := fakes.AgentConfig{Index: a.number, Agents: r.night.Agents, Build: r.night.Build, MemoryMB: memoryMB, Listen: a.listen,
+		Discovery: r.last(r.toList[a.number], r.list.l.Addr().String()), Rollout: r.last(r.toDesk[a.number], r.desk.l.Addr().String()),
+		Tenants: []string{"beqa"}, Shares: []float64{1}, LatencyObjective: SLA, Timeout: Expiry, HasNonIdempotent: true}
 	list = r.list.newest()
-	t.Known = r.list.line(a.number, list)
-	news, t.News = r.desk.newsJSON()
+	t.Endpoints = r.list.line(a.number, list)
+	news, t.RolloutState = r.desk.newsJSON()
 	if r.night.Talk == "datagrams" {
 		t.PeerListen = a.datagram
 		for j, b := range r.agents {
@@ -295,7 +295,7 @@
 	a.lives = append(a.lives, Life{From: at, To: -1, Left: -1})
 	a.told = append(a.told, startWord{at, list, news})
 	r.mu.Unlock()
-	p, err := fakes.Begin(path, a.dir, text, strings.Join(a.operator, "\n")+"\n", a.listen, a.log)
+	p, err := fakes.StartAgent(path, a.dir, text, strings.Join(a.operator, "\n")+"\n", a.listen, a.log)
 	if err != nil {
 		return err
 	}
@@ -304,7 +304,7 @@
 	r.mu.Unlock()
 	r.note("rig", "agent %d starts%s", a.number, map[bool]string{true: " as " + program}[program != firstProgram])
 	go func() {
-		<-p.Over()
+		<-p.Done()
 		r.mu.Lock()
 		if l := &a.lives[nth]; l.To < 0 { // another may have begun by now
 			l.To = r.now()
@@ -314,9 +314,9 @@
 	}()
 	for end := time.Now().Add(readyWithin); ; {
 		switch {
-		case p.Healthy():
+		case p.IsHealthy():
 			return nil
-		case p.Ended():
+		case p.HasExited():
 			return fmt.Errorf("agent %d has ended at its start", a.number)
 		case time.Now().After(end):
 			return fmt.Errorf("agent %d does not serve %v after its start", a.number, readyWithin)
@@ -374,11 +374,11 @@
 		r.mu.Lock()
 		p := a.proc
 		r.mu.Unlock()
-		if p != nil && !p.Ended() {
+		if p != nil && !p.HasExited() {
 			p.Kill()
 		}
 		if p != nil {
-			<-p.Over()
+			<-p.Done()
 		}
 	}
 	if r.crowd != nil {
--- a/internal/faulttest/rules.go
+++ b/internal/faulttest/rules.go
@@ -225,9 +225,9 @@
 // coldSpared: no appliance that has just begun is sent, by all agents together, more than the told multiple of what it can do for
 // the told time. What it can do in a span is its slots' time, by the part of its speed that it has.
 func coldSpared(r *Records) (out []Breach) {
-	window, span := fakes.TipAfter.Microseconds(), fakes.ColdFor.Microseconds()
+	window, span := fakes.OverloadAfter.Microseconds(), fakes.SlowStartDuration.Microseconds()
 	speed := func(age netfault.Micros) float64 {
-		return min(1, fakes.ColdFrom+(1-fakes.ColdFrom)*float64(max(0, age))/float64(span))
+		return min(1, fakes.InitialCapacity+(1-fakes.InitialCapacity)*float64(max(0, age))/float64(span))
 	}
 	times := map[int][]netfault.Micros{}
 	for _, a := range r.Arrivals {
@@ -243,9 +243,9 @@
 			many := after(at, at[i]) - after(at, from)
 			begins, ends := speed(from-born), speed(at[i]-born)
 			can := (begins + ends) / 2 * float64(window) * float64(r.Slots) / float64(r.Work) // its speed rises evenly
-			if most := fakes.TipMultiple * can; float64(many) > most+coldSlack*math.Sqrt(most) {
+			if most := fakes.OverloadMultiple * can; float64(many) > most+coldSlack*math.Sqrt(most) {
 				out = append(out, Breach{"cold spared", at[i], fmt.Sprintf("appliance %d, %.3f s old, was sent %d txns in %v; it can do %.1f, and bears %.1f",
-					box, float64(at[i]-born)/1e6, many, fakes.TipAfter, can, most)})
+					box, float64(at[i]-born)/1e6, many, fakes.OverloadAfter, can, most)})
 				break
 			}
 		}
@@ -307,7 +307,7 @@
 				}
 				many := after(times, at) - after(times, from)
 				took := after(taken, at) - after(taken, at-window-takenRoom.Microseconds())
-				if most := float64(fakes.CapFree+capFree) + (highest+capOver)*float64(took); float64(many) > most {
+				if most := float64(fakes.CapAllowance+capFree) + (highest+capOver)*float64(took); float64(many) > most {
 					out = append(out, Breach{"exposure", at, fmt.Sprintf("agent %d sent %d txns to build %d in %.3f s, under a cap of %g, having taken %d: at most %.1f",
 						agent, many, build, float64(at-from)/1e6, highest, took, most)})
 				}
@@ -371,7 +371,7 @@
 	if !r.Decider {
 		return nil
 	}
-	life := fakes.VoteStands.Microseconds()
+	life := fakes.VoteLifetime.Microseconds()
 	for i, a := range r.Votes {
 		for _, b := range r.Votes[i+1:] {
 			own := a.Agent == b.Agent && a.Opinion == "on"
@@ -397,7 +397,7 @@
 func (r *Records) claims() (out []Claim) {
 	for _, v := range r.Votes {
 		if v.Opinion != "none" {
-			out = append(out, Claim{"vote", v.Agent, v.At, v.At + fakes.VoteStands.Microseconds()})
+			out = append(out, Claim{"vote", v.Agent, v.At, v.At + fakes.VoteLifetime.Microseconds()})
 		}
 	}
 	return out
--- a/internal/options/operator.go
+++ b/internal/options/operator.go
@@ -21,68 +21,68 @@
 	"github.com/google/shlex"
 )
 
-// Orders are what the file asks for.
-type Orders struct {
-	Path  string // empty: no file, all defaults
-	Log   LogBook
-	Door  DoorKeeping
-	Chair Chair
-	Given []string // the keywords that the file holds, in its order
+// Options are what the file asks for.
+type Options struct {
+	Path        string // empty: no file, all defaults
+	Log         Log
+	Admission   Admission
+	Coordinator Coordinator
+	Keywords    []string // the keywords that the file holds, in its order
 }
 
-// LogBook is how the log is written.
-type LogBook struct{ Level, Form string }
+// Log is how the log is written.
+type Log struct{ Level, Format string }
 
-// DoorKeeping is how the door is kept.
-type DoorKeeping struct {
-	On         bool
-	Shares     map[string]float64 // a tenant's weight, before the told one
-	Client     string             // address, connection or header
-	Header     string
-	Queues     int
-	Txns       int   // 0: from the told limits
-	Bytes      int64 // 0: from the told memory
-	ComeBack   bool
-	SameAnswer bool
+// Admission is how the door is kept.
+type Admission struct {
+	Enabled         bool
+	Weights         map[string]float64 // a tenant's weight, before the told one
+	Client          string             // address, connection or header
+	Header          string
+	Queues          int
+	Requests        int   // 0: from the told limits
+	Bytes           int64 // 0: from the told memory
+	SendsRetryAfter bool
+	Coalesces       bool
 }
 
-// Chair is how one agent's votes stand for all.
-type Chair struct {
-	On     bool
-	Me     int            // -1: as the platform numbers the agents
-	Listen string         // of the TCP way; empty: the platform's datagrams
-	Peers  map[int]string // TCP addresses by agent
-	State  string         // a folder; empty: no disk
-	Lease  time.Duration
-	Group  string
-	Admin  string // a Unix socket's path; empty: none
+// Coordinator is how one agent's votes stand for all.
+type Coordinator struct {
+	Enabled     bool
+	Index       int            // -1: as the platform numbers the agents
+	Listen      string         // of the TCP way; empty: the platform's datagrams
+	Peers       map[int]string // TCP addresses by agent
+	StateDir    string         // a folder; empty: no disk
+	Lease       time.Duration
+	Group       string
+	AdminSocket string // a Unix socket's path; empty: none
 }
 
 // Defaults are in force where the file says nothing.
-func Defaults() *Orders {
-	return &Orders{Log: LogBook{"info", "text"}, Door: DoorKeeping{Shares: map[string]float64{}, Client: "address", Queues: 64, ComeBack: true},
-		Chair: Chair{Me: -1, Peers: map[int]string{}, Lease: 2 * time.Second, Group: "switchfork"}}
+func Defaults() *Options {
+	return &Options{Log: Log{"info", "text"}, Admission: Admission{Weights: map[string]float64{}, Client: "address", Queues: 64, SendsRetryAfter: true},
+		Coordinator: Coordinator{Index: -1, Peers: map[int]string{}, Lease: 2 * time.Second, Group: "switchfork"}}
 }
 
-// Fault is one thing that is wrong with a file.
-type Fault struct {
+// FileError is one thing that is wrong with a file.
+type FileError struct {
 	Path    string
 	Line    int
 	Keyword string
 	Why     string
 }
 
-func (f Fault) Error() string {
+func (f FileError) Error() string {
 	if f.Keyword == "" {
 		return fmt.Sprintf("%s:%d: %s", f.Path, f.Line, f.Why)
 	}
 	return fmt.Sprintf("%s:%d: %s: %s", f.Path, f.Line, f.Keyword, f.Why)
 }
 
-// Faults are all that is wrong with a file, in its order.
-type Faults []Fault
+// FileErrors are all that is wrong with a file, in its order.
+type FileErrors []FileError
 
-func (f Faults) Error() string {
+func (f FileErrors) Error() string {
 	var lines []string
 	for _, one := range f {
 		lines = append(lines, one.Error())
@@ -95,13 +95,13 @@
 	form string // its values, as the messages give them
 	most int    // of values; the least where least is 0
 	many bool   // may stand more than once, with another first value
-	set  func(o *Orders, v []string) error
-	show func(o *Orders) []string // its lines in the file in force, without the keyword
+	set  func(o *Options, v []string) error
+	show func(o *Options) []string // its lines in the file in force, without the keyword
 }
 
-func word(of func(*Orders) *string, known ...string) keyword {
+func word(of func(*Options) *string, known ...string) keyword {
 	return keyword{form: strings.Join(known, "|"), most: 1,
-		set: func(o *Orders, v []string) error {
+		set: func(o *Options, v []string) error {
 			for _, k := range known {
 				if v[0] == k {
 					*of(o) = k
@@ -110,19 +110,19 @@
 			}
 			return fmt.Errorf("is %q, expected one of %s", v[0], strings.Join(known, ", "))
 		},
-		show: func(o *Orders) []string { return []string{*of(o)} }}
+		show: func(o *Options) []string { return []string{*of(o)} }}
 }
 
-func onOff(of func(*Orders) *bool) keyword {
+func onOff(of func(*Options) *bool) keyword {
 	return keyword{form: "on|off", most: 1,
-		set: func(o *Orders, v []string) error {
+		set: func(o *Options, v []string) error {
 			if v[0] != "on" && v[0] != "off" {
 				return fmt.Errorf("is %q, expected on or off", v[0])
 			}
 			*of(o) = v[0] == "on"
 			return nil
 		},
-		show: func(o *Orders) []string {
+		show: func(o *Options) []string {
 			if *of(o) {
 				return []string{"on"}
 			}
@@ -131,12 +131,12 @@
 }
 
 // count is a whole number in a range; auto stands for 0, which is worked out from what the agent is told.
-func count(of func(*Orders) *int, least, most int, auto bool) keyword {
+func count(of func(*Options) *int, least, most int, auto bool) keyword {
 	k := keyword{form: fmt.Sprintf("%d to %d", least, most), most: 1}
 	if auto {
 		k.form += ", or auto"
 	}
-	k.set = func(o *Orders, v []string) error {
+	k.set = func(o *Options, v []string) error {
 		if auto && v[0] == "auto" {
 			*of(o) = 0
 			return nil
@@ -148,7 +148,7 @@
 		*of(o) = n
 		return nil
 	}
-	k.show = func(o *Orders) []string {
+	k.show = func(o *Options) []string {
 		if auto && *of(o) == 0 {
 			return []string{"auto"}
 		}
@@ -158,9 +158,9 @@
 }
 
 // text is a value that may be none.
-func text(form string, of func(*Orders) *string, good func(string) bool) keyword {
+func text(form string, of func(*Options) *string, good func(string) bool) keyword {
 	return keyword{form: form + ", or none", most: 1,
-		set: func(o *Orders, v []string) error {
+		set: func(o *Options, v []string) error {
 			if v[0] == "none" {
 				*of(o) = ""
 				return nil
@@ -171,7 +171,7 @@
 			*of(o) = v[0]
 			return nil
 		},
-		show: func(o *Orders) []string {
+		show: func(o *Options) []string {
 			if *of(o) == "" {
 				return []string{"none"}
 			}
@@ -191,89 +191,91 @@
 const leaseLeast, leaseMost, agentsMost = 200 * time.Millisecond, time.Minute, 64
 
 var keywords = map[string]keyword{
-	"decider":        onOff(func(o *Orders) *bool { return &o.Chair.On }),
-	"decider-listen": text("a host and port", func(o *Orders) *string { return &o.Chair.Listen }, address),
-	"decider-state":  text("a folder's whole path", func(o *Orders) *string { return &o.Chair.State }, path),
-	"decider-group":  text("a name", func(o *Orders) *string { return &o.Chair.Group }, func(v string) bool { return v != "" }),
-	"admin":          text("a Unix socket's whole path", func(o *Orders) *string { return &o.Chair.Admin }, path),
+	"decider":        onOff(func(o *Options) *bool { return &o.Coordinator.Enabled }),
+	"decider-listen": text("a host and port", func(o *Options) *string { return &o.Coordinator.Listen }, address),
+	"decider-state":  text("a folder's whole path", func(o *Options) *string { return &o.Coordinator.StateDir }, path),
+	"decider-group":  text("a name", func(o *Options) *string { return &o.Coordinator.Group }, func(v string) bool { return v != "" }),
+	"admin":          text("a Unix socket's whole path", func(o *Options) *string { return &o.Coordinator.AdminSocket }, path),
 	"decider-me": {form: "0 to 63, or auto", most: 1,
-		set: func(o *Orders, v []string) error {
+		set: func(o *Options, v []string) error {
 			n, err := strconv.Atoi(v[0])
 			if v[0] == "auto" {
 				n, err = -1, nil
 			} else if err == nil && (n < 0 || n >= agentsMost) {
 				err = strconv.ErrRange
 			}
-			if o.Chair.Me = n; err != nil {
+			if o.Coordinator.Index = n; err != nil {
 				return fmt.Errorf("is %q, expected 0 to 63, or auto", v[0])
 			}
 			return nil
 		},
-		show: func(o *Orders) []string {
-			if o.Chair.Me < 0 {
+		show: func(o *Options) []string {
+			if o.Coordinator.Index < 0 {
 				return []string{"auto"}
 			}
-			return []string{strconv.Itoa(o.Chair.Me)}
+			return []string{strconv.Itoa(o.Coordinator.Index)}
 		}},
 	"decider-lease": {form: "a time from 200ms to 1m", most: 1,
-		set: func(o *Orders, v []string) error {
+		set: func(o *Options, v []string) error {
 			d, err := time.ParseDuration(v[0])
 			if err != nil || d < leaseLeast || d > leaseMost {
 				return fmt.Errorf("is %q, expected a time from 200ms to 1m", v[0])
 			}
-			o.Chair.Lease = d
+			o.Coordinator.Lease = d
 			return nil
 		},
-		show: func(o *Orders) []string { return []string{o.Chair.Lease.String()} }},
+		show: func(o *Options) []string { return []string{o.Coordinator.Lease.String()} }},
 	"decider-peer": {form: "AGENT HOST:PORT", most: 2, many: true,
-		set: func(o *Orders, v []string) error {
+		set: func(o *Options, v []string) error {
 			if len(v) == 2 {
 				if n, err := strconv.Atoi(v[0]); err == nil && n >= 0 && n < agentsMost && address(v[1]) {
-					o.Chair.Peers[n] = v[1]
+					o.Coordinator.Peers[n] = v[1]
 					return nil
 				}
 			}
 			return fmt.Errorf("is %q, expected an agent's number from 0 to 63, and its host and port", strings.Join(v, " "))
 		},
-		show: func(o *Orders) (lines []string) {
+		show: func(o *Options) (lines []string) {
 			for n := range agentsMost {
-				if a, is := o.Chair.Peers[n]; is {
+				if a, is := o.Coordinator.Peers[n]; is {
 					lines = append(lines, fmt.Sprint(n, " ", a))
 				}
 			}
 			return lines
 		}},
-	"log-level":   word(func(o *Orders) *string { return &o.Log.Level }, "debug", "info", "warn", "error"),
-	"log-form":    word(func(o *Orders) *string { return &o.Log.Form }, "text", "json"),
-	"door":        onOff(func(o *Orders) *bool { return &o.Door.On }),
-	"door-queues": count(func(o *Orders) *int { return &o.Door.Queues }, 1, 65536, false),
-	"door-txns":   count(func(o *Orders) *int { return &o.Door.Txns }, 1, 1_000_000, true),
+	"log-level":   word(func(o *Options) *string { return &o.Log.Level }, "debug", "info", "warn", "error"),
+	"log-form":    word(func(o *Options) *string { return &o.Log.Format }, "text", "json"),
+	"door":        onOff(func(o *Options) *bool { return &o.Admission.Enabled }),
+	"door-queues": count(func(o *Options) *int { return &o.Admission.Queues }, 1, 65536, false),
+	"door-txns":   count(func(o *Options) *int { return &o.Admission.Requests }, 1, 1_000_000, true),
 	"door-bytes": {form: "a size as 512KiB or 8MiB, or auto", most: 1,
-		set: func(o *Orders, v []string) (err error) { o.Door.Bytes, err = size(v[0]); return err },
-		show: func(o *Orders) []string {
-			if o.Door.Bytes == 0 {
+		set: func(o *Options, v []string) (err error) { o.Admission.Bytes, err = size(v[0]); return err },
+		show: func(o *Options) []string {
+			if o.Admission.Bytes == 0 {
 				return []string{"auto"}
 			}
-			return []string{strconv.FormatInt(o.Door.Bytes>>10, 10) + "KiB"}
+			return []string{strconv.FormatInt(o.Admission.Bytes>>10, 10) + "KiB"}
 		}},
 	"door-client": {form: "address|connection|header NAME", most: 2,
-		set: func(o *Orders, v []string) error {
+		set: func(o *Options, v []string) error {
 			switch {
 			case v[0] == "header" && len(v) == 2:
-				o.Door.Header = v[1]
+				o.Admission.Header = v[1]
 			case (v[0] == "address" || v[0] == "connection") && len(v) == 1:
-				o.Door.Header = ""
+				o.Admission.Header = ""
 			default:
 				return fmt.Errorf("is %q, expected address, connection, or header and a name", strings.Join(v, " "))
 			}
-			o.Door.Client = v[0]
+			o.Admission.Client = v[0]
 			return nil
 		},
-		show: func(o *Orders) []string { return []string{strings.TrimSpace(o.Door.Client + " " + o.Door.Header)} }},
-	"come-back":   onOff(func(o *Orders) *bool { return &o.Door.ComeBack }),
-	"same-answer": onOff(func(o *Orders) *bool { return &o.Door.SameAnswer }),
+		show: func(o *Options) []string {
+			return []string{strings.TrimSpace(o.Admission.Client + " " + o.Admission.Header)}
+		}},
+	"come-back":   onOff(func(o *Options) *bool { return &o.Admission.SendsRetryAfter }),
+	"same-answer": onOff(func(o *Options) *bool { return &o.Admission.Coalesces }),
 	"tenant": {form: "NAME share WEIGHT", most: 3, many: true,
-		set: func(o *Orders, v []string) error {
+		set: func(o *Options, v []string) error {
 			if len(v) != 3 || v[1] != "share" {
 				return fmt.Errorf("is %q, expected a name, the word share and a weight", strings.Join(v, " "))
 			}
@@ -281,11 +283,11 @@
 			if err != nil || !(w > 0) || w > 1e6 {
 				return fmt.Errorf("has the weight %q, expected a number over 0", v[2])
 			}
-			o.Door.Shares[v[0]] = w
+			o.Admission.Weights[v[0]] = w
 			return nil
 		},
-		show: func(o *Orders) (lines []string) {
-			for name, w := range o.Door.Shares {
+		show: func(o *Options) (lines []string) {
+			for name, w := range o.Admission.Weights {
 				lines = append(lines, quoted(name)+" share "+strconv.FormatFloat(w, 'g', -1, 64))
 			}
 			sort.Strings(lines)
@@ -316,7 +318,7 @@
 }
 
 // Read opens and reads a file; the error is Faults where the file could be read.
-func Read(path string) (*Orders, error) {
+func Read(path string) (*Options, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: %w", err)
@@ -325,17 +327,17 @@
 }
 
 // Parse reads a file's text; path is what messages call it.
-func Parse(path string, text io.Reader) (*Orders, error) {
+func Parse(path string, text io.Reader) (*Options, error) {
 	o := Defaults()
 	o.Path = path
-	var faults Faults
+	var faults FileErrors
 	met := map[string]int{}
 	lines := bufio.NewScanner(text)
 	n := 0
 	for lines.Scan() {
 		n++
 		bad := func(keyword, format string, with ...any) {
-			faults = append(faults, Fault{path, n, keyword, fmt.Sprintf(format, with...)})
+			faults = append(faults, FileError{path, n, keyword, fmt.Sprintf(format, with...)})
 		}
 		words, err := shlex.Split(lines.Text())
 		switch {
@@ -368,10 +370,10 @@
 			bad(name, "%s", err)
 			continue
 		}
-		o.Given = append(o.Given, name)
+		o.Keywords = append(o.Keywords, name)
 	}
 	if err := lines.Err(); err != nil {
-		faults = append(faults, Fault{path, n + 1, "", "a line is too long to be read"})
+		faults = append(faults, FileError{path, n + 1, "", "a line is too long to be read"})
 	}
 	if len(faults) > 0 {
 		return nil, faults
@@ -404,7 +406,7 @@
 }
 
 // Write writes the file in force, with every default.
-func (o *Orders) Write(to io.Writer) {
+func (o *Options) Write(to io.Writer) {
 	for _, name := range names() {
 		for _, line := range keywords[name].show(o) {
 			fmt.Fprintf(to, "%s %s\n", name, line)
@@ -415,8 +417,8 @@
 // atOnce are the keywords that a reload puts in force.
 var atOnce = map[string]bool{"log-level": true, "log-form": true, "tenant": true, "decider-peer": true}
 
-// Differs names the keywords in which another file differs that need a restart.
-func (o *Orders) Differs(other *Orders) (left []string) {
+// ChangedKeywords names the keywords in which another file differs that need a restart.
+func (o *Options) ChangedKeywords(other *Options) (left []string) {
 	for _, name := range names() {
 		a, b := keywords[name].show(o), keywords[name].show(other)
 		if !atOnce[name] && strings.Join(a, "\n") != strings.Join(b, "\n") {
@@ -426,9 +428,9 @@
 	return left
 }
 
-// Strangers are the tenants of the file that the agent was not told of.
-func (o *Orders) Strangers(told []string) (names []string) {
-	for name := range o.Door.Shares {
+// UnknownTenants are the tenants of the file that the agent was not told of.
+func (o *Options) UnknownTenants(told []string) (names []string) {
+	for name := range o.Admission.Weights {
 		known := false
 		for _, t := range told {
 			known = known || t == name
--- a/internal/options/operator_test.go
+++ b/internal/options/operator_test.go
@@ -21,7 +21,7 @@
 zzzzqqq 1
 same-answer
 `))
-	var faults Faults
+	var faults FileErrors
 	if !errors.As(err, &faults) {
 		t.Fatalf("no faults but %v", err)
 	}
@@ -55,11 +55,11 @@
 		t.Fatalf("%v in\n%s", err, out.String())
 	}
 	var twice strings.Builder
-	if again.Write(&twice); twice.String() != out.String() || again.Door.Shares["reef calor"] != 0.4 || !again.Door.On ||
-		again.Door.Header != "X-Crew" || again.Door.Bytes != 8<<20 || again.Log.Form != "json" {
+	if again.Write(&twice); twice.String() != out.String() || again.Admission.Weights["reef calor"] != 0.4 || !again.Admission.Enabled ||
+		again.Admission.Header != "X-Crew" || again.Admission.Bytes != 8<<20 || again.Log.Format != "json" {
 		t.Errorf("%s became %s", out.String(), twice.String())
 	}
-	if s := o.Strangers([]string{"tavua"}); len(s) != 1 || s[0] != "reef calor" {
+	if s := o.UnknownTenants([]string{"tavua"}); len(s) != 1 || s[0] != "reef calor" {
 		t.Errorf("strangers %v", s)
 	}
 }
--- a/internal/simprotocol/adapter.go
+++ b/internal/simprotocol/adapter.go
@@ -85,7 +85,7 @@
 		if r.err != nil {
 			return r.err
 		}
-		m, err := config.Pairs(env).Open(seed)
+		m, err := config.ParsePairs(env).NewRouter(seed)
 		if err != nil {
 			return fmt.Errorf("instance %d: %w", who, err)
 		}
