--- a/cmd/switchfork-lab/decider.go
+++ b/cmd/switchfork-lab/decider.go
@@ -9,11 +9,11 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"switchfork/internal/cluster/election"
 	"switchfork/internal/cluster/transport"
 	"switchfork/internal/simulation"
+
+	"github.com/spf13/cobra"
 )
 
 // This file owns the experiment on the decider: random schedules of troubles, checked at the launcher's model.
@@ -24,14 +24,16 @@
 	var seed int64
 	var schedules, agents, seconds int
 	var without string
-	c := &cobra.Command{Use: "decider", Short: "one decider at a time: random partitions, standstills, restarts", Args: none,
+	c := &cobra.Command{
+		Use: "decider", Short: "one decider at a time: random partitions, standstills, restarts", Args: none,
 		RunE: func(c *cobra.Command, _ []string) error {
 			off, known := guards[without]
 			if !known || schedules < 1 || schedules > 1_000_000 || agents < 1 || agents > 9 || seconds < 10 || seconds > 600 {
 				return use{fmt.Errorf("--schedules 1 to 1000000, --agents 1 to 9, --seconds 10 to 600, --without lease, record, wait, prevote or begin")}
 			}
 			return deciders(c.OutOrStdout(), seed, schedules, agents, seconds, without, off)
-		}}
+		},
+	}
 	c.Flags().Int64Var(&seed, "seed", 1, "of the first schedule")
 	c.Flags().IntVar(&schedules, "schedules", 10_000, "how many are played")
 	c.Flags().IntVar(&agents, "agents", 3, "how many agents")
--- a/cmd/switchfork-lab/demo.go
+++ b/cmd/switchfork-lab/demo.go
@@ -14,10 +14,10 @@
 	"sync/atomic"
 	"time"
 
+	"switchfork/internal/fakes"
+
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
-
-	"switchfork/internal/fakes"
 )
 
 // This file owns what is played with the real agent: the demo, and the door's short form on loopback.
@@ -118,7 +118,8 @@
 	var flood, program string
 	var bad bool
 	var length time.Duration
-	c := &cobra.Command{Use: "demo", Short: "the agent at work on loopback, among stand-ins, with a release on its way", Args: none,
+	c := &cobra.Command{
+		Use: "demo", Short: "the agent at work on loopback, among stand-ins, with a release on its way", Args: none,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if flood != "" && !slices.Contains(crews, flood) {
 				return use{fmt.Errorf("--flood is %q, expected one of %s", flood, strings.Join(crews, ", "))}
@@ -127,7 +128,8 @@
 				return use{fmt.Errorf("--for is %v, expected 5s to 10m", length)}
 			}
 			return demo(c.OutOrStdout(), program, flood, bad, length)
-		}}
+		},
+	}
 	c.Flags().StringVar(&flood, "flood", "", "a tenant that sends twenty times its share from a third of the time on")
 	c.Flags().BoolVar(&bad, "bad-release", false, "the release fails a third of its txns")
 	c.Flags().DurationVar(&length, "for", 30*time.Second, "how long it plays")
@@ -278,8 +280,11 @@
 		memory         []float64
 		descriptors    []int
 	}
-	days := []*day{{name: "quiet, door", operator: demoOperator, times: 1}, {name: "noisy, door", operator: demoOperator, times: times},
-		{name: "noisy, no door", operator: "log-form json\n", times: times}}
+	days := []*day{
+		{name: "quiet, door", operator: demoOperator, times: 1},
+		{name: "noisy, door", operator: demoOperator, times: times},
+		{name: "noisy, no door", operator: "log-form json\n", times: times},
+	}
 	for _, d := range days {
 		fmt.Fprintf(out, "playing %s for %d s ...\n", d.name, seconds)
 		s, err := raise(program, d.operator)
--- a/cmd/switchfork-lab/door.go
+++ b/cmd/switchfork-lab/door.go
@@ -9,10 +9,10 @@
 	"sync"
 	"text/tabwriter"
 
-	"github.com/spf13/cobra"
-
 	"switchfork/internal/admission"
 	"switchfork/internal/simulation"
+
+	"github.com/spf13/cobra"
 )
 
 // This file owns the experiment on the door: what the others get while one tenant floods, beside the same day without it
@@ -24,7 +24,8 @@
 	var noisy, oneOff, seconds int
 	var sockets bool
 	var logs string
-	c := &cobra.Command{Use: "door", Short: "one tenant floods: what the others get", Args: none,
+	c := &cobra.Command{
+		Use: "door", Short: "one tenant floods: what the others get", Args: none,
 		RunE: func(c *cobra.Command, _ []string) error {
 			switch {
 			case times < 1 || noisy < 1 || noisy > 3 || seconds < 5 || seconds > 600 || oneOff < 0 || oneOff > 1_000_000:
@@ -33,7 +34,8 @@
 				return socketDoor(c.OutOrStdout(), seed, times, min(seconds, 20), logs)
 			}
 			return simulatedDoor(c.OutOrStdout(), seed, times, noisy, oneOff, seconds)
-		}}
+		},
+	}
 	c.Flags().Int64Var(&seed, "seed", 1, "of the day")
 	c.Flags().Float64Var(&times, "times", 20, "how many times its share a noisy tenant sends")
 	c.Flags().IntVar(&noisy, "noisy", 1, "how many tenants are noisy")
@@ -123,9 +125,19 @@
 		day  simulation.Day
 		kind simulation.Kind
 	}
-	plays := []play{{"quiet", base, simulation.Fair}, {"noisy", loud, simulation.Fair}, {"two noisy", two, simulation.Fair}, {"new names", fresh, simulation.Fair},
-		{"all backlogged", all, simulation.Fair}, {"slow fivefold", slow, simulation.Fair}, {"noisy", loud, simulation.NoCalendar}, {"quiet", base, simulation.Fifo}, {"noisy", loud, simulation.Fifo}, {"noisy", loud, simulation.Bucket},
-		{"all backlogged", all, simulation.Fifo}}
+	plays := []play{
+		{"quiet", base, simulation.Fair},
+		{"noisy", loud, simulation.Fair},
+		{"two noisy", two, simulation.Fair},
+		{"new names", fresh, simulation.Fair},
+		{"all backlogged", all, simulation.Fair},
+		{"slow fivefold", slow, simulation.Fair},
+		{"noisy", loud, simulation.NoCalendar},
+		{"quiet", base, simulation.Fifo},
+		{"noisy", loud, simulation.Fifo},
+		{"noisy", loud, simulation.Bucket},
+		{"all backlogged", all, simulation.Fifo},
+	}
 	results := make([]*simulation.Result, len(plays))
 	var wait sync.WaitGroup
 	for i, p := range plays {
--- a/cmd/switchfork-lab/logs.go
+++ b/cmd/switchfork-lab/logs.go
@@ -8,9 +8,9 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"switchfork/internal/loganalysis"
+
+	"github.com/spf13/cobra"
 )
 
 // This file owns the count over many agents' logs.
@@ -19,14 +19,16 @@
 	var every time.Duration
 	var boxes int
 	var rate float64
-	c := &cobra.Command{Use: "logs FOLDER", Short: "count what many agents did together, from a folder with a log an agent (*.log)",
+	c := &cobra.Command{
+		Use: "logs FOLDER", Short: "count what many agents did together, from a folder with a log an agent (*.log)",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) != 1 || every < time.Second || boxes < 0 || rate < 0 {
 				return use{fmt.Errorf("%s wants a folder, --every from 1s, --appliances and --calls not under 0", c.CommandPath())}
 			}
 			return nil
 		},
-		RunE: func(c *cobra.Command, args []string) error { return logs(c.OutOrStdout(), args[0], every, boxes, rate) }}
+		RunE: func(c *cobra.Command, args []string) error { return logs(c.OutOrStdout(), args[0], every, boxes, rate) },
+	}
 	c.Flags().DurationVar(&every, "every", 5*time.Second, "length of a row")
 	c.Flags().IntVar(&boxes, "appliances", 10, "how many appliances are shown")
 	c.Flags().Float64Var(&rate, "calls", 0, "the told votes a second: fail where all agents cast more in over a tenth of the seconds with any; 0: don't ask")
--- a/cmd/switchfork-lab/main.go
+++ b/cmd/switchfork-lab/main.go
@@ -17,14 +17,16 @@
 type use struct{ error }
 
 func main() {
-	root := &cobra.Command{Use: "switchfork-lab", Short: "experiments with switchfork", SilenceUsage: true, SilenceErrors: true,
+	root := &cobra.Command{
+		Use: "switchfork-lab", Short: "experiments with switchfork", SilenceUsage: true, SilenceErrors: true,
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) > 0 {
 				return use{fmt.Errorf("%q is no experiment", args[0])}
 			}
 			return nil
 		},
-		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
+		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
+	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return use{err} })
 	root.AddCommand(doorCommand(), deciderCommand(), demoCommand(), logsCommand(), trialCommand())
 	err := root.Execute()
--- a/cmd/switchfork-lab/trial.go
+++ b/cmd/switchfork-lab/trial.go
@@ -11,12 +11,12 @@
 	"strings"
 	"syscall"
 
+	"switchfork/internal/fakes"
+	"switchfork/internal/faulttest"
+
 	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
 	"golang.org/x/term"
-
-	"switchfork/internal/fakes"
-	"switchfork/internal/faulttest"
 )
 
 // This file owns the command that plays nights: several real agents, with faults between them.
@@ -25,7 +25,8 @@
 	var how faulttest.Playing
 	var named []string
 	var agent string
-	c := &cobra.Command{Use: "trial [flags] FILE...", Short: "play nights: several agents among stand-ins, with faults on ways and processes",
+	c := &cobra.Command{
+		Use: "trial [flags] FILE...", Short: "play nights: several agents among stand-ins, with faults on ways and processes",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) == 0 {
 				return use{fmt.Errorf("%s wants the files of the nights", c.CommandPath())}
@@ -45,7 +46,8 @@
 				how.Programs[name] = path
 			}
 			return trials(c.OutOrStdout(), args, agent, how)
-		}}
+		},
+	}
 	c.Flags().Int64Var(&how.Seed, "seed", 0, "of loads and faults; 0: each night's own")
 	c.Flags().StringVar(&how.Keep, "keep", "", "a folder for every night's logs, time line and records; without it they are kept where a night fails")
 	c.Flags().IntVar(&how.Agents, "agents", 0, "how many agents; 0: each night's own")
--- a/cmd/switchfork/chair.go
+++ b/cmd/switchfork/chair.go
@@ -9,8 +9,6 @@
 	"strconv"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"switchfork/internal/agent"
 	"switchfork/internal/cluster/coordinator"
 	"switchfork/internal/cluster/election"
@@ -19,6 +17,8 @@
 	"switchfork/internal/config"
 	"switchfork/internal/options"
 	"switchfork/internal/policy"
+
+	"github.com/spf13/cobra"
 )
 
 // This file owns how the decider's parts are put together, and the commands that ask a running agent.
@@ -43,7 +43,8 @@
 
 // sit makes the seat that the operator asks for, nil without one.
 func sit(keep options.Coordinator, circle config.Peers, terms *config.Settings, seed int64, core *agent.Core, launcher *agent.Launcher,
-	peers *agent.Peers) (*chair, error) {
+	peers *agent.Peers,
+) (*chair, error) {
 	if !keep.Enabled {
 		if keep.AdminSocket != "" {
 			slog.Warn("admin address asked for without a decider: nothing to tell there yet")
@@ -84,8 +85,10 @@
 	}
 	h := fnv.New64a()
 	io.WriteString(h, keep.Group)
-	seat := coordinator.Replica{Index: me, Members: members, Group: h.Sum64(), Seed: seed ^ int64(me+1)<<32,
-		Settings: election.Settings{Lease: keep.Lease.Microseconds(), ClockDrift: drift, MaxVoteDelay: rules.CallTimeout + callRoom.Microseconds(), VoteLifetime: rules.VoteLifetime, RollBackQuorum: 1}}
+	seat := coordinator.Replica{
+		Index: me, Members: members, Group: h.Sum64(), Seed: seed ^ int64(me+1)<<32,
+		Settings: election.Settings{Lease: keep.Lease.Microseconds(), ClockDrift: drift, MaxVoteDelay: rules.CallTimeout + callRoom.Microseconds(), VoteLifetime: rules.VoteLifetime, RollBackQuorum: 1},
+	}
 	c := &chair{}
 	var store coordinator.Store
 	if keep.StateDir != "" {
@@ -149,7 +152,8 @@
 		c.Flags().StringVar(&admin, "admin", "/run/switchfork/admin.sock", "the agent's admin address, a Unix socket")
 		return c
 	}
-	lead := with(&cobra.Command{Use: "lead", Short: "tell who casts the votes, as one agent knows", Args: noArgs,
+	lead := with(&cobra.Command{
+		Use: "lead", Short: "tell who casts the votes, as one agent knows", Args: noArgs,
 		RunE: func(*cobra.Command, []string) error {
 			r, err := coordinator.QueryStatus(admin)
 			if err != nil {
@@ -167,7 +171,8 @@
 			fmt.Fprintf(out, "\nnewest decision: %s\nunresolved: %t; an earlier lead's may count for %d ms; abstains for %d ms\nmembers: %v\n",
 				r.Newest, r.Unresolved, r.WaitsMS, r.AbstainsMS, r.Members)
 			return nil
-		}})
+		},
+	})
 	members := &cobra.Command{Use: "members", Short: "the agents of whom one casts the votes"}
 	members.AddCommand(with(&cobra.Command{Use: "list", Short: "list them, as one agent knows", Args: noArgs, RunE: func(*cobra.Command, []string) error {
 		r, err := coordinator.QueryStatus(admin)
--- a/cmd/switchfork/golden_test.go
+++ b/cmd/switchfork/golden_test.go
@@ -7,12 +7,12 @@
 	"strings"
 	"testing"
 
-	"github.com/spf13/cobra"
-
 	"switchfork/internal/cluster/coordinator"
 	"switchfork/internal/cluster/election"
 	"switchfork/internal/golden"
 	"switchfork/internal/policy"
+
+	"github.com/spf13/cobra"
 )
 
 // help is what each command prints about itself.
--- a/cmd/switchfork/main.go
+++ b/cmd/switchfork/main.go
@@ -11,9 +11,9 @@
 	"os"
 	"runtime/debug"
 
-	"github.com/spf13/cobra"
-
 	"switchfork/internal/options"
+
+	"github.com/spf13/cobra"
 )
 
 // Exit codes: 0, failed, wrong use.
@@ -40,17 +40,23 @@
 
 func commands(out io.Writer) *cobra.Command {
 	var file string
-	root := &cobra.Command{Use: "switchfork", Short: "txn router and release judge", SilenceUsage: true, SilenceErrors: true,
-		Args: noArgs, RunE: func(*cobra.Command, []string) error { return serve(file) }}
+	root := &cobra.Command{
+		Use: "switchfork", Short: "txn router and release judge", SilenceUsage: true, SilenceErrors: true,
+		Args: noArgs, RunE: func(*cobra.Command, []string) error { return serve(file) },
+	}
 	root.SetOut(out)
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return use{err} })
 	root.PersistentFlags().StringVar(&file, "operator", os.Getenv("SWITCHFORK_OPERATOR"),
 		"the operator's file; SWITCHFORK_OPERATOR where the flag is not given")
 	root.AddCommand(
-		&cobra.Command{Use: "serve", Short: "serve as an agent, as without any command", Args: noArgs,
-			RunE: func(*cobra.Command, []string) error { return serve(file) }},
-		&cobra.Command{Use: "check FILE", Short: "read an operator's file, print its faults, or the file in force with every default",
-			Args: oneArg, RunE: func(c *cobra.Command, args []string) error { return check(c.OutOrStdout(), args[0]) }},
+		&cobra.Command{
+			Use: "serve", Short: "serve as an agent, as without any command", Args: noArgs,
+			RunE: func(*cobra.Command, []string) error { return serve(file) },
+		},
+		&cobra.Command{
+			Use: "check FILE", Short: "read an operator's file, print its faults, or the file in force with every default",
+			Args: oneArg, RunE: func(c *cobra.Command, args []string) error { return check(c.OutOrStdout(), args[0]) },
+		},
 		&cobra.Command{Use: "version", Short: "print the version", Args: noArgs, Run: func(c *cobra.Command, _ []string) {
 			fmt.Fprintln(c.OutOrStdout(), "switchfork", release())
 		}})
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -195,11 +195,14 @@
 
 // open makes the door that the operator asks for.
 func open(keep options.Admission, goods []config.RequestClass, stalls []config.ClassPriority, customers []string, shares []float64,
-	lines config.Connections, ration config.ResourceLimits, purse *agent.Purse, seed uint64) *admission.Controller {
+	lines config.Connections, ration config.ResourceLimits, purse *agent.Purse, seed uint64,
+) *admission.Controller {
 	var products []admission.RequestClass
 	for i, g := range goods {
-		products = append(products, admission.RequestClass{LatencyObjective: stalls[i].LatencyObjective.Microseconds(), Timeout: g.Timeout.Microseconds(),
-			PriorityWeight: stalls[i].PriorityWeight, Keyed: g.Idempotency == policy.Keyed})
+		products = append(products, admission.RequestClass{
+			LatencyObjective: stalls[i].LatencyObjective.Microseconds(), Timeout: g.Timeout.Microseconds(),
+			PriorityWeight: stalls[i].PriorityWeight, Keyed: g.Idempotency == policy.Keyed,
+		})
 	}
 	room := admission.LimitsFor(ration.MemoryMB, min(lines.MaxOpenRequests, purse.Txns()), keep.Queues)
 	if keep.Requests > 0 {
--- a/internal/admission/door.go
+++ b/internal/admission/door.go
@@ -183,8 +183,10 @@
 // New makes a door. shares are by tenant index, one more stands for all that were not told. shared: a next try that
 // comes while its first is in is given that one's answer instead of waiting for it.
 func New(products []RequestClass, shares []Tenant, room Limits, waits RetryAfterLimits, shared bool, seed int64) *Controller {
-	d := &Controller{products: products, room: room, waits: waits, shared: shared, chance: rand.New(rand.NewSource(seed)),
-		tickets: map[uint64]*ticket{}, tries: map[uint64]*ticket{}, usual: make([]float64, len(products))}
+	d := &Controller{
+		products: products, room: room, waits: waits, shared: shared, chance: rand.New(rand.NewSource(seed)),
+		tickets: map[uint64]*ticket{}, tries: map[uint64]*ticket{}, usual: make([]float64, len(products)),
+	}
 	d.salt = d.chance.Uint64()
 	d.rank, d.lanes = ranks(products)
 	for i, p := range products {
--- a/internal/admission/door_test.go
+++ b/internal/admission/door_test.go
@@ -30,8 +30,10 @@
 	for _, s := range shares {
 		ts = append(ts, Tenant{s})
 	}
-	return &rig{Controller: New(goods, ts, room, RetryAfterLimits{Max: 2 * second}, shared, 7), finals: map[uint64]int{}, open: map[uint64]bool{},
-		in: map[uint64]bool{}, shares: map[uint64][]uint64{}, refused: map[uint64]Command{}}
+	return &rig{
+		Controller: New(goods, ts, room, RetryAfterLimits{Max: 2 * second}, shared, 7), finals: map[uint64]int{}, open: map[uint64]bool{},
+		in: map[uint64]bool{}, shares: map[uint64][]uint64{}, refused: map[uint64]Command{},
+	}
 }
 
 func (r *rig) final(id uint64) { r.finals[id]++; delete(r.open, id) }
@@ -105,10 +107,12 @@
 		for id := uint64(1); id < 400; id++ {
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			default:
-				a := Arrival{ID: id, Tenant: rapid.IntRange(-1, 4).Draw(t, "tenant"), Client: rapid.Uint64Range(1, 9).Draw(t, "client"),
+				a := Arrival{
+					ID: id, Tenant: rapid.IntRange(-1, 4).Draw(t, "tenant"), Client: rapid.Uint64Range(1, 9).Draw(t, "client"),
 					Class: rapid.IntRange(0, 1).Draw(t, "product"), Key: rapid.Uint64Range(0, 12).Draw(t, "key"),
 					IsRetry: rapid.Bool().Draw(t, "repeat"), CostHint: rapid.Int64Range(0, 50*ms).Draw(t, "work"),
-					Deadline: r.now + rapid.Int64Range(1, 3*second).Draw(t, "expires"), Bytes: rapid.IntRange(0, 900).Draw(t, "bytes")}
+					Deadline: r.now + rapid.Int64Range(1, 3*second).Draw(t, "expires"), Bytes: rapid.IntRange(0, 900).Draw(t, "bytes"),
+				}
 				r.arrive(a)
 				if a.Class == 1 && a.Key > 0 {
 					ref[id] = a.Key<<8 | uint64(a.Tenant&7)
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -49,9 +49,11 @@
 					switch n := chance.Intn(20); {
 					case n < 9:
 						waiting = append(waiting, id)
-						carry(d.Arrive(now, Arrival{ID: id, Tenant: chance.Intn(6) - 1, Client: uint64(1 + chance.Intn(9)), Class: chance.Intn(2),
+						carry(d.Arrive(now, Arrival{
+							ID: id, Tenant: chance.Intn(6) - 1, Client: uint64(1 + chance.Intn(9)), Class: chance.Intn(2),
 							Key: uint64(chance.Intn(40)), IsRetry: chance.Intn(3) == 0, CostHint: Micros(chance.Int63n(int64(50 * ms))),
-							Deadline: now + Micros(chance.Int63n(int64(3*second))), Bytes: chance.Intn(900)}))
+							Deadline: now + Micros(chance.Int63n(int64(3*second))), Bytes: chance.Intn(900),
+						}))
 					case n < 15:
 						if len(in) > 0 {
 							some := remove(&in)
--- a/internal/admission/promise.go
+++ b/internal/admission/promise.go
@@ -86,8 +86,10 @@
 		}
 		cal[s%(slots+1)] += t.cost
 		p := b.fresh()
-		*p = promise{who: t.who, tenant: t.Tenant, slot: s, cost: t.cost,
-			at: s*b.width + Micros(d.chance.Float64()*float64(b.width))}
+		*p = promise{
+			who: t.who, tenant: t.Tenant, slot: s, cost: t.cost,
+			at: s*b.width + Micros(d.chance.Float64()*float64(b.width)),
+		}
 		b.by[t.who] = p
 		heap.Push(&b.dues, p)
 		b.n = len(b.by)
@@ -203,11 +205,13 @@
 	h[i], h[j] = h[j], h[i]
 	h[i].place, h[j].place = i, j
 }
+
 func (h *promises) Push(x any) {
 	p := x.(*promise)
 	p.place = len(*h)
 	*h = append(*h, p)
 }
+
 func (h *promises) Pop() any {
 	old := *h
 	p := old[len(old)-1]
--- a/internal/agent/appliance.go
+++ b/internal/agent/appliance.go
@@ -11,9 +11,9 @@
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"switchfork/internal/policy"
+
+	"golang.org/x/sys/unix"
 )
 
 // This file owns the connections to appliances: each appliance is an actor with a mailbox that keeps its idle
--- a/internal/agent/codec.go
+++ b/internal/agent/codec.go
@@ -403,8 +403,10 @@
 	case !(e.BornMs >= 0 && e.BornMs < 1e15):
 		return policy.Endpoint{}, fmt.Errorf("%.40q has born_ms %v", e.Host, e.BornMs)
 	}
-	return policy.Endpoint{Build: e.Build, Zone: max(0, zone), State: state, Cell: e.Block,
-		Started: policy.Micros(e.BornMs * 1000), Weight: e.Share}, nil
+	return policy.Endpoint{
+		Build: e.Build, Zone: max(0, zone), State: state, Cell: e.Block,
+		Started: policy.Micros(e.BornMs * 1000), Weight: e.Share,
+	}, nil
 }
 
 // news is where the newest build stands, in any of the launcher's three forms.
@@ -416,16 +418,20 @@
 	LagMs    float64 `json:"lag_ms" xml:"lag_ms"`
 }
 
-var phases = map[string]policy.Phase{"testing": policy.Evaluating, "recalling": policy.RollingBack,
-	"live": policy.Released, "recalled": policy.RolledBack}
+var phases = map[string]policy.Phase{
+	"testing": policy.Evaluating, "recalling": policy.RollingBack,
+	"live": policy.Released, "recalled": policy.RolledBack,
+}
 
 func (n news) staged() (policy.RolloutUpdate, error) {
 	phase, known := phases[n.Progress]
 	if !known || n.Image < 0 || n.Ring < 0 || !(n.Ceiling >= 0 && n.Ceiling <= 1) || !(n.LagMs >= 0 && n.LagMs < 1e12) {
 		return policy.RolloutUpdate{}, fmt.Errorf("news that makes no sense: %+v", n)
 	}
-	return policy.RolloutUpdate{Build: n.Image, Stage: n.Ring, Phase: phase, Cap: n.Ceiling,
-		Age: policy.Micros(n.LagMs * 1000)}, nil
+	return policy.RolloutUpdate{
+		Build: n.Image, Stage: n.Ring, Phase: phase, Cap: n.Ceiling,
+		Age: policy.Micros(n.LagMs * 1000),
+	}, nil
 }
 
 func readNewsJSON(raw []byte) (policy.RolloutUpdate, error) {
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -142,8 +142,10 @@
 
 // NewCore puts the module behind a mailbox. hire makes an appliance's actor; vote and tell carry orders on.
 func NewCore(module policy.Router, clock Clock) *Core {
-	return &Core{module: module, clock: clock, box: newMailbox[any](), urgent: newMailbox[any](), inflows: &inflows{open: map[*owing]bool{}},
-		txns: map[uint64]*open{}, appliances: map[uint32]*appliance{}}
+	return &Core{
+		module: module, clock: clock, box: newMailbox[any](), urgent: newMailbox[any](), inflows: &inflows{open: map[*owing]bool{}},
+		txns: map[uint64]*open{}, appliances: map[uint32]*appliance{},
+	}
 }
 
 // Serve connects the orders and empties the mailboxes until the end.
--- a/internal/agent/customer_test.go
+++ b/internal/agent/customer_test.go
@@ -32,9 +32,11 @@
 	}
 	for name, change := range map[string]func(conf, settings object){
 		"odd names": func(_, s object) {
-			s["Grades"] = []any{grade("Tide-Table_2", "read_like", 9000), grade("berth-CLAIM", "idempotency_key", 9000),
+			s["Grades"] = []any{
+				grade("Tide-Table_2", "read_like", 9000), grade("berth-CLAIM", "idempotency_key", 9000),
 				grade("9", "non_idempotent", 9000), grade("half%20off%", "read_like", 9000), grade("_health", "read_like", 9000),
-				grade("_health2", "idempotency_key", 9000), grade("ping", "read_like", 9000), grade("a.b~c", "non_idempotent", 9000)}
+				grade("_health2", "idempotency_key", 9000), grade("ping", "read_like", 9000), grade("a.b~c", "non_idempotent", 9000),
+			}
 			s["Parties"] = []any{object{"Name": "9th-pier"}, object{"Name": "tugs.co"}, object{"Name": "100%"}, object{"Name": "x"}}
 		},
 		"one class":      func(_, s object) { s["Grades"] = []any{grade("only", "read_like", 9000)} },
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -16,10 +16,10 @@
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"switchfork/internal/admission"
 	"switchfork/internal/policy"
+
+	"golang.org/x/sys/unix"
 )
 
 // This file owns the clients' side: httputil.ReverseProxy before a RoundTripper that hands each txn to the module's
@@ -90,22 +90,26 @@
 // each went to one and the same appliance, and hundreds that started together filled its queue. It must differ from agent
 // to agent and from start to start, and costs nothing.
 func NewFront(core *Core, names []string, effects []policy.Idempotency, expiry []time.Duration, customers []string,
-	most int, holdOff time.Duration, purse *Purse, first uint64) *Front {
+	most int, holdOff time.Duration, purse *Purse, first uint64,
+) *Front {
 	f := &Front{core: core, most: most, holdOff: holdOff.Microseconds(), purse: purse, count: &counter{names, effects, expiry, customers}}
 	f.ids.open = map[string]bool{}
 	f.giveUp = make(chan struct{})
 	f.lastID.Store(first)
 	quiet := log.New(grumble{}, "", 0)
-	proxy := &httputil.ReverseProxy{Transport: f, ErrorLog: quiet, ErrorHandler: f.failed,
+	proxy := &httputil.ReverseProxy{
+		Transport: f, ErrorLog: quiet, ErrorHandler: f.failed,
 		Rewrite: func(r *httputil.ProxyRequest) { r.Out.Host = r.In.Host }, BufferPool: &buffers{},
 		ModifyResponse: func(r *http.Response) error {
 			if f.clients.waits.CompareAndSwap(true, false) || f.drains.Load() {
 				r.Header.Set("Connection", "close")
 			}
 			return nil
-		}}
+		},
+	}
 	f.clients = newClientListener(core, purse)
-	f.server = &http.Server{ErrorLog: quiet, WriteTimeout: exchangeWait, MaxHeaderBytes: headLimit, ConnState: f.clients.state,
+	f.server = &http.Server{
+		ErrorLog: quiet, WriteTimeout: exchangeWait, MaxHeaderBytes: headLimit, ConnState: f.clients.state,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if f.drains.Load() {
@@ -126,7 +130,8 @@
 			}
 			// The path goes on as it came, also where the proxy would tidy it.
 			proxy.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), targetKey{}, r.RequestURI)))
-		})}
+		}),
+	}
 	return f
 }
 
@@ -238,16 +243,20 @@
 		t.expires = f.until // nobody is there to answer it later
 	}
 	id := f.lastID.Add(1)
-	taken := policy.RequestArrived{ID: id, Class: o.product, Tenant: o.customer, Key: o.key,
-		Deadline: f.core.clock.at(t.expires), CostHint: o.work, IsRetry: o.repeat}
+	taken := policy.RequestArrived{
+		ID: id, Class: o.product, Tenant: o.customer, Key: o.key,
+		Deadline: f.core.clock.at(t.expires), CostHint: o.work, IsRetry: o.repeat,
+	}
 	leave := func() { f.core.box.put(policy.RequestCancelled{RequestID: id}) }
 	if f.gate == nil {
 		f.core.box.put(arrived{taken, t})
 	} else {
 		taken.ArrivedAt = f.core.clock.at(at)
 		leave = func() { f.gate.box.put(left{id}) }
-		f.gate.box.put(knock{admission.Arrival{ID: id, Tenant: o.customer, Client: f.client(r), Class: o.product, Key: o.mark,
-			IsRetry: o.repeat, CostHint: o.work, Deadline: taken.Deadline, Bytes: len(t.parcel.head) + len(body)}, taken, t})
+		f.gate.box.put(knock{admission.Arrival{
+			ID: id, Tenant: o.customer, Client: f.client(r), Class: o.product, Key: o.mark,
+			IsRetry: o.repeat, CostHint: o.work, Deadline: taken.Deadline, Bytes: len(t.parcel.head) + len(body),
+		}, taken, t})
 	}
 	// Who has not taken its answer some time after it stopped waiting holds a descriptor for nothing; before, it has its time, however
 	// long that is: the library's own bound counts from the request.
@@ -298,8 +307,10 @@
 	if kind != "" {
 		h.Set("Content-Type", kind)
 	}
-	return &http.Response{StatusCode: status, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: h,
-		Body: io.NopCloser(bytes.NewReader(body)), ContentLength: int64(len(body)), Request: r}
+	return &http.Response{
+		StatusCode: status, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: h,
+		Body: io.NopCloser(bytes.NewReader(body)), ContentLength: int64(len(body)), Request: r,
+	}
 }
 
 // failed is for a client that went away, or whose body could not be read.
--- a/internal/agent/gate_test.go
+++ b/internal/agent/gate_test.go
@@ -39,8 +39,11 @@
 func (g *gated) knock(id, key uint64) chan reply {
 	o := &open{parcel: posting, reply: make(chan reply, 1), expires: time.Now().Add(patience)}
 	expires := g.gate.clock.at(o.expires)
-	g.gate.box.put(knock{admission.Arrival{ID: id, Client: id, Key: key, Deadline: expires, Bytes: 100},
-		policy.RequestArrived{ID: id, Key: key, Deadline: expires}, o})
+	g.gate.box.put(knock{
+		admission.Arrival{ID: id, Client: id, Key: key, Deadline: expires, Bytes: 100},
+		policy.RequestArrived{ID: id, Key: key, Deadline: expires},
+		o,
+	})
 	return o.reply
 }
 
--- a/internal/agent/launcher.go
+++ b/internal/agent/launcher.go
@@ -62,8 +62,10 @@
 )
 
 func NewLauncher(core *Core, address string, dial, patient time.Duration, seed int64) *Launcher {
-	return &Launcher{core: core, base: at(address), patient: patient, box: newMailbox[any](),
-		client: newClient(dial, core.inflows), once: onceClient(dial), again: backoff.New(0, ^seed)}
+	return &Launcher{
+		core: core, base: at(address), patient: patient, box: newMailbox[any](),
+		client: newClient(dial, core.inflows), once: onceClient(dial), again: backoff.New(0, ^seed),
+	}
 }
 
 // Also names who else hears the news. It is to be called before Known and Serve.
--- a/internal/agent/listener_test.go
+++ b/internal/agent/listener_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"switchfork/internal/policy"
+
+	"pgregory.net/rapid"
 )
 
 // These hold the clients' side to its word over real connections: what a client sends in the moment in which a connection or the
--- a/internal/agent/roster.go
+++ b/internal/agent/roster.go
@@ -61,15 +61,19 @@
 // NewRoster follows the list at an address. within is the told time in which an agent without a watch should ask, 0 where
 // none is told; agents is how many do so.
 func NewRoster(core *Core, address string, zones []string, dial, within time.Duration, agents int, seed int64) *Roster {
-	r := &Roster{core: core, zones: zones, within: within, agents: agents, seed: seed, client: newClient(dial, core.inflows), numbers: map[string]uint32{}, taken: map[uint32]string{},
-		box: newMailbox[any]()}
+	r := &Roster{
+		core: core, zones: zones, within: within, agents: agents, seed: seed, client: newClient(dial, core.inflows), numbers: map[string]uint32{}, taken: map[uint32]string{},
+		box: newMailbox[any](),
+	}
 	r.now = r.at(address)
 	return r
 }
 
 func (r *Roster) at(address string) *follower {
-	return &follower{roster: r, base: "http://" + address + "/catalog/members", stop: func() {},
-		again: backoff.New(r.within.Microseconds(), r.seed)}
+	return &follower{
+		roster: r, base: "http://" + address + "/catalog/members", stop: func() {},
+		again: backoff.New(r.within.Microseconds(), r.seed),
+	}
 }
 
 // Move goes to another address. The watch at the old one goes on until the new one has brought the whole list, so that
@@ -141,11 +145,15 @@
 // stale. It follows no one elsewhere, and takes no more of a head than it should.
 func newClient(dial time.Duration, among *inflows) *http.Client {
 	dialer := &net.Dialer{Timeout: dial}
-	return &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-		return dialOwing(ctx, dialer, address, among)
-	},
-		DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: headLimit},
-		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
+	return &http.Client{
+		Transport: &http.Transport{
+			DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
+				return dialOwing(ctx, dialer, address, among)
+			},
+			DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: headLimit,
+		},
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	}
 }
 
 // Known takes the list that the agent was started with.
--- a/internal/agent/roster_test.go
+++ b/internal/agent/roster_test.go
@@ -76,8 +76,10 @@
 func TestListWithoutItsEnd(t *testing.T) {
 	cut := indented(line(6, false, host("box", "127.0.0.1:1", "leaving", 7)))
 	cut = cut[:strings.Index(cut, `"health"`)]
-	for name, rest := range map[string]string{"then a sign": "\n", "then a list": line(7, false, host("box", "127.0.0.1:1", "leaving", 8)),
-		"then an indented one": indented(line(7, false, host("box", "127.0.0.1:1", "leaving", 8)))} {
+	for name, rest := range map[string]string{
+		"then a sign": "\n", "then a list": line(7, false, host("box", "127.0.0.1:1", "leaving", 8)),
+		"then an indented one": indented(line(7, false, host("box", "127.0.0.1:1", "leaving", 8))),
+	} {
 		t.Run(name, func(t *testing.T) {
 			d := newStreamer(t, "\n", 50*time.Millisecond, func(asked string) string {
 				if strings.Contains(asked, "stream") {
--- a/internal/cluster/coordinator/admin.go
+++ b/internal/cluster/coordinator/admin.go
@@ -33,8 +33,10 @@
 
 // NewStatusReport puts a standing into words.
 func NewStatusReport(me int, s election.Status) StatusReport {
-	r := StatusReport{Me: me, Leads: s.IsLeader, Owner: s.LeaseHolder, Term: s.Term, LeftMS: s.LeaseRemaining / 1000, Unresolved: s.HasUnresolvedVote, WaitsMS: s.EarlierVotesExpireIn / 1000,
-		AbstainsMS: s.AbstainsFor / 1000, Newest: "none"}
+	r := StatusReport{
+		Me: me, Leads: s.IsLeader, Owner: s.LeaseHolder, Term: s.Term, LeftMS: s.LeaseRemaining / 1000, Unresolved: s.HasUnresolvedVote, WaitsMS: s.EarlierVotesExpireIn / 1000,
+		AbstainsMS: s.AbstainsFor / 1000, Newest: "none",
+	}
 	if k := s.Newest; k.Term != 0 {
 		r.Newest = fmt.Sprintf("%d.%d build %d stage %d %v", k.Term, k.Index, k.Build, k.Stage, k.Verdict)
 	}
@@ -102,10 +104,12 @@
 
 // client speaks to an agent's admin address.
 func client(path string) *http.Client {
-	return &http.Client{Timeout: askWait, Transport: &http.Transport{DisableKeepAlives: true,
+	return &http.Client{Timeout: askWait, Transport: &http.Transport{
+		DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "unix", path)
-		}}}
+		},
+	}}
 }
 
 // QueryStatus asks an agent who leads.
--- a/internal/cluster/coordinator/council.go
+++ b/internal/cluster/coordinator/council.go
@@ -9,11 +9,11 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/VictoriaMetrics/metrics"
-
 	"switchfork/internal/cluster/election"
 	"switchfork/internal/cluster/transport"
 	"switchfork/internal/policy"
+
+	"github.com/VictoriaMetrics/metrics"
 )
 
 // Transport carries bytes to another agent, or loses them.
@@ -93,11 +93,15 @@
 
 // New makes a council. Without a memory the agent abstains at first: it may have run before.
 func New(seat Replica, way Transport, store Store, desk Callbacks) *Coordinator {
-	c := &Coordinator{group: seat.Group, me: seat.Index, way: way, store: store, desk: desk, box: make(chan any, boxMost), start: time.Now(),
-		lease: time.Duration(seat.Settings.Lease) * time.Microsecond, set: metrics.NewSet()}
+	c := &Coordinator{
+		group: seat.Group, me: seat.Index, way: way, store: store, desk: desk, box: make(chan any, boxMost), start: time.Now(),
+		lease: time.Duration(seat.Settings.Lease) * time.Microsecond, set: metrics.NewSet(),
+	}
 	c.decider = election.New(seat.Index, seat.Members, seat.State, seat.Settings, election.DisabledGuards{}, seat.State == nil, c.now(), seat.Seed)
-	for name, counter := range map[string]**metrics.Counter{"terms_total": &c.terms, "hand_overs_total": &c.handed, "casts_total": &c.casts,
-		"casts_refused_total": &c.late, "messages_in_total": &c.in, "messages_out_total": &c.out, "messages_dropped_total": &c.lost, "syncs_total": &c.kept} {
+	for name, counter := range map[string]**metrics.Counter{
+		"terms_total": &c.terms, "hand_overs_total": &c.handed, "casts_total": &c.casts,
+		"casts_refused_total": &c.late, "messages_in_total": &c.in, "messages_out_total": &c.out, "messages_dropped_total": &c.lost, "syncs_total": &c.kept,
+	} {
 		*counter = c.set.NewCounter("switchfork_decider_" + name)
 	}
 	c.set.NewGauge("switchfork_decider_lease_seconds", func() float64 { return float64(c.leads.Load()) / 1e6 })
@@ -194,8 +198,10 @@
 	}
 }
 
-var verdicts = map[policy.Verdict]election.Verdict{policy.NoVote: election.NoVote, policy.Advance: election.Advance, policy.Hold: election.Hold, policy.RollBack: election.RollBack}
-var asVote = map[election.Verdict]policy.Verdict{election.NoVote: policy.NoVote, election.Advance: policy.Advance, election.Hold: policy.Hold, election.RollBack: policy.RollBack}
+var (
+	verdicts = map[policy.Verdict]election.Verdict{policy.NoVote: election.NoVote, policy.Advance: election.Advance, policy.Hold: election.Hold, policy.RollBack: election.RollBack}
+	asVote   = map[election.Verdict]policy.Verdict{election.NoVote: policy.NoVote, election.Advance: policy.Advance, election.Hold: policy.Hold, election.RollBack: policy.RollBack}
+)
 
 func (c *Coordinator) note(n any) {
 	now := c.now()
--- a/internal/cluster/election/decider.go
+++ b/internal/cluster/election/decider.go
@@ -186,8 +186,10 @@
 // New starts an agent's part at a time. memory is what it last kept; without one it is fresh, unless none of the agents has
 // ever run: then it abstains until nothing can count any more that it may have been told of.
 func New(me int, members Members, memory *DurableState, terms Settings, without DisabledGuards, fresh bool, now Micros, seed int64) *Replica {
-	d := &Replica{me: me, members: members, terms: terms, without: without, chance: rand.New(rand.NewSource(seed)), now: now,
-		wishes: make([]wish, MaxReplicas), gave: make([]Micros, MaxReplicas), owner: -1}
+	d := &Replica{
+		me: me, members: members, terms: terms, without: without, chance: rand.New(rand.NewSource(seed)), now: now,
+		wishes: make([]wish, MaxReplicas), gave: make([]Micros, MaxReplicas), owner: -1,
+	}
 	if memory != nil {
 		d.promised, d.accepted, d.yielded, d.known, d.owner = memory.Promised, memory.Accepted, memory.Released, memory.Newest, int(memory.LeaseHolder)
 		if memory.Members.newer(members) {
@@ -214,6 +216,7 @@
 func (d *Replica) longer(span Micros) Micros {
 	return Micros(float64(span) * (1 + 2*d.terms.ClockDrift))
 }
+
 func (d *Replica) shorter(span Micros) Micros {
 	return Micros(float64(span) * (1 - 2*d.terms.ClockDrift))
 }
@@ -268,8 +271,10 @@
 }
 
 func (d *Replica) Status(now Micros) Status {
-	s := Status{d.IsLeader(now), max(0, d.leads-now), d.Term(), d.known, d.pending.Term != 0 || d.cast.Term != 0 && !d.answered,
-		-1, d.members, max(0, d.abstain-now), 0}
+	s := Status{
+		d.IsLeader(now), max(0, d.leads-now), d.Term(), d.known, d.pending.Term != 0 || d.cast.Term != 0 && !d.answered,
+		-1, d.members, max(0, d.abstain-now), 0,
+	}
 	if now < d.until || s.IsLeader {
 		s.LeaseHolder = d.owner
 	}
--- a/internal/cluster/election/golden_test.go
+++ b/internal/cluster/election/golden_test.go
@@ -117,8 +117,10 @@
 	var out strings.Builder
 	for _, members := range []int{1, 3, 5} {
 		for i, without := range []DisabledGuards{{}, {}, {}, {LeaseExpiry: true}, {QuorumBeforeCast: true}, {WaitForEarlierVotes: true}, {Prevote: true}, {LeaseFromStart: true}} {
-			g := &goldenNight{chance: rand.New(rand.NewSource(int64(i + 1))), now: second, seed: int64(i) * 1000,
-				digest: golden.NewDigest(SendMessage{}, CastVote{}, Persist{}, SelfStop{}, Status{}, Micros(0), 0, "")}
+			g := &goldenNight{
+				chance: rand.New(rand.NewSource(int64(i + 1))), now: second, seed: int64(i) * 1000,
+				digest: golden.NewDigest(SendMessage{}, CastVote{}, Persist{}, SelfStop{}, Status{}, Micros(0), 0, ""),
+			}
 			g.all, g.kept, g.stands = make([]*Replica, members+1), make([]*DurableState, members+1), make([]bool, members+1)
 			for a := range g.all {
 				g.start(a, members, without)
--- a/internal/cluster/storage/vault.go
+++ b/internal/cluster/storage/vault.go
@@ -13,9 +13,9 @@
 	"runtime/debug"
 	"time"
 
-	"go.etcd.io/bbolt"
-
 	"switchfork/internal/cluster/election"
+
+	"go.etcd.io/bbolt"
 )
 
 const (
--- a/internal/cluster/transport/stream.go
+++ b/internal/cluster/transport/stream.go
@@ -56,10 +56,12 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &TCP{listener: l, hand: hand, lines: map[int]*line{}, ctx: ctx, places: make(chan struct{}, callersMost),
+	s := &TCP{
+		listener: l, hand: hand, lines: map[int]*line{}, ctx: ctx, places: make(chan struct{}, callersMost),
 		dial: func(ctx context.Context, address string) (net.Conn, error) {
 			return (&net.Dialer{Timeout: dialWait}).DialContext(ctx, "tcp", address)
-		}}
+		},
+	}
 	go s.accept()
 	go func() { <-ctx.Done(); l.Close() }()
 	return s, nil
--- a/internal/cluster/transport/ways_test.go
+++ b/internal/cluster/transport/ways_test.go
@@ -10,20 +10,24 @@
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"switchfork/internal/cluster/election"
+
+	"pgregory.net/rapid"
 )
 
 func anyMessage(t *rapid.T) election.Message {
 	verdict := func(name string) election.Verdict { return election.Verdict(rapid.IntRange(0, 3).Draw(t, name)) }
 	number := rapid.Int32()
-	return election.Message{Kind: election.Kind(rapid.IntRange(int(election.Prepare), int(election.MembersCommitted)).Draw(t, "kind")),
+	return election.Message{
+		Kind:   election.Kind(rapid.IntRange(int(election.Prepare), int(election.MembersCommitted)).Draw(t, "kind")),
 		Ballot: rapid.Uint64().Draw(t, "ballot"), ReleasedUpTo: rapid.Uint64().Draw(t, "after"),
-		Record: election.Record{Term: rapid.Uint64().Draw(t, "term"), Index: rapid.Uint32().Draw(t, "serial"),
-			Decision: election.Decision{Build: number.Draw(t, "build"), Stage: number.Draw(t, "stage"), Verdict: verdict("verdict")}, Prior: verdict("prior")},
+		Record: election.Record{
+			Term: rapid.Uint64().Draw(t, "term"), Index: rapid.Uint32().Draw(t, "serial"),
+			Decision: election.Decision{Build: number.Draw(t, "build"), Stage: number.Draw(t, "stage"), Verdict: verdict("verdict")}, Prior: verdict("prior"),
+		},
 		Recommendation: election.Decision{Build: number.Draw(t, "wished"), Stage: number.Draw(t, "at"), Verdict: verdict("wish")},
-		Members:        election.Members{Term: rapid.Uint64().Draw(t, "stamp"), Version: rapid.Uint32().Draw(t, "change"), Mask: rapid.Uint64().Draw(t, "mask")}}
+		Members:        election.Members{Term: rapid.Uint64().Draw(t, "stamp"), Version: rapid.Uint32().Draw(t, "change"), Mask: rapid.Uint64().Draw(t, "mask")},
+	}
 }
 
 // What is written is read again as it was, fits into a datagram, and is no judge's sheet of nine-byte lines.
--- a/internal/config/charter.go
+++ b/internal/config/charter.go
@@ -163,9 +163,11 @@
 }
 
 func (f *File) Identity() Identity {
-	return Identity{Name: f.either("GW_NAME", "name"), Listen: f.address("listen", f.either("GW_LISTEN", "listen")),
+	return Identity{
+		Name: f.either("GW_NAME", "name"), Listen: f.address("listen", f.either("GW_LISTEN", "listen")),
 		Discovery: f.address("discovery", f.either("GW_DISCOVERY", "discovery")),
-		Rollout:   f.address("platform.address", f.str("platform.address"))}
+		Rollout:   f.address("platform.address", f.str("platform.address")),
+	}
 }
 
 // ResourceLimits's defaults are what every machine of this platform has at least.
@@ -278,8 +280,10 @@
 		}
 		return time.Duration(us) * time.Microsecond
 	}
-	l := Connections{DialTimeout: span("Limits.DialTimeoutMs"), IdleTimeout: span("Limits.ConnIdleMs"),
-		CallTimeout: span("FamilyInfo.CallTimeoutMs"), MaxOpenRequests: 20000, HealthChecks: t.flag("Limits.Probes")}
+	l := Connections{
+		DialTimeout: span("Limits.DialTimeoutMs"), IdleTimeout: span("Limits.ConnIdleMs"),
+		CallTimeout: span("FamilyInfo.CallTimeoutMs"), MaxOpenRequests: 20000, HealthChecks: t.flag("Limits.Probes"),
+	}
 	if t.flag("Limits.RetryAfter") {
 		l.MaxRetryAfter = time.Duration(t.ms("Limits.MaxRetryAfterMs")) * time.Microsecond
 	}
--- a/internal/config/terms.go
+++ b/internal/config/terms.go
@@ -173,8 +173,10 @@
 func grade(i int, key string) string { return fmt.Sprintf("Grades.%d.%s", i, key) }
 
 func (t *Settings) effect(i int) policy.Idempotency {
-	return pick(t, grade(i, "Repeat"), map[string]policy.Idempotency{"read_like": policy.Idempotent,
-		"idempotency_key": policy.Keyed, "non_idempotent": policy.NonIdempotent})
+	return pick(t, grade(i, "Repeat"), map[string]policy.Idempotency{
+		"read_like":       policy.Idempotent,
+		"idempotency_key": policy.Keyed, "non_idempotent": policy.NonIdempotent,
+	})
 }
 
 // sized tells whether the list tells the sizes of appliances; where the key is absent it does, as it always did.
@@ -239,8 +241,10 @@
 
 // NewRouter starts a module on these terms.
 func (t *Settings) NewRouter(seed uint64) (policy.Router, error) {
-	st := policy.Instance{Index: t.count("Me"), Agents: t.count("Balancers"), Zone: t.count("Zone"), Seed: int64(seed),
-		KeyAffinity: t.flag("FamilyInfo.WarmKeys"), HasWeights: t.sized(), LoadReport: t.report()}
+	st := policy.Instance{
+		Index: t.count("Me"), Agents: t.count("Balancers"), Zone: t.count("Zone"), Seed: int64(seed),
+		KeyAffinity: t.flag("FamilyInfo.WarmKeys"), HasWeights: t.sized(), LoadReport: t.report(),
+	}
 	t.unmixed()
 	if st.Agents < 1 {
 		t.fail("Balancers", fmt.Sprintf("is %d; there is one agent at least, this one", st.Agents))
@@ -255,8 +259,10 @@
 	for i := range products {
 		p := &products[i]
 		if p.Idempotency = t.effect(i); p.Idempotency == policy.Keyed {
-			p.DedupScope = pick(t, grade(i, "KeyScope"), map[string]policy.DedupScope{"all": policy.DedupAll,
-				"zone": policy.DedupZone, "cell": policy.DedupCell})
+			p.DedupScope = pick(t, grade(i, "KeyScope"), map[string]policy.DedupScope{
+				"all":  policy.DedupAll,
+				"zone": policy.DedupZone, "cell": policy.DedupCell,
+			})
 			p.DedupWindow = t.ms(grade(i, "WindowMs"))
 		}
 		if p.LatencyObjective, p.Timeout = t.ms(grade(i, "SloMs")), t.ms(grade(i, "HardLimitMs")); p.LatencyObjective <= 0 {
@@ -264,28 +270,43 @@
 		}
 		p.PriorityWeight, p.LateWeightShare = t.num(grade(i, "Worth")), t.opt(grade(i, "LateValue"), 0)
 	}
-	plan := policy.RolloutPlan{Caps: t.list("FamilyInfo.StageCap"), Shares: t.list("FamilyInfo.StageShare"),
+	plan := policy.RolloutPlan{
+		Caps: t.list("FamilyInfo.StageCap"), Shares: t.list("FamilyInfo.StageShare"),
 		GuardedStages: t.count("FamilyInfo.Shielded"), KeysNeverGoBack: t.flag("FamilyInfo.OneWay"),
-		ReplacesInPlace: pick(t, "FamilyInfo.Swap", map[string]bool{"in_place": true, "beside": false})}
-	polling := policy.VotingRules{VoteLifetime: t.ms("FamilyInfo.VoteStandsMs"), CallTimeout: t.ms("FamilyInfo.CallTimeoutMs"),
+		ReplacesInPlace: pick(t, "FamilyInfo.Swap", map[string]bool{"in_place": true, "beside": false}),
+	}
+	polling := policy.VotingRules{
+		VoteLifetime: t.ms("FamilyInfo.VoteStandsMs"), CallTimeout: t.ms("FamilyInfo.CallTimeoutMs"),
 		CallsPerSecond: t.num("FamilyInfo.ApiRate"), VotesToAdvance: t.count("FamilyInfo.VotesToGo"),
 		VotesToRollBack: t.count("FamilyInfo.NoesNeeded"), Rule: pick(t, "FamilyInfo.VoteMode", map[string]policy.VotingRule{
-			"any": policy.AnyVote, "share": policy.VoteShare, "timer": policy.TimedStages})}
+			"any": policy.AnyVote, "share": policy.VoteShare, "timer": policy.TimedStages,
+		}),
+	}
 	polling.MetricsInterval = t.tally()
-	count := policy.ExposureLimit{Window: t.ms("FamilyInfo.CountedOverMs"), Allowance: t.num("FamilyInfo.Allowance"),
-		PerClass: pick(t, "FamilyInfo.CountedBy", map[string]bool{"class": true, "all": false})}
-	cold := policy.SlowStart{InitialCapacity: t.num("Safety.ColdFrom"), Duration: t.ms("Safety.ColdMs"),
-		OverloadMultiple: t.num("Safety.TipMultiple"), OverloadAfter: t.ms("Safety.TipAfterMs")}
-	hand := policy.RetryLimits{DrainGrace: t.ms("Safety.DrainGraceMs"), AnswerGrace: t.ms("Safety.GraceToAnswerMs"),
-		MaxAttempts: t.count("Limits.MaxAttempts")}
+	count := policy.ExposureLimit{
+		Window: t.ms("FamilyInfo.CountedOverMs"), Allowance: t.num("FamilyInfo.Allowance"),
+		PerClass: pick(t, "FamilyInfo.CountedBy", map[string]bool{"class": true, "all": false}),
+	}
+	cold := policy.SlowStart{
+		InitialCapacity: t.num("Safety.ColdFrom"), Duration: t.ms("Safety.ColdMs"),
+		OverloadMultiple: t.num("Safety.TipMultiple"), OverloadAfter: t.ms("Safety.TipAfterMs"),
+	}
+	hand := policy.RetryLimits{
+		DrainGrace: t.ms("Safety.DrainGraceMs"), AnswerGrace: t.ms("Safety.GraceToAnswerMs"),
+		MaxAttempts: t.count("Limits.MaxAttempts"),
+	}
 	if t.flag("Limits.RetryAfter") {
 		hand.MaxRetryAfter = t.ms("Limits.MaxRetryAfterMs")
 	}
-	may := policy.Capabilities{HealthChecks: t.flag("Limits.Probes"), Cancellation: t.flag("Limits.Cancel"),
+	may := policy.Capabilities{
+		HealthChecks: t.flag("Limits.Probes"), Cancellation: t.flag("Limits.Cancel"),
 		Gossip:          t.flag("Limits.MayTell"),
-		EndpointPolling: pick(t, "Discovery", map[string]bool{"subscribe": true, "automatic": false})}
-	fares := policy.CostWeights{CrossZone: t.opt("Charges.CrossZone", 0), Waste: t.opt("Charges.Waste", 0),
-		HealthCheck: t.opt("Charges.Probe", 0), Gossip: t.opt("Charges.Peer", 0)}
+		EndpointPolling: pick(t, "Discovery", map[string]bool{"subscribe": true, "automatic": false}),
+	}
+	fares := policy.CostWeights{
+		CrossZone: t.opt("Charges.CrossZone", 0), Waste: t.opt("Charges.Waste", 0),
+		HealthCheck: t.opt("Charges.Probe", 0), Gossip: t.opt("Charges.Peer", 0),
+	}
 	if polling.CallsPerSecond <= 0 {
 		t.fail("FamilyInfo.ApiRate", fmt.Sprintf("is %v, no rate of calls a second", polling.CallsPerSecond))
 	}
@@ -311,7 +332,9 @@
 
 // Voting reads them; what is wrong there is found when the module is opened.
 func (t *Settings) Voting() Voting {
-	return Voting{Index: t.count("Me"), Agents: t.count("Balancers"), VotesToAdvance: t.count("FamilyInfo.VotesToGo"), VotesToRollBack: t.count("FamilyInfo.NoesNeeded"),
+	return Voting{
+		Index: t.count("Me"), Agents: t.count("Balancers"), VotesToAdvance: t.count("FamilyInfo.VotesToGo"), VotesToRollBack: t.count("FamilyInfo.NoesNeeded"),
 		CallTimeout: t.ms("FamilyInfo.CallTimeoutMs"), VoteLifetime: t.ms("FamilyInfo.VoteStandsMs"), Rule: pick(t, "FamilyInfo.VoteMode",
-			map[string]policy.VotingRule{"any": policy.AnyVote, "share": policy.VoteShare, "timer": policy.TimedStages})}
+			map[string]policy.VotingRule{"any": policy.AnyVote, "share": policy.VoteShare, "timer": policy.TimedStages}),
+	}
 }
--- a/internal/fakes/appliance.go
+++ b/internal/fakes/appliance.go
@@ -79,9 +79,12 @@
 
 // NewEndpointAt starts one that is watched on a listener; with, unless it is nil, marks each connection.
 func NewEndpointAt(l net.Listener, name string, build, slots int, work time.Duration, seed int64, seen Observer,
-	with func(context.Context, net.Conn) context.Context) *Endpoint {
-	a := &Endpoint{Name: name, Build: build, slots: make(chan struct{}, slots), queue: int64(8 * slots), work: work, l: l,
-		chance: rand.New(rand.NewSource(seed)), seen: seen}
+	with func(context.Context, net.Conn) context.Context,
+) *Endpoint {
+	a := &Endpoint{
+		Name: name, Build: build, slots: make(chan struct{}, slots), queue: int64(8 * slots), work: work, l: l,
+		chance: rand.New(rand.NewSource(seed)), seen: seen,
+	}
 	a.slow.Store(1000)
 	a.srv = &http.Server{Handler: http.HandlerFunc(a.serve), IdleTimeout: 30 * time.Second, ConnContext: with}
 	go a.srv.Serve(l)
--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -48,8 +48,10 @@
 const quietConns, loudConns, loudRate, backTries = 50, 400, 400.0, 2
 
 func NewClients(url string, sla, expiry time.Duration) *Clients {
-	return &Clients{url: url, sla: sla, expiry: expiry, pools: map[string]*pool{}, tallies: map[string]*Totals{},
-		took: hdrhistogram.New(1, 60_000_000, 3)}
+	return &Clients{
+		url: url, sla: sla, expiry: expiry, pools: map[string]*pool{}, tallies: map[string]*Totals{},
+		took: hdrhistogram.New(1, 60_000_000, 3),
+	}
 }
 
 // pool is a crew's connections; a client waits for one of them and knows how much of its time that took.
@@ -67,8 +69,10 @@
 		most, name = loudConns, crew.Tenant+" loud"
 	}
 	if c.pools[name] == nil {
-		c.pools[name] = &pool{make(chan struct{}, most), &http.Client{Transport: &http.Transport{MaxIdleConns: most, MaxIdleConnsPerHost: most,
-			IdleConnTimeout: time.Second, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}}
+		c.pools[name] = &pool{make(chan struct{}, most), &http.Client{Transport: &http.Transport{
+			MaxIdleConns: most, MaxIdleConnsPerHost: most,
+			IdleConnTimeout: time.Second, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext,
+		}}}
 	}
 	return c.pools[name]
 }
--- a/internal/fakes/world.go
+++ b/internal/fakes/world.go
@@ -115,8 +115,10 @@
 
 // config is an agent's file for this world.
 func (w *Deployment) config(listen string, build, memoryMB int) string {
-	t := AgentConfig{Agents: 1, Listen: listen, Discovery: w.Discovery.Addr(), Rollout: w.Rollout.Addr(), Build: build, MemoryMB: memoryMB,
-		Tenants: w.Tenants, Shares: w.Shares, LatencyObjective: w.LatencyObjective, Timeout: w.Timeout}
+	t := AgentConfig{
+		Agents: 1, Listen: listen, Discovery: w.Discovery.Addr(), Rollout: w.Rollout.Addr(), Build: build, MemoryMB: memoryMB,
+		Tenants: w.Tenants, Shares: w.Shares, LatencyObjective: w.LatencyObjective, Timeout: w.Timeout,
+	}
 	w.mu.Lock()
 	t.Endpoints = w.line()
 	w.mu.Unlock()
--- a/internal/faulttest/clients.go
+++ b/internal/faulttest/clients.go
@@ -17,9 +17,9 @@
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"switchfork/internal/faulttest/netfault"
+
+	"golang.org/x/sys/unix"
 )
 
 // This file owns the clients: an open load whose arrivals do not wait for answers, each try on a connection of its own time,
--- a/internal/faulttest/netfault/stream.go
+++ b/internal/faulttest/netfault/stream.go
@@ -53,8 +53,10 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Stream{There: NewWay(seed), Back: NewWay(^seed), from: from, l: l, target: target, now: now, open: map[*joint]bool{},
-		closed: make(chan struct{}), dial: net.Dialer{Timeout: 5 * time.Second, LocalAddr: &net.TCPAddr{IP: Host(from)}}}
+	s := &Stream{
+		There: NewWay(seed), Back: NewWay(^seed), from: from, l: l, target: target, now: now, open: map[*joint]bool{},
+		closed: make(chan struct{}), dial: net.Dialer{Timeout: 5 * time.Second, LocalAddr: &net.TCPAddr{IP: Host(from)}},
+	}
 	s.mute = newMute(s.l.(*net.TCPListener), s.closed)
 	s.wait.Go(s.accept)
 	s.wait.Go(s.watch)
--- a/internal/faulttest/rig.go
+++ b/internal/faulttest/rig.go
@@ -260,9 +260,11 @@
 
 // file is an agent's configuration, and the serials of the list and the news that it holds.
 func (r *Rig) file(a *agent) (text string, list, news int) {
-	t := fakes.AgentConfig{Index: a.number, Agents: r.night.Agents, Build: r.night.Build, MemoryMB: memoryMB, Listen: a.listen,
+	t := fakes.AgentConfig{
+		Index: a.number, Agents: r.night.Agents, Build: r.night.Build, MemoryMB: memoryMB, Listen: a.listen,
 		Discovery: r.last(r.toList[a.number], r.list.l.Addr().String()), Rollout: r.last(r.toDesk[a.number], r.desk.l.Addr().String()),
-		Tenants: []string{"beqa"}, Shares: []float64{1}, LatencyObjective: SLA, Timeout: Expiry, HasNonIdempotent: true}
+		Tenants: []string{"beqa"}, Shares: []float64{1}, LatencyObjective: SLA, Timeout: Expiry, HasNonIdempotent: true,
+	}
 	list = r.list.newest()
 	t.Endpoints = r.list.line(a.number, list)
 	news, t.RolloutState = r.desk.newsJSON()
--- a/internal/faulttest/rules_test.go
+++ b/internal/faulttest/rules_test.go
@@ -11,12 +11,14 @@
 
 // sound are records in which every rule is kept, with something for each rule to look at.
 func sound() *Records {
-	r := &Records{Agents: 2, End: 20 * s, Decider: true, Born: []netfault.Micros{s, -1}, Slots: 2, Work: s / 100,
+	r := &Records{
+		Agents: 2, End: 20 * s, Decider: true, Born: []netfault.Micros{s, -1}, Slots: 2, Work: s / 100,
 		Stages:  []Stage{{7, 2, "live", 1, 0}, {8, 0, "testing", 0.2, 0}, {8, 0, "recalling", 0, 0}},
 		Lists:   [][]Row{{{0, "active", 7, 0}, {1, "active", 8, 0}}, {{0, "leaving", 7, 0}, {1, "active", 8, 0}}},
 		Lives:   [][]Life{{{From: 0, To: -1, Left: -1}}, {{From: 0, To: 9 * s, Left: -1}}},
 		HadList: [][]Had{{{0, 0}, {5 * s, 1}}, {{0, 0}}}, HadNews: [][]Had{{{0, 0}, {2 * s, 1}, {10 * s, 2}}, {{0, 0}, {2 * s, 1}}},
-		Votes: []Vote{{3 * s, 0, 8, 0, "on"}, {8 * s, 1, 8, 0, "back"}, {8 * s, 1, 8, 1, "on"}}}
+		Votes: []Vote{{3 * s, 0, 8, 0, "on"}, {8 * s, 1, 8, 0, "back"}, {8 * s, 1, 8, 1, "on"}},
+	}
 	for i := range 20 {
 		at := 2*s + netfault.Micros(i)*s/10
 		r.Txns = append(r.Txns, Txn{Came: at, Agent: 0, Fate: settled, Tries: []Try{{Agent: 0, ID: "x", Product: inquiry, Sent: at, Ended: at + s/100, Status: 200}}})
--- a/internal/loganalysis/logbook_test.go
+++ b/internal/loganalysis/logbook_test.go
@@ -53,8 +53,10 @@
 	}
 	var out bytes.Buffer
 	b.Print(&out, 1)
-	for _, want := range []string{"2 agents", "\n0\t80\t60\t18\t0\t0\t88\t10\t0\t0\t4\t0\t0\t1\t1\tnothing in time 1\n",
-		"build 7 stage 1 approve: turned away\t3\n", "box 1\tnothing in time 1\n"} {
+	for _, want := range []string{
+		"2 agents", "\n0\t80\t60\t18\t0\t0\t88\t10\t0\t0\t4\t0\t0\t1\t1\tnothing in time 1\n",
+		"build 7 stage 1 approve: turned away\t3\n", "box 1\tnothing in time 1\n",
+	} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("%q is missing in\n%s", want, out.String())
 		}
--- a/internal/options/operator.go
+++ b/internal/options/operator.go
@@ -60,8 +60,10 @@
 
 // Defaults are in force where the file says nothing.
 func Defaults() *Options {
-	return &Options{Log: Log{"info", "text"}, Admission: Admission{Weights: map[string]float64{}, Client: "address", Queues: 64, SendsRetryAfter: true},
-		Coordinator: Coordinator{Index: -1, Peers: map[int]string{}, Lease: 2 * time.Second, Group: "switchfork"}}
+	return &Options{
+		Log: Log{"info", "text"}, Admission: Admission{Weights: map[string]float64{}, Client: "address", Queues: 64, SendsRetryAfter: true},
+		Coordinator: Coordinator{Index: -1, Peers: map[int]string{}, Lease: 2 * time.Second, Group: "switchfork"},
+	}
 }
 
 // FileError is one thing that is wrong with a file.
@@ -100,7 +102,8 @@
 }
 
 func word(of func(*Options) *string, known ...string) keyword {
-	return keyword{form: strings.Join(known, "|"), most: 1,
+	return keyword{
+		form: strings.Join(known, "|"), most: 1,
 		set: func(o *Options, v []string) error {
 			for _, k := range known {
 				if v[0] == k {
@@ -110,11 +113,13 @@
 			}
 			return fmt.Errorf("is %q, expected one of %s", v[0], strings.Join(known, ", "))
 		},
-		show: func(o *Options) []string { return []string{*of(o)} }}
+		show: func(o *Options) []string { return []string{*of(o)} },
+	}
 }
 
 func onOff(of func(*Options) *bool) keyword {
-	return keyword{form: "on|off", most: 1,
+	return keyword{
+		form: "on|off", most: 1,
 		set: func(o *Options, v []string) error {
 			if v[0] != "on" && v[0] != "off" {
 				return fmt.Errorf("is %q, expected on or off", v[0])
@@ -127,7 +132,8 @@
 				return []string{"on"}
 			}
 			return []string{"off"}
-		}}
+		},
+	}
 }
 
 // count is a whole number in a range; auto stands for 0, which is worked out from what the agent is told.
@@ -159,7 +165,8 @@
 
 // text is a value that may be none.
 func text(form string, of func(*Options) *string, good func(string) bool) keyword {
-	return keyword{form: form + ", or none", most: 1,
+	return keyword{
+		form: form + ", or none", most: 1,
 		set: func(o *Options, v []string) error {
 			if v[0] == "none" {
 				*of(o) = ""
@@ -176,7 +183,8 @@
 				return []string{"none"}
 			}
 			return []string{quoted(*of(o))}
-		}}
+		},
+	}
 }
 
 func address(v string) bool {
@@ -196,7 +204,8 @@
 	"decider-state":  text("a folder's whole path", func(o *Options) *string { return &o.Coordinator.StateDir }, path),
 	"decider-group":  text("a name", func(o *Options) *string { return &o.Coordinator.Group }, func(v string) bool { return v != "" }),
 	"admin":          text("a Unix socket's whole path", func(o *Options) *string { return &o.Coordinator.AdminSocket }, path),
-	"decider-me": {form: "0 to 63, or auto", most: 1,
+	"decider-me": {
+		form: "0 to 63, or auto", most: 1,
 		set: func(o *Options, v []string) error {
 			n, err := strconv.Atoi(v[0])
 			if v[0] == "auto" {
@@ -214,8 +223,10 @@
 				return []string{"auto"}
 			}
 			return []string{strconv.Itoa(o.Coordinator.Index)}
-		}},
-	"decider-lease": {form: "a time from 200ms to 1m", most: 1,
+		},
+	},
+	"decider-lease": {
+		form: "a time from 200ms to 1m", most: 1,
 		set: func(o *Options, v []string) error {
 			d, err := time.ParseDuration(v[0])
 			if err != nil || d < leaseLeast || d > leaseMost {
@@ -224,8 +235,10 @@
 			o.Coordinator.Lease = d
 			return nil
 		},
-		show: func(o *Options) []string { return []string{o.Coordinator.Lease.String()} }},
-	"decider-peer": {form: "AGENT HOST:PORT", most: 2, many: true,
+		show: func(o *Options) []string { return []string{o.Coordinator.Lease.String()} },
+	},
+	"decider-peer": {
+		form: "AGENT HOST:PORT", most: 2, many: true,
 		set: func(o *Options, v []string) error {
 			if len(v) == 2 {
 				if n, err := strconv.Atoi(v[0]); err == nil && n >= 0 && n < agentsMost && address(v[1]) {
@@ -242,21 +255,25 @@
 				}
 			}
 			return lines
-		}},
+		},
+	},
 	"log-level":   word(func(o *Options) *string { return &o.Log.Level }, "debug", "info", "warn", "error"),
 	"log-form":    word(func(o *Options) *string { return &o.Log.Format }, "text", "json"),
 	"door":        onOff(func(o *Options) *bool { return &o.Admission.Enabled }),
 	"door-queues": count(func(o *Options) *int { return &o.Admission.Queues }, 1, 65536, false),
 	"door-txns":   count(func(o *Options) *int { return &o.Admission.Requests }, 1, 1_000_000, true),
-	"door-bytes": {form: "a size as 512KiB or 8MiB, or auto", most: 1,
+	"door-bytes": {
+		form: "a size as 512KiB or 8MiB, or auto", most: 1,
 		set: func(o *Options, v []string) (err error) { o.Admission.Bytes, err = size(v[0]); return err },
 		show: func(o *Options) []string {
 			if o.Admission.Bytes == 0 {
 				return []string{"auto"}
 			}
 			return []string{strconv.FormatInt(o.Admission.Bytes>>10, 10) + "KiB"}
-		}},
-	"door-client": {form: "address|connection|header NAME", most: 2,
+		},
+	},
+	"door-client": {
+		form: "address|connection|header NAME", most: 2,
 		set: func(o *Options, v []string) error {
 			switch {
 			case v[0] == "header" && len(v) == 2:
@@ -271,10 +288,12 @@
 		},
 		show: func(o *Options) []string {
 			return []string{strings.TrimSpace(o.Admission.Client + " " + o.Admission.Header)}
-		}},
+		},
+	},
 	"come-back":   onOff(func(o *Options) *bool { return &o.Admission.SendsRetryAfter }),
 	"same-answer": onOff(func(o *Options) *bool { return &o.Admission.Coalesces }),
-	"tenant": {form: "NAME share WEIGHT", most: 3, many: true,
+	"tenant": {
+		form: "NAME share WEIGHT", most: 3, many: true,
 		set: func(o *Options, v []string) error {
 			if len(v) != 3 || v[1] != "share" {
 				return fmt.Errorf("is %q, expected a name, the word share and a weight", strings.Join(v, " "))
@@ -292,7 +311,8 @@
 			}
 			sort.Strings(lines)
 			return lines
-		}},
+		},
+	},
 }
 
 func quoted(s string) string {
--- a/internal/options/operator_test.go
+++ b/internal/options/operator_test.go
@@ -25,7 +25,8 @@
 	if !errors.As(err, &faults) {
 		t.Fatalf("no faults but %v", err)
 	}
-	for i, want := range []string{`op.conf:2: door: is "onn", expected on or off`,
+	for i, want := range []string{
+		`op.conf:2: door: is "onn", expected on or off`,
 		`op.conf:3: dor: no such keyword, the nearest is door`,
 		`op.conf:4: door-queues: is "0", expected a whole number, 1 to 65536`,
 		`op.conf:5: tenant: is "beqa 3", expected a name, the word share and a weight`,
@@ -35,7 +36,8 @@
 		`op.conf:10: come-back: stands on line 9 already`,
 		`op.conf:11: door-client: is "header", expected address, connection, or header and a name`,
 		`op.conf:12: zzzzqqq: no such keyword, known are`,
-		`op.conf:13: same-answer: has 0 values, expected on|off`} {
+		`op.conf:13: same-answer: has 0 values, expected on|off`,
+	} {
 		if i >= len(faults) || !strings.HasPrefix(faults[i].Error(), want) {
 			t.Errorf("fault %d of %v, want %s", i, faults, want)
 		}
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -138,8 +138,10 @@
 	var raw []byte
 	for range 1 + s.chance.Intn(12) {
 		row := s.rows[s.ids[s.chance.Intn(len(s.ids))]]
-		n := told{AttemptResult: AttemptResult{EndpointID: row.ID, Outcome: Outcome(s.chance.Intn(9)), Elapsed: Micros(s.chance.Int63n(int64(400 * ms)))},
-			by: &appliance{Endpoint: row}, product: s.chance.Intn(len(s.d.products)), held: float64(s.chance.Intn(6)) - 1}
+		n := told{
+			AttemptResult: AttemptResult{EndpointID: row.ID, Outcome: Outcome(s.chance.Intn(9)), Elapsed: Micros(s.chance.Int63n(int64(400 * ms)))},
+			by:            &appliance{Endpoint: row}, product: s.chance.Intn(len(s.d.products)), held: float64(s.chance.Intn(6)) - 1,
+		}
 		switch s.chance.Intn(10) {
 		case 0:
 			n.Outcome = turnedLine
@@ -248,8 +250,10 @@
 			} else if d.name == "observer" {
 				station.Index = lot(station.Agents, station.Agents, ringSalt)[seats]
 			}
-			s := &goldenStream{chance: rand.New(rand.NewSource(seed)), d: d, now: 1000 * second, build: 2, rows: map[uint32]Endpoint{}, products: map[uint64]int{},
-				digest: golden.NewDigest(SendAttempt{}, CancelAttempt{}, Reject{}, Fail{}, SetTimer{}, CheckHealth{}, SendGossip{}, WatchEndpoints{}, Vote{}, LogMessage{})}
+			s := &goldenStream{
+				chance: rand.New(rand.NewSource(seed)), d: d, now: 1000 * second, build: 2, rows: map[uint32]Endpoint{}, products: map[uint64]int{},
+				digest: golden.NewDigest(SendAttempt{}, CancelAttempt{}, Reject{}, Fail{}, SetTimer{}, CheckHealth{}, SendGossip{}, WatchEndpoints{}, Vote{}, LogMessage{}),
+			}
 			appliances := 9
 			if d.name == "large" {
 				appliances = 60
--- a/internal/policy/loop.go
+++ b/internal/policy/loop.go
@@ -281,8 +281,10 @@
 		if a == nil || byte(a.Build) != sheet[4] || p >= len(j.products) || sheet[6] > byte(Malformed) {
 			continue
 		}
-		out = append(out, told{AttemptResult: AttemptResult{EndpointID: a.ID, Outcome: Outcome(sheet[6]),
-			Elapsed: Micros(binary.LittleEndian.Uint16(sheet[7:])) * ms}, by: a, product: p, sla: j.products[p].LatencyObjective, peer: true, held: float64(sheet[9]) - 1})
+		out = append(out, told{AttemptResult: AttemptResult{
+			EndpointID: a.ID, Outcome: Outcome(sheet[6]),
+			Elapsed: Micros(binary.LittleEndian.Uint16(sheet[7:])) * ms,
+		}, by: a, product: p, sla: j.products[p].LatencyObjective, peer: true, held: float64(sheet[9]) - 1})
 	}
 	return out
 }
@@ -369,19 +371,26 @@
 
 // New puts an agent's parts together from what it is told at its start.
 func New(st Instance, products []RequestClass, plan RolloutPlan, polling VotingRules, count ExposureLimit, cold SlowStart,
-	hand RetryLimits, may Capabilities, fares CostWeights) Router {
+	hand RetryLimits, may Capabilities, fares CostWeights,
+) Router {
 	g := &agent{line: &line{chance: rand.New(rand.NewSource(st.Seed)), began: -1}}
-	g.fleet = &fleet{line: g.line, byID: map[uint32]*appliance{}, probes: may.HealthChecks, cold: cold, sized: st.HasWeights,
-		points: ringPoints, salt: ringSalt, carries: 1, least: 1 / float64(st.Agents)} // one open of all agents together
-	g.judge = &judge{line: g.line, wave: wave{spoiled: map[int]bool{}, plan: plan}, fleet: g.fleet,
-		polling: polling, products: products, agents: st.Agents, me: st.Index, earlier: make([]sampled, len(products)), share: 1, calmShare: 1, calm: make([]float64, len(products)), calmSeen: make([]float64, len(products))}
+	g.fleet = &fleet{
+		line: g.line, byID: map[uint32]*appliance{}, probes: may.HealthChecks, cold: cold, sized: st.HasWeights,
+		points: ringPoints, salt: ringSalt, carries: 1, least: 1 / float64(st.Agents),
+	} // one open of all agents together
+	g.judge = &judge{
+		line: g.line, wave: wave{spoiled: map[int]bool{}, plan: plan}, fleet: g.fleet,
+		polling: polling, products: products, agents: st.Agents, me: st.Index, earlier: make([]sampled, len(products)), share: 1, calmShare: 1, calm: make([]float64, len(products)), calmSeen: make([]float64, len(products)),
+	}
 	if may.Gossip {
 		g.judge.seat(st)
 	}
-	g.desk = &desk{line: g.line, wave: wave{spoiled: map[int]bool{}, plan: plan}, fleet: g.fleet, judge: g.judge,
+	g.desk = &desk{
+		line: g.line, wave: wave{spoiled: map[int]bool{}, plan: plan}, fleet: g.fleet, judge: g.judge,
 		post: st, products: products, hand: hand, cold: cold, count: count,
 		fare: fares.CrossZone, ledger: make([][]entry, len(products)),
-		blame: map[int]float64{}, txns: map[uint64]*txn{}, gone: map[uint64]parting{}, returns: returnsFirst, bound: map[uint64]int{}, recent: map[uint64]popular{}}
+		blame: map[int]float64{}, txns: map[uint64]*txn{}, gone: map[uint64]parting{}, returns: returnsFirst, bound: map[uint64]int{}, recent: map[uint64]popular{},
+	}
 	for _, p := range products {
 		g.desk.usual = max(g.desk.usual, float64(p.LatencyObjective)/4) // until txns tell
 	}
--- a/internal/policy/scenario_test.go
+++ b/internal/policy/scenario_test.go
@@ -47,8 +47,10 @@
 	checks int
 }
 
-var outcomeWords = map[string]Outcome{"ok": OK, "error": ServerError, "full": Rejected, "timeout": TimedOut,
-	"noconnect": ConnectFailed, "broken": ConnectionLost, "cancelled": Cancelled, "moot": NotAttempted, "spoilt": Malformed}
+var outcomeWords = map[string]Outcome{
+	"ok": OK, "error": ServerError, "full": Rejected, "timeout": TimedOut,
+	"noconnect": ConnectFailed, "broken": ConnectionLost, "cancelled": Cancelled, "moot": NotAttempted, "spoilt": Malformed,
+}
 
 func play(t *testing.T, file string) *stage {
 	in, err := os.Open(file)
@@ -100,10 +102,14 @@
 		s.words = opts(w[1:])
 	case "product":
 		m := opts(w[2:])
-		s.prods = append(s.prods, RequestClass{Idempotency: map[string]Idempotency{"inquiry": Idempotent, "referenced": Keyed,
-			"once": NonIdempotent}[w[1]], DedupScope: map[string]DedupScope{"": DedupAll, "zone": DedupZone, "cell": DedupCell}[m["group"]],
+		s.prods = append(s.prods, RequestClass{
+			Idempotency: map[string]Idempotency{
+				"inquiry": Idempotent, "referenced": Keyed,
+				"once": NonIdempotent,
+			}[w[1]], DedupScope: map[string]DedupScope{"": DedupAll, "zone": DedupZone, "cell": DedupCell}[m["group"]],
 			DedupWindow: Micros(s.val(m, "memory", 0)) * ms, LatencyObjective: Micros(s.val(m, "sla", 1000)) * ms,
-			Timeout: Micros(s.val(m, "expiry", 3000)) * ms, PriorityWeight: s.val(m, "revenue", 1)})
+			Timeout: Micros(s.val(m, "expiry", 3000)) * ms, PriorityWeight: s.val(m, "revenue", 1),
+		})
 	case ">":
 		s.expect(w[1:])
 	default:
@@ -122,11 +128,15 @@
 		m["me"] = strconv.Itoa(s.seat(n))
 	}
 	span := func(k string, def float64) Micros { return Micros(s.val(m, k, def)) * ms }
-	s.r = New(Instance{Index: int(s.val(m, "me", 0)), Agents: int(s.val(m, "agents", 1)), Seed: 7, KeyAffinity: m["warmkeys"] != "",
-		HasWeights: m["unsized"] == "", LoadReport: map[string]LoadReportFormat{"1": {Utilization: 1, Rate: 2}, "": {InFlight: int(s.val(m, "holds", 0))}}[m["reports"]]}, s.prods,
+	s.r = New(Instance{
+		Index: int(s.val(m, "me", 0)), Agents: int(s.val(m, "agents", 1)), Seed: 7, KeyAffinity: m["warmkeys"] != "",
+		HasWeights: m["unsized"] == "", LoadReport: map[string]LoadReportFormat{"1": {Utilization: 1, Rate: 2}, "": {InFlight: int(s.val(m, "holds", 0))}}[m["reports"]],
+	}, s.prods,
 		RolloutPlan{Caps: caps, GuardedStages: int(s.val(m, "guarded", 0)), KeysNeverGoBack: m["oneway"] != "", ReplacesInPlace: m["inplace"] != ""},
-		VotingRules{Rule: map[string]VotingRule{"": AnyVote, "share": VoteShare, "timer": TimedStages}[m["ballot"]],
-			VoteLifetime: span("stands", 4000), MetricsInterval: span("tally", 0), VotesToAdvance: int(s.val(m, "togo", 0)), VotesToRollBack: int(s.val(m, "togoback", 1)), CallsPerSecond: s.val(m, "calls", 0)},
+		VotingRules{
+			Rule:         map[string]VotingRule{"": AnyVote, "share": VoteShare, "timer": TimedStages}[m["ballot"]],
+			VoteLifetime: span("stands", 4000), MetricsInterval: span("tally", 0), VotesToAdvance: int(s.val(m, "togo", 0)), VotesToRollBack: int(s.val(m, "togoback", 1)), CallsPerSecond: s.val(m, "calls", 0),
+		},
 		ExposureLimit{Window: span("window", 4000), Allowance: s.val(m, "free", 3), PerClass: m["byproduct"] != ""},
 		SlowStart{InitialCapacity: s.val(m, "from", 0.3), Duration: span("warm", 5000), OverloadMultiple: s.val(m, "multiple", 2), OverloadAfter: span("after", 1500)},
 		RetryLimits{MaxAttempts: int(s.val(m, "max", 3))}, Capabilities{EndpointPolling: m["ask"] != "", HealthChecks: m["probe"] != "", Gossip: m["tell"] != ""}, CostWeights{})
@@ -200,7 +210,8 @@
 		s.give(l)
 	case "stage": // build stage phase cap, then the outcome if it answers a vote
 		n := RolloutUpdate{Build: int(s.num(w[0])), Stage: int(s.num(w[1])), Cap: s.num(w[3]), Phase: map[string]Phase{
-			"trial": Evaluating, "back": RollingBack, "released": Released, "withdrawn": RolledBack}[w[2]]}
+			"trial": Evaluating, "back": RollingBack, "released": Released, "withdrawn": RolledBack,
+		}[w[2]]}
 		if n.IsVoteReply = len(w) > 4; n.IsVoteReply {
 			n.Outcome = outcomeWords[w[4]]
 		}
@@ -226,8 +237,10 @@
 	case "heard": // APPLIANCE OUTCOME TIMES took=, a sheet from a peer
 		for n := s.num(w[2]); n > 0; n-- {
 			a := uint32(s.num(w[0]))
-			s.give(GossipReceived{From: 1, Payload: putLine(nil, told{AttemptResult: AttemptResult{EndpointID: a, Outcome: outcomeWords[w[1]],
-				Elapsed: Micros(s.val(opts(w), "took", 50)) * ms}, by: &appliance{Endpoint: Endpoint{Build: s.builds[a]}}})})
+			s.give(GossipReceived{From: 1, Payload: putLine(nil, told{AttemptResult: AttemptResult{
+				EndpointID: a, Outcome: outcomeWords[w[1]],
+				Elapsed: Micros(s.val(opts(w), "took", 50)) * ms,
+			}, by: &appliance{Endpoint: Endpoint{Build: s.builds[a]}}})})
 		}
 	case "probed":
 		s.give(HealthCheckResult{EndpointID: uint32(s.num(w[0])), Outcome: outcomeWords[w[1]]})
@@ -243,8 +256,10 @@
 			s.give(GossipReceived{From: 1, Payload: putLine(nil, told{AttemptResult: AttemptResult{EndpointID: uint32(s.num(w[0])), Outcome: wentLine}, by: &appliance{}})})
 		}
 	case "tally": // BUILD PRODUCT MANY LOST took=
-		s.give(MetricsReport{Build: int(s.num(w[0])), Class: int(s.num(w[1])), Requests: int(s.num(w[2])), Failures: int(s.num(w[3])),
-			MeanLatency: Micros(s.val(opts(w[4:]), "took", 0)) * ms, Age: second})
+		s.give(MetricsReport{
+			Build: int(s.num(w[0])), Class: int(s.num(w[1])), Requests: int(s.num(w[2])), Failures: int(s.num(w[3])),
+			MeanLatency: Micros(s.val(opts(w[4:]), "took", 0)) * ms, Age: second,
+		})
 	case "word": // SEAT BUILD STAGE VERDICT, what one of the bench holds; a number over the seats is another agent
 		from := s.seat(w[0])
 		v := map[string]Verdict{"none": NoVote, "on": Advance, "back": RollBack, "9": 9}[w[3]]
@@ -294,8 +309,10 @@
 
 func (s *stage) txn(id uint64, m map[string]string) {
 	p := int(s.val(m, "product", 0))
-	s.give(RequestArrived{ID: id, Class: p, Tenant: int(s.val(m, "customer", 0)), Key: uint64(s.val(m, "key", 0)), CostHint: Micros(s.val(m, "work", 0)) * ms,
-		Deadline: s.now + Micros(s.val(m, "for", float64(s.prods[p].Timeout/ms)))*ms})
+	s.give(RequestArrived{
+		ID: id, Class: p, Tenant: int(s.val(m, "customer", 0)), Key: uint64(s.val(m, "key", 0)), CostHint: Micros(s.val(m, "work", 0)) * ms,
+		Deadline: s.now + Micros(s.val(m, "for", float64(s.prods[p].Timeout/ms)))*ms,
+	})
 }
 
 func (s *stage) end(id uint64, how Outcome, took Micros) {
@@ -308,8 +325,10 @@
 func (s *stage) describe(c Command) (word string, figures map[string]float64) {
 	switch c := c.(type) {
 	case SendAttempt:
-		return "submit", map[string]float64{"id": float64(c.RequestID), "to": float64(c.EndpointID),
-			"build": float64(s.builds[c.EndpointID]), "before": float64(c.WriteBefore / ms)}
+		return "submit", map[string]float64{
+			"id": float64(c.RequestID), "to": float64(c.EndpointID),
+			"build": float64(s.builds[c.EndpointID]), "before": float64(c.WriteBefore / ms),
+		}
 	case CancelAttempt:
 		return "calloff", map[string]float64{"id": float64(c.RequestID)}
 	case Reject:
--- a/internal/simprotocol/adapter.go
+++ b/internal/simprotocol/adapter.go
@@ -9,8 +9,10 @@
 	"switchfork/internal/policy"
 )
 
-var outcomes = map[int]policy.Outcome{100: policy.OK, 301: policy.ServerError, 302: policy.Rejected,
-	303: policy.TimedOut, 304: policy.ConnectFailed, 305: policy.ConnectionLost, 306: policy.Cancelled, 307: policy.NotAttempted}
+var outcomes = map[int]policy.Outcome{
+	100: policy.OK, 301: policy.ServerError, 302: policy.Rejected,
+	303: policy.TimedOut, 304: policy.ConnectFailed, 305: policy.ConnectionLost, 306: policy.Cancelled, 307: policy.NotAttempted,
+}
 
 var phases = []policy.Phase{policy.Evaluating, policy.RollingBack, policy.Released, policy.RolledBack}
 
@@ -168,8 +170,10 @@
 		}
 		ev = policy.EndpointUpdate{Full: how == 1 || how == 2, Failed: how == 3, Endpoints: rows}
 	case 2:
-		t := policy.RequestArrived{ID: r.u64(), Class: r.u16(), Tenant: int(r.u32()), Key: r.u64(),
-			Deadline: r.micros("ExpiresMs")}
+		t := policy.RequestArrived{
+			ID: r.u64(), Class: r.u16(), Tenant: int(r.u32()), Key: r.u64(),
+			Deadline: r.micros("ExpiresMs"),
+		}
 		t.CostHint = r.micros("WeightHintMs")
 		opts := r.u8()
 		if opts&1 == 0 {
@@ -202,8 +206,10 @@
 		s.Phase, s.IsVoteReply, s.Outcome, s.Cap, s.Age = phases[p], r.u8() == 1, outcome(), r.f32(), r.micros("LatenessMs")
 		ev = s
 	case 11:
-		ev = policy.MetricsReport{Build: r.u16(), Class: r.u16(), Requests: int(r.u32()), Failures: int(r.u32()),
-			MeanLatency: r.micros("WaitTimeMs"), Age: r.micros("LatenessMs")}
+		ev = policy.MetricsReport{
+			Build: r.u16(), Class: r.u16(), Requests: int(r.u32()), Failures: int(r.u32()),
+			MeanLatency: r.micros("WaitTimeMs"), Age: r.micros("LatenessMs"),
+		}
 	case 12:
 		ev = policy.ErrorReport{Class: r.u16(), Age: r.micros("LatenessMs"), EndpointID: r.u32()}
 	}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -7,10 +7,10 @@
 	"container/heap"
 	"math/rand"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"switchfork/internal/admission"
 	"switchfork/internal/policy"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
 const (
@@ -297,8 +297,10 @@
 		w.refused(t, w.gate.told)
 		return
 	}
-	w.carry(w.gate.Arrive(w.now, admission.Arrival{ID: t.id, Tenant: w.gate.tenant(t.tenant), Client: t.client, Key: t.key,
-		IsRetry: t.tries > 1, Deadline: t.expires, Bytes: 400}))
+	w.carry(w.gate.Arrive(w.now, admission.Arrival{
+		ID: t.id, Tenant: w.gate.tenant(t.tenant), Client: t.client, Key: t.key,
+		IsRetry: t.tries > 1, Deadline: t.expires, Bytes: 400,
+	}))
 }
 
 // refused sends a client away, to come back when it was told, or never.
