--- a/cmd/switchfork/chair.go
+++ b/cmd/switchfork/chair.go
@@ -42,8 +42,8 @@
 )
 
 // sit makes the seat that the operator asks for, nil without one.
-func sit(keep options.Coordinator, circle config.Peers, terms *config.Settings, seed int64, core *agent.Core, launcher *agent.Launcher,
-	peers *agent.Peers,
+func sit(keep options.Coordinator, circle config.Peers, terms *config.Settings, seed int64, core *agent.Loop, launcher *agent.RolloutClient,
+	peers *agent.Gossip,
 ) (*chair, error) {
 	if !keep.Enabled {
 		if keep.AdminSocket != "" {
@@ -98,8 +98,8 @@
 		}
 		store, seat.State = v, memory
 	}
-	desk := coordinator.Callbacks{UpdateRollout: core.News, CastVote: func(v policy.Vote, before time.Time, over func(bool)) {
-		launcher.Cast(agent.Dated{Vote: v, Before: before, Over: over})
+	desk := coordinator.Callbacks{UpdateRollout: core.UpdateRollout, CastVote: func(v policy.Vote, before time.Time, over func(bool)) {
+		launcher.CastBefore(agent.TimedVote{Vote: v, WriteBefore: before, Resolved: over})
 	}}
 	var way coordinator.Transport = peers
 	if keep.Listen != "" {
@@ -108,7 +108,7 @@
 	}
 	c.council = coordinator.New(seat, way, store, desk)
 	if c.tcp == nil {
-		peers.Beside(func(b []byte) bool {
+		peers.Intercept(func(b []byte) bool {
 			if !transport.IsFrame(b) {
 				return false
 			}
@@ -116,8 +116,8 @@
 			return true
 		})
 	}
-	core.Through(c.council.Recommend)
-	launcher.Also(c.council.UpdateRollout)
+	core.RouteVotes(c.council.Recommend)
+	launcher.Observe(c.council.UpdateRollout)
 	slog.Info("decider", "me", me, "members", members.Count(), "lease", keep.Lease, "state", keep.StateDir != "", "memory", seat.State != nil, "tcp", c.tcp != nil)
 	return c, nil
 }
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -73,22 +73,22 @@
 		names, effects, expiry = append(names, g.Name), append(effects, g.Idempotency), append(expiry, g.Timeout)
 		longest = max(longest, g.Timeout)
 	}
-	purse := agent.NewPurse(ration.Sockets - ownSockets)
+	purse := agent.NewBudget(ration.Sockets - ownSockets)
 	clock := agent.NewClock()
-	core := agent.NewCore(module, clock)
+	core := agent.NewLoop(module, clock)
 	pool := agent.NewPool(lines.DialTimeout, lines.IdleTimeout, lines.LoadReportFields, purse)
-	roster := agent.NewRoster(core, post.Discovery, zones, lines.DialTimeout, lines.PollWithin, file.Deployment.Voting().Agents, int64(seed))
-	launcher := agent.NewLauncher(core, post.Rollout, lines.DialTimeout, lines.CallTimeout, int64(seed))
-	peers, err := agent.NewPeers(core, circle.Listen, circle.Addresses, circle.Broadcast)
+	roster := agent.NewClient(core, post.Discovery, zones, lines.DialTimeout, lines.PollWithin, file.Deployment.Voting().Agents, int64(seed))
+	launcher := agent.NewRolloutClient(core, post.Rollout, lines.DialTimeout, lines.CallTimeout, int64(seed))
+	peers, err := agent.NewGossip(core, circle.Listen, circle.Addresses, circle.Broadcast)
 	if err != nil {
 		return err
 	}
-	front := agent.NewFront(core, names, effects, expiry, customers, lines.MaxOpenRequests, lines.MaxRetryAfter, purse,
+	front := agent.NewProxy(core, names, effects, expiry, customers, lines.MaxOpenRequests, lines.MaxRetryAfter, purse,
 		rand.New(rand.NewSource(int64(seed))).Uint64()>>12)
-	var gate *agent.Gate
+	var gate *agent.AdmissionGate
 	if orders.Admission.Enabled {
-		gate = agent.NewGate(open(orders.Admission, goods, stalls, customers, shares, lines, ration, purse, seed), clock, core)
-		front.Behind(gate, agent.WhoAsks{Header: orders.Admission.Header, Connection: orders.Admission.Client == "connection"})
+		gate = agent.NewAdmissionGate(open(orders.Admission, goods, stalls, customers, shares, lines, ration, purse, seed), clock, core)
+		front.UseAdmission(gate, agent.ClientKey{Header: orders.Admission.Header, Connection: orders.Admission.Client == "connection"})
 	}
 	seat, err := sit(orders.Coordinator, circle, file.Deployment, int64(seed), core, launcher, peers)
 	if err != nil {
@@ -114,7 +114,7 @@
 		}
 	}
 	go core.Serve(ctx, pool, launcher, peers)
-	core.Settle(ctx) // no txn before the list and the news
+	core.Flush(ctx) // no txn before the list and the news
 	go roster.Serve(ctx)
 	go launcher.Serve(ctx)
 	go peers.Serve(ctx)
@@ -174,7 +174,7 @@
 }
 
 // reload hands on what the file has changed that may change at work; a faulty file leaves all as it is.
-func reload(file *config.File, roster *agent.Roster, launcher *agent.Launcher) *config.File {
+func reload(file *config.File, roster *agent.Client, launcher *agent.RolloutClient) *config.File {
 	next, moved, left, err := file.Reload()
 	if err != nil {
 		slog.Error("reload: the old stays in force", "err", err)
@@ -195,7 +195,7 @@
 
 // open makes the door that the operator asks for.
 func open(keep options.Admission, goods []config.RequestClass, stalls []config.ClassPriority, customers []string, shares []float64,
-	lines config.Connections, ration config.ResourceLimits, purse *agent.Purse, seed uint64,
+	lines config.Connections, ration config.ResourceLimits, purse *agent.Budget, seed uint64,
 ) *admission.Controller {
 	var products []admission.RequestClass
 	for i, g := range goods {
@@ -204,7 +204,7 @@
 			PriorityWeight: stalls[i].PriorityWeight, Keyed: g.Idempotency == policy.Keyed,
 		})
 	}
-	room := admission.LimitsFor(ration.MemoryMB, min(lines.MaxOpenRequests, purse.Txns()), keep.Queues)
+	room := admission.LimitsFor(ration.MemoryMB, min(lines.MaxOpenRequests, purse.MaxRequests()), keep.Queues)
 	if keep.Requests > 0 {
 		room.Requests = min(room.Requests, keep.Requests)
 	}
@@ -245,7 +245,7 @@
 
 // reorder reads the operator's file again: log and shares take effect at once, other keywords need a restart, and a faulty
 // file changes nothing.
-func reorder(now *options.Options, customers []string, shares []float64, gate *agent.Gate) *options.Options {
+func reorder(now *options.Options, customers []string, shares []float64, gate *agent.AdmissionGate) *options.Options {
 	if now.Path == "" {
 		return now
 	}
@@ -256,7 +256,7 @@
 	}
 	logTo(next.Log)
 	if gate != nil {
-		gate.Reshare(weights(next.Admission, customers, shares))
+		gate.SetWeights(weights(next.Admission, customers, shares))
 	}
 	if left := now.ChangedKeywords(next); len(left) > 0 {
 		slog.Warn("operator's file: other keywords need a restart", "keywords", left)
--- a/internal/agent/account_test.go
+++ b/internal/agent/account_test.go
@@ -14,11 +14,11 @@
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&out, nil)))
 	defer slog.SetDefault(old)
-	var a account
+	var a activity
 	now := time.Now()
 	for range 1000 { // 20 s
-		a.say(now)
-		a.taken, now = a.taken+1, now.Add(20*time.Millisecond)
+		a.log(now)
+		a.arrived, now = a.arrived+1, now.Add(20*time.Millisecond)
 		a.dials.Add(2)
 	}
 	if got := strings.Count(out.String(), "msg=account"); got != 3 {
@@ -27,10 +27,10 @@
 	if !strings.Contains(out.String(), " taken=250 ") || !strings.Contains(out.String(), " dials=500 ") {
 		t.Errorf("counted as\n%s", out.String())
 	}
-	a.say(now.Add(accountEvery))
+	a.log(now.Add(activityInterval))
 	out.Reset()
 	for range 1000 {
-		a.say(now)
+		a.log(now)
 		now = now.Add(20 * time.Millisecond)
 	}
 	if out.Len() > 0 {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -191,7 +191,7 @@
 		len(c.Header["X-Deadline-Ms"]) != 1 {
 		t.Errorf("arrived: %+v", c)
 	}
-	time.Sleep(2 * settles) // from then on it is used, however much later
+	time.Sleep(2 * DefaultSettleTime) // from then on it is used, however much later
 	a.ask(t, "GET", "/lookup", "")
 	if copies = b.Requests(); copies[1].Conn != 1 {
 		t.Error("the connection was not used again")
--- a/internal/agent/appliance.go
+++ b/internal/agent/appliance.go
@@ -25,33 +25,33 @@
 	dial   net.Dialer
 	idle   time.Duration
 	fields []string // of a load report
-	purse  *Purse
+	budget *Budget
 	// settles is how long a connection rests after an answer before the next request goes out on it.
-	settles time.Duration
+	settleTime time.Duration
 }
 
 // A second answer to the request before may still be on its way when a connection is at rest, by the protocol some milliseconds (2 to 5
 // were seen, join+mass, seeds 1 to 3), and the next request on it would be served with another's body. settles is some times that. It
 // costs one connection more where one would be used again at once.
-const settles = 20 * time.Millisecond
+const DefaultSettleTime = 20 * time.Millisecond
 
-func NewPool(dial, idle time.Duration, fields []string, purse *Purse) *Pool {
-	return &Pool{dial: net.Dialer{Timeout: dial, KeepAlive: -1}, idle: idle, fields: fields, purse: purse, settles: settles}
+func NewPool(dial, idle time.Duration, fields []string, purse *Budget) *Pool {
+	return &Pool{dial: net.Dialer{Timeout: dial, KeepAlive: -1}, idle: idle, fields: fields, budget: purse, settleTime: DefaultSettleTime}
 }
 
-func (p *Pool) hire(id uint32, e entry, core *Core) *appliance {
-	a := &appliance{pool: p, core: core, id: id, name: e.Host, box: newMailbox[any]()}
+func (p *Pool) NewEndpoint(id uint32, e ListEntry, core *Loop) *Endpoint {
+	a := &Endpoint{pool: p, core: core, id: id, name: e.Host, box: NewMailbox[any]()}
 	go a.serve()
 	return a
 }
 
-// appliance is one actor. Only serve's goroutine touches the fields below box.
-type appliance struct {
+// Endpoint is one actor. Only serve's goroutine touches the fields below box.
+type Endpoint struct {
 	pool *Pool
-	core *Core
+	core *Loop
 	id   uint32
 	name string
-	box  *mailbox[any]
+	box  *Mailbox[any]
 
 	now      process // as it was listed last
 	leaving  bool    // it wants nothing new
@@ -71,14 +71,14 @@
 
 type (
 	listed struct { // what the list says of it
-		entry
+		ListEntry
 		gone bool
 	}
-	submission struct {
-		id        uint64
-		parcel    *parcel
-		at, until time.Time
-		before    time.Time // its last byte must not leave later; zero: no such time
+	Attempt struct {
+		RequestID           uint64
+		Encoded             *EncodedRequest
+		DecidedAt, Deadline time.Time
+		WriteBefore         time.Time // its last byte must not leave later; zero: no such time
 	}
 	probe   struct{}
 	callOff struct{ id uint64 }
@@ -98,18 +98,18 @@
 	}
 	heard struct { // a connection brought an answer, or its end
 		conn   *conn
-		answer *answer
+		answer *Response
 		err    error
 	}
 )
 
 // job is one submission or probe on its way.
 type job struct {
-	submission
+	Attempt
 	probe bool
 	on    *conn  // nil while it comes up
 	sent  bool   // its last byte is written
-	cut   Ending // how its connection ended before the writer told how far it got
+	cut   Result // how its connection ended before the writer told how far it got
 	over  bool
 	timer *time.Timer
 }
@@ -127,9 +127,9 @@
 
 // still tells whether nothing has come in on a connection at rest: neither its end nor anything behind the last
 // answer, which would be taken for the next one's.
-func (c *conn) still() bool { return nothingCame(c.Conn) }
+func (c *conn) still() bool { return IsQuiet(c.Conn) }
 
-func nothingCame(c any) (still bool) {
+func IsQuiet(c any) (still bool) {
 	sc, is := c.(syscall.Conn)
 	if !is {
 		return false
@@ -146,11 +146,11 @@
 	return still
 }
 
-func (a *appliance) serve() {
+func (a *Endpoint) serve() {
 	a.out = map[uint64]*job{}
 	var notes []any
-	for range a.box.bell {
-		notes = a.box.take(notes)
+	for range a.box.ready {
+		notes = a.box.Take(notes)
 		for _, n := range notes {
 			a.note(n)
 		}
@@ -161,21 +161,21 @@
 	}
 }
 
-func (a *appliance) note(n any) {
+func (a *Endpoint) note(n any) {
 	switch n := n.(type) {
 	case listed:
 		a.listed(n)
-	case submission:
-		j := &job{submission: n}
-		a.out[n.id] = j
+	case Attempt:
+		j := &job{Attempt: n}
+		a.out[n.RequestID] = j
 		a.begin(j)
 	case probe:
 		a.pending++
 		now := time.Now()
-		a.begin(&job{submission: submission{at: now, until: now.Add(a.pool.dial.Timeout), parcel: a.probing()}, probe: true})
+		a.begin(&job{Attempt: Attempt{DecidedAt: now, Deadline: now.Add(a.pool.dial.Timeout), Encoded: a.probing()}, probe: true})
 	case callOff:
 		if j := a.out[n.id]; j != nil {
-			a.finish(j, GivenUp, nil)
+			a.finish(j, Cancelled, nil)
 		}
 	case due:
 		switch j := n.job; {
@@ -183,7 +183,7 @@
 		case j.on == nil:
 			a.finish(j, NotSent, nil) // nothing has been written, and the connection had time left
 		default:
-			a.finish(j, Silent, nil)
+			a.finish(j, TimedOut, nil)
 		}
 	case tooLate:
 		if j := n.job; !j.over && j.on == nil {
@@ -205,18 +205,18 @@
 }
 
 // probing asks for the load report where there are any.
-func (a *appliance) probing() *parcel {
+func (a *Endpoint) probing() *EncodedRequest {
 	target := "/ping"
 	if len(a.pool.fields) > 0 {
 		target = "/_load"
 	}
-	return pack("GET", target, a.now.addr, nil, nil)
+	return EncodeRequest("GET", target, a.now.addr, nil, nil)
 }
 
 // listed takes the list's word on. A process that was replaced takes its idle connections along: what would be written to them ends as
 // a reset. What waits for a connection was ordered before that word: written when the connection comes up, up to a second later, it
 // would reach a process that leaves, or one of another build. It ends as not sent, and the module chooses anew.
-func (a *appliance) listed(n listed) {
+func (a *Endpoint) listed(n listed) {
 	next := a.now
 	if !n.gone {
 		next = process{n.Dial, n.BornMs, n.Build}
@@ -237,19 +237,19 @@
 }
 
 // begin gives a job a connection: the idle one used last, or a new one.
-func (a *appliance) begin(j *job) {
-	wait := time.Until(j.until)
+func (a *Endpoint) begin(j *job) {
+	wait := time.Until(j.Deadline)
 	if wait <= 0 || a.gone || a.leaving && !j.probe {
 		a.finish(j, NotSent, nil)
 		return
 	}
 	if j.timer == nil {
-		j.timer = time.AfterFunc(wait, func() { a.box.put(due{j}) })
-		if !j.before.IsZero() && j.before.Before(j.until) {
-			time.AfterFunc(time.Until(j.before), func() { a.box.put(tooLate{j}) })
+		j.timer = time.AfterFunc(wait, func() { a.box.Put(due{j}) })
+		if !j.WriteBefore.IsZero() && j.WriteBefore.Before(j.Deadline) {
+			time.AfterFunc(time.Until(j.WriteBefore), func() { a.box.Put(tooLate{j}) })
 		}
 	}
-	young := time.Now().Add(-a.pool.settles)
+	young := time.Now().Add(-a.pool.settleTime)
 	for _, c := range slices.Backward(slices.Clone(a.idle)) {
 		switch {
 		case c.since.After(young):
@@ -263,34 +263,34 @@
 			a.drop(c)
 		}
 	}
-	place := a.pool.purse.appliance()
+	place := a.pool.budget.AcquireUpstream()
 	if !place && len(a.idle) > 0 { // one that may not be used yet has the place of one that may
 		a.drop(a.idle[0])
-		place = a.pool.purse.appliance()
+		place = a.pool.budget.AcquireUpstream()
 	}
 	if !place {
-		complaints.warn("budget", "no descriptor left for a connection", "appliance", a.name)
-		a.core.box.put(shortage{})
+		complaints.Warn("budget", "no descriptor left for a connection", "appliance", a.name)
+		a.core.mailbox.Put(connectionsExhausted{})
 		a.finish(j, NotSent, nil)
 		return
 	}
 	a.pending++
-	a.core.done.dials.Add(1)
+	a.core.activity.dials.Add(1)
 	to := a.now
 	go func() {
-		nc, err := dialOwing(context.Background(), &a.pool.dial, to.addr, nil)
+		nc, err := Dial(context.Background(), &a.pool.dial, to.addr, nil)
 		if err != nil {
-			a.pool.purse.give(0, 1)
-			a.box.put(dialed{job: j, err: err})
+			a.pool.budget.Release(0, 1)
+			a.box.Put(dialed{job: j, err: err})
 			return
 		}
 		c := &conn{Conn: nc, to: to, ask: make(chan struct{}, 1)}
-		a.box.put(dialed{job: j, conn: c})
+		a.box.Put(dialed{job: j, conn: c})
 		a.read(c)
 	}()
 }
 
-func (a *appliance) dialed(n dialed) {
+func (a *Endpoint) dialed(n dialed) {
 	a.pending--
 	switch {
 	case n.err == nil && (a.gone || n.conn.to != a.now):
@@ -304,12 +304,12 @@
 		a.write(n.conn, n.job)
 	case n.job.over:
 	case errors.Is(n.err, syscall.ECONNREFUSED), errors.Is(n.err, syscall.ECONNRESET):
-		a.finish(n.job, Refused, nil)
+		a.finish(n.job, ConnectionRefused, nil)
 	case errors.Is(n.err, syscall.EMFILE), errors.Is(n.err, syscall.ENFILE), errors.Is(n.err, syscall.EADDRNOTAVAIL):
-		complaints.warn("dial", "could not open a connection", "appliance", a.name, "err", n.err)
+		complaints.Warn("dial", "could not open a connection", "appliance", a.name, "err", n.err)
 		a.finish(n.job, NotSent, nil)
 	default:
-		a.finish(n.job, NeverUp, nil)
+		a.finish(n.job, ConnectTimeout, nil)
 	}
 }
 
@@ -317,14 +317,14 @@
 // writing it does not block the actor; a longer one gets a goroutine.
 const writeAtOnce = 8 << 10
 
-func (a *appliance) write(c *conn, j *job) {
-	raw := j.parcel.bytes(time.Until(j.until))
+func (a *Endpoint) write(c *conn, j *job) {
+	raw := j.Encoded.Bytes(time.Until(j.Deadline))
 	c.ask <- struct{}{} // an answer that comes before the last byte is written is read too
-	c.job, j.on, j.sent, j.cut = j, c, false, Settled
+	c.job, j.on, j.sent, j.cut = j, c, false, Succeeded
 	// A process may have stood still since the module chose this appliance, and the list may say otherwise by now: what is older than
 	// a connection takes to come up, and than a standstill that is no longer noticed, is chosen again. It may cost a txn that waited
 	// on a starved core another turn.
-	if now := time.Now(); now.Sub(j.at) > a.pool.dial.Timeout+stalled || !j.before.IsZero() && !now.Before(j.before) {
+	if now := time.Now(); now.Sub(j.DecidedAt) > a.pool.dial.Timeout+StallThreshold || !j.WriteBefore.IsZero() && !now.Before(j.WriteBefore) {
 		a.finish(j, NotSent, nil)
 		return
 	}
@@ -334,20 +334,20 @@
 		return
 	}
 	go func() {
-		last := j.until
-		if !j.before.IsZero() && j.before.Before(last) {
-			last = j.before
+		last := j.Deadline
+		if !j.WriteBefore.IsZero() && j.WriteBefore.Before(last) {
+			last = j.WriteBefore
 		}
 		c.SetWriteDeadline(last)
 		_, err := c.Write(raw)
 		c.SetWriteDeadline(time.Time{})
-		a.box.put(wrote{j, c, err})
+		a.box.Put(wrote{j, c, err})
 	}()
 }
 
 // wrote: what did not leave whole has not run. On a connection that had been idle that is its end crossing the
 // request, no sign of the appliance's state, and another connection is tried.
-func (a *appliance) wrote(n wrote) {
+func (a *Endpoint) wrote(n wrote) {
 	j := n.job
 	switch {
 	case j.over:
@@ -356,9 +356,9 @@
 		if j.on = nil; n.conn.used {
 			a.begin(j)
 		} else {
-			a.finish(j, CutBefore, nil)
+			a.finish(j, LostBeforeSent, nil)
 		}
-	case j.cut != Settled:
+	case j.cut != Succeeded:
 		a.finish(j, j.cut, nil)
 	default:
 		j.sent = true
@@ -367,25 +367,25 @@
 
 // read tells of one answer, or the connection's end, for each job. Between jobs it reads nothing: what an appliance
 // sends behind an answer never meets the next job.
-func (a *appliance) read(c *conn) {
-	in := newInflow(c.Conn)
+func (a *Endpoint) read(c *conn) {
+	in := newResponseReader(c.Conn)
 	for range c.ask {
 		ans, err := in.next(a.pool.fields)
-		a.box.put(heard{c, ans, err})
-		if err != nil || ans.last {
+		a.box.Put(heard{c, ans, err})
+		if err != nil || ans.IsLast {
 			return
 		}
 	}
 }
 
-func (a *appliance) heard(n heard) {
+func (a *Endpoint) heard(n heard) {
 	c, j := n.conn, n.conn.job
 	switch {
 	case c.closed, j == nil:
-	case n.err == nil && j.probe && n.answer.ending == Rejected:
-		a.finish(j, Errored, n.answer) // it answers, if not to this
+	case n.err == nil && j.probe && n.answer.Result == ClientError:
+		a.finish(j, ServerError, n.answer) // it answers, if not to this
 	case n.err == nil:
-		a.finish(j, n.answer.ending, n.answer)
+		a.finish(j, n.answer.Result, n.answer)
 	case j.sent:
 		a.finish(j, endOf(n.err), nil)
 	default:
@@ -395,25 +395,25 @@
 }
 
 // endOf tells a connection's end from an answer that can't be read.
-func endOf(err error) Ending {
+func endOf(err error) Result {
 	var op *net.OpError
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return Unreadable // begun, and then no more of it
+		return Malformed // begun, and then no more of it
 	}
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &op) {
-		return CutAfter
+		return LostAfterSent
 	}
-	return Unreadable
+	return Malformed
 }
 
 // finish tells how a job ended, after its connection is at rest or closed: never two submissions at once.
-func (a *appliance) finish(j *job, how Ending, ans *answer) {
+func (a *Endpoint) finish(j *job, how Result, ans *Response) {
 	j.over = true
 	if j.timer != nil {
 		j.timer.Stop()
 	}
 	if c := j.on; c != nil {
-		if c.job = nil; ans != nil && !ans.last && j.sent {
+		if c.job = nil; ans != nil && !ans.IsLast && j.sent {
 			c.used = true
 			a.rest(c)
 		} else {
@@ -421,36 +421,36 @@
 		}
 	}
 	switch {
-	case how == CutAfter, how == CutBefore, how == NeverUp, how == Refused, how == Silent && j.probe:
+	case how == LostAfterSent, how == LostBeforeSent, how == ConnectTimeout, how == ConnectionRefused, how == TimedOut && j.probe:
 		// The process or the way to it is gone or was: idle connections may be dead without a sign, and each
 		// would cost a submission that may have run. It costs a handshake where only the one had ended.
 		a.dropIdle(0)
 	}
-	took := policy.Micros(time.Since(j.at).Microseconds())
-	if how != Settled {
-		complaints.warn(a.name+how.String(), "appliance", "appliance", a.name, "ending", how.String(),
+	took := policy.Micros(time.Since(j.DecidedAt).Microseconds())
+	if how != Succeeded {
+		complaints.Warn(a.name+how.String(), "appliance", "appliance", a.name, "ending", how.String(),
 			"probe", j.probe, "after_ms", took/1000)
 	}
 	if j.probe {
 		a.pending--
-		p := policy.HealthCheckResult{EndpointID: a.id, Outcome: how.outcome(), Elapsed: took}
+		p := policy.HealthCheckResult{EndpointID: a.id, Outcome: how.Outcome(), Elapsed: took}
 		if ans != nil {
-			if p.Load = ans.load; p.Load == nil {
-				p.Load = report(ans.body, a.pool.fields)
+			if p.Load = ans.Load; p.Load == nil {
+				p.Load = ParseLoadReport(ans.Body, a.pool.fields)
 			}
 		}
-		a.core.box.put(p)
+		a.core.mailbox.Put(p)
 		return
 	}
-	delete(a.out, j.id)
-	e := ended{AttemptResult: policy.AttemptResult{RequestID: j.id, EndpointID: a.id, Outcome: how.outcome(), Elapsed: took}, ending: how, answer: ans}
+	delete(a.out, j.RequestID)
+	e := AttemptFinished{AttemptResult: policy.AttemptResult{RequestID: j.RequestID, EndpointID: a.id, Outcome: how.Outcome(), Elapsed: took}, Result: how, Response: ans}
 	if ans != nil {
-		e.Load = ans.load
+		e.Load = ans.Load
 	}
-	a.core.box.put(e)
+	a.core.mailbox.Put(e)
 }
 
-func (a *appliance) rest(c *conn) {
+func (a *Endpoint) rest(c *conn) {
 	if c.closed || c.to != a.now || a.gone {
 		a.drop(c)
 		return
@@ -460,14 +460,14 @@
 	a.keepSweeping()
 }
 
-func (a *appliance) drop(c *conn) {
+func (a *Endpoint) drop(c *conn) {
 	if c.closed {
 		return
 	}
 	c.closed = true
 	close(c.ask)
 	c.Close()
-	a.pool.purse.give(0, 1)
+	a.pool.budget.Release(0, 1)
 	if i := slices.Index(a.idle, c); i >= 0 {
 		a.idle = slices.Delete(a.idle, i, i+1)
 	}
@@ -475,12 +475,12 @@
 
 // stale tells whether the appliance may be about to close a connection: half of the told time keeps well clear of it, which would
 // make a reset of a request that crosses it.
-func (a *appliance) stale(c *conn) bool {
+func (a *Endpoint) stale(c *conn) bool {
 	return a.pool.idle > 0 && time.Since(c.since) >= a.pool.idle/2
 }
 
 // dropIdle closes what has been idle that long.
-func (a *appliance) dropIdle(long time.Duration) {
+func (a *Endpoint) dropIdle(long time.Duration) {
 	for _, c := range slices.Clone(a.idle) {
 		if time.Since(c.since) >= long {
 			a.drop(c)
@@ -491,9 +491,9 @@
 // trimIdle: when descriptors are short, those idle for so long are more than the present traffic needs.
 const trimIdle = 500 * time.Millisecond
 
-func (a *appliance) keepSweeping() {
+func (a *Endpoint) keepSweeping() {
 	if len(a.idle) > 0 && !a.sweeping && a.pool.idle > 0 {
 		a.sweeping = true
-		time.AfterFunc(a.pool.idle/8, func() { a.box.put(sweep{}) })
+		time.AfterFunc(a.pool.idle/8, func() { a.box.Put(sweep{}) })
 	}
 }
--- a/internal/agent/appliance_test.go
+++ b/internal/agent/appliance_test.go
@@ -32,7 +32,7 @@
 
 // order hands a txn in, and has it submitted to the only appliance in the given way; its answer comes on the channel. What ends
 // unsettled is voided.
-func (r *rig) order(id uint64, p *parcel, with policy.SendAttempt) chan reply {
+func (r *rig) order(id uint64, p *EncodedRequest, with policy.SendAttempt) chan Reply {
 	r.mu.Lock()
 	r.do = func(ev policy.Event) []policy.Command {
 		switch ev := ev.(type) {
@@ -47,20 +47,20 @@
 		return nil
 	}
 	r.mu.Unlock()
-	o := &open{parcel: p, reply: make(chan reply, 1), expires: time.Now().Add(patience)}
-	r.core.box.put(arrived{policy.RequestArrived{ID: id}, o})
-	return o.reply
+	o := &Request{Encoded: p, replies: make(chan Reply, 1), Deadline: time.Now().Add(patience)}
+	r.core.mailbox.Put(requestArrived{policy.RequestArrived{ID: id}, o})
+	return o.replies
 }
 
 // moot waits for a txn's answer, and wants its submission never sent.
-func (r *rig) moot(t *testing.T, answer chan reply) {
+func (r *rig) moot(t *testing.T, answer chan Reply) {
 	t.Helper()
 	select {
 	case <-answer:
 	case <-time.After(patience / 2):
 		t.Fatal("its submission still waits for the connection")
 	}
-	r.core.Settle(r.ctx)
+	r.core.Flush(r.ctx)
 	if ended := seen[policy.AttemptResult](r.script); len(ended) != 1 || ended[0].Outcome != policy.NotAttempted {
 		t.Fatalf("ended as %+v", ended)
 	}
@@ -69,32 +69,32 @@
 // While a connection comes up the list may change. What was ordered before is not written then: the process that answers may drain,
 // may have gone, or may be another.
 func TestListChangesWhileAConnectionComesUp(t *testing.T) {
-	was := entry{Host: "box", Site: "suva", Health: "active", BornMs: 5, Build: 1}
-	for name, change := range map[string]func(e *entry, other string){
-		"drains":          func(e *entry, _ string) { e.Health = "leaving" },
-		"is gone":         func(e *entry, _ string) { e.Health = "left" },
-		"has other build": func(e *entry, _ string) { e.Build = 2 },
-		"has started":     func(e *entry, _ string) { e.BornMs = 6 },
-		"has moved":       func(e *entry, other string) { e.Dial = other },
+	was := ListEntry{Host: "box", Site: "suva", Health: "active", BornMs: 5, Build: 1}
+	for name, change := range map[string]func(e *ListEntry, other string){
+		"drains":          func(e *ListEntry, _ string) { e.Health = "leaving" },
+		"is gone":         func(e *ListEntry, _ string) { e.Health = "left" },
+		"has other build": func(e *ListEntry, _ string) { e.Build = 2 },
+		"has started":     func(e *ListEntry, _ string) { e.BornMs = 6 },
+		"has moved":       func(e *ListEntry, other string) { e.Dial = other },
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, other := newBox(t, answers(ok("done"))), newBox(t, answers(ok("done")))
 			r := newRig(t, patience, "127.0.0.1:1", "127.0.0.1:1")
 			stands, let := heldDials(t, r)
 			was.Dial = b.Addr()
-			r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{was}})
+			r.roster.tell(List{Seq: 1, Whole: true, Hosts: []ListEntry{was}})
 			answer := r.order(1, posting, policy.SendAttempt{})
 			<-stands
 			now := was
 			change(&now, other.Addr())
-			r.roster.tell(roll{Seq: 2, Hosts: []entry{now}})
+			r.roster.tell(List{Seq: 2, Hosts: []ListEntry{now}})
 			r.moot(t, answer)
 			let()
 			// A connection that comes up now carries nothing: the next txn is the first that either hears of.
 			next := was
 			next.Dial, next.BornMs, next.Build = other.Addr(), 7, 3
-			r.roster.tell(roll{Seq: 3, Hosts: []entry{next}})
-			if got := <-r.order(2, posting, policy.SendAttempt{}); got.settled == nil {
+			r.roster.tell(List{Seq: 3, Hosts: []ListEntry{next}})
+			if got := <-r.order(2, posting, policy.SendAttempt{}); got.Response == nil {
 				t.Fatalf("the next txn ended as %+v", got)
 			}
 			if n, m := len(b.Requests()), len(other.Requests()); n != 0 || m != 1 {
@@ -109,15 +109,15 @@
 	b := newBox(t, answers(ok("done")))
 	r := newRig(t, patience, "127.0.0.1:1", "127.0.0.1:1")
 	stands, let := heldDials(t, r)
-	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
-	answer := r.order(1, posting, policy.SendAttempt{WriteBefore: r.core.clock.at(time.Now().Add(30 * time.Millisecond))})
+	r.roster.tell(List{Seq: 1, Whole: true, Hosts: []ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
+	answer := r.order(1, posting, policy.SendAttempt{WriteBefore: r.core.clock.At(time.Now().Add(30 * time.Millisecond))})
 	<-stands
 	r.moot(t, answer)
 	let()
-	if got := <-r.order(2, posting, policy.SendAttempt{WriteBefore: r.core.clock.at(time.Now().Add(patience))}); got.settled == nil {
+	if got := <-r.order(2, posting, policy.SendAttempt{WriteBefore: r.core.clock.At(time.Now().Add(patience))}); got.Response == nil {
 		t.Fatalf("one that is in time ended as %+v", got)
 	}
-	if got := <-r.order(3, posting, policy.SendAttempt{WriteBefore: r.core.clock.now() - 1}); got.settled != nil {
+	if got := <-r.order(3, posting, policy.SendAttempt{WriteBefore: r.core.clock.Now() - 1}); got.Response != nil {
 		t.Error("one that is too late was settled")
 	}
 	if n := len(b.Requests()); n != 1 {
@@ -130,16 +130,16 @@
 	var c net.Conn // the first txn's
 	b := newBox(t, func(own net.Conn, nth int) bool { c = own; return answers(ok("first"))(own, nth) })
 	r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
-	r.pool.settles = patience
-	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
-	if got := <-r.order(1, posting, policy.SendAttempt{}); string(got.settled.body) != "first" {
-		t.Fatalf("the first got %q", got.settled.body)
+	r.pool.settleTime = patience
+	r.roster.tell(List{Seq: 1, Whole: true, Hosts: []ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
+	if got := <-r.order(1, posting, policy.SendAttempt{}); string(got.Response.Body) != "first" {
+		t.Fatalf("the first got %q", got.Response.Body)
 	}
 	b.SetHandler(func(own net.Conn, nth int) bool {
 		io.WriteString(c, ok("first")) // late, while the second txn is out
 		return answers(ok("second"))(own, nth)
 	})
-	if got := <-r.order(2, posting, policy.SendAttempt{}); got.settled == nil || string(got.settled.body) != "second" {
+	if got := <-r.order(2, posting, policy.SendAttempt{}); got.Response == nil || string(got.Response.Body) != "second" {
 		t.Fatalf("the second got %+v", got)
 	}
 }
@@ -148,10 +148,10 @@
 func TestRestingConnectionGivesItsPlaceUp(t *testing.T) {
 	b := newBox(t, answers(ok("done")))
 	r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
-	r.pool.settles, r.pool.purse = patience, NewPurse(1)
-	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
+	r.pool.settleTime, r.pool.budget = patience, NewBudget(1)
+	r.roster.tell(List{Seq: 1, Whole: true, Hosts: []ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
 	for id := range uint64(3) {
-		if got := <-r.order(id+1, posting, policy.SendAttempt{}); got.settled == nil {
+		if got := <-r.order(id+1, posting, policy.SendAttempt{}); got.Response == nil {
 			t.Fatalf("txn %d ended as %+v", id+1, got)
 		}
 	}
@@ -165,8 +165,8 @@
 	b, other := newBox(t, answers(ok("{}"))), newBox(t, answers(ok("{}")))
 	r := newRig(t, patience, "127.0.0.1:1", "127.0.0.1:1")
 	stands, let := heldDials(t, r)
-	row := entry{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}
-	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{row}})
+	row := ListEntry{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}
+	r.roster.tell(List{Seq: 1, Whole: true, Hosts: []ListEntry{row}})
 	number := r.roster.number("box")
 	r.mu.Lock()
 	r.do = func(ev policy.Event) []policy.Command {
@@ -176,10 +176,10 @@
 		return nil
 	}
 	r.mu.Unlock()
-	r.core.box.put(policy.GossipReceived{})
+	r.core.mailbox.Put(policy.GossipReceived{})
 	<-stands
 	row.Dial, row.BornMs = other.Addr(), 7
-	r.roster.tell(roll{Seq: 2, Hosts: []entry{row}})
+	r.roster.tell(List{Seq: 2, Hosts: []ListEntry{row}})
 	eventually(t, "the list", func() bool { return len(seen[policy.EndpointUpdate](r.script)) == 2 })
 	let()
 	eventually(t, "the probe's end", func() bool { return len(seen[policy.HealthCheckResult](r.script)) == 1 })
@@ -210,9 +210,9 @@
 				return true
 			})
 			r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
-			r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
+			r.roster.tell(List{Seq: 1, Whole: true, Hosts: []ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
 			<-r.order(1, posting, policy.SendAttempt{})
-			r.core.Settle(context.Background())
+			r.core.Flush(context.Background())
 			if ended := seen[policy.AttemptResult](r.script); len(ended) != 1 || ended[0].Outcome != c.want {
 				t.Errorf("ended as %+v, want %v", ended, c.want)
 			}
@@ -226,16 +226,16 @@
 	b := newBox(t, answers(ok("done")))
 	r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
 	r.pool.idle = 0 // no sweep
-	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
+	r.roster.tell(List{Seq: 1, Whole: true, Hosts: []ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
 	for id := range uint64(2) {
-		if got := <-r.order(id+1, posting, policy.SendAttempt{}); got.settled == nil {
+		if got := <-r.order(id+1, posting, policy.SendAttempt{}); got.Response == nil {
 			t.Fatalf("txn %d ended as %+v", id+1, got)
 		}
 	}
-	r.core.Settle(r.ctx)
+	r.core.Flush(r.ctx)
 	r.pool.idle = 20 * time.Millisecond
 	time.Sleep(r.pool.idle) // the time that has to be over; more does not matter
-	if got := <-r.order(3, posting, policy.SendAttempt{}); got.settled == nil {
+	if got := <-r.order(3, posting, policy.SendAttempt{}); got.Response == nil {
 		t.Fatalf("the third ended as %+v", got)
 	}
 	if copies := b.Requests(); len(copies) != 3 || copies[1].Conn != 1 || copies[2].Conn != 2 {
--- a/internal/agent/codec.go
+++ b/internal/agent/codec.go
@@ -25,36 +25,36 @@
 // This file owns the forms of the users' protocol: each message is decoded here once into a small typed value,
 // or encoded here once. It must never open a connection, keep anything or look at a clock.
 
-const bodyLimit = 64 << 10 // the protocol's
+const BodyLimit = 64 << 10 // the protocol's
 
-var errTooLong = errors.New("body is over 64 KiB")
+var ErrBodyTooLong = errors.New("body is over 64 KiB")
 
-// parcel is a txn on its way to appliances, encoded but for the time that remains.
-type parcel struct{ head, body []byte }
+// EncodedRequest is a txn on its way to appliances, encoded but for the time that remains.
+type EncodedRequest struct{ Head, Body []byte }
 
-// pack encodes a client's request; target is its path and query as they came.
-func pack(method, target, host string, header http.Header, body []byte) *parcel {
+// EncodeRequest encodes a client's request; target is its path and query as they came.
+func EncodeRequest(method, target, host string, header http.Header, body []byte) *EncodedRequest {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n", method, target, host, len(body))
 	header.Write(&b)
-	return &parcel{b.Bytes(), body}
+	return &EncodedRequest{b.Bytes(), body}
 }
 
-// bytes is the whole request, with the time that the agent will wait.
-func (p *parcel) bytes(wait time.Duration) []byte {
-	out := make([]byte, 0, len(p.head)+len(p.body)+32)
-	out = append(out, p.head...)
+// Bytes is the whole request, with the time that the agent will wait.
+func (p *EncodedRequest) Bytes(wait time.Duration) []byte {
+	out := make([]byte, 0, len(p.Head)+len(p.Body)+32)
+	out = append(out, p.Head...)
 	out = append(out, "X-Deadline-Ms: "...)
 	out = strconv.AppendInt(out, max(1, wait.Milliseconds()), 10)
 	out = append(out, "\r\n\r\n"...)
-	return append(out, p.body...)
+	return append(out, p.Body...)
 }
 
-// ownHeaders are written by pack and bytes, or make no sense on an appliance's connection.
-var ownHeaders = []string{"X-Deadline-Ms", "Content-Length", "Transfer-Encoding", "Host", "Connection", "Expect"}
+// HopHeaders are written by pack and bytes, or make no sense on an appliance's connection.
+var HopHeaders = []string{"X-Deadline-Ms", "Content-Length", "Transfer-Encoding", "Host", "Connection", "Expect"}
 
-// onceOnly are the headers of which a second would leave open which one an appliance goes by.
-var onceOnly = []string{"X-Request-Id", "X-Class", "X-Deadline-Ms", "Idempotency-Key"}
+// singleHeaders are the headers of which a second would leave open which one an appliance goes by.
+var singleHeaders = []string{"X-Request-Id", "X-Class", "X-Deadline-Ms", "Idempotency-Key"}
 
 // order is what a client's request says.
 type order struct {
@@ -89,7 +89,7 @@
 	}
 	path, query, _ := strings.Cut(target, "?")
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	for _, h := range onceOnly {
+	for _, h := range singleHeaders {
 		if len(r.Header[h]) > 1 {
 			return bad(http.StatusBadRequest, "more than one %s", h)
 		}
@@ -132,7 +132,7 @@
 	if o.key = keyOf(query); inquiry {
 		o.mark = o.key
 	} else if ref := r.Header.Get("Idempotency-Key"); ref != "" {
-		o.mark = hash64(ref)
+		o.mark = Hash64(ref)
 	}
 	if us, err := strconv.ParseFloat(r.Header.Get("X-Cost-Hint"), 64); err == nil && us > 0 && us < 1e9 {
 		o.work = policy.Micros(us)
@@ -153,44 +153,44 @@
 		if v, err := strconv.ParseUint(sid, 16, 64); err == nil && len(sid) == 16 && v != 0 {
 			return v
 		}
-		return hash64(sid)
+		return Hash64(sid)
 	}
 	return 0
 }
 
-func hash64(s string) uint64 {
+func Hash64(s string) uint64 {
 	h := fnv.New64a()
 	io.WriteString(h, s)
 	return h.Sum64()
 }
 
-// readBody takes a body whole, or says that it is too long.
-func readBody(r io.Reader, length int64) ([]byte, error) {
+// ReadBody takes a body whole, or says that it is too long.
+func ReadBody(r io.Reader, length int64) ([]byte, error) {
 	if r == nil || length == 0 {
 		return nil, nil
 	}
-	if length > bodyLimit {
-		return nil, errTooLong
+	if length > BodyLimit {
+		return nil, ErrBodyTooLong
 	}
-	body, err := io.ReadAll(io.LimitReader(r, bodyLimit+1))
-	if err == nil && len(body) > bodyLimit {
-		err = errTooLong
+	body, err := io.ReadAll(io.LimitReader(r, BodyLimit+1))
+	if err == nil && len(body) > BodyLimit {
+		err = ErrBodyTooLong
 	}
 	return body, err
 }
 
-// answer is an appliance's, whole.
-type answer struct {
-	ending Ending
-	status int
-	kind   string // its Content-Type
-	body   []byte
-	load   []float32
-	last   bool // the connection ends with it
+// Response is an appliance's, whole.
+type Response struct {
+	Result      Result
+	Status      int
+	ContentType string // its Content-Type
+	Body        []byte
+	Load        []float32
+	IsLast      bool // the connection ends with it
 }
 
-// inflow reads the answers of one connection. Nothing an appliance sends takes more memory or time than an answer may.
-type inflow struct {
+// responseReader reads the answers of one connection. Nothing an appliance sends takes more memory or time than an answer may.
+type responseReader struct {
 	conn  net.Conn
 	limit io.LimitedReader
 	br    *bufio.Reader
@@ -198,7 +198,7 @@
 }
 
 // Read waits as long as the submission does for an answer's first byte, and answerWait for each further piece.
-func (a *inflow) Read(b []byte) (int, error) {
+func (a *responseReader) Read(b []byte) (int, error) {
 	if a.begun {
 		a.conn.SetReadDeadline(time.Now().Add(answerWait))
 	}
@@ -212,8 +212,8 @@
 
 var errNoEnd = errors.New("nothing but the connection's end says that the answer is whole")
 
-func newInflow(conn net.Conn) *inflow {
-	a := &inflow{conn: conn}
+func newResponseReader(conn net.Conn) *responseReader {
+	a := &responseReader{conn: conn}
 	a.limit.R = a
 	a.br = bufio.NewReaderSize(&a.limit, 4<<10)
 	return a
@@ -221,8 +221,8 @@
 
 // next takes one answer, with the words in between that may come ahead of it. If more stands behind it, it is the
 // connection's last.
-func (a *inflow) next(fields []string) (*answer, error) {
-	a.limit.N = headLimit + bodyLimit
+func (a *responseReader) next(fields []string) (*Response, error) {
+	a.limit.N = HeadLimit + BodyLimit
 	for {
 		_, err := a.br.Peek(1)
 		if err != nil {
@@ -236,22 +236,22 @@
 		a.begun = false
 		a.conn.SetReadDeadline(time.Time{})
 		if ans != nil {
-			ans.last = ans.last || a.br.Buffered() > 0
+			ans.IsLast = ans.IsLast || a.br.Buffered() > 0
 			return ans, nil
 		}
 	}
 }
 
 // over tells an answer that is too long from the connection's end.
-func (a *inflow) over(err error) error {
+func (a *responseReader) over(err error) error {
 	if a.limit.N <= 0 {
-		return errTooLong
+		return ErrBodyTooLong
 	}
 	return err
 }
 
 // readAnswer takes one answer off a connection; a word in between is none.
-func readAnswer(from *bufio.Reader, fields []string) (*answer, error) {
+func readAnswer(from *bufio.Reader, fields []string) (*Response, error) {
 	r, err := http.ReadResponse(from, nil)
 	if err != nil {
 		return nil, err
@@ -262,45 +262,45 @@
 	if r.ContentLength < 0 && len(r.TransferEncoding) == 0 {
 		return nil, errNoEnd
 	}
-	a := &answer{status: r.StatusCode, kind: r.Header.Get("Content-Type"), last: r.Close}
-	if a.body, err = readBody(r.Body, r.ContentLength); err != nil {
+	a := &Response{Status: r.StatusCode, ContentType: r.Header.Get("Content-Type"), IsLast: r.Close}
+	if a.Body, err = ReadBody(r.Body, r.ContentLength); err != nil {
 		return nil, err
 	}
 	r.Body.Close()
-	a.ending = Errored
+	a.Result = ServerError
 	switch {
 	case r.StatusCode == http.StatusOK:
-		a.ending = Settled
+		a.Result = Succeeded
 	case r.Header.Get("X-Not-Run") == "1" && (r.StatusCode == 503 || r.StatusCode == 504):
-		a.ending = TurnedAway
+		a.Result = NotRun
 	case r.StatusCode >= 400 && r.StatusCode < 500 && r.StatusCode != http.StatusTooManyRequests:
-		a.ending = Rejected
+		a.Result = ClientError
 	}
-	a.load = report([]byte(r.Header.Get("X-Load")), fields)
+	a.Load = ParseLoadReport([]byte(r.Header.Get("X-Load")), fields)
 	return a, nil
 }
 
-const reportMost = 1e9 // no queue, count or share of a machine comes near it
+const maxLoadFigure = 1e9 // no queue, count or share of a machine comes near it
 
-// report reads a load report's fields in the told order; nil where it can't be read or one is missing.
-func report(raw []byte, fields []string) []float32 {
+// ParseLoadReport reads a load report's fields in the told order; nil where it can't be read or one is missing.
+func ParseLoadReport(raw []byte, fields []string) []float32 {
 	var said map[string]float64
 	if len(fields) == 0 || len(raw) == 0 {
 		return nil
 	}
 	if err := json.Unmarshal(raw, &said); err != nil {
-		complaints.warn("report", "load report that can't be read", "err", err)
+		complaints.Warn("report", "load report that can't be read", "err", err)
 		return nil
 	}
 	out := make([]float32, len(fields))
 	for i, f := range fields {
 		v, ok := said[f]
 		if !ok {
-			complaints.warn("report field", "load report without a field", "field", f, "report", fmt.Sprintf("%.80q", raw))
+			complaints.Warn("report field", "load report without a field", "field", f, "report", fmt.Sprintf("%.80q", raw))
 			return nil
 		}
-		if !(v >= 0 && v < reportMost) {
-			complaints.warn("report figure", "load report with a figure that can't be", "field", f, "figure", v)
+		if !(v >= 0 && v < maxLoadFigure) {
+			complaints.Warn("report figure", "load report with a figure that can't be", "field", f, "figure", v)
 			return nil
 		}
 		out[i] = float32(v)
@@ -308,15 +308,15 @@
 	return out
 }
 
-// roll is a line of discovery: the whole list, or what changed.
-type roll struct {
-	Seq   uint64  `json:"seq"`
-	Whole bool    `json:"whole"`
-	Hosts []entry `json:"hosts"`
+// List is a line of discovery: the whole list, or what changed.
+type List struct {
+	Seq   uint64      `json:"seq"`
+	Whole bool        `json:"whole"`
+	Hosts []ListEntry `json:"hosts"`
 }
 
-// entry is one appliance there.
-type entry struct {
+// ListEntry is one appliance there.
+type ListEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -327,24 +327,24 @@
 	Build  int     `json:"build"`
 }
 
-// message puts a list back together that comes over several lines: lists may come indented. A line alone is whole when its brackets
+// ListReader puts a list back together that comes over several lines: lists may come indented. A line alone is whole when its brackets
 // are; within a text no line ends.
-type message struct {
+type ListReader struct {
 	raw   []byte
 	depth int
 }
 
-var errMiddle = errors.New("a list that ends in its middle")
+var ErrListCutOff = errors.New("a list that ends in its middle")
 
-// add takes a line; whole is the list that it ends, or nil while more has to come. An empty line is a sign of life, which never comes
+// Add takes a line; whole is the list that it ends, or nil while more has to come. An empty line is a sign of life, which never comes
 // within a list: what has begun will not be ended.
-func (m *message) add(line []byte, most int) (whole []byte, err error) {
+func (m *ListReader) Add(line []byte, most int) (whole []byte, err error) {
 	if len(line) == 0 {
-		return nil, m.end()
+		return nil, m.End()
 	}
 	if len(m.raw) > 0 {
-		if next, err := readRoll(line); err == nil && next.Seq > 0 {
-			return nil, errMiddle // a list of its own: the one before lacks its end
+		if next, err := ReadList(line); err == nil && next.Seq > 0 {
+			return nil, ErrListCutOff // a list of its own: the one before lacks its end
 		}
 	}
 	text, escaped := false, false
@@ -364,34 +364,34 @@
 		}
 	}
 	if len(m.raw)+len(line) > most {
-		return nil, errTooLong
+		return nil, ErrBodyTooLong
 	}
 	if m.raw = append(m.raw, line...); m.depth > 0 && !text {
 		return nil, nil
 	}
-	whole, *m = m.raw, message{}
+	whole, *m = m.raw, ListReader{}
 	return whole, nil
 }
 
-// end tells whether a list has been cut off.
-func (m *message) end() error {
+// End tells whether a list has been cut off.
+func (m *ListReader) End() error {
 	if len(m.raw) > 0 {
-		return errMiddle
+		return ErrListCutOff
 	}
 	return nil
 }
 
-func readRoll(raw []byte) (roll, error) {
-	var r roll
+func ReadList(raw []byte) (List, error) {
+	var r List
 	err := json.Unmarshal(raw, &r)
 	return r, err
 }
 
-var healths = map[string]policy.EndpointState{"active": policy.Ready, "leaving": policy.Draining, "left": policy.Gone}
+var endpointStates = map[string]policy.EndpointState{"active": policy.Ready, "leaving": policy.Draining, "left": policy.Gone}
 
-// row is the entry as the module knows it, but for its number.
-func (e entry) row(zones []string) (policy.Endpoint, error) {
-	state, known := healths[e.Health]
+// Endpoint is the entry as the module knows it, but for its number.
+func (e ListEntry) Endpoint(zones []string) (policy.Endpoint, error) {
+	state, known := endpointStates[e.Health]
 	zone := slices.Index(zones, e.Site)
 	switch {
 	case e.Host == "":
@@ -409,8 +409,8 @@
 	}, nil
 }
 
-// news is where the newest build stands, in any of the launcher's three forms.
-type news struct {
+// rolloutStatus is where the newest build stands, in any of the launcher's three forms.
+type rolloutStatus struct {
 	Image    int     `json:"image" xml:"image"`
 	Ring     int     `json:"ring" xml:"ring"`
 	Progress string  `json:"progress" xml:"progress"`
@@ -423,7 +423,7 @@
 	"live": policy.Released, "recalled": policy.RolledBack,
 }
 
-func (n news) staged() (policy.RolloutUpdate, error) {
+func (n rolloutStatus) update() (policy.RolloutUpdate, error) {
 	phase, known := phases[n.Progress]
 	if !known || n.Image < 0 || n.Ring < 0 || !(n.Ceiling >= 0 && n.Ceiling <= 1) || !(n.LagMs >= 0 && n.LagMs < 1e12) {
 		return policy.RolloutUpdate{}, fmt.Errorf("news that makes no sense: %+v", n)
@@ -434,21 +434,21 @@
 	}, nil
 }
 
-func readNewsJSON(raw []byte) (policy.RolloutUpdate, error) {
-	var n news
+func ReadRolloutJSON(raw []byte) (policy.RolloutUpdate, error) {
+	var n rolloutStatus
 	if err := json.Unmarshal(raw, &n); err != nil {
 		return policy.RolloutUpdate{}, err
 	}
-	return n.staged()
+	return n.update()
 }
 
-// readNewsForm reads an event's data line.
-func readNewsForm(data string) (policy.RolloutUpdate, error) {
+// ReadRolloutForm reads an event's data line.
+func ReadRolloutForm(data string) (policy.RolloutUpdate, error) {
 	v, err := url.ParseQuery(data)
 	if err != nil {
 		return policy.RolloutUpdate{}, err
 	}
-	n := news{Progress: v.Get("progress")}
+	n := rolloutStatus{Progress: v.Get("progress")}
 	var errs [4]error
 	n.Image, errs[0] = strconv.Atoi(v.Get("image"))
 	n.Ring, errs[1] = strconv.Atoi(v.Get("ring"))
@@ -457,19 +457,19 @@
 	if err = errors.Join(errs[:]...); err != nil {
 		return policy.RolloutUpdate{}, err
 	}
-	return n.staged()
+	return n.update()
 }
 
-var verdicts = []string{policy.NoVote: "clear", policy.Advance: "approve", policy.Hold: "wait", policy.RollBack: "reject"}
+var VerdictNames = []string{policy.NoVote: "clear", policy.Advance: "approve", policy.Hold: "wait", policy.RollBack: "reject"}
 
-func voteForm(v policy.Vote) string {
-	return fmt.Sprintf("Action=RecordOpinion&image=%d&ring=%d&opinion=%s", v.Build, v.Stage, verdicts[v.Verdict])
+func EncodeVote(v policy.Vote) string {
+	return fmt.Sprintf("Action=RecordOpinion&image=%d&ring=%d&opinion=%s", v.Build, v.Stage, VerdictNames[v.Verdict])
 }
 
-// readVoteAnswer tells how a vote ended and, if it counts, where the build stands.
-func readVoteAnswer(status int, raw []byte) (Ending, policy.RolloutUpdate) {
+// ReadVoteReply tells how a vote ended and, if it counts, where the build stands.
+func ReadVoteReply(status int, raw []byte) (Result, policy.RolloutUpdate) {
 	var ok struct {
-		News []news `xml:"groups>item"`
+		News []rolloutStatus `xml:"groups>item"`
 	}
 	var no struct { // the error stands alone, or inside the answer
 		Alone  string `xml:"Code"`
@@ -478,21 +478,21 @@
 	switch {
 	case status == http.StatusOK:
 		if xml.Unmarshal(raw, &ok) == nil && len(ok.News) == 1 {
-			if s, err := ok.News[0].staged(); err == nil {
-				return Settled, s
+			if s, err := ok.News[0].update(); err == nil {
+				return Succeeded, s
 			}
 		}
 	case status == http.StatusBadRequest && xml.Unmarshal(raw, &no) == nil:
 		switch cmp.Or(no.Inside, no.Alone) {
 		case "Throttling":
-			return TurnedAway, policy.RolloutUpdate{}
+			return NotRun, policy.RolloutUpdate{}
 		case "ConditionFailed":
-			return Outdated, policy.RolloutUpdate{}
+			return Stale, policy.RolloutUpdate{}
 		case "ValidationError":
-			return Errored, policy.RolloutUpdate{}
+			return ServerError, policy.RolloutUpdate{}
 		}
 	case status == http.StatusInternalServerError:
-		return Errored, policy.RolloutUpdate{}
+		return ServerError, policy.RolloutUpdate{}
 	}
-	return Silent, policy.RolloutUpdate{} // it may count
+	return TimedOut, policy.RolloutUpdate{} // it may count
 }
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -16,32 +16,32 @@
 // This file owns the module's actor: its mailbox, its clock, its bell, and who gets each of its orders. Nothing
 // else calls the module. It must never decide anything about a txn: what the module did not order does not happen.
 
-// mailbox is where an actor gets its notes; putting one never waits.
-type mailbox[T any] struct {
+// Mailbox is where an actor gets its notes; putting one never waits.
+type Mailbox[T any] struct {
 	mu    sync.Mutex
-	notes []T
-	bell  chan struct{} // holds one token while there are notes
+	items []T
+	ready chan struct{} // holds one token while there are notes
 }
 
-func newMailbox[T any]() *mailbox[T] { return &mailbox[T]{bell: make(chan struct{}, 1)} }
+func NewMailbox[T any]() *Mailbox[T] { return &Mailbox[T]{ready: make(chan struct{}, 1)} }
 
-func (m *mailbox[T]) put(n T) {
+func (m *Mailbox[T]) Put(n T) {
 	m.mu.Lock()
-	m.notes = append(m.notes, n)
+	m.items = append(m.items, n)
 	m.mu.Unlock()
 	select {
-	case m.bell <- struct{}{}:
+	case m.ready <- struct{}{}:
 	default:
 	}
 }
 
-// take empties the mailbox into a slice; the one handed in is used again.
-func (m *mailbox[T]) take(used []T) []T {
+// Take empties the mailbox into a slice; the one handed in is used again.
+func (m *Mailbox[T]) Take(used []T) []T {
 	clear(used)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := m.notes
-	m.notes = used[:0]
+	out := m.items
+	m.items = used[:0]
 	return out
 }
 
@@ -51,137 +51,137 @@
 
 func NewClock() Clock { return Clock{time.Now()} }
 
-func (c Clock) at(t time.Time) policy.Micros {
+func (c Clock) At(t time.Time) policy.Micros {
 	return c.start.UnixMicro() + t.Sub(c.start).Microseconds()
 }
-func (c Clock) now() policy.Micros { return c.at(time.Now()) }
+func (c Clock) Now() policy.Micros { return c.At(time.Now()) }
 
-// time is the other way round.
-func (c Clock) time(at policy.Micros) time.Time {
+// Time is the other way round.
+func (c Clock) Time(at policy.Micros) time.Time {
 	return c.start.Add(time.Duration(at-c.start.UnixMicro()) * time.Microsecond)
 }
 
-// reply is what the client gets in the end: an appliance's answer, or the module's own no.
-type reply struct {
-	settled *answer
-	refused bool // a repeat does no harm
-	holdOff policy.Micros
+// Reply is what the client gets in the end: an appliance's answer, or the module's own no.
+type Reply struct {
+	Response   *Response
+	Rejected   bool // a repeat does no harm
+	RetryAfter policy.Micros
 }
 
-// open is a txn that the module has, or that has a submission out.
-type open struct {
-	parcel  *parcel
-	reply   chan reply // holds one
-	expires time.Time
-	over    bool // it has its final answer, or nobody waits for one
-	out     int  // submissions that have not ended
-	tries   int
-	on      *appliance
-	done    func() // when it is over and nothing of it is out; nil where nobody asks
-	sent    func() // when it is first sent; nil where nobody asks
-	how     admission.Result
-	also    []chan reply // its next tries, which get its answer
+// Request is a txn that the module has, or that has a submission out.
+type Request struct {
+	Encoded        *EncodedRequest
+	replies        chan Reply // holds one
+	Deadline       time.Time
+	answered       bool // it has its final answer, or nobody waits for one
+	inFlight       int  // submissions that have not ended
+	attempts       int
+	endpoint       *Endpoint
+	OnDone         func() // when it is over and nothing of it is out; nil where nobody asks
+	OnFirstAttempt func() // when it is first sent; nil where nobody asks
+	result         admission.Result
+	coalesced      []chan Reply // its next tries, which get its answer
 }
 
-// tell gives a final answer to all who wait for it.
-func (t *open) tell(r reply) {
-	t.reply <- r
-	for _, also := range t.also {
+// deliver gives a final answer to all who wait for it.
+func (t *Request) deliver(r Reply) {
+	t.replies <- r
+	for _, also := range t.coalesced {
 		also <- r
 	}
-	t.also = nil
+	t.coalesced = nil
 }
 
 // What the others put into the core's mailbox; the module's own events come as they are.
 type (
-	arrived struct {
-		taken policy.RequestArrived
-		*open
+	requestArrived struct {
+		event policy.RequestArrived
+		*Request
 	}
-	ended struct {
+	AttemptFinished struct {
 		policy.AttemptResult
-		ending Ending
-		answer *answer
+		Result   Result
+		Response *Response
 	}
-	listing struct {
+	EndpointList struct {
 		policy.EndpointUpdate
-		hosts []entry // beside the rows
+		Entries []ListEntry // beside the rows
 	}
-	shortage struct{}                     // descriptors for connections to appliances are used up
-	calledIn struct{ done chan struct{} } // answered when all before it has been handled
+	connectionsExhausted struct{}                     // descriptors for connections to appliances are used up
+	Barrier              struct{ Done chan struct{} } // answered when all before it has been handled
 )
 
-// Core is the module's actor.
-type Core struct {
-	module     policy.Router
-	clock      Clock
-	moment     policy.Micros // the clock stands while this is set
-	box        *mailbox[any]
-	urgent     *mailbox[any]     // news and list changes are not kept waiting
-	wakes      []policy.SetTimer // by time
-	asked      time.Time         // when the module was last asked
-	inflows    *inflows          // on which list and news come
-	mu         sync.Mutex
-	readers    []func(calledIn) // the actors that hand them on
-	late       policy.Micros    // the bell that was last found to be late
-	txns       map[uint64]*open
-	appliances map[uint32]*appliance
-	all        []*appliance // in the order of their coming
-	hire       func(uint32, entry) *appliance
-	vote       func(policy.Vote)
-	tell       func(policy.SendGossip)
-	done       account
-	votes      func(policy.Vote) // takes the module's votes in the launcher's place; nil: nobody
+// Loop is the module's actor.
+type Loop struct {
+	router        policy.Router
+	clock         Clock
+	frozenNow     policy.Micros // the clock stands while this is set
+	mailbox       *Mailbox[any]
+	urgent        *Mailbox[any]     // news and list changes are not kept waiting
+	timers        []policy.SetTimer // by time
+	handledAt     time.Time         // when the module was last asked
+	unread        *UnreadGauge      // on which list and news come
+	mu            sync.Mutex
+	readers       []func(Barrier) // the actors that hand them on
+	lateTimer     policy.Micros   // the bell that was last found to be late
+	requests      map[uint64]*Request
+	endpoints     map[uint32]*Endpoint
+	endpointOrder []*Endpoint // in the order of their coming
+	newEndpoint   func(uint32, ListEntry) *Endpoint
+	castVote      func(policy.Vote)
+	sendGossip    func(policy.SendGossip)
+	activity      activity
+	voteSink      func(policy.Vote) // takes the module's votes in the launcher's place; nil: nobody
 }
 
-// Through names who takes the module's votes in the launcher's place. It is to be called before Serve.
-func (c *Core) Through(votes func(policy.Vote)) { c.votes = votes }
+// RouteVotes names who takes the module's votes in the launcher's place. It is to be called before Serve.
+func (c *Loop) RouteVotes(votes func(policy.Vote)) { c.voteSink = votes }
 
-// News gives the module where a build stands, ahead of what waits.
-func (c *Core) News(s policy.RolloutUpdate) { c.urgent.put(s) }
+// UpdateRollout gives the module where a build stands, ahead of what waits.
+func (c *Loop) UpdateRollout(s policy.RolloutUpdate) { c.urgent.Put(s) }
 
-// NewCore puts the module behind a mailbox. hire makes an appliance's actor; vote and tell carry orders on.
-func NewCore(module policy.Router, clock Clock) *Core {
-	return &Core{
-		module: module, clock: clock, box: newMailbox[any](), urgent: newMailbox[any](), inflows: &inflows{open: map[*owing]bool{}},
-		txns: map[uint64]*open{}, appliances: map[uint32]*appliance{},
+// NewLoop puts the module behind a mailbox. hire makes an appliance's actor; vote and tell carry orders on.
+func NewLoop(module policy.Router, clock Clock) *Loop {
+	return &Loop{
+		router: module, clock: clock, mailbox: NewMailbox[any](), urgent: NewMailbox[any](), unread: &UnreadGauge{open: map[*ResetConn]bool{}},
+		requests: map[uint64]*Request{}, endpoints: map[uint32]*Endpoint{},
 	}
 }
 
 // Serve connects the orders and empties the mailboxes until the end.
-func (c *Core) Serve(ctx context.Context, pool *Pool, launcher *Launcher, peers *Peers) {
-	c.hire = func(id uint32, e entry) *appliance { return pool.hire(id, e, c) }
-	if c.vote, c.tell = launcher.put, peers.put; c.votes != nil {
-		c.vote = c.votes
+func (c *Loop) Serve(ctx context.Context, pool *Pool, launcher *RolloutClient, peers *Gossip) {
+	c.newEndpoint = func(id uint32, e ListEntry) *Endpoint { return pool.NewEndpoint(id, e, c) }
+	if c.castVote, c.sendGossip = launcher.Vote, peers.Post; c.voteSink != nil {
+		c.castVote = c.voteSink
 	}
 	// What the agent was started with is one moment to the module: news a few microseconds younger than its first
 	// event would read as a release made after the start, and the calm before the next would go unseen.
-	c.moment = c.clock.now()
-	c.first()
-	c.moment = 0
+	c.frozenNow = c.clock.Now()
+	c.handleUrgent()
+	c.frozenNow = 0
 	timer := time.NewTimer(time.Hour)
 	var notes []any
 	for {
-		if len(c.wakes) > 0 {
-			timer.Reset(time.Duration(c.wakes[0].At-c.clock.now()) * time.Microsecond)
+		if len(c.timers) > 0 {
+			timer.Reset(time.Duration(c.timers[0].At-c.clock.Now()) * time.Microsecond)
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-c.box.bell:
-		case <-c.urgent.bell:
+		case <-c.mailbox.ready:
+		case <-c.urgent.ready:
 		}
-		notes = c.box.take(notes)
+		notes = c.mailbox.Take(notes)
 		for _, n := range notes {
-			c.first()
-			c.note(n)
+			c.handleUrgent()
+			c.dispatch(n)
 		}
-		c.first()
-		c.done.say(time.Now())
-		for now := c.clock.now(); len(c.wakes) > 0 && c.wakes[0].At <= now; {
-			token := c.wakes[0].Token
-			c.wakes = slices.Delete(c.wakes, 0, 1)
+		c.handleUrgent()
+		c.activity.log(time.Now())
+		for now := c.clock.Now(); len(c.timers) > 0 && c.timers[0].At <= now; {
+			token := c.timers[0].Token
+			c.timers = slices.Delete(c.timers, 0, 1)
 			c.handle(policy.TimerFired{Token: token})
 		}
 	}
@@ -191,20 +191,20 @@
 // told, but may not have been read yet, while txns wait already: the readers get a moment first, and longer while something that
 // has come in is not handed on: behind hundreds of txns on a full core a moment was not enough (the night still-over-drain, 4 of 20
 // plays). It guards against all that stops an agent (a frozen machine, a starved core); it costs a little where the core is merely full.
-const stalled, catchUp, catchUpMost = 250 * time.Millisecond, 20 * time.Millisecond, 500 * time.Millisecond
+const StallThreshold, readerGrace, maxReaderWait = 250 * time.Millisecond, 20 * time.Millisecond, 500 * time.Millisecond
 
-// caughtUp names one more actor that hands the list or the news on.
-func (c *Core) caughtUp(ask func(calledIn)) {
+// AddReader names one more actor that hands the list or the news on.
+func (c *Loop) AddReader(ask func(Barrier)) {
 	c.mu.Lock()
 	c.readers = append(c.readers, ask)
 	c.mu.Unlock()
 }
 
-// catch waits until all that had come in is in the mailbox, a bounded time.
-func (c *Core) catch() {
-	time.Sleep(catchUp)
-	end := time.Now().Add(catchUpMost)
-	for c.inflows.behind() && time.Now().Before(end) {
+// waitForReaders waits until all that had come in is in the mailbox, a bounded time.
+func (c *Loop) waitForReaders() {
+	time.Sleep(readerGrace)
+	end := time.Now().Add(maxReaderWait)
+	for c.unread.HasUnread() && time.Now().Before(end) {
 		time.Sleep(time.Millisecond)
 	}
 	c.mu.Lock()
@@ -212,7 +212,7 @@
 	c.mu.Unlock()
 	for _, ask := range readers {
 		done := make(chan struct{})
-		ask(calledIn{done})
+		ask(Barrier{done})
 		select {
 		case <-done:
 		case <-time.After(time.Until(end)):
@@ -220,167 +220,167 @@
 	}
 }
 
-// first hands the list and the news on before anything else.
-func (c *Core) first() {
-	if len(c.wakes) > 0 && c.wakes[0].At != c.late && c.clock.now()-c.wakes[0].At > stalled.Microseconds() {
-		c.late = c.wakes[0].At
-		c.catch()
+// handleUrgent hands the list and the news on before anything else.
+func (c *Loop) handleUrgent() {
+	if len(c.timers) > 0 && c.timers[0].At != c.lateTimer && c.clock.Now()-c.timers[0].At > StallThreshold.Microseconds() {
+		c.lateTimer = c.timers[0].At
+		c.waitForReaders()
 	}
-	for _, n := range c.urgent.take(nil) {
-		c.note(n)
+	for _, n := range c.urgent.Take(nil) {
+		c.dispatch(n)
 	}
 }
 
-func (c *Core) note(n any) {
+func (c *Loop) dispatch(n any) {
 	switch n := n.(type) {
-	case arrived:
-		c.txns[n.taken.ID] = n.open
-		c.done.taken++
-		c.handle(n.taken)
+	case requestArrived:
+		c.requests[n.event.ID] = n.Request
+		c.activity.arrived++
+		c.handle(n.event)
 	case policy.RequestCancelled:
-		if t := c.txns[n.RequestID]; t != nil && !t.over {
-			t.how = admission.ClientGone
-			c.done.left++
-			c.over(n.RequestID, t)
+		if t := c.requests[n.RequestID]; t != nil && !t.answered {
+			t.result = admission.ClientGone
+			c.activity.cancelledByClient++
+			c.finishRequest(n.RequestID, t)
 			c.handle(n)
 		}
-	case ended:
-		c.ended(n)
-	case listing:
-		c.listing(n)
+	case AttemptFinished:
+		c.attemptFinished(n)
+	case EndpointList:
+		c.updateEndpoints(n)
 	case policy.RolloutUpdate:
 		if n.IsVoteReply && n.Outcome == policy.Rejected {
-			c.done.voteFull++
+			c.activity.votesRejected++
 		}
 		c.handle(n)
-	case shortage:
-		for _, a := range c.all {
-			a.box.put(trim{})
+	case connectionsExhausted:
+		for _, a := range c.endpointOrder {
+			a.box.Put(trim{})
 		}
-	case calledIn:
-		close(n.done)
-	case alsoTo:
-		if t := c.txns[n.first]; t != nil && !t.over {
-			t.also = append(t.also, n.open.reply)
+	case Barrier:
+		close(n.Done)
+	case coalesce:
+		if t := c.requests[n.leaderID]; t != nil && !t.answered {
+			t.coalesced = append(t.coalesced, n.request.replies)
 		} else {
-			n.open.reply <- reply{refused: true} // nothing was sent for it
+			n.request.replies <- Reply{Rejected: true} // nothing was sent for it
 		}
 	default:
 		c.handle(n)
 	}
 }
 
-func (c *Core) over(id uint64, t *open) {
-	if t.over = true; t.out == 0 {
-		delete(c.txns, id)
-		if t.done != nil {
-			t.done()
+func (c *Loop) finishRequest(id uint64, t *Request) {
+	if t.answered = true; t.inFlight == 0 {
+		delete(c.requests, id)
+		if t.OnDone != nil {
+			t.OnDone()
 		}
 	}
 }
 
-// ended closes a submission. The first settled answer is the client's, and so is the word that its request is wrong:
+// attemptFinished closes a submission. The first settled answer is the client's, and so is the word that its request is wrong:
 // no other appliance would find it right.
-func (c *Core) ended(n ended) {
-	t := c.txns[n.RequestID]
+func (c *Loop) attemptFinished(n AttemptFinished) {
+	t := c.requests[n.RequestID]
 	if t == nil {
 		n.RequestDone = true
 	} else {
-		t.out--
-		if !t.over && (n.ending == Settled || n.ending == Rejected) {
-			t.how = admission.Succeeded
-			c.done.settled++
-			t.tell(reply{settled: n.answer})
-			t.over = true
+		t.inFlight--
+		if !t.answered && (n.Result == Succeeded || n.Result == ClientError) {
+			t.result = admission.Succeeded
+			c.activity.succeeded++
+			t.deliver(Reply{Response: n.Response})
+			t.answered = true
 		}
-		if n.RequestDone = t.over; t.over {
-			c.over(n.RequestID, t)
+		if n.RequestDone = t.answered; t.answered {
+			c.finishRequest(n.RequestID, t)
 		}
 	}
 	c.handle(n.AttemptResult)
 }
 
-// listing makes actors for new appliances and passes addresses on before the module hears of the rows. Those that are
+// updateEndpoints makes actors for new appliances and passes addresses on before the module hears of the rows. Those that are
 // gone end by themselves once nothing of theirs is out; one that returns gets a new actor.
-func (c *Core) listing(n listing) {
+func (c *Loop) updateEndpoints(n EndpointList) {
 	there := map[uint32]bool{}
 	for i, row := range n.Endpoints {
-		a := c.appliances[row.ID]
+		a := c.endpoints[row.ID]
 		if row.State == policy.Gone {
-			c.dismiss(a)
+			c.removeEndpoint(a)
 			continue
 		}
 		there[row.ID] = true
 		if a == nil {
-			a = c.hire(row.ID, n.hosts[i])
-			c.appliances[row.ID], c.all = a, append(c.all, a)
+			a = c.newEndpoint(row.ID, n.Entries[i])
+			c.endpoints[row.ID], c.endpointOrder = a, append(c.endpointOrder, a)
 		}
-		a.box.put(listed{entry: n.hosts[i]})
+		a.box.Put(listed{ListEntry: n.Entries[i]})
 	}
 	if n.Full {
-		for _, a := range slices.Clone(c.all) {
+		for _, a := range slices.Clone(c.endpointOrder) {
 			if !there[a.id] {
-				c.dismiss(a)
+				c.removeEndpoint(a)
 			}
 		}
 	}
 	c.handle(n.EndpointUpdate)
 }
 
-func (c *Core) dismiss(a *appliance) {
+func (c *Loop) removeEndpoint(a *Endpoint) {
 	if a == nil {
 		return
 	}
-	a.box.put(listed{gone: true})
-	delete(c.appliances, a.id)
-	c.all = slices.DeleteFunc(c.all, func(b *appliance) bool { return a == b })
+	a.box.Put(listed{gone: true})
+	delete(c.endpoints, a.id)
+	c.endpointOrder = slices.DeleteFunc(c.endpointOrder, func(b *Endpoint) bool { return a == b })
 }
 
 // handle is the only place that calls the module. A panic there ends the process: a module in an unknown state
 // could break any rule.
-func (c *Core) handle(ev policy.Event) {
+func (c *Loop) handle(ev policy.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("module panicked", "panic", p, "event", fmt.Sprintf("%T%+v", ev, ev), "stack", string(debug.Stack()))
 			panic(p)
 		}
 	}()
-	now := c.moment
+	now := c.frozenNow
 	if now == 0 {
-		now = c.clock.now()
+		now = c.clock.Now()
 	}
-	c.asked = time.Now() // before: what comes of it is as old as what the module knew
-	for _, o := range c.module.Handle(now, ev) {
+	c.handledAt = time.Now() // before: what comes of it is as old as what the module knew
+	for _, o := range c.router.Handle(now, ev) {
 		c.carryOut(o)
 	}
 }
 
-func (c *Core) carryOut(o policy.Command) {
+func (c *Loop) carryOut(o policy.Command) {
 	switch o := o.(type) {
 	case policy.SetTimer:
-		at, _ := slices.BinarySearchFunc(c.wakes, o.At, func(w policy.SetTimer, at policy.Micros) int { return int(w.At - at) })
-		c.wakes = slices.Insert(c.wakes, at, o)
+		at, _ := slices.BinarySearchFunc(c.timers, o.At, func(w policy.SetTimer, at policy.Micros) int { return int(w.At - at) })
+		c.timers = slices.Insert(c.timers, at, o)
 	case policy.SendAttempt:
-		c.submit(o)
+		c.sendAttempt(o)
 	case policy.Reject:
-		c.answer(o.RequestID, reply{refused: true, holdOff: o.RetryAfter})
+		c.replyTo(o.RequestID, Reply{Rejected: true, RetryAfter: o.RetryAfter})
 	case policy.Fail:
-		c.answer(o.RequestID, reply{})
+		c.replyTo(o.RequestID, Reply{})
 	case policy.Vote:
-		c.done.votes++
-		c.vote(o)
+		c.activity.votes++
+		c.castVote(o)
 	case policy.CheckHealth:
-		if a := c.appliances[o.EndpointID]; a != nil {
-			c.done.probes++
-			a.box.put(probe{})
+		if a := c.endpoints[o.EndpointID]; a != nil {
+			c.activity.healthChecks++
+			a.box.Put(probe{})
 		}
 	case policy.CancelAttempt:
-		if t := c.txns[o.RequestID]; t != nil && t.out > 0 {
-			c.done.calledOff++
-			t.on.box.put(callOff{o.RequestID})
+		if t := c.requests[o.RequestID]; t != nil && t.inFlight > 0 {
+			c.activity.cancelledAttempts++
+			t.endpoint.box.Put(callOff{o.RequestID})
 		}
 	case policy.SendGossip:
-		c.tell(o)
+		c.sendGossip(o)
 	case policy.WatchEndpoints: // the watch on the list always stands
 	case policy.LogMessage:
 		slog.Info("module", "says", o.Text)
@@ -389,142 +389,142 @@
 	}
 }
 
-// submit hands a submission on; one that cannot be sent at all ends at once.
-func (c *Core) submit(o policy.SendAttempt) {
-	t, a := c.txns[o.RequestID], c.appliances[o.EndpointID]
-	now := c.asked
-	if t == nil || t.over || t.out > 0 || a == nil {
+// sendAttempt hands a submission on; one that cannot be sent at all ends at once.
+func (c *Loop) sendAttempt(o policy.SendAttempt) {
+	t, a := c.requests[o.RequestID], c.endpoints[o.EndpointID]
+	now := c.handledAt
+	if t == nil || t.answered || t.inFlight > 0 || a == nil {
 		slog.Error("submission that cannot be", "txn", o.RequestID, "appliance", o.EndpointID)
-		c.box.put(ended{AttemptResult: policy.AttemptResult{RequestID: o.RequestID, EndpointID: o.EndpointID, Outcome: NotSent.outcome()}, ending: NotSent})
+		c.mailbox.Put(AttemptFinished{AttemptResult: policy.AttemptResult{RequestID: o.RequestID, EndpointID: o.EndpointID, Outcome: NotSent.Outcome()}, Result: NotSent})
 		if t != nil {
-			t.out++
+			t.inFlight++
 		}
 		return
 	}
-	until := t.expires
+	until := t.Deadline
 	if patient := now.Add(time.Duration(o.Timeout) * time.Microsecond); o.Timeout != 0 && patient.Before(until) {
 		until = patient
 	}
-	if t.sent != nil {
-		t.sent()
-		t.sent = nil
+	if t.OnFirstAttempt != nil {
+		t.OnFirstAttempt()
+		t.OnFirstAttempt = nil
 	}
-	if t.tries++; t.tries > 1 {
-		c.done.again++
+	if t.attempts++; t.attempts > 1 {
+		c.activity.retries++
 	}
-	c.done.submissions++
-	t.out, t.on = t.out+1, a
-	s := submission{id: o.RequestID, parcel: t.parcel, at: now, until: until}
+	c.activity.attempts++
+	t.inFlight, t.endpoint = t.inFlight+1, a
+	s := Attempt{RequestID: o.RequestID, Encoded: t.Encoded, DecidedAt: now, Deadline: until}
 	if o.WriteBefore != 0 {
-		s.before = c.clock.time(o.WriteBefore)
+		s.WriteBefore = c.clock.Time(o.WriteBefore)
 	}
-	a.box.put(s)
+	a.box.Put(s)
 }
 
-func (c *Core) answer(id uint64, r reply) {
-	if t := c.txns[id]; t != nil && !t.over {
-		if r.refused {
-			t.how = admission.Rejected
-			c.done.declined++
+func (c *Loop) replyTo(id uint64, r Reply) {
+	if t := c.requests[id]; t != nil && !t.answered {
+		if r.Rejected {
+			t.result = admission.Rejected
+			c.activity.rejected++
 		} else {
-			t.how = admission.Failed
-			c.done.voided++
+			t.result = admission.Failed
+			c.activity.failed++
 		}
-		t.tell(r)
-		c.over(id, t)
+		t.deliver(r)
+		c.finishRequest(id, t)
 	}
 }
 
-// Settle waits until all that was put in before has been handled.
-func (c *Core) Settle(ctx context.Context) {
+// Flush waits until all that was put in before has been handled.
+func (c *Loop) Flush(ctx context.Context) {
 	done := make(chan struct{})
-	c.box.put(calledIn{done})
+	c.mailbox.Put(Barrier{done})
 	select {
 	case <-done:
 	case <-ctx.Done():
 	}
 }
 
-// Purse holds the descriptors for connections, to clients and appliances together, so that neither can use up what
+// Budget holds the descriptors for connections, to clients and appliances together, so that neither can use up what
 // the other must have. Connections to appliances get what clients leave; clients leave them two fifths.
-type Purse struct {
-	mu                       sync.Mutex
-	most, clients, addresses int
-	given                    chan struct{} // holds a token after one was given back
+type Budget struct {
+	mu                        sync.Mutex
+	limit, clients, upstreams int
+	freed                     chan struct{} // holds a token after one was given back
 }
 
-func NewPurse(most int) *Purse { return &Purse{most: most, given: make(chan struct{}, 1)} }
+func NewBudget(most int) *Budget { return &Budget{limit: most, freed: make(chan struct{}, 1)} }
 
-// clientPart is the most that clients get: they hold a third at most for requests, each of those has one submission at
+// clientShare is the most that clients get: they hold a third at most for requests, each of those has one submission at
 // most, and what is left beside that lets others in, be it to be turned away.
-const clientPart = 0.6
+const clientShare = 0.6
 
-// turnover is the part of the clients' places that is kept from open txns, so that whoever waits at the door is let in
+// reservedShare is the part of the clients' places that is kept from open txns, so that whoever waits at the door is let in
 // and hears at once that there is no room. Without it all fill with txns that the module holds, and those at the door
 // wait unread until their time is over.
-const turnover = 0.125
+const reservedShare = 0.125
 
-// Txns is the number that may be open.
-func (p *Purse) Txns() int { return int((1 - turnover) * clientPart * float64(p.most)) }
+// MaxRequests is the number that may be open.
+func (p *Budget) MaxRequests() int { return int((1 - reservedShare) * clientShare * float64(p.limit)) }
 
-// idlePart is the most that clients' idle connections may hold, a few times what traffic needs between two requests.
+// idleShare is the most that clients' idle connections may hold, a few times what traffic needs between two requests.
 // It guards against clients that ask once and keep the connection: they may have no place left to ask from while each
 // stands for its idle time. It costs a handshake where clients come back in turn, the one idle longest first.
-const idlePart = 0.1
+const idleShare = 0.1
 
-func (p *Purse) Idle() int { return max(1, int(idlePart*float64(p.most))) }
+func (p *Budget) MaxIdleClients() int { return max(1, int(idleShare*float64(p.limit))) }
 
-// appliance books a connection to an appliance, if there is one left.
-func (p *Purse) appliance() bool {
+// AcquireUpstream books a connection to an appliance, if there is one left.
+func (p *Budget) AcquireUpstream() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.clients+p.addresses >= p.most {
+	if p.clients+p.upstreams >= p.limit {
 		return false
 	}
-	p.addresses++
+	p.upstreams++
 	return true
 }
 
-// client books a client's connection, if there is one left for clients.
-func (p *Purse) client() bool {
+// AcquireClient books a client's connection, if there is one left for clients.
+func (p *Budget) AcquireClient() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.clients+p.addresses >= p.most || p.clients >= max(1, int(clientPart*float64(p.most))) {
+	if p.clients+p.upstreams >= p.limit || p.clients >= max(1, int(clientShare*float64(p.limit))) {
 		return false
 	}
 	p.clients++
 	return true
 }
 
-func (p *Purse) give(clients, addresses int) {
+func (p *Budget) Release(clients, addresses int) {
 	p.mu.Lock()
-	p.clients, p.addresses = p.clients-clients, p.addresses-addresses
+	p.clients, p.upstreams = p.clients-clients, p.upstreams-addresses
 	p.mu.Unlock()
 	select {
-	case p.given <- struct{}{}:
+	case p.freed <- struct{}{}:
 	default:
 	}
 }
 
-// sieve lets one line a second through for each thing that is wrong, so that bad input can't flood the log.
-type sieve struct {
+// Logger lets one line a second through for each thing that is wrong, so that bad input can't flood the log.
+type Logger struct {
 	mu   sync.Mutex
 	last map[string]time.Time
 }
 
-var complaints = &sieve{last: map[string]time.Time{}}
+var complaints = &Logger{last: map[string]time.Time{}}
 
 const (
-	sieveEvery = time.Second
-	sieveMost  = 256 // kinds of complaint kept apart; beyond that they are forgotten and start anew
+	interval = time.Second
+	maxKinds = 256 // kinds of complaint kept apart; beyond that they are forgotten and start anew
 )
 
-func (s *sieve) warn(kind, text string, args ...any) {
+func (s *Logger) Warn(kind, text string, args ...any) {
 	s.mu.Lock()
 	now := time.Now()
-	fresh := now.Sub(s.last[kind]) >= sieveEvery
+	fresh := now.Sub(s.last[kind]) >= interval
 	if fresh {
-		if len(s.last) >= sieveMost {
+		if len(s.last) >= maxKinds {
 			clear(s.last)
 		}
 		s.last[kind] = now
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -51,34 +51,34 @@
 // rig is a core with its parties but no clients.
 type rig struct {
 	*script
-	core     *Core
-	roster   *Roster
-	launcher *Launcher
+	core     *Loop
+	roster   *Client
+	launcher *RolloutClient
 	pool     *Pool
 	ctx      context.Context
 }
 
 func newRig(t *testing.T, dial time.Duration, discovery, launcher string) *rig {
 	r := &rig{script: &script{}}
-	r.core = NewCore(r.script, NewClock())
-	r.roster = NewRoster(r.core, discovery, []string{"suva"}, time.Second, 0, 1, 1)
-	r.launcher = NewLauncher(r.core, launcher, time.Second, 300*time.Millisecond, 1)
-	peers, err := NewPeers(r.core, "", nil, "")
+	r.core = NewLoop(r.script, NewClock())
+	r.roster = NewClient(r.core, discovery, []string{"suva"}, time.Second, 0, 1, 1)
+	r.launcher = NewRolloutClient(r.core, launcher, time.Second, 300*time.Millisecond, 1)
+	peers, err := NewGossip(r.core, "", nil, "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var stop context.CancelFunc
 	r.ctx, stop = context.WithCancel(context.Background())
 	t.Cleanup(stop)
-	r.pool = NewPool(dial, time.Minute, []string{"queue"}, NewPurse(64))
-	r.pool.settles = 0 // but where a test is about it
+	r.pool = NewPool(dial, time.Minute, []string{"queue"}, NewBudget(64))
+	r.pool.settleTime = 0 // but where a test is about it
 	t.Cleanup(func() { stop() })
 	go func() { r.core.Serve(r.ctx, r.pool, r.launcher, peers) }()
 	return r
 }
 
 // send hands a txn in and orders one submission of it to the only appliance.
-func (r *rig) send(t *testing.T, id uint64, p *parcel, wait time.Duration) reply {
+func (r *rig) send(t *testing.T, id uint64, p *EncodedRequest, wait time.Duration) Reply {
 	t.Helper()
 	r.mu.Lock()
 	r.do = func(ev policy.Event) []policy.Command {
@@ -93,19 +93,19 @@
 		return nil
 	}
 	r.mu.Unlock()
-	o := &open{parcel: p, reply: make(chan reply, 1), expires: time.Now().Add(patience)}
-	r.core.box.put(arrived{policy.RequestArrived{ID: id}, o})
+	o := &Request{Encoded: p, replies: make(chan Reply, 1), Deadline: time.Now().Add(patience)}
+	r.core.mailbox.Put(requestArrived{policy.RequestArrived{ID: id}, o})
 	select {
-	case got := <-o.reply:
-		r.core.Settle(r.ctx) // the module hears of the ending after the client
+	case got := <-o.replies:
+		r.core.Flush(r.ctx) // the module hears of the ending after the client
 		return got
 	case <-time.After(patience):
 		t.Fatal("no final answer")
-		return reply{}
+		return Reply{}
 	}
 }
 
-var posting = pack("POST", "/posting?sid=1", "service.internal", http.Header{"Idempotency-Key": {"k"}}, []byte("body"))
+var posting = EncodeRequest("POST", "/posting?sid=1", "service.internal", http.Header{"Idempotency-Key": {"k"}}, []byte("body"))
 
 // Each way a submission can end, the module's outcome for it, and that exactly one copy arrived.
 func TestEndings(t *testing.T) {
@@ -144,16 +144,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newBox(t, c.do)
 			r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
-			r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
+			r.roster.tell(List{Seq: 1, Whole: true, Hosts: []ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
 			got := r.send(t, 1, posting, 400*time.Millisecond)
 			ends := seen[policy.AttemptResult](r.script)
 			if len(ends) != 1 || ends[0].Outcome != c.want || ends[0].RequestDone != (c.want == policy.OK || c.want == policy.NotAttempted) {
 				t.Errorf("ended as %+v, want outcome %d", ends, c.want)
 			}
-			if c.want == policy.OK && (got.settled == nil || string(got.settled.body) != "done") {
+			if c.want == policy.OK && (got.Response == nil || string(got.Response.Body) != "done") {
 				t.Errorf("client got %+v", got)
 			}
-			if c.want == policy.NotAttempted && (got.settled == nil || got.settled.status != 400) {
+			if c.want == policy.NotAttempted && (got.Response == nil || got.Response.Status != 400) {
 				t.Errorf("client got %+v", got)
 			}
 			if copies := b.Requests(); len(copies) != c.copies || copies[0].Body != "body" {
@@ -175,7 +175,7 @@
 		addr string
 	}{"refused": {time.Second, gone.Addr().String()}, "never came up": {1, listen(t).Addr().String()}} {
 		r := newRig(t, c.dial, "127.0.0.1:1", "127.0.0.1:1")
-		r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: c.addr, Site: "suva", Health: "active"}}})
+		r.roster.tell(List{Seq: 1, Whole: true, Hosts: []ListEntry{{Host: "box", Dial: c.addr, Site: "suva", Health: "active"}}})
 		r.send(t, 1, posting, time.Second)
 		if ends := seen[policy.AttemptResult](r.script); len(ends) != 1 || ends[0].Outcome != policy.ConnectFailed {
 			t.Errorf("%s: ended as %+v", name, ends)
@@ -188,7 +188,7 @@
 func TestReusedConnection(t *testing.T) {
 	b := newBox(t, answers(ok("done")))
 	r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
-	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
+	r.roster.tell(List{Seq: 1, Whole: true, Hosts: []ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
 	r.send(t, 1, posting, time.Second)
 	b.SetHandler(hangUp)
 	r.send(t, 2, posting, time.Second)
@@ -200,7 +200,7 @@
 	r.send(t, 3, posting, time.Second)
 	eventually(t, "the end of a connection that brought too much", func() bool { return b.Closed() == 2 })
 	b.SetHandler(answers(ok("done")))
-	if got := r.send(t, 4, posting, time.Second); got.settled == nil || len(b.Requests()) != 4 || b.Requests()[3].Conn != 3 {
+	if got := r.send(t, 4, posting, time.Second); got.Response == nil || len(b.Requests()) != 4 || b.Requests()[3].Conn != 3 {
 		t.Errorf("got %+v after copies %+v", got, b.Requests())
 	}
 }
@@ -211,24 +211,24 @@
 	b := newBox(t, func(c net.Conn, nth int) bool { <-let; return answers(ok("done"))(c, nth) })
 	r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
 	before := runtime.NumGoroutine()
-	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
-	got := make(chan reply)
+	r.roster.tell(List{Seq: 1, Whole: true, Hosts: []ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
+	got := make(chan Reply)
 	go func() { got <- r.send(t, 1, posting, patience) }()
 	eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
 	for i := range 300 {
-		host := entry{Host: fmt.Sprint("h", i), Dial: "127.0.0.1:1", Site: "suva", Health: "active"}
-		r.roster.tell(roll{Seq: 2, Hosts: []entry{host, {Host: "box", Health: "left"}}})
+		host := ListEntry{Host: fmt.Sprint("h", i), Dial: "127.0.0.1:1", Site: "suva", Health: "active"}
+		r.roster.tell(List{Seq: 2, Hosts: []ListEntry{host, {Host: "box", Health: "left"}}})
 		if host.Health = "left"; i%2 == 0 {
-			r.roster.tell(roll{Seq: 3, Hosts: []entry{host}})
+			r.roster.tell(List{Seq: 3, Hosts: []ListEntry{host}})
 		}
 	}
-	r.roster.tell(roll{Seq: 4, Whole: true})
+	r.roster.tell(List{Seq: 4, Whole: true})
 	close(let)
-	if said := <-got; said.settled == nil {
+	if said := <-got; said.Response == nil {
 		t.Errorf("what was out at the time got %+v", said)
 	}
-	r.core.Settle(r.ctx)
-	if n := len(r.core.appliances) + len(r.core.all) + len(r.roster.numbers) + len(r.roster.taken); n != 0 {
+	r.core.Flush(r.ctx)
+	if n := len(r.core.endpoints) + len(r.core.endpointOrder) + len(r.roster.numbers) + len(r.roster.taken); n != 0 {
 		t.Errorf("%d records are kept", n)
 	}
 	eventually(t, "the end of the connection and the actors", func() bool { return b.Closed() == 1 && runtime.NumGoroutine() <= before+2 })
@@ -239,7 +239,7 @@
 	for _, pause := range []time.Duration{0, 20 * time.Millisecond} {
 		b := newBox(t, nil)
 		r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
-		r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
+		r.roster.tell(List{Seq: 1, Whole: true, Hosts: []ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
 		behind := make(chan bool, 50)
 		b.SetHandler(func(c net.Conn, nth int) bool {
 			io.WriteString(c, ok(fmt.Sprint(nth)))
@@ -250,7 +250,7 @@
 		})
 		for id := uint64(1); id <= 50; id++ {
 			got := r.send(t, id, posting, time.Second)
-			if got.settled == nil || string(got.settled.body) != fmt.Sprint(id) {
+			if got.Response == nil || string(got.Response.Body) != fmt.Sprint(id) {
 				t.Fatalf("txn %d got %+v", id, got)
 			}
 			<-behind
@@ -262,9 +262,9 @@
 func TestHostMoves(t *testing.T) {
 	before, after := newBox(t, answers(ok("a"))), newBox(t, answers(ok("b")))
 	r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
-	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: before.Addr(), Site: "suva", Health: "active", Build: 1}}})
+	r.roster.tell(List{Seq: 1, Whole: true, Hosts: []ListEntry{{Host: "box", Dial: before.Addr(), Site: "suva", Health: "active", Build: 1}}})
 	r.send(t, 1, posting, time.Second)
-	r.roster.tell(roll{Seq: 2, Hosts: []entry{{Host: "box", Dial: after.Addr(), Site: "suva", Health: "active", Build: 2}}})
+	r.roster.tell(List{Seq: 2, Hosts: []ListEntry{{Host: "box", Dial: after.Addr(), Site: "suva", Health: "active", Build: 2}}})
 	eventually(t, "the end of the old connection", func() bool { return before.Closed() == 1 })
 	r.send(t, 2, posting, time.Second)
 	lists := seen[policy.EndpointUpdate](r.script)
@@ -276,7 +276,7 @@
 func TestCallOffAndProbe(t *testing.T) {
 	b := newBox(t, mute)
 	r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
-	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
+	r.roster.tell(List{Seq: 1, Whole: true, Hosts: []ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
 	r.mu.Lock()
 	n := r.roster.number("box")
 	r.do = func(ev policy.Event) []policy.Command {
@@ -291,11 +291,11 @@
 		return nil
 	}
 	r.mu.Unlock()
-	r.core.box.put(arrived{policy.RequestArrived{ID: 7}, &open{parcel: posting, reply: make(chan reply, 1), expires: time.Now().Add(patience)}})
+	r.core.mailbox.Put(requestArrived{policy.RequestArrived{ID: 7}, &Request{Encoded: posting, replies: make(chan Reply, 1), Deadline: time.Now().Add(patience)}})
 	eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
 	b.SetHandler(answers("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"queue\":3}"))
-	r.core.box.put(policy.RequestCancelled{RequestID: 7})
-	r.core.box.put(policy.RequestCancelled{RequestID: 7}) // told once
+	r.core.mailbox.Put(policy.RequestCancelled{RequestID: 7})
+	r.core.mailbox.Put(policy.RequestCancelled{RequestID: 7}) // told once
 	eventually(t, "the probe's answer", func() bool { return len(seen[policy.HealthCheckResult](r.script)) == 1 })
 	if p := seen[policy.HealthCheckResult](r.script)[0]; p.Outcome != policy.OK || len(p.Load) != 1 || p.Load[0] != 3 {
 		t.Errorf("probed as %+v", p)
@@ -312,8 +312,8 @@
 // The list and news of the start come at one time, or news would read as younger than the agent.
 func TestStartIsOneMoment(t *testing.T) {
 	s := &script{}
-	core := NewCore(s, NewClock())
-	roster, launcher := NewRoster(core, "127.0.0.1:1", []string{"suva"}, time.Second, 0, 1, 1), NewLauncher(core, "127.0.0.1:1", time.Second, time.Second, 1)
+	core := NewLoop(s, NewClock())
+	roster, launcher := NewClient(core, "127.0.0.1:1", []string{"suva"}, time.Second, 0, 1, 1), NewRolloutClient(core, "127.0.0.1:1", time.Second, time.Second, 1)
 	if err := roster.Known([]byte(line(4, false, host("box", "127.0.0.1:1", "active", 41)))); err != nil {
 		t.Fatal(err)
 	}
@@ -322,9 +322,9 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	peers, _ := NewPeers(core, "", nil, "")
-	go core.Serve(ctx, NewPool(time.Second, time.Minute, nil, NewPurse(9)), launcher, peers)
-	core.Settle(ctx)
+	peers, _ := NewGossip(core, "", nil, "")
+	go core.Serve(ctx, NewPool(time.Second, time.Minute, nil, NewBudget(9)), launcher, peers)
+	core.Flush(ctx)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.events) != 2 || s.times[0] != s.times[1] {
@@ -343,12 +343,12 @@
 		if _, is := ev.(policy.GossipReceived); !is {
 			return nil
 		}
-		r.core.box.put(policy.HealthCheckResult{})
-		time.AfterFunc(time.Millisecond, func() { r.roster.tell(roll{Seq: 1, Whole: true}) })
-		return []policy.Command{policy.SetTimer{At: r.core.clock.now() - 1e6}} // as if that time had passed
+		r.core.mailbox.Put(policy.HealthCheckResult{})
+		time.AfterFunc(time.Millisecond, func() { r.roster.tell(List{Seq: 1, Whole: true}) })
+		return []policy.Command{policy.SetTimer{At: r.core.clock.Now() - 1e6}} // as if that time had passed
 	}
 	r.mu.Unlock()
-	r.core.box.put(policy.GossipReceived{})
+	r.core.mailbox.Put(policy.GossipReceived{})
 	eventually(t, "three events", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.events) >= 3 })
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -361,7 +361,7 @@
 func TestUnreadListFirstAfterStall(t *testing.T) {
 	r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
 	l := listen(t)
-	c, err := dialOwing(t.Context(), &net.Dialer{}, l.Addr().String(), r.core.inflows)
+	c, err := Dial(t.Context(), &net.Dialer{}, l.Addr().String(), r.core.unread)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -377,37 +377,37 @@
 		if _, is := ev.(policy.GossipReceived); !is {
 			return nil
 		}
-		r.core.box.put(policy.HealthCheckResult{})
-		time.AfterFunc(8*catchUp, func() { // by then a moment is long over
-			r.roster.tell(roll{Seq: 1, Whole: true})
+		r.core.mailbox.Put(policy.HealthCheckResult{})
+		time.AfterFunc(8*readerGrace, func() { // by then a moment is long over
+			r.roster.tell(List{Seq: 1, Whole: true})
 			go io.Copy(io.Discard, c)
 		})
-		return []policy.Command{policy.SetTimer{At: r.core.clock.now() - 1e6}} // as if that time had passed
+		return []policy.Command{policy.SetTimer{At: r.core.clock.Now() - 1e6}} // as if that time had passed
 	}
 	r.mu.Unlock()
-	r.core.box.put(policy.GossipReceived{})
+	r.core.mailbox.Put(policy.GossipReceived{})
 	eventually(t, "three events", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.events) >= 3 })
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, is := r.events[1].(policy.EndpointUpdate); !is {
 		t.Errorf("events came as %+v", r.events)
 	}
-	eventually(t, "a reader that has caught up", func() bool { return !r.core.inflows.behind() })
+	eventually(t, "a reader that has caught up", func() bool { return !r.core.unread.HasUnread() })
 }
 
 // A submission that the module ordered before a standstill is not written after it: it is chosen again.
 func TestOldSubmissionIsNotWritten(t *testing.T) {
 	b := newBox(t, answers(ok("done")))
 	r := newRig(t, 100*time.Millisecond, "127.0.0.1:1", "127.0.0.1:1")
-	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
-	if got := r.send(t, 1, posting, time.Second); got.settled == nil {
+	r.roster.tell(List{Seq: 1, Whole: true, Hosts: []ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
+	if got := r.send(t, 1, posting, time.Second); got.Response == nil {
 		t.Fatalf("a fresh one got %+v", got)
 	}
-	r.core.Settle(r.ctx)
-	a := r.core.appliances[r.roster.number("box")]
+	r.core.Flush(r.ctx)
+	a := r.core.endpoints[r.roster.number("box")]
 	now := time.Now()
 	for id, age := range map[uint64]time.Duration{2: 0, 3: time.Second} {
-		a.box.put(submission{id: id, parcel: posting, at: now.Add(-age), until: now.Add(patience)})
+		a.box.Put(Attempt{RequestID: id, Encoded: posting, DecidedAt: now.Add(-age), Deadline: now.Add(patience)})
 		eventually(t, "its ending", func() bool {
 			for _, e := range seen[policy.AttemptResult](r.script) {
 				if e.RequestID == id {
@@ -424,7 +424,7 @@
 
 // A panic of the module is not hidden: the process ends with it.
 func TestModulePanics(t *testing.T) {
-	c := NewCore(&script{do: func(policy.Event) []policy.Command { panic("index out of range") }}, NewClock())
+	c := NewLoop(&script{do: func(policy.Event) []policy.Command { panic("index out of range") }}, NewClock())
 	defer func() {
 		if p := recover(); p != "index out of range" {
 			t.Errorf("recovered %v", p)
@@ -540,12 +540,12 @@
 	own := mine.LocalAddr().String()
 	mine.Close()
 	r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
-	p, err := NewPeers(r.core, own, []string{own, other.LocalAddr().String()}, "")
+	p, err := NewGossip(r.core, own, []string{own, other.LocalAddr().String()}, "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	go p.Serve(r.ctx)
-	p.put(policy.SendGossip{To: 1, Payload: []byte("hello")})
+	p.Post(policy.SendGossip{To: 1, Payload: []byte("hello")})
 	buf := make([]byte, 300)
 	other.SetReadDeadline(time.Now().Add(patience))
 	n, from, err := other.ReadFrom(buf)
@@ -572,29 +572,29 @@
 
 // Descriptors: clients leave appliances two fifths, and get no more until one is given back.
 func TestPurse(t *testing.T) {
-	p := NewPurse(20)
+	p := NewBudget(20)
 	for range 12 {
-		if !p.client() {
+		if !p.AcquireClient() {
 			t.Error("clients did not get twelve")
 		}
 	}
-	if p.client() || p.Txns() != 10 {
-		t.Errorf("clients got more, %d txns may be open", p.Txns())
+	if p.AcquireClient() || p.MaxRequests() != 10 {
+		t.Errorf("clients got more, %d txns may be open", p.MaxRequests())
 	}
 	for range 8 {
-		if !p.appliance() {
+		if !p.AcquireUpstream() {
 			t.Error("appliances did not get what clients leave")
 		}
 	}
-	if p.appliance() {
+	if p.AcquireUpstream() {
 		t.Error("appliances got more than there is")
 	}
-	p.give(0, 1)
-	if p.client() {
+	p.Release(0, 1)
+	if p.AcquireClient() {
 		t.Error("clients took the appliances' part")
 	}
-	p.give(1, 0)
-	if !p.client() || len(p.given) != 1 {
+	p.Release(1, 0)
+	if !p.AcquireClient() || len(p.freed) != 1 {
 		t.Error("what was given back is not to be had")
 	}
 }
@@ -603,7 +603,7 @@
 func TestBreakTakesIdleAlong(t *testing.T) {
 	b := newBox(t, answers(ok("done")))
 	r := newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1")
-	r.roster.tell(roll{Seq: 1, Whole: true, Hosts: []entry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
+	r.roster.tell(List{Seq: 1, Whole: true, Hosts: []ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
 	gate := make(chan struct{})
 	b.SetHandler(func(c net.Conn, nth int) bool {
 		if nth == 2 {
@@ -630,7 +630,7 @@
 		http.Error(w, "full", http.StatusServiceUnavailable)
 	}))
 	defer full.Close()
-	roster := NewRoster(NewCore(&script{}, NewClock()), full.Listener.Addr().String(), []string{"suva"}, time.Second, 8*time.Second, 1, 1)
+	roster := NewClient(NewLoop(&script{}, NewClock()), full.Listener.Addr().String(), []string{"suva"}, time.Second, 8*time.Second, 1, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go roster.Serve(ctx)
@@ -667,7 +667,7 @@
 	}()
 	dialer := &net.Dialer{}
 	for n, want := range []error{nil, syscall.ECONNRESET} {
-		c, err := dialOwing(t.Context(), dialer, l.Addr().String(), nil)
+		c, err := Dial(t.Context(), dialer, l.Addr().String(), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -682,7 +682,7 @@
 	}
 	// The launcher's calls, dated or not, and an appliance's submissions go over such connections.
 	d := &net.Dialer{Timeout: time.Second}
-	for name, client := range map[string]*http.Client{"vote": newClient(d.Timeout, nil), "dated vote": onceClient(d.Timeout)} {
+	for name, client := range map[string]*http.Client{"vote": NewHTTPClient(d.Timeout, nil), "dated vote": onceClient(d.Timeout)} {
 		ctx, stop := context.WithTimeout(context.WithValue(t.Context(), beforeKey{}, time.Now().Add(patience)), 200*time.Millisecond)
 		req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+l.Addr().String()+"/api/", strings.NewReader("image=1"))
 		if _, err := client.Do(req); err == nil {
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -26,20 +26,20 @@
 // actor and waits for its one answer; health; the drain. It must never send to an appliance or word an answer of
 // its own for a txn that the module has.
 
-// Front serves clients.
-type Front struct {
-	core   *Core
+// Proxy serves clients.
+type Proxy struct {
+	core   *Loop
 	count  *counter
 	lastID atomic.Uint64
 	open   atomic.Int64
 	most   int // open txns that are told
 	// holdOff is the longest wait that clients follow, 0 where they are not told any
 	holdOff policy.Micros
-	purse   *Purse
+	purse   *Budget
 	server  *http.Server
 	clients *clientListener
-	gate    *Gate // nil: no door
-	who     WhoAsks
+	gate    *AdmissionGate // nil: no door
+	who     ClientKey
 	drains  atomic.Bool
 	until   time.Time     // of the drain; set before drains
 	giveUp  chan struct{} // closed when the drain has run out
@@ -50,8 +50,8 @@
 // its own.
 const exchangeWait = time.Minute
 
-// headLimit holds any head of the protocol many times over; hundreds of endless ones must fit into the least memory.
-const headLimit = 8 << 10
+// HeadLimit holds any head of the protocol many times over; hundreds of endless ones must fit into the least memory.
+const HeadLimit = 8 << 10
 
 // ids are those of the open txns. A second request under one of them would be a copy to an appliance, and could be
 // handed the other's answer.
@@ -80,19 +80,19 @@
 type grumble struct{}
 
 func (grumble) Write(line []byte) (int, error) {
-	complaints.warn("server", "clients' server", "says", strings.TrimSpace(string(line)))
+	complaints.Warn("server", "clients' server", "says", strings.TrimSpace(string(line)))
 	return len(line), nil
 }
 
-// NewFront reads requests by the products' names, effects and expiries and the customers' names; most is
+// NewProxy reads requests by the products' names, effects and expiries and the customers' names; most is
 // the number of txns that it may have open, holdOff the longest wait that clients follow, first the number before its
 // first txn's. The module places a txn without a warm key by its number. Where all agents counted from one, the n-th txn of
 // each went to one and the same appliance, and hundreds that started together filled its queue. It must differ from agent
 // to agent and from start to start, and costs nothing.
-func NewFront(core *Core, names []string, effects []policy.Idempotency, expiry []time.Duration, customers []string,
-	most int, holdOff time.Duration, purse *Purse, first uint64,
-) *Front {
-	f := &Front{core: core, most: most, holdOff: holdOff.Microseconds(), purse: purse, count: &counter{names, effects, expiry, customers}}
+func NewProxy(core *Loop, names []string, effects []policy.Idempotency, expiry []time.Duration, customers []string,
+	most int, holdOff time.Duration, purse *Budget, first uint64,
+) *Proxy {
+	f := &Proxy{core: core, most: most, holdOff: holdOff.Microseconds(), purse: purse, count: &counter{names, effects, expiry, customers}}
 	f.ids.open = map[string]bool{}
 	f.giveUp = make(chan struct{})
 	f.lastID.Store(first)
@@ -109,7 +109,7 @@
 	}
 	f.clients = newClientListener(core, purse)
 	f.server = &http.Server{
-		ErrorLog: quiet, WriteTimeout: exchangeWait, MaxHeaderBytes: headLimit, ConnState: f.clients.state,
+		ErrorLog: quiet, WriteTimeout: exchangeWait, MaxHeaderBytes: HeadLimit, ConnState: f.clients.state,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if f.drains.Load() {
@@ -125,7 +125,7 @@
 				// another reader takes for the body's rest would pass as the next request. Nothing behind it is read.
 				w.Header().Set("Connection", "close")
 				http.Error(w, "a body needs a Content-Length and no Transfer-Encoding", http.StatusLengthRequired)
-				complaints.warn("request411", "request turned away", "status", http.StatusLengthRequired)
+				complaints.Warn("request411", "request turned away", "status", http.StatusLengthRequired)
 				return
 			}
 			// The path goes on as it came, also where the proxy would tidy it.
@@ -135,24 +135,24 @@
 	return f
 }
 
-// WhoAsks tells a tenant's clients apart: by a header of the operator's, by the connection, or by the address.
-type WhoAsks struct {
+// ClientKey tells a tenant's clients apart: by a header of the operator's, by the connection, or by the address.
+type ClientKey struct {
 	Header     string
 	Connection bool
 }
 
-// Behind puts a door before the module. It is to be called before Serve.
-func (f *Front) Behind(gate *Gate, who WhoAsks) { f.gate, f.who = gate, who }
+// UseAdmission puts a door before the module. It is to be called before Serve.
+func (f *Proxy) UseAdmission(gate *AdmissionGate, who ClientKey) { f.gate, f.who = gate, who }
 
 // client is who asks, as a number.
-func (f *Front) client(r *http.Request) uint64 {
+func (f *Proxy) client(r *http.Request) uint64 {
 	if f.who.Header != "" {
-		return hash64(r.Header.Get(f.who.Header))
+		return Hash64(r.Header.Get(f.who.Header))
 	}
 	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil && !f.who.Connection {
-		return hash64(host)
+		return Hash64(host)
 	}
-	return hash64(r.RemoteAddr)
+	return Hash64(r.RemoteAddr)
 }
 
 type connKey struct{}
@@ -193,7 +193,7 @@
 
 type targetKey struct{}
 
-func (f *Front) health(w http.ResponseWriter) {
+func (f *Proxy) health(w http.ResponseWriter) {
 	if f.drains.Load() {
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 		return
@@ -202,7 +202,7 @@
 }
 
 // RoundTrip is a txn's way through the agent.
-func (f *Front) RoundTrip(r *http.Request) (*http.Response, error) {
+func (f *Proxy) RoundTrip(r *http.Request) (*http.Response, error) {
 	target, _ := r.Context().Value(targetKey{}).(string)
 	if !strings.HasPrefix(target, "/") {
 		target = r.URL.RequestURI()
@@ -211,9 +211,9 @@
 	if bad != nil {
 		return f.turnAway(r, bad)
 	}
-	body, err := readBody(r.Body, r.ContentLength)
+	body, err := ReadBody(r.Body, r.ContentLength)
 	switch {
-	case errors.Is(err, errTooLong):
+	case errors.Is(err, ErrBodyTooLong):
 		return f.turnAway(r, &fault{http.StatusRequestEntityTooLarge, err.Error()})
 	case err != nil:
 		return nil, err // the client has gone, or takes too long
@@ -223,39 +223,39 @@
 	}
 	at := time.Now().Add(-waited(r))
 	defer f.open.Add(-1)
-	if n, most := f.open.Add(1), min(f.most, f.purse.Txns()); f.gate == nil && n > int64(most) {
-		complaints.warn("open", "no room for another txn", "most", most)
+	if n, most := f.open.Add(1), min(f.most, f.purse.MaxRequests()); f.gate == nil && n > int64(most) {
+		complaints.Warn("open", "no room for another txn", "most", most)
 		// As over the told cap: sent back before the module has it. It is a jam, so no one should be back soon.
-		return reply{refused: true, holdOff: f.holdOff}.response(r), nil
+		return Reply{Rejected: true, RetryAfter: f.holdOff}.response(r), nil
 	}
 	name := r.Header.Get("X-Request-Id")
 	if !f.ids.take(name) {
 		return f.turnAway(r, &fault{http.StatusConflict, "X-Request-Id is that of an open txn"})
 	}
-	for _, h := range ownHeaders {
+	for _, h := range HopHeaders {
 		r.Header.Del(h)
 	}
 	if r.Header.Get("User-Agent") == "" {
 		r.Header.Del("User-Agent")
 	}
-	t := &open{parcel: pack(r.Method, target, r.Host, r.Header, body), reply: make(chan reply, 1), expires: at.Add(o.wait), done: func() { f.ids.free(name) }}
-	if f.drains.Load() && t.expires.After(f.until) {
-		t.expires = f.until // nobody is there to answer it later
+	t := &Request{Encoded: EncodeRequest(r.Method, target, r.Host, r.Header, body), replies: make(chan Reply, 1), Deadline: at.Add(o.wait), OnDone: func() { f.ids.free(name) }}
+	if f.drains.Load() && t.Deadline.After(f.until) {
+		t.Deadline = f.until // nobody is there to answer it later
 	}
 	id := f.lastID.Add(1)
 	taken := policy.RequestArrived{
 		ID: id, Class: o.product, Tenant: o.customer, Key: o.key,
-		Deadline: f.core.clock.at(t.expires), CostHint: o.work, IsRetry: o.repeat,
+		Deadline: f.core.clock.At(t.Deadline), CostHint: o.work, IsRetry: o.repeat,
 	}
-	leave := func() { f.core.box.put(policy.RequestCancelled{RequestID: id}) }
+	leave := func() { f.core.mailbox.Put(policy.RequestCancelled{RequestID: id}) }
 	if f.gate == nil {
-		f.core.box.put(arrived{taken, t})
+		f.core.mailbox.Put(requestArrived{taken, t})
 	} else {
-		taken.ArrivedAt = f.core.clock.at(at)
-		leave = func() { f.gate.box.put(left{id}) }
-		f.gate.box.put(knock{admission.Arrival{
+		taken.ArrivedAt = f.core.clock.At(at)
+		leave = func() { f.gate.box.Put(left{id}) }
+		f.gate.box.Put(knock{admission.Arrival{
 			ID: id, Tenant: o.customer, Client: f.client(r), Class: o.product, Key: o.mark,
-			IsRetry: o.repeat, CostHint: o.work, Deadline: taken.Deadline, Bytes: len(t.parcel.head) + len(body),
+			IsRetry: o.repeat, CostHint: o.work, Deadline: taken.Deadline, Bytes: len(t.Encoded.Head) + len(body),
 		}, taken, t})
 	}
 	// Who has not taken its answer some time after it stopped waiting holds a descriptor for nothing; before, it has its time, however
@@ -263,39 +263,39 @@
 	defer func() {
 		if c, is := r.Context().Value(connKey{}).(*clientConn); is {
 			last := time.Now()
-			if t.expires.After(last) {
-				last = t.expires
+			if t.Deadline.After(last) {
+				last = t.Deadline
 			}
 			c.SetWriteDeadline(last.Add(sendWait))
 		}
 	}()
 	select {
-	case said := <-t.reply:
+	case said := <-t.replies:
 		return said.response(r), nil
 	case <-r.Context().Done():
 		leave()
 		return nil, r.Context().Err()
 	case <-f.giveUp:
 		leave()
-		return reply{}.response(r), nil
+		return Reply{}.response(r), nil
 	}
 }
 
 // turnAway answers what is no txn; the module never hears of it.
-func (f *Front) turnAway(r *http.Request, bad *fault) (*http.Response, error) {
-	complaints.warn("request"+strconv.Itoa(bad.status), "request turned away", "status", bad.status, "why", bad.why)
+func (f *Proxy) turnAway(r *http.Request, bad *fault) (*http.Response, error) {
+	complaints.Warn("request"+strconv.Itoa(bad.status), "request turned away", "status", bad.status, "why", bad.why)
 	return respond(r, bad.status, "text/plain; charset=utf-8", []byte(bad.why+"\n")), nil
 }
 
 // response puts a final answer into the protocol's words.
-func (a reply) response(r *http.Request) *http.Response {
+func (a Reply) response(r *http.Request) *http.Response {
 	switch {
-	case a.settled != nil:
-		return respond(r, a.settled.status, a.settled.kind, a.settled.body)
-	case a.refused:
+	case a.Response != nil:
+		return respond(r, a.Response.Status, a.Response.ContentType, a.Response.Body)
+	case a.Rejected:
 		res := respond(r, http.StatusServiceUnavailable, "text/plain; charset=utf-8", []byte("declined; a repeat does no harm\n"))
-		if a.holdOff > 0 {
-			res.Header.Set("Retry-After", strconv.FormatFloat(float64(a.holdOff)/1e6, 'f', 3, 64))
+		if a.RetryAfter > 0 {
+			res.Header.Set("Retry-After", strconv.FormatFloat(float64(a.RetryAfter)/1e6, 'f', 3, 64))
 		}
 		return res
 	}
@@ -314,16 +314,16 @@
 }
 
 // failed is for a client that went away, or whose body could not be read.
-func (f *Front) failed(w http.ResponseWriter, r *http.Request, err error) {
+func (f *Proxy) failed(w http.ResponseWriter, r *http.Request, err error) {
 	if r.Context().Err() == nil {
-		complaints.warn("body", "request not read", "err", err)
+		complaints.Warn("body", "request not read", "err", err)
 	}
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(http.StatusBadRequest)
 }
 
 // Listen opens the door to clients; health answers from here on.
-func (f *Front) Listen(address string) error {
+func (f *Proxy) Listen(address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
@@ -333,7 +333,7 @@
 }
 
 // Serve takes clients until Drain has ended.
-func (f *Front) Serve() error {
+func (f *Proxy) Serve() error {
 	if err := f.server.Serve(f.clients); !errors.Is(err, net.ErrClosed) {
 		return err
 	}
@@ -350,7 +350,7 @@
 // is there any more. What is open when its time has nearly run out is answered then, as nobody will be there to do it later. The
 // library's own Shutdown is not used: it closes connections of which half a head has been read, and drops a request that was
 // read whole after it began, with no answer.
-func (f *Front) Drain(ctx context.Context) error {
+func (f *Proxy) Drain(ctx context.Context) error {
 	f.until = time.Now().Add(time.Hour)
 	if until, is := ctx.Deadline(); is {
 		f.until = until.Add(-lastAnswers)
@@ -358,7 +358,7 @@
 	f.drains.Store(true)
 	f.clients.drain()
 	if f.gate != nil {
-		f.gate.box.put(drain{f.until})
+		f.gate.box.Put(drain{f.until})
 	}
 	runsOut := time.NewTimer(time.Until(f.until))
 	defer runsOut.Stop()
--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -17,7 +17,7 @@
 	knock struct {
 		admission.Arrival
 		taken policy.RequestArrived
-		*open
+		*Request
 	}
 	found struct{ id uint64 } // the module has sent it
 	over  struct {
@@ -27,43 +27,43 @@
 	left    struct{ id uint64 } // its client has gone
 	drain   struct{ until time.Time }
 	reshare struct{ shares []admission.Tenant }
-	ask     struct{ answer chan Standing }
+	ask     struct{ answer chan AdmissionStatus }
 	sum     struct{ done chan struct{} } // writes the last line of figures
 )
 
-// alsoTo asks the core to answer a txn's next try with its answer.
-type alsoTo struct {
-	first uint64
-	open  *open
+// coalesce asks the core to answer a txn's next try with its answer.
+type coalesce struct {
+	leaderID uint64
+	request  *Request
 }
 
-// Standing is what the door has in hand and has done.
-type Standing struct {
+// AdmissionStatus is what the door has in hand and has done.
+type AdmissionStatus struct {
 	admission.Status
 	admission.Counters
 }
 
-// Gate is the door's actor.
-type Gate struct {
+// AdmissionGate is the door's actor.
+type AdmissionGate struct {
 	door  *admission.Controller
 	clock Clock
-	core  *Core
-	box   *mailbox[any]
+	core  *Loop
+	box   *Mailbox[any]
 	known map[uint64]knock // at the door, not in
 	in    map[uint64]bool
-	last  Standing // what the log has had
+	last  AdmissionStatus // what the log has had
 }
 
-// NewGate puts a door before the core.
-func NewGate(d *admission.Controller, clock Clock, core *Core) *Gate {
-	return &Gate{door: d, clock: clock, core: core, box: newMailbox[any](), known: map[uint64]knock{}, in: map[uint64]bool{}}
+// NewAdmissionGate puts a door before the core.
+func NewAdmissionGate(d *admission.Controller, clock Clock, core *Loop) *AdmissionGate {
+	return &AdmissionGate{door: d, clock: clock, core: core, box: NewMailbox[any](), known: map[uint64]knock{}, in: map[uint64]bool{}}
 }
 
 // figuresEvery is how often the log gets the door's figures, while anything happens there.
 const figuresEvery = 10 * time.Second
 
 // Serve empties the mailbox until the end.
-func (g *Gate) Serve(ctx context.Context) {
+func (g *AdmissionGate) Serve(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	figures := time.NewTicker(figuresEvery)
 	defer figures.Stop()
@@ -71,29 +71,29 @@
 	for {
 		wait := time.Hour
 		if next := g.door.NextTimer(); next > 0 {
-			wait = time.Duration(next-g.clock.now()) * time.Microsecond
+			wait = time.Duration(next-g.clock.Now()) * time.Microsecond
 		}
 		timer.Reset(max(0, wait))
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-g.box.bell:
+		case <-g.box.ready:
 		case <-figures.C:
 			g.log()
 		}
-		notes = g.box.take(notes)
+		notes = g.box.Take(notes)
 		for _, n := range notes {
 			g.note(n)
 		}
-		if next := g.door.NextTimer(); next > 0 && next <= g.clock.now() {
-			g.carryOut(g.door.TimerFired(g.clock.now()))
+		if next := g.door.NextTimer(); next > 0 && next <= g.clock.Now() {
+			g.carryOut(g.door.TimerFired(g.clock.Now()))
 		}
 	}
 }
 
-func (g *Gate) note(n any) {
-	now := g.clock.now()
+func (g *AdmissionGate) note(n any) {
+	now := g.clock.Now()
 	switch n := n.(type) {
 	case knock:
 		g.known[n.ID] = n
@@ -105,64 +105,64 @@
 		g.carryOut(g.door.Finish(now, n.id, n.how))
 	case left:
 		if g.in[n.id] { // the core tells when nothing of it is out any more
-			g.core.box.put(policy.RequestCancelled{RequestID: n.id})
+			g.core.mailbox.Put(policy.RequestCancelled{RequestID: n.id})
 			return
 		}
 		g.forget(n.id)
 		g.carryOut(g.door.Abandon(now, n.id))
 	case drain:
-		g.carryOut(g.door.Drain(now, g.clock.at(n.until)))
+		g.carryOut(g.door.Drain(now, g.clock.At(n.until)))
 	case reshare:
 		g.door.SetWeights(n.shares)
 	case sum:
 		g.log()
 		close(n.done)
 	case ask:
-		n.answer <- Standing{g.door.Status(), g.door.Counters}
+		n.answer <- AdmissionStatus{g.door.Status(), g.door.Counters}
 	}
 }
 
-func (g *Gate) forget(id uint64) (k knock, was bool) {
+func (g *AdmissionGate) forget(id uint64) (k knock, was bool) {
 	if k, was = g.known[id]; was {
 		delete(g.known, id)
-		if k.done != nil {
-			k.done()
+		if k.OnDone != nil {
+			k.OnDone()
 		}
 	}
 	return k, was
 }
 
-func (g *Gate) carryOut(orders []admission.Command) {
+func (g *AdmissionGate) carryOut(orders []admission.Command) {
 	for _, o := range orders {
 		switch o.Kind {
 		case admission.Admit:
 			k := g.known[o.ID]
 			delete(g.known, o.ID)
 			g.in[o.ID] = true
-			id, free := o.ID, k.done
-			k.sent = func() { g.box.put(found{id}) }
-			k.done = func() {
+			id, free := o.ID, k.OnDone
+			k.OnFirstAttempt = func() { g.box.Put(found{id}) }
+			k.OnDone = func() {
 				if free != nil {
 					free()
 				}
-				g.box.put(over{id, k.open.how})
+				g.box.Put(over{id, k.Request.result})
 			}
-			g.core.box.put(arrived{k.taken, k.open})
+			g.core.mailbox.Put(requestArrived{k.taken, k.Request})
 		case admission.Reject:
 			if k, was := g.forget(o.ID); was {
-				k.reply <- reply{refused: true, holdOff: o.RetryAfter}
+				k.replies <- Reply{Rejected: true, RetryAfter: o.RetryAfter}
 			}
 		case admission.Coalesce:
 			if k, was := g.forget(o.ID); was {
-				g.core.box.put(alsoTo{o.LeaderID, k.open})
+				g.core.mailbox.Put(coalesce{o.LeaderID, k.Request})
 			}
 		}
 	}
 }
 
 // log writes a line of figures where anything has happened since the last.
-func (g *Gate) log() {
-	now := Standing{g.door.Status(), g.door.Counters}
+func (g *AdmissionGate) log() {
+	now := AdmissionStatus{g.door.Status(), g.door.Counters}
 	if now.Arrived != g.last.Arrived || now.Waiting > 0 {
 		journal(now, g.last)
 	}
@@ -170,19 +170,19 @@
 }
 
 // Close writes the last figures.
-func (g *Gate) Close(ctx context.Context) {
+func (g *AdmissionGate) Close(ctx context.Context) {
 	done := make(chan struct{})
-	g.box.put(sum{done})
+	g.box.Put(sum{done})
 	select {
 	case <-done:
 	case <-ctx.Done():
 	}
 }
 
-// Standing asks for what is in hand.
-func (g *Gate) Standing(ctx context.Context) (s Standing) {
-	answer := make(chan Standing, 1)
-	g.box.put(ask{answer})
+// Status asks for what is in hand.
+func (g *AdmissionGate) Status(ctx context.Context) (s AdmissionStatus) {
+	answer := make(chan AdmissionStatus, 1)
+	g.box.Put(ask{answer})
 	select {
 	case s = <-answer:
 	case <-ctx.Done():
@@ -190,11 +190,11 @@
 	return s
 }
 
-// Reshare puts other weights in force.
-func (g *Gate) Reshare(shares []admission.Tenant) { g.box.put(reshare{shares}) }
+// SetWeights puts other weights in force.
+func (g *AdmissionGate) SetWeights(shares []admission.Tenant) { g.box.Put(reshare{shares}) }
 
 // journal writes the door's figures: levels as they are, counts since the last line.
-func journal(now, last Standing) {
+func journal(now, last AdmissionStatus) {
 	slog.Info("door", "in", now.InProgress, "limit", int(now.Limit), "waiting", now.Waiting, "kib", now.Bytes>>10,
 		"arrived", now.Arrived-last.Arrived, "admitted", now.Admitted-last.Admitted, "joined", now.Rejoined-last.Rejoined,
 		"toolate", now.Rejected[admission.TooLate]-last.Rejected[admission.TooLate], "noroom", now.Rejected[admission.NoCapacity]-last.Rejected[admission.NoCapacity],
--- a/internal/agent/gate_test.go
+++ b/internal/agent/gate_test.go
@@ -21,7 +21,7 @@
 // gated is a core with a door before it, and a module that does as the test says.
 type gated struct {
 	*rig
-	gate *Gate
+	gate *AdmissionGate
 	t    *testing.T
 }
 
@@ -30,24 +30,24 @@
 	clock := NewClock()
 	d := admission.New([]admission.RequestClass{{LatencyObjective: 10_000_000, Timeout: 20_000_000, PriorityWeight: 1, Keyed: true}}, []admission.Tenant{{Weight: 1}},
 		room, admission.RetryAfterLimits{Max: 500_000}, same, 1)
-	g := &gated{r, NewGate(d, clock, r.core), t}
+	g := &gated{r, NewAdmissionGate(d, clock, r.core), t}
 	go g.gate.Serve(r.ctx)
 	return g
 }
 
 // knock sends a txn to the door; its answer comes on the channel.
-func (g *gated) knock(id, key uint64) chan reply {
-	o := &open{parcel: posting, reply: make(chan reply, 1), expires: time.Now().Add(patience)}
-	expires := g.gate.clock.at(o.expires)
-	g.gate.box.put(knock{
+func (g *gated) knock(id, key uint64) chan Reply {
+	o := &Request{Encoded: posting, replies: make(chan Reply, 1), Deadline: time.Now().Add(patience)}
+	expires := g.gate.clock.At(o.Deadline)
+	g.gate.box.Put(knock{
 		admission.Arrival{ID: id, Client: id, Key: key, Deadline: expires, Bytes: 100},
 		policy.RequestArrived{ID: id, Key: key, Deadline: expires},
 		o,
 	})
-	return o.reply
+	return o.replies
 }
 
-func (g *gated) standing() Standing { return g.gate.Standing(context.Background()) }
+func (g *gated) standing() AdmissionStatus { return g.gate.Status(context.Background()) }
 
 func (g *gated) taken() int { return len(seen[policy.RequestArrived](g.script)) }
 
@@ -67,12 +67,12 @@
 	if s := g.standing(); s.Rejoined != 2 || s.Waiting != 1 {
 		t.Fatalf("third try stands as %+v", s)
 	}
-	g.gate.box.put(left{1}) // the first one's client leaves: it is over when the module has heard so
+	g.gate.box.Put(left{1}) // the first one's client leaves: it is over when the module has heard so
 	eventually(t, "the next try", func() bool { return g.taken() == 2 })
 	if got := seen[policy.RequestArrived](g.script)[1].ID; got != 3 {
 		t.Errorf("%d went in after the first try, want the last one", got)
 	}
-	g.gate.box.put(left{3})
+	g.gate.box.Put(left{3})
 	eventually(t, "an empty door", func() bool { s := g.standing(); return s.InProgress+s.Waiting == 0 })
 	if len(third) != 0 {
 		t.Error("who left was answered")
@@ -98,11 +98,11 @@
 		return nil
 	}
 	g.mu.Unlock()
-	g.core.box.put(policy.HealthCheckResult{})
-	for name, ch := range map[string]chan reply{"first": first, "next": second} {
+	g.core.mailbox.Put(policy.HealthCheckResult{})
+	for name, ch := range map[string]chan Reply{"first": first, "next": second} {
 		select {
 		case r := <-ch:
-			if r.refused || r.settled != nil {
+			if r.Rejected || r.Response != nil {
 				t.Errorf("the %s try was answered %+v, want void", name, r)
 			}
 		case <-time.After(patience):
@@ -121,19 +121,19 @@
 		g.knock(id, id)
 	}
 	eventually(t, "a full house", func() bool { return g.taken() == 32 })
-	replies := map[uint64]chan reply{}
+	replies := map[uint64]chan Reply{}
 	for id := uint64(33); id <= 38; id++ {
 		replies[id] = g.knock(id, id)
 	}
-	g.gate.box.put(left{33})
+	g.gate.box.Put(left{33})
 	if s := g.standing(); s.InProgress != 32 || s.Waiting != 5 {
 		t.Fatalf("stands as %+v", s)
 	}
-	g.gate.box.put(drain{time.Now()})
+	g.gate.box.Put(drain{time.Now()})
 	for id := uint64(34); id <= 38; id++ {
 		select {
 		case r := <-replies[id]:
-			if !r.refused {
+			if !r.Rejected {
 				t.Errorf("%d was answered %+v", id, r)
 			}
 		case <-time.After(patience):
--- a/internal/agent/launcher.go
+++ b/internal/agent/launcher.go
@@ -22,12 +22,12 @@
 // This file owns the way to the launcher: votes with exactly one answer each, and the stream of its news. It must
 // never cast, hold back or repeat a vote by itself.
 
-// Launcher is its actor.
-type Launcher struct {
-	core    *Core
+// RolloutClient is its actor.
+type RolloutClient struct {
+	core    *Loop
 	base    string
 	patient time.Duration // for the answer to a vote
-	box     *mailbox[any]
+	box     *Mailbox[any]
 	client  *http.Client
 	once    *http.Client               // for votes that have a time after which they must not be written
 	also    func(policy.RolloutUpdate) // hears the news, too; nil: nobody
@@ -61,21 +61,21 @@
 	moved struct{ base string }
 )
 
-func NewLauncher(core *Core, address string, dial, patient time.Duration, seed int64) *Launcher {
-	return &Launcher{
-		core: core, base: at(address), patient: patient, box: newMailbox[any](),
-		client: newClient(dial, core.inflows), once: onceClient(dial), again: backoff.New(0, ^seed),
+func NewRolloutClient(core *Loop, address string, dial, patient time.Duration, seed int64) *RolloutClient {
+	return &RolloutClient{
+		core: core, base: at(address), patient: patient, box: NewMailbox[any](),
+		client: NewHTTPClient(dial, core.unread), once: onceClient(dial), again: backoff.New(0, ^seed),
 	}
 }
 
-// Also names who else hears the news. It is to be called before Known and Serve.
-func (l *Launcher) Also(hear func(policy.RolloutUpdate)) { l.also = hear }
+// Observe names who else hears the news. It is to be called before Known and Serve.
+func (l *RolloutClient) Observe(hear func(policy.RolloutUpdate)) { l.also = hear }
 
 // tell gives news to the module, and to who else hears it.
-func (l *Launcher) tell(s policy.RolloutUpdate) {
+func (l *RolloutClient) tell(s policy.RolloutUpdate) {
 	l.mu.Lock()
 	l.told, l.latest = l.told+1, s
-	l.core.urgent.put(s)
+	l.core.urgent.Put(s)
 	l.mu.Unlock()
 	if l.also != nil {
 		l.also(s)
@@ -83,7 +83,7 @@
 }
 
 // asOf is how often where things stand has been told by now.
-func (l *Launcher) asOf() int {
+func (l *RolloutClient) asOf() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.told
@@ -92,7 +92,7 @@
 // answered gives a vote's answer to the module. Where things stand comes in answers and by the stream, on ways of their own: an answer
 // that was written before the launcher sent a build back may be read after its news, and would put the build on trial again. What was
 // told since the call began stands, then; the stream tells whatever is newer than that.
-func (l *Launcher) answered(s policy.RolloutUpdate, since int) policy.RolloutUpdate {
+func (l *RolloutClient) answered(s policy.RolloutUpdate, since int) policy.RolloutUpdate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s.Outcome == policy.OK {
@@ -103,21 +103,21 @@
 		}
 		l.told, l.latest = l.told+1, s
 	}
-	l.core.urgent.put(s)
+	l.core.urgent.Put(s)
 	return s
 }
 
 func at(address string) string { return "http://" + address + "/api/" }
 
 // Move goes to another address. The old stream is read until the new one has brought where things stand.
-func (l *Launcher) Move(address string) { l.box.put(moved{at(address)}) }
+func (l *RolloutClient) Move(address string) { l.box.Put(moved{at(address)}) }
 
 // Known takes the news that the agent was started with.
-func (l *Launcher) Known(raw json.RawMessage) error {
+func (l *RolloutClient) Known(raw json.RawMessage) error {
 	if len(raw) == 0 {
 		return nil
 	}
-	s, err := readNewsJSON(raw)
+	s, err := ReadRolloutJSON(raw)
 	if err != nil {
 		return fmt.Errorf("setting config.platform.news: %w", err)
 	}
@@ -125,13 +125,13 @@
 	return nil
 }
 
-func (l *Launcher) put(v policy.Vote) { l.box.put(v) }
+func (l *RolloutClient) Vote(v policy.Vote) { l.box.Put(v) }
 
 const newsSign = time.Second // the protocol's
 
 // Serve empties the mailbox until the end.
-func (l *Launcher) Serve(ctx context.Context) {
-	l.core.caughtUp(func(n calledIn) { l.box.put(n) })
+func (l *RolloutClient) Serve(ctx context.Context) {
+	l.core.AddReader(func(n Barrier) { l.box.Put(n) })
 	tick := time.NewTicker(newsSign)
 	defer tick.Stop()
 	l.now = l.open(ctx, 0)
@@ -142,8 +142,8 @@
 			return
 		case <-tick.C:
 			notes = []any{look{}}
-		case <-l.box.bell:
-			notes = l.box.take(nil)
+		case <-l.box.ready:
+			notes = l.box.Take(nil)
 		}
 		for _, n := range notes {
 			l.note(ctx, n)
@@ -151,14 +151,14 @@
 	}
 }
 
-func (l *Launcher) note(ctx context.Context, n any) {
+func (l *RolloutClient) note(ctx context.Context, n any) {
 	switch n := n.(type) {
 	case policy.Vote:
 		go l.call(ctx, l.base, n)
-	case Dated:
+	case TimedVote:
 		go l.dated(ctx, l.base, n)
-	case calledIn:
-		close(n.done)
+	case Barrier:
+		close(n.Done)
 	case moved:
 		if l.base = n.base; l.next != nil {
 			l.next.stop()
@@ -178,25 +178,25 @@
 		switch n.from {
 		case l.next:
 			if l.next = nil; l.now.base != l.base { // the old one is about to end
-				l.next = l.open(ctx, l.again.Next(why(n.err)))
+				l.next = l.open(ctx, l.again.Next(BackoffReason(n.err)))
 			}
 		case l.now:
 			if n.from.spoke {
 				l.again.Reset()
 			}
-			complaints.warn("news", "news stream ended", "err", n.err)
+			complaints.Warn("news", "news stream ended", "err", n.err)
 			if l.now, l.next = l.next, nil; l.now == nil {
-				l.now = l.open(ctx, l.again.Next(why(n.err)))
+				l.now = l.open(ctx, l.again.Next(BackoffReason(n.err)))
 			}
 		}
 	case look:
-		if time.Since(l.now.line) < signsMissed*newsSign {
+		if time.Since(l.now.line) < MissedSigns*newsSign {
 			return
 		}
 		// Silent: the new one is opened before the old is closed, as what is told in between is not told again.
 		if l.next == nil {
 			l.next = l.open(ctx, 0)
-		} else if time.Since(l.next.line) >= signsMissed*newsSign {
+		} else if time.Since(l.next.line) >= MissedSigns*newsSign {
 			l.next.stop()
 			l.next = l.open(ctx, 0)
 		}
@@ -204,19 +204,19 @@
 }
 
 // open starts a stream, after a pause where one failed.
-func (l *Launcher) open(ctx context.Context, pause backoff.Micros) *stream {
+func (l *RolloutClient) open(ctx context.Context, pause backoff.Micros) *stream {
 	ctx, stop := context.WithCancel(ctx)
 	s := &stream{stop: stop, base: l.base, line: time.Now()}
 	go func() {
 		if pause > 0 {
-			wait(ctx, pause)
+			Sleep(ctx, pause)
 		}
-		l.box.put(streamEnd{s, l.follow(ctx, s)})
+		l.box.Put(streamEnd{s, l.follow(ctx, s)})
 	}()
 	return s
 }
 
-func (l *Launcher) follow(ctx context.Context, s *stream) error {
+func (l *RolloutClient) follow(ctx context.Context, s *stream) error {
 	defer s.stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.base+"bulletin", nil)
 	if err != nil {
@@ -228,7 +228,7 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return refusal(res.StatusCode)
+		return StatusError(res.StatusCode)
 	}
 	// An event counts with the empty line that ends it: one that is cut off may read as another. What can't be read
 	// makes the connection useless, and a new one brings where things stand at once.
@@ -238,19 +238,19 @@
 		value = strings.TrimPrefix(value, " ")
 		switch {
 		case sc.Text() == "" && kind == "ROLLOUT":
-			news, err := readNewsForm(data)
+			news, err := ReadRolloutForm(data)
 			if err != nil {
 				return fmt.Errorf("news that can't be read: %w", err)
 			}
-			l.box.put(lineIn{s, &news})
+			l.box.Put(lineIn{s, &news})
 			kind, data = "", ""
 		case sc.Text() == "":
 			if data != "" {
-				complaints.warn("news kind", "news of a kind not known here", "kind", fmt.Sprintf("%.40q", kind))
+				complaints.Warn("news kind", "news of a kind not known here", "kind", fmt.Sprintf("%.40q", kind))
 			}
 			kind, data = "", ""
 		case field == "":
-			l.box.put(lineIn{from: s})
+			l.box.Put(lineIn{from: s})
 		case field == "event":
 			kind = value
 		case field == "data":
@@ -263,26 +263,26 @@
 }
 
 // call casts one vote and hands its one answer to the core, at the latest after the told patience.
-func (l *Launcher) call(ctx context.Context, base string, v policy.Vote) {
+func (l *RolloutClient) call(ctx context.Context, base string, v policy.Vote) {
 	ctx, stop := context.WithTimeout(ctx, l.patient)
 	defer stop()
 	start, since := time.Now(), l.asOf()
 	how, s := l.cast(ctx, base, v)
-	s.IsVoteReply, s.Outcome = true, how.outcome()
-	if how != Settled {
+	s.IsVoteReply, s.Outcome = true, how.Outcome()
+	if how != Succeeded {
 		s.Build, s.Stage = v.Build, v.Stage
 	}
-	slog.Info("vote", "build", v.Build, "stage", v.Stage, "verdict", verdicts[v.Verdict], "ending", how.String(),
+	slog.Info("vote", "build", v.Build, "stage", v.Stage, "verdict", VerdictNames[v.Verdict], "ending", how.String(),
 		"ms", time.Since(start).Milliseconds())
 	l.answered(s, since)
 }
 
-func (l *Launcher) cast(ctx context.Context, base string, v policy.Vote) (Ending, policy.RolloutUpdate) {
+func (l *RolloutClient) cast(ctx context.Context, base string, v policy.Vote) (Result, policy.RolloutUpdate) {
 	return l.castBy(ctx, l.client, base, v)
 }
 
-func (l *Launcher) castBy(ctx context.Context, client *http.Client, base string, v policy.Vote) (Ending, policy.RolloutUpdate) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base, strings.NewReader(voteForm(v)))
+func (l *RolloutClient) castBy(ctx context.Context, client *http.Client, base string, v policy.Vote) (Result, policy.RolloutUpdate) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base, strings.NewReader(EncodeVote(v)))
 	if err != nil {
 		return NotSent, policy.RolloutUpdate{}
 	}
@@ -293,30 +293,30 @@
 	case errors.Is(err, errTooLate):
 		return NotSent, policy.RolloutUpdate{}
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return Refused, policy.RolloutUpdate{}
+		return ConnectionRefused, policy.RolloutUpdate{}
 	case errors.As(err, &op) && op.Op == "dial":
-		return NeverUp, policy.RolloutUpdate{}
+		return ConnectTimeout, policy.RolloutUpdate{}
 	case err != nil:
-		return Silent, policy.RolloutUpdate{} // it may count
+		return TimedOut, policy.RolloutUpdate{} // it may count
 	}
 	defer res.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(res.Body, bodyLimit))
+	raw, err := io.ReadAll(io.LimitReader(res.Body, BodyLimit))
 	if err != nil {
-		return Silent, policy.RolloutUpdate{}
+		return TimedOut, policy.RolloutUpdate{}
 	}
-	return readVoteAnswer(res.StatusCode, raw)
+	return ReadVoteReply(res.StatusCode, raw)
 }
 
-// Dated is a vote that must not be written after a time. over is told once it is known to be carried out, or never to be;
+// TimedVote is a vote that must not be written after a time. over is told once it is known to be carried out, or never to be;
 // a vote that nothing is known of is not over.
-type Dated struct {
+type TimedVote struct {
 	policy.Vote
-	Before time.Time
-	Over   func(wrote bool)
+	WriteBefore time.Time
+	Resolved    func(wrote bool)
 }
 
-// Cast writes a dated vote.
-func (l *Launcher) Cast(v Dated) { l.box.put(v) }
+// CastBefore writes a dated vote.
+func (l *RolloutClient) CastBefore(v TimedVote) { l.box.Put(v) }
 
 type beforeKey struct{}
 
@@ -340,7 +340,7 @@
 func onceClient(dial time.Duration) *http.Client {
 	dialer := &net.Dialer{Timeout: dial}
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-		c, err := dialOwing(ctx, dialer, address, nil)
+		c, err := Dial(ctx, dialer, address, nil)
 		if err != nil {
 			return nil, err
 		}
@@ -350,20 +350,20 @@
 }
 
 // dated casts one, and tells the news that its answer brings.
-func (l *Launcher) dated(ctx context.Context, base string, v Dated) {
-	ctx, stop := context.WithTimeout(context.WithValue(ctx, beforeKey{}, v.Before), l.patient)
+func (l *RolloutClient) dated(ctx context.Context, base string, v TimedVote) {
+	ctx, stop := context.WithTimeout(context.WithValue(ctx, beforeKey{}, v.WriteBefore), l.patient)
 	defer stop()
 	start, since := time.Now(), l.asOf()
 	how, s := l.castBy(ctx, l.once, base, v.Vote)
-	slog.Info("vote", "build", v.Build, "stage", v.Stage, "verdict", verdicts[v.Verdict], "ending", how.String(),
+	slog.Info("vote", "build", v.Build, "stage", v.Stage, "verdict", VerdictNames[v.Verdict], "ending", how.String(),
 		"ms", time.Since(start).Milliseconds())
-	if how == Settled {
+	if how == Succeeded {
 		if s = l.answered(s, since); l.also != nil {
 			l.also(s)
 		}
 	}
 	switch how {
-	case Settled, TurnedAway, Outdated, Refused, NeverUp, NotSent: // all else may yet be carried out
-		v.Over(how != NotSent)
+	case Succeeded, NotRun, Stale, ConnectionRefused, ConnectTimeout, NotSent: // all else may yet be carried out
+		v.Resolved(how != NotSent)
 	}
 }
--- a/internal/agent/listener.go
+++ b/internal/agent/listener.go
@@ -208,7 +208,7 @@
 		c.SetReadDeadline(longAgo)
 	}
 	waits := !stale && (c.phase == fresh || c.phase == idle)
-	if waits && !nothingCame(c.TCPConn) { // its reader is about to find it
+	if waits && !IsQuiet(c.TCPConn) { // its reader is about to find it
 		c.actAt(time.Now().Add(headWait))
 		waits = false
 	}
@@ -226,7 +226,7 @@
 func (c *clientConn) retire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase != fresh && c.phase != idle || !nothingCame(c.TCPConn) {
+	if c.phase != fresh && c.phase != idle || !IsQuiet(c.TCPConn) {
 		return false
 	}
 	c.to(retired)
@@ -264,8 +264,8 @@
 // few are left was tried: all clients came back on new ones, which cost more than there was.
 type clientListener struct {
 	tcp   *net.TCPListener
-	purse *Purse
-	core  *Core
+	purse *Budget
+	core  *Loop
 	waits atomic.Bool   // a client waits for another's place
 	ended chan struct{} // closed with the listener
 	// lingers is how long a connection stays half open behind its last answer.
@@ -279,7 +279,7 @@
 	leaves bool                      // to be closed once no client is there and none waits
 }
 
-func newClientListener(core *Core, purse *Purse) *clientListener {
+func newClientListener(core *Loop, purse *Budget) *clientListener {
 	return &clientListener{core: core, purse: purse, ended: make(chan struct{}), lingers: lingerWait, in: map[*clientConn]bool{}, idle: map[*clientConn]time.Time{}}
 }
 
@@ -293,11 +293,11 @@
 func (l *clientListener) Close() error { return nil }
 
 func (l *clientListener) Accept() (net.Conn, error) {
-	for !l.purse.client() {
+	for !l.purse.AcquireClient() {
 		l.waits.Store(true)
 		l.makeRoom()
 		select {
-		case <-l.purse.given:
+		case <-l.purse.freed:
 		case <-time.After(placeWait):
 		}
 	}
@@ -311,7 +311,7 @@
 			l.tcp.SetDeadline(time.Now().Add(lastLook))
 			continue
 		}
-		l.purse.give(1, 0)
+		l.purse.Release(1, 0)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			l.stop()
 			err = net.ErrClosed
@@ -381,7 +381,7 @@
 	now := time.Now()
 	if now.Sub(l.asked) >= trimIdle {
 		l.asked = now
-		l.core.box.put(shortage{})
+		l.core.mailbox.Put(connectionsExhausted{})
 	}
 	silent := 0
 	for c := range l.in {
@@ -398,7 +398,7 @@
 	if silent == 0 {
 		l.retireOldest()
 	}
-	complaints.warn("door", "no descriptor left for a client", "open", len(l.in), "idle", len(l.idle),
+	complaints.Warn("door", "no descriptor left for a client", "open", len(l.in), "idle", len(l.idle),
 		"silent", silent)
 }
 
@@ -439,13 +439,13 @@
 			c.retire()
 			return
 		}
-		if l.idle[c] = time.Now(); len(l.idle) > l.purse.Idle() {
+		if l.idle[c] = time.Now(); len(l.idle) > l.purse.MaxIdleClients() {
 			l.retireOldest()
 		}
 	case http.StateClosed, http.StateHijacked:
 		if l.in[c] {
 			delete(l.in, c)
-			l.purse.give(1, 0)
+			l.purse.Release(1, 0)
 		}
 	}
 }
--- a/internal/agent/listener_test.go
+++ b/internal/agent/listener_test.go
@@ -26,8 +26,8 @@
 // clientSide is the clients' side before a module that declines what it is told to.
 type clientSide struct {
 	*rig
-	front *Front
-	purse *Purse
+	front *Proxy
+	purse *Budget
 	ended chan error
 }
 
@@ -38,7 +38,7 @@
 
 // lingering is one whose connections stay half open behind a last answer for so long.
 func lingering(t *testing.T, descriptors int, hold bool, lingers time.Duration) *clientSide {
-	s := &clientSide{rig: newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1"), purse: NewPurse(descriptors), ended: make(chan error, 1)}
+	s := &clientSide{rig: newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1"), purse: NewBudget(descriptors), ended: make(chan error, 1)}
 	s.do = func(ev policy.Event) []policy.Command {
 		if taken, is := ev.(policy.RequestArrived); is && !hold {
 			return []policy.Command{policy.Reject{RequestID: taken.ID}}
@@ -54,7 +54,7 @@
 		}
 		return nil
 	}
-	s.front = NewFront(s.core, []string{"lookup", "posting", "_health"}, []policy.Idempotency{policy.Idempotent, policy.Keyed, policy.Idempotent},
+	s.front = NewProxy(s.core, []string{"lookup", "posting", "_health"}, []policy.Idempotency{policy.Idempotent, policy.Keyed, policy.Idempotent},
 		[]time.Duration{patience, patience, patience}, nil, 1000, 0, s.purse, 1)
 	s.front.clients.lingers = lingers
 	if err := s.front.Listen("127.0.0.1:0"); err != nil {
@@ -65,7 +65,7 @@
 	return s
 }
 
-func (s *clientSide) letGo() { s.core.box.put(policy.GossipReceived{}) }
+func (s *clientSide) letGo() { s.core.mailbox.Put(policy.GossipReceived{}) }
 
 // taken waits until the module has so many txns.
 func (s *clientSide) taken(t *testing.T, n int) {
@@ -173,7 +173,7 @@
 	if err := <-s.ended; err != nil {
 		t.Errorf("serving ended with %v", err)
 	}
-	s.core.Settle(t.Context())
+	s.core.Flush(t.Context())
 	s.purse.mu.Lock()
 	defer s.purse.mu.Unlock()
 	s.front.ids.mu.Lock()
@@ -340,8 +340,8 @@
 	own := s.server(t, begun)
 	own.mu.Lock()
 	begun.send(raw[:1])
-	eventually(t, "the byte", func() bool { return !nothingCame(own.TCPConn) })
-	free := own.phase == idle && nothingCame(own.TCPConn)
+	eventually(t, "the byte", func() bool { return !IsQuiet(own.TCPConn) })
+	free := own.phase == idle && IsQuiet(own.TCPConn)
 	own.due = time.Now().Add(-time.Second)
 	own.mu.Unlock()
 	own.overdue()
@@ -364,7 +364,7 @@
 	eventually(t, "more than is read ahead", func() bool {
 		own.mu.Lock()
 		defer own.mu.Unlock()
-		return len(own.ahead) >= aheadMost-1 && !nothingCame(own.TCPConn)
+		return len(own.ahead) >= aheadMost-1 && !IsQuiet(own.TCPConn)
 	})
 	s.letGo()
 	c.answered(503, true)
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -16,24 +16,24 @@
 
 const datagramLimit = 256 // the protocol's
 
-// Peers is the actor of that socket; with no address to listen on it drops what it is given.
-type Peers struct {
-	core  *Core
-	box   *mailbox[policy.SendGossip]
+// Gossip is the actor of that socket; with no address to listen on it drops what it is given.
+type Gossip struct {
+	core  *Loop
+	box   *Mailbox[policy.SendGossip]
 	sock  *net.UDPConn
 	known []netip.AddrPort // by the agents' numbers
 	all   netip.AddrPort
 	other func([]byte) bool // takes what is not the module's; nil: nobody
 }
 
-// Beside names who else uses the socket: it looks at each datagram first. It is to be called before Serve.
-func (p *Peers) Beside(other func([]byte) bool) { p.other = other }
+// Intercept names who else uses the socket: it looks at each datagram first. It is to be called before Serve.
+func (p *Gossip) Intercept(other func([]byte) bool) { p.other = other }
 
 // Send sends bytes to an agent by its number.
-func (p *Peers) Send(to int, b []byte) { p.put(policy.SendGossip{To: to, Payload: b}) }
+func (p *Gossip) Send(to int, b []byte) { p.Post(policy.SendGossip{To: to, Payload: b}) }
 
-func NewPeers(core *Core, listen string, known []string, all string) (*Peers, error) {
-	p := &Peers{core: core, box: newMailbox[policy.SendGossip]()}
+func NewGossip(core *Loop, listen string, known []string, all string) (*Gossip, error) {
+	p := &Gossip{core: core, box: NewMailbox[policy.SendGossip]()}
 	if listen == "" {
 		return p, nil
 	}
@@ -60,10 +60,10 @@
 	return p, nil
 }
 
-func (p *Peers) put(t policy.SendGossip) { p.box.put(t) }
+func (p *Gossip) Post(t policy.SendGossip) { p.box.Put(t) }
 
 // Serve sends what the mailbox holds, and hands on what comes.
-func (p *Peers) Serve(ctx context.Context) {
+func (p *Gossip) Serve(ctx context.Context) {
 	if p.sock != nil {
 		go p.listen()
 		defer p.sock.Close()
@@ -72,15 +72,15 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.box.bell:
+		case <-p.box.ready:
 		}
-		for _, t := range p.box.take(nil) {
+		for _, t := range p.box.Take(nil) {
 			p.send(t)
 		}
 	}
 }
 
-func (p *Peers) send(t policy.SendGossip) {
+func (p *Gossip) send(t policy.SendGossip) {
 	to := p.all
 	if uint32(t.To) != math.MaxUint32 {
 		if to = (netip.AddrPort{}); t.To >= 0 && t.To < len(p.known) {
@@ -88,15 +88,15 @@
 		}
 	}
 	if p.sock == nil || !to.IsValid() || len(t.Payload) > datagramLimit {
-		complaints.warn("tell", "message not sent", "to", t.To, "bytes", len(t.Payload))
+		complaints.Warn("tell", "message not sent", "to", t.To, "bytes", len(t.Payload))
 		return
 	}
 	if _, err := p.sock.WriteToUDPAddrPort(t.Payload, to); err != nil {
-		complaints.warn("tell", "message not sent", "to", t.To, "err", err)
+		complaints.Warn("tell", "message not sent", "to", t.To, "err", err)
 	}
 }
 
-func (p *Peers) listen() {
+func (p *Gossip) listen() {
 	buf := make([]byte, datagramLimit+1)
 	for {
 		n, from, err := p.sock.ReadFromUDPAddrPort(buf)
@@ -105,12 +105,12 @@
 		}
 		who := slices.Index(p.known, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 		if who < 0 || n > datagramLimit {
-			complaints.warn("datagram", "datagram dropped", "from", from.String(), "bytes", n)
+			complaints.Warn("datagram", "datagram dropped", "from", from.String(), "bytes", n)
 			continue
 		}
 		if p.other != nil && p.other(slices.Clone(buf[:n])) {
 			continue
 		}
-		p.core.box.put(policy.GossipReceived{From: who, Payload: slices.Clone(buf[:n])})
+		p.core.mailbox.Put(policy.GossipReceived{From: who, Payload: slices.Clone(buf[:n])})
 	}
 }
--- a/internal/agent/roster.go
+++ b/internal/agent/roster.go
@@ -22,9 +22,9 @@
 // This file owns the list: the watch at discovery, the numbers of appliances, and which line is news. It must
 // never judge an appliance, and never take a row back to an older state.
 
-// Roster is the list's actor: notes in its mailbox come from its followers, and from Move.
-type Roster struct {
-	core    *Core
+// Client is the list's actor: notes in its mailbox come from its followers, and from Move.
+type Client struct {
+	core    *Loop
 	zones   []string
 	client  *http.Client
 	within  time.Duration // the told time in which to ask; 0: none
@@ -32,7 +32,7 @@
 	seed    int64
 	numbers map[string]uint32 // by host
 	taken   map[uint32]string
-	box     *mailbox[any]
+	box     *Mailbox[any]
 	seq     uint64    // of what is in force
 	now     *follower // the one that is believed
 	next    *follower // at the address that is to take its place; nil where none is
@@ -40,7 +40,7 @@
 
 // follower keeps a watch at one address, reopened with the last version whenever it ends.
 type follower struct {
-	roster *Roster
+	roster *Client
 	base   string
 	seq    uint64
 	whole  bool // the next line has to be the whole list
@@ -48,28 +48,28 @@
 	once   bool // its address has been left: not opened again
 	mu     sync.Mutex
 	stop   context.CancelFunc
-	held   roll // what it has brought and is not believed yet; Serve's
+	held   List // what it has brought and is not believed yet; Serve's
 }
 
 // lineOf is a list that a follower has read, or a sign of life: for now there is nothing newer there.
 type lineOf struct {
 	from *follower
-	roll
+	List
 	sign bool
 }
 
-// NewRoster follows the list at an address. within is the told time in which an agent without a watch should ask, 0 where
+// NewClient follows the list at an address. within is the told time in which an agent without a watch should ask, 0 where
 // none is told; agents is how many do so.
-func NewRoster(core *Core, address string, zones []string, dial, within time.Duration, agents int, seed int64) *Roster {
-	r := &Roster{
-		core: core, zones: zones, within: within, agents: agents, seed: seed, client: newClient(dial, core.inflows), numbers: map[string]uint32{}, taken: map[uint32]string{},
-		box: newMailbox[any](),
+func NewClient(core *Loop, address string, zones []string, dial, within time.Duration, agents int, seed int64) *Client {
+	r := &Client{
+		core: core, zones: zones, within: within, agents: agents, seed: seed, client: NewHTTPClient(dial, core.unread), numbers: map[string]uint32{}, taken: map[uint32]string{},
+		box: NewMailbox[any](),
 	}
 	r.now = r.at(address)
 	return r
 }
 
-func (r *Roster) at(address string) *follower {
+func (r *Client) at(address string) *follower {
 	return &follower{
 		roster: r, base: "http://" + address + "/catalog/members", stop: func() {},
 		again: backoff.New(r.within.Microseconds(), r.seed),
@@ -80,37 +80,37 @@
 // no change is lost between; it is not opened again. The new one may be behind: the old one has told a drain when the new one's
 // whole list of a moment before is read, and would take it back. That list is held until its watch has brought it as far, or a sign
 // of life says that nothing newer is there, as with other numbers at another discovery; that is a sign's time at most.
-func (r *Roster) Move(address string) { r.box.put(address) }
+func (r *Client) Move(address string) { r.box.Put(address) }
 
 // Serve empties the mailbox until the end.
-func (r *Roster) Serve(ctx context.Context) {
-	r.core.caughtUp(func(n calledIn) { r.box.put(n) })
+func (r *Client) Serve(ctx context.Context) {
+	r.core.AddReader(func(n Barrier) { r.box.Put(n) })
 	r.now.start(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.box.bell:
+		case <-r.box.ready:
 		}
-		for _, n := range r.box.take(nil) {
+		for _, n := range r.box.Take(nil) {
 			switch n := n.(type) {
 			case lineOf:
 				switch {
 				case n.from == r.next:
 					if !n.sign {
-						n.from.held = n.from.held.with(n.roll)
+						n.from.held = n.from.held.Merge(n.List)
 					}
 					if n.sign || n.from.held.Seq >= r.seq {
 						r.now.stop()
 						r.now, r.next = r.next, nil
 						r.tell(r.now.held)
-						r.now.held = roll{}
+						r.now.held = List{}
 					}
 				case n.from == r.now && !n.sign:
-					r.tell(n.roll)
+					r.tell(n.List)
 				}
-			case calledIn:
-				close(n.done)
+			case Barrier:
+				close(n.Done)
 			case string:
 				r.now.leave()
 				if r.next != nil {
@@ -141,28 +141,28 @@
 	return f.once
 }
 
-// newClient is for discovery and the launcher: streams, and calls so rare that a connection each leaves none to go
+// NewHTTPClient is for discovery and the launcher: streams, and calls so rare that a connection each leaves none to go
 // stale. It follows no one elsewhere, and takes no more of a head than it should.
-func newClient(dial time.Duration, among *inflows) *http.Client {
+func NewHTTPClient(dial time.Duration, among *UnreadGauge) *http.Client {
 	dialer := &net.Dialer{Timeout: dial}
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-				return dialOwing(ctx, dialer, address, among)
+				return Dial(ctx, dialer, address, among)
 			},
-			DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: headLimit,
+			DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: HeadLimit,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
 // Known takes the list that the agent was started with.
-func (r *Roster) Known(raw json.RawMessage) error {
+func (r *Client) Known(raw json.RawMessage) error {
 	if len(raw) == 0 {
 		r.now.whole = true
 		return nil
 	}
-	known, err := readRoll(raw)
+	known, err := ReadList(raw)
 	if err != nil {
 		return fmt.Errorf("setting config.known: %w", err)
 	}
@@ -174,12 +174,12 @@
 
 // number is alike on every agent and after a restart: a hash of the host. Should two hosts share one, the second
 // in a list, which is read in the hosts' order, gets the hash of a longer name.
-func (r *Roster) number(host string) uint32 {
+func (r *Client) number(host string) uint32 {
 	if n, known := r.numbers[host]; known {
 		return n
 	}
 	for name := host; ; name += "'" {
-		h := hash64(name)
+		h := Hash64(name)
 		n := uint32(h ^ h>>32)
 		if _, taken := r.taken[n]; !taken {
 			r.numbers[host], r.taken[n] = n, host
@@ -188,8 +188,8 @@
 	}
 }
 
-// with is a list with later changes.
-func (l roll) with(later roll) roll {
+// Merge is a list with later changes.
+func (l List) Merge(later List) List {
 	if later.Whole {
 		return later
 	}
@@ -197,32 +197,32 @@
 	for _, e := range later.Hosts {
 		changed[e.Host] = true
 	}
-	hosts := slices.DeleteFunc(slices.Clone(l.Hosts), func(e entry) bool { return changed[e.Host] })
-	return roll{Seq: later.Seq, Whole: l.Whole, Hosts: append(hosts, later.Hosts...)}
+	hosts := slices.DeleteFunc(slices.Clone(l.Hosts), func(e ListEntry) bool { return changed[e.Host] })
+	return List{Seq: later.Seq, Whole: l.Whole, Hosts: append(hosts, later.Hosts...)}
 }
 
 // tell hands a list's rows on.
-func (r *Roster) tell(l roll) {
+func (r *Client) tell(l List) {
 	r.seq = l.Seq
-	slices.SortStableFunc(l.Hosts, func(a, b entry) int { return strings.Compare(a.Host, b.Host) })
-	out := listing{EndpointUpdate: policy.EndpointUpdate{Full: l.Whole}}
+	slices.SortStableFunc(l.Hosts, func(a, b ListEntry) int { return strings.Compare(a.Host, b.Host) })
+	out := EndpointList{EndpointUpdate: policy.EndpointUpdate{Full: l.Whole}}
 	for _, e := range l.Hosts {
-		row, err := e.row(r.zones)
+		row, err := e.Endpoint(r.zones)
 		if err != nil {
-			complaints.warn("row", "list entry left out", "why", err)
+			complaints.Warn("row", "list entry left out", "why", err)
 			continue
 		}
 		row.ID = r.number(e.Host)
-		out.Endpoints, out.hosts = append(out.Endpoints, row), append(out.hosts, e)
+		out.Endpoints, out.Entries = append(out.Endpoints, row), append(out.Entries, e)
 	}
 	if len(out.Endpoints) > 0 || l.Whole {
-		r.core.urgent.put(out)
+		r.core.urgent.Put(out)
 	}
 	// A host that is gone gives its number back; it is the same when it returns, but for two hosts that share one.
 	there := map[string]bool{}
 	for i, row := range out.Endpoints {
-		if there[out.hosts[i].Host] = row.State != policy.Gone; row.State == policy.Gone {
-			r.forget(out.hosts[i].Host)
+		if there[out.Entries[i].Host] = row.State != policy.Gone; row.State == policy.Gone {
+			r.forget(out.Entries[i].Host)
 		}
 	}
 	if l.Whole {
@@ -234,14 +234,14 @@
 	}
 }
 
-func (r *Roster) forget(host string) {
+func (r *Client) forget(host string) {
 	delete(r.taken, r.numbers[host])
 	delete(r.numbers, host)
 }
 
 const (
-	// signsMissed: the launcher's news are followed anew after so long without a line, three of the protocol's signs of life.
-	signsMissed = 3
+	// MissedSigns: the launcher's news are followed anew after so long without a line, three of the protocol's signs of life.
+	MissedSigns = 3
 	watchSign   = 2 * time.Second
 	// A watch is opened anew when three of its signs are due. What a silent one misses may count as told by then, without time for a
 	// pause, a connection and a reading. With two signs a discovery that is merely slow, by 3 s, was cut off in the middle of its word (the
@@ -249,22 +249,22 @@
 	watchQuiet = 3 * watchSign
 )
 
-// wait is a pause that the end cuts short.
-func wait(ctx context.Context, span backoff.Micros) {
+// Sleep is a pause that the end cuts short.
+func Sleep(ctx context.Context, span backoff.Micros) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Duration(span) * time.Microsecond):
 	}
 }
 
-// refusal is an answer that is no list and no stream.
-type refusal int
+// StatusError is an answer that is no list and no stream.
+type StatusError int
 
-func (r refusal) Error() string { return fmt.Sprintf("status %d", int(r)) }
+func (r StatusError) Error() string { return fmt.Sprintf("status %d", int(r)) }
 
-// why tells a party that has too much to do from one that is not there.
-func why(err error) backoff.Reason {
-	if r := refusal(0); errors.As(err, &r) && (r == http.StatusServiceUnavailable || r == http.StatusTooManyRequests) {
+// BackoffReason tells a party that has too much to do from one that is not there.
+func BackoffReason(err error) backoff.Reason {
+	if r := StatusError(0); errors.As(err, &r) && (r == http.StatusServiceUnavailable || r == http.StatusTooManyRequests) {
 		return backoff.Overloaded
 	}
 	return backoff.Unreachable
@@ -272,14 +272,14 @@
 
 func (f *follower) serve(ctx context.Context) {
 	if f.seq > 0 || !f.whole { // what was told at the start will do for a moment
-		wait(ctx, f.again.Initial(f.roster.agents))
+		Sleep(ctx, f.again.Initial(f.roster.agents))
 	}
 	for ctx.Err() == nil && !f.left() {
 		start := time.Now()
 		if f.whole {
 			if err := f.fetch(ctx); err != nil {
-				complaints.warn("list", "list not fetched", "err", err, "after_ms", time.Since(start).Milliseconds())
-				wait(ctx, f.again.Next(why(err)))
+				complaints.Warn("list", "list not fetched", "err", err, "after_ms", time.Since(start).Milliseconds())
+				Sleep(ctx, f.again.Next(BackoffReason(err)))
 				continue
 			}
 		}
@@ -288,16 +288,16 @@
 			f.again.Reset()
 		}
 		if ctx.Err() == nil {
-			complaints.warn("watch", "watch ended", "err", err, "seq", f.seq, "after_ms", time.Since(start).Milliseconds())
-			wait(ctx, f.again.Next(why(err)))
+			complaints.Warn("watch", "watch ended", "err", err, "seq", f.seq, "after_ms", time.Since(start).Milliseconds())
+			Sleep(ctx, f.again.Next(BackoffReason(err)))
 		}
 	}
 }
 
 // heard takes a line on.
-func (f *follower) heard(l roll) {
+func (f *follower) heard(l List) {
 	f.seq, f.whole = l.Seq, false
-	f.roster.box.put(lineOf{from: f, roll: l})
+	f.roster.box.Put(lineOf{from: f, List: l})
 }
 
 // fetch takes the whole list, after a line that could not be read.
@@ -308,7 +308,7 @@
 		if len(list) == 0 {
 			return nil
 		}
-		l, err := readRoll(list)
+		l, err := ReadList(list)
 		if err == nil && !l.Whole {
 			err = fmt.Errorf("asked for the whole list, got changes")
 		}
@@ -331,10 +331,10 @@
 	err = f.follow(ctx, fmt.Sprintf("%s?stream=1&index=%d", f.base, f.seq), func(list []byte) error {
 		quiet.Reset(watchQuiet)
 		if lines++; len(list) == 0 {
-			f.roster.box.put(lineOf{from: f, sign: true})
+			f.roster.box.Put(lineOf{from: f, sign: true})
 			return nil
 		}
-		l, err := readRoll(list)
+		l, err := ReadList(list)
 		if err != nil {
 			f.whole = true
 			return fmt.Errorf("unreadable list: %w", err)
@@ -358,21 +358,21 @@
 	if err != nil {
 		return err
 	}
-	f.roster.core.done.listCalls.Add(1)
+	f.roster.core.activity.listCalls.Add(1)
 	res, err := f.roster.client.Do(req)
 	if err != nil {
 		return err
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return refusal(res.StatusCode)
+		return StatusError(res.StatusCode)
 	}
 	sc := bufio.NewScanner(res.Body)
 	sc.Buffer(make([]byte, 0, 16<<10), lineLimit)
-	var m message
+	var m ListReader
 	for sc.Scan() {
 		line := bytes.TrimSpace(sc.Bytes())
-		list, err := m.add(line, lineLimit)
+		list, err := m.Add(line, lineLimit)
 		switch {
 		case err != nil:
 			f.whole = true
@@ -385,7 +385,7 @@
 		}
 	}
 	if err = sc.Err(); err == nil {
-		err = m.end()
+		err = m.End()
 	}
 	return err
 }
--- a/internal/agent/roster_test.go
+++ b/internal/agent/roster_test.go
@@ -43,7 +43,7 @@
 	t.Helper()
 	eventually(t, fmt.Sprintf("a list of %d with build %d", hosts, build), func() bool {
 		s := r.states()
-		return len(s) == hosts && s[NewRoster(r.core, "", nil, 0, 0, 1, 1).number("box")].Build == build
+		return len(s) == hosts && s[NewClient(r.core, "", nil, 0, 0, 1, 1).number("box")].Build == build
 	})
 }
 
@@ -143,9 +143,9 @@
 	r, old, new := moving(t, time.Hour)
 	eventually(t, "the new watch", func() bool { return new.CallsContaining("index=7") == 1 && new.Open() == 1 })
 	done := make(chan struct{}) // all that the new one has brought is handled
-	r.roster.box.put(calledIn{done})
+	r.roster.box.Put(Barrier{done})
 	<-done
-	r.core.Settle(r.ctx)
+	r.core.Flush(r.ctx)
 	if !r.drained() || old.Closed() != 0 {
 		t.Fatalf("the older list is in force: %+v", r.states())
 	}
@@ -157,7 +157,7 @@
 	eventually(t, "the end of the old watch", func() bool { return old.Closed() == 1 })
 	for i, l := range seen[policy.EndpointUpdate](r.script) {
 		for _, row := range l.Endpoints {
-			if i > 1 && row.ID == NewRoster(r.core, "", nil, 0, 0, 1, 1).number("box") && row.State != policy.Draining {
+			if i > 1 && row.ID == NewClient(r.core, "", nil, 0, 0, 1, 1).number("box") && row.State != policy.Draining {
 				t.Errorf("list %d takes the drain back: %+v", i, row)
 			}
 		}
@@ -207,10 +207,10 @@
 		{`{"a":"/b"}`, `{"a":"`},
 		{`{/"01234567890123456789012345678901234567890123456789"`, `!`},
 	} {
-		var m message
+		var m ListReader
 		var got []string
 		for _, l := range strings.Split(c.lines, "/") {
-			whole, err := m.add([]byte(l), 50)
+			whole, err := m.Add([]byte(l), 50)
 			if err != nil {
 				got = append(got, "!")
 				break
