--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -113,7 +113,7 @@
 			return err
 		}
 	}
-	go core.Serve(ctx, pool, launcher, peers)
+	go core.Serve(ctx, pool, launcher.Vote, peers.Post)
 	core.Flush(ctx) // no txn before the list and the news
 	go roster.Serve(ctx)
 	go launcher.Serve(ctx)
--- a/internal/agent/appliance.go
+++ b/internal/agent/appliance.go
@@ -39,19 +39,55 @@
 	return &Pool{dial: net.Dialer{Timeout: dial, KeepAlive: -1}, idle: idle, fields: fields, budget: purse, settleTime: DefaultSettleTime}
 }
 
-func (p *Pool) NewEndpoint(id uint32, e ListEntry, core *Loop) *Endpoint {
-	a := &Endpoint{pool: p, core: core, id: id, name: e.Host, box: NewMailbox[any]()}
+func (p *Pool) NewEndpoint(id uint32, e ListEntry, events Events) *Endpoint {
+	a := &Endpoint{pool: p, events: events, id: id, name: e.Host, box: NewMailbox[any]()}
 	go a.serve()
 	return a
 }
 
+// Events receives what becomes of attempts and health checks. Its methods are called by the endpoints' goroutines and must not wait.
+type Events interface {
+	AttemptFinished(AttemptFinished)
+	HealthChecked(policy.HealthCheckResult)
+	ConnectionsExhausted()
+	DialStarted()
+}
+
+// AttemptFinished is the result of one attempt, with the response where one came.
+type AttemptFinished struct {
+	policy.AttemptResult
+	Result   Result
+	Response *Response
+}
+
+// ID is the endpoint's number in the list.
+func (a *Endpoint) ID() uint32 { return a.id }
+
+// Update takes the list's latest entry for the endpoint.
+func (a *Endpoint) Update(e ListEntry) { a.box.Put(listed{ListEntry: e}) }
+
+// Remove ends the endpoint once nothing of it is in flight.
+func (a *Endpoint) Remove() { a.box.Put(listed{gone: true}) }
+
+// Send starts an attempt.
+func (a *Endpoint) Send(attempt Attempt) { a.box.Put(attempt) }
+
+// CheckHealth starts a health check.
+func (a *Endpoint) CheckHealth() { a.box.Put(probe{}) }
+
+// Cancel gives an attempt up.
+func (a *Endpoint) Cancel(requestID uint64) { a.box.Put(callOff{requestID}) }
+
+// TrimIdle closes connections that present traffic does not need.
+func (a *Endpoint) TrimIdle() { a.box.Put(trim{}) }
+
 // Endpoint is one actor. Only serve's goroutine touches the fields below box.
 type Endpoint struct {
-	pool *Pool
-	core *Loop
-	id   uint32
-	name string
-	box  *Mailbox[any]
+	pool   *Pool
+	events Events
+	id     uint32
+	name   string
+	box    *Mailbox[any]
 
 	now      process // as it was listed last
 	leaving  bool    // it wants nothing new
@@ -149,7 +185,7 @@
 func (a *Endpoint) serve() {
 	a.out = map[uint64]*job{}
 	var notes []any
-	for range a.box.ready {
+	for range a.box.Ready() {
 		notes = a.box.Take(notes)
 		for _, n := range notes {
 			a.note(n)
@@ -270,12 +306,12 @@
 	}
 	if !place {
 		complaints.Warn("budget", "no descriptor left for a connection", "appliance", a.name)
-		a.core.mailbox.Put(connectionsExhausted{})
+		a.events.ConnectionsExhausted()
 		a.finish(j, NotSent, nil)
 		return
 	}
 	a.pending++
-	a.core.activity.dials.Add(1)
+	a.events.DialStarted()
 	to := a.now
 	go func() {
 		nc, err := Dial(context.Background(), &a.pool.dial, to.addr, nil)
@@ -439,7 +475,7 @@
 				p.Load = ParseLoadReport(ans.Body, a.pool.fields)
 			}
 		}
-		a.core.mailbox.Put(p)
+		a.events.HealthChecked(p)
 		return
 	}
 	delete(a.out, j.RequestID)
@@ -447,7 +483,7 @@
 	if ans != nil {
 		e.Load = ans.Load
 	}
-	a.core.mailbox.Put(e)
+	a.events.AttemptFinished(e)
 }
 
 func (a *Endpoint) rest(c *conn) {
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -35,6 +35,9 @@
 	}
 }
 
+// Ready holds one token while there are notes.
+func (m *Mailbox[T]) Ready() <-chan struct{} { return m.ready }
+
 // Take empties the mailbox into a slice; the one handed in is used again.
 func (m *Mailbox[T]) Take(used []T) []T {
 	clear(used)
@@ -83,8 +86,19 @@
 	coalesced      []chan Reply // its next tries, which get its answer
 }
 
-// deliver gives a final answer to all who wait for it.
-func (t *Request) deliver(r Reply) {
+// NewRequest makes a request that has to be answered by a deadline. onDone is called when it is answered and nothing of it is in flight.
+func NewRequest(encoded *EncodedRequest, deadline time.Time, onDone func()) *Request {
+	return &Request{Encoded: encoded, replies: make(chan Reply, 1), Deadline: deadline, OnDone: onDone}
+}
+
+// Replies gives the one final answer.
+func (t *Request) Replies() <-chan Reply { return t.replies }
+
+// Result tells how an answered request ended.
+func (t *Request) Result() admission.Result { return t.result }
+
+// Deliver gives a final answer to all who wait for it.
+func (t *Request) Deliver(r Reply) {
 	t.replies <- r
 	for _, also := range t.coalesced {
 		also <- r
@@ -98,15 +112,15 @@
 		event policy.RequestArrived
 		*Request
 	}
-	AttemptFinished struct {
-		policy.AttemptResult
-		Result   Result
-		Response *Response
-	}
 	EndpointList struct {
 		policy.EndpointUpdate
 		Entries []ListEntry // beside the rows
 	}
+	// coalesce asks for a retry to be answered with the answer of the request that it repeats.
+	coalesce struct {
+		leaderID uint64
+		request  *Request
+	}
 	connectionsExhausted struct{}                     // descriptors for connections to appliances are used up
 	Barrier              struct{ Done chan struct{} } // answered when all before it has been handled
 )
@@ -137,6 +151,43 @@
 // RouteVotes names who takes the module's votes in the launcher's place. It is to be called before Serve.
 func (c *Loop) RouteVotes(votes func(policy.Vote)) { c.voteSink = votes }
 
+// Clock is the clock that the router's times are read from.
+func (c *Loop) Clock() Clock { return c.clock }
+
+// UnreadInput is the gauge of the connections on which the endpoint list and rollout updates come.
+func (c *Loop) UnreadInput() *UnreadGauge { return c.unread }
+
+// Post hands an event to the router.
+func (c *Loop) Post(event policy.Event) { c.mailbox.Put(event) }
+
+// Admit hands a request to the router, and keeps it until it is answered and nothing of it is in flight.
+func (c *Loop) Admit(event policy.RequestArrived, request *Request) {
+	c.mailbox.Put(requestArrived{event, request})
+}
+
+// Coalesce answers a client's retry with the answer of the request that it repeats.
+func (c *Loop) Coalesce(leaderID uint64, request *Request) {
+	c.mailbox.Put(coalesce{leaderID, request})
+}
+
+// UpdateEndpoints hands a change of the endpoint list on, ahead of what waits.
+func (c *Loop) UpdateEndpoints(list EndpointList) { c.urgent.Put(list) }
+
+// CountListCall counts a call to discovery for the activity log.
+func (c *Loop) CountListCall() { c.activity.listCalls.Add(1) }
+
+// AttemptFinished, HealthChecked, ConnectionsExhausted and DialStarted are told by the endpoints.
+func (c *Loop) AttemptFinished(result AttemptFinished) { c.mailbox.Put(result) }
+
+// HealthChecked hands the result of a health check on.
+func (c *Loop) HealthChecked(result policy.HealthCheckResult) { c.mailbox.Put(result) }
+
+// ConnectionsExhausted has all endpoints close connections that they do not need.
+func (c *Loop) ConnectionsExhausted() { c.mailbox.Put(connectionsExhausted{}) }
+
+// DialStarted counts a connection attempt for the activity log.
+func (c *Loop) DialStarted() { c.activity.dials.Add(1) }
+
 // UpdateRollout gives the module where a build stands, ahead of what waits.
 func (c *Loop) UpdateRollout(s policy.RolloutUpdate) { c.urgent.Put(s) }
 
@@ -149,9 +200,9 @@
 }
 
 // Serve connects the orders and empties the mailboxes until the end.
-func (c *Loop) Serve(ctx context.Context, pool *Pool, launcher *RolloutClient, peers *Gossip) {
+func (c *Loop) Serve(ctx context.Context, pool *Pool, vote func(policy.Vote), gossip func(policy.SendGossip)) {
 	c.newEndpoint = func(id uint32, e ListEntry) *Endpoint { return pool.NewEndpoint(id, e, c) }
-	if c.castVote, c.sendGossip = launcher.Vote, peers.Post; c.voteSink != nil {
+	if c.castVote, c.sendGossip = vote, gossip; c.voteSink != nil {
 		c.castVote = c.voteSink
 	}
 	// What the agent was started with is one moment to the module: news a few microseconds younger than its first
@@ -169,8 +220,8 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-c.mailbox.ready:
-		case <-c.urgent.ready:
+		case <-c.mailbox.Ready():
+		case <-c.urgent.Ready():
 		}
 		notes = c.mailbox.Take(notes)
 		for _, n := range notes {
@@ -255,7 +306,7 @@
 		c.handle(n)
 	case connectionsExhausted:
 		for _, a := range c.endpointOrder {
-			a.box.Put(trim{})
+			a.TrimIdle()
 		}
 	case Barrier:
 		close(n.Done)
@@ -290,7 +341,7 @@
 		if !t.answered && (n.Result == Succeeded || n.Result == ClientError) {
 			t.result = admission.Succeeded
 			c.activity.succeeded++
-			t.deliver(Reply{Response: n.Response})
+			t.Deliver(Reply{Response: n.Response})
 			t.answered = true
 		}
 		if n.RequestDone = t.answered; t.answered {
@@ -315,11 +366,11 @@
 			a = c.newEndpoint(row.ID, n.Entries[i])
 			c.endpoints[row.ID], c.endpointOrder = a, append(c.endpointOrder, a)
 		}
-		a.box.Put(listed{ListEntry: n.Entries[i]})
+		a.Update(n.Entries[i])
 	}
 	if n.Full {
 		for _, a := range slices.Clone(c.endpointOrder) {
-			if !there[a.id] {
+			if !there[a.ID()] {
 				c.removeEndpoint(a)
 			}
 		}
@@ -331,8 +382,8 @@
 	if a == nil {
 		return
 	}
-	a.box.Put(listed{gone: true})
-	delete(c.endpoints, a.id)
+	a.Remove()
+	delete(c.endpoints, a.ID())
 	c.endpointOrder = slices.DeleteFunc(c.endpointOrder, func(b *Endpoint) bool { return a == b })
 }
 
@@ -372,12 +423,12 @@
 	case policy.CheckHealth:
 		if a := c.endpoints[o.EndpointID]; a != nil {
 			c.activity.healthChecks++
-			a.box.Put(probe{})
+			a.CheckHealth()
 		}
 	case policy.CancelAttempt:
 		if t := c.requests[o.RequestID]; t != nil && t.inFlight > 0 {
 			c.activity.cancelledAttempts++
-			t.endpoint.box.Put(callOff{o.RequestID})
+			t.endpoint.Cancel(o.RequestID)
 		}
 	case policy.SendGossip:
 		c.sendGossip(o)
@@ -418,7 +469,7 @@
 	if o.WriteBefore != 0 {
 		s.WriteBefore = c.clock.Time(o.WriteBefore)
 	}
-	a.box.Put(s)
+	a.Send(s)
 }
 
 func (c *Loop) replyTo(id uint64, r Reply) {
@@ -430,7 +481,7 @@
 			t.result = admission.Failed
 			c.activity.failed++
 		}
-		t.deliver(r)
+		t.Deliver(r)
 		c.finishRequest(id, t)
 	}
 }
@@ -496,6 +547,10 @@
 	return true
 }
 
+// Freed holds a token after a connection was given back.
+func (p *Budget) Freed() <-chan struct{} { return p.freed }
+
+// Release gives connections back.
 func (p *Budget) Release(clients, addresses int) {
 	p.mu.Lock()
 	p.clients, p.upstreams = p.clients-clients, p.upstreams-addresses
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -73,7 +73,7 @@
 	r.pool = NewPool(dial, time.Minute, []string{"queue"}, NewBudget(64))
 	r.pool.settleTime = 0 // but where a test is about it
 	t.Cleanup(func() { stop() })
-	go func() { r.core.Serve(r.ctx, r.pool, r.launcher, peers) }()
+	go func() { r.core.Serve(r.ctx, r.pool, r.launcher.Vote, peers.Post) }()
 	return r
 }
 
@@ -323,7 +323,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	peers, _ := NewGossip(core, "", nil, "")
-	go core.Serve(ctx, NewPool(time.Second, time.Minute, nil, NewBudget(9)), launcher, peers)
+	go core.Serve(ctx, NewPool(time.Second, time.Minute, nil, NewBudget(9)), launcher.Vote, peers.Post)
 	core.Flush(ctx)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/agent/front.go
+++ b/internal/agent/front.go
@@ -226,7 +226,7 @@
 	if n, most := f.open.Add(1), min(f.most, f.purse.MaxRequests()); f.gate == nil && n > int64(most) {
 		complaints.Warn("open", "no room for another txn", "most", most)
 		// As over the told cap: sent back before the module has it. It is a jam, so no one should be back soon.
-		return Reply{Rejected: true, RetryAfter: f.holdOff}.response(r), nil
+		return replyResponse(Reply{Rejected: true, RetryAfter: f.holdOff}, r), nil
 	}
 	name := r.Header.Get("X-Request-Id")
 	if !f.ids.take(name) {
@@ -238,20 +238,20 @@
 	if r.Header.Get("User-Agent") == "" {
 		r.Header.Del("User-Agent")
 	}
-	t := &Request{Encoded: EncodeRequest(r.Method, target, r.Host, r.Header, body), replies: make(chan Reply, 1), Deadline: at.Add(o.wait), OnDone: func() { f.ids.free(name) }}
+	t := NewRequest(EncodeRequest(r.Method, target, r.Host, r.Header, body), at.Add(o.wait), func() { f.ids.free(name) })
 	if f.drains.Load() && t.Deadline.After(f.until) {
 		t.Deadline = f.until // nobody is there to answer it later
 	}
 	id := f.lastID.Add(1)
 	taken := policy.RequestArrived{
 		ID: id, Class: o.product, Tenant: o.customer, Key: o.key,
-		Deadline: f.core.clock.At(t.Deadline), CostHint: o.work, IsRetry: o.repeat,
+		Deadline: f.core.Clock().At(t.Deadline), CostHint: o.work, IsRetry: o.repeat,
 	}
-	leave := func() { f.core.mailbox.Put(policy.RequestCancelled{RequestID: id}) }
+	leave := func() { f.core.Post(policy.RequestCancelled{RequestID: id}) }
 	if f.gate == nil {
-		f.core.mailbox.Put(requestArrived{taken, t})
+		f.core.Admit(taken, t)
 	} else {
-		taken.ArrivedAt = f.core.clock.At(at)
+		taken.ArrivedAt = f.core.Clock().At(at)
 		leave = func() { f.gate.box.Put(left{id}) }
 		f.gate.box.Put(knock{admission.Arrival{
 			ID: id, Tenant: o.customer, Client: f.client(r), Class: o.product, Key: o.mark,
@@ -270,14 +270,14 @@
 		}
 	}()
 	select {
-	case said := <-t.replies:
-		return said.response(r), nil
+	case said := <-t.Replies():
+		return replyResponse(said, r), nil
 	case <-r.Context().Done():
 		leave()
 		return nil, r.Context().Err()
 	case <-f.giveUp:
 		leave()
-		return Reply{}.response(r), nil
+		return replyResponse(Reply{}, r), nil
 	}
 }
 
@@ -287,8 +287,8 @@
 	return respond(r, bad.status, "text/plain; charset=utf-8", []byte(bad.why+"\n")), nil
 }
 
-// response puts a final answer into the protocol's words.
-func (a Reply) response(r *http.Request) *http.Response {
+// replyResponse puts a final answer into the protocol's words.
+func replyResponse(a Reply, r *http.Request) *http.Response {
 	switch {
 	case a.Response != nil:
 		return respond(r, a.Response.Status, a.Response.ContentType, a.Response.Body)
--- a/internal/agent/gate.go
+++ b/internal/agent/gate.go
@@ -31,12 +31,6 @@
 	sum     struct{ done chan struct{} } // writes the last line of figures
 )
 
-// coalesce asks the core to answer a txn's next try with its answer.
-type coalesce struct {
-	leaderID uint64
-	request  *Request
-}
-
 // AdmissionStatus is what the door has in hand and has done.
 type AdmissionStatus struct {
 	admission.Status
@@ -78,7 +72,7 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-g.box.ready:
+		case <-g.box.Ready():
 		case <-figures.C:
 			g.log()
 		}
@@ -105,7 +99,7 @@
 		g.carryOut(g.door.Finish(now, n.id, n.how))
 	case left:
 		if g.in[n.id] { // the core tells when nothing of it is out any more
-			g.core.mailbox.Put(policy.RequestCancelled{RequestID: n.id})
+			g.core.Post(policy.RequestCancelled{RequestID: n.id})
 			return
 		}
 		g.forget(n.id)
@@ -145,16 +139,16 @@
 				if free != nil {
 					free()
 				}
-				g.box.Put(over{id, k.Request.result})
+				g.box.Put(over{id, k.Request.Result()})
 			}
-			g.core.mailbox.Put(requestArrived{k.taken, k.Request})
+			g.core.Admit(k.taken, k.Request)
 		case admission.Reject:
 			if k, was := g.forget(o.ID); was {
-				k.replies <- Reply{Rejected: true, RetryAfter: o.RetryAfter}
+				k.Deliver(Reply{Rejected: true, RetryAfter: o.RetryAfter})
 			}
 		case admission.Coalesce:
 			if k, was := g.forget(o.ID); was {
-				g.core.mailbox.Put(coalesce{o.LeaderID, k.Request})
+				g.core.Coalesce(o.LeaderID, k.Request)
 			}
 		}
 	}
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -93,7 +93,7 @@
 	}
 	for i, r := range []Reply{{Response: &Response{Status: 200, ContentType: "text/plain", Body: []byte("done")}}, {Rejected: true, RetryAfter: 1234567}, {Rejected: true}, {}} {
 		var text strings.Builder
-		if err := r.response(request).Write(&text); err != nil {
+		if err := replyResponse(r, request).Write(&text); err != nil {
 			t.Fatal(err)
 		}
 		write(fmt.Sprintf("reply %d", i), text.String())
--- a/internal/agent/launcher.go
+++ b/internal/agent/launcher.go
@@ -64,7 +64,7 @@
 func NewRolloutClient(core *Loop, address string, dial, patient time.Duration, seed int64) *RolloutClient {
 	return &RolloutClient{
 		core: core, base: at(address), patient: patient, box: NewMailbox[any](),
-		client: NewHTTPClient(dial, core.unread), once: onceClient(dial), again: backoff.New(0, ^seed),
+		client: NewHTTPClient(dial, core.UnreadInput()), once: onceClient(dial), again: backoff.New(0, ^seed),
 	}
 }
 
@@ -75,7 +75,7 @@
 func (l *RolloutClient) tell(s policy.RolloutUpdate) {
 	l.mu.Lock()
 	l.told, l.latest = l.told+1, s
-	l.core.urgent.Put(s)
+	l.core.UpdateRollout(s)
 	l.mu.Unlock()
 	if l.also != nil {
 		l.also(s)
@@ -103,7 +103,7 @@
 		}
 		l.told, l.latest = l.told+1, s
 	}
-	l.core.urgent.Put(s)
+	l.core.UpdateRollout(s)
 	return s
 }
 
@@ -142,7 +142,7 @@
 			return
 		case <-tick.C:
 			notes = []any{look{}}
-		case <-l.box.ready:
+		case <-l.box.Ready():
 			notes = l.box.Take(nil)
 		}
 		for _, n := range notes {
--- a/internal/agent/listener.go
+++ b/internal/agent/listener.go
@@ -297,7 +297,7 @@
 		l.waits.Store(true)
 		l.makeRoom()
 		select {
-		case <-l.purse.freed:
+		case <-l.purse.Freed():
 		case <-time.After(placeWait):
 		}
 	}
@@ -381,7 +381,7 @@
 	now := time.Now()
 	if now.Sub(l.asked) >= trimIdle {
 		l.asked = now
-		l.core.mailbox.Put(connectionsExhausted{})
+		l.core.ConnectionsExhausted()
 	}
 	silent := 0
 	for c := range l.in {
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -72,7 +72,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.box.ready:
+		case <-p.box.Ready():
 		}
 		for _, t := range p.box.Take(nil) {
 			p.send(t)
@@ -111,6 +111,6 @@
 		if p.other != nil && p.other(slices.Clone(buf[:n])) {
 			continue
 		}
-		p.core.mailbox.Put(policy.GossipReceived{From: who, Payload: slices.Clone(buf[:n])})
+		p.core.Post(policy.GossipReceived{From: who, Payload: slices.Clone(buf[:n])})
 	}
 }
--- a/internal/agent/roster.go
+++ b/internal/agent/roster.go
@@ -62,7 +62,7 @@
 // none is told; agents is how many do so.
 func NewClient(core *Loop, address string, zones []string, dial, within time.Duration, agents int, seed int64) *Client {
 	r := &Client{
-		core: core, zones: zones, within: within, agents: agents, seed: seed, client: NewHTTPClient(dial, core.unread), numbers: map[string]uint32{}, taken: map[uint32]string{},
+		core: core, zones: zones, within: within, agents: agents, seed: seed, client: NewHTTPClient(dial, core.UnreadInput()), numbers: map[string]uint32{}, taken: map[uint32]string{},
 		box: NewMailbox[any](),
 	}
 	r.now = r.at(address)
@@ -90,7 +90,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.box.ready:
+		case <-r.box.Ready():
 		}
 		for _, n := range r.box.Take(nil) {
 			switch n := n.(type) {
@@ -216,7 +216,7 @@
 		out.Endpoints, out.Entries = append(out.Endpoints, row), append(out.Entries, e)
 	}
 	if len(out.Endpoints) > 0 || l.Whole {
-		r.core.urgent.Put(out)
+		r.core.UpdateEndpoints(out)
 	}
 	// A host that is gone gives its number back; it is the same when it returns, but for two hosts that share one.
 	there := map[string]bool{}
@@ -358,7 +358,7 @@
 	if err != nil {
 		return err
 	}
-	f.roster.core.activity.listCalls.Add(1)
+	f.roster.core.CountListCall()
 	res, err := f.roster.client.Do(req)
 	if err != nil {
 		return err
