--- a/cmd/switchfork/chair.go
+++ b/cmd/switchfork/chair.go
@@ -15,8 +15,10 @@
 	"switchfork/internal/cluster/storage"
 	"switchfork/internal/cluster/transport"
 	"switchfork/internal/config"
+	"switchfork/internal/gossip"
 	"switchfork/internal/options"
 	"switchfork/internal/policy"
+	"switchfork/internal/rollout"
 
 	"github.com/spf13/cobra"
 )
@@ -42,8 +44,8 @@
 )
 
 // sit makes the seat that the operator asks for, nil without one.
-func sit(keep options.Coordinator, circle config.Peers, terms *config.Settings, seed int64, core *agent.Loop, launcher *agent.RolloutClient,
-	peers *agent.Gossip,
+func sit(keep options.Coordinator, circle config.Peers, terms *config.Settings, seed int64, core *agent.Loop, launcher *rollout.Client,
+	peers *gossip.Messenger,
 ) (*chair, error) {
 	if !keep.Enabled {
 		if keep.AdminSocket != "" {
@@ -99,7 +101,7 @@
 		store, seat.State = v, memory
 	}
 	desk := coordinator.Callbacks{UpdateRollout: core.UpdateRollout, CastVote: func(v policy.Vote, before time.Time, over func(bool)) {
-		launcher.CastBefore(agent.TimedVote{Vote: v, WriteBefore: before, Resolved: over})
+		launcher.CastBefore(rollout.TimedVote{Vote: v, WriteBefore: before, Resolved: over})
 	}}
 	var way coordinator.Transport = peers
 	if keep.Listen != "" {
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -16,8 +16,14 @@
 	"switchfork/internal/admission"
 	"switchfork/internal/agent"
 	"switchfork/internal/config"
+	"switchfork/internal/connlimit"
+	"switchfork/internal/discovery"
+	"switchfork/internal/gossip"
 	"switchfork/internal/options"
 	"switchfork/internal/policy"
+	"switchfork/internal/proxy"
+	"switchfork/internal/rollout"
+	"switchfork/internal/upstream"
 )
 
 // This file owns how an agent's parts are put together, its drain and its reload. It decides nothing about txns.
@@ -73,22 +79,25 @@
 		names, effects, expiry = append(names, g.Name), append(effects, g.Idempotency), append(expiry, g.Timeout)
 		longest = max(longest, g.Timeout)
 	}
-	purse := agent.NewBudget(ration.Sockets - ownSockets)
+	purse := connlimit.NewBudget(ration.Sockets - ownSockets)
 	clock := agent.NewClock()
 	core := agent.NewLoop(module, clock)
-	pool := agent.NewPool(lines.DialTimeout, lines.IdleTimeout, lines.LoadReportFields, purse)
-	roster := agent.NewClient(core, post.Discovery, zones, lines.DialTimeout, lines.PollWithin, file.Deployment.Voting().Agents, int64(seed))
-	launcher := agent.NewRolloutClient(core, post.Rollout, lines.DialTimeout, lines.CallTimeout, int64(seed))
-	peers, err := agent.NewGossip(core, circle.Listen, circle.Addresses, circle.Broadcast)
+	pool := upstream.NewPool(upstream.Config{
+		DialTimeout: lines.DialTimeout, IdleTimeout: lines.IdleTimeout, LoadReportFields: lines.LoadReportFields, Budget: purse,
+		SettleTime: upstream.DefaultSettleTime,
+	})
+	roster := discovery.NewClient(core, post.Discovery, zones, lines.DialTimeout, lines.PollWithin, file.Deployment.Voting().Agents, int64(seed))
+	launcher := rollout.NewClient(core, post.Rollout, lines.DialTimeout, lines.CallTimeout, int64(seed))
+	peers, err := gossip.NewMessenger(core, circle.Listen, circle.Addresses, circle.Broadcast)
 	if err != nil {
 		return err
 	}
-	front := agent.NewProxy(core, names, effects, expiry, customers, lines.MaxOpenRequests, lines.MaxRetryAfter, purse,
+	front := proxy.New(core, names, effects, expiry, customers, lines.MaxOpenRequests, lines.MaxRetryAfter, purse,
 		rand.New(rand.NewSource(int64(seed))).Uint64()>>12)
-	var gate *agent.AdmissionGate
+	var gate *proxy.AdmissionGate
 	if orders.Admission.Enabled {
-		gate = agent.NewAdmissionGate(open(orders.Admission, goods, stalls, customers, shares, lines, ration, purse, seed), clock, core)
-		front.UseAdmission(gate, agent.ClientKey{Header: orders.Admission.Header, Connection: orders.Admission.Client == "connection"})
+		gate = proxy.NewAdmissionGate(open(orders.Admission, goods, stalls, customers, shares, lines, ration, purse, seed), clock, core)
+		front.UseAdmission(gate, proxy.ClientKey{Header: orders.Admission.Header, Connection: orders.Admission.Client == "connection"})
 	}
 	seat, err := sit(orders.Coordinator, circle, file.Deployment, int64(seed), core, launcher, peers)
 	if err != nil {
@@ -174,7 +183,7 @@
 }
 
 // reload hands on what the file has changed that may change at work; a faulty file leaves all as it is.
-func reload(file *config.File, roster *agent.Client, launcher *agent.RolloutClient) *config.File {
+func reload(file *config.File, roster *discovery.Client, launcher *rollout.Client) *config.File {
 	next, moved, left, err := file.Reload()
 	if err != nil {
 		slog.Error("reload: the old stays in force", "err", err)
@@ -195,7 +204,7 @@
 
 // open makes the door that the operator asks for.
 func open(keep options.Admission, goods []config.RequestClass, stalls []config.ClassPriority, customers []string, shares []float64,
-	lines config.Connections, ration config.ResourceLimits, purse *agent.Budget, seed uint64,
+	lines config.Connections, ration config.ResourceLimits, purse *connlimit.Budget, seed uint64,
 ) *admission.Controller {
 	var products []admission.RequestClass
 	for i, g := range goods {
@@ -245,7 +254,7 @@
 
 // reorder reads the operator's file again: log and shares take effect at once, other keywords need a restart, and a faulty
 // file changes nothing.
-func reorder(now *options.Options, customers []string, shares []float64, gate *agent.AdmissionGate) *options.Options {
+func reorder(now *options.Options, customers []string, shares []float64, gate *proxy.AdmissionGate) *options.Options {
 	if now.Path == "" {
 		return now
 	}
--- a/internal/agent/account.go
+++ b/internal/agent/activity.go
@@ -6,9 +6,6 @@
 	"time"
 )
 
-// This file owns an agent's account of what it did, one log line in a while: what many agents do together is counted from
-// their logs (`switchfork-lab logs`). It must never be read by anything that acts.
-
 // activityInterval bounds it to a line so often, and none while nothing was done.
 const activityInterval = 5 * time.Second
 
--- a/internal/agent/core.go
+++ b/internal/agent/loop.go
@@ -10,102 +10,13 @@
 	"time"
 
 	"switchfork/internal/admission"
+	"switchfork/internal/mailbox"
 	"switchfork/internal/policy"
+	"switchfork/internal/protocol"
+	"switchfork/internal/tcpconn"
+	"switchfork/internal/upstream"
 )
 
-// This file owns the module's actor: its mailbox, its clock, its bell, and who gets each of its orders. Nothing
-// else calls the module. It must never decide anything about a txn: what the module did not order does not happen.
-
-// Mailbox is where an actor gets its notes; putting one never waits.
-type Mailbox[T any] struct {
-	mu    sync.Mutex
-	items []T
-	ready chan struct{} // holds one token while there are notes
-}
-
-func NewMailbox[T any]() *Mailbox[T] { return &Mailbox[T]{ready: make(chan struct{}, 1)} }
-
-func (m *Mailbox[T]) Put(n T) {
-	m.mu.Lock()
-	m.items = append(m.items, n)
-	m.mu.Unlock()
-	select {
-	case m.ready <- struct{}{}:
-	default:
-	}
-}
-
-// Ready holds one token while there are notes.
-func (m *Mailbox[T]) Ready() <-chan struct{} { return m.ready }
-
-// Take empties the mailbox into a slice; the one handed in is used again.
-func (m *Mailbox[T]) Take(used []T) []T {
-	clear(used)
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	out := m.items
-	m.items = used[:0]
-	return out
-}
-
-// Clock counts microseconds: one look at the wall, then monotonic, so that times of starts fit it and it never
-// runs back.
-type Clock struct{ start time.Time }
-
-func NewClock() Clock { return Clock{time.Now()} }
-
-func (c Clock) At(t time.Time) policy.Micros {
-	return c.start.UnixMicro() + t.Sub(c.start).Microseconds()
-}
-func (c Clock) Now() policy.Micros { return c.At(time.Now()) }
-
-// Time is the other way round.
-func (c Clock) Time(at policy.Micros) time.Time {
-	return c.start.Add(time.Duration(at-c.start.UnixMicro()) * time.Microsecond)
-}
-
-// Reply is what the client gets in the end: an appliance's answer, or the module's own no.
-type Reply struct {
-	Response   *Response
-	Rejected   bool // a repeat does no harm
-	RetryAfter policy.Micros
-}
-
-// Request is a txn that the module has, or that has a submission out.
-type Request struct {
-	Encoded        *EncodedRequest
-	replies        chan Reply // holds one
-	Deadline       time.Time
-	answered       bool // it has its final answer, or nobody waits for one
-	inFlight       int  // submissions that have not ended
-	attempts       int
-	endpoint       *Endpoint
-	OnDone         func() // when it is over and nothing of it is out; nil where nobody asks
-	OnFirstAttempt func() // when it is first sent; nil where nobody asks
-	result         admission.Result
-	coalesced      []chan Reply // its next tries, which get its answer
-}
-
-// NewRequest makes a request that has to be answered by a deadline. onDone is called when it is answered and nothing of it is in flight.
-func NewRequest(encoded *EncodedRequest, deadline time.Time, onDone func()) *Request {
-	return &Request{Encoded: encoded, replies: make(chan Reply, 1), Deadline: deadline, OnDone: onDone}
-}
-
-// Replies gives the one final answer.
-func (t *Request) Replies() <-chan Reply { return t.replies }
-
-// Result tells how an answered request ended.
-func (t *Request) Result() admission.Result { return t.result }
-
-// Deliver gives a final answer to all who wait for it.
-func (t *Request) Deliver(r Reply) {
-	t.replies <- r
-	for _, also := range t.coalesced {
-		also <- r
-	}
-	t.coalesced = nil
-}
-
 // What the others put into the core's mailbox; the module's own events come as they are.
 type (
 	requestArrived struct {
@@ -114,7 +25,7 @@
 	}
 	EndpointList struct {
 		policy.EndpointUpdate
-		Entries []ListEntry // beside the rows
+		Entries []protocol.ListEntry // beside the rows
 	}
 	// coalesce asks for a retry to be answered with the answer of the request that it repeats.
 	coalesce struct {
@@ -130,18 +41,18 @@
 	router        policy.Router
 	clock         Clock
 	frozenNow     policy.Micros // the clock stands while this is set
-	mailbox       *Mailbox[any]
-	urgent        *Mailbox[any]     // news and list changes are not kept waiting
-	timers        []policy.SetTimer // by time
-	handledAt     time.Time         // when the module was last asked
-	unread        *UnreadGauge      // on which list and news come
+	mailbox       *mailbox.Mailbox[any]
+	urgent        *mailbox.Mailbox[any] // news and list changes are not kept waiting
+	timers        []policy.SetTimer     // by time
+	handledAt     time.Time             // when the module was last asked
+	unread        *tcpconn.UnreadGauge  // on which list and news come
 	mu            sync.Mutex
 	readers       []func(Barrier) // the actors that hand them on
 	lateTimer     policy.Micros   // the bell that was last found to be late
 	requests      map[uint64]*Request
-	endpoints     map[uint32]*Endpoint
-	endpointOrder []*Endpoint // in the order of their coming
-	newEndpoint   func(uint32, ListEntry) *Endpoint
+	endpoints     map[uint32]*upstream.Endpoint
+	endpointOrder []*upstream.Endpoint // in the order of their coming
+	newEndpoint   func(uint32, protocol.ListEntry) *upstream.Endpoint
 	castVote      func(policy.Vote)
 	sendGossip    func(policy.SendGossip)
 	activity      activity
@@ -155,7 +66,7 @@
 func (c *Loop) Clock() Clock { return c.clock }
 
 // UnreadInput is the gauge of the connections on which the endpoint list and rollout updates come.
-func (c *Loop) UnreadInput() *UnreadGauge { return c.unread }
+func (c *Loop) UnreadInput() *tcpconn.UnreadGauge { return c.unread }
 
 // Post hands an event to the router.
 func (c *Loop) Post(event policy.Event) { c.mailbox.Put(event) }
@@ -177,7 +88,7 @@
 func (c *Loop) CountListCall() { c.activity.listCalls.Add(1) }
 
 // AttemptFinished, HealthChecked, ConnectionsExhausted and DialStarted are told by the endpoints.
-func (c *Loop) AttemptFinished(result AttemptFinished) { c.mailbox.Put(result) }
+func (c *Loop) AttemptFinished(result upstream.AttemptFinished) { c.mailbox.Put(result) }
 
 // HealthChecked hands the result of a health check on.
 func (c *Loop) HealthChecked(result policy.HealthCheckResult) { c.mailbox.Put(result) }
@@ -194,14 +105,14 @@
 // NewLoop puts the module behind a mailbox. hire makes an appliance's actor; vote and tell carry orders on.
 func NewLoop(module policy.Router, clock Clock) *Loop {
 	return &Loop{
-		router: module, clock: clock, mailbox: NewMailbox[any](), urgent: NewMailbox[any](), unread: &UnreadGauge{open: map[*ResetConn]bool{}},
-		requests: map[uint64]*Request{}, endpoints: map[uint32]*Endpoint{},
+		router: module, clock: clock, mailbox: mailbox.New[any](), urgent: mailbox.New[any](), unread: tcpconn.NewUnreadGauge(),
+		requests: map[uint64]*Request{}, endpoints: map[uint32]*upstream.Endpoint{},
 	}
 }
 
 // Serve connects the orders and empties the mailboxes until the end.
-func (c *Loop) Serve(ctx context.Context, pool *Pool, vote func(policy.Vote), gossip func(policy.SendGossip)) {
-	c.newEndpoint = func(id uint32, e ListEntry) *Endpoint { return pool.NewEndpoint(id, e, c) }
+func (c *Loop) Serve(ctx context.Context, pool *upstream.Pool, vote func(policy.Vote), gossip func(policy.SendGossip)) {
+	c.newEndpoint = func(id uint32, e protocol.ListEntry) *upstream.Endpoint { return pool.NewEndpoint(id, e, c) }
 	if c.castVote, c.sendGossip = vote, gossip; c.voteSink != nil {
 		c.castVote = c.voteSink
 	}
@@ -238,11 +149,14 @@
 	}
 }
 
-// A bell that is so late says that the process stood still. What the list and the launcher wrote meanwhile counts as
-// told, but may not have been read yet, while txns wait already: the readers get a moment first, and longer while something that
-// has come in is not handed on: behind hundreds of txns on a full core a moment was not enough (the night still-over-drain, 4 of 20
-// plays). It guards against all that stops an agent (a frozen machine, a starved core); it costs a little where the core is merely full.
-const StallThreshold, readerGrace, maxReaderWait = 250 * time.Millisecond, 20 * time.Millisecond, 500 * time.Millisecond
+// After a stall, the readers of the endpoint list and of rollout updates get readerGrace before requests are handled, and up to
+// maxReaderWait while input that has arrived is not handed on yet: behind hundreds of requests on a full core a short grace was not
+// enough (scenario still-over-drain, 4 of 20 plays). It guards against all that stops an agent (a frozen machine, a starved core); it
+// costs a little where the core is merely full.
+const (
+	readerGrace   = 20 * time.Millisecond
+	maxReaderWait = 500 * time.Millisecond
+)
 
 // AddReader names one more actor that hands the list or the news on.
 func (c *Loop) AddReader(ask func(Barrier)) {
@@ -273,7 +187,7 @@
 
 // handleUrgent hands the list and the news on before anything else.
 func (c *Loop) handleUrgent() {
-	if len(c.timers) > 0 && c.timers[0].At != c.lateTimer && c.clock.Now()-c.timers[0].At > StallThreshold.Microseconds() {
+	if len(c.timers) > 0 && c.timers[0].At != c.lateTimer && c.clock.Now()-c.timers[0].At > upstream.StallThreshold.Microseconds() {
 		c.lateTimer = c.timers[0].At
 		c.waitForReaders()
 	}
@@ -295,7 +209,7 @@
 			c.finishRequest(n.RequestID, t)
 			c.handle(n)
 		}
-	case AttemptFinished:
+	case upstream.AttemptFinished:
 		c.attemptFinished(n)
 	case EndpointList:
 		c.updateEndpoints(n)
@@ -332,13 +246,13 @@
 
 // attemptFinished closes a submission. The first settled answer is the client's, and so is the word that its request is wrong:
 // no other appliance would find it right.
-func (c *Loop) attemptFinished(n AttemptFinished) {
+func (c *Loop) attemptFinished(n upstream.AttemptFinished) {
 	t := c.requests[n.RequestID]
 	if t == nil {
 		n.RequestDone = true
 	} else {
 		t.inFlight--
-		if !t.answered && (n.Result == Succeeded || n.Result == ClientError) {
+		if !t.answered && (n.Result == protocol.Succeeded || n.Result == protocol.ClientError) {
 			t.result = admission.Succeeded
 			c.activity.succeeded++
 			t.Deliver(Reply{Response: n.Response})
@@ -378,13 +292,13 @@
 	c.handle(n.EndpointUpdate)
 }
 
-func (c *Loop) removeEndpoint(a *Endpoint) {
+func (c *Loop) removeEndpoint(a *upstream.Endpoint) {
 	if a == nil {
 		return
 	}
 	a.Remove()
 	delete(c.endpoints, a.ID())
-	c.endpointOrder = slices.DeleteFunc(c.endpointOrder, func(b *Endpoint) bool { return a == b })
+	c.endpointOrder = slices.DeleteFunc(c.endpointOrder, func(b *upstream.Endpoint) bool { return a == b })
 }
 
 // handle is the only place that calls the module. A panic there ends the process: a module in an unknown state
@@ -446,7 +360,7 @@
 	now := c.handledAt
 	if t == nil || t.answered || t.inFlight > 0 || a == nil {
 		slog.Error("submission that cannot be", "txn", o.RequestID, "appliance", o.EndpointID)
-		c.mailbox.Put(AttemptFinished{AttemptResult: policy.AttemptResult{RequestID: o.RequestID, EndpointID: o.EndpointID, Outcome: NotSent.Outcome()}, Result: NotSent})
+		c.mailbox.Put(upstream.AttemptFinished{AttemptResult: policy.AttemptResult{RequestID: o.RequestID, EndpointID: o.EndpointID, Outcome: protocol.NotSent.Outcome()}, Result: protocol.NotSent})
 		if t != nil {
 			t.inFlight++
 		}
@@ -465,7 +379,7 @@
 	}
 	c.activity.attempts++
 	t.inFlight, t.endpoint = t.inFlight+1, a
-	s := Attempt{RequestID: o.RequestID, Encoded: t.Encoded, DecidedAt: now, Deadline: until}
+	s := upstream.Attempt{RequestID: o.RequestID, Encoded: t.Encoded, DecidedAt: now, Deadline: until}
 	if o.WriteBefore != 0 {
 		s.WriteBefore = c.clock.Time(o.WriteBefore)
 	}
@@ -495,97 +409,3 @@
 	case <-ctx.Done():
 	}
 }
-
-// Budget holds the descriptors for connections, to clients and appliances together, so that neither can use up what
-// the other must have. Connections to appliances get what clients leave; clients leave them two fifths.
-type Budget struct {
-	mu                        sync.Mutex
-	limit, clients, upstreams int
-	freed                     chan struct{} // holds a token after one was given back
-}
-
-func NewBudget(most int) *Budget { return &Budget{limit: most, freed: make(chan struct{}, 1)} }
-
-// clientShare is the most that clients get: they hold a third at most for requests, each of those has one submission at
-// most, and what is left beside that lets others in, be it to be turned away.
-const clientShare = 0.6
-
-// reservedShare is the part of the clients' places that is kept from open txns, so that whoever waits at the door is let in
-// and hears at once that there is no room. Without it all fill with txns that the module holds, and those at the door
-// wait unread until their time is over.
-const reservedShare = 0.125
-
-// MaxRequests is the number that may be open.
-func (p *Budget) MaxRequests() int { return int((1 - reservedShare) * clientShare * float64(p.limit)) }
-
-// idleShare is the most that clients' idle connections may hold, a few times what traffic needs between two requests.
-// It guards against clients that ask once and keep the connection: they may have no place left to ask from while each
-// stands for its idle time. It costs a handshake where clients come back in turn, the one idle longest first.
-const idleShare = 0.1
-
-func (p *Budget) MaxIdleClients() int { return max(1, int(idleShare*float64(p.limit))) }
-
-// AcquireUpstream books a connection to an appliance, if there is one left.
-func (p *Budget) AcquireUpstream() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.clients+p.upstreams >= p.limit {
-		return false
-	}
-	p.upstreams++
-	return true
-}
-
-// AcquireClient books a client's connection, if there is one left for clients.
-func (p *Budget) AcquireClient() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.clients+p.upstreams >= p.limit || p.clients >= max(1, int(clientShare*float64(p.limit))) {
-		return false
-	}
-	p.clients++
-	return true
-}
-
-// Freed holds a token after a connection was given back.
-func (p *Budget) Freed() <-chan struct{} { return p.freed }
-
-// Release gives connections back.
-func (p *Budget) Release(clients, addresses int) {
-	p.mu.Lock()
-	p.clients, p.upstreams = p.clients-clients, p.upstreams-addresses
-	p.mu.Unlock()
-	select {
-	case p.freed <- struct{}{}:
-	default:
-	}
-}
-
-// Logger lets one line a second through for each thing that is wrong, so that bad input can't flood the log.
-type Logger struct {
-	mu   sync.Mutex
-	last map[string]time.Time
-}
-
-var complaints = &Logger{last: map[string]time.Time{}}
-
-const (
-	interval = time.Second
-	maxKinds = 256 // kinds of complaint kept apart; beyond that they are forgotten and start anew
-)
-
-func (s *Logger) Warn(kind, text string, args ...any) {
-	s.mu.Lock()
-	now := time.Now()
-	fresh := now.Sub(s.last[kind]) >= interval
-	if fresh {
-		if len(s.last) >= maxKinds {
-			clear(s.last)
-		}
-		s.last[kind] = now
-	}
-	s.mu.Unlock()
-	if fresh {
-		slog.Warn(text, args...)
-	}
-}
--- a/internal/agent/roster.go
+++ b/internal/discovery/client.go
@@ -1,30 +1,30 @@
-package agent
+package discovery
 
 import (
 	"bufio"
 	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"log/slog"
-	"net"
 	"net/http"
 	"slices"
 	"strings"
 	"sync"
 	"time"
 
+	"switchfork/internal/agent"
 	"switchfork/internal/backoff"
+	"switchfork/internal/mailbox"
 	"switchfork/internal/policy"
+	"switchfork/internal/protocol"
+	"switchfork/internal/ratelog"
+	"switchfork/internal/streamclient"
 )
 
-// This file owns the list: the watch at discovery, the numbers of appliances, and which line is news. It must
-// never judge an appliance, and never take a row back to an older state.
-
 // Client is the list's actor: notes in its mailbox come from its followers, and from Move.
 type Client struct {
-	core    *Loop
+	core    *agent.Loop
 	zones   []string
 	client  *http.Client
 	within  time.Duration // the told time in which to ask; 0: none
@@ -32,7 +32,7 @@
 	seed    int64
 	numbers map[string]uint32 // by host
 	taken   map[uint32]string
-	box     *Mailbox[any]
+	box     *mailbox.Mailbox[any]
 	seq     uint64    // of what is in force
 	now     *follower // the one that is believed
 	next    *follower // at the address that is to take its place; nil where none is
@@ -48,22 +48,22 @@
 	once   bool // its address has been left: not opened again
 	mu     sync.Mutex
 	stop   context.CancelFunc
-	held   List // what it has brought and is not believed yet; Serve's
+	held   protocol.List // what it has brought and is not believed yet; Serve's
 }
 
 // lineOf is a list that a follower has read, or a sign of life: for now there is nothing newer there.
 type lineOf struct {
 	from *follower
-	List
+	protocol.List
 	sign bool
 }
 
 // NewClient follows the list at an address. within is the told time in which an agent without a watch should ask, 0 where
 // none is told; agents is how many do so.
-func NewClient(core *Loop, address string, zones []string, dial, within time.Duration, agents int, seed int64) *Client {
+func NewClient(core *agent.Loop, address string, zones []string, dial, within time.Duration, agents int, seed int64) *Client {
 	r := &Client{
-		core: core, zones: zones, within: within, agents: agents, seed: seed, client: NewHTTPClient(dial, core.UnreadInput()), numbers: map[string]uint32{}, taken: map[uint32]string{},
-		box: NewMailbox[any](),
+		core: core, zones: zones, within: within, agents: agents, seed: seed, client: streamclient.NewHTTPClient(dial, core.UnreadInput()), numbers: map[string]uint32{}, taken: map[uint32]string{},
+		box: mailbox.New[any](),
 	}
 	r.now = r.at(address)
 	return r
@@ -84,7 +84,7 @@
 
 // Serve empties the mailbox until the end.
 func (r *Client) Serve(ctx context.Context) {
-	r.core.AddReader(func(n Barrier) { r.box.Put(n) })
+	r.core.AddReader(func(n agent.Barrier) { r.box.Put(n) })
 	r.now.start(ctx)
 	for {
 		select {
@@ -104,12 +104,12 @@
 						r.now.stop()
 						r.now, r.next = r.next, nil
 						r.tell(r.now.held)
-						r.now.held = List{}
+						r.now.held = protocol.List{}
 					}
 				case n.from == r.now && !n.sign:
 					r.tell(n.List)
 				}
-			case Barrier:
+			case agent.Barrier:
 				close(n.Done)
 			case string:
 				r.now.leave()
@@ -141,28 +141,13 @@
 	return f.once
 }
 
-// NewHTTPClient is for discovery and the launcher: streams, and calls so rare that a connection each leaves none to go
-// stale. It follows no one elsewhere, and takes no more of a head than it should.
-func NewHTTPClient(dial time.Duration, among *UnreadGauge) *http.Client {
-	dialer := &net.Dialer{Timeout: dial}
-	return &http.Client{
-		Transport: &http.Transport{
-			DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-				return Dial(ctx, dialer, address, among)
-			},
-			DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: HeadLimit,
-		},
-		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
-	}
-}
-
 // Known takes the list that the agent was started with.
 func (r *Client) Known(raw json.RawMessage) error {
 	if len(raw) == 0 {
 		r.now.whole = true
 		return nil
 	}
-	known, err := ReadList(raw)
+	known, err := protocol.ReadList(raw)
 	if err != nil {
 		return fmt.Errorf("setting config.known: %w", err)
 	}
@@ -179,8 +164,7 @@
 		return n
 	}
 	for name := host; ; name += "'" {
-		h := Hash64(name)
-		n := uint32(h ^ h>>32)
+		n := protocol.EndpointID(name)
 		if _, taken := r.taken[n]; !taken {
 			r.numbers[host], r.taken[n] = n, host
 			return n
@@ -188,28 +172,15 @@
 	}
 }
 
-// Merge is a list with later changes.
-func (l List) Merge(later List) List {
-	if later.Whole {
-		return later
-	}
-	changed := map[string]bool{}
-	for _, e := range later.Hosts {
-		changed[e.Host] = true
-	}
-	hosts := slices.DeleteFunc(slices.Clone(l.Hosts), func(e ListEntry) bool { return changed[e.Host] })
-	return List{Seq: later.Seq, Whole: l.Whole, Hosts: append(hosts, later.Hosts...)}
-}
-
 // tell hands a list's rows on.
-func (r *Client) tell(l List) {
+func (r *Client) tell(l protocol.List) {
 	r.seq = l.Seq
-	slices.SortStableFunc(l.Hosts, func(a, b ListEntry) int { return strings.Compare(a.Host, b.Host) })
-	out := EndpointList{EndpointUpdate: policy.EndpointUpdate{Full: l.Whole}}
+	slices.SortStableFunc(l.Hosts, func(a, b protocol.ListEntry) int { return strings.Compare(a.Host, b.Host) })
+	out := agent.EndpointList{EndpointUpdate: policy.EndpointUpdate{Full: l.Whole}}
 	for _, e := range l.Hosts {
 		row, err := e.Endpoint(r.zones)
 		if err != nil {
-			complaints.Warn("row", "list entry left out", "why", err)
+			ratelog.Warn("row", "list entry left out", "why", err)
 			continue
 		}
 		row.ID = r.number(e.Host)
@@ -240,46 +211,23 @@
 }
 
 const (
-	// MissedSigns: the launcher's news are followed anew after so long without a line, three of the protocol's signs of life.
-	MissedSigns = 3
-	watchSign   = 2 * time.Second
+	watchSign = 2 * time.Second
 	// A watch is opened anew when three of its signs are due. What a silent one misses may count as told by then, without time for a
 	// pause, a connection and a reading. With two signs a discovery that is merely slow, by 3 s, was cut off in the middle of its word (the
 	// night discovery-slow): a second watch has to be opened beside the first, which is not done yet.
 	watchQuiet = 3 * watchSign
 )
 
-// Sleep is a pause that the end cuts short.
-func Sleep(ctx context.Context, span backoff.Micros) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(time.Duration(span) * time.Microsecond):
-	}
-}
-
-// StatusError is an answer that is no list and no stream.
-type StatusError int
-
-func (r StatusError) Error() string { return fmt.Sprintf("status %d", int(r)) }
-
-// BackoffReason tells a party that has too much to do from one that is not there.
-func BackoffReason(err error) backoff.Reason {
-	if r := StatusError(0); errors.As(err, &r) && (r == http.StatusServiceUnavailable || r == http.StatusTooManyRequests) {
-		return backoff.Overloaded
-	}
-	return backoff.Unreachable
-}
-
 func (f *follower) serve(ctx context.Context) {
 	if f.seq > 0 || !f.whole { // what was told at the start will do for a moment
-		Sleep(ctx, f.again.Initial(f.roster.agents))
+		streamclient.Sleep(ctx, f.again.Initial(f.roster.agents))
 	}
 	for ctx.Err() == nil && !f.left() {
 		start := time.Now()
 		if f.whole {
 			if err := f.fetch(ctx); err != nil {
-				complaints.Warn("list", "list not fetched", "err", err, "after_ms", time.Since(start).Milliseconds())
-				Sleep(ctx, f.again.Next(BackoffReason(err)))
+				ratelog.Warn("list", "list not fetched", "err", err, "after_ms", time.Since(start).Milliseconds())
+				streamclient.Sleep(ctx, f.again.Next(streamclient.BackoffReason(err)))
 				continue
 			}
 		}
@@ -288,14 +236,14 @@
 			f.again.Reset()
 		}
 		if ctx.Err() == nil {
-			complaints.Warn("watch", "watch ended", "err", err, "seq", f.seq, "after_ms", time.Since(start).Milliseconds())
-			Sleep(ctx, f.again.Next(BackoffReason(err)))
+			ratelog.Warn("watch", "watch ended", "err", err, "seq", f.seq, "after_ms", time.Since(start).Milliseconds())
+			streamclient.Sleep(ctx, f.again.Next(streamclient.BackoffReason(err)))
 		}
 	}
 }
 
 // heard takes a line on.
-func (f *follower) heard(l List) {
+func (f *follower) heard(l protocol.List) {
 	f.seq, f.whole = l.Seq, false
 	f.roster.box.Put(lineOf{from: f, List: l})
 }
@@ -308,7 +256,7 @@
 		if len(list) == 0 {
 			return nil
 		}
-		l, err := ReadList(list)
+		l, err := protocol.ReadList(list)
 		if err == nil && !l.Whole {
 			err = fmt.Errorf("asked for the whole list, got changes")
 		}
@@ -334,7 +282,7 @@
 			f.roster.box.Put(lineOf{from: f, sign: true})
 			return nil
 		}
-		l, err := ReadList(list)
+		l, err := protocol.ReadList(list)
 		if err != nil {
 			f.whole = true
 			return fmt.Errorf("unreadable list: %w", err)
@@ -365,11 +313,11 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return StatusError(res.StatusCode)
+		return streamclient.StatusError(res.StatusCode)
 	}
 	sc := bufio.NewScanner(res.Body)
 	sc.Buffer(make([]byte, 0, 16<<10), lineLimit)
-	var m ListReader
+	var m protocol.ListReader
 	for sc.Scan() {
 		line := bytes.TrimSpace(sc.Bytes())
 		list, err := m.Add(line, lineLimit)
--- a/internal/agent/agent_test.go
+++ b/internal/endtoend/agent_test.go
@@ -1,4 +1,4 @@
-package agent
+package endtoend
 
 import (
 	"bufio"
@@ -18,7 +18,10 @@
 	"testing"
 	"time"
 
+	"switchfork/internal/agenttest"
 	"switchfork/internal/fakes"
+	"switchfork/internal/proxy"
+	"switchfork/internal/upstream"
 )
 
 // These start the program itself and speak to it as its parties do.
@@ -45,6 +48,7 @@
 }
 
 const settings = `{"Me":0,"Balancers":1,"Zone":0,"Discovery":"automatic","Localities":["suva"],
+
 "Grades":[{"Name":"lookup","Repeat":"read_like","SloMs":600.0,"HardLimitMs":2000.0,"Worth":1.0},
 {"Name":"posting","Repeat":"idempotency_key","KeyScope":"zone","WindowMs":8000.0,"SloMs":600.0,"HardLimitMs":2000.0,"Worth":5.0}],
 "Parties":[{"Name":"acme"}],"Feedback":{"How":"on_probe","Fields":["queue"]},
@@ -58,8 +62,8 @@
 type agent struct {
 	cmd       *exec.Cmd
 	url       string
-	discovery *streamer
-	launcher  *streamer
+	discovery *fakes.StreamServer
+	launcher  *fakes.StreamServer
 	file      string // the configuration, and what stands in it
 	conf      string
 	log       *fakes.Log
@@ -74,8 +78,8 @@
 		t.Fatal(err)
 	}
 	a := &agent{log: &fakes.Log{}, exit: make(chan error, 1)}
-	a.discovery = newStreamer(t, "\n", 100*time.Millisecond, func(string) string { return "" })
-	a.launcher = newStreamer(t, ":\n", 100*time.Millisecond, func(asked string) string {
+	a.discovery = agenttest.NewStreamServer(t, "\n", 100*time.Millisecond, func(string) string { return "" })
+	a.launcher = agenttest.NewStreamServer(t, ":\n", 100*time.Millisecond, func(asked string) string {
 		if strings.HasPrefix(asked, "POST") {
 			return "400|<Error><Code>Throttling</Code></Error>"
 		}
@@ -87,7 +91,7 @@
 	}
 	conf := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,
 "sockets":1024},"platform":{"address":%q,"news":{"image":41,"ring":1,"progress":"live","ceiling":1,"lag_ms":9000}},
-"known":%s,"settings":%s}`, own, a.discovery.Addr(), a.launcher.Addr(), line(1, true, hosts...), settings)
+"known":%s,"settings":%s}`, own, a.discovery.Addr(), a.launcher.Addr(), fakes.ListDocument(1, true, hosts...), settings)
 	if change != nil {
 		conf = change(conf)
 	}
@@ -117,7 +121,7 @@
 
 func (a *agent) healthy(t *testing.T) {
 	t.Helper()
-	eventually(t, "health", func() bool {
+	agenttest.Eventually(t, "health", func() bool {
 		r, err := http.Get(a.url + "/_health")
 		if err != nil {
 			return false
@@ -173,8 +177,8 @@
 }
 
 func TestSettledUnchanged(t *testing.T) {
-	b := newBox(t, answers("HTTP/1.1 200 OK\r\nContent-Type: text/odd\r\nContent-Length: 4\r\n\r\n\x00\xff\n!"))
-	a := launch(t, nil, host("s-1", b.Addr(), "active", 41))
+	b := agenttest.NewScriptedServer(t, fakes.Respond("HTTP/1.1 200 OK\r\nContent-Type: text/odd\r\nContent-Length: 4\r\n\r\n\x00\xff\n!"))
+	a := launch(t, nil, fakes.ListEntry("s-1", b.Addr(), "active", 41))
 	target := "/posting//a/../b%2Fc?sid=7f3a9c21e0b4d655&odd;=%zz&&x"
 	got := a.ask(t, "POST", target, "some\r\nbody", "X-Request-Id", "9b1f03aa5c7e2d41", "X-Deadline-Ms", "900", "X-Tenant", "nobody", "X-Other", "kept")
 	if got.status != 200 || got.body != "\x00\xff\n!" || got.header.Get("Content-Type") != "text/odd" {
@@ -191,7 +195,7 @@
 		len(c.Header["X-Deadline-Ms"]) != 1 {
 		t.Errorf("arrived: %+v", c)
 	}
-	time.Sleep(2 * DefaultSettleTime) // from then on it is used, however much later
+	time.Sleep(2 * upstream.DefaultSettleTime) // from then on it is used, however much later
 	a.ask(t, "GET", "/lookup", "")
 	if copies = b.Requests(); copies[1].Conn != 1 {
 		t.Error("the connection was not used again")
@@ -203,7 +207,7 @@
 	var hosts []string
 	for i := range 8 {
 		name := fmt.Sprintf("s-%d", i)
-		hosts = append(hosts, host(name, newBox(t, answers(ok(name))).Addr(), "active", 41))
+		hosts = append(hosts, fakes.ListEntry(name, agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse(name))).Addr(), "active", 41))
 	}
 	const agents, txns = 3, 24
 	var went [agents][txns]string
@@ -227,8 +231,8 @@
 // Where no zones are named, all there is is in one, wherever the list says that it stands.
 func TestNoZones(t *testing.T) {
 	for _, zones := range []string{``, `"Localities":[],`} {
-		b := newBox(t, answers(ok("served")))
-		a := launch(t, func(conf string) string { return strings.Replace(conf, `"Localities":["suva"],`, zones, 1) }, host("s-1", b.Addr(), "active", 41))
+		b := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("served")))
+		a := launch(t, func(conf string) string { return strings.Replace(conf, `"Localities":["suva"],`, zones, 1) }, fakes.ListEntry("s-1", b.Addr(), "active", 41))
 		a.healthy(t)
 		if got := a.ask(t, "GET", "/lookup", ""); got.body != "served" {
 			t.Errorf("zones %q: %+v", zones, got)
@@ -237,8 +241,8 @@
 }
 
 func TestRequestsTurnedAway(t *testing.T) {
-	b := newBox(t, answers(ok("done")))
-	a := launch(t, nil, host("s-1", b.Addr(), "active", 41))
+	b := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
+	a := launch(t, nil, fakes.ListEntry("s-1", b.Addr(), "active", 41))
 	for _, c := range []struct {
 		method, target, body string
 		with                 []string
@@ -274,7 +278,7 @@
 	}
 	defer c.Close()
 	io.WriteString(c, text)
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(agenttest.Patience))
 	got, err := io.ReadAll(c)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%.60q: neither closed nor answered, got %q", text, got)
@@ -284,8 +288,8 @@
 
 // What is no request gets an error or a close in time, and nothing of it reaches an appliance.
 func TestBadClients(t *testing.T) {
-	b := newBox(t, answers(ok("done")))
-	a := launch(t, nil, host("s-1", b.Addr(), "active", 41))
+	b := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
+	a := launch(t, nil, fakes.ListEntry("s-1", b.Addr(), "active", 41))
 	head := "POST /posting HTTP/1.1\r\nHost: x\r\nX-Request-Id: 1\r\nIdempotency-Key: k\r\n"
 	hidden := "GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: 2\r\n\r\n"
 	var wait sync.WaitGroup
@@ -322,14 +326,14 @@
 // A second request under the id of an open txn gets an error; the first goes on, and then the id is free again.
 func TestDoubledID(t *testing.T) {
 	let := make(chan struct{})
-	b := newBox(t, func(c net.Conn, nth int) bool { <-let; return answers(ok("done"))(c, nth) })
-	a := launch(t, nil, host("s-1", b.Addr(), "active", 41))
+	b := agenttest.NewScriptedServer(t, func(c net.Conn, nth int) bool { <-let; return fakes.Respond(fakes.OKResponse("done"))(c, nth) })
+	a := launch(t, nil, fakes.ListEntry("s-1", b.Addr(), "active", 41))
 	first := make(chan answered, 1)
 	go func() {
 		got, _ := a.try(context.Background(), "GET", "/lookup", "", "X-Request-Id", "a1")
 		first <- got
 	}()
-	eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
+	agenttest.Eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
 	if got := a.ask(t, "POST", "/posting", "x", "X-Request-Id", "a1"); got.status != 409 {
 		t.Errorf("the second got %+v", got)
 	}
@@ -337,18 +341,18 @@
 	if got := <-first; got.status != 200 || len(b.Requests()) != 1 {
 		t.Errorf("the first got %+v, %d copies", got, len(b.Requests()))
 	}
-	eventually(t, "the id's freedom", func() bool { return a.ask(t, "GET", "/lookup", "", "X-Request-Id", "a1").status == 200 })
+	agenttest.Eventually(t, "the id's freedom", func() bool { return a.ask(t, "GET", "/lookup", "", "X-Request-Id", "a1").status == 200 })
 }
 
 // With nothing to send to, a txn is declined with advice; one that may have run gets an answer by its expiry.
 func TestDeclinedAndVoided(t *testing.T) {
-	b := newBox(t, mute)
-	a := launch(t, nil, host("s-1", b.Addr(), "leaving", 41))
+	b := agenttest.NewScriptedServer(t, fakes.NeverRespond)
+	a := launch(t, nil, fakes.ListEntry("s-1", b.Addr(), "leaving", 41))
 	if got := a.ask(t, "POST", "/posting", ""); got.status != 503 || got.header.Get("Retry-After") != "0.500" {
 		t.Errorf("declined with %+v", got)
 	}
-	a.discovery.Publish(line(2, false, host("s-1", b.Addr(), "active", 41)))
-	eventually(t, "the list", func() bool { return strings.Contains(a.log.String(), "seq=2") })
+	a.discovery.Publish(fakes.ListDocument(2, false, fakes.ListEntry("s-1", b.Addr(), "active", 41)))
+	agenttest.Eventually(t, "the list", func() bool { return strings.Contains(a.log.String(), "seq=2") })
 	got := a.ask(t, "POST", "/posting", "", "X-Deadline-Ms", "300")
 	if got.status != 504 || len(b.Requests()) != 1 {
 		t.Errorf("got %+v after %d copies", got, len(b.Requests()))
@@ -360,36 +364,36 @@
 
 // A client that goes away ends nothing but its own txn.
 func TestClientGone(t *testing.T) {
-	b := newBox(t, mute)
-	a := launch(t, nil, host("s-1", b.Addr(), "active", 41))
+	b := agenttest.NewScriptedServer(t, fakes.NeverRespond)
+	a := launch(t, nil, fakes.ListEntry("s-1", b.Addr(), "active", 41))
 	ctx, leave := context.WithCancel(context.Background())
 	left := make(chan error)
 	go func() { _, err := a.try(ctx, "GET", "/lookup", ""); left <- err }()
-	eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
+	agenttest.Eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
 	leave()
 	if err := <-left; err == nil {
 		t.Error("answered all the same")
 	}
-	b.SetHandler(answers(ok("done")))
-	eventually(t, "the next one's answer", func() bool { return a.ask(t, "GET", "/lookup", "").status == 200 })
+	b.SetHandler(fakes.Respond(fakes.OKResponse("done")))
+	agenttest.Eventually(t, "the next one's answer", func() bool { return a.ask(t, "GET", "/lookup", "").status == 200 })
 }
 
 // Nothing new goes to an appliance that drains; a host that is back with another build and address is served.
 func TestDrainNotice(t *testing.T) {
-	first, second, third := newBox(t, answers(ok("1"))), newBox(t, answers(ok("2"))), newBox(t, answers(ok("3")))
-	a := launch(t, nil, host("s-1", first.Addr(), "active", 41))
+	first, second, third := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("1"))), agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("2"))), agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("3")))
+	a := launch(t, nil, fakes.ListEntry("s-1", first.Addr(), "active", 41))
 	if got := a.ask(t, "GET", "/lookup", ""); got.body != "1" {
 		t.Errorf("got %+v", got)
 	}
-	a.discovery.Publish(line(2, false, host("s-1", first.Addr(), "leaving", 41), host("s-2", second.Addr(), "active", 41)))
-	eventually(t, "the drain", func() bool { return strings.Contains(a.log.String(), "seq=2") })
+	a.discovery.Publish(fakes.ListDocument(2, false, fakes.ListEntry("s-1", first.Addr(), "leaving", 41), fakes.ListEntry("s-2", second.Addr(), "active", 41)))
+	agenttest.Eventually(t, "the drain", func() bool { return strings.Contains(a.log.String(), "seq=2") })
 	for range 5 {
 		if got := a.ask(t, "GET", "/lookup", ""); got.body != "2" {
 			t.Errorf("after the drain notice: %+v", got)
 		}
 	}
-	a.discovery.Publish(line(3, false, host("s-1", third.Addr(), "active", 41), host("s-2", second.Addr(), "left", 41)))
-	eventually(t, "the return", func() bool { return a.ask(t, "GET", "/lookup", "").body == "3" })
+	a.discovery.Publish(fakes.ListDocument(3, false, fakes.ListEntry("s-1", third.Addr(), "active", 41), fakes.ListEntry("s-2", second.Addr(), "left", 41)))
+	agenttest.Eventually(t, "the return", func() bool { return a.ask(t, "GET", "/lookup", "").body == "3" })
 	if len(first.Requests()) != 1 {
 		t.Errorf("%d copies at the first", len(first.Requests()))
 	}
@@ -397,18 +401,18 @@
 
 // A build that fails is voted back, and again after the pause when the launcher says that it is full.
 func TestVotesBack(t *testing.T) {
-	good, bad := newBox(t, answers(ok("1"))), newBox(t, answers("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"))
-	hosts := []string{host("s-1", good.Addr(), "active", 41)}
+	good, bad := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("1"))), agenttest.NewScriptedServer(t, fakes.Respond("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"))
+	hosts := []string{fakes.ListEntry("s-1", good.Addr(), "active", 41)}
 	for i := range 4 { // one alone is set aside before there is evidence enough
-		hosts = append(hosts, host(fmt.Sprint("t-", i), bad.Addr(), "active", 42))
+		hosts = append(hosts, fakes.ListEntry(fmt.Sprint("t-", i), bad.Addr(), "active", 42))
 	}
 	a := launch(t, nil, hosts...)
-	eventually(t, "the bulletin", func() bool { return a.launcher.CallsContaining("/api/bulletin") > 0 })
-	a.launcher.Publish(bulletin(42, 0, "testing", 0.5))
-	eventually(t, "the news", func() bool { return strings.Contains(a.log.String(), "build=42") })
+	agenttest.Eventually(t, "the bulletin", func() bool { return a.launcher.CallsContaining("/api/bulletin") > 0 })
+	a.launcher.Publish(fakes.RolloutEvent(42, 0, "testing", 0.5))
+	agenttest.Eventually(t, "the news", func() bool { return strings.Contains(a.log.String(), "build=42") })
 	asked := 0
 	vote := "image=42&ring=0&opinion=reject"
-	eventually(t, "two votes", func() bool {
+	agenttest.Eventually(t, "two votes", func() bool {
 		asked++
 		if got := a.ask(t, "GET", fmt.Sprintf("/lookup?sid=%016x", asked), ""); got.status != 200 && got.status != 503 {
 			t.Errorf("got %+v", got)
@@ -424,23 +428,23 @@
 // ends well by itself.
 func TestDrain(t *testing.T) {
 	let := make(chan struct{})
-	b := newBox(t, func(c net.Conn, nth int) bool {
+	b := agenttest.NewScriptedServer(t, func(c net.Conn, nth int) bool {
 		if nth == 1 {
 			<-let
 		}
-		return answers(ok("done"))(c, nth)
+		return fakes.Respond(fakes.OKResponse("done"))(c, nth)
 	})
-	a := launch(t, nil, host("s-1", b.Addr(), "active", 41))
+	a := launch(t, nil, fakes.ListEntry("s-1", b.Addr(), "active", 41))
 	open := make(chan answered, 1)
 	go func() {
 		got, _ := a.try(context.Background(), "GET", "/lookup", "", "X-Deadline-Ms", "2000")
 		open <- got
 	}()
-	eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
+	agenttest.Eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
 	if err := a.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the drain", func() bool { return strings.Contains(a.log.String(), "drains") })
+	agenttest.Eventually(t, "the drain", func() bool { return strings.Contains(a.log.String(), "drains") })
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -461,7 +465,7 @@
 		if err != nil {
 			t.Errorf("ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(agenttest.Patience):
 		t.Error("did not end")
 	}
 }
@@ -469,9 +473,9 @@
 // With hardly any descriptors and far more clients, every txn has its answer, and then all is well again.
 func TestMoreClientsThanDescriptors(t *testing.T) {
 	let := make(chan struct{})
-	b := newBox(t, func(c net.Conn, nth int) bool { <-let; return answers(ok("done"))(c, nth) })
+	b := agenttest.NewScriptedServer(t, func(c net.Conn, nth int) bool { <-let; return fakes.Respond(fakes.OKResponse("done"))(c, nth) })
 	few := launch(t, func(conf string) string { return strings.Replace(conf, `"sockets":1024`, `"sockets":64`, 1) },
-		host("s-1", b.Addr(), "active", 41))
+		fakes.ListEntry("s-1", b.Addr(), "active", 41))
 	few.healthy(t)
 	var wait sync.WaitGroup
 	var mu sync.Mutex
@@ -486,7 +490,7 @@
 			}
 		})
 	}
-	eventually(t, "a refusal for want of room", func() bool { return strings.Contains(few.log.String(), "no room for another txn") })
+	agenttest.Eventually(t, "a refusal for want of room", func() bool { return strings.Contains(few.log.String(), "no room for another txn") })
 	close(let)
 	wait.Wait()
 	if got[200] == 0 || got[200] != len(b.Requests()) || got[503] == 0 || got[200]+got[503] != 100 {
@@ -499,9 +503,9 @@
 
 // Far more silent connections than descriptors keep nobody waiting, and each is closed in time.
 func TestSilentCrowd(t *testing.T) {
-	b := newBox(t, answers(ok("done")))
+	b := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	few := launch(t, func(conf string) string { return strings.Replace(conf, `"sockets":1024`, `"sockets":64`, 1) },
-		host("s-1", b.Addr(), "active", 41))
+		fakes.ListEntry("s-1", b.Addr(), "active", 41))
 	few.healthy(t)
 	var wait sync.WaitGroup
 	for range 60 {
@@ -512,7 +516,7 @@
 		came := time.Now()
 		wait.Go(func() {
 			defer c.Close()
-			c.SetReadDeadline(came.Add(patience))
+			c.SetReadDeadline(came.Add(agenttest.Patience))
 			if _, err := io.ReadAll(c); errors.Is(err, os.ErrDeadlineExceeded) || time.Since(came) > 3*time.Second {
 				t.Errorf("kept for %v, %v", time.Since(came), err)
 			}
@@ -526,9 +530,9 @@
 
 // Clients that ask once and keep their connection hold few: beyond those, the one idle longest ends before its time.
 func TestAskedOnce(t *testing.T) {
-	b := newBox(t, answers(ok("done")))
+	b := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	few := launch(t, func(conf string) string { return strings.Replace(conf, `"sockets":1024`, `"sockets":64`, 1) },
-		host("s-1", b.Addr(), "active", 41))
+		fakes.ListEntry("s-1", b.Addr(), "active", 41))
 	few.healthy(t)
 	var first net.Conn
 	start := time.Now()
@@ -549,21 +553,21 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	first.SetReadDeadline(start.Add(patience))
-	if _, err := io.ReadAll(first); err != nil || time.Since(start) > idleWait/2 {
+	first.SetReadDeadline(start.Add(agenttest.Patience))
+	if _, err := io.ReadAll(first); err != nil || time.Since(start) > proxy.IdleTimeout/2 {
 		t.Errorf("the first one ended after %v, %v", time.Since(start), err)
 	}
 }
 
 // A request that stood unread while the agent was stopped has that much less time left.
 func TestTimeInTheQueueCounts(t *testing.T) {
-	b := newBox(t, mute)
-	a := launch(t, nil, host("s-1", b.Addr(), "active", 41))
+	b := agenttest.NewScriptedServer(t, fakes.NeverRespond)
+	a := launch(t, nil, fakes.ListEntry("s-1", b.Addr(), "active", 41))
 	if err := a.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
 	// The signal's sender goes on before all threads have stopped: one of them could still take the request.
-	eventually(t, "all threads to stand still", func() bool { return stopped(a.cmd.Process.Pid) })
+	agenttest.Eventually(t, "all threads to stand still", func() bool { return stopped(a.cmd.Process.Pid) })
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -577,7 +581,7 @@
 	if err := a.cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
+	agenttest.Eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
 	wait := 0
 	fmt.Sscan(b.Requests()[0].Header.Get("X-Deadline-Ms"), &wait)
 	if wait < 1 || wait > 1050 {
@@ -600,9 +604,9 @@
 // SIGHUP moves the agent to the addresses that the file names now, without losing a change; a faulty file changes
 // nothing, and other keys are named.
 func TestReload(t *testing.T) {
-	first, second := newBox(t, answers(ok("1"))), newBox(t, answers(ok("2")))
-	a := launch(t, nil, host("s-1", first.Addr(), "active", 41))
-	eventually(t, "the start's watch and news", func() bool {
+	first, second := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("1"))), agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("2")))
+	a := launch(t, nil, fakes.ListEntry("s-1", first.Addr(), "active", 41))
+	agenttest.Eventually(t, "the start's watch and news", func() bool {
 		return a.discovery.CallsContaining("index=1") == 1 && a.launcher.CallsContaining("bulletin") == 1
 	})
 	reload := func(want string, change ...string) {
@@ -614,7 +618,7 @@
 		if err := a.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		eventually(t, want, func() bool { return strings.Count(a.log.String(), want) > seen })
+		agenttest.Eventually(t, want, func() bool { return strings.Count(a.log.String(), want) > seen })
 	}
 	reload("the old stays in force", `{"name"`, `{"name`)
 	reload("config.settings.Limits.DialTimeoutMs is 0", `"DialTimeoutMs":250.0`, `"DialTimeoutMs":0`)
@@ -624,23 +628,23 @@
 		t.Errorf("what did not change was asked anew: %q, %q", a.discovery.Targets(), a.launcher.Targets())
 	}
 
-	hosts := line(2, true, host("s-1", first.Addr(), "leaving", 41), host("s-2", second.Addr(), "active", 41))
-	there := newStreamer(t, "\n", 100*time.Millisecond, func(asked string) string {
+	hosts := fakes.ListDocument(2, true, fakes.ListEntry("s-1", first.Addr(), "leaving", 41), fakes.ListEntry("s-2", second.Addr(), "active", 41))
+	there := agenttest.NewStreamServer(t, "\n", 100*time.Millisecond, func(asked string) string {
 		if strings.Contains(asked, "stream") {
 			return ""
 		}
 		return hosts
 	})
-	news := newStreamer(t, ":\n", 100*time.Millisecond, func(string) string { return bulletin(43, 0, "testing", 0.5) })
-	silent := listen(t)
+	news := agenttest.NewStreamServer(t, ":\n", 100*time.Millisecond, func(string) string { return fakes.RolloutEvent(43, 0, "testing", 0.5) })
+	silent := agenttest.Listen(t)
 	reload("reload", a.discovery.Addr(), silent.Addr().String()) // one that says nothing leaves the old one in force
-	a.discovery.Publish(line(2, false, host("s-3", second.Addr(), "left", 41)))
-	eventually(t, "a change from the old address", func() bool { return strings.Contains(a.log.String(), "seq=2") })
+	a.discovery.Publish(fakes.ListDocument(2, false, fakes.ListEntry("s-3", second.Addr(), "left", 41)))
+	agenttest.Eventually(t, "a change from the old address", func() bool { return strings.Contains(a.log.String(), "seq=2") })
 	reload("reload", a.discovery.Addr(), there.Addr(), a.launcher.Addr(), news.Addr())
-	eventually(t, "the new list", func() bool { return a.ask(t, "GET", "/lookup", "").body == "2" })
-	eventually(t, "the new news", func() bool { return strings.Contains(a.log.String(), "build=43") })
-	eventually(t, "the end of the old streams", func() bool { return a.discovery.Closed() == 1 && a.launcher.Closed() == 1 })
-	eventually(t, "the new watch", func() bool { return there.CallsContaining("index=2") == 1 })
+	agenttest.Eventually(t, "the new list", func() bool { return a.ask(t, "GET", "/lookup", "").body == "2" })
+	agenttest.Eventually(t, "the new news", func() bool { return strings.Contains(a.log.String(), "build=43") })
+	agenttest.Eventually(t, "the end of the old streams", func() bool { return a.discovery.Closed() == 1 && a.launcher.Closed() == 1 })
+	agenttest.Eventually(t, "the new watch", func() bool { return there.CallsContaining("index=2") == 1 })
 	if a.discovery.CallsContaining("") != 1 || a.launcher.CallsContaining("") != 1 {
 		t.Errorf("the old addresses were asked again: %q, %q", a.discovery.Targets(), a.launcher.Targets())
 	}
@@ -667,7 +671,7 @@
 			if log := a.log.String(); err == nil || !strings.Contains(log, c.want) || strings.Count(log, "\n") != 1 {
 				t.Errorf("%s: %v, log %q", c.to, err, log)
 			}
-		case <-time.After(patience):
+		case <-time.After(agenttest.Patience):
 			t.Errorf("%s: started all the same", c.to)
 		}
 	}
--- a/internal/agent/customer_test.go
+++ b/internal/endtoend/settings_test.go
@@ -1,4 +1,4 @@
-package agent
+package endtoend
 
 import (
 	"encoding/json"
@@ -7,6 +7,9 @@
 	"strings"
 	"testing"
 	"time"
+
+	"switchfork/internal/agenttest"
+	"switchfork/internal/fakes"
 )
 
 // The settings of any customer are served: what the program takes from them it takes by their words, and by no name or figure of one
@@ -70,9 +73,9 @@
 		"deadlines of 50 ms": func(_, s object) { s["Grades"] = []any{grade("a", "read_like", 50), grade("b", "idempotency_key", 50)} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBox(t, answers(ok("done")))
-			hosts := line(2, true, host("s-1", b.Addr(), "active", 41), host("s-2", b.Addr(), "active", 41))
-			d := newStreamer(t, "\n", 100*time.Millisecond, func(asked string) string {
+			b := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
+			hosts := fakes.ListDocument(2, true, fakes.ListEntry("s-1", b.Addr(), "active", 41), fakes.ListEntry("s-2", b.Addr(), "active", 41))
+			d := agenttest.NewStreamServer(t, "\n", 100*time.Millisecond, func(asked string) string {
 				if strings.Contains(asked, "stream") {
 					return ""
 				}
@@ -95,9 +98,9 @@
 					t.Fatal(err)
 				}
 				return string(out)
-			}, host("s-1", b.Addr(), "active", 41), host("s-2", b.Addr(), "active", 41))
+			}, fakes.ListEntry("s-1", b.Addr(), "active", 41), fakes.ListEntry("s-2", b.Addr(), "active", 41))
 			a.healthy(t)
-			eventually(t, "the list", func() bool { // where nothing is known it comes by a call
+			agenttest.Eventually(t, "the list", func() bool { // where nothing is known it comes by a call
 				return a.ask(t, methodOf(grades[0]), pathOf(grades[0]), "").status == 200
 			})
 			for _, g := range grades {
@@ -161,7 +164,7 @@
 				if said := strings.TrimSpace(a.log.String()); err == nil || !strings.Contains(said, c.want) || strings.Contains(said, "\n") {
 					t.Errorf("ended with %v and %q, want one line with %s", err, said, c.want)
 				}
-			case <-time.After(patience):
+			case <-time.After(agenttest.Patience):
 				t.Error("it serves")
 			}
 		})
--- a/internal/agent/peers.go
+++ b/internal/gossip/gossip.go
@@ -1,4 +1,4 @@
-package agent
+package gossip
 
 import (
 	"context"
@@ -8,18 +8,18 @@
 	"net/netip"
 	"slices"
 
+	"switchfork/internal/agent"
+	"switchfork/internal/mailbox"
 	"switchfork/internal/policy"
+	"switchfork/internal/ratelog"
 )
 
-// This file owns the datagrams between agents: one socket, senders known by their address. It must never read
-// what they say.
-
 const datagramLimit = 256 // the protocol's
 
-// Gossip is the actor of that socket; with no address to listen on it drops what it is given.
-type Gossip struct {
-	core  *Loop
-	box   *Mailbox[policy.SendGossip]
+// Messenger is the actor of that socket; with no address to listen on it drops what it is given.
+type Messenger struct {
+	core  *agent.Loop
+	box   *mailbox.Mailbox[policy.SendGossip]
 	sock  *net.UDPConn
 	known []netip.AddrPort // by the agents' numbers
 	all   netip.AddrPort
@@ -27,13 +27,13 @@
 }
 
 // Intercept names who else uses the socket: it looks at each datagram first. It is to be called before Serve.
-func (p *Gossip) Intercept(other func([]byte) bool) { p.other = other }
+func (p *Messenger) Intercept(other func([]byte) bool) { p.other = other }
 
 // Send sends bytes to an agent by its number.
-func (p *Gossip) Send(to int, b []byte) { p.Post(policy.SendGossip{To: to, Payload: b}) }
+func (p *Messenger) Send(to int, b []byte) { p.Post(policy.SendGossip{To: to, Payload: b}) }
 
-func NewGossip(core *Loop, listen string, known []string, all string) (*Gossip, error) {
-	p := &Gossip{core: core, box: NewMailbox[policy.SendGossip]()}
+func NewMessenger(core *agent.Loop, listen string, known []string, all string) (*Messenger, error) {
+	p := &Messenger{core: core, box: mailbox.New[policy.SendGossip]()}
 	if listen == "" {
 		return p, nil
 	}
@@ -60,10 +60,10 @@
 	return p, nil
 }
 
-func (p *Gossip) Post(t policy.SendGossip) { p.box.Put(t) }
+func (p *Messenger) Post(t policy.SendGossip) { p.box.Put(t) }
 
 // Serve sends what the mailbox holds, and hands on what comes.
-func (p *Gossip) Serve(ctx context.Context) {
+func (p *Messenger) Serve(ctx context.Context) {
 	if p.sock != nil {
 		go p.listen()
 		defer p.sock.Close()
@@ -80,7 +80,7 @@
 	}
 }
 
-func (p *Gossip) send(t policy.SendGossip) {
+func (p *Messenger) send(t policy.SendGossip) {
 	to := p.all
 	if uint32(t.To) != math.MaxUint32 {
 		if to = (netip.AddrPort{}); t.To >= 0 && t.To < len(p.known) {
@@ -88,15 +88,15 @@
 		}
 	}
 	if p.sock == nil || !to.IsValid() || len(t.Payload) > datagramLimit {
-		complaints.Warn("tell", "message not sent", "to", t.To, "bytes", len(t.Payload))
+		ratelog.Warn("tell", "message not sent", "to", t.To, "bytes", len(t.Payload))
 		return
 	}
 	if _, err := p.sock.WriteToUDPAddrPort(t.Payload, to); err != nil {
-		complaints.Warn("tell", "message not sent", "to", t.To, "err", err)
+		ratelog.Warn("tell", "message not sent", "to", t.To, "err", err)
 	}
 }
 
-func (p *Gossip) listen() {
+func (p *Messenger) listen() {
 	buf := make([]byte, datagramLimit+1)
 	for {
 		n, from, err := p.sock.ReadFromUDPAddrPort(buf)
@@ -105,7 +105,7 @@
 		}
 		who := slices.Index(p.known, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 		if who < 0 || n > datagramLimit {
-			complaints.Warn("datagram", "datagram dropped", "from", from.String(), "bytes", n)
+			ratelog.Warn("datagram", "datagram dropped", "from", from.String(), "bytes", n)
 			continue
 		}
 		if p.other != nil && p.other(slices.Clone(buf[:n])) {
--- a/internal/agent/ending.go
+++ b/internal/protocol/result.go
@@ -1,10 +1,7 @@
-package agent
+package protocol
 
 import "switchfork/internal/policy"
 
-// This file owns the one list of ways in which a connection's use can end, and what each means to the module.
-// It must never look at figures or decide what to do about an ending.
-
 // Result is how a submission, a probe or a call ended.
 type Result int
 
--- a/internal/agent/gate.go
+++ b/internal/proxy/admission_gate.go
@@ -1,4 +1,4 @@
-package agent
+package proxy
 
 import (
 	"context"
@@ -6,18 +6,17 @@
 	"time"
 
 	"switchfork/internal/admission"
+	"switchfork/internal/agent"
+	"switchfork/internal/mailbox"
 	"switchfork/internal/policy"
 )
 
-// This file owns the door's actor: its mailbox, its bell, and who gets each of its orders. It stands between the clients'
-// side and the module's actor. It must never decide who goes in, when, or how long someone is sent away for.
-
 // What the others put into the gate's mailbox.
 type (
 	knock struct {
 		admission.Arrival
 		taken policy.RequestArrived
-		*Request
+		*agent.Request
 	}
 	found struct{ id uint64 } // the module has sent it
 	over  struct {
@@ -40,17 +39,17 @@
 // AdmissionGate is the door's actor.
 type AdmissionGate struct {
 	door  *admission.Controller
-	clock Clock
-	core  *Loop
-	box   *Mailbox[any]
+	clock agent.Clock
+	core  *agent.Loop
+	box   *mailbox.Mailbox[any]
 	known map[uint64]knock // at the door, not in
 	in    map[uint64]bool
 	last  AdmissionStatus // what the log has had
 }
 
 // NewAdmissionGate puts a door before the core.
-func NewAdmissionGate(d *admission.Controller, clock Clock, core *Loop) *AdmissionGate {
-	return &AdmissionGate{door: d, clock: clock, core: core, box: NewMailbox[any](), known: map[uint64]knock{}, in: map[uint64]bool{}}
+func NewAdmissionGate(d *admission.Controller, clock agent.Clock, core *agent.Loop) *AdmissionGate {
+	return &AdmissionGate{door: d, clock: clock, core: core, box: mailbox.New[any](), known: map[uint64]knock{}, in: map[uint64]bool{}}
 }
 
 // figuresEvery is how often the log gets the door's figures, while anything happens there.
@@ -144,7 +143,7 @@
 			g.core.Admit(k.taken, k.Request)
 		case admission.Reject:
 			if k, was := g.forget(o.ID); was {
-				k.Deliver(Reply{Rejected: true, RetryAfter: o.RetryAfter})
+				k.Deliver(agent.Reply{Rejected: true, RetryAfter: o.RetryAfter})
 			}
 		case admission.Coalesce:
 			if k, was := g.forget(o.ID); was {
--- a/internal/agent/listener.go
+++ b/internal/proxy/listener.go
@@ -1,4 +1,4 @@
-package agent
+package proxy
 
 import (
 	"errors"
@@ -11,13 +11,15 @@
 	"syscall"
 	"time"
 
+	"switchfork/internal/agent"
+	"switchfork/internal/connlimit"
+	"switchfork/internal/ratelog"
+	"switchfork/internal/tcpconn"
+	"switchfork/internal/upstream"
+
 	"golang.org/x/sys/unix"
 )
 
-// This file owns the life of clients' connections: which are let in, what state each is in, and when one that carries no request ends.
-// http.Server reads and writes on them and must never end one by itself between two requests: it calls a connection idle until a
-// whole head has been read. It must never look at what a request says.
-
 // phase is where a client's connection stands. The drawing in docs/design.md has the ways between them.
 type phase int
 
@@ -29,10 +31,10 @@
 	retired              // nothing more is read from it; it is about to be closed
 )
 
-// A client has headWait for a request's head, counted from its first byte, and sendWait for the whole: both well inside
-// the 3 s in which who says nothing, or half of something, is owed a close. freshWait is for the first byte after the connection came.
-// idleWait is the told time after which a connection without a request may go: who asks once and stays for good holds nothing longer.
-const freshWait, headWait, sendWait, idleWait = 1500 * time.Millisecond, 1500 * time.Millisecond, 2 * time.Second, 2 * time.Second
+// A client has headTimeout for a request's head, counted from its first byte, and requestTimeout for the whole: both well inside
+// the 3 s in which who says nothing, or half of something, is owed a close. firstByteTimeout is for the first byte after the connection came.
+// IdleTimeout is the told time after which a connection without a request may go: who asks once and stays for good holds nothing longer.
+const firstByteTimeout, headTimeout, requestTimeout, IdleTimeout = 1500 * time.Millisecond, 1500 * time.Millisecond, 2 * time.Second, 2 * time.Second
 
 // lingerWait is how long a connection that ends with an answer stays half open for the client to close it: closed with bytes unread, the
 // system resets it, and the reset may overtake the answer. It is what http.Server waits for an answer to an overlong head.
@@ -136,7 +138,7 @@
 	if c.phase == fresh || c.phase == idle {
 		c.to(asking)
 		c.began = c.since
-		c.actAt(c.began.Add(headWait))
+		c.actAt(c.began.Add(headTimeout))
 	}
 }
 
@@ -162,7 +164,7 @@
 		c.began = c.since
 	}
 	c.inTime()
-	c.actAt(c.began.Add(sendWait))
+	c.actAt(c.began.Add(requestTimeout))
 }
 
 // inTime: what the library holds came in time after all. The clock may find a phase overdue, or the listener retire the connection, when
@@ -195,7 +197,7 @@
 		c.asks()
 		return
 	}
-	c.actAt(c.since.Add(idleWait))
+	c.actAt(c.since.Add(IdleTimeout))
 }
 
 // overdue ends a phase that has lasted too long.
@@ -208,8 +210,8 @@
 		c.SetReadDeadline(longAgo)
 	}
 	waits := !stale && (c.phase == fresh || c.phase == idle)
-	if waits && !IsQuiet(c.TCPConn) { // its reader is about to find it
-		c.actAt(time.Now().Add(headWait))
+	if waits && !tcpconn.IsQuiet(c.TCPConn) { // its reader is about to find it
+		c.actAt(time.Now().Add(headTimeout))
 		waits = false
 	}
 	c.mu.Unlock()
@@ -226,7 +228,7 @@
 func (c *clientConn) retire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase != fresh && c.phase != idle || !IsQuiet(c.TCPConn) {
+	if c.phase != fresh && c.phase != idle || !tcpconn.IsQuiet(c.TCPConn) {
 		return false
 	}
 	c.to(retired)
@@ -264,8 +266,8 @@
 // few are left was tried: all clients came back on new ones, which cost more than there was.
 type clientListener struct {
 	tcp   *net.TCPListener
-	purse *Budget
-	core  *Loop
+	purse *connlimit.Budget
+	core  *agent.Loop
 	waits atomic.Bool   // a client waits for another's place
 	ended chan struct{} // closed with the listener
 	// lingers is how long a connection stays half open behind its last answer.
@@ -279,7 +281,7 @@
 	leaves bool                      // to be closed once no client is there and none waits
 }
 
-func newClientListener(core *Loop, purse *Budget) *clientListener {
+func newClientListener(core *agent.Loop, purse *connlimit.Budget) *clientListener {
 	return &clientListener{core: core, purse: purse, ended: make(chan struct{}), lingers: lingerWait, in: map[*clientConn]bool{}, idle: map[*clientConn]time.Time{}}
 }
 
@@ -325,7 +327,7 @@
 	c.raw, _ = tcp.SyscallConn() // fails for a connection that is not there only
 	c.mu.Lock()
 	c.to(fresh)
-	c.actAt(c.since.Add(freshWait))
+	c.actAt(c.since.Add(firstByteTimeout))
 	c.mu.Unlock()
 	l.mu.Lock()
 	l.in[c] = true
@@ -379,7 +381,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if now.Sub(l.asked) >= trimIdle {
+	if now.Sub(l.asked) >= upstream.TrimIdleAfter {
 		l.asked = now
 		l.core.ConnectionsExhausted()
 	}
@@ -398,7 +400,7 @@
 	if silent == 0 {
 		l.retireOldest()
 	}
-	complaints.Warn("door", "no descriptor left for a client", "open", len(l.in), "idle", len(l.idle),
+	ratelog.Warn("door", "no descriptor left for a client", "open", len(l.in), "idle", len(l.idle),
 		"silent", silent)
 }
 
--- a/internal/agent/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -1,4 +1,4 @@
-package agent
+package proxy
 
 import (
 	"bufio"
@@ -11,11 +11,13 @@
 	"slices"
 	"strings"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 
+	"switchfork/internal/agenttest"
+	"switchfork/internal/connlimit"
 	"switchfork/internal/policy"
+	"switchfork/internal/tcpconn"
 
 	"pgregory.net/rapid"
 )
@@ -25,9 +27,9 @@
 
 // clientSide is the clients' side before a module that declines what it is told to.
 type clientSide struct {
-	*rig
+	*agenttest.Rig
 	front *Proxy
-	purse *Budget
+	purse *connlimit.Budget
 	ended chan error
 }
 
@@ -38,24 +40,26 @@
 
 // lingering is one whose connections stay half open behind a last answer for so long.
 func lingering(t *testing.T, descriptors int, hold bool, lingers time.Duration) *clientSide {
-	s := &clientSide{rig: newRig(t, time.Second, "127.0.0.1:1", "127.0.0.1:1"), purse: NewBudget(descriptors), ended: make(chan error, 1)}
-	s.do = func(ev policy.Event) []policy.Command {
-		if taken, is := ev.(policy.RequestArrived); is && !hold {
-			return []policy.Command{policy.Reject{RequestID: taken.ID}}
+	s := &clientSide{Rig: agenttest.NewRig(t, time.Second), purse: connlimit.NewBudget(descriptors), ended: make(chan error, 1)}
+	var arrived []policy.RequestArrived
+	s.Respond(func(ev policy.Event) []policy.Command {
+		if taken, is := ev.(policy.RequestArrived); is {
+			if !hold {
+				return []policy.Command{policy.Reject{RequestID: taken.ID}}
+			}
+			arrived = append(arrived, taken)
 		}
 		if _, is := ev.(policy.GossipReceived); is { // all go
 			var out []policy.Command
-			for _, past := range s.events {
-				if taken, is := past.(policy.RequestArrived); is {
-					out = append(out, policy.Reject{RequestID: taken.ID})
-				}
+			for _, taken := range arrived {
+				out = append(out, policy.Reject{RequestID: taken.ID})
 			}
 			return out
 		}
 		return nil
-	}
-	s.front = NewProxy(s.core, []string{"lookup", "posting", "_health"}, []policy.Idempotency{policy.Idempotent, policy.Keyed, policy.Idempotent},
-		[]time.Duration{patience, patience, patience}, nil, 1000, 0, s.purse, 1)
+	})
+	s.front = New(s.Loop, []string{"lookup", "posting", "_health"}, []policy.Idempotency{policy.Idempotent, policy.Keyed, policy.Idempotent},
+		[]time.Duration{agenttest.Patience, agenttest.Patience, agenttest.Patience}, nil, 1000, 0, s.purse, 1)
 	s.front.clients.lingers = lingers
 	if err := s.front.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -65,12 +69,12 @@
 	return s
 }
 
-func (s *clientSide) letGo() { s.core.mailbox.Put(policy.GossipReceived{}) }
+func (s *clientSide) letGo() { s.Loop.Post(policy.GossipReceived{}) }
 
 // taken waits until the module has so many txns.
 func (s *clientSide) taken(t *testing.T, n int) {
 	t.Helper()
-	eventually(t, "the txn", func() bool { return len(seen[policy.RequestArrived](s.script)) == n })
+	agenttest.Eventually(t, "the txn", func() bool { return len(agenttest.Events[policy.RequestArrived](s.Router)) == n })
 }
 
 // client is one client's connection.
@@ -87,10 +91,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(agenttest.Patience))
 	return &client{c, t, bufio.NewReader(c)}
 }
 
+// freshID numbers requests, so that no two have one id.
+var freshID atomic.Uint64
+
 // request is of one length for a path, so that what has been sent of one can be told by what is left.
 func request(path string) string {
 	return fmt.Sprintf("GET /%s HTTP/1.1\r\nHost: x\r\nX-Request-Id: %08x\r\n\r\n", path, freshID.Add(1))
@@ -126,7 +133,7 @@
 // server is the far end of a client's connection.
 func (s *clientSide) server(t *testing.T, c *client) (own *clientConn) {
 	t.Helper()
-	eventually(t, "the connection", func() bool {
+	agenttest.Eventually(t, "the connection", func() bool {
 		s.front.clients.mu.Lock()
 		defer s.front.clients.mu.Unlock()
 		for in := range s.front.clients.in {
@@ -143,7 +150,7 @@
 func (s *clientSide) stands(t *testing.T, c *client, want phase) {
 	t.Helper()
 	own := s.server(t, c)
-	eventually(t, fmt.Sprintf("phase %d", want), func() bool {
+	agenttest.Eventually(t, fmt.Sprintf("phase %d", want), func() bool {
 		own.mu.Lock()
 		defer own.mu.Unlock()
 		return own.phase == want
@@ -156,7 +163,7 @@
 	ctx, stop := context.WithTimeout(t.Context(), within)
 	t.Cleanup(stop)
 	go func() { done <- s.front.Drain(ctx) }()
-	eventually(t, "the drain", func() bool {
+	agenttest.Eventually(t, "the drain", func() bool {
 		s.front.clients.mu.Lock()
 		defer s.front.clients.mu.Unlock()
 		return s.front.clients.drains
@@ -173,13 +180,12 @@
 	if err := <-s.ended; err != nil {
 		t.Errorf("serving ended with %v", err)
 	}
-	s.core.Flush(t.Context())
-	s.purse.mu.Lock()
-	defer s.purse.mu.Unlock()
+	s.Loop.Flush(t.Context())
+	clients, _ := s.purse.InUse()
 	s.front.ids.mu.Lock()
 	defer s.front.ids.mu.Unlock()
-	if s.purse.clients != 0 || len(s.front.ids.open) != 0 || len(s.front.clients.in) != 0 || len(s.front.clients.idle) != 0 {
-		t.Errorf("left: %d places, %d ids, %d connections, %d idle", s.purse.clients, len(s.front.ids.open), len(s.front.clients.in),
+	if clients != 0 || len(s.front.ids.open) != 0 || len(s.front.clients.in) != 0 || len(s.front.clients.idle) != 0 {
+		t.Errorf("left: %d places, %d ids, %d connections, %d idle", clients, len(s.front.ids.open), len(s.front.clients.in),
 			len(s.front.clients.idle))
 	}
 }
@@ -201,9 +207,9 @@
 		rest = append(rest, raw[9:])
 		s.stands(t, c, asking)
 	}
-	done := s.drain(t, patience)
+	done := s.drain(t, agenttest.Patience)
 	quiet.ends()
-	eventually(t, "the last look for clients", func() bool {
+	agenttest.Eventually(t, "the last look for clients", func() bool {
 		s.front.clients.mu.Lock()
 		defer s.front.clients.mu.Unlock()
 		return s.front.clients.leaves
@@ -223,8 +229,8 @@
 	first := s.dial(t)
 	first.send(request("lookup"))
 	s.stands(t, first, asked)
-	done := s.drain(t, patience)
-	eventually(t, "the last look for clients", func() bool {
+	done := s.drain(t, agenttest.Patience)
+	agenttest.Eventually(t, "the last look for clients", func() bool {
 		s.front.clients.mu.Lock()
 		defer s.front.clients.mu.Unlock()
 		return s.front.clients.leaves
@@ -254,7 +260,7 @@
 	c.answered(503, false)
 	start := time.Now()
 	c.ends()
-	if took := time.Since(start); took > idleWait/2 {
+	if took := time.Since(start); took > IdleTimeout/2 {
 		t.Errorf("ended after %v", took)
 	}
 	own.mu.Lock()
@@ -275,10 +281,10 @@
 	c.Close()
 	select {
 	case <-done:
-	case <-time.After(patience):
+	case <-time.After(agenttest.Patience):
 		t.Fatal("the drain does not end")
 	}
-	eventually(t, "the txn's end", func() bool { return len(seen[policy.RequestCancelled](s.script)) == 1 })
+	agenttest.Eventually(t, "the txn's end", func() bool { return len(agenttest.Events[policy.RequestCancelled](s.Router)) == 1 })
 	s.front.ids.mu.Lock()
 	defer s.front.ids.mu.Unlock()
 	if len(s.front.ids.open) != 0 {
@@ -286,37 +292,6 @@
 	}
 }
 
-// However long the deadlines are, a drain ends before SIGKILL comes, with an answer to what is open: that is owed 3.7 s after SIGTERM.
-// The bound leaves a busy machine time and is far below the deadline.
-func TestDrainEndsBeforeTheKill(t *testing.T) {
-	b := newBox(t, mute)
-	a := launch(t, func(conf string) string {
-		return strings.ReplaceAll(conf, `"HardLimitMs":2000.0`, `"HardLimitMs":30000.0`)
-	}, host("s-1", b.Addr(), "active", 41))
-	a.healthy(t)
-	open := make(chan answered, 1)
-	go func() {
-		got, _ := a.try(context.Background(), "POST", "/posting", "")
-		open <- got
-	}()
-	eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
-	start := time.Now()
-	if err := a.cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
-	if got := <-open; got.status != 504 {
-		t.Errorf("the open one got %+v", got)
-	}
-	select {
-	case err := <-a.exit:
-		if took := time.Since(start); err != nil || took > 10*time.Second {
-			t.Errorf("ended after %v with %v", took, err)
-		}
-	case <-time.After(patience):
-		t.Error("did not end")
-	}
-}
-
 // Neither a shortage nor the crowd of idle ones nor the clock ends a connection of which a byte has been read or waits to be read, and
 // the one that carries nothing is what ends.
 func TestRetiringLeavesARequestAlone(t *testing.T) {
@@ -340,8 +315,8 @@
 	own := s.server(t, begun)
 	own.mu.Lock()
 	begun.send(raw[:1])
-	eventually(t, "the byte", func() bool { return !IsQuiet(own.TCPConn) })
-	free := own.phase == idle && IsQuiet(own.TCPConn)
+	agenttest.Eventually(t, "the byte", func() bool { return !tcpconn.IsQuiet(own.TCPConn) })
+	free := own.phase == idle && tcpconn.IsQuiet(own.TCPConn)
 	own.due = time.Now().Add(-time.Second)
 	own.mu.Unlock()
 	own.overdue()
@@ -361,21 +336,21 @@
 	s.taken(t, 1)
 	own := s.server(t, c)
 	c.send(strings.Repeat("x", 32<<10)) // far more than is read ahead
-	eventually(t, "more than is read ahead", func() bool {
+	agenttest.Eventually(t, "more than is read ahead", func() bool {
 		own.mu.Lock()
 		defer own.mu.Unlock()
-		return len(own.ahead) >= aheadMost-1 && !IsQuiet(own.TCPConn)
+		return len(own.ahead) >= aheadMost-1 && !tcpconn.IsQuiet(own.TCPConn)
 	})
 	s.letGo()
 	c.answered(503, true)
 	c.ends()
 	c.Close()
-	s.nothingLeft(t, s.drain(t, patience))
+	s.nothingLeft(t, s.drain(t, agenttest.Patience))
 }
 
 // A client that has its last answer and does not close holds its place no longer than another client lets it.
 func TestLingeringGivesItsPlaceUp(t *testing.T) {
-	s := lingering(t, 2, false, 10*patience) // clients get one
+	s := lingering(t, 2, false, 10*agenttest.Patience) // clients get one
 	stays := s.dial(t)
 	stays.send("GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: stays\r\nConnection: close\r\n\r\n")
 	stays.answered(503, true)
@@ -395,15 +370,15 @@
 		s.stands(t, c, asked)
 		own := s.server(t, c)
 		c.send(early)
-		eventually(t, "the early bytes", func() bool {
+		agenttest.Eventually(t, "the early bytes", func() bool {
 			own.mu.Lock()
 			defer own.mu.Unlock()
 			return len(own.ahead) == len(early)
 		})
 		c.Close()
-		eventually(t, fmt.Sprintf("the end of a client that sent %d bytes too many", len(early)),
-			func() bool { return len(seen[policy.RequestCancelled](s.script)) == 1 })
-		s.nothingLeft(t, s.drain(t, patience))
+		agenttest.Eventually(t, fmt.Sprintf("the end of a client that sent %d bytes too many", len(early)),
+			func() bool { return len(agenttest.Events[policy.RequestCancelled](s.Router)) == 1 })
+		s.nothingLeft(t, s.drain(t, agenttest.Patience))
 	}
 }
 
@@ -417,7 +392,7 @@
 	own, next := s.server(t, c), request("lookup")
 	for i := range 7 {
 		c.send(next[i : i+1])
-		eventually(t, "the early byte", func() bool {
+		agenttest.Eventually(t, "the early byte", func() bool {
 			own.mu.Lock()
 			defer own.mu.Unlock()
 			return len(own.ahead) == i+1
@@ -438,7 +413,7 @@
 	c := s.dial(t)
 	c.send(request("_health?sid=1"))
 	c.answered(503, false)
-	if n := len(seen[policy.RequestArrived](s.script)); n != 1 {
+	if n := len(agenttest.Events[policy.RequestArrived](s.Router)); n != 1 {
 		t.Errorf("%d txns were taken", n)
 	}
 	c.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -493,7 +468,7 @@
 				ended <- err
 			}()
 			io.WriteString(far, "x") // kept for later; the read goes on
-			eventually(t, "the byte", func() bool {
+			agenttest.Eventually(t, "the byte", func() bool {
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				return len(c.ahead) == 1
@@ -561,7 +536,7 @@
 				}
 				// Until the system has handed them over they cross whatever comes.
 				own := s.server(t, o.client)
-				eventually(t, "the bytes", func() bool {
+				agenttest.Eventually(t, "the bytes", func() bool {
 					own.mu.Lock()
 					defer own.mu.Unlock()
 					return own.phase == asking || own.phase == asked
@@ -581,7 +556,7 @@
 					if len(o.rest) < len(request("lookup")) {
 						rt.Fatal("retired with a request begun")
 					}
-					eventually(t, "the answer to all that it asked before", func() bool { return int(o.told.Load()) == o.asked })
+					agenttest.Eventually(t, "the answer to all that it asked before", func() bool { return int(o.told.Load()) == o.asked })
 					left++ // it asked for nothing; what it sends from here on crosses the end
 					o.Close()
 					open = slices.Delete(open, i, i+1)
@@ -591,7 +566,7 @@
 			}
 		}
 		// As Drain does, without the wait for those who still come.
-		s.front.until = time.Now().Add(patience)
+		s.front.until = time.Now().Add(agenttest.Patience)
 		s.front.drains.Store(true)
 		s.front.clients.drain()
 		s.front.clients.leave()
@@ -624,7 +599,7 @@
 			<-o.over
 		}
 		s.nothingLeft(t, done)
-		taken, told := len(seen[policy.RequestArrived](s.script)), 0
+		taken, told := len(agenttest.Events[policy.RequestArrived](s.Router)), 0
 		for _, o := range all {
 			told += int(o.told.Load())
 		}
@@ -648,7 +623,7 @@
 			}
 		}
 	}()
-	eventually(t, "the connection's end", func() bool {
+	agenttest.Eventually(t, "the connection's end", func() bool {
 		s.front.clients.mu.Lock()
 		defer s.front.clients.mu.Unlock()
 		return len(s.front.clients.in) == 0
--- a/internal/agent/front.go
+++ b/internal/proxy/proxy.go
@@ -1,4 +1,4 @@
-package agent
+package proxy
 
 import (
 	"bytes"
@@ -17,25 +17,25 @@
 	"time"
 
 	"switchfork/internal/admission"
+	"switchfork/internal/agent"
+	"switchfork/internal/connlimit"
 	"switchfork/internal/policy"
+	"switchfork/internal/protocol"
+	"switchfork/internal/ratelog"
 
 	"golang.org/x/sys/unix"
 )
 
-// This file owns the clients' side: httputil.ReverseProxy before a RoundTripper that hands each txn to the module's
-// actor and waits for its one answer; health; the drain. It must never send to an appliance or word an answer of
-// its own for a txn that the module has.
-
 // Proxy serves clients.
 type Proxy struct {
-	core   *Loop
+	core   *agent.Loop
 	count  *counter
 	lastID atomic.Uint64
 	open   atomic.Int64
 	most   int // open txns that are told
 	// holdOff is the longest wait that clients follow, 0 where they are not told any
 	holdOff policy.Micros
-	purse   *Budget
+	purse   *connlimit.Budget
 	server  *http.Server
 	clients *clientListener
 	gate    *AdmissionGate // nil: no door
@@ -50,9 +50,6 @@
 // its own.
 const exchangeWait = time.Minute
 
-// HeadLimit holds any head of the protocol many times over; hundreds of endless ones must fit into the least memory.
-const HeadLimit = 8 << 10
-
 // ids are those of the open txns. A second request under one of them would be a copy to an appliance, and could be
 // handed the other's answer.
 type ids struct {
@@ -80,17 +77,18 @@
 type grumble struct{}
 
 func (grumble) Write(line []byte) (int, error) {
-	complaints.Warn("server", "clients' server", "says", strings.TrimSpace(string(line)))
+	ratelog.Warn("server", "clients' server", "says", strings.TrimSpace(string(line)))
 	return len(line), nil
 }
 
-// NewProxy reads requests by the products' names, effects and expiries and the customers' names; most is
+// New reads requests by the products' names, effects and expiries and the customers' names; most is
 // the number of txns that it may have open, holdOff the longest wait that clients follow, first the number before its
 // first txn's. The module places a txn without a warm key by its number. Where all agents counted from one, the n-th txn of
 // each went to one and the same appliance, and hundreds that started together filled its queue. It must differ from agent
 // to agent and from start to start, and costs nothing.
-func NewProxy(core *Loop, names []string, effects []policy.Idempotency, expiry []time.Duration, customers []string,
-	most int, holdOff time.Duration, purse *Budget, first uint64,
+func New(core *agent.Loop, names []string, effects []policy.Idempotency, expiry []time.Duration, customers []string,
+
+	most int, holdOff time.Duration, purse *connlimit.Budget, first uint64,
 ) *Proxy {
 	f := &Proxy{core: core, most: most, holdOff: holdOff.Microseconds(), purse: purse, count: &counter{names, effects, expiry, customers}}
 	f.ids.open = map[string]bool{}
@@ -109,7 +107,7 @@
 	}
 	f.clients = newClientListener(core, purse)
 	f.server = &http.Server{
-		ErrorLog: quiet, WriteTimeout: exchangeWait, MaxHeaderBytes: HeadLimit, ConnState: f.clients.state,
+		ErrorLog: quiet, WriteTimeout: exchangeWait, MaxHeaderBytes: protocol.HeadLimit, ConnState: f.clients.state,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if f.drains.Load() {
@@ -125,7 +123,7 @@
 				// another reader takes for the body's rest would pass as the next request. Nothing behind it is read.
 				w.Header().Set("Connection", "close")
 				http.Error(w, "a body needs a Content-Length and no Transfer-Encoding", http.StatusLengthRequired)
-				complaints.Warn("request411", "request turned away", "status", http.StatusLengthRequired)
+				ratelog.Warn("request411", "request turned away", "status", http.StatusLengthRequired)
 				return
 			}
 			// The path goes on as it came, also where the proxy would tidy it.
@@ -147,12 +145,12 @@
 // client is who asks, as a number.
 func (f *Proxy) client(r *http.Request) uint64 {
 	if f.who.Header != "" {
-		return Hash64(r.Header.Get(f.who.Header))
+		return protocol.Hash64(r.Header.Get(f.who.Header))
 	}
 	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil && !f.who.Connection {
-		return Hash64(host)
+		return protocol.Hash64(host)
 	}
-	return Hash64(r.RemoteAddr)
+	return protocol.Hash64(r.RemoteAddr)
 }
 
 type connKey struct{}
@@ -211,9 +209,9 @@
 	if bad != nil {
 		return f.turnAway(r, bad)
 	}
-	body, err := ReadBody(r.Body, r.ContentLength)
+	body, err := protocol.ReadBody(r.Body, r.ContentLength)
 	switch {
-	case errors.Is(err, ErrBodyTooLong):
+	case errors.Is(err, protocol.ErrBodyTooLong):
 		return f.turnAway(r, &fault{http.StatusRequestEntityTooLarge, err.Error()})
 	case err != nil:
 		return nil, err // the client has gone, or takes too long
@@ -224,21 +222,21 @@
 	at := time.Now().Add(-waited(r))
 	defer f.open.Add(-1)
 	if n, most := f.open.Add(1), min(f.most, f.purse.MaxRequests()); f.gate == nil && n > int64(most) {
-		complaints.Warn("open", "no room for another txn", "most", most)
+		ratelog.Warn("open", "no room for another txn", "most", most)
 		// As over the told cap: sent back before the module has it. It is a jam, so no one should be back soon.
-		return replyResponse(Reply{Rejected: true, RetryAfter: f.holdOff}, r), nil
+		return replyResponse(agent.Reply{Rejected: true, RetryAfter: f.holdOff}, r), nil
 	}
 	name := r.Header.Get("X-Request-Id")
 	if !f.ids.take(name) {
 		return f.turnAway(r, &fault{http.StatusConflict, "X-Request-Id is that of an open txn"})
 	}
-	for _, h := range HopHeaders {
+	for _, h := range protocol.HopHeaders {
 		r.Header.Del(h)
 	}
 	if r.Header.Get("User-Agent") == "" {
 		r.Header.Del("User-Agent")
 	}
-	t := NewRequest(EncodeRequest(r.Method, target, r.Host, r.Header, body), at.Add(o.wait), func() { f.ids.free(name) })
+	t := agent.NewRequest(protocol.EncodeRequest(r.Method, target, r.Host, r.Header, body), at.Add(o.wait), func() { f.ids.free(name) })
 	if f.drains.Load() && t.Deadline.After(f.until) {
 		t.Deadline = f.until // nobody is there to answer it later
 	}
@@ -266,7 +264,7 @@
 			if t.Deadline.After(last) {
 				last = t.Deadline
 			}
-			c.SetWriteDeadline(last.Add(sendWait))
+			c.SetWriteDeadline(last.Add(requestTimeout))
 		}
 	}()
 	select {
@@ -277,18 +275,18 @@
 		return nil, r.Context().Err()
 	case <-f.giveUp:
 		leave()
-		return replyResponse(Reply{}, r), nil
+		return replyResponse(agent.Reply{}, r), nil
 	}
 }
 
 // turnAway answers what is no txn; the module never hears of it.
 func (f *Proxy) turnAway(r *http.Request, bad *fault) (*http.Response, error) {
-	complaints.Warn("request"+strconv.Itoa(bad.status), "request turned away", "status", bad.status, "why", bad.why)
+	ratelog.Warn("request"+strconv.Itoa(bad.status), "request turned away", "status", bad.status, "why", bad.why)
 	return respond(r, bad.status, "text/plain; charset=utf-8", []byte(bad.why+"\n")), nil
 }
 
 // replyResponse puts a final answer into the protocol's words.
-func replyResponse(a Reply, r *http.Request) *http.Response {
+func replyResponse(a agent.Reply, r *http.Request) *http.Response {
 	switch {
 	case a.Response != nil:
 		return respond(r, a.Response.Status, a.Response.ContentType, a.Response.Body)
@@ -316,7 +314,7 @@
 // failed is for a client that went away, or whose body could not be read.
 func (f *Proxy) failed(w http.ResponseWriter, r *http.Request, err error) {
 	if r.Context().Err() == nil {
-		complaints.Warn("body", "request not read", "err", err)
+		ratelog.Warn("body", "request not read", "err", err)
 	}
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(http.StatusBadRequest)
--- a/internal/agent/owing.go
+++ b/internal/tcpconn/reset_conn.go
@@ -1,16 +1,13 @@
-package agent
+package tcpconn
 
 import (
 	"context"
 	"net"
-	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
 )
 
-// This file owns how a connection ends on which something is unanswered. It must never end one by itself.
-
 // ResetConn is a connection that is reset where it ends before what was written has an answer's first byte. Closed, the system would go
 // on sending the rest by itself for a quarter of an hour: a posting or a vote that was given up came out of a way that had dropped
 // everything, seconds or minutes later, when nobody remembered it any more. It also catches what a full window holds back. It may
@@ -47,35 +44,16 @@
 	return c.tcp.Close()
 }
 
-// UnreadGauge are the connections on which the list and the news come in.
-type UnreadGauge struct {
-	mu   sync.Mutex
-	open map[*ResetConn]bool
-}
+func (c *ResetConn) LocalAddr() net.Addr { return c.tcp.LocalAddr() }
 
-func (f *UnreadGauge) remove(c *ResetConn) {
-	f.mu.Lock()
-	delete(f.open, c)
-	f.mu.Unlock()
-}
+func (c *ResetConn) RemoteAddr() net.Addr { return c.tcp.RemoteAddr() }
 
-// HasUnread tells whether something has come in that its reader has not handed on yet.
-func (f *UnreadGauge) HasUnread() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.open {
-		if !c.reading.Load() || !IsQuiet(c) {
-			return true
-		}
-	}
-	return false
-}
+func (c *ResetConn) SetDeadline(t time.Time) error { return c.tcp.SetDeadline(t) }
+
+func (c *ResetConn) SetReadDeadline(t time.Time) error { return c.tcp.SetReadDeadline(t) }
+
+func (c *ResetConn) SetWriteDeadline(t time.Time) error { return c.tcp.SetWriteDeadline(t) }
 
-func (c *ResetConn) LocalAddr() net.Addr                   { return c.tcp.LocalAddr() }
-func (c *ResetConn) RemoteAddr() net.Addr                  { return c.tcp.RemoteAddr() }
-func (c *ResetConn) SetDeadline(t time.Time) error         { return c.tcp.SetDeadline(t) }
-func (c *ResetConn) SetReadDeadline(t time.Time) error     { return c.tcp.SetReadDeadline(t) }
-func (c *ResetConn) SetWriteDeadline(t time.Time) error    { return c.tcp.SetWriteDeadline(t) }
 func (c *ResetConn) SyscallConn() (syscall.RawConn, error) { return c.tcp.SyscallConn() }
 
 // Dial dials one; among, unless it is nil, keeps it while it is open.
--- a/internal/agent/appliance.go
+++ b/internal/upstream/endpoint.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 import (
 	"context"
@@ -11,40 +11,57 @@
 	"syscall"
 	"time"
 
+	"switchfork/internal/connlimit"
+	"switchfork/internal/mailbox"
 	"switchfork/internal/policy"
-
-	"golang.org/x/sys/unix"
+	"switchfork/internal/protocol"
+	"switchfork/internal/ratelog"
+	"switchfork/internal/tcpconn"
 )
 
-// This file owns the connections to appliances: each appliance is an actor with a mailbox that keeps its idle
-// connections, writes each submission that was ordered exactly once, and tells how it ended. It must never send
-// anything again that may have run, and never choose an appliance.
+// Config is what the endpoints of a pool have in common.
+type Config struct {
+	DialTimeout      time.Duration
+	IdleTimeout      time.Duration // after which an endpoint may close an idle connection; 0: never
+	LoadReportFields []string
+	Budget           *connlimit.Budget
+	// SettleTime is how long a connection rests after an answer before the next request goes out on it.
+	SettleTime time.Duration
+}
 
-// Pool is what the appliances' actors share.
+// Pool is what the endpoints share. It is not changed after NewPool.
 type Pool struct {
-	dial   net.Dialer
-	idle   time.Duration
-	fields []string // of a load report
-	budget *Budget
-	// settles is how long a connection rests after an answer before the next request goes out on it.
+	dial       net.Dialer
+	idle       time.Duration
+	fields     []string // of a load report
+	budget     *connlimit.Budget
 	settleTime time.Duration
 }
 
-// A second answer to the request before may still be on its way when a connection is at rest, by the protocol some milliseconds (2 to 5
-// were seen, join+mass, seeds 1 to 3), and the next request on it would be served with another's body. settles is some times that. It
-// costs one connection more where one would be used again at once.
+// DefaultSettleTime: a second answer to the request before may still be on its way when a connection is at rest, by the protocol some
+// milliseconds (2 to 5 were seen, join+mass, seeds 1 to 3), and the next request on it would be served with another's body. This is some
+// times that. It costs one connection more where one would be used again at once.
 const DefaultSettleTime = 20 * time.Millisecond
 
-func NewPool(dial, idle time.Duration, fields []string, purse *Budget) *Pool {
-	return &Pool{dial: net.Dialer{Timeout: dial, KeepAlive: -1}, idle: idle, fields: fields, budget: purse, settleTime: DefaultSettleTime}
+// NewPool makes a pool without endpoints.
+func NewPool(c Config) *Pool {
+	return &Pool{
+		dial: net.Dialer{Timeout: c.DialTimeout, KeepAlive: -1}, idle: c.IdleTimeout, fields: c.LoadReportFields, budget: c.Budget,
+		settleTime: c.SettleTime,
+	}
 }
 
-func (p *Pool) NewEndpoint(id uint32, e ListEntry, events Events) *Endpoint {
-	a := &Endpoint{pool: p, events: events, id: id, name: e.Host, box: NewMailbox[any]()}
+// NewEndpoint starts the goroutine of one endpoint, which tells events what becomes of its attempts.
+func (p *Pool) NewEndpoint(id uint32, e protocol.ListEntry, events Events) *Endpoint {
+	a := &Endpoint{pool: p, events: events, id: id, name: e.Host, box: mailbox.New[any]()}
 	go a.serve()
 	return a
 }
 
+// StallThreshold: a timer that is so late says that the process stood still. What the endpoint list and the rollout controller wrote
+// meanwhile counts as received, but may not have been read yet.
+const StallThreshold = 250 * time.Millisecond
+
 // Events receives what becomes of attempts and health checks. Its methods are called by the endpoints' goroutines and must not wait.
 type Events interface {
 	AttemptFinished(AttemptFinished)
@@ -56,15 +73,15 @@
 // AttemptFinished is the result of one attempt, with the response where one came.
 type AttemptFinished struct {
 	policy.AttemptResult
-	Result   Result
-	Response *Response
+	Result   protocol.Result
+	Response *protocol.Response
 }
 
 // ID is the endpoint's number in the list.
 func (a *Endpoint) ID() uint32 { return a.id }
 
 // Update takes the list's latest entry for the endpoint.
-func (a *Endpoint) Update(e ListEntry) { a.box.Put(listed{ListEntry: e}) }
+func (a *Endpoint) Update(e protocol.ListEntry) { a.box.Put(listed{ListEntry: e}) }
 
 // Remove ends the endpoint once nothing of it is in flight.
 func (a *Endpoint) Remove() { a.box.Put(listed{gone: true}) }
@@ -87,7 +104,7 @@
 	events Events
 	id     uint32
 	name   string
-	box    *Mailbox[any]
+	box    *mailbox.Mailbox[any]
 
 	now      process // as it was listed last
 	leaving  bool    // it wants nothing new
@@ -107,12 +124,12 @@
 
 type (
 	listed struct { // what the list says of it
-		ListEntry
+		protocol.ListEntry
 		gone bool
 	}
 	Attempt struct {
 		RequestID           uint64
-		Encoded             *EncodedRequest
+		Encoded             *protocol.EncodedRequest
 		DecidedAt, Deadline time.Time
 		WriteBefore         time.Time // its last byte must not leave later; zero: no such time
 	}
@@ -134,7 +151,7 @@
 	}
 	heard struct { // a connection brought an answer, or its end
 		conn   *conn
-		answer *Response
+		answer *protocol.Response
 		err    error
 	}
 )
@@ -143,9 +160,9 @@
 type job struct {
 	Attempt
 	probe bool
-	on    *conn  // nil while it comes up
-	sent  bool   // its last byte is written
-	cut   Result // how its connection ended before the writer told how far it got
+	on    *conn           // nil while it comes up
+	sent  bool            // its last byte is written
+	cut   protocol.Result // how its connection ended before the writer told how far it got
 	over  bool
 	timer *time.Timer
 }
@@ -163,24 +180,7 @@
 
 // still tells whether nothing has come in on a connection at rest: neither its end nor anything behind the last
 // answer, which would be taken for the next one's.
-func (c *conn) still() bool { return IsQuiet(c.Conn) }
-
-func IsQuiet(c any) (still bool) {
-	sc, is := c.(syscall.Conn)
-	if !is {
-		return false
-	}
-	raw, err := sc.SyscallConn()
-	if err != nil {
-		return false
-	}
-	raw.Control(func(fd uintptr) {
-		var first [1]byte
-		_, _, err := unix.Recvfrom(int(fd), first[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		still = errors.Is(err, unix.EAGAIN)
-	})
-	return still
-}
+func (c *conn) still() bool { return tcpconn.IsQuiet(c.Conn) }
 
 func (a *Endpoint) serve() {
 	a.out = map[uint64]*job{}
@@ -211,19 +211,19 @@
 		a.begin(&job{Attempt: Attempt{DecidedAt: now, Deadline: now.Add(a.pool.dial.Timeout), Encoded: a.probing()}, probe: true})
 	case callOff:
 		if j := a.out[n.id]; j != nil {
-			a.finish(j, Cancelled, nil)
+			a.finish(j, protocol.Cancelled, nil)
 		}
 	case due:
 		switch j := n.job; {
 		case j.over:
 		case j.on == nil:
-			a.finish(j, NotSent, nil) // nothing has been written, and the connection had time left
+			a.finish(j, protocol.NotSent, nil) // nothing has been written, and the connection had time left
 		default:
-			a.finish(j, TimedOut, nil)
+			a.finish(j, protocol.TimedOut, nil)
 		}
 	case tooLate:
 		if j := n.job; !j.over && j.on == nil {
-			a.finish(j, NotSent, nil)
+			a.finish(j, protocol.NotSent, nil)
 		}
 	case dialed:
 		a.dialed(n)
@@ -232,7 +232,7 @@
 	case heard:
 		a.heard(n)
 	case trim:
-		a.dropIdle(trimIdle)
+		a.dropIdle(TrimIdleAfter)
 	case sweep:
 		a.sweeping = false
 		a.dropIdle(a.pool.idle / 2)
@@ -241,12 +241,12 @@
 }
 
 // probing asks for the load report where there are any.
-func (a *Endpoint) probing() *EncodedRequest {
+func (a *Endpoint) probing() *protocol.EncodedRequest {
 	target := "/ping"
 	if len(a.pool.fields) > 0 {
 		target = "/_load"
 	}
-	return EncodeRequest("GET", target, a.now.addr, nil, nil)
+	return protocol.EncodeRequest("GET", target, a.now.addr, nil, nil)
 }
 
 // listed takes the list's word on. A process that was replaced takes its idle connections along: what would be written to them ends as
@@ -267,7 +267,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(a.out)) {
 		if j := a.out[id]; j.on == nil {
-			a.finish(j, NotSent, nil)
+			a.finish(j, protocol.NotSent, nil)
 		}
 	}
 }
@@ -276,7 +276,7 @@
 func (a *Endpoint) begin(j *job) {
 	wait := time.Until(j.Deadline)
 	if wait <= 0 || a.gone || a.leaving && !j.probe {
-		a.finish(j, NotSent, nil)
+		a.finish(j, protocol.NotSent, nil)
 		return
 	}
 	if j.timer == nil {
@@ -305,16 +305,16 @@
 		place = a.pool.budget.AcquireUpstream()
 	}
 	if !place {
-		complaints.Warn("budget", "no descriptor left for a connection", "appliance", a.name)
+		ratelog.Warn("budget", "no descriptor left for a connection", "appliance", a.name)
 		a.events.ConnectionsExhausted()
-		a.finish(j, NotSent, nil)
+		a.finish(j, protocol.NotSent, nil)
 		return
 	}
 	a.pending++
 	a.events.DialStarted()
 	to := a.now
 	go func() {
-		nc, err := Dial(context.Background(), &a.pool.dial, to.addr, nil)
+		nc, err := tcpconn.Dial(context.Background(), &a.pool.dial, to.addr, nil)
 		if err != nil {
 			a.pool.budget.Release(0, 1)
 			a.box.Put(dialed{job: j, err: err})
@@ -332,7 +332,7 @@
 	case n.err == nil && (a.gone || n.conn.to != a.now):
 		a.drop(n.conn) // it leads to a process that is no more what was meant
 		if !n.job.over {
-			a.finish(n.job, NotSent, nil)
+			a.finish(n.job, protocol.NotSent, nil)
 		}
 	case n.err == nil && n.job.over:
 		a.rest(n.conn) // its job gave up; the next one finds it ready
@@ -340,12 +340,12 @@
 		a.write(n.conn, n.job)
 	case n.job.over:
 	case errors.Is(n.err, syscall.ECONNREFUSED), errors.Is(n.err, syscall.ECONNRESET):
-		a.finish(n.job, ConnectionRefused, nil)
+		a.finish(n.job, protocol.ConnectionRefused, nil)
 	case errors.Is(n.err, syscall.EMFILE), errors.Is(n.err, syscall.ENFILE), errors.Is(n.err, syscall.EADDRNOTAVAIL):
-		complaints.Warn("dial", "could not open a connection", "appliance", a.name, "err", n.err)
-		a.finish(n.job, NotSent, nil)
+		ratelog.Warn("dial", "could not open a connection", "appliance", a.name, "err", n.err)
+		a.finish(n.job, protocol.NotSent, nil)
 	default:
-		a.finish(n.job, ConnectTimeout, nil)
+		a.finish(n.job, protocol.ConnectTimeout, nil)
 	}
 }
 
@@ -356,12 +356,12 @@
 func (a *Endpoint) write(c *conn, j *job) {
 	raw := j.Encoded.Bytes(time.Until(j.Deadline))
 	c.ask <- struct{}{} // an answer that comes before the last byte is written is read too
-	c.job, j.on, j.sent, j.cut = j, c, false, Succeeded
+	c.job, j.on, j.sent, j.cut = j, c, false, protocol.Succeeded
 	// A process may have stood still since the module chose this appliance, and the list may say otherwise by now: what is older than
 	// a connection takes to come up, and than a standstill that is no longer noticed, is chosen again. It may cost a txn that waited
 	// on a starved core another turn.
 	if now := time.Now(); now.Sub(j.DecidedAt) > a.pool.dial.Timeout+StallThreshold || !j.WriteBefore.IsZero() && !now.Before(j.WriteBefore) {
-		a.finish(j, NotSent, nil)
+		a.finish(j, protocol.NotSent, nil)
 		return
 	}
 	if len(raw) <= writeAtOnce {
@@ -392,9 +392,9 @@
 		if j.on = nil; n.conn.used {
 			a.begin(j)
 		} else {
-			a.finish(j, LostBeforeSent, nil)
+			a.finish(j, protocol.LostBeforeSent, nil)
 		}
-	case j.cut != Succeeded:
+	case j.cut != protocol.Succeeded:
 		a.finish(j, j.cut, nil)
 	default:
 		j.sent = true
@@ -418,8 +418,8 @@
 	c, j := n.conn, n.conn.job
 	switch {
 	case c.closed, j == nil:
-	case n.err == nil && j.probe && n.answer.Result == ClientError:
-		a.finish(j, ServerError, n.answer) // it answers, if not to this
+	case n.err == nil && j.probe && n.answer.Result == protocol.ClientError:
+		a.finish(j, protocol.ServerError, n.answer) // it answers, if not to this
 	case n.err == nil:
 		a.finish(j, n.answer.Result, n.answer)
 	case j.sent:
@@ -431,19 +431,19 @@
 }
 
 // endOf tells a connection's end from an answer that can't be read.
-func endOf(err error) Result {
+func endOf(err error) protocol.Result {
 	var op *net.OpError
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return Malformed // begun, and then no more of it
+		return protocol.Malformed // begun, and then no more of it
 	}
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &op) {
-		return LostAfterSent
+		return protocol.LostAfterSent
 	}
-	return Malformed
+	return protocol.Malformed
 }
 
 // finish tells how a job ended, after its connection is at rest or closed: never two submissions at once.
-func (a *Endpoint) finish(j *job, how Result, ans *Response) {
+func (a *Endpoint) finish(j *job, how protocol.Result, ans *protocol.Response) {
 	j.over = true
 	if j.timer != nil {
 		j.timer.Stop()
@@ -457,14 +457,14 @@
 		}
 	}
 	switch {
-	case how == LostAfterSent, how == LostBeforeSent, how == ConnectTimeout, how == ConnectionRefused, how == TimedOut && j.probe:
+	case how == protocol.LostAfterSent, how == protocol.LostBeforeSent, how == protocol.ConnectTimeout, how == protocol.ConnectionRefused, how == protocol.TimedOut && j.probe:
 		// The process or the way to it is gone or was: idle connections may be dead without a sign, and each
 		// would cost a submission that may have run. It costs a handshake where only the one had ended.
 		a.dropIdle(0)
 	}
 	took := policy.Micros(time.Since(j.DecidedAt).Microseconds())
-	if how != Succeeded {
-		complaints.Warn(a.name+how.String(), "appliance", "appliance", a.name, "ending", how.String(),
+	if how != protocol.Succeeded {
+		ratelog.Warn(a.name+how.String(), "appliance", "appliance", a.name, "ending", how.String(),
 			"probe", j.probe, "after_ms", took/1000)
 	}
 	if j.probe {
@@ -472,7 +472,7 @@
 		p := policy.HealthCheckResult{EndpointID: a.id, Outcome: how.Outcome(), Elapsed: took}
 		if ans != nil {
 			if p.Load = ans.Load; p.Load == nil {
-				p.Load = ParseLoadReport(ans.Body, a.pool.fields)
+				p.Load = protocol.ParseLoadReport(ans.Body, a.pool.fields)
 			}
 		}
 		a.events.HealthChecked(p)
@@ -524,8 +524,8 @@
 	}
 }
 
-// trimIdle: when descriptors are short, those idle for so long are more than the present traffic needs.
-const trimIdle = 500 * time.Millisecond
+// TrimIdleAfter: when descriptors are short, those idle for so long are more than the present traffic needs.
+const TrimIdleAfter = 500 * time.Millisecond
 
 func (a *Endpoint) keepSweeping() {
 	if len(a.idle) > 0 && !a.sweeping && a.pool.idle > 0 {
