--- a/internal/cluster/election/members.go
+++ b/internal/cluster/election/members.go
@@ -18,7 +18,7 @@
 	Mask    uint64
 }
 
-func (m Members) newer(than Members) bool {
+func (m Members) isNewerThan(than Members) bool {
 	return m.Term > than.Term || m.Term == than.Term && m.Version > than.Version
 }
 
@@ -29,8 +29,8 @@
 // InitialMembers are the members with the numbers below all, before any change.
 func InitialMembers(all int) Members { return Members{Mask: 1<<all - 1} }
 
-// majority of the members that are in force here.
-func (d *Replica) majority(of map[int]bool) bool {
+// hasQuorum of the members that are in force here.
+func (d *Replica) hasQuorum(of map[int]bool) bool {
 	n := 0
 	for i := range of {
 		if d.members.Contains(i) {
@@ -51,53 +51,53 @@
 // common; of sets that differ in more they need not. So the change before, and this lead's own stamp, are to be known to a
 // majority first, and the lease renewed among them: one that was given by agents that are out binds nobody who is in.
 func (d *Replica) ChangeMembers(now Micros, mask uint64) ([]Command, error) {
-	d.begin(now)
+	d.beginEvent(now)
 	switch {
 	case !d.IsLeader(now):
 		return nil, ErrNotLeader
 	case mask == 0 || bits.OnesCount64(mask^d.members.Mask) != 1:
 		return nil, ErrNotSingleChange
-	case !d.ours || !d.majority(d.settled) || d.heldBy != d.members:
+	case !d.membersStamped || !d.hasQuorum(d.membersCommittedBy) || d.leaseMembers != d.members:
 		return nil, ErrMembersPending
 	}
 	old := d.members.Mask
-	d.stamp(mask)
+	d.installMembers(mask)
 	for i := range MaxReplicas {
-		if i != d.me && old>>i&1 == 1 && !d.members.Contains(i) {
-			d.send(i, d.about(Message{Kind: CommitMembers, Ballot: d.ballot, Record: d.known})) // it hears that it is out
+		if i != d.id && old>>i&1 == 1 && !d.members.Contains(i) {
+			d.send(i, d.withMembers(Message{Kind: CommitMembers, Ballot: d.ballot, Record: d.newestRecord})) // it hears that it is out
 		}
 	}
-	return d.act(), nil
+	return d.advance(), nil
 }
 
-// stamp makes the members this lead's own. The newest record goes along: one that a majority of the members before knows need
+// installMembers makes the members this lead's own. The newest record goes along: one that a majority of the members before knows need
 // not be known to a majority of those after the next change.
-func (d *Replica) stamp(mask uint64) {
+func (d *Replica) installMembers(mask uint64) {
 	next := Members{Term: d.term, Version: 1, Mask: mask}
 	if d.members.Term == d.term {
 		next.Version = d.members.Version + 1
 	}
-	d.members, d.ours, d.settled, d.sayAt = next, true, map[int]bool{d.me: true}, d.now
-	d.tell(d.about(Message{Kind: CommitMembers, Ballot: d.ballot, Record: d.known}))
-	d.ask()
+	d.members, d.membersStamped, d.membersCommittedBy, d.membersSentAt = next, true, map[int]bool{d.id: true}, d.now
+	d.broadcast(d.withMembers(Message{Kind: CommitMembers, Ballot: d.ballot, Record: d.newestRecord}))
+	d.campaign()
 }
 
-// about adds the members to a message.
-func (d *Replica) about(m Message) Message { m.Members = d.members; return m }
+// withMembers adds the members to a message.
+func (d *Replica) withMembers(m Message) Message { m.Members = d.members; return m }
 
-// join takes newer members over; a ballot that was begun among others is void.
-func (d *Replica) join(m Members) {
-	if m.newer(d.members) {
-		d.members = m
-		d.yes, d.took, d.ours = nil, nil, false
-		if d.leads > 0 && !d.without.LeaseExpiry && m.Term != d.term {
-			d.leads = 0
+// adoptMembers takes newer members over; a ballot that was begun among others is void.
+func (d *Replica) adoptMembers(members Members) {
+	if members.isNewerThan(d.members) {
+		d.members = members
+		d.promises, d.acceptances, d.membersStamped = nil, nil, false
+		if d.leaderUntil > 0 && !d.disabled.LeaseExpiry && members.Term != d.term {
+			d.leaderUntil = 0
 		}
 	}
 }
 
-// next is the member after an agent, in turn.
-func (d *Replica) next(after int) int {
+// nextMember is the member after an agent, in turn.
+func (d *Replica) nextMember(after int) int {
 	for i := 1; i <= MaxReplicas; i++ {
 		if at := (after + i) % MaxReplicas; d.members.Contains(at) {
 			return at
