--- a/internal/cluster/election/cluster_test.go
+++ b/internal/cluster/election/cluster_test.go
@@ -159,7 +159,7 @@
 }
 
 // A wish to go back from any agent stops going on, also where more are needed to go back.
-func TestRollBackRecommendationBlocksAdvance(t *testing.T) {
+func TestRollbackRecommendationBlocksAdvance(t *testing.T) {
 	c := newCluster(false)
 	for _, d := range c.replicas {
 		d.settings.RollBackQuorum = 2
--- /dev/null
+++ b/internal/cluster/election/command.go
@@ -0,0 +1,26 @@
+package election
+
+// Command is one of [SendMessage], [CastVote], [Persist] and [SelfStop]. The commands of a call have to be carried out in order.
+type Command any
+
+type (
+	// SendMessage sends a message to another replica. It may be lost, delayed, duplicated or reordered.
+	SendMessage struct {
+		To int
+		Message
+	}
+	// CastVote writes a vote, unless the time is past WriteBefore by then: the process may have stood still in between.
+	CastVote struct {
+		Record
+		WriteBefore Micros
+	}
+	// Persist has to be on stable storage, where there is any, before a later command of the same call is carried out.
+	Persist struct{ DurableState }
+	// SelfStop tells that this replica's release analyzer asks for a rollback while no leader is known. With Stop the replica
+	// stops its own requests to the build, which is the safe direction; without, the analyzer asks for something else or the
+	// rollout has moved on, and requests may go on.
+	SelfStop struct {
+		Decision
+		Stop bool
+	}
+)
--- a/internal/cluster/election/golden_test.go
+++ b/internal/cluster/election/golden_test.go
@@ -74,7 +74,7 @@
 	case n < 600:
 		g.deliver()
 	case n < 900:
-		g.now += Micros(g.random.Int63n(int64(40 * ms)))
+		g.now += g.random.Int63n(int64(40 * ms))
 		for i, d := range g.replicas {
 			g.digest.Add(d.NextTick())
 			if !g.isPaused[i] && d.NextTick() <= g.now {
--- a/internal/cluster/election/members.go
+++ b/internal/cluster/election/members.go
@@ -5,103 +5,169 @@
 	"math/bits"
 )
 
-// This file owns who counts: the members, how they change one at a time, and what a majority of them is.
-
-// MaxReplicas is how many agents' numbers there are, from 0.
+// MaxReplicas is how many replica numbers there are, from 0.
 const MaxReplicas = 64
 
-// Members are the agents that count, as bits by their numbers. A change is stamped by the lead that made it; the newest
-// that an agent has heard of is in force for it at once.
+// Members are the replicas that vote. The leader that changes them stamps them with its term; the newest that a replica has
+// heard of are in force for it at once.
 type Members struct {
 	Term    uint64
 	Version uint32
-	Mask    uint64
+	Mask    uint64 // one bit a replica, by its number
 }
 
-func (m Members) isNewerThan(than Members) bool {
-	return m.Term > than.Term || m.Term == than.Term && m.Version > than.Version
+// InitialMembers returns the members with the numbers below count, before any change.
+func InitialMembers(count int) Members { return Members{Mask: 1<<count - 1} }
+
+// Contains reports whether a replica is a member.
+func (m Members) Contains(replica int) bool {
+	return replica >= 0 && replica < MaxReplicas && m.Mask>>replica&1 == 1
+}
+
+// Count returns how many members there are.
+func (m Members) Count() int { return bits.OnesCount64(m.Mask) }
+
+func (m Members) isNewerThan(other Members) bool {
+	return m.Term > other.Term || m.Term == other.Term && m.Version > other.Version
 }
 
-// Contains tells whether an agent counts; Many is how many do.
-func (m Members) Contains(i int) bool { return i >= 0 && i < MaxReplicas && m.Mask>>i&1 == 1 }
-func (m Members) Count() int          { return bits.OnesCount64(m.Mask) }
+// replicaSet is a set of replicas by their numbers, such as those that have acknowledged something.
+type replicaSet map[int]bool
 
-// InitialMembers are the members with the numbers below all, before any change.
-func InitialMembers(all int) Members { return Members{Mask: 1<<all - 1} }
+func newReplicaSet(replica int) replicaSet { return replicaSet{replica: true} }
 
-// hasQuorum of the members that are in force here.
-func (d *Replica) hasQuorum(of map[int]bool) bool {
-	n := 0
-	for i := range of {
-		if d.members.Contains(i) {
-			n++
+func (s replicaSet) add(replica int) { s[replica] = true }
+
+// hasQuorum reports whether a set holds more than half of the members that are in force here.
+func (r *Replica) hasQuorum(set replicaSet) bool {
+	count := 0
+	for replica := range set {
+		if r.members.Contains(replica) {
+			count++
 		}
 	}
-	return 2*n > d.members.Count()
+	return 2*count > r.members.Count()
 }
 
-// Why a change of the members is refused.
+// nextMember returns the member after a replica, in turn.
+func (r *Replica) nextMember(after int) int {
+	for i := 1; i <= MaxReplicas; i++ {
+		if candidate := (after + i) % MaxReplicas; r.members.Contains(candidate) {
+			return candidate
+		}
+	}
+	return after
+}
+
+// membershipState is how far the members of the present term are known.
+type membershipState struct {
+	isStamped   bool // the present term has stamped the members
+	committedBy replicaSet
+	sentAt      Micros
+}
+
+// Errors of ChangeMembers.
 var (
 	ErrNotLeader       = errors.New("this agent does not lead")
 	ErrMembersPending  = errors.New("the members are not settled with a majority yet")
 	ErrNotSingleChange = errors.New("members join and leave one at a time, and one must stay")
 )
 
-// ChangeMembers puts other members in force, one more or one fewer. Two majorities of sets that differ in one have an agent in
-// common; of sets that differ in more they need not. So the change before, and this lead's own stamp, are to be known to a
-// majority first, and the lease renewed among them: one that was given by agents that are out binds nobody who is in.
-func (d *Replica) ChangeMembers(now Micros, mask uint64) ([]Command, error) {
-	d.beginEvent(now)
+// ChangeMembers puts other members in force, one more or one fewer.
+//
+// Quorums of two sets that differ in one replica have a replica in common; quorums of sets that differ in more need not. So
+// the change before, and this term's own stamp, have to be known to a quorum first, and the lease has to be renewed among
+// them: a lease that was given by replicas that are out binds nobody who is in.
+func (r *Replica) ChangeMembers(now Micros, mask uint64) ([]Command, error) {
+	r.beginCall(now)
 	switch {
-	case !d.IsLeader(now):
+	case !r.IsLeader(now):
 		return nil, ErrNotLeader
-	case mask == 0 || bits.OnesCount64(mask^d.members.Mask) != 1:
+	case mask == 0 || bits.OnesCount64(mask^r.members.Mask) != 1:
 		return nil, ErrNotSingleChange
-	case !d.membersStamped || !d.hasQuorum(d.membersCommittedBy) || d.leaseMembers != d.members:
+	case !r.areMembersCommitted() || r.leader.leaseMembers != r.members:
 		return nil, ErrMembersPending
 	}
-	old := d.members.Mask
-	d.installMembers(mask)
+	previous := r.members
+	r.installMembers(mask)
+	r.notifyRemoved(previous)
+	return r.advance(), nil
+}
+
+// areMembersCommitted reports whether a quorum knows the members with the stamp of the present term.
+func (r *Replica) areMembersCommitted() bool {
+	return r.membership.isStamped && r.hasQuorum(r.membership.committedBy)
+}
+
+// notifyRemoved tells replicas that are members no more that they are out.
+func (r *Replica) notifyRemoved(previous Members) {
 	for i := range MaxReplicas {
-		if i != d.id && old>>i&1 == 1 && !d.members.Contains(i) {
-			d.send(i, d.withMembers(Message{Kind: CommitMembers, Ballot: d.ballot, Record: d.newestRecord})) // it hears that it is out
+		if i != r.id && previous.Contains(i) && !r.members.Contains(i) {
+			r.send(i, r.commitMembersMessage())
 		}
 	}
-	return d.advance(), nil
 }
 
-// installMembers makes the members this lead's own. The newest record goes along: one that a majority of the members before knows need
-// not be known to a majority of those after the next change.
-func (d *Replica) installMembers(mask uint64) {
-	next := Members{Term: d.term, Version: 1, Mask: mask}
-	if d.members.Term == d.term {
-		next.Version = d.members.Version + 1
+// advanceMembers stamps the members in a new term, and sends the stamp again until a quorum knows it.
+func (r *Replica) advanceMembers() {
+	if r.now-r.membership.sentAt < r.settings.retryInterval() {
+		return
+	}
+	switch {
+	case !r.membership.isStamped:
+		r.installMembers(r.members.Mask)
+	case !r.areMembersCommitted():
+		r.sendMembers()
 	}
-	d.members, d.membersStamped, d.membersCommittedBy, d.membersSentAt = next, true, map[int]bool{d.id: true}, d.now
-	d.broadcast(d.withMembers(Message{Kind: CommitMembers, Ballot: d.ballot, Record: d.newestRecord}))
-	d.campaign()
 }
 
-// withMembers adds the members to a message.
-func (d *Replica) withMembers(m Message) Message { m.Members = d.members; return m }
+// installMembers stamps members with the present term, and renews the lease among them.
+func (r *Replica) installMembers(mask uint64) {
+	next := Members{Term: r.leader.term, Version: 1, Mask: mask}
+	if r.members.Term == r.leader.term {
+		next.Version = r.members.Version + 1
+	}
+	r.members = next
+	r.membership.isStamped = true
+	r.membership.committedBy = newReplicaSet(r.id)
+	r.sendMembers()
+	r.campaign()
+}
 
-// adoptMembers takes newer members over; a ballot that was begun among others is void.
-func (d *Replica) adoptMembers(members Members) {
-	if members.isNewerThan(d.members) {
-		d.members = members
-		d.promises, d.acceptances, d.membersStamped = nil, nil, false
-		if d.leaderUntil > 0 && !d.disabled.LeaseExpiry && members.Term != d.term {
-			d.leaderUntil = 0
-		}
+func (r *Replica) sendMembers() {
+	r.membership.sentAt = r.now
+	r.broadcast(r.commitMembersMessage())
+}
+
+// commitMembersMessage carries the newest record, too: one that a quorum of the members before knows need not be known to a
+// quorum of those after the next change.
+func (r *Replica) commitMembersMessage() Message {
+	return r.withMembers(Message{Kind: CommitMembers, Ballot: r.candidate.ballot, Record: r.newestRecord})
+}
+
+// adoptMembers takes newer members over. A ballot that was started among others is void.
+func (r *Replica) adoptMembers(members Members) {
+	if !members.isNewerThan(r.members) {
+		return
+	}
+	r.members = members
+	r.candidate.abandon()
+	r.membership.isStamped = false
+	if r.leader.leaseUntil > 0 && !r.disabled.LeaseExpiry && members.Term != r.leader.term {
+		r.leader.leaseUntil = 0
 	}
 }
 
-// nextMember is the member after an agent, in turn.
-func (d *Replica) nextMember(after int) int {
-	for i := 1; i <= MaxReplicas; i++ {
-		if at := (after + i) % MaxReplicas; d.members.Contains(at) {
-			return at
-		}
+// handleCommitMembers acknowledges members that handle has taken over.
+func (r *Replica) handleCommitMembers(from int, m Message) {
+	if !r.isAbstaining() && m.Ballot >= r.acceptor.highestPromised && m.Members == r.members {
+		r.send(from, r.withMembers(Message{Kind: MembersCommitted, Ballot: m.Ballot}))
+	}
+}
+
+// handleMembersCommitted counts an acknowledgement of the members.
+func (r *Replica) handleMembersCommitted(from int, m Message) {
+	if r.membership.isStamped && m.Members == r.members {
+		r.membership.committedBy.add(from)
 	}
-	return after
 }
--- /dev/null
+++ b/internal/cluster/election/message.go
@@ -0,0 +1,49 @@
+package election
+
+// Kind of a message.
+type Kind uint8
+
+// The kinds of messages.
+const (
+	Prepare          Kind = iota + 1 // asks for a promise of the ballot
+	Promise                          // promises the ballot, and tells the newest record that the sender knows
+	Propose                          // asks to accept the lease of the ballot
+	Accepted                         // accepts the lease
+	Replicate                        // asks to remember the record
+	Replicated                       // acknowledges the record
+	Recommend                        // tells the verdict that the sender's release analyzer asks for
+	HandOver                         // releases the lease and appoints the successor
+	Nack                             // tells of a higher ballot, of this one, or of newer members
+	CommitMembers                    // asks to remember the members
+	MembersCommitted                 // acknowledges the members
+	kindEnd
+)
+
+// IsValid reports whether k is one of the kinds.
+func (k Kind) IsValid() bool { return k >= Prepare && k < kindEnd }
+
+// Message from one replica to another. Every field is small, so that a message fits into a datagram many times over.
+type Message struct {
+	Kind   Kind
+	Ballot uint64
+	// ReleasedUpTo, of a Prepare, is the ballot up to which leases were given up by their holders; of a HandOver, the ballot that
+	// the leaving leader has promised to its successor.
+	ReleasedUpTo   uint64
+	Record         Record   // of a Promise, Accepted, Replicate, Replicated, HandOver or CommitMembers
+	Recommendation Decision // of a Recommend
+	Members        Members  // that the sender knows; of all kinds but Recommend, Replicate and Replicated
+}
+
+const (
+	// ballotOwnerBits are the low bits of a ballot; they hold its owner's number, so that no two replicas share a ballot.
+	ballotOwnerBits = 8
+	ballotOwnerMask = 1<<ballotOwnerBits - 1
+)
+
+// nextBallot returns the lowest ballot of an owner in the round after that of a ballot.
+func nextBallot(after uint64, owner int) uint64 {
+	round := after>>ballotOwnerBits + 1
+	return round<<ballotOwnerBits | uint64(owner)
+}
+
+func ballotOwner(ballot uint64) int { return int(ballot & ballotOwnerMask) }
--- a/internal/cluster/election/model_test.go
+++ b/internal/cluster/election/model_test.go
@@ -59,7 +59,7 @@
 			w.castVotes = append(w.castVotes, observedCast{i, command, w.now})
 			know, members := 0, w.replicas[i].members // most of those who count know it, or something newer
 			for j, d := range w.replicas {
-				if members.Contains(j) && !command.Record.isNewerThan(d.newestRecord) {
+				if members.Contains(j) && !command.isNewerThan(d.newestRecord) {
 					know++
 				}
 			}
--- a/internal/cluster/election/replica.go
+++ b/internal/cluster/election/replica.go
@@ -1,558 +1,276 @@
-// Package election decides which one agent of several casts the votes on a release, and what it may cast when. It owns the
-// lease, the records of decisions and what the agents wish; it must never judge a build, talk to anybody or read a clock.
-//
-// Use: make one Decider an agent with New, tell it what happens with this machine's monotonic time in whole microseconds, and
-// carry out the orders that each call returns, in order. The argument why two contrary decisions never count together stands
-// in docs/design-decider.md.
 package election
 
 import "math/rand"
 
-// Micros is a time or a span in whole microseconds.
-type Micros = int64
+// noReplica stands for a replica's number where there is none.
+const noReplica = -1
 
-// Verdict of a vote.
-type Verdict uint8
+// forever is later than any time.
+const forever Micros = 1 << 62
 
-const (
-	NoVote Verdict = iota
-	Advance
-	Hold
-	RollBack
-)
-
-func (v Verdict) String() string { return [...]string{"none", "on", "hold", "back"}[v] }
-
-// Settings are what the agents agree on.
-type Settings struct {
-	Lease Micros // how long a lead lasts unless renewed
-	// Drift bounds how much faster or slower any clock runs, as a part.
-	ClockDrift     float64
-	MaxVoteDelay   Micros // a vote that was written is carried out within this time, or never
-	VoteLifetime   Micros // of a vote
-	RollBackQuorum int    // how many agents must wish to go back
-}
-
-// Decision is one vote to be cast.
-type Decision struct {
-	Build, Stage int32
-	Verdict      Verdict
-}
-
-// Record is a decision that a majority has been told before it is cast.
-type Record struct {
-	Term  uint64 // the ballot of its owner's lease
-	Index uint32
-	Decision
-	// Prior is another verdict that the same lead has cast on this build and stage, and that may still count: should nothing
-	// since have been carried out.
-	Prior Verdict
-}
-
-func (r Record) isNewerThan(than Record) bool {
-	return r.Term > than.Term || r.Term == than.Term && r.Index > than.Index
-}
-
-// DurableState is what must not be forgotten: with it, an agent that restarts may take part at once.
-type DurableState struct {
-	Promised, Accepted, Released uint64
-	LeaseHolder                  int32
-	Newest                       Record
-	Members                      Members
-}
-
-// Kind of a message.
-type Kind uint8
-
-const (
-	Prepare          Kind = iota + 1 // may I lead?
-	Promise                          // yes, and this is the newest record that I know
-	Propose                          // I lead
-	Accepted                         // you do, as far as I am concerned
-	Replicate                        // know this record
-	Replicated                       // known
-	Recommend                        // what the judge of the sender asks for
-	HandOver                         // I leave: take the lead
-	Nack                             // I have promised a higher ballot, this one, or know newer members
-	CommitMembers                    // know these members
-	MembersCommitted                 // known
-	kindEnd
-)
-
-// IsValid tells a kind that is one.
-func (k Kind) IsValid() bool { return k >= Prepare && k < kindEnd }
-
-// Message between agents; every field is small, so that one fits into a datagram many times over.
-type Message struct {
-	Kind           Kind
-	Ballot         uint64
-	ReleasedUpTo   uint64 // of a Prepare: leases up to this ballot were given up by their owner
-	Record         Record // of a Promise, Write or Written
-	Recommendation Decision
-	// Members that the sender knows; of all kinds but Wish, Write and Written.
-	Members Members
-}
-
-// Command is one of the orders below; they are to be carried out in order.
-type Command any
-
-type (
-	// SendMessage gives a message to another agent; it may be lost, late, doubled, or out of order.
-	SendMessage struct {
-		To int
-		Message
-	}
-	// CastVote writes a vote, unless it is later than Before by then: a process may stand still in between.
-	CastVote struct {
-		Record
-		WriteBefore Micros
-	}
-	// Persist is to be on a disk, where there is one, before any later order of the same call is carried out.
-	Persist struct{ DurableState }
-	// SelfStop: this agent's judge wishes to go back and nobody leads as far as it knows. It stops its own sending to the build,
-	// which is the safe direction, until it wishes otherwise or the build has moved.
-	SelfStop struct {
-		Decision
-		Stop bool
-	}
-)
-
-// DisabledGuards switches a guard off, so that the checker can be seen to find what it guards against.
-type DisabledGuards struct{ LeaseExpiry, QuorumBeforeCast, WaitForEarlierVotes, Prevote, LeaseFromStart bool }
-
-// Replica is one agent's part; see the package.
+// Replica is one member's part of the protocol. It is not safe for concurrent use.
 type Replica struct {
-	now      Micros
 	id       int
-	members  Members
 	settings Settings
 	disabled DisabledGuards
 	random   *rand.Rand
-	commands []Command
-
-	// As one of those who are asked.
-	highestPromised, highestAccepted uint64
-	leaseHolder                      int
-	leaseAcceptedUntil               Micros       // of the lease that was accepted, by this clock
-	highestBallotSeen                uint64       // the highest ballot that another has told of
-	highestReleased                  uint64       // a ballot up to which leases were given up
-	abstainUntil                     Micros       // after a restart without a memory
-	newestRecord                     Record       // the newest
-	lastPersisted                    DurableState // the last that was to be kept
-
-	// As one who leads, or asks to.
-	ballot          uint64
-	term            uint64 // the ballot by which the lead was got; renewals keep it
-	ballotStartedAt Micros // when the ballot was begun
-	hasProposed     bool
-	promises        map[int]bool
-	acceptances     map[int]bool
-	leaderUntil     Micros // until then; 0: does not
-	ballotWon       bool   // the ballot has brought a lease
-	ballotSentAt    Micros // when its question was last put
-	nextCampaignAt  Micros
-	deferredAt      []Micros // when this agent last gave way to another that asked; 0: never
-	isLeaving       bool
+	now      Micros
+	commands []Command // of the call in progress
+	members  Members   // the newest that this replica has heard of
 
-	pendingRecord         Record // told, not written by a majority yet
-	replicatedTo          map[int]bool
-	replicateSentAt       Micros
-	lastIndex             uint32
-	lastCast              Record
-	lastCastAt            Micros
-	lastCastResolved      bool
-	priorVerdict          Verdict // what this lead cast on the stage before, other than the last, and until when that may count
-	priorVerdictUntil     Micros
-	predecessorRecord     Record // the newest of the leads before, as a majority knows it
-	predecessorVotesUntil Micros // from then on nothing of an earlier lead can count
+	newestRecord  Record // of the vote log, by any leader
+	lastPersisted DurableState
 
-	build, stage    int32
-	rolloutActive   bool // a release is on trial
-	recommendations []recommendation
-	selfStopped     Decision // that this agent has stopped for by itself
+	acceptor   acceptorState
+	candidate  candidateState
+	leader     leaderState
+	votes      voteState
+	membership membershipState
 
-	membersStamped     bool    // this lead has stamped the members
-	leaseMembers       Members // among whom the lease in force was got
-	ballotMembers      Members // and the ballot in hand was begun
-	membersCommittedBy map[int]bool
-	membersSentAt      Micros // when the members were last told
+	rollout         rolloutState
+	recommendations []recommendation // by replica
+	selfStopped     Decision         // for which this replica has stopped its own requests; the zero value: for none
+	isLeaving       bool
 }
 
-type recommendation struct {
-	Decision
-	receivedAt Micros
+// rolloutState is the position of the newest build.
+type rolloutState struct {
+	build, stage int32
+	isActive     bool // the build is under evaluation
 }
 
-// New starts an agent's part at a time. memory is what it last kept; without one it is fresh, unless none of the agents has
-// ever run: then it abstains until nothing can count any more that it may have been told of.
+// New makes a replica at a time. durableState is what it last persisted, nil without any. A replica without its state is
+// fresh, unless none of the replicas has ever run: a fresh one abstains until nothing can count any more that it may have
+// answered for.
 func New(id int, members Members, durableState *DurableState, settings Settings, disabled DisabledGuards, isFresh bool, now Micros, seed int64) *Replica {
-	d := &Replica{
+	r := &Replica{
 		id: id, members: members, settings: settings, disabled: disabled, random: rand.New(rand.NewSource(seed)), now: now,
-		recommendations: make([]recommendation, MaxReplicas), deferredAt: make([]Micros, MaxReplicas), leaseHolder: -1,
+		recommendations: make([]recommendation, MaxReplicas),
+		acceptor:        acceptorState{leaseHolder: noReplica, deferredAt: make([]Micros, MaxReplicas)},
 	}
 	if durableState != nil {
-		d.highestPromised, d.highestAccepted, d.highestReleased, d.newestRecord, d.leaseHolder = durableState.Promised, durableState.Accepted, durableState.Released, durableState.Newest, int(durableState.LeaseHolder)
-		if durableState.Members.isNewerThan(members) {
-			d.members = durableState.Members
-		}
-		if d.highestAccepted > d.highestReleased {
-			d.leaseAcceptedUntil = now + d.driftUpperBound(settings.Lease) // how long it still runs is not known any more
-		}
+		r.restore(*durableState)
 	}
-	d.lastPersisted = d.durableState()
+	r.lastPersisted = r.durableState()
 	if isFresh && !disabled.LeaseExpiry {
-		// Whoever led by its word may cast for a lease more, and that counts for so long; what it knew of it is gone.
-		d.abstainUntil = now + d.driftUpperBound(settings.Lease+settings.MaxVoteDelay+settings.VoteLifetime)
+		// A leader that this replica has accepted may cast for one more lease, and its votes count for the window after; what
+		// this replica knew of it is lost.
+		r.acceptor.abstainUntil = now + settings.driftUpperBound(settings.Lease+settings.MaxVoteDelay+settings.VoteLifetime)
+	}
+	r.candidate.nextCampaignAt = now + r.campaignJitter()
+	return r
+}
+
+func (r *Replica) restore(state DurableState) {
+	a := &r.acceptor
+	a.highestPromised = state.Promised
+	a.highestAccepted = state.Accepted
+	a.highestReleased = state.Released
+	a.leaseHolder = int(state.LeaseHolder)
+	r.newestRecord = state.Newest
+	if state.Members.isNewerThan(r.members) {
+		r.members = state.Members
+	}
+	if a.highestAccepted > a.highestReleased {
+		// How much of the lease is left is not known any more: it counts as new.
+		a.leaseUntil = r.now + r.settings.driftUpperBound(r.settings.Lease)
 	}
-	d.nextCampaignAt = now + d.campaignJitter()
-	return d
-}
-
-func (d *Replica) durableState() DurableState {
-	return DurableState{d.highestPromised, d.highestAccepted, d.highestReleased, int32(d.leaseHolder), d.newestRecord, d.members}
-}
-
-// driftUpperBound and shorter are a span by this clock that surely is, or surely is not, over by any other.
-func (d *Replica) driftUpperBound(span Micros) Micros {
-	return Micros(float64(span) * (1 + 2*d.settings.ClockDrift))
-}
-
-func (d *Replica) driftLowerBound(span Micros) Micros {
-	return Micros(float64(span) * (1 - 2*d.settings.ClockDrift))
 }
 
-// campaignJitter keeps agents from asking all at once: up to a third of a lease.
-func (d *Replica) campaignJitter() Micros {
-	return d.settings.Lease/30 + Micros(d.random.Int63n(max(1, d.settings.Lease/3)))
+func (r *Replica) durableState() DurableState {
+	return DurableState{
+		Promised:    r.acceptor.highestPromised,
+		Accepted:    r.acceptor.highestAccepted,
+		Released:    r.acceptor.highestReleased,
+		LeaseHolder: int32(r.acceptor.leaseHolder),
+		Newest:      r.newestRecord,
+		Members:     r.members,
+	}
 }
 
-const (
-	// renewalsPerLease of a lease is over when it is renewed: time for two more tries.
-	renewalsPerLease = 3
-	// ballotResendsPerLease so many times in a lease the question of a ballot in hand is put again: as often as before between two renewals.
-	ballotResendsPerLease = 6
-	// ballotTimeoutsPerLease: a ballot is given half a lease; later it would bring a lease that is mostly over.
-	ballotTimeoutsPerLease = 2
-	// deferralIntervalLeases: who has promised another leaves it as long as a ballot is given, but one that never comes through only once in so
-	// many leases.
-	deferralIntervalLeases = 2
-	// retriesPerLease: a message without an answer is sent again after this part of a lease.
-	retriesPerLease = 15
-	// recommendationLeases so many leases a wish counts; it is told again twice a lease.
-	recommendationLeases = 2
-	// recastLifetimeFraction: a vote is cast again when this part of its life is over.
-	recastLifetimeFraction = 0.66
-)
-
-// IsLeader tells whether this agent may cast now.
-func (d *Replica) IsLeader(now Micros) bool {
-	return now < d.leaderUntil || d.disabled.LeaseExpiry && d.leaderUntil > 0
+// IsLeader reports whether this replica may cast votes now.
+func (r *Replica) IsLeader(now Micros) bool {
+	return now < r.leader.leaseUntil || r.disabled.LeaseExpiry && r.leader.leaseUntil > 0
 }
 
-// Term is the ballot of the lead in hand, 0 without one.
-func (d *Replica) Term() uint64 {
-	if d.leaderUntil == 0 {
+// Term returns the ballot by which this replica got its leadership, 0 without one.
+func (r *Replica) Term() uint64 {
+	if r.leader.leaseUntil == 0 {
 		return 0
 	}
-	return d.term
+	return r.leader.term
 }
 
-// Status is what an operator asks for.
+// Status is the state that operators ask for.
 type Status struct {
 	IsLeader             bool
 	LeaseRemaining       Micros
 	Term                 uint64
 	Newest               Record
 	HasUnresolvedVote    bool
-	LeaseHolder          int // whose lease is in force here; -1: nobody's
+	LeaseHolder          int // whose lease this replica has accepted; -1: nobody's
 	Members              Members
-	AbstainsFor          Micros // for so long
-	EarlierVotesExpireIn Micros // what an earlier lead has cast may count for so long
+	AbstainsFor          Micros // how much longer
+	EarlierVotesExpireIn Micros // how much longer votes of an earlier leader may count
 }
 
-func (d *Replica) Status(now Micros) Status {
+// Status returns the state at a time.
+func (r *Replica) Status(now Micros) Status {
 	s := Status{
-		d.IsLeader(now), max(0, d.leaderUntil-now), d.Term(), d.newestRecord, d.pendingRecord.Term != 0 || d.lastCast.Term != 0 && !d.lastCastResolved,
-		-1, d.members, max(0, d.abstainUntil-now), 0,
+		IsLeader:          r.IsLeader(now),
+		LeaseRemaining:    max(0, r.leader.leaseUntil-now),
+		Term:              r.Term(),
+		Newest:            r.newestRecord,
+		HasUnresolvedVote: r.votes.hasUnresolved(),
+		LeaseHolder:       noReplica,
+		Members:           r.members,
+		AbstainsFor:       max(0, r.acceptor.abstainUntil-now),
 	}
-	if now < d.leaseAcceptedUntil || s.IsLeader {
-		s.LeaseHolder = d.leaseHolder
+	if now < r.acceptor.leaseUntil || s.IsLeader {
+		s.LeaseHolder = r.acceptor.leaseHolder
 	}
-	if s.IsLeader && d.predecessorRecord.Term != 0 {
-		s.EarlierVotesExpireIn = max(0, d.predecessorVotesUntil-now)
+	if s.IsLeader && r.votes.predecessor.Term != 0 {
+		s.EarlierVotesExpireIn = max(0, r.votes.predecessorUntil-now)
 	}
 	return s
 }
 
-// StopParticipating is for a host whose disk has failed: nothing is answered for any more.
-func (d *Replica) StopParticipating(now Micros) {
-	d.beginEvent(now)
-	d.leaderUntil, d.pendingRecord, d.abstainUntil = 0, Record{}, 1<<62
+// StopParticipating ends the replica's part after its stable storage has failed: it promises and accepts nothing any more.
+func (r *Replica) StopParticipating(now Micros) {
+	r.beginCall(now)
+	r.leader.leaseUntil = 0
+	r.votes.pending = Record{}
+	r.acceptor.abstainUntil = forever
 }
 
-// UpdateRollout tells where the newest build stands; votes name their stage, so what was decided on another is moot.
-func (d *Replica) UpdateRollout(now Micros, build, stage int32, rolloutActive bool) []Command {
-	d.beginEvent(now)
-	if build != d.build || stage != d.stage || rolloutActive != d.rolloutActive {
-		d.build, d.stage, d.rolloutActive = build, stage, rolloutActive
-		if d.pendingRecord.Build != build || d.pendingRecord.Stage != stage {
-			d.pendingRecord = Record{}
-		}
+// UpdateRollout tells the position of the newest build. Votes name their stage, so a decision on another one is moot.
+func (r *Replica) UpdateRollout(now Micros, build, stage int32, isActive bool) []Command {
+	r.beginCall(now)
+	r.rollout = rolloutState{build: build, stage: stage, isActive: isActive}
+	if r.votes.pending.Build != build || r.votes.pending.Stage != stage {
+		r.votes.pending = Record{}
 	}
-	return d.advance()
+	return r.advance()
 }
 
-// Recommend tells what the judge of this agent asks for.
-func (d *Replica) Recommend(now Micros, recommended Decision) []Command {
-	d.beginEvent(now)
-	d.recommendations[d.id] = recommendation{recommended, now}
-	d.broadcast(Message{Kind: Recommend, Recommendation: recommended})
-	return d.advance()
-}
-
-// ResolveVote tells that the launcher has answered the last cast: it is carried out, or never will be.
-func (d *Replica) ResolveVote(now Micros, record Record) []Command {
-	d.beginEvent(now)
-	if record == d.lastCast {
-		d.lastCastResolved = true
+// ResolveVote tells that the rollout controller has answered the vote of a record: it took effect, or never will.
+func (r *Replica) ResolveVote(now Micros, record Record) []Command {
+	r.beginCall(now)
+	if record == r.votes.lastCast {
+		r.votes.lastCastResolved = true
 	}
-	return d.advance()
+	return r.advance()
 }
 
-// Leave passes the lead on: nothing is cast any more, and the next in turn has this one's promise with the word that it
-// leaves, and the others' as soon as they hear it. It still answers others; it never asks again.
-func (d *Replica) Leave(now Micros) []Command {
-	d.beginEvent(now)
-	led := d.leaderUntil > now
-	d.leaderUntil, d.promises, d.acceptances, d.isLeaving = 0, nil, nil, true // what still comes of its last ballot is not for it
-	if next := d.nextMember(d.id); led && next != d.id {
-		d.highestPromised = (max(d.highestPromised, d.ballot, d.highestBallotSeen)>>8+1)<<8 | uint64(next)
-		d.highestReleased, d.leaseAcceptedUntil = max(d.highestReleased, d.ballot), d.now
-		d.broadcast(d.withMembers(Message{Kind: HandOver, Ballot: d.ballot, ReleasedUpTo: d.highestPromised, Record: d.newestRecord}))
-	}
-	return d.flushCommands()
+// Tick has to be called at the time that NextTick returned, or later.
+func (r *Replica) Tick(now Micros) []Command {
+	r.beginCall(now)
+	return r.advance()
 }
 
-// Tick is to be called at the time that Next gave, or later.
-func (d *Replica) Tick(now Micros) []Command {
-	d.beginEvent(now)
-	return d.advance()
-}
-
-// NextTick is when to Tick: a fifteenth of a lease at the most.
-func (d *Replica) NextTick() Micros { return d.now + max(1, d.settings.Lease/retriesPerLease) }
-
-func (d *Replica) beginEvent(now Micros) {
-	if now-d.now > d.settings.Lease/2 && !d.disabled.LeaseExpiry {
-		d.leaderUntil = 0 // a standstill: what happened meanwhile is not known yet
-	}
-	d.now, d.commands = max(d.now, now), d.commands[:0]
-}
-
-func (d *Replica) send(to int, m Message) { d.commands = append(d.commands, SendMessage{to, m}) }
-
-func (d *Replica) broadcast(m Message) {
-	for i := range MaxReplicas {
-		if i != d.id && d.members.Contains(i) {
-			d.send(i, m)
-		}
-	}
-}
+// NextTick returns when to call Tick, unless another call comes first.
+func (r *Replica) NextTick() Micros { return r.now + max(1, r.settings.retryInterval()) }
 
-// flushCommands puts what must not be forgotten before all that it is answered for by.
-func (d *Replica) flushCommands() []Command {
-	if m := d.durableState(); m != d.lastPersisted {
-		d.lastPersisted = m
-		d.commands = append([]Command{Persist{m}}, d.commands...)
+// Receive takes a message from another replica.
+func (r *Replica) Receive(now Micros, from int, m Message) []Command {
+	r.beginCall(now)
+	if from >= 0 && from < MaxReplicas && from != r.id {
+		r.handle(from, m)
 	}
-	return d.commands
+	return r.advance()
 }
 
-// advance does what the time asks for.
-func (d *Replica) advance() []Command {
-	if d.leaderUntil > 0 && d.now >= d.leaderUntil && !d.disabled.LeaseExpiry {
-		d.leaderUntil, d.pendingRecord = 0, Record{}
-	}
-	switch {
-	case d.now < d.abstainUntil, d.isLeaving, !d.members.Contains(d.id) && d.leaderUntil == 0:
-	case d.leaderUntil > 0 && d.now >= d.ballotStartedAt+d.settings.Lease/renewalsPerLease,
-		d.leaderUntil == 0 && d.now >= d.nextCampaignAt && (d.now >= d.leaseAcceptedUntil || d.leaseHolder == d.id || d.disabled.Prevote):
-		d.campaign()
+// handle processes a message from another replica, or from this one itself.
+func (r *Replica) handle(from int, m Message) {
+	if m.Kind == Prepare && !r.members.Contains(from) && !m.Members.isNewerThan(r.members) {
+		r.rejectNonMember(from)
+		return
 	}
-	if d.IsLeader(d.now) {
-		switch again := d.now-d.membersSentAt >= d.settings.Lease/retriesPerLease; {
-		case !d.membersStamped && again:
-			d.installMembers(d.members.Mask)
-		case d.membersStamped && again && !d.hasQuorum(d.membersCommittedBy):
-			d.membersSentAt = d.now
-			d.broadcast(d.withMembers(Message{Kind: CommitMembers, Ballot: d.ballot, Record: d.newestRecord}))
-		}
-		d.replicateAndCast()
+	r.learnRecord(m.Record)
+	r.adoptMembers(m.Members)
+	switch m.Kind {
+	case Prepare:
+		r.handlePrepare(from, m)
+	case Promise:
+		r.handlePromise(from, m)
+	case Propose:
+		r.handlePropose(from, m)
+	case Accepted:
+		r.handleAccepted(from, m)
+	case Replicate:
+		r.handleReplicate(from, m)
+	case Replicated:
+		r.handleReplicated(from, m)
+	case Recommend:
+		r.handleRecommend(from, m)
+	case HandOver:
+		r.handleHandOver(from, m)
+	case Nack:
+		r.handleNack(m)
+	case CommitMembers:
+		r.handleCommitMembers(from, m)
+	case MembersCommitted:
+		r.handleMembersCommitted(from, m)
 	}
-	d.updateSelfStop()
-	return d.flushCommands()
 }
 
-// campaign begins a ballot, also to renew a lead. One in hand is not begun anew: where a way takes a tenth of a lease a ballot lasts longer than
-// the pause between two, and agents overtook their own before it came through, and each other's, for as long as the ways were slow.
-func (d *Replica) campaign() {
-	if d.isBallotPending() {
-		d.nextCampaignAt = d.now + d.campaignJitter()
-		if d.now >= d.ballotSentAt+d.settings.Lease/ballotResendsPerLease {
-			d.sendBallot()
-		}
-		return
+// beginCall starts a call at a time. A gap of half a lease between two calls counts as a lost leadership: what happened during
+// it is not known yet.
+func (r *Replica) beginCall(now Micros) {
+	if now-r.now > r.settings.Lease/2 && !r.disabled.LeaseExpiry {
+		r.leader.leaseUntil = 0
 	}
-	d.startBallot((max(d.highestPromised, d.highestAccepted, d.ballot, d.highestBallotSeen)>>8+1)<<8 | uint64(d.id))
+	r.now = max(r.now, now)
+	r.commands = r.commands[:0]
 }
 
-// isBallotPending tells whether the ballot may still come through. Its lease counts from its beginning, however often it is put.
-func (d *Replica) isBallotPending() bool {
-	return d.promises != nil && !d.ballotWon && d.ballotMembers == d.members && max(d.highestPromised, d.highestBallotSeen) <= d.ballot && d.now < d.ballotStartedAt+d.settings.Lease/ballotTimeoutsPerLease
-}
-
-// sendBallot puts the question of the ballot in hand.
-func (d *Replica) sendBallot() {
-	m := Message{Kind: Prepare, Ballot: d.ballot, ReleasedUpTo: d.highestReleased}
-	if d.hasProposed {
-		m = Message{Kind: Propose, Ballot: d.ballot}
+// advance does whatever is due at the present time, and ends the call.
+func (r *Replica) advance() []Command {
+	r.expireLeadership()
+	if r.shouldCampaign() {
+		r.campaign()
 	}
-	if d.ballotSentAt = d.now; d.disabled.LeaseFromStart {
-		d.ballotStartedAt = d.now
+	if r.IsLeader(r.now) {
+		r.advanceMembers()
+		r.advanceVote()
 	}
-	d.broadcast(d.withMembers(m))
+	r.updateSelfStop()
+	return r.flushCommands()
 }
 
-func (d *Replica) startBallot(ballot uint64) {
-	d.ballot, d.ballotMembers = ballot, d.members
-	d.ballotStartedAt, d.promises, d.acceptances, d.hasProposed, d.ballotWon = d.now, map[int]bool{}, map[int]bool{}, false, false
-	d.nextCampaignAt = d.now + d.campaignJitter()
-	d.sendBallot()
-	d.handle(d.id, d.withMembers(Message{Kind: Prepare, Ballot: d.ballot, ReleasedUpTo: d.highestReleased}))
+// flushCommands ends the call. Changed durable state is persisted before any command that depends on it.
+func (r *Replica) flushCommands() []Command {
+	if state := r.durableState(); state != r.lastPersisted {
+		r.lastPersisted = state
+		r.commands = append([]Command{Persist{state}}, r.commands...)
+	}
+	return r.commands
 }
 
-// Receive takes a message from another agent.
-func (d *Replica) Receive(now Micros, from int, m Message) []Command {
-	d.beginEvent(now)
-	if from >= 0 && from < MaxReplicas && from != d.id {
-		d.handle(from, m)
-	}
-	return d.advance()
+func (r *Replica) send(to int, m Message) {
+	r.commands = append(r.commands, SendMessage{To: to, Message: m})
 }
 
-func (d *Replica) reply(to int, m Message) {
-	if to == d.id {
-		d.handle(d.id, m)
-	} else {
-		d.send(to, m)
+// broadcast sends a message to all other members.
+func (r *Replica) broadcast(m Message) {
+	for i := range MaxReplicas {
+		if i != r.id && r.members.Contains(i) {
+			r.send(i, m)
+		}
 	}
 }
 
-func (d *Replica) handle(from int, m Message) {
-	if m.Kind == Prepare && !d.members.Contains(from) && !m.Members.isNewerThan(d.members) {
-		if d.now >= d.abstainUntil {
-			d.send(from, d.withMembers(Message{Kind: Nack})) // it is none of us, and hears so; nothing that it says moves anybody
-		}
+// reply sends an answer, or handles it at once where this replica has asked itself.
+func (r *Replica) reply(to int, m Message) {
+	if to == r.id {
+		r.handle(r.id, m)
 		return
 	}
-	d.learnRecord(m.Record)
-	d.adoptMembers(m.Members)
-	switch m.Kind {
-	case Prepare:
-		// While a lease is in force here, nobody else is promised anything: who was cut off can't disturb.
-		held := d.now < d.leaseAcceptedUntil && d.leaseHolder != from && d.highestAccepted > m.ReleasedUpTo && !d.disabled.Prevote
-		if d.now >= d.abstainUntil && m.Ballot < d.highestPromised && from != d.id {
-			// Else one who asked alone would never take part again: its own ballots are higher than the lead's.
-			d.send(from, d.withMembers(Message{Kind: Nack, Ballot: d.highestPromised}))
-		}
-		if d.members.isNewerThan(m.Members) && from != d.id && d.now >= d.abstainUntil {
-			d.send(from, d.withMembers(Message{Kind: Nack, Ballot: d.highestPromised}))
-			return // a majority of older members may have nobody in common with one of these
-		}
-		again := m.Ballot == d.highestPromised && int(m.Ballot&0xff) == from && m.Ballot > d.highestAccepted
-		if d.now < d.abstainUntil || m.Ballot <= d.highestPromised && !again || held {
-			return
-		}
-		d.highestPromised, d.highestReleased = m.Ballot, max(d.highestReleased, m.ReleasedUpTo)
-		if from != d.id && (d.deferredAt[from] == 0 || d.now >= d.deferredAt[from]+deferralIntervalLeases*d.settings.Lease) {
-			d.deferredAt[from], d.nextCampaignAt = d.now, max(d.nextCampaignAt, d.now+d.settings.Lease/ballotTimeoutsPerLease+d.campaignJitter())
-		}
-		d.reply(from, d.withMembers(Message{Kind: Promise, Ballot: m.Ballot, Record: d.newestRecord}))
-	case Promise:
-		if m.Ballot != d.ballot || d.promises == nil {
-			return
-		}
-		if d.promises[from] = true; d.hasQuorum(d.promises) && !d.hasProposed {
-			d.hasProposed = true
-			d.sendBallot()
-			d.handle(d.id, d.withMembers(Message{Kind: Propose, Ballot: d.ballot}))
-		}
-	case Propose:
-		if d.now < d.abstainUntil || m.Ballot < d.highestPromised || m.Ballot <= d.highestReleased || d.members.isNewerThan(m.Members) {
-			return // of a lead that was given up since, too
-		}
-		d.highestPromised, d.highestAccepted, d.leaseHolder, d.leaseAcceptedUntil = m.Ballot, m.Ballot, from, d.now+d.settings.Lease
-		if from != d.id && d.leaderUntil > 0 && !d.disabled.LeaseExpiry {
-			d.leaderUntil = 0
-		}
-		d.reply(from, d.withMembers(Message{Kind: Accepted, Ballot: m.Ballot, Record: d.newestRecord}))
-	case Accepted:
-		if m.Ballot != d.ballot || d.acceptances == nil {
-			return
-		}
-		if d.acceptances[from] = true; d.hasQuorum(d.acceptances) && d.now < d.ballotStartedAt+d.driftLowerBound(d.settings.Lease) {
-			if !d.IsLeader(d.now) { // a lapsed lead is a new one: another may have led in between
-				// What an earlier lead has cast may be carried out until Late is over, and counts for its Life.
-				d.predecessorRecord = d.newestRecord
-				d.term, d.predecessorVotesUntil = d.ballot, d.now+d.driftUpperBound(d.settings.MaxVoteDelay+d.settings.VoteLifetime)
-				d.pendingRecord, d.lastCast, d.lastCastResolved, d.membersStamped, d.priorVerdictUntil = Record{}, Record{}, false, false, 0
-			}
-			d.ballotWon = true
-			d.leaderUntil, d.leaseMembers = d.ballotStartedAt+d.driftLowerBound(d.settings.Lease), d.ballotMembers
-		}
-	case Replicate:
-		if m.Ballot < d.highestPromised || d.now < d.abstainUntil {
-			return
-		}
-		d.highestPromised = max(d.highestPromised, m.Ballot)
-		d.send(from, Message{Kind: Replicated, Ballot: m.Ballot, Record: m.Record})
-	case CommitMembers:
-		if d.now >= d.abstainUntil && m.Ballot >= d.highestPromised && m.Members == d.members {
-			d.send(from, d.withMembers(Message{Kind: MembersCommitted, Ballot: m.Ballot}))
-		}
-	case MembersCommitted:
-		if d.membersStamped && m.Members == d.members {
-			d.membersCommittedBy[from] = true
-		}
-	case Replicated:
-		if m.Record == d.pendingRecord && d.replicatedTo != nil {
-			d.replicatedTo[from] = true
-		}
-	case Recommend:
-		d.recommendations[from] = recommendation{m.Recommendation, d.now}
-	case Nack:
-		d.highestBallotSeen = max(d.highestBallotSeen, m.Ballot)
-	case HandOver:
-		d.highestBallotSeen = max(d.highestBallotSeen, m.Ballot) // a renewal that others have promised already would turn the next one's ballot away
-		if d.leaseHolder != from || d.highestAccepted > m.Ballot || d.now < d.abstainUntil {
-			return
-		}
-		d.leaseAcceptedUntil, d.highestReleased = d.now, max(d.highestReleased, m.Ballot)
-		switch next := int(m.ReleasedUpTo & 0xff); {
-		case m.ReleasedUpTo <= d.highestPromised: // something has come in between: the ordinary way
-			d.nextCampaignAt = d.now + d.campaignJitter()
-		case next != d.id:
-			d.nextCampaignAt = d.now + d.campaignJitter() // the next in turn first: two that ask at once hinder each other
-			d.handle(next, d.withMembers(Message{Kind: Prepare, Ballot: m.ReleasedUpTo, ReleasedUpTo: m.Ballot}))
-		case !d.isLeaving && d.members.Contains(d.id):
-			d.startBallot(m.ReleasedUpTo)
-			d.handle(from, Message{Kind: Promise, Ballot: m.ReleasedUpTo, Record: m.Record, Members: m.Members})
-		}
-	}
+	r.send(to, m)
 }
 
-func (d *Replica) learnRecord(record Record) {
-	if record.isNewerThan(d.newestRecord) {
-		d.newestRecord = record
-	}
+// withMembers adds the members that this replica knows to a message.
+func (r *Replica) withMembers(m Message) Message {
+	m.Members = r.members
+	return m
 }
--- a/internal/cluster/election/votelog.go
+++ b/internal/cluster/election/votelog.go
@@ -1,107 +1,156 @@
 package election
 
-// This file owns what is cast and when: what the agents' wishes come to, the record before each cast, and how long a contrary
-// decision is held back. It must never cast for an agent that does not lead.
-
-// updateSelfStop holds what an agent may do without a decider. That one appears again changes nothing: it will send back, or this
-// agent's judge comes to wish otherwise.
-func (d *Replica) updateSelfStop() {
-	own := d.recommendations[d.id].Decision
-	bad := d.rolloutActive && own == Decision{d.build, d.stage, RollBack}
-	switch reach := d.IsLeader(d.now) || d.now < d.leaseAcceptedUntil; {
-	case d.selfStopped.Verdict == NoVote && bad && !reach:
-		d.selfStopped = own
-		d.commands = append(d.commands, SelfStop{own, true})
-	case d.selfStopped.Verdict != NoVote && !bad:
-		d.commands = append(d.commands, SelfStop{d.selfStopped, false})
-		d.selfStopped = Decision{}
-	}
+// voteState is what a leader replicates and casts.
+type voteState struct {
+	pending      Record     // replicated to some, not to a quorum yet; the zero value: none
+	replicatedTo replicaSet // who has acknowledged the pending record
+	sentAt       Micros     // when the pending record was last sent
+	lastIndex    uint32
+
+	lastCast         Record // of the present term; the zero value: none
+	lastCastAt       Micros
+	lastCastResolved bool // the rollout controller has answered
+
+	prior      Verdict // the last verdict cast that differs from lastCast's
+	priorUntil Micros  // until then it may count
+
+	predecessor      Record // the newest record of earlier leaders when the term began
+	predecessorUntil Micros // until then something that an earlier leader has cast may count
 }
 
-// recommendedVerdict is what the agents' wishes come to: back where enough ask for it; else what this agent's judge asks for, if nobody
-// wishes to go back. In doubt nobody votes on.
-func (d *Replica) recommendedVerdict() Verdict {
-	backs := 0
-	for i, w := range d.recommendations {
-		fresh := i == d.id || w.receivedAt > 0 && d.now-w.receivedAt < recommendationLeases*d.settings.Lease
-		if fresh && w.Build == d.build && w.Stage == d.stage && w.Verdict == RollBack {
-			backs++
-		}
-	}
-	own := d.recommendations[d.id]
+func (v *voteState) startTerm(predecessor Record, predecessorUntil Micros) {
+	v.predecessor, v.predecessorUntil = predecessor, predecessorUntil
+	v.pending = Record{}
+	v.lastCast, v.lastCastResolved = Record{}, false
+	v.priorUntil = 0
+}
+
+func (v *voteState) hasUnresolved() bool {
+	return v.pending.Term != 0 || v.lastCast.Term != 0 && !v.lastCastResolved
+}
+
+// hasCastOn reports whether a vote was cast in this term on the stage of a decision.
+func (v *voteState) hasCastOn(d Decision) bool {
+	return v.lastCast.Term != 0 && v.lastCast.isSameStage(d)
+}
+
+// contraryVerdict returns the verdict other than the decision's that was cast in this term on its stage and may still count.
+func (v *voteState) contraryVerdict(d Decision, now Micros) Verdict {
 	switch {
-	case backs >= max(1, d.settings.RollBackQuorum):
-		return RollBack
-	case own.Build != d.build || own.Stage != d.stage || backs > 0 && own.Verdict == Advance:
+	case !v.hasCastOn(d):
 		return NoVote
+	case v.lastCast.Verdict != d.Verdict:
+		return v.lastCast.Verdict
+	case now < v.priorUntil:
+		return v.prior
 	}
-	return own.Verdict
+	return NoVote
 }
 
-// replicateAndCast records what is wanted with a majority, and then casts it.
-func (d *Replica) replicateAndCast() {
-	if !d.rolloutActive {
-		return
+// learnRecord remembers a record if it is the newest.
+func (r *Replica) learnRecord(record Record) {
+	if record.isNewerThan(r.newestRecord) {
+		r.newestRecord = record
 	}
-	want := Decision{d.build, d.stage, d.recommendedVerdict()}
-	if d.pendingRecord.Term != d.term {
-		d.pendingRecord = Record{}
+}
+
+// advanceVote replicates what the recommendations ask for, and casts it once a quorum knows it.
+func (r *Replica) advanceVote() {
+	if !r.rollout.isActive {
+		return
 	}
-	if d.pendingRecord.Term != 0 && d.pendingRecord.Decision != want {
-		d.pendingRecord = Record{} // what was only told was never cast
+	wanted := Decision{Build: r.rollout.build, Stage: r.rollout.stage, Verdict: r.recommendedVerdict()}
+	if r.votes.pending.Term != r.leader.term || r.votes.pending.Decision != wanted {
+		r.votes.pending = Record{} // what was only replicated was never cast
 	}
+	isPending := r.votes.pending.Term != 0
 	switch {
-	case want.Verdict == NoVote:
+	case wanted.Verdict == NoVote:
+		return
+	case r.votes.lastCast.Decision == wanted && r.now-r.votes.lastCastAt < r.settings.recastInterval():
 		return
-	case d.lastCast.Decision == want && d.now-d.lastCastAt < Micros(recastLifetimeFraction*float64(d.settings.VoteLifetime)):
+	case !isPending && !r.canStartVote(wanted):
 		return
-	case d.pendingRecord.Term == 0:
-		if !d.mayStartVote(want) {
-			return
-		}
-		d.lastIndex++
-		d.pendingRecord = Record{Term: d.term, Index: d.lastIndex, Decision: want}
-		switch {
-		case d.lastCast.Term == 0 || d.lastCast.Build != want.Build || d.lastCast.Stage != want.Stage:
-		case d.lastCast.Verdict != want.Verdict:
-			d.pendingRecord.Prior = d.lastCast.Verdict
-		case d.now < d.priorVerdictUntil:
-			d.pendingRecord.Prior = d.priorVerdict
-		}
-		d.replicatedTo, d.replicateSentAt = map[int]bool{d.id: true}, d.now
-		d.learnRecord(d.pendingRecord)
-		d.broadcast(Message{Kind: Replicate, Ballot: d.ballot, Record: d.pendingRecord})
-	case d.now-d.replicateSentAt >= d.settings.Lease/retriesPerLease:
-		d.replicateSentAt = d.now
-		d.broadcast(Message{Kind: Replicate, Ballot: d.ballot, Record: d.pendingRecord})
+	case !isPending:
+		r.startVote(wanted)
+	case r.now-r.votes.sentAt >= r.settings.retryInterval():
+		r.sendPending()
 	}
-	if before := d.leaderUntil - d.driftUpperBound(d.settings.Lease/retriesPerLease); d.pendingRecord.Term != 0 && (d.hasQuorum(d.replicatedTo) || d.disabled.QuorumBeforeCast) && (d.now < before || d.disabled.LeaseExpiry) {
-		if d.lastCast.Term != 0 && d.lastCast.Verdict != d.pendingRecord.Verdict {
-			d.priorVerdict, d.priorVerdictUntil = d.lastCast.Verdict, d.lastCastAt+d.driftUpperBound(d.settings.MaxVoteDelay+d.settings.VoteLifetime)
-		}
-		d.lastCast, d.lastCastAt, d.lastCastResolved = d.pendingRecord, d.now, false
-		d.pendingRecord = Record{}
-		d.commands = append(d.commands, CastVote{d.lastCast, before})
+	r.castPending()
+}
+
+// startVote appends a decision to the log.
+func (r *Replica) startVote(wanted Decision) {
+	r.votes.lastIndex++
+	r.votes.pending = Record{
+		Term:     r.leader.term,
+		Index:    r.votes.lastIndex,
+		Decision: wanted,
+		Prior:    r.votes.contraryVerdict(wanted, r.now),
 	}
+	r.votes.replicatedTo = newReplicaSet(r.id)
+	r.learnRecord(r.votes.pending)
+	r.sendPending()
 }
 
-// mayStartVote holds a contrary decision back while another may count: an earlier lead's, until its votes can be neither carried
-// out nor in force, unless it was on another stage; this lead's own, until it is answered or can't be carried out any more.
-func (d *Replica) mayStartVote(want Decision) bool {
-	if d.disabled.WaitForEarlierVotes {
+func (r *Replica) sendPending() {
+	r.votes.sentAt = r.now
+	r.broadcast(Message{Kind: Replicate, Ballot: r.candidate.ballot, Record: r.votes.pending})
+}
+
+// handleReplicated counts an acknowledgement of the pending record.
+func (r *Replica) handleReplicated(from int, m Message) {
+	if m.Record == r.votes.pending && r.votes.replicatedTo != nil {
+		r.votes.replicatedTo.add(from)
+	}
+}
+
+// castPending casts the pending vote if a quorum knows it and the lease lasts long enough for it to be written.
+func (r *Replica) castPending() {
+	writeBefore := r.leader.leaseUntil - r.settings.driftUpperBound(r.settings.retryInterval())
+	isReplicated := r.hasQuorum(r.votes.replicatedTo) || r.disabled.QuorumBeforeCast
+	isInTime := r.now < writeBefore || r.disabled.LeaseExpiry
+	if !isReplicated || !isInTime {
+		return
+	}
+	v := &r.votes
+	if v.lastCast.Term != 0 && v.lastCast.Verdict != v.pending.Verdict {
+		v.prior = v.lastCast.Verdict
+		v.priorUntil = v.lastCastAt + r.settings.effectWindow()
+	}
+	v.lastCast, v.lastCastAt, v.lastCastResolved = v.pending, r.now, false
+	v.pending = Record{}
+	r.commands = append(r.commands, CastVote{Record: v.lastCast, WriteBefore: writeBefore})
+}
+
+// canStartVote reports whether nothing contrary to a decision may count.
+func (r *Replica) canStartVote(wanted Decision) bool {
+	if r.disabled.WaitForEarlierVotes {
 		return true
 	}
-	same := func(r Record) bool { return r.Build == want.Build && r.Stage == want.Stage }
-	contrary := d.predecessorRecord.Verdict != want.Verdict || d.predecessorRecord.Prior != NoVote && d.predecessorRecord.Prior != want.Verdict
-	if d.predecessorRecord.Term != 0 && d.now < d.predecessorVotesUntil && same(d.predecessorRecord) && contrary {
+	return !r.mustWaitForPredecessor(wanted) && !r.mustWaitForOwnVote(wanted)
+}
+
+// mustWaitForPredecessor reports whether a contrary vote of an earlier leader may still take effect or be in force, unless it
+// was on another stage.
+func (r *Replica) mustWaitForPredecessor(wanted Decision) bool {
+	earlier := r.votes.predecessor
+	if earlier.Term == 0 || r.now >= r.votes.predecessorUntil || !earlier.isSameStage(wanted) {
 		return false
 	}
-	if d.lastCast.Term != 0 && same(d.lastCast) && d.lastCast.Verdict == RollBack && want.Verdict == Advance {
-		// Evidence may flap, votes may not: what was to be sent back goes on when that vote's life is over, if at all.
-		return d.now >= d.lastCastAt+d.driftUpperBound(d.settings.MaxVoteDelay+d.settings.VoteLifetime)
-	}
-	if d.lastCast.Term != 0 && same(d.lastCast) && d.lastCast.Verdict != want.Verdict {
-		return d.lastCastResolved || d.now >= d.lastCastAt+d.driftUpperBound(d.settings.MaxVoteDelay)
+	return earlier.Verdict != wanted.Verdict || earlier.Prior != NoVote && earlier.Prior != wanted.Verdict
+}
+
+// mustWaitForOwnVote reports whether the last vote of this term is contrary and neither answered nor too old to take effect.
+func (r *Replica) mustWaitForOwnVote(wanted Decision) bool {
+	last := r.votes.lastCast
+	switch {
+	case !r.votes.hasCastOn(wanted) || last.Verdict == wanted.Verdict:
+		return false
+	case last.Verdict == RollBack && wanted.Verdict == Advance:
+		// Evidence may alternate, votes may not: a build that was to be rolled back advances only when that vote's lifetime is
+		// over, if at all.
+		return r.now < r.votes.lastCastAt+r.settings.effectWindow()
 	}
-	return true
+	return !r.votes.lastCastResolved && r.now < r.votes.lastCastAt+r.settings.effectDelay()
 }
