--- a/internal/cluster/election/cluster_test.go
+++ b/internal/cluster/election/cluster_test.go
@@ -2,178 +2,204 @@
 
 import "testing"
 
-const ms, second = Micros(1000), Micros(1000 * 1000)
+const (
+	ms     Micros = 1000
+	second        = 1000 * ms
+)
 
 var testSettings = Settings{Lease: 2 * second, ClockDrift: 0.005, MaxVoteDelay: 800 * ms, VoteLifetime: 3 * second, RollBackQuorum: 1}
 
-// cluster is three agents and the messages between them, delivered at once unless cut.
+const (
+	clusterSize = 3
+	// tickInterval is how often the replicas of a cluster get a tick.
+	tickInterval = 20 * ms
+	// electionDone is a time by which a cluster has elected its first leader.
+	electionDone = 3 * second
+)
+
+// cluster is three replicas whose messages are delivered at once unless a replica is partitioned, and whose votes are resolved
+// at once.
 type cluster struct {
 	replicas      []*Replica
 	isPartitioned map[int]bool
-	castVotes     map[int][]CastVote
+	votes         map[int][]CastVote // by replica
 	now           Micros
 }
 
-func newCluster(fresh bool) *cluster {
-	r := &cluster{isPartitioned: map[int]bool{}, castVotes: map[int][]CastVote{}, now: second}
-	for i := range 3 {
-		r.replicas = append(r.replicas, New(i, InitialMembers(3), nil, testSettings, DisabledGuards{}, fresh, r.now, int64(i+1)))
-		r.execute(i, r.replicas[i].UpdateRollout(r.now, 1, 0, true))
-	}
-	return r
+func newCluster(isFresh bool) *cluster {
+	c := &cluster{isPartitioned: map[int]bool{}, votes: map[int][]CastVote{}, now: second}
+	for i := range clusterSize {
+		replica := New(i, InitialMembers(clusterSize), nil, testSettings, DisabledGuards{}, isFresh, c.now, int64(i+1))
+		c.replicas = append(c.replicas, replica)
+		c.execute(i, replica.UpdateRollout(c.now, 1, 0, true))
+	}
+	return c
 }
 
-func (r *cluster) execute(from int, commands []Command) {
+// execute carries out the commands of a replica. Delivering a message calls replicas again, and a replica reuses the slice of its
+// commands: hence the copy.
+func (c *cluster) execute(from int, commands []Command) {
 	for _, command := range append([]Command(nil), commands...) {
 		switch command := command.(type) {
 		case SendMessage:
-			if !r.isPartitioned[from] && !r.isPartitioned[command.To] {
-				r.execute(command.To, r.replicas[command.To].Receive(r.now, from, command.Message))
+			if !c.isPartitioned[from] && !c.isPartitioned[command.To] {
+				c.execute(command.To, c.replicas[command.To].Receive(c.now, from, command.Message))
 			}
 		case CastVote:
-			r.castVotes[from] = append(r.castVotes[from], command)
-			r.execute(from, r.replicas[from].ResolveVote(r.now, command.Record))
+			c.votes[from] = append(c.votes[from], command)
+			c.execute(from, c.replicas[from].ResolveVote(c.now, command.Record))
 		}
 	}
 }
 
-func (r *cluster) runUntil(end Micros) {
-	for ; r.now < end; r.now += 20 * ms {
-		for i, d := range r.replicas {
-			r.execute(i, d.Tick(r.now))
+func (c *cluster) runUntil(end Micros) {
+	for ; c.now < end; c.now += tickInterval {
+		for i, replica := range c.replicas {
+			c.execute(i, replica.Tick(c.now))
 		}
 	}
 }
 
-func (r *cluster) leader() int {
-	leader := -1
-	for i, d := range r.replicas {
-		if d.IsLeader(r.now) {
+// leader returns the replica that leads now, or noReplica.
+func (c *cluster) leader() int {
+	leader := noReplica
+	for i, replica := range c.replicas {
+		if replica.IsLeader(c.now) {
 			leader = i
 		}
 	}
 	return leader
 }
 
-func (r *cluster) recommend(i int, v Verdict) {
-	r.execute(i, r.replicas[i].Recommend(r.now, Decision{1, 0, v}))
+func (c *cluster) recommend(replica int, verdict Verdict) {
+	c.execute(replica, c.replicas[replica].Recommend(c.now, Decision{Build: 1, Stage: 0, Verdict: verdict}))
+}
+
+func (c *cluster) recommendByAll(verdict Verdict) {
+	for i := range c.replicas {
+		c.recommend(i, verdict)
+	}
 }
 
-// One leads, and what it casts was recorded first; who is cut off loses its lead and casts no more, and the next one holds a
-// contrary decision back until nothing of the first can count.
+func (c *cluster) lastVerdict(replica int) Verdict {
+	votes := c.votes[replica]
+	if len(votes) == 0 {
+		return NoVote
+	}
+	return votes[len(votes)-1].Verdict
+}
+
+// A partitioned leader loses its leadership and casts nothing more, and the next leader delays a contrary vote until nothing of
+// the first one can count.
 func TestNewLeaderDelaysContraryVote(t *testing.T) {
 	c := newCluster(false)
-	c.runUntil(3 * second)
+	c.runUntil(electionDone)
 	oldLeader := c.leader()
 	if oldLeader < 0 {
-		t.Fatal("nobody leads")
+		t.Fatal("no leader")
 	}
 	c.recommend(oldLeader, Advance)
-	if len(c.castVotes[oldLeader]) != 1 || c.castVotes[oldLeader][0].Verdict != Advance {
-		t.Fatalf("cast %+v", c.castVotes)
+	if len(c.votes[oldLeader]) != 1 || c.votes[oldLeader][0].Verdict != Advance {
+		t.Fatalf("the first leader cast %+v, want one vote to advance", c.votes)
 	}
 	c.isPartitioned[oldLeader] = true
-	cutAt := c.now
-	for i := range c.replicas {
-		c.recommend(i, RollBack)
-	}
-	votesBeforeCut := len(c.castVotes[oldLeader])
+	partitionedAt := c.now
+	c.recommendByAll(RollBack)
+	votesBefore := len(c.votes[oldLeader])
 	c.runUntil(c.now + 4*second)
 	newLeader := c.leader()
 	if newLeader < 0 || newLeader == oldLeader {
-		t.Fatalf("%d leads after the cut", newLeader)
+		t.Fatalf("the leader after the partition is %d, was %d", newLeader, oldLeader)
 	}
-	if len(c.castVotes[oldLeader]) != votesBeforeCut {
-		t.Errorf("who was cut off has cast %+v", c.castVotes[oldLeader][votesBeforeCut:])
+	if len(c.votes[oldLeader]) != votesBefore {
+		t.Errorf("the partitioned leader cast %+v", c.votes[oldLeader][votesBefore:])
 	}
-	for c.now < cutAt+12*second && len(c.castVotes[newLeader]) == 0 {
-		for i := range c.replicas {
-			c.recommend(i, RollBack)
-		}
-		c.runUntil(c.now + 20*ms)
+	for c.now < partitionedAt+12*second && len(c.votes[newLeader]) == 0 {
+		c.recommendByAll(RollBack)
+		c.runUntil(c.now + tickInterval)
 	}
-	if len(c.castVotes[newLeader]) == 0 || c.castVotes[newLeader][0].Verdict != RollBack {
-		t.Fatalf("the next one has cast %+v", c.castVotes[newLeader])
+	if len(c.votes[newLeader]) == 0 || c.votes[newLeader][0].Verdict != RollBack {
+		t.Fatalf("the new leader cast %+v, want a rollback", c.votes[newLeader])
 	}
-	if c.now < cutAt+testSettings.VoteLifetime+testSettings.MaxVoteDelay {
-		t.Errorf("contrary decision after %d us, when the first may count", c.now-cutAt)
+	if c.now < partitionedAt+testSettings.VoteLifetime+testSettings.MaxVoteDelay {
+		t.Errorf("contrary vote after %d us, when the first one may still count", c.now-partitionedAt)
 	}
 }
 
-// After a restart without a memory an agent answers nothing until what it may have known can't count.
+// After a restart without durable state a replica answers nothing until nothing can count that it may have answered for.
 func TestFreshReplicasAbstain(t *testing.T) {
 	c := newCluster(true)
 	c.runUntil(second + testSettings.Lease + testSettings.MaxVoteDelay + testSettings.VoteLifetime)
-	if c.leader() >= 0 {
-		t.Error("somebody leads by the word of agents without a memory")
+	if leader := c.leader(); leader >= 0 {
+		t.Errorf("replica %d leads by the promises of fresh replicas", leader)
 	}
 	c.runUntil(c.now + 3*second)
 	if c.leader() < 0 {
-		t.Error("nobody leads when all may answer again")
+		t.Error("no leader when all replicas may answer again")
 	}
 }
 
-// A planned hand-over: the next in turn leads at once, and the one that left casts nothing more.
+// A leader that leaves makes the next replica in turn the leader at once, and casts nothing more.
 func TestLeaveTransfersLeadership(t *testing.T) {
 	c := newCluster(false)
-	c.runUntil(3 * second)
+	c.runUntil(electionDone)
 	oldLeader := c.leader()
 	c.execute(oldLeader, c.replicas[oldLeader].Leave(c.now))
-	if newLeader := c.leader(); newLeader != (oldLeader+1)%3 {
-		t.Errorf("%d leads after %d has left", newLeader, oldLeader)
+	if newLeader := c.leader(); newLeader != (oldLeader+1)%clusterSize {
+		t.Errorf("replica %d leads after %d has left", newLeader, oldLeader)
 	}
 	c.recommend(oldLeader, Advance)
 	c.runUntil(c.now + second)
-	if len(c.castVotes[oldLeader]) > 0 {
-		t.Errorf("who has left has cast %+v", c.castVotes[oldLeader])
+	if len(c.votes[oldLeader]) > 0 {
+		t.Errorf("the replica that has left cast %+v", c.votes[oldLeader])
 	}
 }
 
-// Evidence that flaps each tenth of a second: back is cast at once, and nothing goes on while that vote lives.
+// With evidence that alternates every tenth of a second a rollback is cast at once, and nothing advances during its lifetime.
 func TestAlternatingRecommendations(t *testing.T) {
-	cl := newCluster(false)
-	cl.runUntil(3 * second)
-	leader := cl.leader()
-	cl.recommend(leader, RollBack)
-	startedAt := cl.now
-	for verdict := Advance; cl.now < startedAt+testSettings.VoteLifetime; verdict = Advance + RollBack - verdict {
-		cl.recommend(leader, verdict)
-		cl.runUntil(cl.now + 100*ms)
-	}
-	votes := cl.castVotes[leader]
+	c := newCluster(false)
+	c.runUntil(electionDone)
+	leader := c.leader()
+	c.recommend(leader, RollBack)
+	startedAt := c.now
+	for verdict := Advance; c.now < startedAt+testSettings.VoteLifetime; verdict = Advance + RollBack - verdict {
+		c.recommend(leader, verdict)
+		c.runUntil(c.now + 100*ms)
+	}
+	votes := c.votes[leader]
 	if len(votes) == 0 || len(votes) > 3 {
-		t.Fatalf("%d casts in a vote's life", len(votes))
+		t.Fatalf("%d votes in a vote's lifetime, want 1 to 3", len(votes))
 	}
 	for _, vote := range votes {
 		if vote.Verdict != RollBack {
-			t.Errorf("cast %+v while a vote to go back lives", vote)
+			t.Errorf("cast %+v during the lifetime of a rollback", vote)
 		}
 	}
-	for cl.now < startedAt+3*testSettings.VoteLifetime && cl.castVotes[leader][len(cl.castVotes[leader])-1].Verdict == RollBack {
-		cl.recommend(leader, Advance)
-		cl.runUntil(cl.now + 100*ms)
+	for c.now < startedAt+3*testSettings.VoteLifetime && c.lastVerdict(leader) == RollBack {
+		c.recommend(leader, Advance)
+		c.runUntil(c.now + 100*ms)
 	}
-	if vote := cl.castVotes[leader]; vote[len(vote)-1].Verdict != Advance {
-		t.Errorf("with nothing but good evidence since, the last cast is %+v", vote[len(vote)-1])
+	if got := c.lastVerdict(leader); got != Advance {
+		t.Errorf("with nothing but good evidence since, the last verdict cast is %v", got)
 	}
 }
 
-// A wish to go back from any agent stops going on, also where more are needed to go back.
+// A recommendation to roll back from any replica prevents an advance, also where a rollback needs more of them.
 func TestRollbackRecommendationBlocksAdvance(t *testing.T) {
 	c := newCluster(false)
-	for _, d := range c.replicas {
-		d.settings.RollBackQuorum = 2
+	for _, replica := range c.replicas {
+		replica.settings.RollBackQuorum = 2
 	}
-	c.runUntil(3 * second)
+	c.runUntil(electionDone)
 	leader := c.leader()
-	c.recommend((leader+1)%3, RollBack)
+	c.recommend((leader+1)%clusterSize, RollBack)
 	c.recommend(leader, Advance)
-	if len(c.castVotes[leader]) != 0 {
-		t.Errorf("cast %+v against a wish to go back", c.castVotes[leader])
+	if len(c.votes[leader]) != 0 {
+		t.Errorf("cast %+v against a recommendation to roll back", c.votes[leader])
 	}
-	c.recommend((leader+2)%3, RollBack)
+	c.recommend((leader+2)%clusterSize, RollBack)
 	c.runUntil(c.now + 100*ms)
-	if n := len(c.castVotes[leader]); n == 0 || c.castVotes[leader][n-1].Verdict != RollBack {
-		t.Errorf("two of two wishes, cast %+v", c.castVotes[leader])
+	if got := c.lastVerdict(leader); got != RollBack {
+		t.Errorf("with two of two recommendations to roll back, the last verdict cast is %v", got)
 	}
 }
--- a/internal/cluster/election/golden_test.go
+++ b/internal/cluster/election/golden_test.go
@@ -9,13 +9,16 @@
 	"switchfork/internal/golden"
 )
 
-// goldenSteps of a night: enough for leads to be lost, handed over and got again, and for members to change.
+// goldenSteps of a scenario: enough for leaders to be lost, replaced and elected again, and for members to change.
 const goldenSteps = 20000
 
-// faultScenario is a group whose messages are lost, late, doubled and out of order, whose agents stand still, restart and leave.
+// faultScenario is a group whose messages are lost, late, duplicated and reordered, and whose replicas pause, restart and leave.
 type faultScenario struct {
-	random       *rand.Rand
-	digest       *golden.Digest
+	random         *rand.Rand
+	digest         *golden.Digest
+	initialMembers int
+	disabled       DisabledGuards
+
 	replicas     []*Replica
 	persisted    []*DurableState
 	isPaused     []bool
@@ -25,110 +28,161 @@
 	lastSeed     int64
 }
 
-func (g *faultScenario) startReplica(i, members int, disabled DisabledGuards) {
-	g.lastSeed++
-	g.replicas[i] = New(i, InitialMembers(members), g.persisted[i], testSettings, disabled, g.persisted[i] == nil && g.now > second, g.now, g.lastSeed)
-	g.execute(i, g.replicas[i].UpdateRollout(g.now, 1, 0, true))
+// newFaultScenario starts one replica more than the initial members. number counts the scenarios from 0.
+func newFaultScenario(number, initialMembers int, disabled DisabledGuards) *faultScenario {
+	s := &faultScenario{
+		random:         rand.New(rand.NewSource(int64(number + 1))),
+		digest:         golden.NewDigest(SendMessage{}, CastVote{}, Persist{}, SelfStop{}, Status{}, Micros(0), 0, ""),
+		initialMembers: initialMembers,
+		disabled:       disabled,
+		replicas:       make([]*Replica, initialMembers+1),
+		persisted:      make([]*DurableState, initialMembers+1),
+		isPaused:       make([]bool, initialMembers+1),
+		now:            second,
+		lastSeed:       int64(number) * 1000,
+	}
+	for i := range s.replicas {
+		s.startReplica(i)
+	}
+	return s
+}
+
+func (s *faultScenario) startReplica(i int) {
+	s.lastSeed++
+	isFresh := s.persisted[i] == nil && s.now > second
+	s.replicas[i] = New(i, InitialMembers(s.initialMembers), s.persisted[i], testSettings, s.disabled, isFresh, s.now, s.lastSeed)
+	s.execute(i, s.replicas[i].UpdateRollout(s.now, 1, 0, true))
 }
 
-func (g *faultScenario) execute(i int, commands []Command) {
+func (s *faultScenario) execute(i int, commands []Command) {
 	for _, command := range append([]Command(nil), commands...) {
-		g.commandCount++
-		g.digest.Add(i)
-		g.digest.Add(command)
+		s.commandCount++
+		s.digest.Add(i)
+		s.digest.Add(command)
 		switch command := command.(type) {
 		case Persist:
-			g.persisted[i] = &command.DurableState
+			s.persisted[i] = &command.DurableState
 		case SendMessage:
-			if len(g.inFlight) < maxInFlight {
-				g.inFlight = append(g.inFlight, envelope{i, command.To, command.Message})
+			if len(s.inFlight) < maxInFlight {
+				s.inFlight = append(s.inFlight, envelope{i, command.To, command.Message})
 			}
 		case CastVote:
-			if g.random.Intn(3) > 0 {
-				g.execute(i, g.replicas[i].ResolveVote(g.now, command.Record))
+			if s.random.Intn(3) > 0 {
+				s.execute(i, s.replicas[i].ResolveVote(s.now, command.Record))
 			}
 		}
 	}
 }
 
-func (g *faultScenario) deliver() {
-	if len(g.inFlight) == 0 {
+func (s *faultScenario) deliver() {
+	if len(s.inFlight) == 0 {
 		return
 	}
-	at := 0
-	if g.random.Intn(4) == 0 {
-		at = g.random.Intn(len(g.inFlight))
+	index := 0
+	if s.random.Intn(4) == 0 {
+		index = s.random.Intn(len(s.inFlight))
 	}
-	m := g.inFlight[at]
-	if g.random.Intn(20) > 0 {
-		g.inFlight = append(g.inFlight[:at], g.inFlight[at+1:]...)
+	next := s.inFlight[index]
+	if s.random.Intn(20) > 0 {
+		s.inFlight = append(s.inFlight[:index], s.inFlight[index+1:]...)
 	}
-	if !g.isPaused[m.to] && g.random.Intn(25) > 0 {
-		g.execute(m.to, g.replicas[m.to].Receive(g.now, m.from, m.message))
+	if !s.isPaused[next.to] && s.random.Intn(25) > 0 {
+		s.execute(next.to, s.replicas[next.to].Receive(s.now, next.from, next.message))
+	}
+}
+
+func (s *faultScenario) tick() {
+	s.now += s.random.Int63n(40 * ms)
+	for i, replica := range s.replicas {
+		s.digest.Add(replica.NextTick())
+		if !s.isPaused[i] && replica.NextTick() <= s.now {
+			s.execute(i, replica.Tick(s.now))
+		}
 	}
 }
 
-func (g *faultScenario) step(members int, disabled DisabledGuards) {
-	who := g.random.Intn(len(g.replicas))
-	switch n := g.random.Intn(1000); {
+func (s *faultScenario) recommend(i int) {
+	if s.isPaused[i] {
+		return
+	}
+	stage := int32(s.random.Intn(2))
+	verdict := Verdict(s.random.Intn(4))
+	s.execute(i, s.replicas[i].Recommend(s.now, Decision{Build: 1, Stage: stage, Verdict: verdict}))
+}
+
+func (s *faultScenario) updateRollout() {
+	stage := int32(s.random.Intn(2))
+	for i, replica := range s.replicas {
+		s.execute(i, replica.UpdateRollout(s.now, 1, stage, s.random.Intn(8) > 0))
+	}
+}
+
+func (s *faultScenario) restart(i int) {
+	if s.random.Intn(6) == 0 {
+		s.persisted[i] = nil
+	}
+	s.startReplica(i)
+}
+
+func (s *faultScenario) changeMember(i int) {
+	mask := s.replicas[i].Status(s.now).Members.Mask ^ 1<<s.random.Intn(len(s.replicas))
+	commands, err := s.replicas[i].ChangeMembers(s.now, mask)
+	s.digest.Add(fmt.Sprint(err == nil))
+	s.execute(i, commands)
+}
+
+func (s *faultScenario) resumeSome(observed int) {
+	for i := range s.isPaused {
+		s.isPaused[i] = s.isPaused[i] && s.random.Intn(2) == 0
+	}
+	s.digest.Add(s.replicas[observed].Status(s.now))
+}
+
+// step draws the next event. The draws and their order are part of the golden file.
+func (s *faultScenario) step() {
+	i := s.random.Intn(len(s.replicas))
+	switch n := s.random.Intn(1000); {
 	case n < 600:
-		g.deliver()
+		s.deliver()
 	case n < 900:
-		g.now += g.random.Int63n(int64(40 * ms))
-		for i, d := range g.replicas {
-			g.digest.Add(d.NextTick())
-			if !g.isPaused[i] && d.NextTick() <= g.now {
-				g.execute(i, d.Tick(g.now))
-			}
-		}
+		s.tick()
 	case n < 950:
-		if !g.isPaused[who] {
-			g.execute(who, g.replicas[who].Recommend(g.now, Decision{1, int32(g.random.Intn(2)), Verdict(g.random.Intn(4))}))
-		}
+		s.recommend(i)
 	case n < 955:
-		stage := int32(g.random.Intn(2))
-		for i, d := range g.replicas {
-			g.execute(i, d.UpdateRollout(g.now, 1, stage, g.random.Intn(8) > 0))
-		}
+		s.updateRollout()
 	case n < 960:
-		g.isPaused[who] = !g.isPaused[who]
+		s.isPaused[i] = !s.isPaused[i]
 	case n < 963:
-		if g.random.Intn(6) == 0 {
-			g.persisted[who] = nil
-		}
-		g.startReplica(who, members, disabled)
+		s.restart(i)
 	case n < 967:
-		g.execute(who, g.replicas[who].Leave(g.now))
+		s.execute(i, s.replicas[i].Leave(s.now))
 	case n < 985:
-		mask := g.replicas[who].Status(g.now).Members.Mask ^ 1<<g.random.Intn(len(g.replicas))
-		commands, err := g.replicas[who].ChangeMembers(g.now, mask)
-		g.digest.Add(fmt.Sprint(err == nil))
-		g.execute(who, commands)
+		s.changeMember(i)
 	default:
-		for i := range g.isPaused {
-			g.isPaused[i] = g.isPaused[i] && g.random.Intn(2) == 0
-		}
-		g.digest.Add(g.replicas[who].Status(g.now))
+		s.resumeSome(i)
 	}
 }
 
-// The same calls give the same orders as ever: the file's sums were made before names and shape of this package changed.
+// The same calls give the same commands as ever: the golden file was made before names and shape of this package changed.
 func TestGoldenDecisions(t *testing.T) {
+	scenarios := []DisabledGuards{
+		{},
+		{},
+		{},
+		{LeaseExpiry: true},
+		{QuorumBeforeCast: true},
+		{WaitForEarlierVotes: true},
+		{Prevote: true},
+		{LeaseFromStart: true},
+	}
 	var out strings.Builder
 	for _, members := range []int{1, 3, 5} {
-		for i, disabled := range []DisabledGuards{{}, {}, {}, {LeaseExpiry: true}, {QuorumBeforeCast: true}, {WaitForEarlierVotes: true}, {Prevote: true}, {LeaseFromStart: true}} {
-			g := &faultScenario{
-				random: rand.New(rand.NewSource(int64(i + 1))), now: second, lastSeed: int64(i) * 1000,
-				digest: golden.NewDigest(SendMessage{}, CastVote{}, Persist{}, SelfStop{}, Status{}, Micros(0), 0, ""),
-			}
-			g.replicas, g.persisted, g.isPaused = make([]*Replica, members+1), make([]*DurableState, members+1), make([]bool, members+1)
-			for a := range g.replicas {
-				g.startReplica(a, members, disabled)
-			}
+		for number, disabled := range scenarios {
+			s := newFaultScenario(number, members, disabled)
 			for range goldenSteps {
-				g.step(members, disabled)
+				s.step()
 			}
-			fmt.Fprintf(&out, "members %d night %d: %d orders %s\n", members, i+1, g.commandCount, g.digest)
+			fmt.Fprintf(&out, "members %d night %d: %d orders %s\n", members, number+1, s.commandCount, s.digest)
 		}
 	}
 	golden.Check(t, "decisions.golden", out.String())
--- a/internal/cluster/election/model_test.go
+++ b/internal/cluster/election/model_test.go
@@ -7,219 +7,241 @@
 	"pgregory.net/rapid"
 )
 
-// modelCluster is a group of agents, a bag of messages that may be delivered in any order, doubled or lost, and one true time.
+const (
+	// modelReplicas of a model; those from modelInitialMembers on join by a change of members only.
+	modelReplicas       = 4
+	modelInitialMembers = 3
+	// maxInFlight messages are kept; more are lost.
+	maxInFlight = 400
+	// modelStep is the time between two ticks of a model.
+	modelStep = 50 * ms
+)
+
+// modelCluster is a group of replicas with one true time, whose messages may be reordered, duplicated or lost.
 type modelCluster struct {
 	replicas  []*Replica
-	persisted []*DurableState // what each has on its disk
+	persisted []*DurableState // by replica; nil: nothing yet
 	isPaused  []bool
 	inFlight  []envelope
 	now       Micros
-	castVotes []observedCast
+	votes     []observedVote
 	lastSeed  int64
-	// unknown tells of a cast that was not recorded.
-	quorumViolation string
+
+	quorumViolation string // a vote that was cast before a quorum knew it; empty: none
+	memberChanges   int    // how many changes of members were accepted
 }
 
+// envelope is a message on its way.
 type envelope struct {
 	from, to int
 	message  Message
 }
 
-type observedCast struct {
+// observedVote is a vote that a replica has cast at a time.
+type observedVote struct {
 	replica int
 	CastVote
 	at Micros
 }
 
-// agents of the machine; the last is let in by a change only.
-const modelReplicas, modelInitialMembers, maxInFlight = 4, 3, 400
+func newModelCluster() *modelCluster {
+	c := &modelCluster{
+		replicas:  make([]*Replica, modelReplicas),
+		persisted: make([]*DurableState, modelReplicas),
+		isPaused:  make([]bool, modelReplicas),
+		now:       second,
+	}
+	for i := range c.replicas {
+		c.startReplica(i)
+	}
+	return c
+}
 
-func (w *modelCluster) startReplica(i int, durableState *DurableState, fresh bool) {
+// startReplica starts a replica with the state that it has persisted.
+func (c *modelCluster) startReplica(i int) {
 	members := InitialMembers(modelInitialMembers)
 	if i >= modelInitialMembers {
 		members = Members{}
 	}
-	w.lastSeed++
-	w.replicas[i] = New(i, members, durableState, testSettings, DisabledGuards{}, fresh, w.now, w.lastSeed)
-	w.isPaused[i] = false
-	w.execute(i, w.replicas[i].UpdateRollout(w.now, 1, 0, true))
+	c.lastSeed++
+	c.replicas[i] = New(i, members, c.persisted[i], testSettings, DisabledGuards{}, false, c.now, c.lastSeed)
+	c.isPaused[i] = false
+	c.execute(i, c.replicas[i].UpdateRollout(c.now, 1, 0, true))
 }
 
-func (w *modelCluster) execute(i int, commands []Command) {
-	kept := false
+func (c *modelCluster) execute(i int, commands []Command) {
 	for _, command := range append([]Command(nil), commands...) {
 		switch command := command.(type) {
 		case Persist:
-			kept, w.persisted[i] = true, &command.DurableState
+			c.persisted[i] = &command.DurableState
 		case SendMessage:
-			if len(w.inFlight) < maxInFlight {
-				w.inFlight = append(w.inFlight, envelope{i, command.To, command.Message})
+			if len(c.inFlight) < maxInFlight {
+				c.inFlight = append(c.inFlight, envelope{i, command.To, command.Message})
 			}
 		case CastVote:
-			w.castVotes = append(w.castVotes, observedCast{i, command, w.now})
-			know, members := 0, w.replicas[i].members // most of those who count know it, or something newer
-			for j, d := range w.replicas {
-				if members.Contains(j) && !command.isNewerThan(d.newestRecord) {
-					know++
-				}
-			}
-			if 2*know <= members.Count() {
-				w.quorumViolation = fmt.Sprintf("%+v was cast, %d of %d know", command, know, members.Count())
-			}
-			if w.persisted[i] == nil && !kept {
-				panic("a cast of one that has kept nothing")
-			}
+			c.observeVote(i, command)
 		}
 	}
 }
 
-func (w *modelCluster) checkInvariants(t *rapid.T) {
-	leads := []int{}
-	for i, d := range w.replicas {
-		if !w.isPaused[i] && d.IsLeader(w.now) {
-			leads = append(leads, i)
-		}
+// observeVote checks that a quorum of the caster's members knows the record of a vote, or a newer one, and that the caster has
+// persisted its state.
+func (c *modelCluster) observeVote(caster int, vote CastVote) {
+	if c.persisted[caster] == nil {
+		panic("a vote of a replica that has persisted nothing")
 	}
-	if len(leads) > 1 {
-		t.Fatalf("at %d agents %v lead", w.now, leads)
-	}
-	for i := range w.castVotes {
-		c := w.castVotes[len(w.castVotes)-1]
-		command := w.castVotes[i]
-		if command.replica != c.replica && command.Build == c.Build && command.Stage == c.Stage && command.Verdict != c.Verdict && c.at < command.at+testSettings.MaxVoteDelay+testSettings.VoteLifetime {
-			t.Fatalf("%+v beside %+v", c, command)
+	c.votes = append(c.votes, observedVote{caster, vote, c.now})
+	members := c.replicas[caster].members
+	knownBy := 0
+	for i, replica := range c.replicas {
+		if members.Contains(i) && !vote.isNewerThan(replica.newestRecord) {
+			knownBy++
 		}
 	}
-	if w.quorumViolation != "" {
-		t.Fatal(w.quorumViolation)
+	if 2*knownBy <= members.Count() {
+		c.quorumViolation = fmt.Sprintf("%+v was cast, known by %d of %d members", vote, knownBy, members.Count())
 	}
 }
 
-// Whatever gets lost, doubled, late or out of order, whoever stands still, restarts from its disk, joins, goes or leaves: one
-// leads at the most, what is cast was recorded, and contrary casts of two agents are never close.
-func TestClusterInvariants(t *testing.T) {
-	castCount, changeCount := 0, 0
-	rapid.Check(t, func(t *rapid.T) {
-		w := &modelCluster{replicas: make([]*Replica, modelReplicas), persisted: make([]*DurableState, modelReplicas), isPaused: make([]bool, modelReplicas), now: second}
-		for i := range w.replicas {
-			w.startReplica(i, nil, false)
+// checkInvariants fails the test unless one replica leads at most, the last vote is contrary to no other replica's vote that may
+// count, and each vote was replicated before it was cast.
+func (c *modelCluster) checkInvariants(t *rapid.T) {
+	leaders := []int{}
+	for i, replica := range c.replicas {
+		if !c.isPaused[i] && replica.IsLeader(c.now) {
+			leaders = append(leaders, i)
 		}
-		anyReplica := rapid.IntRange(0, modelReplicas-1)
-		deliver := func(n int) {
-			for ; n > 0 && len(w.inFlight) > 0; n-- {
-				at := rapid.IntRange(0, len(w.inFlight)-1).Draw(t, "which")
-				m := w.inFlight[at]
-				if !rapid.Bool().Draw(t, "again") {
-					w.inFlight = append(w.inFlight[:at], w.inFlight[at+1:]...)
-				}
-				if !w.isPaused[m.to] {
-					w.execute(m.to, w.replicas[m.to].Receive(w.now, m.from, m.message))
-				}
-			}
+	}
+	if len(leaders) > 1 {
+		t.Fatalf("at %d us replicas %v lead", c.now, leaders)
+	}
+	for _, earlier := range c.votes {
+		last := c.votes[len(c.votes)-1]
+		isContrary := earlier.replica != last.replica && earlier.isSameStage(last.Decision) && earlier.Verdict != last.Verdict
+		if isContrary && last.at < earlier.at+testSettings.MaxVoteDelay+testSettings.VoteLifetime {
+			t.Fatalf("%+v counts beside %+v", last, earlier)
 		}
-		runFor := func(span Micros) {
-			for ; span > 0; span -= 50 * ms {
-				w.now += 50 * ms
-				for i, d := range w.replicas {
-					if !w.isPaused[i] {
-						w.execute(i, d.Tick(w.now))
-					}
-				}
-				w.checkInvariants(t)
+	}
+	if c.quorumViolation != "" {
+		t.Fatal(c.quorumViolation)
+	}
+}
+
+func (c *modelCluster) receive(e envelope) {
+	if !c.isPaused[e.to] {
+		c.execute(e.to, c.replicas[e.to].Receive(c.now, e.from, e.message))
+	}
+}
+
+// runFor lets time pass without delivering anything.
+func (c *modelCluster) runFor(t *rapid.T, steps int) {
+	for range steps {
+		c.now += modelStep
+		for i, replica := range c.replicas {
+			if !c.isPaused[i] {
+				c.execute(i, replica.Tick(c.now))
 			}
 		}
-		// calm delivers everything in order: without such times nobody would ever lead.
-		runReliably := func(span Micros) {
-			for ; span > 0; span -= 50 * ms {
-				runFor(50 * ms)
-				for len(w.inFlight) > 0 {
-					m := w.inFlight[0]
-					if w.inFlight = w.inFlight[1:]; !w.isPaused[m.to] {
-						w.execute(m.to, w.replicas[m.to].Receive(w.now, m.from, m.message))
-						w.checkInvariants(t)
-					}
-				}
-			}
+		c.checkInvariants(t)
+	}
+}
+
+// runReliably lets time pass and delivers everything in order: without such periods no replica would ever lead.
+func (c *modelCluster) runReliably(t *rapid.T, steps int) {
+	for range steps {
+		c.runFor(t, 1)
+		for len(c.inFlight) > 0 {
+			next := c.inFlight[0]
+			c.inFlight = c.inFlight[1:]
+			c.receive(next)
+			c.checkInvariants(t)
 		}
-		t.Repeat(map[string]func(*rapid.T){
-			"calm":    func(t *rapid.T) { runReliably(Micros(rapid.IntRange(1, 40).Draw(t, "beats")) * 50 * ms) },
-			"pass":    func(t *rapid.T) { runFor(Micros(rapid.IntRange(1, 60).Draw(t, "beats")) * 50 * ms) },
-			"deliver": func(t *rapid.T) { deliver(rapid.IntRange(1, 10).Draw(t, "n")) },
-			"lose": func(t *rapid.T) {
-				if len(w.inFlight) > 0 {
-					w.inFlight = w.inFlight[rapid.IntRange(1, len(w.inFlight)).Draw(t, "n"):]
-				}
-			},
-			"wish": func(t *rapid.T) {
-				i, v := anyReplica.Draw(t, "who"), Verdict(rapid.IntRange(0, 3).Draw(t, "verdict"))
-				if !w.isPaused[i] {
-					w.execute(i, w.replicas[i].Recommend(w.now, Decision{1, 0, v}))
-				}
-			},
-			"stand": func(t *rapid.T) { w.isPaused[anyReplica.Draw(t, "who")] = true },
-			"wake":  func(t *rapid.T) { w.isPaused[anyReplica.Draw(t, "who")] = false },
-			"restart": func(t *rapid.T) {
-				if i := anyReplica.Draw(t, "who"); w.persisted[i] != nil {
-					w.startReplica(i, w.persisted[i], false)
-				}
-			},
-			"change": func(t *rapid.T) {
-				for i, d := range w.replicas {
-					if !w.isPaused[i] && d.IsLeader(w.now) {
-						commands, err := d.ChangeMembers(w.now, d.members.Mask^1<<anyReplica.Draw(t, "member"))
-						if w.execute(i, commands); err == nil {
-							changeCount++
-						}
-					}
-				}
-			},
-			"leave": func(t *rapid.T) {
-				if i := anyReplica.Draw(t, "who"); !w.isPaused[i] && w.persisted[i] != nil {
-					w.execute(i, w.replicas[i].Leave(w.now))
-				}
-			},
-			"": w.checkInvariants,
-		})
-		castCount += len(w.castVotes)
-	})
-	if castCount == 0 || changeCount == 0 {
-		t.Errorf("%d casts and %d changes of members: this has checked nothing", castCount, changeCount)
 	}
 }
 
-// With nobody to decide, an agent whose judge wishes to go back stops by itself, and goes on when it wishes otherwise.
-func TestSelfStopWithoutLeader(t *testing.T) {
-	stops := []string{}
-	d := New(0, InitialMembers(3), nil, testSettings, DisabledGuards{}, false, second, 1)
-	collectStops := func(commands []Command) {
-		for _, command := range commands {
-			if a, is := command.(SelfStop); is {
-				stops = append(stops, fmt.Sprint(a.Stop, a.Decision))
-			}
+// deliverAny delivers messages in any order, some of them more than once.
+func (c *modelCluster) deliverAny(t *rapid.T, count int) {
+	for ; count > 0 && len(c.inFlight) > 0; count-- {
+		index := rapid.IntRange(0, len(c.inFlight)-1).Draw(t, "index")
+		next := c.inFlight[index]
+		if !rapid.Bool().Draw(t, "duplicate") {
+			c.inFlight = append(c.inFlight[:index], c.inFlight[index+1:]...)
 		}
+		c.receive(next)
 	}
-	collectStops(d.UpdateRollout(second, 8, 1, true))
-	collectStops(d.Recommend(second, Decision{8, 1, Advance}))
-	if len(stops) != 0 {
-		t.Fatalf("said %v without a bad build", stops)
+}
+
+func (c *modelCluster) dropOldest(t *rapid.T) {
+	if len(c.inFlight) > 0 {
+		c.inFlight = c.inFlight[rapid.IntRange(1, len(c.inFlight)).Draw(t, "count"):]
+	}
+}
+
+func (c *modelCluster) recommend(i int, verdict Verdict) {
+	if !c.isPaused[i] {
+		c.execute(i, c.replicas[i].Recommend(c.now, Decision{Build: 1, Stage: 0, Verdict: verdict}))
 	}
-	collectStops(d.Recommend(2*second, Decision{8, 1, RollBack}))
-	collectStops(d.Tick(2*second + 100*ms))
-	collectStops(d.Recommend(3*second, Decision{8, 1, NoVote}))
-	if want := []string{"true {8 1 back}", "false {8 1 back}"}; fmt.Sprint(stops) != fmt.Sprint(want) {
-		t.Errorf("said %v, want %v", stops, want)
+}
+
+func (c *modelCluster) restart(i int) {
+	if c.persisted[i] != nil {
+		c.startReplica(i)
 	}
-	// With a lead in force it leaves that to the one that leads.
-	c := newCluster(false)
-	c.runUntil(3 * second)
-	for i := range c.replicas {
-		if c.replicas[i].IsLeader(c.now) {
+}
+
+// changeMember lets a replica in, or out, by whoever leads.
+func (c *modelCluster) changeMember(t *rapid.T) {
+	for i, replica := range c.replicas {
+		if c.isPaused[i] || !replica.IsLeader(c.now) {
 			continue
 		}
-		for _, command := range c.replicas[i].Recommend(c.now, Decision{1, 0, RollBack}) {
-			if a, is := command.(SelfStop); is {
-				t.Errorf("agent %d says %+v while another leads", i, a)
-			}
+		changed := anyReplica.Draw(t, "member")
+		commands, err := replica.ChangeMembers(c.now, replica.members.Mask^1<<changed)
+		c.execute(i, commands)
+		if err == nil {
+			c.memberChanges++
 		}
 	}
 }
+
+func (c *modelCluster) leave(i int) {
+	if !c.isPaused[i] && c.persisted[i] != nil {
+		c.execute(i, c.replicas[i].Leave(c.now))
+	}
+}
+
+var anyReplica = rapid.IntRange(0, modelReplicas-1)
+
+// actions are what may happen to a cluster. After each of them the invariants are checked.
+func (c *modelCluster) actions() map[string]func(*rapid.T) {
+	return map[string]func(*rapid.T){
+		"runReliably": func(t *rapid.T) { c.runReliably(t, rapid.IntRange(1, 40).Draw(t, "steps")) },
+		"runFor":      func(t *rapid.T) { c.runFor(t, rapid.IntRange(1, 60).Draw(t, "steps")) },
+		"deliver":     func(t *rapid.T) { c.deliverAny(t, rapid.IntRange(1, 10).Draw(t, "count")) },
+		"drop":        c.dropOldest,
+		"recommend": func(t *rapid.T) {
+			c.recommend(anyReplica.Draw(t, "replica"), Verdict(rapid.IntRange(0, 3).Draw(t, "verdict")))
+		},
+		"pause":        func(t *rapid.T) { c.isPaused[anyReplica.Draw(t, "replica")] = true },
+		"resume":       func(t *rapid.T) { c.isPaused[anyReplica.Draw(t, "replica")] = false },
+		"restart":      func(t *rapid.T) { c.restart(anyReplica.Draw(t, "replica")) },
+		"changeMember": c.changeMember,
+		"leave":        func(t *rapid.T) { c.leave(anyReplica.Draw(t, "replica")) },
+		"":             c.checkInvariants,
+	}
+}
+
+// Whatever is lost, duplicated, late or reordered, whichever replica pauses, restarts from its durable state, joins or leaves:
+// the invariants hold.
+func TestClusterInvariants(t *testing.T) {
+	voteCount, changeCount := 0, 0
+	rapid.Check(t, func(t *rapid.T) {
+		c := newModelCluster()
+		t.Repeat(c.actions())
+		voteCount += len(c.votes)
+		changeCount += c.memberChanges
+	})
+	if voteCount == 0 || changeCount == 0 {
+		t.Errorf("%d votes and %d changes of members: nothing was checked", voteCount, changeCount)
+	}
+}
--- /dev/null
+++ b/internal/cluster/election/selfstop_test.go
@@ -0,0 +1,45 @@
+package election
+
+import (
+	"slices"
+	"testing"
+)
+
+func selfStops(commands []Command) (stops []SelfStop) {
+	for _, command := range commands {
+		if stop, ok := command.(SelfStop); ok {
+			stops = append(stops, stop)
+		}
+	}
+	return stops
+}
+
+// Without a leader, a replica whose release analyzer asks for a rollback stops its own requests to the build, and resumes when
+// the analyzer asks for something else. While another replica leads it leaves that to the leader.
+func TestSelfStopWithoutLeader(t *testing.T) {
+	replica := New(0, InitialMembers(clusterSize), nil, testSettings, DisabledGuards{}, false, second, 1)
+	rollback := Decision{Build: 8, Stage: 1, Verdict: RollBack}
+	var stops []SelfStop
+	stops = append(stops, selfStops(replica.UpdateRollout(second, rollback.Build, rollback.Stage, true))...)
+	stops = append(stops, selfStops(replica.Recommend(second, Decision{Build: 8, Stage: 1, Verdict: Advance}))...)
+	if len(stops) != 0 {
+		t.Fatalf("%+v without a bad build", stops)
+	}
+	stops = append(stops, selfStops(replica.Recommend(2*second, rollback))...)
+	stops = append(stops, selfStops(replica.Tick(2*second+100*ms))...)
+	stops = append(stops, selfStops(replica.Recommend(3*second, Decision{Build: 8, Stage: 1, Verdict: NoVote}))...)
+	if want := []SelfStop{{rollback, true}, {rollback, false}}; !slices.Equal(stops, want) {
+		t.Errorf("got %+v, want %+v", stops, want)
+	}
+
+	c := newCluster(false)
+	c.runUntil(electionDone)
+	for i, replica := range c.replicas {
+		if replica.IsLeader(c.now) {
+			continue
+		}
+		for _, stop := range selfStops(replica.Recommend(c.now, Decision{Build: 1, Stage: 0, Verdict: RollBack})) {
+			t.Errorf("replica %d commands %+v while another leads", i, stop)
+		}
+	}
+}
