--- /dev/null
+++ b/cmd/switchfork-lab/election.go
@@ -0,0 +1,198 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"runtime"
+	"slices"
+	"sync"
+	"time"
+
+	"switchfork/internal/cluster/election"
+	"switchfork/internal/cluster/transport"
+	"switchfork/internal/simulation"
+
+	"github.com/spf13/cobra"
+)
+
+// guardsByName are the safety guards that the experiment may switch off.
+var guardsByName = map[string]election.DisabledGuards{
+	"":        {},
+	"lease":   {LeaseExpiry: true},
+	"record":  {QuorumBeforeCast: true},
+	"wait":    {WaitForEarlierVotes: true},
+	"prevote": {Prevote: true},
+	"begin":   {LeaseFromStart: true},
+}
+
+const (
+	// maxGapLeases without a leader after a crash, at the 99th percentile.
+	maxGapLeases = 3.0
+	// maxLeaveGapMillis without a leader after a planned leave, at the 99th percentile: a round trip and a half on a network whose
+	// messages take 2 ms at the most.
+	maxLeaveGapMillis = 6.0
+	// maxMessageGrowth from the smallest to the largest of idleAgents: no more than the agents' number grows.
+	maxMessageGrowth = 9.0 / 3
+	// slowMessagesPerLease: a ballot takes four messages one after the other, so with a tenth of a lease each it lasts longer than
+	// the pause between two renewals.
+	slowMessagesPerLease = 10
+	// minAgentsForCrash: of fewer agents those that are left have no quorum after a crash.
+	minAgentsForCrash = 3
+
+	maxCrashSchedules = 1000
+	maxIdleSchedules  = 50
+
+	microsPerSecond = 1e6
+	millisPerSecond = 1e3
+)
+
+// idleAgents are the numbers of agents whose traffic without faults is measured.
+var idleAgents = []int{3, 5, 7, 9}
+
+// electionExperiment plays random schedules of faults, which are checked at the model of the rollout controller.
+type electionExperiment struct {
+	seed      int64
+	schedules int
+	agents    int
+	seconds   int
+	without   string
+}
+
+func deciderCommand() *cobra.Command {
+	var experiment electionExperiment
+	c := &cobra.Command{
+		Use: "decider", Short: "one decider at a time: random partitions, standstills, restarts", Args: none,
+		RunE: func(c *cobra.Command, _ []string) error {
+			if !experiment.isValid() {
+				return use{errors.New("--schedules 1 to 1000000, --agents 1 to 9, --seconds 10 to 600, --without lease, record, wait, prevote or begin")}
+			}
+			return experiment.run(c.OutOrStdout())
+		},
+	}
+	c.Flags().Int64Var(&experiment.seed, "seed", 1, "of the first schedule")
+	c.Flags().IntVar(&experiment.schedules, "schedules", 10_000, "how many are played")
+	c.Flags().IntVar(&experiment.agents, "agents", 3, "how many agents")
+	c.Flags().IntVar(&experiment.seconds, "seconds", 40, "length of a schedule")
+	c.Flags().StringVar(&experiment.without, "without", "", "switch a guard off: lease, record, wait, prevote or begin; the experiment should then fail")
+	return c
+}
+
+func (e *electionExperiment) isValid() bool {
+	_, isGuard := guardsByName[e.without]
+	return isGuard &&
+		e.schedules >= 1 && e.schedules <= 1_000_000 &&
+		e.agents >= 1 && e.agents <= 9 &&
+		e.seconds >= 10 && e.seconds <= 600
+}
+
+// draw returns the schedules with faults, at most so many.
+func (e *electionExperiment) draw(count int) []simulation.Schedule {
+	schedules := make([]simulation.Schedule, 0, count)
+	for i := range min(e.schedules, count) {
+		schedules = append(schedules, simulation.Schedule{
+			Seed: e.seed + int64(i), Agents: e.agents, Seconds: e.seconds, Without: guardsByName[e.without],
+		})
+	}
+	return schedules
+}
+
+func (e *electionExperiment) run(out io.Writer) error {
+	startedAt := time.Now()
+	report := newElectionReport(out, e)
+	faulty := e.draw(e.schedules)
+	never := report.addRow("troubled", playAll(faulty), faulty).never
+	isChecked := e.without == "" && e.agents >= minAgentsForCrash
+	if isChecked {
+		report.bars.most("nights in which a bad release was never sent back", float64(never), 0)
+		e.checkGaps(report)
+	}
+	independent := variant(faulty, func(s *simulation.Schedule) { s.VoteIndependently = true })
+	report.addRow("troubled, each votes by itself", playAll(independent), nil)
+	growth := e.measureIdleTraffic(report)
+	if e.without == "" {
+		report.bars.most("messages an agent a second, 9 agents beside 3", growth, maxMessageGrowth)
+	}
+	if err := report.flush(); err != nil {
+		return err
+	}
+	_, _ = fmt.Fprintf(out, "played in %v\n", time.Since(startedAt).Round(time.Second)) // a closed terminal can't be told
+	if err := report.bars.err(); err != nil {
+		return err
+	}
+	_, _ = fmt.Fprintln(out, "no violation; all bars hold") // the exit code says the same
+	return nil
+}
+
+// checkGaps measures how long there is no leader after a crash and after a planned leave.
+func (e *electionExperiment) checkGaps(report *electionReport) {
+	lease := float64(simulation.NightLease())
+	crashes := variant(e.draw(maxCrashSchedules), func(s *simulation.Schedule) { s.Calm = true })
+	slow := variant(crashes, func(s *simulation.Schedule) { s.Slow = simulation.NightLease() / slowMessagesPerLease })
+	leaves := variant(crashes, func(s *simulation.Schedule) { s.LeaderLeaves = true })
+
+	gaps := report.addRow("calm, who leads crashes", playAll(crashes), crashes).gaps
+	report.bars.most("leases without a decider after a crash, 99th", quantile(gaps, 0.99)*microsPerSecond/lease, maxGapLeases)
+	gaps = report.addRow("calm, a way takes a tenth of a lease, who leads crashes", playAll(slow), crashes).gaps
+	report.bars.most("the same on ways that take a tenth of a lease, 99th", quantile(gaps, 0.99)*microsPerSecond/lease, maxGapLeases)
+	gaps = report.addRow("calm, who leads leaves", playAll(leaves), leaves).gaps
+	report.bars.most("ms without a decider at a planned hand-over, 99th", quantile(gaps, 0.99)*millisPerSecond, maxLeaveGapMillis)
+}
+
+// measureIdleTraffic reports the messages of an agent without faults, and returns the rate of the largest group as a multiple of
+// the smallest group's.
+func (e *electionExperiment) measureIdleTraffic(report *electionReport) (growth float64) {
+	var rates []float64
+	for _, agents := range idleAgents {
+		schedules := variant(e.draw(maxIdleSchedules), func(s *simulation.Schedule) {
+			s.Calm, s.NoFaults, s.Agents = true, true, agents
+		})
+		rate := 0.0
+		for _, result := range playAll(schedules) {
+			rate += float64(result.Messages) / float64(len(schedules)*agents*e.seconds)
+		}
+		report.printf("calm, %d agents: %.1f messages, %.0f bytes an agent a second\n", agents, rate, rate*float64(transport.FrameSize()))
+		rates = append(rates, rate)
+	}
+	return rates[len(rates)-1] / rates[0]
+}
+
+// playAll plays schedules on all cores and returns the results in the same order.
+func playAll(schedules []simulation.Schedule) []*simulation.Night {
+	results := make([]*simulation.Night, len(schedules))
+	next := make(chan int)
+	var workers sync.WaitGroup
+	for range runtime.GOMAXPROCS(0) {
+		workers.Add(1)
+		go func() {
+			defer workers.Done()
+			for i := range next {
+				results[i] = simulation.PlayNight(schedules[i])
+			}
+		}()
+	}
+	for i := range schedules {
+		next <- i
+	}
+	close(next)
+	workers.Wait()
+	return results
+}
+
+// variant returns the same schedules, changed.
+func variant(schedules []simulation.Schedule, change func(*simulation.Schedule)) []simulation.Schedule {
+	changed := slices.Clone(schedules)
+	for i := range changed {
+		change(&changed[i])
+	}
+	return changed
+}
+
+// quantile sorts the values and returns the one below which a part of them lies.
+func quantile(values []float64, part float64) float64 {
+	if len(values) == 0 {
+		return 0
+	}
+	slices.Sort(values)
+	return values[min(len(values)-1, int(part*float64(len(values))))]
+}
--- /dev/null
+++ b/cmd/switchfork-lab/election_report.go
@@ -0,0 +1,97 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"text/tabwriter"
+
+	"switchfork/internal/simulation"
+)
+
+const electionHeader = "nights\tplayed\tleads\thand-overs\tvotes\tmembers changed\tmessages an agent a second\t" +
+	"without a decider, s: median\t99th\tworst\tback after, s: median\tworst\tnever\tviolations\n"
+
+// electionReport is the table of the election experiment, and the limits that don't hold.
+type electionReport struct {
+	experiment *electionExperiment
+	table      *tabwriter.Writer
+	bars       bars
+}
+
+func newElectionReport(out io.Writer, experiment *electionExperiment) *electionReport {
+	report := &electionReport{experiment: experiment, table: tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)}
+	report.printf(electionHeader)
+	return report
+}
+
+// printf adds text to the table, whose errors flush returns.
+func (r *electionReport) printf(format string, arguments ...any) {
+	_, _ = fmt.Fprintf(r.table, format, arguments...)
+}
+
+func (r *electionReport) flush() error {
+	if err := r.table.Flush(); err != nil {
+		return fmt.Errorf("writing the table: %w", err)
+	}
+	return nil
+}
+
+// electionTotals sums up results. Durations are in seconds.
+type electionTotals struct {
+	leaderships, leaderChanges, votes, messages, memberChanges int
+
+	gaps           []float64 // periods without a leader
+	rollbackDelays []float64
+	never          int // results in which the bad build was never rolled back
+	violated       int // results with violations
+	firstViolation string
+}
+
+// sumUp adds results up. Without their schedules, gaps at the start don't count and no violation is named.
+func sumUp(results []*simulation.Night, schedules []simulation.Schedule) (totals electionTotals) {
+	for i, result := range results {
+		totals.leaderships += result.Leaderships
+		totals.leaderChanges += result.LeaderChanges
+		totals.votes += result.EffectiveVotes
+		totals.messages += result.Messages
+		totals.memberChanges += result.MemberChanges
+		countsStart := schedules != nil && !schedules[i].Calm
+		totals.addGaps(result.Gaps, countsStart)
+		if result.RollbackAfter >= 0 {
+			totals.rollbackDelays = append(totals.rollbackDelays, float64(result.RollbackAfter)/microsPerSecond)
+		} else {
+			totals.never++
+		}
+		if len(result.Violations) == 0 {
+			continue
+		}
+		totals.violated++
+		if totals.violated == 1 && schedules != nil {
+			totals.firstViolation = fmt.Sprintf("seed %d: %s", schedules[i].Seed, result.Violations[0])
+		}
+	}
+	return totals
+}
+
+// addGaps adds the gaps of a result. The first is the start, before any leader.
+func (t *electionTotals) addGaps(gaps []int64, countsStart bool) {
+	for i, gap := range gaps {
+		if i > 0 || countsStart {
+			t.gaps = append(t.gaps, float64(gap)/microsPerSecond)
+		}
+	}
+}
+
+// addRow adds the totals of results to the table. Violations fail the experiment where the schedules are given.
+func (r *electionReport) addRow(name string, results []*simulation.Night, schedules []simulation.Schedule) electionTotals {
+	t := sumUp(results, schedules)
+	if t.firstViolation != "" {
+		r.bars = append(r.bars, name+": "+t.firstViolation)
+	}
+	agentSeconds := len(results) * r.experiment.agents * r.experiment.seconds
+	r.printf("%s\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.3f\t%.3f\t%.3f\t%.2f\t%.2f\t%d\t%d\n",
+		name, len(results), t.leaderships, t.leaderChanges, t.votes, t.memberChanges, float64(t.messages)/float64(agentSeconds),
+		quantile(t.gaps, 0.5), quantile(t.gaps, 0.99), quantile(t.gaps, 1),
+		quantile(t.rollbackDelays, 0.5), quantile(t.rollbackDelays, 1), t.never, t.violated)
+	return t
+}
