--- a/internal/cluster/election/settings.go
+++ b/internal/cluster/election/settings.go
@@ -13,7 +13,19 @@
 }
 
 // DisabledGuards switches safety guards off, so that a checker can be seen to find what they prevent.
-type DisabledGuards struct{ LeaseExpiry, QuorumBeforeCast, WaitForEarlierVotes, Prevote, LeaseFromStart bool }
+type DisabledGuards struct {
+	// LeaseExpiry: a leader stops casting when its lease is over or when it may have paused, as another may lead by then.
+	LeaseExpiry bool
+	// QuorumBeforeCast: a vote is cast only after a quorum knows its record, so that the next leader knows it.
+	QuorumBeforeCast bool
+	// WaitForEarlierVotes: a contrary vote waits until earlier ones can't count any more.
+	WaitForEarlierVotes bool
+	// Prevote: a replica promises nothing to others while an accepted lease is in force.
+	Prevote bool
+	// LeaseFromStart: a lease counts from the beginning of its ballot, not from when the ballot was sent again: the promises and
+	// acceptances may answer the first sending.
+	LeaseFromStart bool
+}
 
 const (
 	// renewalsPerLease leaves a leader time for two more tries after the first renewal that fails.
