--- a/internal/cluster/election/golden_test.go
+++ b/internal/cluster/election/golden_test.go
@@ -9,126 +9,180 @@
 	"switchfork/internal/golden"
 )
 
-// goldenSteps of a night: enough for leads to be lost, handed over and got again, and for members to change.
+// goldenSteps of a scenario: enough for leaders to be lost, replaced and elected again, and for members to change.
 const goldenSteps = 20000
 
-// goldenNight is a group whose messages are lost, late, doubled and out of order, whose agents stand still, restart and leave.
-type goldenNight struct {
-	chance *rand.Rand
-	digest *golden.Digest
-	all    []*Replica
-	kept   []*DurableState
-	stands []bool
-	bag    []mail
-	now    Micros
-	orders int
-	seed   int64
+// faultScenario is a group whose messages are lost, late, duplicated and reordered, and whose replicas pause, restart and leave.
+type faultScenario struct {
+	random         *rand.Rand
+	digest         *golden.Digest
+	initialMembers int
+	disabled       DisabledGuards
+
+	replicas     []*Replica
+	persisted    []*DurableState
+	isPaused     []bool
+	inFlight     []envelope
+	now          Micros
+	commandCount int
+	lastSeed     int64
+}
+
+// newFaultScenario starts one replica more than the initial members. number counts the scenarios from 0.
+func newFaultScenario(number, initialMembers int, disabled DisabledGuards) *faultScenario {
+	s := &faultScenario{
+		random:         rand.New(rand.NewSource(int64(number + 1))),
+		digest:         golden.NewDigest(SendMessage{}, CastVote{}, Persist{}, SelfStop{}, Status{}, Micros(0), 0, ""),
+		initialMembers: initialMembers,
+		disabled:       disabled,
+		replicas:       make([]*Replica, initialMembers+1),
+		persisted:      make([]*DurableState, initialMembers+1),
+		isPaused:       make([]bool, initialMembers+1),
+		now:            second,
+		lastSeed:       int64(number) * 1000,
+	}
+	for i := range s.replicas {
+		s.startReplica(i)
+	}
+	return s
 }
 
-func (g *goldenNight) start(i, members int, without DisabledGuards) {
-	g.seed++
-	g.all[i] = New(i, InitialMembers(members), g.kept[i], terms, without, g.kept[i] == nil && g.now > second, g.now, g.seed)
-	g.carry(i, g.all[i].UpdateRollout(g.now, 1, 0, true))
+func (s *faultScenario) startReplica(i int) {
+	s.lastSeed++
+	isFresh := s.persisted[i] == nil && s.now > second
+	s.replicas[i] = New(i, InitialMembers(s.initialMembers), s.persisted[i], testSettings, s.disabled, isFresh, s.now, s.lastSeed)
+	s.execute(i, s.replicas[i].UpdateRollout(s.now, 1, 0, true))
 }
 
-func (g *goldenNight) carry(i int, orders []Command) {
-	for _, o := range append([]Command(nil), orders...) {
-		g.orders++
-		g.digest.Add(i)
-		g.digest.Add(o)
-		switch o := o.(type) {
+func (s *faultScenario) execute(i int, commands []Command) {
+	for _, command := range append([]Command(nil), commands...) {
+		s.commandCount++
+		s.digest.Add(i)
+		s.digest.Add(command)
+		switch command := command.(type) {
 		case Persist:
-			g.kept[i] = &o.DurableState
+			s.persisted[i] = &command.DurableState
 		case SendMessage:
-			if len(g.bag) < bagMost {
-				g.bag = append(g.bag, mail{i, o.To, o.Message})
+			if len(s.inFlight) < maxInFlight {
+				s.inFlight = append(s.inFlight, envelope{i, command.To, command.Message})
 			}
 		case CastVote:
-			if g.chance.Intn(3) > 0 {
-				g.carry(i, g.all[i].ResolveVote(g.now, o.Record))
+			if s.random.Intn(3) > 0 {
+				s.execute(i, s.replicas[i].ResolveVote(s.now, command.Record))
 			}
 		}
 	}
 }
 
-func (g *goldenNight) deliver() {
-	if len(g.bag) == 0 {
+func (s *faultScenario) deliver() {
+	if len(s.inFlight) == 0 {
 		return
 	}
-	at := 0
-	if g.chance.Intn(4) == 0 {
-		at = g.chance.Intn(len(g.bag))
+	index := 0
+	if s.random.Intn(4) == 0 {
+		index = s.random.Intn(len(s.inFlight))
 	}
-	m := g.bag[at]
-	if g.chance.Intn(20) > 0 {
-		g.bag = append(g.bag[:at], g.bag[at+1:]...)
+	next := s.inFlight[index]
+	if s.random.Intn(20) > 0 {
+		s.inFlight = append(s.inFlight[:index], s.inFlight[index+1:]...)
 	}
-	if !g.stands[m.to] && g.chance.Intn(25) > 0 {
-		g.carry(m.to, g.all[m.to].Receive(g.now, m.from, m.m))
+	if !s.isPaused[next.to] && s.random.Intn(25) > 0 {
+		s.execute(next.to, s.replicas[next.to].Receive(s.now, next.from, next.message))
+	}
+}
+
+func (s *faultScenario) tick() {
+	s.now += s.random.Int63n(40 * ms)
+	for i, replica := range s.replicas {
+		s.digest.Add(replica.NextTick())
+		if !s.isPaused[i] && replica.NextTick() <= s.now {
+			s.execute(i, replica.Tick(s.now))
+		}
 	}
 }
 
-func (g *goldenNight) step(members int, without DisabledGuards) {
-	who := g.chance.Intn(len(g.all))
-	switch n := g.chance.Intn(1000); {
+func (s *faultScenario) recommend(i int) {
+	if s.isPaused[i] {
+		return
+	}
+	stage := int32(s.random.Intn(2))
+	verdict := Verdict(s.random.Intn(4))
+	s.execute(i, s.replicas[i].Recommend(s.now, Decision{Build: 1, Stage: stage, Verdict: verdict}))
+}
+
+func (s *faultScenario) updateRollout() {
+	stage := int32(s.random.Intn(2))
+	for i, replica := range s.replicas {
+		s.execute(i, replica.UpdateRollout(s.now, 1, stage, s.random.Intn(8) > 0))
+	}
+}
+
+func (s *faultScenario) restart(i int) {
+	if s.random.Intn(6) == 0 {
+		s.persisted[i] = nil
+	}
+	s.startReplica(i)
+}
+
+func (s *faultScenario) changeMember(i int) {
+	mask := s.replicas[i].Status(s.now).Members.Mask ^ 1<<s.random.Intn(len(s.replicas))
+	commands, err := s.replicas[i].ChangeMembers(s.now, mask)
+	s.digest.Add(fmt.Sprint(err == nil))
+	s.execute(i, commands)
+}
+
+func (s *faultScenario) resumeSome(observed int) {
+	for i := range s.isPaused {
+		s.isPaused[i] = s.isPaused[i] && s.random.Intn(2) == 0
+	}
+	s.digest.Add(s.replicas[observed].Status(s.now))
+}
+
+// step draws the next event. The draws and their order are part of the golden file.
+func (s *faultScenario) step() {
+	i := s.random.Intn(len(s.replicas))
+	switch n := s.random.Intn(1000); {
 	case n < 600:
-		g.deliver()
+		s.deliver()
 	case n < 900:
-		g.now += Micros(g.chance.Int63n(int64(40 * ms)))
-		for i, d := range g.all {
-			g.digest.Add(d.NextTick())
-			if !g.stands[i] && d.NextTick() <= g.now {
-				g.carry(i, d.Tick(g.now))
-			}
-		}
+		s.tick()
 	case n < 950:
-		if !g.stands[who] {
-			g.carry(who, g.all[who].Recommend(g.now, Decision{1, int32(g.chance.Intn(2)), Verdict(g.chance.Intn(4))}))
-		}
+		s.recommend(i)
 	case n < 955:
-		stage := int32(g.chance.Intn(2))
-		for i, d := range g.all {
-			g.carry(i, d.UpdateRollout(g.now, 1, stage, g.chance.Intn(8) > 0))
-		}
+		s.updateRollout()
 	case n < 960:
-		g.stands[who] = !g.stands[who]
+		s.isPaused[i] = !s.isPaused[i]
 	case n < 963:
-		if g.chance.Intn(6) == 0 {
-			g.kept[who] = nil
-		}
-		g.start(who, members, without)
+		s.restart(i)
 	case n < 967:
-		g.carry(who, g.all[who].Leave(g.now))
+		s.execute(i, s.replicas[i].Leave(s.now))
 	case n < 985:
-		mask := g.all[who].Status(g.now).Members.Mask ^ 1<<g.chance.Intn(len(g.all))
-		orders, err := g.all[who].ChangeMembers(g.now, mask)
-		g.digest.Add(fmt.Sprint(err == nil))
-		g.carry(who, orders)
+		s.changeMember(i)
 	default:
-		for i := range g.stands {
-			g.stands[i] = g.stands[i] && g.chance.Intn(2) == 0
-		}
-		g.digest.Add(g.all[who].Status(g.now))
+		s.resumeSome(i)
 	}
 }
 
-// The same calls give the same orders as ever: the file's sums were made before names and shape of this package changed.
+// The same calls give the same commands as ever: the golden file was made before names and shape of this package changed.
 func TestGoldenDecisions(t *testing.T) {
+	scenarios := []DisabledGuards{
+		{},
+		{},
+		{},
+		{LeaseExpiry: true},
+		{QuorumBeforeCast: true},
+		{WaitForEarlierVotes: true},
+		{Prevote: true},
+		{LeaseFromStart: true},
+	}
 	var out strings.Builder
 	for _, members := range []int{1, 3, 5} {
-		for i, without := range []DisabledGuards{{}, {}, {}, {LeaseExpiry: true}, {QuorumBeforeCast: true}, {WaitForEarlierVotes: true}, {Prevote: true}, {LeaseFromStart: true}} {
-			g := &goldenNight{
-				chance: rand.New(rand.NewSource(int64(i + 1))), now: second, seed: int64(i) * 1000,
-				digest: golden.NewDigest(SendMessage{}, CastVote{}, Persist{}, SelfStop{}, Status{}, Micros(0), 0, ""),
-			}
-			g.all, g.kept, g.stands = make([]*Replica, members+1), make([]*DurableState, members+1), make([]bool, members+1)
-			for a := range g.all {
-				g.start(a, members, without)
-			}
+		for number, disabled := range scenarios {
+			s := newFaultScenario(number, members, disabled)
 			for range goldenSteps {
-				g.step(members, without)
+				s.step()
 			}
-			fmt.Fprintf(&out, "members %d night %d: %d orders %s\n", members, i+1, g.orders, g.digest)
+			fmt.Fprintf(&out, "members %d night %d: %d orders %s\n", members, number+1, s.commandCount, s.digest)
 		}
 	}
 	golden.Check(t, "decisions.golden", out.String())
--- /dev/null
+++ b/internal/cluster/election/model_test.go
@@ -0,0 +1,247 @@
+package election
+
+import (
+	"fmt"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+const (
+	// modelReplicas of a model; those from modelInitialMembers on join by a change of members only.
+	modelReplicas       = 4
+	modelInitialMembers = 3
+	// maxInFlight messages are kept; more are lost.
+	maxInFlight = 400
+	// modelStep is the time between two ticks of a model.
+	modelStep = 50 * ms
+)
+
+// modelCluster is a group of replicas with one true time, whose messages may be reordered, duplicated or lost.
+type modelCluster struct {
+	replicas  []*Replica
+	persisted []*DurableState // by replica; nil: nothing yet
+	isPaused  []bool
+	inFlight  []envelope
+	now       Micros
+	votes     []observedVote
+	lastSeed  int64
+
+	quorumViolation string // a vote that was cast before a quorum knew it; empty: none
+	memberChanges   int    // how many changes of members were accepted
+}
+
+// envelope is a message on its way.
+type envelope struct {
+	from, to int
+	message  Message
+}
+
+// observedVote is a vote that a replica has cast at a time.
+type observedVote struct {
+	replica int
+	CastVote
+	at Micros
+}
+
+func newModelCluster() *modelCluster {
+	c := &modelCluster{
+		replicas:  make([]*Replica, modelReplicas),
+		persisted: make([]*DurableState, modelReplicas),
+		isPaused:  make([]bool, modelReplicas),
+		now:       second,
+	}
+	for i := range c.replicas {
+		c.startReplica(i)
+	}
+	return c
+}
+
+// startReplica starts a replica with the state that it has persisted.
+func (c *modelCluster) startReplica(i int) {
+	members := InitialMembers(modelInitialMembers)
+	if i >= modelInitialMembers {
+		members = Members{}
+	}
+	c.lastSeed++
+	c.replicas[i] = New(i, members, c.persisted[i], testSettings, DisabledGuards{}, false, c.now, c.lastSeed)
+	c.isPaused[i] = false
+	c.execute(i, c.replicas[i].UpdateRollout(c.now, 1, 0, true))
+}
+
+func (c *modelCluster) execute(i int, commands []Command) {
+	for _, command := range append([]Command(nil), commands...) {
+		switch command := command.(type) {
+		case Persist:
+			c.persisted[i] = &command.DurableState
+		case SendMessage:
+			if len(c.inFlight) < maxInFlight {
+				c.inFlight = append(c.inFlight, envelope{i, command.To, command.Message})
+			}
+		case CastVote:
+			c.observeVote(i, command)
+		}
+	}
+}
+
+// observeVote checks that a quorum of the caster's members knows the record of a vote, or a newer one, and that the caster has
+// persisted its state.
+func (c *modelCluster) observeVote(caster int, vote CastVote) {
+	if c.persisted[caster] == nil {
+		panic("a vote of a replica that has persisted nothing")
+	}
+	c.votes = append(c.votes, observedVote{caster, vote, c.now})
+	members := c.replicas[caster].members
+	knownBy := 0
+	for i, replica := range c.replicas {
+		if members.Contains(i) && !vote.isNewerThan(replica.newestRecord) {
+			knownBy++
+		}
+	}
+	if 2*knownBy <= members.Count() {
+		c.quorumViolation = fmt.Sprintf("%+v was cast, known by %d of %d members", vote, knownBy, members.Count())
+	}
+}
+
+// checkInvariants fails the test unless one replica leads at most, the last vote is contrary to no other replica's vote that may
+// count, and each vote was replicated before it was cast.
+func (c *modelCluster) checkInvariants(t *rapid.T) {
+	leaders := []int{}
+	for i, replica := range c.replicas {
+		if !c.isPaused[i] && replica.IsLeader(c.now) {
+			leaders = append(leaders, i)
+		}
+	}
+	if len(leaders) > 1 {
+		t.Fatalf("at %d us replicas %v lead", c.now, leaders)
+	}
+	for _, earlier := range c.votes {
+		last := c.votes[len(c.votes)-1]
+		isContrary := earlier.replica != last.replica && earlier.isSameStage(last.Decision) && earlier.Verdict != last.Verdict
+		if isContrary && last.at < earlier.at+testSettings.MaxVoteDelay+testSettings.VoteLifetime {
+			t.Fatalf("%+v counts beside %+v", last, earlier)
+		}
+	}
+	if c.quorumViolation != "" {
+		t.Fatal(c.quorumViolation)
+	}
+}
+
+func (c *modelCluster) receive(e envelope) {
+	if !c.isPaused[e.to] {
+		c.execute(e.to, c.replicas[e.to].Receive(c.now, e.from, e.message))
+	}
+}
+
+// runFor lets time pass without delivering anything.
+func (c *modelCluster) runFor(t *rapid.T, steps int) {
+	for range steps {
+		c.now += modelStep
+		for i, replica := range c.replicas {
+			if !c.isPaused[i] {
+				c.execute(i, replica.Tick(c.now))
+			}
+		}
+		c.checkInvariants(t)
+	}
+}
+
+// runReliably lets time pass and delivers everything in order: without such periods no replica would ever lead.
+func (c *modelCluster) runReliably(t *rapid.T, steps int) {
+	for range steps {
+		c.runFor(t, 1)
+		for len(c.inFlight) > 0 {
+			next := c.inFlight[0]
+			c.inFlight = c.inFlight[1:]
+			c.receive(next)
+			c.checkInvariants(t)
+		}
+	}
+}
+
+// deliverAny delivers messages in any order, some of them more than once.
+func (c *modelCluster) deliverAny(t *rapid.T, count int) {
+	for ; count > 0 && len(c.inFlight) > 0; count-- {
+		index := rapid.IntRange(0, len(c.inFlight)-1).Draw(t, "index")
+		next := c.inFlight[index]
+		if !rapid.Bool().Draw(t, "duplicate") {
+			c.inFlight = append(c.inFlight[:index], c.inFlight[index+1:]...)
+		}
+		c.receive(next)
+	}
+}
+
+func (c *modelCluster) dropOldest(t *rapid.T) {
+	if len(c.inFlight) > 0 {
+		c.inFlight = c.inFlight[rapid.IntRange(1, len(c.inFlight)).Draw(t, "count"):]
+	}
+}
+
+func (c *modelCluster) recommend(i int, verdict Verdict) {
+	if !c.isPaused[i] {
+		c.execute(i, c.replicas[i].Recommend(c.now, Decision{Build: 1, Stage: 0, Verdict: verdict}))
+	}
+}
+
+func (c *modelCluster) restart(i int) {
+	if c.persisted[i] != nil {
+		c.startReplica(i)
+	}
+}
+
+// changeMember lets a replica in, or out, by whoever leads.
+func (c *modelCluster) changeMember(t *rapid.T) {
+	for i, replica := range c.replicas {
+		if c.isPaused[i] || !replica.IsLeader(c.now) {
+			continue
+		}
+		changed := anyReplica.Draw(t, "member")
+		commands, err := replica.ChangeMembers(c.now, replica.members.Mask^1<<changed)
+		c.execute(i, commands)
+		if err == nil {
+			c.memberChanges++
+		}
+	}
+}
+
+func (c *modelCluster) leave(i int) {
+	if !c.isPaused[i] && c.persisted[i] != nil {
+		c.execute(i, c.replicas[i].Leave(c.now))
+	}
+}
+
+var anyReplica = rapid.IntRange(0, modelReplicas-1)
+
+// actions are what may happen to a cluster. After each of them the invariants are checked.
+func (c *modelCluster) actions() map[string]func(*rapid.T) {
+	return map[string]func(*rapid.T){
+		"runReliably": func(t *rapid.T) { c.runReliably(t, rapid.IntRange(1, 40).Draw(t, "steps")) },
+		"runFor":      func(t *rapid.T) { c.runFor(t, rapid.IntRange(1, 60).Draw(t, "steps")) },
+		"deliver":     func(t *rapid.T) { c.deliverAny(t, rapid.IntRange(1, 10).Draw(t, "count")) },
+		"drop":        c.dropOldest,
+		"recommend": func(t *rapid.T) {
+			c.recommend(anyReplica.Draw(t, "replica"), Verdict(rapid.IntRange(0, 3).Draw(t, "verdict")))
+		},
+		"pause":        func(t *rapid.T) { c.isPaused[anyReplica.Draw(t, "replica")] = true },
+		"resume":       func(t *rapid.T) { c.isPaused[anyReplica.Draw(t, "replica")] = false },
+		"restart":      func(t *rapid.T) { c.restart(anyReplica.Draw(t, "replica")) },
+		"changeMember": c.changeMember,
+		"leave":        func(t *rapid.T) { c.leave(anyReplica.Draw(t, "replica")) },
+		"":             c.checkInvariants,
+	}
+}
+
+// Whatever is lost, duplicated, late or reordered, whichever replica pauses, restarts from its durable state, joins or leaves:
+// the invariants hold.
+func TestClusterInvariants(t *testing.T) {
+	voteCount, changeCount := 0, 0
+	rapid.Check(t, func(t *rapid.T) {
+		c := newModelCluster()
+		t.Repeat(c.actions())
+		voteCount += len(c.votes)
+		changeCount += c.memberChanges
+	})
+	if voteCount == 0 || changeCount == 0 {
+		t.Errorf("%d votes and %d changes of members: nothing was checked", voteCount, changeCount)
+	}
+}
