--- a/internal/config/charter.go
+++ b/internal/config/charter.go
@@ -44,11 +44,11 @@
 		moved.Rollout = next.addresses.Rollout
 	}
 	apart := func(a, b *Settings) {
-		for k, v := range a.pairs {
+		for k, v := range a.values {
 			mine := k == "discovery" || k == "seed" || strings.HasPrefix(k, "platform.") || strings.HasPrefix(k, "known.") ||
 				strings.HasPrefix(k, "settings.") // read apart; the others are of the moment
-			if other, is := b.pairs[k]; !mine && (!is || other != v) && !slices.Contains(left, a.under+k) {
-				left = append(left, a.under+k)
+			if other, is := b.values[k]; !mine && (!is || other != v) && !slices.Contains(left, a.prefix+k) {
+				left = append(left, a.prefix+k)
 			}
 		}
 	}
@@ -131,98 +131,98 @@
 		return nil, fmt.Errorf("GW_CONFIG %s: %w", path, err)
 	}
 	f := &File{getenv: getenv, Endpoints: parts.Known, Rollout: parts.Platform.News}
-	if f.Settings, err = nested("config", raw); err != nil {
+	if f.Settings, err = parseJSON("config", raw); err != nil {
 		return nil, err
 	}
 	if len(parts.Settings) == 0 {
 		return nil, fmt.Errorf("setting config.settings is missing")
 	}
-	if f.Deployment, err = nested("config.settings", parts.Settings); err != nil {
+	if f.Deployment, err = parseJSON("config.settings", parts.Settings); err != nil {
 		return nil, err
 	}
-	f.addresses = UpstreamAddresses{f.address("discovery", f.pairs["discovery"]), f.address("platform.address", f.str("platform.address"))}
+	f.addresses = UpstreamAddresses{f.address("discovery", f.values["discovery"]), f.address("platform.address", f.text("platform.address"))}
 	if err = f.Err(); err != nil {
 		return nil, err
 	}
 	return f, nil
 }
 
-// either is a variable, or else the key of the file.
-func (f *File) either(variable, key string) string {
+// environmentOr is a variable, or else the key of the file.
+func (f *File) environmentOr(variable, key string) string {
 	if v := f.getenv(variable); v != "" {
 		return v
 	}
-	return f.str(key)
+	return f.text(key)
 }
 
 func (f *File) address(key, v string) string {
 	if _, port, err := net.SplitHostPort(v); f.err == nil && (err != nil || port == "") {
-		f.fail(key, fmt.Sprintf("is %q, not host:port", v))
+		f.recordError(key, fmt.Sprintf("is %q, not host:port", v))
 	}
 	return v
 }
 
 func (f *File) Identity() Identity {
 	return Identity{
-		Name: f.either("GW_NAME", "name"), Listen: f.address("listen", f.either("GW_LISTEN", "listen")),
-		Discovery: f.address("discovery", f.either("GW_DISCOVERY", "discovery")),
-		Rollout:   f.address("platform.address", f.str("platform.address")),
+		Name: f.environmentOr("GW_NAME", "name"), Listen: f.address("listen", f.environmentOr("GW_LISTEN", "listen")),
+		Discovery: f.address("discovery", f.environmentOr("GW_DISCOVERY", "discovery")),
+		Rollout:   f.address("platform.address", f.text("platform.address")),
 	}
 }
 
 // ResourceLimits's defaults are what every machine of this platform has at least.
 func (f *File) ResourceLimits() ResourceLimits {
-	r := ResourceLimits{f.opt("limits.cores", 1), int(f.opt("limits.memory_mb", 192)), int(f.opt("limits.sockets", 1024))}
+	r := ResourceLimits{f.floatOrDefault("limits.cores", 1), int(f.floatOrDefault("limits.memory_mb", 192)), int(f.floatOrDefault("limits.sockets", 1024))}
 	if r.Cores <= 0 {
-		f.fail("limits.cores", fmt.Sprintf("is %v", r.Cores))
+		f.recordError("limits.cores", fmt.Sprintf("is %v", r.Cores))
 	}
 	if r.MemoryMB < 32 {
-		f.fail("limits.memory_mb", fmt.Sprintf("is %d; an agent needs 32", r.MemoryMB))
+		f.recordError("limits.memory_mb", fmt.Sprintf("is %d; an agent needs 32", r.MemoryMB))
 	}
 	if r.Sockets < 64 {
-		f.fail("limits.sockets", fmt.Sprintf("is %d; an agent needs 64", r.Sockets))
+		f.recordError("limits.sockets", fmt.Sprintf("is %d; an agent needs 64", r.Sockets))
 	}
 	return r
 }
 
 func (f *File) Peers() Peers {
-	if !f.Deployment.flag("Limits.MayTell") || !f.has("peer_listen") {
+	if !f.Deployment.boolean("Limits.MayTell") || !f.isSet("peer_listen") {
 		return Peers{}
 	}
-	c := Peers{Listen: f.address("peer_listen", f.str("peer_listen")), Addresses: f.words("peers")}
+	c := Peers{Listen: f.address("peer_listen", f.text("peer_listen")), Addresses: f.textList("peers")}
 	for i, p := range c.Addresses {
 		f.address(fmt.Sprintf("peers.%d", i), p)
 	}
-	if f.has("peers_all") {
-		c.Broadcast = f.address("peers_all", f.str("peers_all"))
+	if f.isSet("peers_all") {
+		c.Broadcast = f.address("peers_all", f.text("peers_all"))
 	}
 	return c
 }
 
 // Seed starts the module's chance: 16 hexadecimal digits.
 func (f *File) Seed() uint64 {
-	s := f.str("seed")
+	s := f.text("seed")
 	v, err := strconv.ParseUint(s, 16, 64)
 	if err != nil && f.err == nil {
-		f.fail("seed", fmt.Sprintf("is %q, not a hexadecimal number", s))
+		f.recordError("seed", fmt.Sprintf("is %q, not a hexadecimal number", s))
 	}
 	return v
 }
 
 // RequestClasses are the products in the order that the module numbers them.
 func (t *Settings) RequestClasses() []RequestClass {
-	out := make([]RequestClass, t.count("Grades.count"))
+	out := make([]RequestClass, t.integer("Grades.count"))
 	seen := map[string]int{}
 	for i := range out {
 		g := &out[i]
-		*g = RequestClass{t.str(grade(i, "Name")), t.effect(i), time.Duration(t.ms(grade(i, "HardLimitMs"))) * time.Microsecond}
+		*g = RequestClass{t.text(classKey(i, "Name")), t.idempotency(i), time.Duration(t.micros(classKey(i, "HardLimitMs"))) * time.Microsecond}
 		switch other, twice := seen[g.Name]; {
 		case g.Name == "":
-			t.fail(grade(i, "Name"), "is empty; requests name their class by it")
+			t.recordError(classKey(i, "Name"), "is empty; requests name their class by it")
 		case twice:
-			t.fail(grade(i, "Name"), fmt.Sprintf("is %q, like that of class %d; requests name their class by it", g.Name, other))
+			t.recordError(classKey(i, "Name"), fmt.Sprintf("is %q, like that of class %d; requests name their class by it", g.Name, other))
 		case g.Timeout <= 0:
-			t.fail(grade(i, "HardLimitMs"), "is 0; no answer could come in time")
+			t.recordError(classKey(i, "HardLimitMs"), "is 0; no answer could come in time")
 		}
 		seen[g.Name] = i
 	}
@@ -231,18 +231,18 @@
 
 // Tenants and Zones are names in the order of their numbers.
 func (t *Settings) Tenants() (out []string) {
-	for i := 0; i < int(t.opt("Parties.count", 0)); i++ {
-		out = append(out, t.str(fmt.Sprintf("Parties.%d.Name", i)))
+	for i := 0; i < int(t.floatOrDefault("Parties.count", 0)); i++ {
+		out = append(out, t.text(fmt.Sprintf("Parties.%d.Name", i)))
 	}
 	return out
 }
 
 // TenantShares are the customers' told parts of the whole; an even part where none is told.
 func (t *Settings) TenantShares() []float64 {
-	out := make([]float64, int(t.opt("Parties.count", 0)))
+	out := make([]float64, int(t.floatOrDefault("Parties.count", 0)))
 	for i := range out {
-		if out[i] = t.opt(fmt.Sprintf("Parties.%d.Fraction", i), 1/float64(len(out))); out[i] <= 0 {
-			t.fail(fmt.Sprintf("Parties.%d.Fraction", i), fmt.Sprintf("is %v, no share", out[i]))
+		if out[i] = t.floatOrDefault(fmt.Sprintf("Parties.%d.Fraction", i), 1/float64(len(out))); out[i] <= 0 {
+			t.recordError(fmt.Sprintf("Parties.%d.Fraction", i), fmt.Sprintf("is %v, no share", out[i]))
 		}
 	}
 	return out
@@ -256,45 +256,45 @@
 
 // ClassPriorities are in the order of Goods.
 func (t *Settings) ClassPriorities() []ClassPriority {
-	out := make([]ClassPriority, t.count("Grades.count"))
+	out := make([]ClassPriority, t.integer("Grades.count"))
 	for i := range out {
-		out[i] = ClassPriority{time.Duration(t.ms(grade(i, "SloMs"))) * time.Microsecond, t.num(grade(i, "Worth"))}
+		out[i] = ClassPriority{time.Duration(t.micros(classKey(i, "SloMs"))) * time.Microsecond, t.float(classKey(i, "Worth"))}
 	}
 	return out
 }
 
 // A deployment that names no zone has one, and whatever site the list tells is in it.
 func (t *Settings) Zones() []string {
-	zones := t.words("Localities")
-	if own := t.count("Zone"); len(zones) > 0 && own >= len(zones) {
-		t.fail("Zone", fmt.Sprintf("is %d, the own zone's number from 0 on, but %sLocalities has %d", own, t.under, len(zones)))
+	zones := t.textList("Localities")
+	if own := t.integer("Zone"); len(zones) > 0 && own >= len(zones) {
+		t.recordError("Zone", fmt.Sprintf("is %d, the own zone's number from 0 on, but %sLocalities has %d", own, t.prefix, len(zones)))
 	}
 	return zones
 }
 
 func (t *Settings) Connections() Connections {
 	span := func(key string) time.Duration {
-		us := t.ms(key)
+		us := t.micros(key)
 		if us == 0 {
-			t.fail(key, "is 0, no time at all")
+			t.recordError(key, "is 0, no time at all")
 		}
 		return time.Duration(us) * time.Microsecond
 	}
 	l := Connections{
 		DialTimeout: span("Limits.DialTimeoutMs"), IdleTimeout: span("Limits.ConnIdleMs"),
-		CallTimeout: span("FamilyInfo.CallTimeoutMs"), MaxOpenRequests: 20000, HealthChecks: t.flag("Limits.Probes"),
+		CallTimeout: span("FamilyInfo.CallTimeoutMs"), MaxOpenRequests: 20000, HealthChecks: t.boolean("Limits.Probes"),
 	}
-	if t.flag("Limits.RetryAfter") {
-		l.MaxRetryAfter = time.Duration(t.ms("Limits.MaxRetryAfterMs")) * time.Microsecond
+	if t.boolean("Limits.RetryAfter") {
+		l.MaxRetryAfter = time.Duration(t.micros("Limits.MaxRetryAfterMs")) * time.Microsecond
 	}
-	if t.has("Safety.AskWithinMs") && t.pairs["Discovery"] == "subscribe" {
-		l.PollWithin = time.Duration(t.ms("Safety.AskWithinMs")) * time.Microsecond
+	if t.isSet("Safety.AskWithinMs") && t.values["Discovery"] == "subscribe" {
+		l.PollWithin = time.Duration(t.micros("Safety.AskWithinMs")) * time.Microsecond
 	}
-	if t.has("Limits.OpenCap") {
-		l.MaxOpenRequests = t.count("Limits.OpenCap")
+	if t.isSet("Limits.OpenCap") {
+		l.MaxOpenRequests = t.integer("Limits.OpenCap")
 	}
-	if how := t.pairs["Feedback.How"]; how != "" && how != "off" {
-		l.LoadReportFields = t.words("Feedback.Fields")
+	if how := t.values["Feedback.How"]; how != "" && how != "off" {
+		l.LoadReportFields = t.textList("Feedback.Fields")
 	}
 	return l
 }
--- a/internal/config/terms.go
+++ b/internal/config/terms.go
@@ -15,25 +15,25 @@
 
 // Settings are the settings as path=value pairs; the first thing that is wrong with them sticks.
 type Settings struct {
-	under string // what stands before a path in messages
-	pairs map[string]string
-	err   error
+	prefix string // what stands before a path in messages
+	values map[string]string
+	err    error
 }
 
 // ParsePairs reads terms from lines of path=value.
 func ParsePairs(text string) *Settings {
-	t := &Settings{pairs: map[string]string{}}
+	t := &Settings{values: map[string]string{}}
 	for _, line := range strings.Split(text, "\n") {
 		if k, v, ok := strings.Cut(strings.TrimSpace(line), "="); ok {
-			t.pairs[k] = v
+			t.values[k] = v
 		}
 	}
 	return t
 }
 
-// nested turns a JSON object into the same pairs: dots between names, .count and .0 for lists of objects,
+// parseJSON turns a JSON object into the same pairs: dots between names, .count and .0 for lists of objects,
 // commas between plain values.
-func nested(under string, raw []byte) (*Settings, error) {
+func parseJSON(under string, raw []byte) (*Settings, error) {
 	var root any
 	if err := json.Unmarshal(raw, &root); err != nil {
 		return nil, fmt.Errorf("%s: %w", under, err)
@@ -41,7 +41,7 @@
 	if _, ok := root.(map[string]any); !ok {
 		return nil, fmt.Errorf("%s is not an object", under)
 	}
-	t := &Settings{under: under + ".", pairs: map[string]string{}}
+	t := &Settings{prefix: under + ".", values: map[string]string{}}
 	t.flatten("", root)
 	return t, nil
 }
@@ -60,142 +60,142 @@
 			case map[string]any, []any:
 				t.flatten(under(strconv.Itoa(i)), inner)
 			default:
-				plain = append(plain, scalar(inner))
+				plain = append(plain, formatScalar(inner))
 			}
 		}
 		if len(plain) < len(v) || len(v) == 0 {
-			t.pairs[under("count")] = strconv.Itoa(len(v))
+			t.values[under("count")] = strconv.Itoa(len(v))
 		} else {
-			t.pairs[path] = strings.Join(plain, ",")
+			t.values[path] = strings.Join(plain, ",")
 		}
 	case nil:
 	default:
-		t.pairs[path] = scalar(v)
+		t.values[path] = formatScalar(v)
 	}
 }
 
-func scalar(v any) string {
+func formatScalar(v any) string {
 	if f, ok := v.(float64); ok {
 		return strconv.FormatFloat(f, 'g', -1, 64)
 	}
 	return fmt.Sprint(v)
 }
 
-func (t *Settings) fail(key, why string) {
+func (t *Settings) recordError(key, why string) {
 	if t.err == nil {
-		t.err = fmt.Errorf("setting %s%s %s", t.under, key, why)
+		t.err = fmt.Errorf("setting %s%s %s", t.prefix, key, why)
 	}
 }
 
 // Err tells what was wrong first.
 func (t *Settings) Err() error { return t.err }
 
-func (t *Settings) str(key string) string {
-	v, ok := t.pairs[key]
+func (t *Settings) text(key string) string {
+	v, ok := t.values[key]
 	if !ok {
-		t.fail(key, "is missing")
+		t.recordError(key, "is missing")
 	}
 	return v
 }
 
-func (t *Settings) num(key string) float64 {
-	s := t.str(key)
+func (t *Settings) float(key string) float64 {
+	s := t.text(key)
 	if t.err != nil {
 		return 0
 	}
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		t.fail(key, fmt.Sprintf("is %q, not a number", s))
+		t.recordError(key, fmt.Sprintf("is %q, not a number", s))
 	}
 	return v
 }
 
-func (t *Settings) has(key string) bool { _, ok := t.pairs[key]; return ok }
+func (t *Settings) isSet(key string) bool { _, ok := t.values[key]; return ok }
 
-// opt is num for a key that may be absent.
-func (t *Settings) opt(key string, def float64) float64 {
-	if !t.has(key) {
+// floatOrDefault is num for a key that may be absent.
+func (t *Settings) floatOrDefault(key string, def float64) float64 {
+	if !t.isSet(key) {
 		return def
 	}
-	return t.num(key)
+	return t.float(key)
 }
 
-func (t *Settings) count(key string) int {
-	v := t.num(key)
+func (t *Settings) integer(key string) int {
+	v := t.float(key)
 	if v != math.Trunc(v) || v < 0 || v > 1e6 {
-		t.fail(key, fmt.Sprintf("is %v, not a count", v))
+		t.recordError(key, fmt.Sprintf("is %v, not a count", v))
 		return 0
 	}
 	return int(v)
 }
 
-func (t *Settings) ms(key string) int64 {
-	v := t.num(key)
+func (t *Settings) micros(key string) int64 {
+	v := t.float(key)
 	if v < 0 || v > 1e12 {
-		t.fail(key, fmt.Sprintf("is %v, not a span of time", v))
+		t.recordError(key, fmt.Sprintf("is %v, not a span of time", v))
 		return 0
 	}
 	return int64(math.Round(v * 1000))
 }
 
-func (t *Settings) flag(key string) bool {
-	return t.has(key) && pick(t, key, map[string]bool{"true": true, "false": false})
+func (t *Settings) boolean(key string) bool {
+	return t.isSet(key) && enum(t, key, map[string]bool{"true": true, "false": false})
 }
 
-func (t *Settings) words(key string) []string {
-	if v := t.pairs[key]; v != "" {
+func (t *Settings) textList(key string) []string {
+	if v := t.values[key]; v != "" {
 		return strings.Split(v, ",")
 	}
 	return nil
 }
 
-func (t *Settings) list(key string) []float64 {
+func (t *Settings) floatList(key string) []float64 {
 	var out []float64
-	for _, s := range strings.Split(t.str(key), ",") {
+	for _, s := range strings.Split(t.text(key), ",") {
 		v, err := strconv.ParseFloat(s, 64)
 		if err != nil {
-			t.fail(key, fmt.Sprintf("holds %q, not a number", s))
+			t.recordError(key, fmt.Sprintf("holds %q, not a number", s))
 		}
 		out = append(out, v)
 	}
 	return out
 }
 
-func pick[T any](t *Settings, key string, known map[string]T) T {
-	s := t.str(key)
+func enum[T any](t *Settings, key string, known map[string]T) T {
+	s := t.text(key)
 	v, ok := known[s]
 	if !ok {
-		t.fail(key, fmt.Sprintf("is %q, a word not known here", s))
+		t.recordError(key, fmt.Sprintf("is %q, a word not known here", s))
 	}
 	return v
 }
 
-func grade(i int, key string) string { return fmt.Sprintf("Grades.%d.%s", i, key) }
+func classKey(i int, key string) string { return fmt.Sprintf("Grades.%d.%s", i, key) }
 
-func (t *Settings) effect(i int) policy.Idempotency {
-	return pick(t, grade(i, "Repeat"), map[string]policy.Idempotency{
+func (t *Settings) idempotency(i int) policy.Idempotency {
+	return enum(t, classKey(i, "Repeat"), map[string]policy.Idempotency{
 		"read_like":       policy.Idempotent,
 		"idempotency_key": policy.Keyed, "non_idempotent": policy.NonIdempotent,
 	})
 }
 
-// sized tells whether the list tells the sizes of appliances; where the key is absent it does, as it always did.
-func (t *Settings) sized() bool {
-	return !t.has("Weights") || pick(t, "Weights", map[string]bool{"off": false, "none": false, "nominal": true, "rough": true, "live": true})
+// hasWeights tells whether the list tells the sizes of appliances; where the key is absent it does, as it always did.
+func (t *Settings) hasWeights() bool {
+	return !t.isSet("Weights") || enum(t, "Weights", map[string]bool{"off": false, "none": false, "nominal": true, "rough": true, "live": true})
 }
 
-// reported tells whether load reports come with answers; a key that is absent means none.
-func (t *Settings) reported() bool {
-	return t.has("Feedback.How") && pick(t, "Feedback.How",
+// hasLoadReports tells whether load reports come with answers; a key that is absent means none.
+func (t *Settings) hasLoadReports() bool {
+	return t.isSet("Feedback.How") && enum(t, "Feedback.How",
 		map[string]bool{"inline": true, "answers": true, "on_probe": false, "probe": false, "off": false, "none": false})
 }
 
-// report tells where the figures stand that the module reads, by the simulator's names and the users'; others are passed over.
-func (t *Settings) report() (r policy.LoadReportFormat) {
-	if !t.reported() {
+// loadReportFormat tells where the figures stand that the module reads, by the simulator's names and the users'; others are passed over.
+func (t *Settings) loadReportFormat() (r policy.LoadReportFormat) {
+	if !t.hasLoadReports() {
 		return r
 	}
-	for i, field := range t.words("Feedback.Fields") {
+	for i, field := range t.textList("Feedback.Fields") {
 		switch field {
 		case "utilization", "util":
 			r.Utilization = i + 1
@@ -208,117 +208,117 @@
 	return r
 }
 
-// tally is how often the launcher tells what it counted; 0 where it does not.
-func (t *Settings) tally() (every policy.Micros) {
-	if t.has("FamilyInfo.TallyEveryMs") {
-		every = t.ms("FamilyInfo.TallyEveryMs")
+// metricsInterval is how often the launcher tells what it counted; 0 where it does not.
+func (t *Settings) metricsInterval() (every policy.Micros) {
+	if t.isSet("FamilyInfo.TallyEveryMs") {
+		every = t.micros("FamilyInfo.TallyEveryMs")
 	}
-	sample := t.opt("FamilyInfo.TallySample", 0)
+	sample := t.floatOrDefault("FamilyInfo.TallySample", 0)
 	if sample < 0 || sample > 1 {
-		t.fail("FamilyInfo.TallySample", fmt.Sprintf("is %v, not a share from 0 to 1", sample))
+		t.recordError("FamilyInfo.TallySample", fmt.Sprintf("is %v, not a share from 0 to 1", sample))
 	}
 	if every > 0 && sample == 0 {
-		t.fail("FamilyInfo.TallySample", fmt.Sprintf("is 0, but %sFamilyInfo.TallyEveryMs is %v: counts of nothing", t.under, every/1000))
+		t.recordError("FamilyInfo.TallySample", fmt.Sprintf("is 0, but %sFamilyInfo.TallyEveryMs is %v: counts of nothing", t.prefix, every/1000))
 	}
 	return every
 }
 
-// unmixed refuses settings of two shapes of deployment in one configuration: what one key promises another forbids.
-func (t *Settings) unmixed() {
-	if how := t.pairs["Feedback.How"]; (how == "on_probe" || how == "probe") && t.has("Limits.Probes") && !t.flag("Limits.Probes") {
-		t.fail("Feedback.How", fmt.Sprintf("is %q, but %sLimits.Probes is false: no report would come; expected inline or off", how, t.under))
+// checkContradictions refuses settings of two shapes of deployment in one configuration: what one key promises another forbids.
+func (t *Settings) checkContradictions() {
+	if how := t.values["Feedback.How"]; (how == "on_probe" || how == "probe") && t.isSet("Limits.Probes") && !t.boolean("Limits.Probes") {
+		t.recordError("Feedback.How", fmt.Sprintf("is %q, but %sLimits.Probes is false: no report would come; expected inline or off", how, t.prefix))
 	}
-	if t.reported() && len(t.words("Feedback.Fields")) == 0 {
-		t.fail("Feedback.Fields", fmt.Sprintf("names no figure, but %sFeedback.How is %q", t.under, t.pairs["Feedback.How"]))
+	if t.hasLoadReports() && len(t.textList("Feedback.Fields")) == 0 {
+		t.recordError("Feedback.Fields", fmt.Sprintf("names no figure, but %sFeedback.How is %q", t.prefix, t.values["Feedback.How"]))
 	}
-	if most := t.count("Limits.MaxAttempts"); t.flag("Limits.ParallelTries") && most < 2 {
-		t.fail("Limits.ParallelTries", fmt.Sprintf("is true, but %sLimits.MaxAttempts is %d: there is no second copy", t.under, most))
+	if most := t.integer("Limits.MaxAttempts"); t.boolean("Limits.ParallelTries") && most < 2 {
+		t.recordError("Limits.ParallelTries", fmt.Sprintf("is true, but %sLimits.MaxAttempts is %d: there is no second copy", t.prefix, most))
 	}
-	if t.pairs["FamilyInfo.VoteMode"] == "timer" && t.opt("FamilyInfo.VotesToGo", 0) > 0 {
-		t.fail("FamilyInfo.VotesToGo", fmt.Sprintf("is %v, but %sFamilyInfo.VoteMode is timer: no vote moves a stage on", t.pairs["FamilyInfo.VotesToGo"], t.under))
+	if t.values["FamilyInfo.VoteMode"] == "timer" && t.floatOrDefault("FamilyInfo.VotesToGo", 0) > 0 {
+		t.recordError("FamilyInfo.VotesToGo", fmt.Sprintf("is %v, but %sFamilyInfo.VoteMode is timer: no vote moves a stage on", t.values["FamilyInfo.VotesToGo"], t.prefix))
 	}
 }
 
 // NewRouter starts a module on these terms.
 func (t *Settings) NewRouter(seed uint64) (policy.Router, error) {
-	st := policy.Instance{
-		Index: t.count("Me"), Agents: t.count("Balancers"), Zone: t.count("Zone"), Seed: int64(seed),
-		KeyAffinity: t.flag("FamilyInfo.WarmKeys"), HasWeights: t.sized(), LoadReport: t.report(),
+	instance := policy.Instance{
+		Index: t.integer("Me"), Agents: t.integer("Balancers"), Zone: t.integer("Zone"), Seed: int64(seed),
+		KeyAffinity: t.boolean("FamilyInfo.WarmKeys"), HasWeights: t.hasWeights(), LoadReport: t.loadReportFormat(),
 	}
-	t.unmixed()
-	if st.Agents < 1 {
-		t.fail("Balancers", fmt.Sprintf("is %d; there is one agent at least, this one", st.Agents))
+	t.checkContradictions()
+	if instance.Agents < 1 {
+		t.recordError("Balancers", fmt.Sprintf("is %d; there is one agent at least, this one", instance.Agents))
 	}
-	if st.Index >= st.Agents {
-		t.fail("Me", fmt.Sprintf("is %d of %d agents", st.Index, st.Agents))
+	if instance.Index >= instance.Agents {
+		t.recordError("Me", fmt.Sprintf("is %d of %d agents", instance.Index, instance.Agents))
 	}
-	products := make([]policy.RequestClass, t.count("Grades.count"))
-	if len(products) == 0 {
-		t.fail("Grades", "has no product")
+	classes := make([]policy.RequestClass, t.integer("Grades.count"))
+	if len(classes) == 0 {
+		t.recordError("Grades", "has no product")
 	}
-	for i := range products {
-		p := &products[i]
-		if p.Idempotency = t.effect(i); p.Idempotency == policy.Keyed {
-			p.DedupScope = pick(t, grade(i, "KeyScope"), map[string]policy.DedupScope{
+	for i := range classes {
+		class := &classes[i]
+		if class.Idempotency = t.idempotency(i); class.Idempotency == policy.Keyed {
+			class.DedupScope = enum(t, classKey(i, "KeyScope"), map[string]policy.DedupScope{
 				"all":  policy.DedupAll,
 				"zone": policy.DedupZone, "cell": policy.DedupCell,
 			})
-			p.DedupWindow = t.ms(grade(i, "WindowMs"))
+			class.DedupWindow = t.micros(classKey(i, "WindowMs"))
 		}
-		if p.LatencyObjective, p.Timeout = t.ms(grade(i, "SloMs")), t.ms(grade(i, "HardLimitMs")); p.LatencyObjective <= 0 {
-			t.fail(grade(i, "SloMs"), "is 0; no answer could be in time")
+		if class.LatencyObjective, class.Timeout = t.micros(classKey(i, "SloMs")), t.micros(classKey(i, "HardLimitMs")); class.LatencyObjective <= 0 {
+			t.recordError(classKey(i, "SloMs"), "is 0; no answer could be in time")
 		}
-		p.PriorityWeight, p.LateWeightShare = t.num(grade(i, "Worth")), t.opt(grade(i, "LateValue"), 0)
+		class.PriorityWeight, class.LateWeightShare = t.float(classKey(i, "Worth")), t.floatOrDefault(classKey(i, "LateValue"), 0)
 	}
 	plan := policy.RolloutPlan{
-		Caps: t.list("FamilyInfo.StageCap"), Shares: t.list("FamilyInfo.StageShare"),
-		GuardedStages: t.count("FamilyInfo.Shielded"), KeysNeverGoBack: t.flag("FamilyInfo.OneWay"),
-		ReplacesInPlace: pick(t, "FamilyInfo.Swap", map[string]bool{"in_place": true, "beside": false}),
-	}
-	polling := policy.VotingRules{
-		VoteLifetime: t.ms("FamilyInfo.VoteStandsMs"), CallTimeout: t.ms("FamilyInfo.CallTimeoutMs"),
-		CallsPerSecond: t.num("FamilyInfo.ApiRate"), VotesToAdvance: t.count("FamilyInfo.VotesToGo"),
-		VotesToRollBack: t.count("FamilyInfo.NoesNeeded"), Rule: pick(t, "FamilyInfo.VoteMode", map[string]policy.VotingRule{
+		Caps: t.floatList("FamilyInfo.StageCap"), Shares: t.floatList("FamilyInfo.StageShare"),
+		GuardedStages: t.integer("FamilyInfo.Shielded"), KeysNeverGoBack: t.boolean("FamilyInfo.OneWay"),
+		ReplacesInPlace: enum(t, "FamilyInfo.Swap", map[string]bool{"in_place": true, "beside": false}),
+	}
+	voting := policy.VotingRules{
+		VoteLifetime: t.micros("FamilyInfo.VoteStandsMs"), CallTimeout: t.micros("FamilyInfo.CallTimeoutMs"),
+		CallsPerSecond: t.float("FamilyInfo.ApiRate"), VotesToAdvance: t.integer("FamilyInfo.VotesToGo"),
+		VotesToRollBack: t.integer("FamilyInfo.NoesNeeded"), Rule: enum(t, "FamilyInfo.VoteMode", map[string]policy.VotingRule{
 			"any": policy.AnyVote, "share": policy.VoteShare, "timer": policy.TimedStages,
 		}),
 	}
-	polling.MetricsInterval = t.tally()
-	count := policy.ExposureLimit{
-		Window: t.ms("FamilyInfo.CountedOverMs"), Allowance: t.num("FamilyInfo.Allowance"),
-		PerClass: pick(t, "FamilyInfo.CountedBy", map[string]bool{"class": true, "all": false}),
+	voting.MetricsInterval = t.metricsInterval()
+	exposure := policy.ExposureLimit{
+		Window: t.micros("FamilyInfo.CountedOverMs"), Allowance: t.float("FamilyInfo.Allowance"),
+		PerClass: enum(t, "FamilyInfo.CountedBy", map[string]bool{"class": true, "all": false}),
 	}
-	cold := policy.SlowStart{
-		InitialCapacity: t.num("Safety.ColdFrom"), Duration: t.ms("Safety.ColdMs"),
-		OverloadMultiple: t.num("Safety.TipMultiple"), OverloadAfter: t.ms("Safety.TipAfterMs"),
+	slowStart := policy.SlowStart{
+		InitialCapacity: t.float("Safety.ColdFrom"), Duration: t.micros("Safety.ColdMs"),
+		OverloadMultiple: t.float("Safety.TipMultiple"), OverloadAfter: t.micros("Safety.TipAfterMs"),
 	}
-	hand := policy.RetryLimits{
-		DrainGrace: t.ms("Safety.DrainGraceMs"), AnswerGrace: t.ms("Safety.GraceToAnswerMs"),
-		MaxAttempts: t.count("Limits.MaxAttempts"),
+	limits := policy.RetryLimits{
+		DrainGrace: t.micros("Safety.DrainGraceMs"), AnswerGrace: t.micros("Safety.GraceToAnswerMs"),
+		MaxAttempts: t.integer("Limits.MaxAttempts"),
 	}
-	if t.flag("Limits.RetryAfter") {
-		hand.MaxRetryAfter = t.ms("Limits.MaxRetryAfterMs")
+	if t.boolean("Limits.RetryAfter") {
+		limits.MaxRetryAfter = t.micros("Limits.MaxRetryAfterMs")
 	}
-	may := policy.Capabilities{
-		HealthChecks: t.flag("Limits.Probes"), Cancellation: t.flag("Limits.Cancel"),
-		Gossip:          t.flag("Limits.MayTell"),
-		EndpointPolling: pick(t, "Discovery", map[string]bool{"subscribe": true, "automatic": false}),
+	capabilities := policy.Capabilities{
+		HealthChecks: t.boolean("Limits.Probes"), Cancellation: t.boolean("Limits.Cancel"),
+		Gossip:          t.boolean("Limits.MayTell"),
+		EndpointPolling: enum(t, "Discovery", map[string]bool{"subscribe": true, "automatic": false}),
 	}
-	fares := policy.CostWeights{
-		CrossZone: t.opt("Charges.CrossZone", 0), Waste: t.opt("Charges.Waste", 0),
-		HealthCheck: t.opt("Charges.Probe", 0), Gossip: t.opt("Charges.Peer", 0),
+	costs := policy.CostWeights{
+		CrossZone: t.floatOrDefault("Charges.CrossZone", 0), Waste: t.floatOrDefault("Charges.Waste", 0),
+		HealthCheck: t.floatOrDefault("Charges.Probe", 0), Gossip: t.floatOrDefault("Charges.Peer", 0),
 	}
-	if polling.CallsPerSecond <= 0 {
-		t.fail("FamilyInfo.ApiRate", fmt.Sprintf("is %v, no rate of calls a second", polling.CallsPerSecond))
+	if voting.CallsPerSecond <= 0 {
+		t.recordError("FamilyInfo.ApiRate", fmt.Sprintf("is %v, no rate of calls a second", voting.CallsPerSecond))
 	}
 	for _, key := range []string{"CrossZone", "Waste", "Probe", "Peer"} {
-		if v := t.opt("Charges."+key, 0); v < 0 {
-			t.fail("Charges."+key, fmt.Sprintf("is %v, a price under 0", v))
+		if v := t.floatOrDefault("Charges."+key, 0); v < 0 {
+			t.recordError("Charges."+key, fmt.Sprintf("is %v, a price under 0", v))
 		}
 	}
 	if t.err != nil {
 		return nil, t.err
 	}
-	return policy.New(st, products, plan, polling, count, cold, hand, may, fares), nil
+	return policy.New(instance, classes, plan, voting, exposure, slowStart, limits, capabilities, costs), nil
 }
 
 // Voting are how votes are counted, and who casts them; times in microseconds.
@@ -333,8 +333,8 @@
 // Voting reads them; what is wrong there is found when the module is opened.
 func (t *Settings) Voting() Voting {
 	return Voting{
-		Index: t.count("Me"), Agents: t.count("Balancers"), VotesToAdvance: t.count("FamilyInfo.VotesToGo"), VotesToRollBack: t.count("FamilyInfo.NoesNeeded"),
-		CallTimeout: t.ms("FamilyInfo.CallTimeoutMs"), VoteLifetime: t.ms("FamilyInfo.VoteStandsMs"), Rule: pick(t, "FamilyInfo.VoteMode",
+		Index: t.integer("Me"), Agents: t.integer("Balancers"), VotesToAdvance: t.integer("FamilyInfo.VotesToGo"), VotesToRollBack: t.integer("FamilyInfo.NoesNeeded"),
+		CallTimeout: t.micros("FamilyInfo.CallTimeoutMs"), VoteLifetime: t.micros("FamilyInfo.VoteStandsMs"), Rule: enum(t, "FamilyInfo.VoteMode",
 			map[string]policy.VotingRule{"any": policy.AnyVote, "share": policy.VoteShare, "timer": policy.TimedStages}),
 	}
 }
--- a/internal/config/terms_test.go
+++ b/internal/config/terms_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-const sound = `Me=1
+const validSettings = `Me=1
 Balancers=80
 Zone=0
 Discovery=subscribe
@@ -40,8 +40,8 @@
 `
 
 // What counts over all agents must be told soundly, or the start ends with the key; prices may be absent.
-func TestFleetTerms(t *testing.T) {
-	if _, err := ParsePairs(sound).NewRouter(1); err != nil {
+func TestNewRouterChecksRequiredSettings(t *testing.T) {
+	if _, err := ParsePairs(validSettings).NewRouter(1); err != nil {
 		t.Fatal(err)
 	}
 	for from, to := range map[string]string{
@@ -52,35 +52,35 @@
 		if strings.Contains(from, "16") {
 			key = "FamilyInfo.ApiRate"
 		}
-		text := strings.Replace(sound, from, to, 1)
+		text := strings.Replace(validSettings, from, to, 1)
 		if _, err := ParsePairs(text).NewRouter(1); err == nil || !strings.Contains(err.Error(), key+" ") {
 			t.Errorf("%q for %q: %v", to, from, err)
 		}
 	}
 	for _, price := range []string{"CrossZone", "Waste", "Probe", "Peer"} {
-		if _, err := ParsePairs(sound + "Charges." + price + "=-0.1\n").NewRouter(1); err == nil || !strings.Contains(err.Error(), "Charges."+price) {
+		if _, err := ParsePairs(validSettings + "Charges." + price + "=-0.1\n").NewRouter(1); err == nil || !strings.Contains(err.Error(), "Charges."+price) {
 			t.Errorf("a negative price: %v", err)
 		}
-		if _, err := ParsePairs(sound + "Charges." + price + "=0.1\n").NewRouter(1); err != nil {
+		if _, err := ParsePairs(validSettings + "Charges." + price + "=0.1\n").NewRouter(1); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
 // The time in which to ask for the list counts only where it must be asked.
-func TestAskWithin(t *testing.T) {
+func TestPollWithinAppliesToPollingOnly(t *testing.T) {
 	lines := "Limits.DialTimeoutMs=250\nLimits.ConnIdleMs=30000\nSafety.AskWithinMs=10000\n"
-	for how, want := range map[string]time.Duration{"subscribe": 10 * time.Second, "automatic": 0} {
-		terms := ParsePairs(strings.Replace(sound, "subscribe", how, 1) + lines)
-		if l := terms.Connections(); l.PollWithin != want || terms.Err() != nil {
-			t.Errorf("%s: %v, %v", how, l.PollWithin, terms.Err())
+	for discovery, want := range map[string]time.Duration{"subscribe": 10 * time.Second, "automatic": 0} {
+		settings := ParsePairs(strings.Replace(validSettings, "subscribe", discovery, 1) + lines)
+		if connections := settings.Connections(); connections.PollWithin != want || settings.Err() != nil {
+			t.Errorf("%s: %v, %v", discovery, connections.PollWithin, settings.Err())
 		}
 	}
 }
 
 // What the module reads of a deployment's shape: absent keys leave it as it was, faulty ones end the start with the key, and
 // keys that promise what others forbid are named both.
-func TestShape(t *testing.T) {
+func TestNewRouterChecksDeploymentShape(t *testing.T) {
 	for lines, want := range map[string]string{
 		"": "", "Weights=nominal\n": "", "Weights=off\nFeedback.How=inline\nFeedback.Fields=utilization,throughput\n": "",
 		"FamilyInfo.TallyEveryMs=2000\nFamilyInfo.TallySample=0.1\n": "", "FamilyInfo.TallyEveryMs=0\nFamilyInfo.TallySample=0\n": "",
@@ -97,7 +97,7 @@
 		"Grades.0.SloMs=0\n":                                          "setting Grades.0.SloMs is 0; no answer could be in time",
 		"FamilyInfo.VoteMode=timer\n":                                 "setting FamilyInfo.VotesToGo is 1, but FamilyInfo.VoteMode is timer",
 	} {
-		_, err := ParsePairs(sound + lines).NewRouter(1)
+		_, err := ParsePairs(validSettings + lines).NewRouter(1)
 		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 			t.Errorf("%q: %v, want %q", lines, err, want)
 		}
@@ -105,20 +105,20 @@
 }
 
 // One build reads both shapes, from the simulator's pairs and from a program's file, by either's names for the figures.
-func TestReport(t *testing.T) {
-	file, err := nested("config.settings", []byte(`{"Feedback":{"How":"answers","Fields":["util","heat","qps"]},"Weights":"none"}`))
+func TestLoadReportFormat(t *testing.T) {
+	file, err := parseJSON("config.settings", []byte(`{"Feedback":{"How":"answers","Fields":["util","heat","qps"]},"Weights":"none"}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := file.report(); r.Utilization != 1 || r.Rate != 3 || r.InFlight != 0 || file.sized() || file.Err() != nil {
-		t.Errorf("%+v, sized %v, %v", r, file.sized(), file.Err())
+	if r := file.loadReportFormat(); r.Utilization != 1 || r.Rate != 3 || r.InFlight != 0 || file.hasWeights() || file.Err() != nil {
+		t.Errorf("%+v, sized %v, %v", r, file.hasWeights(), file.Err())
 	}
-	halls := ParsePairs("Feedback.How=inline\nFeedback.Fields=outstanding\nWeights=nominal\n")
-	if r := halls.report(); r.InFlight != 1 || r.Utilization != 0 || r.Rate != 0 || !halls.sized() || halls.Err() != nil {
-		t.Errorf("%+v, sized %v, %v", r, halls.sized(), halls.Err())
+	simulated := ParsePairs("Feedback.How=inline\nFeedback.Fields=outstanding\nWeights=nominal\n")
+	if r := simulated.loadReportFormat(); r.InFlight != 1 || r.Utilization != 0 || r.Rate != 0 || !simulated.hasWeights() || simulated.Err() != nil {
+		t.Errorf("%+v, sized %v, %v", r, simulated.hasWeights(), simulated.Err())
 	}
-	old := ParsePairs("Feedback.How=on_probe\nFeedback.Fields=backlog\n")
-	if r := old.report(); r.Utilization+r.Rate+r.InFlight != 0 || !old.sized() || old.Err() != nil {
-		t.Errorf("%+v, sized %v, %v", r, old.sized(), old.Err())
+	unread := ParsePairs("Feedback.How=on_probe\nFeedback.Fields=backlog\n")
+	if r := unread.loadReportFormat(); r.Utilization+r.Rate+r.InFlight != 0 || !unread.hasWeights() || unread.Err() != nil {
+		t.Errorf("%+v, sized %v, %v", r, unread.hasWeights(), unread.Err())
 	}
 }
