--- /dev/null
+++ b/internal/config/connections.go
@@ -0,0 +1,47 @@
+package config
+
+import "time"
+
+// defaultMaxOpenRequests is in force where the deployment configures no bound.
+const defaultMaxOpenRequests = 20000
+
+// discoverySubscribe is the discovery mode in which an agent polls for the endpoint list. In the other mode the list
+// is pushed to it.
+const (
+	discoverySubscribe = "subscribe"
+	discoveryAutomatic = "automatic"
+)
+
+// Connections are the limits of an agent's connections to endpoints and to the rollout controller.
+type Connections struct {
+	DialTimeout, IdleTimeout, CallTimeout time.Duration
+	PollWithin                            time.Duration // the endpoint list is polled at least this often; 0: it is pushed
+	MaxOpenRequests                       int           // requests that the agent may have open at a time
+	MaxRetryAfter                         time.Duration // the longest Retry-After that clients honor; 0: they honor none
+	HealthChecks                          bool
+	LoadReportFields                      []string // the fields of a load report, none where there are no reports
+}
+
+// Connections reads the limits of connections.
+func (s *Settings) Connections() Connections {
+	connections := Connections{
+		DialTimeout:     s.positiveDuration(keyDialTimeout),
+		IdleTimeout:     s.positiveDuration(keyIdleTimeout),
+		CallTimeout:     s.positiveDuration(keyCallTimeout),
+		MaxOpenRequests: defaultMaxOpenRequests,
+		HealthChecks:    s.boolean(keyHealthChecks),
+	}
+	if s.boolean(keyRetryAfter) {
+		connections.MaxRetryAfter = s.duration(keyMaxRetryAfter)
+	}
+	if s.isSet(keyPollWithin) && s.values[keyDiscoveryMode] == discoverySubscribe {
+		connections.PollWithin = s.duration(keyPollWithin)
+	}
+	if s.isSet(keyMaxOpenRequests) {
+		connections.MaxOpenRequests = s.integer(keyMaxOpenRequests)
+	}
+	if mode := s.values[keyLoadReportMode]; mode != "" && mode != loadReportsOff {
+		connections.LoadReportFields = s.textList(keyLoadReportFields)
+	}
+	return connections
+}
--- /dev/null
+++ b/internal/config/router.go
@@ -0,0 +1,137 @@
+package config
+
+import "switchfork/internal/policy"
+
+// NewRouter creates the policy's router for this deployment. Every key that the router needs is checked; the error
+// names the first one at fault.
+//
+// The sections are read in a fixed order, since it decides which of several faults is reported.
+func (s *Settings) NewRouter(seed uint64) (policy.Router, error) {
+	instance := s.instance(seed)
+	s.checkContradictions()
+	s.checkInstance(instance)
+	classes := s.policyClasses()
+	plan := s.rolloutPlan()
+	voting := s.votingRules()
+	exposure := s.exposureLimit()
+	slowStart := s.slowStart()
+	limits := s.retryLimits()
+	capabilities := s.capabilities()
+	costs := s.costWeights()
+	if voting.CallsPerSecond <= 0 {
+		s.recordError(keyCallsPerSecond, "is %v, no rate of calls a second", voting.CallsPerSecond)
+	}
+	s.checkCosts()
+	if s.err != nil {
+		return nil, s.err
+	}
+	return policy.New(instance, classes, plan, voting, exposure, slowStart, limits, capabilities, costs), nil
+}
+
+func (s *Settings) instance(seed uint64) policy.Instance {
+	return policy.Instance{
+		Index:       s.integer(keyAgentIndex),
+		Agents:      s.integer(keyAgentCount),
+		Zone:        s.integer(keyZone),
+		Seed:        int64(seed),
+		KeyAffinity: s.boolean(keyKeyAffinity),
+		HasWeights:  s.hasWeights(),
+		LoadReport:  s.loadReportFormat(),
+	}
+}
+
+func (s *Settings) checkInstance(instance policy.Instance) {
+	if instance.Agents < 1 {
+		s.recordError(keyAgentCount, "is %d; there is one agent at least, this one", instance.Agents)
+	}
+	if instance.Index >= instance.Agents {
+		s.recordError(keyAgentIndex, "is %d of %d agents", instance.Index, instance.Agents)
+	}
+}
+
+// checkContradictions rejects keys of which one promises what another one rules out. Such settings come from mixing
+// the configurations of two deployments.
+func (s *Settings) checkContradictions() {
+	mode := s.values[keyLoadReportMode]
+	needsHealthChecks := mode == loadReportsOnProbe || mode == loadReportsWithProbe
+	if needsHealthChecks && s.isSet(keyHealthChecks) && !s.boolean(keyHealthChecks) {
+		s.recordError(keyLoadReportMode, "is %q, but %s%s is false: no report would come; expected inline or off", mode, s.prefix, keyHealthChecks)
+	}
+	if s.hasLoadReports() && len(s.textList(keyLoadReportFields)) == 0 {
+		s.recordError(keyLoadReportFields, "names no figure, but %s%s is %q", s.prefix, keyLoadReportMode, mode)
+	}
+	if attempts := s.integer(keyMaxAttempts); s.boolean(keyHedging) && attempts < 2 {
+		s.recordError(keyHedging, "is true, but %s%s is %d: there is no second copy", s.prefix, keyMaxAttempts, attempts)
+	}
+	if s.values[keyVotingRule] == votingTimer && s.floatOrDefault(keyVotesToAdvance, 0) > 0 {
+		s.recordError(keyVotesToAdvance, "is %v, but %s%s is timer: no vote moves a stage on", s.values[keyVotesToAdvance], s.prefix, keyVotingRule)
+	}
+}
+
+func (s *Settings) rolloutPlan() policy.RolloutPlan {
+	return policy.RolloutPlan{
+		Caps:            s.floatList(keyStageCaps),
+		Shares:          s.floatList(keyStageShares),
+		GuardedStages:   s.integer(keyGuardedStages),
+		KeysNeverGoBack: s.boolean(keyKeysNeverGoBack),
+		ReplacesInPlace: enum(s, keyReplacement, map[string]bool{"in_place": true, "beside": false}),
+	}
+}
+
+func (s *Settings) exposureLimit() policy.ExposureLimit {
+	return policy.ExposureLimit{
+		Window:    s.micros(keyExposureWindow),
+		Allowance: s.float(keyExposureAllowance),
+		PerClass:  enum(s, keyExposureScope, map[string]bool{"class": true, "all": false}),
+	}
+}
+
+func (s *Settings) slowStart() policy.SlowStart {
+	return policy.SlowStart{
+		InitialCapacity:  s.float(keyInitialCapacity),
+		Duration:         s.micros(keySlowStartDuration),
+		OverloadMultiple: s.float(keyOverloadMultiple),
+		OverloadAfter:    s.micros(keyOverloadAfter),
+	}
+}
+
+func (s *Settings) retryLimits() policy.RetryLimits {
+	limits := policy.RetryLimits{
+		DrainGrace:  s.micros(keyDrainGrace),
+		AnswerGrace: s.micros(keyAnswerGrace),
+		MaxAttempts: s.integer(keyMaxAttempts),
+	}
+	if s.boolean(keyRetryAfter) {
+		limits.MaxRetryAfter = s.micros(keyMaxRetryAfter)
+	}
+	return limits
+}
+
+func (s *Settings) capabilities() policy.Capabilities {
+	return policy.Capabilities{
+		HealthChecks: s.boolean(keyHealthChecks),
+		Cancellation: s.boolean(keyCancellation),
+		Gossip:       s.boolean(keyGossip),
+		EndpointPolling: enum(s, keyDiscoveryMode, map[string]bool{
+			discoverySubscribe: true,
+			discoveryAutomatic: false,
+		}),
+	}
+}
+
+func (s *Settings) costWeights() policy.CostWeights {
+	return policy.CostWeights{
+		CrossZone:   s.floatOrDefault(keyCrossZoneCost, 0),
+		Waste:       s.floatOrDefault(keyWasteCost, 0),
+		HealthCheck: s.floatOrDefault(keyHealthCheckCost, 0),
+		Gossip:      s.floatOrDefault(keyGossipCost, 0),
+	}
+}
+
+func (s *Settings) checkCosts() {
+	for _, key := range []string{keyCrossZoneCost, keyWasteCost, keyHealthCheckCost, keyGossipCost} {
+		if cost := s.floatOrDefault(key, 0); cost < 0 {
+			s.recordError(key, "is %v, a price under 0", cost)
+		}
+	}
+}
