--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -68,7 +68,7 @@
 func (s *Settings) policyClasses() []policy.RequestClass {
 	classes := make([]policy.RequestClass, s.integer(keyClassCount))
 	if len(classes) == 0 {
-		s.recordError(keyClasses, "has no product")
+		s.recordError(keyClasses, "has no request class")
 	}
 	for i := range classes {
 		classes[i] = s.policyClass(i)
--- /dev/null
+++ b/internal/config/errors.go
@@ -0,0 +1,9 @@
+package config
+
+// Error is a setting that is missing, malformed or in contradiction to another one.
+type Error struct {
+	Key    string // the setting's full key, as an operator finds it in the file
+	Reason string // a clause that goes on from the key: "is missing", "is 0; ..."
+}
+
+func (e *Error) Error() string { return "setting " + e.Key + " " + e.Reason }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	if len(sections.Settings) == 0 {
-		return nil, fmt.Errorf("setting %s is missing", deploymentName)
+		return nil, &Error{Key: deploymentName, Reason: "is missing"}
 	}
 	if f.Deployment, err = parseJSON(deploymentName, sections.Settings); err != nil {
 		return nil, err
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -13,7 +13,7 @@
 	classes := s.policyClasses()
 	plan := s.rolloutPlan()
 	voting := s.votingRules()
-	exposure := s.exposureLimit()
+	exposureLimit := s.exposureLimit()
 	slowStart := s.slowStart()
 	limits := s.retryLimits()
 	capabilities := s.capabilities()
@@ -25,7 +25,7 @@
 	if s.err != nil {
 		return nil, s.err
 	}
-	return policy.New(instance, classes, plan, voting, exposure, slowStart, limits, capabilities, costs), nil
+	return policy.New(instance, classes, plan, voting, exposureLimit, slowStart, limits, capabilities, costs), nil
 }
 
 func (s *Settings) instance(seed uint64) policy.Instance {
@@ -61,7 +61,7 @@
 		s.recordError(keyLoadReportFields, "names no figure, but %s%s is %q", s.prefix, keyLoadReportMode, mode)
 	}
 	if attempts := s.integer(keyMaxAttempts); s.boolean(keyHedging) && attempts < 2 {
-		s.recordError(keyHedging, "is true, but %s%s is %d: there is no second copy", s.prefix, keyMaxAttempts, attempts)
+		s.recordError(keyHedging, "is true, but %s%s is %d: there is no hedged request", s.prefix, keyMaxAttempts, attempts)
 	}
 	if s.values[keyVotingRule] == votingTimer && s.floatOrDefault(keyVotesToAdvance, 0) > 0 {
 		s.recordError(keyVotesToAdvance, "is %v, but %s%s is timer: no vote moves a stage on", s.values[keyVotesToAdvance], s.prefix, keyVotingRule)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -96,13 +96,13 @@
 	return fmt.Sprint(value)
 }
 
-// Err returns the first fault that an accessor has met, nil if there was none.
+// Err returns the first fault that an accessor has met, an *Error, or nil if there was none.
 func (s *Settings) Err() error { return s.err }
 
 // recordError keeps the first fault; later ones are often its consequences.
 func (s *Settings) recordError(key, format string, args ...any) {
 	if s.err == nil {
-		s.err = fmt.Errorf("setting %s%s %s", s.prefix, key, fmt.Sprintf(format, args...))
+		s.err = &Error{Key: s.prefix + key, Reason: fmt.Sprintf(format, args...)}
 	}
 }
 
@@ -198,10 +198,10 @@
 
 // enum reads one of a few known words.
 func enum[T any](s *Settings, key string, known map[string]T) T {
-	word := s.text(key)
-	value, ok := known[word]
+	text := s.text(key)
+	value, ok := known[text]
 	if !ok {
-		s.recordError(key, "is %q, a word not known here", word)
+		s.recordError(key, "is %q, a word not known here", text)
 	}
 	return value
 }
