--- a/internal/options/operator.go
+++ b/internal/options/operator.go
@@ -94,17 +94,17 @@
 
 // keyword is one setting of the file.
 type keyword struct {
-	form string // its values, as the messages give them
-	most int    // of values; the least where least is 0
-	many bool   // may stand more than once, with another first value
-	set  func(o *Options, v []string) error
-	show func(o *Options) []string // its lines in the file in force, without the keyword
+	syntax       string // its values, as the messages give them
+	maxValues    int    // of values; the least where least is 0
+	isRepeatable bool   // may stand more than once, with another first value
+	parse        func(o *Options, v []string) error
+	format       func(o *Options) []string // its lines in the file in force, without the keyword
 }
 
-func word(of func(*Options) *string, known ...string) keyword {
+func wordKeyword(of func(*Options) *string, known ...string) keyword {
 	return keyword{
-		form: strings.Join(known, "|"), most: 1,
-		set: func(o *Options, v []string) error {
+		syntax: strings.Join(known, "|"), maxValues: 1,
+		parse: func(o *Options, v []string) error {
 			for _, k := range known {
 				if v[0] == k {
 					*of(o) = k
@@ -113,21 +113,21 @@
 			}
 			return fmt.Errorf("is %q, expected one of %s", v[0], strings.Join(known, ", "))
 		},
-		show: func(o *Options) []string { return []string{*of(o)} },
+		format: func(o *Options) []string { return []string{*of(o)} },
 	}
 }
 
-func onOff(of func(*Options) *bool) keyword {
+func switchKeyword(of func(*Options) *bool) keyword {
 	return keyword{
-		form: "on|off", most: 1,
-		set: func(o *Options, v []string) error {
+		syntax: "on|off", maxValues: 1,
+		parse: func(o *Options, v []string) error {
 			if v[0] != "on" && v[0] != "off" {
 				return fmt.Errorf("is %q, expected on or off", v[0])
 			}
 			*of(o) = v[0] == "on"
 			return nil
 		},
-		show: func(o *Options) []string {
+		format: func(o *Options) []string {
 			if *of(o) {
 				return []string{"on"}
 			}
@@ -136,25 +136,25 @@
 	}
 }
 
-// count is a whole number in a range; auto stands for 0, which is worked out from what the agent is told.
-func count(of func(*Options) *int, least, most int, auto bool) keyword {
-	k := keyword{form: fmt.Sprintf("%d to %d", least, most), most: 1}
+// countKeyword is a whole number in a range; auto stands for 0, which is worked out from what the agent is told.
+func countKeyword(of func(*Options) *int, least, most int, auto bool) keyword {
+	k := keyword{syntax: fmt.Sprintf("%d to %d", least, most), maxValues: 1}
 	if auto {
-		k.form += ", or auto"
+		k.syntax += ", or auto"
 	}
-	k.set = func(o *Options, v []string) error {
+	k.parse = func(o *Options, v []string) error {
 		if auto && v[0] == "auto" {
 			*of(o) = 0
 			return nil
 		}
 		n, err := strconv.Atoi(v[0])
 		if err != nil || n < least || n > most {
-			return fmt.Errorf("is %q, expected a whole number, %s", v[0], k.form)
+			return fmt.Errorf("is %q, expected a whole number, %s", v[0], k.syntax)
 		}
 		*of(o) = n
 		return nil
 	}
-	k.show = func(o *Options) []string {
+	k.format = func(o *Options) []string {
 		if auto && *of(o) == 0 {
 			return []string{"auto"}
 		}
@@ -163,11 +163,11 @@
 	return k
 }
 
-// text is a value that may be none.
-func text(form string, of func(*Options) *string, good func(string) bool) keyword {
+// textKeyword is a value that may be none.
+func textKeyword(form string, of func(*Options) *string, good func(string) bool) keyword {
 	return keyword{
-		form: form + ", or none", most: 1,
-		set: func(o *Options, v []string) error {
+		syntax: form + ", or none", maxValues: 1,
+		parse: func(o *Options, v []string) error {
 			if v[0] == "none" {
 				*of(o) = ""
 				return nil
@@ -178,39 +178,39 @@
 			*of(o) = v[0]
 			return nil
 		},
-		show: func(o *Options) []string {
+		format: func(o *Options) []string {
 			if *of(o) == "" {
 				return []string{"none"}
 			}
-			return []string{quoted(*of(o))}
+			return []string{quoteIfNeeded(*of(o))}
 		},
 	}
 }
 
-func address(v string) bool {
+func isAddress(v string) bool {
 	host, port, err := net.SplitHostPort(v)
 	n, bad := strconv.Atoi(port)
 	return err == nil && host != "" && bad == nil && n > 0 && n < 65536
 }
 
-func path(v string) bool { return filepath.IsAbs(v) }
+func isAbsolutePath(v string) bool { return filepath.IsAbs(v) }
 
-// leaseLeast: shorter ones are lost to a busy machine's delays. agentsMost is how many numbers there are.
-const leaseLeast, leaseMost, agentsMost = 200 * time.Millisecond, time.Minute, 64
+// minLease: shorter ones are lost to a busy machine's delays. agentsMost is how many numbers there are.
+const minLease, maxLease, maxAgents = 200 * time.Millisecond, time.Minute, 64
 
 var keywords = map[string]keyword{
-	"decider":        onOff(func(o *Options) *bool { return &o.Coordinator.Enabled }),
-	"decider-listen": text("a host and port", func(o *Options) *string { return &o.Coordinator.Listen }, address),
-	"decider-state":  text("a folder's whole path", func(o *Options) *string { return &o.Coordinator.StateDir }, path),
-	"decider-group":  text("a name", func(o *Options) *string { return &o.Coordinator.Group }, func(v string) bool { return v != "" }),
-	"admin":          text("a Unix socket's whole path", func(o *Options) *string { return &o.Coordinator.AdminSocket }, path),
+	"decider":        switchKeyword(func(o *Options) *bool { return &o.Coordinator.Enabled }),
+	"decider-listen": textKeyword("a host and port", func(o *Options) *string { return &o.Coordinator.Listen }, isAddress),
+	"decider-state":  textKeyword("a folder's whole path", func(o *Options) *string { return &o.Coordinator.StateDir }, isAbsolutePath),
+	"decider-group":  textKeyword("a name", func(o *Options) *string { return &o.Coordinator.Group }, func(v string) bool { return v != "" }),
+	"admin":          textKeyword("a Unix socket's whole path", func(o *Options) *string { return &o.Coordinator.AdminSocket }, isAbsolutePath),
 	"decider-me": {
-		form: "0 to 63, or auto", most: 1,
-		set: func(o *Options, v []string) error {
+		syntax: "0 to 63, or auto", maxValues: 1,
+		parse: func(o *Options, v []string) error {
 			n, err := strconv.Atoi(v[0])
 			if v[0] == "auto" {
 				n, err = -1, nil
-			} else if err == nil && (n < 0 || n >= agentsMost) {
+			} else if err == nil && (n < 0 || n >= maxAgents) {
 				err = strconv.ErrRange
 			}
 			if o.Coordinator.Index = n; err != nil {
@@ -218,7 +218,7 @@
 			}
 			return nil
 		},
-		show: func(o *Options) []string {
+		format: func(o *Options) []string {
 			if o.Coordinator.Index < 0 {
 				return []string{"auto"}
 			}
@@ -226,30 +226,30 @@
 		},
 	},
 	"decider-lease": {
-		form: "a time from 200ms to 1m", most: 1,
-		set: func(o *Options, v []string) error {
+		syntax: "a time from 200ms to 1m", maxValues: 1,
+		parse: func(o *Options, v []string) error {
 			d, err := time.ParseDuration(v[0])
-			if err != nil || d < leaseLeast || d > leaseMost {
+			if err != nil || d < minLease || d > maxLease {
 				return fmt.Errorf("is %q, expected a time from 200ms to 1m", v[0])
 			}
 			o.Coordinator.Lease = d
 			return nil
 		},
-		show: func(o *Options) []string { return []string{o.Coordinator.Lease.String()} },
+		format: func(o *Options) []string { return []string{o.Coordinator.Lease.String()} },
 	},
 	"decider-peer": {
-		form: "AGENT HOST:PORT", most: 2, many: true,
-		set: func(o *Options, v []string) error {
+		syntax: "AGENT HOST:PORT", maxValues: 2, isRepeatable: true,
+		parse: func(o *Options, v []string) error {
 			if len(v) == 2 {
-				if n, err := strconv.Atoi(v[0]); err == nil && n >= 0 && n < agentsMost && address(v[1]) {
+				if n, err := strconv.Atoi(v[0]); err == nil && n >= 0 && n < maxAgents && isAddress(v[1]) {
 					o.Coordinator.Peers[n] = v[1]
 					return nil
 				}
 			}
 			return fmt.Errorf("is %q, expected an agent's number from 0 to 63, and its host and port", strings.Join(v, " "))
 		},
-		show: func(o *Options) (lines []string) {
-			for n := range agentsMost {
+		format: func(o *Options) (lines []string) {
+			for n := range maxAgents {
 				if a, is := o.Coordinator.Peers[n]; is {
 					lines = append(lines, fmt.Sprint(n, " ", a))
 				}
@@ -257,15 +257,15 @@
 			return lines
 		},
 	},
-	"log-level":   word(func(o *Options) *string { return &o.Log.Level }, "debug", "info", "warn", "error"),
-	"log-form":    word(func(o *Options) *string { return &o.Log.Format }, "text", "json"),
-	"door":        onOff(func(o *Options) *bool { return &o.Admission.Enabled }),
-	"door-queues": count(func(o *Options) *int { return &o.Admission.Queues }, 1, 65536, false),
-	"door-txns":   count(func(o *Options) *int { return &o.Admission.Requests }, 1, 1_000_000, true),
+	"log-level":   wordKeyword(func(o *Options) *string { return &o.Log.Level }, "debug", "info", "warn", "error"),
+	"log-form":    wordKeyword(func(o *Options) *string { return &o.Log.Format }, "text", "json"),
+	"door":        switchKeyword(func(o *Options) *bool { return &o.Admission.Enabled }),
+	"door-queues": countKeyword(func(o *Options) *int { return &o.Admission.Queues }, 1, 65536, false),
+	"door-txns":   countKeyword(func(o *Options) *int { return &o.Admission.Requests }, 1, 1_000_000, true),
 	"door-bytes": {
-		form: "a size as 512KiB or 8MiB, or auto", most: 1,
-		set: func(o *Options, v []string) (err error) { o.Admission.Bytes, err = size(v[0]); return err },
-		show: func(o *Options) []string {
+		syntax: "a size as 512KiB or 8MiB, or auto", maxValues: 1,
+		parse: func(o *Options, v []string) (err error) { o.Admission.Bytes, err = parseSize(v[0]); return err },
+		format: func(o *Options) []string {
 			if o.Admission.Bytes == 0 {
 				return []string{"auto"}
 			}
@@ -273,8 +273,8 @@
 		},
 	},
 	"door-client": {
-		form: "address|connection|header NAME", most: 2,
-		set: func(o *Options, v []string) error {
+		syntax: "address|connection|header NAME", maxValues: 2,
+		parse: func(o *Options, v []string) error {
 			switch {
 			case v[0] == "header" && len(v) == 2:
 				o.Admission.Header = v[1]
@@ -286,15 +286,15 @@
 			o.Admission.Client = v[0]
 			return nil
 		},
-		show: func(o *Options) []string {
+		format: func(o *Options) []string {
 			return []string{strings.TrimSpace(o.Admission.Client + " " + o.Admission.Header)}
 		},
 	},
-	"come-back":   onOff(func(o *Options) *bool { return &o.Admission.SendsRetryAfter }),
-	"same-answer": onOff(func(o *Options) *bool { return &o.Admission.Coalesces }),
+	"come-back":   switchKeyword(func(o *Options) *bool { return &o.Admission.SendsRetryAfter }),
+	"same-answer": switchKeyword(func(o *Options) *bool { return &o.Admission.Coalesces }),
 	"tenant": {
-		form: "NAME share WEIGHT", most: 3, many: true,
-		set: func(o *Options, v []string) error {
+		syntax: "NAME share WEIGHT", maxValues: 3, isRepeatable: true,
+		parse: func(o *Options, v []string) error {
 			if len(v) != 3 || v[1] != "share" {
 				return fmt.Errorf("is %q, expected a name, the word share and a weight", strings.Join(v, " "))
 			}
@@ -305,9 +305,9 @@
 			o.Admission.Weights[v[0]] = w
 			return nil
 		},
-		show: func(o *Options) (lines []string) {
+		format: func(o *Options) (lines []string) {
 			for name, w := range o.Admission.Weights {
-				lines = append(lines, quoted(name)+" share "+strconv.FormatFloat(w, 'g', -1, 64))
+				lines = append(lines, quoteIfNeeded(name)+" share "+strconv.FormatFloat(w, 'g', -1, 64))
 			}
 			sort.Strings(lines)
 			return lines
@@ -315,14 +315,14 @@
 	},
 }
 
-func quoted(s string) string {
+func quoteIfNeeded(s string) string {
 	if strings.ContainsAny(s, " \t\"'#\\") {
 		return strconv.Quote(s)
 	}
 	return s
 }
 
-func size(v string) (int64, error) {
+func parseSize(v string) (int64, error) {
 	if v == "auto" {
 		return 0, nil
 	}
@@ -370,15 +370,15 @@
 		name, values := words[0], words[1:]
 		k, known := keywords[name]
 		if !known {
-			bad(name, "no such keyword%s", nearest(name))
+			bad(name, "no such keyword%s", suggestKeyword(name))
 			continue
 		}
-		if len(values) == 0 || len(values) > k.most {
-			bad(name, "has %d values, expected %s", len(values), k.form)
+		if len(values) == 0 || len(values) > k.maxValues {
+			bad(name, "has %d values, expected %s", len(values), k.syntax)
 			continue
 		}
 		same := name
-		if k.many {
+		if k.isRepeatable {
 			same += " " + values[0]
 		}
 		if first := met[same]; first > 0 {
@@ -386,7 +386,7 @@
 			continue
 		}
 		met[same] = n
-		if err := k.set(o, values); err != nil {
+		if err := k.parse(o, values); err != nil {
 			bad(name, "%s", err)
 			continue
 		}
@@ -401,23 +401,23 @@
 	return o, nil
 }
 
-// near is the least likeness at which a keyword is offered for one that is not known.
-const near = 0.5
+// minSimilarity is the least likeness at which a keyword is offered for one that is not known.
+const minSimilarity = 0.5
 
-func nearest(name string) string {
-	best, by := "", near
-	for _, k := range names() {
+func suggestKeyword(name string) string {
+	best, by := "", minSimilarity
+	for _, k := range sortedKeywords() {
 		if like := levenshtein.Match(name, k, nil); like > by {
 			best, by = k, like
 		}
 	}
 	if best == "" {
-		return ", known are " + strings.Join(names(), ", ")
+		return ", known are " + strings.Join(sortedKeywords(), ", ")
 	}
 	return ", the nearest is " + best
 }
 
-func names() (all []string) {
+func sortedKeywords() (all []string) {
 	for k := range keywords {
 		all = append(all, k)
 	}
@@ -427,21 +427,21 @@
 
 // Write writes the file in force, with every default.
 func (o *Options) Write(to io.Writer) {
-	for _, name := range names() {
-		for _, line := range keywords[name].show(o) {
+	for _, name := range sortedKeywords() {
+		for _, line := range keywords[name].format(o) {
 			fmt.Fprintf(to, "%s %s\n", name, line)
 		}
 	}
 }
 
-// atOnce are the keywords that a reload puts in force.
-var atOnce = map[string]bool{"log-level": true, "log-form": true, "tenant": true, "decider-peer": true}
+// reloadable are the keywords that a reload puts in force.
+var reloadable = map[string]bool{"log-level": true, "log-form": true, "tenant": true, "decider-peer": true}
 
 // ChangedKeywords names the keywords in which another file differs that need a restart.
 func (o *Options) ChangedKeywords(other *Options) (left []string) {
-	for _, name := range names() {
-		a, b := keywords[name].show(o), keywords[name].show(other)
-		if !atOnce[name] && strings.Join(a, "\n") != strings.Join(b, "\n") {
+	for _, name := range sortedKeywords() {
+		a, b := keywords[name].format(o), keywords[name].format(other)
+		if !reloadable[name] && strings.Join(a, "\n") != strings.Join(b, "\n") {
 			left = append(left, name)
 		}
 	}
@@ -449,10 +449,10 @@
 }
 
 // UnknownTenants are the tenants of the file that the agent was not told of.
-func (o *Options) UnknownTenants(told []string) (names []string) {
+func (o *Options) UnknownTenants(configured []string) (names []string) {
 	for name := range o.Admission.Weights {
 		known := false
-		for _, t := range told {
+		for _, t := range configured {
 			known = known || t == name
 		}
 		if !known {
--- a/internal/options/operator_test.go
+++ b/internal/options/operator_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestFaultsAreAllTold(t *testing.T) {
+func TestParseReportsAllFaults(t *testing.T) {
 	_, err := Parse("op.conf", strings.NewReader(`# a file with everything wrong
 door onn
 dor on
@@ -45,7 +45,7 @@
 }
 
 // What is written out is read in again as the same.
-func TestInForceReadsBack(t *testing.T) {
+func TestWrittenOptionsParseBack(t *testing.T) {
 	o, err := Parse("a", strings.NewReader("door on\ntenant 'reef calor' share 0.4\ndoor-client header X-Crew\ndoor-bytes 8MiB\nlog-form json\n"))
 	if err != nil {
 		t.Fatal(err)
