--- /dev/null
+++ b/internal/options/errors.go
@@ -0,0 +1,42 @@
+package options
+
+import (
+	"fmt"
+	"strings"
+)
+
+// FileError is one fault of a file.
+type FileError struct {
+	Path    string
+	Line    int
+	Keyword string // empty where the line could not be split into words
+	Why     string
+}
+
+func (e FileError) Error() string {
+	if e.Keyword == "" {
+		return fmt.Sprintf("%s:%d: %s", e.Path, e.Line, e.Why)
+	}
+	return fmt.Sprintf("%s:%d: %s: %s", e.Path, e.Line, e.Keyword, e.Why)
+}
+
+// FileErrors are all faults of a file, in the order of its lines.
+type FileErrors []FileError
+
+func (e FileErrors) Error() string {
+	lines := make([]string, len(e))
+	for i, fault := range e {
+		lines[i] = fault.Error()
+	}
+	return strings.Join(lines, "\n")
+}
+
+// valueError is a value that does not have a keyword's syntax.
+type valueError struct {
+	value    string
+	expected string
+}
+
+func (e *valueError) Error() string {
+	return fmt.Sprintf("is %q, expected %s", e.value, e.expected)
+}
--- /dev/null
+++ b/internal/options/keyword.go
@@ -0,0 +1,157 @@
+package options
+
+import (
+	"fmt"
+	"net"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// Words with a meaning of their own among values.
+const (
+	valueOn   = "on"
+	valueOff  = "off"
+	valueAuto = "auto" // derived from what the platform configures
+	valueNone = "none"
+)
+
+const maxPort = 1<<16 - 1
+
+// keyword is one setting of the file.
+type keyword struct {
+	syntax       string // its values, as messages give them
+	maxValues    int    // the minimum is 1
+	isRepeatable bool   // may stand on several lines, each with another first value
+	isReloadable bool   // a reload puts it into force
+	parse        func(o *Options, values []string) error
+	format       func(o *Options) []string // the values of its lines in a file
+}
+
+func (k keyword) reloadable() keyword {
+	k.isReloadable = true
+	return k
+}
+
+// enumKeyword has one of a few words as its value.
+func enumKeyword(field func(*Options) *string, known ...string) keyword {
+	return keyword{
+		syntax: strings.Join(known, "|"), maxValues: 1,
+		parse: func(o *Options, values []string) error {
+			if !slices.Contains(known, values[0]) {
+				return &valueError{value: values[0], expected: "one of " + strings.Join(known, ", ")}
+			}
+			*field(o) = values[0]
+			return nil
+		},
+		format: func(o *Options) []string { return []string{*field(o)} },
+	}
+}
+
+func switchKeyword(field func(*Options) *bool) keyword {
+	return keyword{
+		syntax: "on|off", maxValues: 1,
+		parse: func(o *Options, values []string) error {
+			if values[0] != valueOn && values[0] != valueOff {
+				return &valueError{value: values[0], expected: "on or off"}
+			}
+			*field(o) = values[0] == valueOn
+			return nil
+		},
+		format: func(o *Options) []string {
+			if *field(o) {
+				return []string{valueOn}
+			}
+			return []string{valueOff}
+		},
+	}
+}
+
+// countKeyword has a whole number in a range as its value.
+func countKeyword(field func(*Options) *int, least, most int) keyword {
+	syntax := fmt.Sprintf("%d to %d", least, most)
+	return keyword{
+		syntax: syntax, maxValues: 1,
+		parse: func(o *Options, values []string) error {
+			number, err := strconv.Atoi(values[0])
+			if err != nil || number < least || number > most {
+				return &valueError{value: values[0], expected: "a whole number, " + syntax}
+			}
+			*field(o) = number
+			return nil
+		},
+		format: func(o *Options) []string { return []string{strconv.Itoa(*field(o))} },
+	}
+}
+
+// countOrAutoKeyword is a countKeyword with the further value auto, which is stored as the number autoNumber.
+func countOrAutoKeyword(field func(*Options) *int, least, most, autoNumber int) keyword {
+	count := countKeyword(field, least, most)
+	syntax := count.syntax + ", or auto"
+	return keyword{
+		syntax: syntax, maxValues: 1,
+		parse: func(o *Options, values []string) error {
+			if values[0] == valueAuto {
+				*field(o) = autoNumber
+				return nil
+			}
+			if count.parse(o, values) != nil {
+				return &valueError{value: values[0], expected: "a whole number, " + syntax}
+			}
+			return nil
+		},
+		format: func(o *Options) []string {
+			if *field(o) == autoNumber {
+				return []string{valueAuto}
+			}
+			return count.format(o)
+		},
+	}
+}
+
+// textKeyword has a checked text as its value, or none.
+func textKeyword(expected string, field func(*Options) *string, isValid func(string) bool) keyword {
+	syntax := expected + ", or none"
+	return keyword{
+		syntax: syntax, maxValues: 1,
+		parse: func(o *Options, values []string) error {
+			switch {
+			case values[0] == valueNone:
+				*field(o) = ""
+			case isValid(values[0]):
+				*field(o) = values[0]
+			default:
+				return &valueError{value: values[0], expected: syntax}
+			}
+			return nil
+		},
+		format: func(o *Options) []string {
+			if *field(o) == "" {
+				return []string{valueNone}
+			}
+			return []string{quoteIfNeeded(*field(o))}
+		},
+	}
+}
+
+func isAddress(text string) bool {
+	host, port, err := net.SplitHostPort(text)
+	if err != nil || host == "" {
+		return false
+	}
+	number, err := strconv.Atoi(port)
+	return err == nil && number > 0 && number <= maxPort
+}
+
+func isAbsolutePath(text string) bool { return filepath.IsAbs(text) }
+
+func isNotEmpty(text string) bool { return text != "" }
+
+// quoteIfNeeded quotes a text that would not be read back as one word.
+func quoteIfNeeded(text string) string {
+	if strings.ContainsAny(text, " \t\"'#\\") {
+		return strconv.Quote(text)
+	}
+	return text
+}
--- a/internal/options/operator_test.go
+++ b/internal/options/parse_test.go
@@ -44,24 +44,17 @@
 	}
 }
 
-// What is written out is read in again as the same.
-func TestWrittenOptionsParseBack(t *testing.T) {
-	o, err := Parse("a", strings.NewReader("door on\ntenant 'reef calor' share 0.4\ndoor-client header X-Crew\ndoor-bytes 8MiB\nlog-form json\n"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	var out strings.Builder
-	o.Write(&out)
-	again, err := Parse("b", strings.NewReader(out.String()))
-	if err != nil {
-		t.Fatalf("%v in\n%s", err, out.String())
-	}
-	var twice strings.Builder
-	if again.Write(&twice); twice.String() != out.String() || again.Admission.Weights["reef calor"] != 0.4 || !again.Admission.Enabled ||
-		again.Admission.Header != "X-Crew" || again.Admission.Bytes != 8<<20 || again.Log.Format != "json" {
-		t.Errorf("%s became %s", out.String(), twice.String())
-	}
-	if s := o.UnknownTenants([]string{"tavua"}); len(s) != 1 || s[0] != "reef calor" {
-		t.Errorf("strangers %v", s)
+func TestParseReportsAgentsAndLeases(t *testing.T) {
+	for line, want := range map[string]string{
+		"decider-me 64":         `decider-me: is "64", expected 0 to 63, or auto`,
+		"decider-lease 100ms":   `decider-lease: is "100ms", expected a time from 200ms to 1m`,
+		"decider-peer 3 nohost": `decider-peer: is "3 nohost", expected an agent's number from 0 to 63, and its host and port`,
+		"decider-state here":    `decider-state: is "here", expected a folder's whole path, or none`,
+		"door-txns many":        `door-txns: is "many", expected a whole number, 1 to 1000000, or auto`,
+		"tenant beqa share -1":  `tenant: has the weight "-1", expected a number over 0`,
+	} {
+		if _, err := Parse("op.conf", strings.NewReader(line)); err == nil || err.Error() != "op.conf:1: "+want {
+			t.Errorf("%s: %v, want %s", line, err, want)
+		}
 	}
 }
--- /dev/null
+++ b/internal/options/write_test.go
@@ -0,0 +1,41 @@
+package options
+
+import (
+	"slices"
+	"strings"
+	"testing"
+)
+
+func mustParse(t *testing.T, text string) *Options {
+	t.Helper()
+	o, err := Parse("op.conf", strings.NewReader(text))
+	if err != nil {
+		t.Fatalf("%v in\n%s", err, text)
+	}
+	return o
+}
+
+func TestWrittenOptionsParseBack(t *testing.T) {
+	original := mustParse(t, "door on\ntenant 'reef calor' share 0.4\ndoor-client header X-Crew\ndoor-bytes 8MiB\nlog-form json\n")
+	var written, rewritten strings.Builder
+	original.Write(&written)
+	again := mustParse(t, written.String())
+	again.Write(&rewritten)
+	if rewritten.String() != written.String() {
+		t.Errorf("%s became %s", written.String(), rewritten.String())
+	}
+	if again.Admission.Weights["reef calor"] != 0.4 || !again.Admission.Enabled || again.Admission.Header != "X-Crew" ||
+		again.Admission.Bytes != 8<<20 || again.Log.Format != "json" {
+		t.Errorf("%s became %+v", written.String(), again)
+	}
+	if unknown := original.UnknownTenants([]string{"tavua"}); !slices.Equal(unknown, []string{"reef calor"}) {
+		t.Errorf("unknown tenants %v", unknown)
+	}
+}
+
+func TestChangedKeywordsLeavesOutReloadableOnes(t *testing.T) {
+	changed := Defaults().ChangedKeywords(mustParse(t, "log-level debug\nlog-form json\ntenant a share 2\ndecider-peer 1 a:1\ndoor on\nadmin /run/a\n"))
+	if !slices.Equal(changed, []string{"admin", "door"}) {
+		t.Errorf("changed %v", changed)
+	}
+}
