--- a/internal/simprotocol/adapter.go
+++ b/internal/simprotocol/adapter.go
@@ -9,20 +9,20 @@
 	"switchfork/internal/policy"
 )
 
-var outcomes = map[int]policy.Outcome{
+var outcomesByCode = map[int]policy.Outcome{
 	100: policy.OK, 301: policy.ServerError, 302: policy.Rejected,
 	303: policy.TimedOut, 304: policy.ConnectFailed, 305: policy.ConnectionLost, 306: policy.Cancelled, 307: policy.NotAttempted,
 }
 
-var phases = []policy.Phase{policy.Evaluating, policy.RollingBack, policy.Released, policy.RolledBack}
+var phasesByCode = []policy.Phase{policy.Evaluating, policy.RollingBack, policy.Released, policy.RolledBack}
 
 // Host runs the instances of one process; they share nothing but the wire.
 type Host struct {
-	live  map[int]policy.Router
-	lists map[int][]policy.Endpoint
+	routers  map[int]policy.Router
+	endpointLists map[int][]policy.Endpoint
 }
 
-func NewHost() *Host { return &Host{live: map[int]policy.Router{}, lists: map[int][]policy.Endpoint{}} }
+func NewHost() *Host { return &Host{routers: map[int]policy.Router{}, endpointLists: map[int][]policy.Endpoint{}} }
 
 // Serve answers batches until the input ends.
 func (h *Host) Serve(in io.Reader, out io.Writer) error {
@@ -35,7 +35,7 @@
 		if err != nil {
 			return err
 		}
-		reply, err := h.batch(body)
+		reply, err := h.handleBatch(body)
 		if err != nil {
 			return err
 		}
@@ -48,18 +48,18 @@
 	}
 }
 
-func (h *Host) batch(body []byte) ([]byte, error) {
+func (h *Host) handleBatch(body []byte) ([]byte, error) {
 	r := &reader{buf: body}
 	count, now := int(r.u32()), r.micros("clock")
 	w := &writer{buf: make([]byte, 4, 256)}
 	for i := 0; i < count && r.err == nil; i++ {
-		r.what = place{i, count, -1}
+		r.position = position{i, count, -1}
 		code := r.u8()
-		rec := &reader{buf: r.text(int(r.u32())), what: place{i, count, code}}
+		rec := &reader{buf: r.text(int(r.u32())), position: position{i, count, code}}
 		if r.err != nil {
 			break
 		}
-		if err := h.record(now, code, rec, w); err != nil {
+		if err := h.handleRecord(now, code, rec, w); err != nil {
 			return nil, err
 		}
 	}
@@ -69,13 +69,13 @@
 	if len(r.buf) > 0 {
 		return nil, fmt.Errorf("batch: %d bytes are left after its %d records", len(r.buf), count)
 	}
-	order.PutUint32(w.buf, uint32(len(w.buf)))
+	byteOrder.PutUint32(w.buf, uint32(len(w.buf)))
 	return w.buf, nil
 }
 
-func (h *Host) record(now int64, code int, r *reader, w *writer) error {
+func (h *Host) handleRecord(now int64, code int, r *reader, w *writer) error {
 	if code == 13 {
-		return h.keepList(r)
+		return h.storeEndpointList(r)
 	}
 	if code > 13 {
 		return nil // an event of a later wire
@@ -91,27 +91,27 @@
 		if err != nil {
 			return fmt.Errorf("instance %d: %w", who, err)
 		}
-		h.live[who] = m
+		h.routers[who] = m
 		return nil
 	}
 	if r.err == nil && code == 9 {
-		delete(h.live, who)
+		delete(h.routers, who)
 		return nil
 	}
-	ev, err := h.event(code, r)
+	ev, err := h.decodeEvent(code, r)
 	if err != nil {
 		return err
 	}
-	m := h.live[who]
+	m := h.routers[who]
 	if m == nil {
 		return fmt.Errorf("code %d: instance %d has not started", code, who)
 	}
-	handle(m, now, ev, who, w)
+	handleEvent(m, now, ev, who, w)
 	return nil
 }
 
-// handle turns a panic of the module into the wire's word for it.
-func handle(m policy.Router, now int64, ev policy.Event, who int, w *writer) {
+// handleEvent turns a panic of the module into the wire's word for it.
+func handleEvent(m policy.Router, now int64, ev policy.Event, who int, w *writer) {
 	keep := len(w.buf)
 	defer func() {
 		if p := recover(); p != nil {
@@ -121,37 +121,37 @@
 		}
 	}()
 	for _, o := range m.Handle(now, ev) {
-		encode(w, who, o)
+		encodeCommand(w, who, o)
 	}
 }
 
-func (h *Host) keepList(r *reader) error {
+func (h *Host) storeEndpointList(r *reader) error {
 	buf, n := r.u8(), int(r.u32())
 	if r.err == nil && n*25 > len(r.buf) {
-		return fmt.Errorf("%s: %d list entries do not fit in %d bytes", r.what, n, len(r.buf))
+		return fmt.Errorf("%s: %d list entries do not fit in %d bytes", r.position, n, len(r.buf))
 	}
 	rows := make([]policy.Endpoint, 0, n)
 	for i := 0; i < n && r.err == nil; i++ {
 		row := policy.Endpoint{ID: r.u32(), Build: int(r.f32()), Zone: r.u8()}
 		state := r.u8()
 		if state > 2 {
-			return fmt.Errorf("%s: appliance %d has phase %d", r.what, row.ID, state)
+			return fmt.Errorf("%s: appliance %d has phase %d", r.position, row.ID, state)
 		}
 		row.State = policy.EndpointState(state)
 		r.u8()
 		row.Cell, row.Started, row.Weight = r.u16(), r.micros("UpSinceMs"), r.f32()
 		rows = append(rows, row)
 	}
-	h.lists[buf] = rows
+	h.endpointLists[buf] = rows
 	return r.err
 }
 
-func (h *Host) event(code int, r *reader) (policy.Event, error) {
+func (h *Host) decodeEvent(code int, r *reader) (policy.Event, error) {
 	outcome := func() policy.Outcome {
 		c := r.u16()
-		o, ok := outcomes[c]
+		o, ok := outcomesByCode[c]
 		if !ok && r.err == nil {
-			r.err = fmt.Errorf("%s: outcome %d is not known", r.what, c)
+			r.err = fmt.Errorf("%s: outcome %d is not known", r.position, c)
 		}
 		return o
 	}
@@ -161,9 +161,9 @@
 		how := r.u8()
 		r.u64()
 		buf := r.u8()
-		rows, ok := h.lists[buf]
+		rows, ok := h.endpointLists[buf]
 		if how > 3 || (how != 3 && !ok && r.err == nil) {
-			return nil, fmt.Errorf("%s: list news of kind %d names list %d", r.what, how, buf)
+			return nil, fmt.Errorf("%s: list news of kind %d names list %d", r.position, how, buf)
 		}
 		if how == 3 {
 			rows = nil
@@ -200,10 +200,10 @@
 	case 10:
 		s := policy.RolloutUpdate{Build: r.u16(), Stage: r.u8()}
 		p := r.u8()
-		if p >= len(phases) {
-			return nil, fmt.Errorf("%s: phase %d of a build is not known", r.what, p)
+		if p >= len(phasesByCode) {
+			return nil, fmt.Errorf("%s: phase %d of a build is not known", r.position, p)
 		}
-		s.Phase, s.IsVoteReply, s.Outcome, s.Cap, s.Age = phases[p], r.u8() == 1, outcome(), r.f32(), r.micros("LatenessMs")
+		s.Phase, s.IsVoteReply, s.Outcome, s.Cap, s.Age = phasesByCode[p], r.u8() == 1, outcome(), r.f32(), r.micros("LatenessMs")
 		ev = s
 	case 11:
 		ev = policy.MetricsReport{
@@ -216,16 +216,16 @@
 	return ev, r.err
 }
 
-func encode(w *writer, who int, o policy.Command) {
+func encodeCommand(w *writer, who int, o policy.Command) {
 	switch o := o.(type) {
 	case policy.Reject:
-		w.record(0, who, func() { w.u64(o.RequestID); w.ms(o.RetryAfter) })
+		w.record(0, who, func() { w.u64(o.RequestID); w.micros(o.RetryAfter) })
 	case policy.LogMessage:
 		w.record(1, who, func() { w.text([]byte(o.Text)) })
 	case policy.CheckHealth:
 		w.record(2, who, func() { w.u32(o.EndpointID) })
 	case policy.SetTimer:
-		w.record(3, who, func() { w.ms(o.At); w.u64(o.Token) })
+		w.record(3, who, func() { w.micros(o.At); w.u64(o.Token) })
 	case policy.SendGossip:
 		w.record(4, who, func() { w.u32(uint32(o.To)); w.text(o.Payload) })
 	case policy.CancelAttempt:
@@ -233,7 +233,7 @@
 	case policy.Vote:
 		w.record(8, who, func() { w.u16(o.Build); w.u8(o.Stage); w.u8(int(o.Verdict)) })
 	case policy.SendAttempt:
-		w.record(10, who, func() { w.u64(o.RequestID); w.ms(o.Timeout); w.u32(o.EndpointID) })
+		w.record(10, who, func() { w.u64(o.RequestID); w.micros(o.Timeout); w.u32(o.EndpointID) })
 	case policy.WatchEndpoints:
 		w.record(11, who, func() { w.u8(1) })
 	case policy.Fail:
--- a/internal/simprotocol/codec.go
+++ b/internal/simprotocol/codec.go
@@ -9,33 +9,33 @@
 	"math"
 )
 
-const frameLimit = 1 << 30 // a length above this is a broken frame, not a batch
+const maxFrameLength = 1 << 30 // a length above this is a broken frame, not a batch
 
-var order = binary.LittleEndian
+var byteOrder = binary.LittleEndian
 
-// place says where in a batch a reader is, in words only when something is wrong there.
-type place struct{ record, of, code int }
+// position says where in a batch a reader is, in words only when something is wrong there.
+type position struct{ index, count, kind int }
 
-func (p place) String() string {
+func (p position) String() string {
 	switch {
-	case p.of == 0:
+	case p.count == 0:
 		return "batch header"
-	case p.code < 0:
-		return fmt.Sprintf("record %d of %d", p.record, p.of)
+	case p.kind < 0:
+		return fmt.Sprintf("record %d of %d", p.index, p.count)
 	}
-	return fmt.Sprintf("record %d, code %d", p.record, p.code)
+	return fmt.Sprintf("record %d, code %d", p.index, p.kind)
 }
 
 // reader takes fields off a record; the first shortfall sticks.
 type reader struct {
 	buf  []byte
-	what place
+	position position
 	err  error
 }
 
 func (r *reader) take(n int) []byte {
 	if r.err == nil && (n < 0 || n > len(r.buf)) {
-		r.err = fmt.Errorf("%s: needs %d more bytes, has %d", r.what, n, len(r.buf))
+		r.err = fmt.Errorf("%s: needs %d more bytes, has %d", r.position, n, len(r.buf))
 	}
 	if r.err != nil {
 		return make([]byte, 8)
@@ -46,9 +46,9 @@
 }
 
 func (r *reader) u8() int      { return int(r.take(1)[0]) }
-func (r *reader) u16() int     { return int(order.Uint16(r.take(2))) }
-func (r *reader) u32() uint32  { return order.Uint32(r.take(4)) }
-func (r *reader) u64() uint64  { return order.Uint64(r.take(8)) }
+func (r *reader) u16() int     { return int(byteOrder.Uint16(r.take(2))) }
+func (r *reader) u32() uint32  { return byteOrder.Uint32(r.take(4)) }
+func (r *reader) u64() uint64  { return byteOrder.Uint64(r.take(8)) }
 func (r *reader) f32() float64 { return float64(math.Float32frombits(r.u32())) }
 func (r *reader) f64() float64 { return math.Float64frombits(r.u64()) }
 func (r *reader) text(n int) []byte {
@@ -73,7 +73,7 @@
 
 func (r *reader) whole(field string, ms float64) int64 {
 	if r.err == nil && (math.IsNaN(ms) || math.Abs(ms) > 1e12) {
-		r.err = fmt.Errorf("%s: %s is %v, not a time", r.what, field, ms)
+		r.err = fmt.Errorf("%s: %s is %v, not a time", r.position, field, ms)
 	}
 	if r.err != nil {
 		return 0
@@ -91,14 +91,14 @@
 	if fields != nil {
 		fields()
 	}
-	order.PutUint32(w.buf[at-4:], uint32(len(w.buf)-at))
+	byteOrder.PutUint32(w.buf[at-4:], uint32(len(w.buf)-at))
 }
 
 func (w *writer) u8(v int)      { w.buf = append(w.buf, byte(v)) }
-func (w *writer) u16(v int)     { w.buf = order.AppendUint16(w.buf, uint16(v)) }
-func (w *writer) u32(v uint32)  { w.buf = order.AppendUint32(w.buf, v) }
-func (w *writer) u64(v uint64)  { w.buf = order.AppendUint64(w.buf, v) }
-func (w *writer) ms(v int64)    { w.u64(math.Float64bits(float64(v) / 1000)) }
+func (w *writer) u16(v int)     { w.buf = byteOrder.AppendUint16(w.buf, uint16(v)) }
+func (w *writer) u32(v uint32)  { w.buf = byteOrder.AppendUint32(w.buf, v) }
+func (w *writer) u64(v uint64)  { w.buf = byteOrder.AppendUint64(w.buf, v) }
+func (w *writer) micros(v int64)    { w.u64(math.Float64bits(float64(v) / 1000)) }
 func (w *writer) text(b []byte) { w.u16(len(b)); w.buf = append(w.buf, b...) }
 
 // readFrame returns the body of the next batch, after its length.
@@ -110,9 +110,9 @@
 		}
 		return nil, fmt.Errorf("batch header cut short: %w", err)
 	}
-	n := order.Uint32(head[:])
-	if n < 16 || n > frameLimit {
-		return nil, fmt.Errorf("batch length %d is not between 16 and %d", n, frameLimit)
+	n := byteOrder.Uint32(head[:])
+	if n < 16 || n > maxFrameLength {
+		return nil, fmt.Errorf("batch length %d is not between 16 and %d", n, maxFrameLength)
 	}
 	body := make([]byte, n-4)
 	if _, err := io.ReadFull(in, body); err != nil {
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -10,10 +10,10 @@
 	"switchfork/internal/policy"
 )
 
-// goldenRouter keeps the events that it is given, and answers each with every order.
-type goldenRouter struct{ events []policy.Event }
+// recordingRouter keeps the events that it is given, and answers each with every order.
+type recordingRouter struct{ events []policy.Event }
 
-func (g *goldenRouter) Handle(_ policy.Micros, ev policy.Event) []policy.Command {
+func (g *recordingRouter) Handle(_ policy.Micros, ev policy.Event) []policy.Command {
 	g.events = append(g.events, ev)
 	return []policy.Command{
 		policy.SendAttempt{RequestID: 0x0102030405060708, EndpointID: 0x11121314, Timeout: 123456, WriteBefore: 99},
@@ -29,19 +29,19 @@
 	}
 }
 
-// values prints an event without the names of its type and fields.
-func values(v reflect.Value) string {
+// formatValues prints an event without the names of its type and fields.
+func formatValues(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.Struct:
 		var parts []string
 		for i := range v.NumField() {
-			parts = append(parts, values(v.Field(i)))
+			parts = append(parts, formatValues(v.Field(i)))
 		}
 		return "{" + strings.Join(parts, " ") + "}"
 	case reflect.Slice:
 		var parts []string
 		for i := range v.Len() {
-			parts = append(parts, values(v.Index(i)))
+			parts = append(parts, formatValues(v.Index(i)))
 		}
 		return "[" + strings.Join(parts, " ") + "]"
 	case reflect.String:
@@ -55,28 +55,28 @@
 
 // The simulator's messages are read and written as they were, byte by byte.
 func TestGoldenMessages(t *testing.T) {
-	router := &goldenRouter{}
+	router := &recordingRouter{}
 	h := NewHost()
-	h.live[3] = router
+	h.routers[3] = router
 	records := []func(*writer){
-		list,
-		raw("01 0c000000 0300 01 2900000000000000 00"),
-		raw("01 0c000000 0300 03 2900000000000000 07"),
-		txn,
-		raw("03 0a000000 0300 4d00000000000000"),
-		raw("05 0a000000 0300 4e00000000000000"),
-		raw("06 0a000000 0300 4f00000000000000"),
-		raw("08 0b000000 0300 05000000 0300 616263"),
-		raw("0a 15000000 0300 2900 01 03 01 2e01 0000003f 0000000000607340"),
-		raw("0b 1e000000 0300 2900 0100 64000000 05000000 0000000000005940 0000000000607340"),
-		raw("0c 10000000 0300 0100 0000000000607340 11223344"),
+		endpointList,
+		rawRecord("01 0c000000 0300 01 2900000000000000 00"),
+		rawRecord("01 0c000000 0300 03 2900000000000000 07"),
+		requestArrived,
+		rawRecord("03 0a000000 0300 4d00000000000000"),
+		rawRecord("05 0a000000 0300 4e00000000000000"),
+		rawRecord("06 0a000000 0300 4f00000000000000"),
+		rawRecord("08 0b000000 0300 05000000 0300 616263"),
+		rawRecord("0a 15000000 0300 2900 01 03 01 2e01 0000003f 0000000000607340"),
+		rawRecord("0b 1e000000 0300 2900 0100 64000000 05000000 0000000000005940 0000000000607340"),
+		rawRecord("0c 10000000 0300 0100 0000000000607340 11223344"),
 		func(w *writer) {
 			w.record(4, 3, func() {
 				w.u64(0x99)
 				w.u8(1)
 				w.u32(0x31323334)
 				w.u16(303)
-				w.ms(250500)
+				w.micros(250500)
 				w.u8(1)
 				w.u8(2)
 				w.u32(0x3f000000)
@@ -87,19 +87,19 @@
 			w.record(7, 3, func() {
 				w.u32(0x31323334)
 				w.u16(304)
-				w.ms(1500)
+				w.micros(1500)
 				w.u8(0)
 			})
 		},
 	}
-	body := frame(records...)
-	reply, err := h.batch(body[4:])
+	body := encodeFrame(records...)
+	reply, err := h.handleBatch(body[4:])
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
 	for _, ev := range router.events {
-		fmt.Fprintln(&out, values(reflect.ValueOf(ev)))
+		fmt.Fprintln(&out, formatValues(reflect.ValueOf(ev)))
 	}
 	fmt.Fprintf(&out, "%x\n", reply[:min(len(reply), 400)])
 	golden.Check(t, "messages.golden", out.String())
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -9,7 +9,7 @@
 	"switchfork/internal/policy"
 )
 
-var env = strings.ReplaceAll(`Me=0 Balancers=2 Zone=0 Grades.count=1 Grades.0.Repeat=read_like Grades.0.SloMs=100.0
+var settings = strings.ReplaceAll(`Me=0 Balancers=2 Zone=0 Grades.count=1 Grades.0.Repeat=read_like Grades.0.SloMs=100.0
 Grades.0.HardLimitMs=400.0 Grades.0.Worth=1.0 FamilyInfo.StageCap=0.1,1.0
 FamilyInfo.StageShare=0.1,1.0 FamilyInfo.Shielded=0 FamilyInfo.Swap=beside
 FamilyInfo.VoteStandsMs=4000.0 FamilyInfo.CallTimeoutMs=800.0 FamilyInfo.ApiRate=50.0
@@ -19,24 +19,24 @@
 Safety.DrainGraceMs=1000.0 Safety.GraceToAnswerMs=20.0 Limits.MaxAttempts=3 Discovery=automatic
 A.Key.NotKnown=yes`, " ", "\n")
 
-func frame(records ...func(*writer)) []byte {
+func encodeFrame(records ...func(*writer)) []byte {
 	w := &writer{buf: make([]byte, 4)}
 	w.u32(uint32(len(records)))
-	w.ms(8256000)
+	w.micros(8256000)
 	for _, r := range records {
 		r(w)
 	}
-	order.PutUint32(w.buf, uint32(len(w.buf)))
+	byteOrder.PutUint32(w.buf, uint32(len(w.buf)))
 	return w.buf
 }
 
-func up(text string) func(*writer) {
+func startInstance(text string) func(*writer) {
 	return func(w *writer) {
 		w.record(0, 3, func() { w.u64(9); w.u32(uint32(len(text))); w.buf = append(w.buf, text...) })
 	}
 }
 
-func raw(s string) func(*writer) {
+func rawRecord(s string) func(*writer) {
 	b, err := hex.DecodeString(strings.ReplaceAll(s, " ", ""))
 	if err != nil {
 		panic(err)
@@ -45,10 +45,10 @@
 }
 
 var (
-	list   = raw("0d 1e000000 00 01000000 074a1203 00002442 00 01 00 0000 0000000000000000 0000803f")
-	cached = raw("01 0c000000 0300 02 2900000000000000 00")
-	txn    = raw("02 29000000 0300 c4913a5d71660c00 0000 00000000 640ad2557c3bf091 0000000020e6c040 0000000000002840 01")
-	kill   = raw("09 02000000 0300")
+	endpointList   = rawRecord("0d 1e000000 00 01000000 074a1203 00002442 00 01 00 0000 0000000000000000 0000803f")
+	endpointUpdate = rawRecord("01 0c000000 0300 02 2900000000000000 00")
+	requestArrived    = rawRecord("02 29000000 0300 c4913a5d71660c00 0000 00000000 640ad2557c3bf091 0000000020e6c040 0000000000002840 01")
+	stopInstance   = rawRecord("09 02000000 0300")
 )
 
 func serve(t *testing.T, frames ...[]byte) (string, error) {
@@ -59,8 +59,8 @@
 }
 
 func TestServe(t *testing.T) {
-	news := raw("0a 15000000 0300 2900 00 02 00 6400 0000803f 0000000000607340")
-	got, err := serve(t, frame(), frame(list, up(env), cached, news, txn, kill, up(env)))
+	rolloutUpdate := rawRecord("0a 15000000 0300 2900 00 02 00 6400 0000803f 0000000000607340")
+	got, err := serve(t, encodeFrame(), encodeFrame(endpointList, startInstance(settings), endpointUpdate, rolloutUpdate, requestArrived, stopInstance, startInstance(settings)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,20 +72,20 @@
 	}
 }
 
-func TestBadInput(t *testing.T) {
-	whole := frame(up(env))
+func TestServeRejectsMalformedInput(t *testing.T) {
+	whole := encodeFrame(startInstance(settings))
 	for name, c := range map[string]struct {
 		in   []byte
 		want string
 	}{
 		"cut short":       {whole[:len(whole)-5], "cut short"},
 		"length":          {[]byte{3, 0, 0, 0}, "batch length 3"},
-		"missing setting": {frame(up(strings.Replace(env, "Zone=0\n", "", 1))), "setting Zone is missing"},
-		"not a number":    {frame(up(strings.Replace(env, "SloMs=100.0", "SloMs=soon", 1))), `"soon", not a number`},
-		"unknown word":    {frame(up(strings.Replace(env, "=beside", "=above", 1))), `"above", a word not known`},
-		"short record":    {frame(up(env), raw("06 03000000 0300 4d")), "needs 8 more bytes"},
-		"no such list":    {frame(up(env), cached), "names list 0"},
-		"not started":     {frame(raw("06 0a000000 0300 4d00000000000000")), "instance 3 has not started"},
+		"missing setting": {encodeFrame(startInstance(strings.Replace(settings, "Zone=0\n", "", 1))), "setting Zone is missing"},
+		"not a number":    {encodeFrame(startInstance(strings.Replace(settings, "SloMs=100.0", "SloMs=soon", 1))), `"soon", not a number`},
+		"unknown word":    {encodeFrame(startInstance(strings.Replace(settings, "=beside", "=above", 1))), `"above", a word not known`},
+		"short record":    {encodeFrame(startInstance(settings), rawRecord("06 03000000 0300 4d")), "needs 8 more bytes"},
+		"no such list":    {encodeFrame(startInstance(settings), endpointUpdate), "names list 0"},
+		"not started":     {encodeFrame(rawRecord("06 0a000000 0300 4d00000000000000")), "instance 3 has not started"},
 	} {
 		_, err := serve(t, c.in)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
@@ -94,13 +94,13 @@
 	}
 }
 
-type broken struct{}
+type panickingRouter struct{}
 
-func (broken) Handle(policy.Micros, policy.Event) []policy.Command { panic("index out of range") }
+func (panickingRouter) Handle(policy.Micros, policy.Event) []policy.Command { panic("index out of range") }
 
-func TestPanicBecomesBroken(t *testing.T) {
+func TestHandleEventReportsPanic(t *testing.T) {
 	w := &writer{}
-	handle(broken{}, 0, policy.TimerFired{}, 3, w)
+	handleEvent(panickingRouter{}, 0, policy.TimerFired{}, 3, w)
 	if got, want := hex.EncodeToString(w.buf), "05160000000300"+"1200"+hex.EncodeToString([]byte("index out of range")); got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
