--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost hosts decision modules on the simulator's wire: batches
-// on standard input, replies on standard output.
+// Command wirehost runs the agent's policy for the simulator: it reads batches of the simulator's binary protocol from
+// standard input and writes the replies to standard output.
 package main
 
 import (
@@ -10,8 +10,12 @@
 	"switchfork/internal/simprotocol"
 )
 
+// gcPercent lets the heap grow further than by default before a collection: most of it is the instances' endpoint lists
+// and hash rings, which live as long as the process.
+const gcPercent = 400
+
 func main() {
-	debug.SetGCPercent(400) // most of the heap is the instances' lists and rings, which stay
+	debug.SetGCPercent(gcPercent)
 	if err := simprotocol.NewHost().Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
--- /dev/null
+++ b/internal/simprotocol/frame.go
@@ -0,0 +1,39 @@
+package simprotocol
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+)
+
+const (
+	frameHeaderLength = 4       // the frame's length, itself included
+	minFrameLength    = 16      // the header, the number of records and the clock
+	maxFrameLength    = 1 << 30 // a length above this is a broken frame, not a batch
+)
+
+var byteOrder = binary.LittleEndian
+
+// errEndOfInput reports that the input ended between two frames.
+var errEndOfInput = errors.New("end of input")
+
+// readFrame returns the body of the next frame, after its length.
+func readFrame(in io.Reader) ([]byte, error) {
+	var header [frameHeaderLength]byte
+	if _, err := io.ReadFull(in, header[:]); err != nil {
+		if errors.Is(err, io.EOF) {
+			return nil, errEndOfInput
+		}
+		return nil, fmt.Errorf("batch header cut short: %w", err)
+	}
+	length := byteOrder.Uint32(header[:])
+	if length < minFrameLength || length > maxFrameLength {
+		return nil, fmt.Errorf("batch length %d is not between %d and %d", length, minFrameLength, maxFrameLength)
+	}
+	body := make([]byte, length-frameHeaderLength)
+	if _, err := io.ReadFull(in, body); err != nil {
+		return nil, fmt.Errorf("batch of %d bytes cut short: %w", length, err)
+	}
+	return body, nil
+}
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -10,11 +10,11 @@
 	"switchfork/internal/policy"
 )
 
-// recordingRouter keeps the events that it is given, and answers each with every order.
+// recordingRouter records the events that it is given, and answers each with every command.
 type recordingRouter struct{ events []policy.Event }
 
-func (g *recordingRouter) Handle(_ policy.Micros, ev policy.Event) []policy.Command {
-	g.events = append(g.events, ev)
+func (r *recordingRouter) Handle(_ policy.Micros, ev policy.Event) []policy.Command {
+	r.events = append(r.events, ev)
 	return []policy.Command{
 		policy.SendAttempt{RequestID: 0x0102030405060708, EndpointID: 0x11121314, Timeout: 123456, WriteBefore: 99},
 		policy.CancelAttempt{RequestID: 0x2122232425262728, Attempt: 3},
@@ -53,11 +53,11 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// The simulator's messages are read and written as they were, byte by byte.
+// TestGoldenMessages compares every event and command with the recorded bytes of the protocol.
 func TestGoldenMessages(t *testing.T) {
 	router := &recordingRouter{}
-	h := NewHost()
-	h.routers[3] = router
+	host := NewHost()
+	host.routers[3] = router
 	records := []func(*writer){
 		endpointList,
 		rawRecord("01 0c000000 0300 01 2900000000000000 00"),
@@ -93,7 +93,7 @@
 		},
 	}
 	body := encodeFrame(records...)
-	reply, err := h.handleBatch(body[4:])
+	reply, err := host.handleBatch(body[4:])
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/host_test.go
@@ -23,8 +23,8 @@
 	w := &writer{buf: make([]byte, 4)}
 	w.u32(uint32(len(records)))
 	w.micros(8256000)
-	for _, r := range records {
-		r(w)
+	for _, writeRecord := range records {
+		writeRecord(w)
 	}
 	byteOrder.PutUint32(w.buf, uint32(len(w.buf)))
 	return w.buf
@@ -47,7 +47,7 @@
 var (
 	endpointList   = rawRecord("0d 1e000000 00 01000000 074a1203 00002442 00 01 00 0000 0000000000000000 0000803f")
 	endpointUpdate = rawRecord("01 0c000000 0300 02 2900000000000000 00")
-	requestArrived    = rawRecord("02 29000000 0300 c4913a5d71660c00 0000 00000000 640ad2557c3bf091 0000000020e6c040 0000000000002840 01")
+	requestArrived = rawRecord("02 29000000 0300 c4913a5d71660c00 0000 00000000 640ad2557c3bf091 0000000020e6c040 0000000000002840 01")
 	stopInstance   = rawRecord("09 02000000 0300")
 )
 
@@ -68,7 +68,7 @@
 		t.Errorf("an empty batch was answered %.8s", got)
 	}
 	if want := "0a160000000300c4913a5d71660c00"; !strings.Contains(got, want) {
-		t.Errorf("no transmit of the txn in %s", got)
+		t.Errorf("no attempt of the request in %s", got)
 	}
 }
 
@@ -96,7 +96,9 @@
 
 type panickingRouter struct{}
 
-func (panickingRouter) Handle(policy.Micros, policy.Event) []policy.Command { panic("index out of range") }
+func (panickingRouter) Handle(policy.Micros, policy.Event) []policy.Command {
+	panic("index out of range")
+}
 
 func TestHandleEventReportsPanic(t *testing.T) {
 	w := &writer{}
