--- a/internal/config/connections.go
+++ b/internal/config/connections.go
@@ -5,8 +5,7 @@
 // defaultMaxOpenRequests is in force where the deployment configures no bound.
 const defaultMaxOpenRequests = 20000
 
-// discoverySubscribe is the discovery mode in which an agent polls for the endpoint list. In the other mode the list
-// is pushed to it.
+// Modes of discovery: the agent has to ask for the endpoint list, or receives it unasked.
 const (
 	discoverySubscribe = "subscribe"
 	discoveryAutomatic = "automatic"
@@ -15,7 +14,7 @@
 // Connections are the limits of an agent's connections to endpoints and to the rollout controller.
 type Connections struct {
 	DialTimeout, IdleTimeout, CallTimeout time.Duration
-	PollWithin                            time.Duration // the endpoint list is polled at least this often; 0: it is pushed
+	PollWithin                            time.Duration // the agent asks for the endpoint list at least this often; 0: it need not ask
 	MaxOpenRequests                       int           // requests that the agent may have open at a time
 	MaxRetryAfter                         time.Duration // the longest Retry-After that clients honor; 0: they honor none
 	HealthChecks                          bool
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -43,15 +43,15 @@
 func Load(getenv func(string) string) (*File, error) {
 	path := getenv(envConfig)
 	if path == "" {
-		return nil, errors.New("GW_CONFIG is not set")
+		return nil, errors.New(envConfig + " is not set")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("GW_CONFIG: %w", err)
+		return nil, fmt.Errorf("%s: %w", envConfig, err)
 	}
 	var sections fileSections
 	if err = json.Unmarshal(raw, &sections); err != nil {
-		return nil, fmt.Errorf("GW_CONFIG %s: %w", path, err)
+		return nil, fmt.Errorf("%s %s: %w", envConfig, path, err)
 	}
 	f := &File{getenv: getenv, Endpoints: sections.Endpoints, Rollout: sections.Platform.Rollout}
 	if f.Settings, err = parseJSON(fileName, raw); err != nil {
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -98,7 +98,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	writeConfig(t, path, map[string]any{"discovery": "127.0.0.1:91", "name": "agent-2", "seed": "01"}, "Limits.OpenCap=60\nLimits.Cancel=true\n")
+	changes := map[string]any{"discovery": "127.0.0.1:91", "name": "agent-2", "seed": "01"}
+	writeConfig(t, path, changes, "Limits.OpenCap=60\nLimits.Cancel=true\n")
 	next, moved, left, err := file.Reload()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -39,8 +39,9 @@
 	keyLoadReportFields = "Feedback.Fields"
 
 	keyClasses     = "Grades"
-	keyClassCount  = "Grades.count"
-	keyTenantCount = "Parties.count"
+	keyClassCount  = keyClasses + ".count"
+	keyTenants     = "Parties"
+	keyTenantCount = keyTenants + ".count"
 
 	keyKeyAffinity       = "FamilyInfo.WarmKeys"
 	keyStageCaps         = "FamilyInfo.StageCap"
@@ -103,6 +104,6 @@
 	tenantKeyShare = "Fraction"
 )
 
-func classKey(index int, key string) string { return fmt.Sprintf("Grades.%d.%s", index, key) }
+func classKey(index int, key string) string { return fmt.Sprintf("%s.%d.%s", keyClasses, index, key) }
 
-func tenantKey(index int, key string) string { return fmt.Sprintf("Parties.%d.%s", index, key) }
+func tenantKey(index int, key string) string { return fmt.Sprintf("%s.%d.%s", keyTenants, index, key) }
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -55,7 +55,8 @@
 	mode := s.values[keyLoadReportMode]
 	needsHealthChecks := mode == loadReportsOnProbe || mode == loadReportsWithProbe
 	if needsHealthChecks && s.isSet(keyHealthChecks) && !s.boolean(keyHealthChecks) {
-		s.recordError(keyLoadReportMode, "is %q, but %s%s is false: no report would come; expected inline or off", mode, s.prefix, keyHealthChecks)
+		s.recordError(keyLoadReportMode, "is %q, but %s%s is false: no report would come; expected inline or off",
+			mode, s.prefix, keyHealthChecks)
 	}
 	if s.hasLoadReports() && len(s.textList(keyLoadReportFields)) == 0 {
 		s.recordError(keyLoadReportFields, "names no figure, but %s%s is %q", s.prefix, keyLoadReportMode, mode)
@@ -64,7 +65,8 @@
 		s.recordError(keyHedging, "is true, but %s%s is %d: there is no hedged request", s.prefix, keyMaxAttempts, attempts)
 	}
 	if s.values[keyVotingRule] == votingTimer && s.floatOrDefault(keyVotesToAdvance, 0) > 0 {
-		s.recordError(keyVotesToAdvance, "is %v, but %s%s is timer: no vote moves a stage on", s.values[keyVotesToAdvance], s.prefix, keyVotingRule)
+		s.recordError(keyVotesToAdvance, "is %v, but %s%s is timer: no vote moves a stage on",
+			s.values[keyVotesToAdvance], s.prefix, keyVotingRule)
 	}
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -20,8 +20,8 @@
 	keyPathSeparator = "."
 )
 
-// Settings are flat key=value pairs. Its accessors record the first fault that they meet, return a zero value from
-// then on, and leave it to the caller to ask Err once at the end.
+// Settings are flat key=value pairs. The accessors record the first fault that they meet and let the caller go on, so
+// that it can read a whole section and ask Err once at the end; what they return after a fault has no meaning.
 type Settings struct {
 	prefix string // stands before each key in messages
 	values map[string]string
--- a/internal/options/parse.go
+++ b/internal/options/parse.go
@@ -73,22 +73,22 @@
 }
 
 func (p *parser) parseKeyword(name string, values []string) error {
-	known, ok := keywords[name]
+	definition, ok := keywords[name]
 	if !ok {
 		return fmt.Errorf("no such keyword, %s", suggestKeyword(name))
 	}
-	if len(values) == 0 || len(values) > known.maxValues {
-		return fmt.Errorf("has %d values, expected %s", len(values), known.syntax)
+	if len(values) == 0 || len(values) > definition.maxValues {
+		return fmt.Errorf("has %d values, expected %s", len(values), definition.syntax)
 	}
 	identity := name
-	if known.isRepeatable {
+	if definition.isRepeatable {
 		identity += " " + values[0]
 	}
 	if first, ok := p.firstLines[identity]; ok {
 		return fmt.Errorf("stands on line %d already", first)
 	}
 	p.firstLines[identity] = p.line
-	return known.parse(p.options, values)
+	return definition.parse(p.options, values)
 }
 
 // suggestKeyword names the keyword that is most similar to an unknown one, or else all of them.
--- a/internal/options/write.go
+++ b/internal/options/write.go
@@ -20,8 +20,8 @@
 func (o *Options) ChangedKeywords(other *Options) []string {
 	var changed []string
 	for _, name := range sortedKeywords() {
-		known := keywords[name]
-		if !known.isReloadable && !slices.Equal(known.format(o), known.format(other)) {
+		definition := keywords[name]
+		if !definition.isReloadable && !slices.Equal(definition.format(o), definition.format(other)) {
 			changed = append(changed, name)
 		}
 	}
--- a/internal/options/write_test.go
+++ b/internal/options/write_test.go
@@ -34,7 +34,8 @@
 }
 
 func TestChangedKeywordsLeavesOutReloadableOnes(t *testing.T) {
-	changed := Defaults().ChangedKeywords(mustParse(t, "log-level debug\nlog-form json\ntenant a share 2\ndecider-peer 1 a:1\ndoor on\nadmin /run/a\n"))
+	next := mustParse(t, "log-level debug\nlog-form json\ntenant a share 2\ndecider-peer 1 a:1\ndoor on\nadmin /run/a\n")
+	changed := Defaults().ChangedKeywords(next)
 	if !slices.Equal(changed, []string{"admin", "door"}) {
 		t.Errorf("changed %v", changed)
 	}
--- a/internal/simprotocol/host_test.go
+++ b/internal/simprotocol/host_test.go
@@ -60,7 +60,9 @@
 
 func TestServe(t *testing.T) {
 	rolloutUpdate := rawRecord("0a 15000000 0300 2900 00 02 00 6400 0000803f 0000000000607340")
-	got, err := serve(t, encodeFrame(), encodeFrame(endpointList, startInstance(settings), endpointUpdate, rolloutUpdate, requestArrived, stopInstance, startInstance(settings)))
+	start := startInstance(settings)
+	batch := encodeFrame(endpointList, start, endpointUpdate, rolloutUpdate, requestArrived, stopInstance, start)
+	got, err := serve(t, encodeFrame(), batch)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,11 +76,13 @@
 
 func TestServeRejectsMalformedInput(t *testing.T) {
 	whole := encodeFrame(startInstance(settings))
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		in   []byte
 		want string
 	}{
 		"cut short":       {whole[:len(whole)-5], "cut short"},
+		"no body":         {whole[:4], "cut short"},
+		"half a length":   {whole[:2], "batch header cut short"},
 		"length":          {[]byte{3, 0, 0, 0}, "batch length 3"},
 		"missing setting": {encodeFrame(startInstance(strings.Replace(settings, "Zone=0\n", "", 1))), "setting Zone is missing"},
 		"not a number":    {encodeFrame(startInstance(strings.Replace(settings, "SloMs=100.0", "SloMs=soon", 1))), `"soon", not a number`},
@@ -87,9 +91,9 @@
 		"no such list":    {encodeFrame(startInstance(settings), endpointUpdate), "names list 0"},
 		"not started":     {encodeFrame(rawRecord("06 0a000000 0300 4d00000000000000")), "instance 3 has not started"},
 	} {
-		_, err := serve(t, c.in)
-		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: got %v, want an error with %q", name, err, c.want)
+		_, err := serve(t, test.in)
+		if err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s: got %v, want an error with %q", name, err, test.want)
 		}
 	}
 }
