--- a/cmd/switchfork/chair.go
+++ b/cmd/switchfork/chair.go
@@ -85,7 +85,7 @@
 	}
 	h := fnv.New64a()
 	io.WriteString(h, keep.Group)
-	seat := coordinator.Replica{
+	seat := coordinator.Config{
 		Index: me, Members: members, Group: h.Sum64(), Seed: seed ^ int64(me+1)<<32,
 		Settings: election.Settings{Lease: keep.Lease.Microseconds(), ClockDrift: drift, MaxVoteDelay: rules.CallTimeout + callRoom.Microseconds(), VoteLifetime: rules.VoteLifetime, RollBackQuorum: 1},
 	}
--- a/cmd/switchfork/golden_test.go
+++ b/cmd/switchfork/golden_test.go
@@ -50,7 +50,7 @@
 
 // The metrics keep their names.
 func TestGoldenMetrics(t *testing.T) {
-	c := coordinator.New(coordinator.Replica{Members: election.InitialMembers(3), Settings: election.Settings{Lease: 1e6}}, nowhere{}, nil,
+	c := coordinator.New(coordinator.Config{Members: election.InitialMembers(3), Settings: election.Settings{Lease: 1e6}}, nowhere{}, nil,
 		coordinator.Callbacks{UpdateRollout: func(policy.RolloutUpdate) {}})
 	var out strings.Builder
 	c.Metrics().WritePrometheus(&out)
--- /dev/null
+++ b/internal/cluster/coordinator/admin_test.go
@@ -0,0 +1,85 @@
+package coordinator_test
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"net"
+	"path/filepath"
+	"testing"
+
+	"switchfork/internal/cluster/coordinator"
+	"switchfork/internal/cluster/election"
+	"switchfork/internal/policy"
+)
+
+type discardTransport struct{}
+
+func (discardTransport) Send(int, []byte) {}
+
+// startCoordinator runs replica 0 of three, which stays without a leader, and without a store.
+func startCoordinator(ctx context.Context) *coordinator.Coordinator {
+	c := coordinator.New(coordinator.Config{
+		Members:  election.InitialMembers(3),
+		Settings: election.Settings{Lease: 60e6},
+	}, discardTransport{}, nil, coordinator.Callbacks{UpdateRollout: func(policy.RolloutUpdate) {}})
+	go c.Serve(ctx)
+	return c
+}
+
+// The JSON of the admin address keeps its keys, and refusals keep their text.
+func TestAdminAnswers(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "admin.sock")
+	if err := startCoordinator(t.Context()).ServeAdmin(t.Context(), path); err != nil {
+		t.Fatal(err)
+	}
+	report, err := coordinator.QueryStatus(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if report.AbstainsMS <= 0 {
+		t.Errorf("without stored state it does not abstain: %+v", report)
+	}
+	report.AbstainsMS = 1
+	text, err := json.Marshal(report)
+	const want = `{"me":0,"leads":false,"owner":-1,"term":0,"left_ms":0,"unresolved":false,"waits_ms":0,"abstains_ms":1,"newest":"none","members":[0,1,2]}`
+	if err != nil || string(text) != want {
+		t.Errorf("status is %s, %v, want %s", text, err, want)
+	}
+	for agent, reason := range map[int]string{
+		1:  coordinator.ErrNoStateDir.Error() + "\n",
+		64: "agent is \"64\", expected a number from 0 to 63\n",
+		-1: "agent is \"-1\", expected a number from 0 to 63\n",
+	} {
+		for _, change := range []string{"add", "remove"} {
+			var refused *coordinator.MemberChangeError
+			if err := coordinator.RequestMemberChange(path, change, agent); !errors.As(err, &refused) || refused.Reason != reason {
+				t.Errorf("%s %d gives %v, want %q", change, agent, err, reason)
+			}
+		}
+	}
+}
+
+// A socket that nobody serves any more is replaced; one that is served is left alone.
+func TestAdminAddressInUse(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "admin.sock")
+	abandoned, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	abandoned.SetUnlinkOnClose(false)
+	if err = abandoned.Close(); err != nil {
+		t.Fatal(err)
+	}
+	c := startCoordinator(t.Context())
+	if err = c.ServeAdmin(t.Context(), path); err != nil {
+		t.Fatalf("an abandoned socket: %v", err)
+	}
+	var inUse *coordinator.AdminAddressInUseError
+	if err = c.ServeAdmin(t.Context(), path); !errors.As(err, &inUse) || inUse.Path != path {
+		t.Errorf("a socket in use gives %v", err)
+	}
+	if _, err = coordinator.QueryStatus(path); err != nil {
+		t.Errorf("after that the first is not served: %v", err)
+	}
+}
