--- /dev/null
+++ b/internal/cluster/storage/record.go
@@ -0,0 +1,66 @@
+package storage
+
+import (
+	"encoding/binary"
+	"fmt"
+	"hash/crc32"
+
+	"switchfork/internal/cluster/election"
+)
+
+const (
+	// recordFormat is the version of the record's layout.
+	recordFormat = 1
+	checksumSize = crc32.Size
+)
+
+// record is what the file holds: these fields in little-endian order without gaps, and a CRC-32 of them.
+type record struct {
+	Format uint32
+	Group  uint64
+	Agent  uint8
+	State  election.DurableState
+}
+
+// durableState returns the state of a record; nil without a record.
+func (r *record) durableState() *election.DurableState {
+	if r == nil {
+		return nil
+	}
+	return &r.State
+}
+
+// checkOwner refuses the record of another agent or group.
+func (r *record) checkOwner(group uint64, index int) error {
+	if r.Group == group && int(r.Agent) == index {
+		return nil
+	}
+	return fmt.Errorf("%w: it is agent %d's of group %016x, not agent %d's of %016x", ErrCorrupt, r.Agent, r.Group, index, group)
+}
+
+func encodeRecord(r record) ([]byte, error) {
+	raw, err := binary.Append(nil, binary.LittleEndian, r)
+	if err != nil {
+		return nil, fmt.Errorf("encoding the state record: %w", err)
+	}
+	return binary.LittleEndian.AppendUint32(raw, crc32.ChecksumIEEE(raw)), nil
+}
+
+func decodeRecord(raw []byte) (*record, error) {
+	r := &record{}
+	bodySize := binary.Size(r)
+	if len(raw) != bodySize+checksumSize {
+		return nil, fmt.Errorf("%w: a record of %d bytes, expected %d", ErrCorrupt, len(raw), bodySize+checksumSize)
+	}
+	body := raw[:bodySize]
+	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(raw[bodySize:]) {
+		return nil, fmt.Errorf("%w: the record's sum is wrong", ErrCorrupt)
+	}
+	if _, err := binary.Decode(body, binary.LittleEndian, r); err != nil {
+		return nil, fmt.Errorf("%w: decoding the record: %w", ErrCorrupt, err)
+	}
+	if r.Format != recordFormat {
+		return nil, fmt.Errorf("%w: a record of form %d, expected %d", ErrCorrupt, r.Format, recordFormat)
+	}
+	return r, nil
+}
