--- /dev/null
+++ b/internal/cluster/transport/frame.go
@@ -0,0 +1,117 @@
+// Package transport carries the replicas' messages between agents. A message is encoded as one frame of fixed size, which travels
+// either as a datagram of the agents' gossip or over TCP. This package reads nothing into a message and answers none.
+//
+// Encode, Decode and IsFrame are pure functions. A TCP value may be used from any goroutine; it runs one goroutine for each peer
+// that it writes to and one for each connection that it reads from.
+package transport
+
+import (
+	"encoding/binary"
+	"errors"
+	"hash/crc32"
+
+	"switchfork/internal/cluster/election"
+)
+
+// frameMark begins every frame. The release analyzers' gossip shares the socket; it consists of lines of nine bytes, and frameSize
+// is no multiple of nine.
+const frameMark = 0x5fd1c0a7
+
+const (
+	markSize     = 4
+	checksumSize = crc32.Size
+)
+
+// frame is a message as it is sent: these fields in little-endian order without gaps, and a CRC-32 of them.
+type frame struct {
+	Mark           uint32
+	Group          uint64 // of agents; a message of another group is ignored
+	From           uint8
+	Kind           election.Kind
+	Ballot         uint64
+	ReleasedUpTo   uint64
+	Record         election.Record
+	Recommendation election.Decision
+	Members        election.Members
+}
+
+// frameSize includes the checksum: 85 bytes, of the 256 that a datagram of the gossip may have.
+var frameSize = binary.Size(frame{}) + checksumSize
+
+// FrameSize is the size of every frame in bytes.
+func FrameSize() int { return frameSize }
+
+var (
+	// ErrForeign marks bytes that are no frame, or a frame of another group.
+	ErrForeign = errors.New("not a message of this group's deciders")
+	// ErrCorrupt marks a frame that was damaged, or that holds an impossible value.
+	ErrCorrupt = errors.New("a message whose sum or content is wrong")
+)
+
+// Encode encodes a message of the agent from.
+func Encode(group uint64, from int, m election.Message) []byte {
+	f := frame{
+		Mark:           frameMark,
+		Group:          group,
+		From:           uint8(from),
+		Kind:           m.Kind,
+		Ballot:         m.Ballot,
+		ReleasedUpTo:   m.ReleasedUpTo,
+		Record:         m.Record,
+		Recommendation: m.Recommendation,
+		Members:        m.Members,
+	}
+	b, err := binary.Append(make([]byte, 0, frameSize), binary.LittleEndian, f)
+	if err != nil {
+		panic(err) // only a type without a fixed size can't be encoded
+	}
+	return binary.LittleEndian.AppendUint32(b, crc32.ChecksumIEEE(b))
+}
+
+// IsFrame tells whether a datagram is a frame of some group, by its mark.
+func IsFrame(b []byte) bool {
+	return len(b) >= markSize && binary.LittleEndian.Uint32(b) == frameMark
+}
+
+// Decode decodes a frame, and returns its sender and message. Nothing of a damaged frame is used.
+func Decode(group uint64, b []byte) (from int, m election.Message, err error) {
+	if !IsFrame(b) || len(b) != frameSize {
+		return 0, m, ErrForeign
+	}
+	bodySize := frameSize - checksumSize
+	body := b[:bodySize]
+	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(b[bodySize:]) {
+		return 0, m, ErrCorrupt
+	}
+	var f frame
+	if _, err = binary.Decode(body, binary.LittleEndian, &f); err != nil {
+		return 0, m, ErrCorrupt
+	}
+	if f.Group != group {
+		return 0, m, ErrForeign
+	}
+	if !f.isValid() {
+		return 0, m, ErrCorrupt
+	}
+	return int(f.From), f.message(), nil
+}
+
+// isValid tells whether all values are ones that a replica may send.
+func (f frame) isValid() bool {
+	return f.From < election.MaxReplicas &&
+		f.Kind.IsValid() &&
+		f.Record.Verdict <= election.RollBack &&
+		f.Record.Prior <= election.RollBack &&
+		f.Recommendation.Verdict <= election.RollBack
+}
+
+func (f frame) message() election.Message {
+	return election.Message{
+		Kind:           f.Kind,
+		Ballot:         f.Ballot,
+		ReleasedUpTo:   f.ReleasedUpTo,
+		Record:         f.Record,
+		Recommendation: f.Recommendation,
+		Members:        f.Members,
+	}
+}
--- a/internal/cluster/transport/golden_test.go
+++ b/internal/cluster/transport/golden_test.go
@@ -9,7 +9,7 @@
 	"switchfork/internal/golden"
 )
 
-// Agents of two versions of the program speak to each other: what they write stays as it was, byte by byte.
+// Agents of two versions of the program talk to each other: the bytes of each kind of message stay as they were.
 func TestGoldenFrames(t *testing.T) {
 	var out strings.Builder
 	for kind := election.Prepare; kind.IsValid(); kind++ {
--- /dev/null
+++ b/internal/cluster/transport/tcp_test.go
@@ -0,0 +1,167 @@
+package transport
+
+import (
+	"bytes"
+	"context"
+	"encoding/binary"
+	"errors"
+	"net"
+	"runtime"
+	"sync"
+	"testing"
+	"time"
+)
+
+// A message is read whole or not at all, and none is longer than allowed.
+func FuzzNext(f *testing.F) {
+	f.Add([]byte{0, 3, 1, 2, 3})
+	f.Add([]byte{0xff, 0xff, 1})
+	f.Add([]byte{0, 0})
+	f.Fuzz(func(t *testing.T, b []byte) {
+		message, err := readMessage(bytes.NewReader(b))
+		if err != nil {
+			return
+		}
+		size := len(message)
+		if size == 0 || size > maxMessageSize || size != int(binary.BigEndian.Uint16(b)) || !bytes.Equal(message, b[2:2+size]) {
+			t.Errorf("%x reads as %x", b, message)
+		}
+	})
+}
+
+// recorder keeps the messages that arrive.
+type recorder struct {
+	mu       sync.Mutex
+	messages [][]byte
+}
+
+func (r *recorder) receive(message []byte) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.messages = append(r.messages, message)
+}
+
+// last returns the newest message, nil without one.
+func (r *recorder) last() []byte {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.messages) == 0 {
+		return nil
+	}
+	return r.messages[len(r.messages)-1]
+}
+
+func ignore([]byte) {}
+
+func listenForTest(ctx context.Context, t *testing.T, receive func([]byte)) *TCP {
+	t.Helper()
+	tcp, err := Listen(ctx, "127.0.0.1:0", receive)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return tcp
+}
+
+func dial(ctx context.Context, address string) (net.Conn, error) {
+	return (&net.Dialer{}).DialContext(ctx, "tcp", address)
+}
+
+func eventually(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("never: " + what)
+		}
+	}
+}
+
+// A peer goes and comes back at the same address: what is sent later arrives, on a new connection. Meanwhile the queue stays
+// within its bound, and Send does not wait.
+func TestReconnects(t *testing.T) {
+	ctx := t.Context()
+	sender := listenForTest(ctx, t, ignore)
+	for range 2 {
+		received := &recorder{}
+		peerCtx, stopPeer := context.WithCancel(ctx)
+		peer := listenForTest(peerCtx, t, received.receive)
+		sender.SetPeers(map[int]string{1: peer.Addr()})
+		n := byte(0)
+		eventually(t, "a message", func() bool {
+			n++
+			sender.Send(1, []byte{n})
+			return received.last() != nil
+		})
+		stopPeer()
+		eventually(t, "the end of the peer", func() bool {
+			conn, err := dial(ctx, peer.Addr())
+			if err == nil {
+				discard(conn)
+			}
+			return err != nil
+		})
+		for range 10 * maxQueued {
+			sender.Send(1, []byte{9})
+		}
+		sender.mu.Lock()
+		if queued := len(sender.links[1].queue); queued > maxQueued {
+			t.Errorf("%d are queued", queued)
+		}
+		sender.mu.Unlock()
+		returned, err := Listen(ctx, peer.Addr(), received.receive)
+		if err != nil {
+			t.Skip("the address was taken meanwhile: ", err)
+		}
+		eventually(t, "a message after its return", func() bool {
+			sender.Send(1, []byte("new"))
+			return string(received.last()) == "new"
+		})
+		if err = returned.listener.Close(); err != nil {
+			t.Error(err)
+		}
+	}
+}
+
+// Connections that come and go leave no goroutine and no place behind.
+func TestConnectionsAreReleased(t *testing.T) {
+	tcp := listenForTest(t.Context(), t, ignore)
+	before := runtime.NumGoroutine()
+	for range 100 {
+		conn, err := dial(t.Context(), tcp.Addr())
+		if err != nil {
+			t.Fatal(err)
+		}
+		discard(conn)
+	}
+	eventually(t, "as few goroutines as before", func() bool { return runtime.NumGoroutine() < before+20 && len(tcp.inbound) == 0 })
+}
+
+// A message that is too long ends its connection, and nothing of it is handed on.
+func TestOversizedMessageEndsConnection(t *testing.T) {
+	received := &recorder{}
+	tcp := listenForTest(t.Context(), t, received.receive)
+	conn, err := dial(t.Context(), tcp.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer discard(conn)
+	if _, err = conn.Write([]byte{0, 2, 'o', 'k', 0xff, 0xff}); err != nil {
+		t.Fatal(err)
+	}
+	_, _ = conn.Write(make([]byte, 2000)) // fails if the connection has ended already
+	if err = conn.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err = conn.Read(make([]byte, 1)); err == nil || isTimeout(err) {
+		t.Errorf("the connection gives %v", err)
+	}
+	received.mu.Lock()
+	defer received.mu.Unlock()
+	if len(received.messages) != 1 || string(received.messages[0]) != "ok" {
+		t.Errorf("received %q", received.messages)
+	}
+}
+
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
+}
