--- /dev/null
+++ b/cmd/switchfork/admin.go
@@ -0,0 +1,159 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"strconv"
+
+	"switchfork/internal/cluster/coordinator"
+	"switchfork/internal/cluster/election"
+	"switchfork/internal/cluster/storage"
+
+	"github.com/spf13/cobra"
+)
+
+const defaultAdminSocket = "/run/switchfork/admin.sock"
+
+// adminCommands are the commands that ask a running agent, or inspect its state folder.
+type adminCommands struct {
+	out    io.Writer
+	socket string // the value of --admin
+}
+
+// newAdminCommands makes the commands lead, members and state.
+func newAdminCommands(out io.Writer) []*cobra.Command {
+	a := &adminCommands{out: out}
+	return []*cobra.Command{a.lead(), a.members(), a.state()}
+}
+
+// printf prints to the command's output.
+func (a *adminCommands) printf(format string, args ...any) {
+	_, _ = fmt.Fprintf(a.out, format, args...) // who closes the output doesn't want the rest
+}
+
+// withSocketFlag adds the flag that names the agent to ask.
+func (a *adminCommands) withSocketFlag(command *cobra.Command) *cobra.Command {
+	command.Flags().StringVar(&a.socket, "admin", defaultAdminSocket, "the agent's admin address, a Unix socket")
+	return command
+}
+
+func (a *adminCommands) lead() *cobra.Command {
+	return a.withSocketFlag(&cobra.Command{
+		Use:   "lead",
+		Short: "tell who casts the votes, as one agent knows",
+		Args:  noArgs,
+		RunE: func(*cobra.Command, []string) error {
+			report, err := coordinator.QueryStatus(a.socket)
+			if err != nil {
+				return err
+			}
+			a.printReport(report)
+			return nil
+		},
+	})
+}
+
+func (a *adminCommands) printReport(report coordinator.StatusReport) {
+	a.printf("agent %d: ", report.Me)
+	switch {
+	case report.Leads:
+		a.printf("leads, term %d, lease left %d ms\n", report.Term, report.LeftMS)
+	case report.Owner >= 0:
+		a.printf("agent %d leads\n", report.Owner)
+	default:
+		a.printf("knows of nobody who leads\n")
+	}
+	a.printf("newest decision: %s\n", report.Newest)
+	a.printf("unresolved: %t; an earlier lead's may count for %d ms; abstains for %d ms\n",
+		report.Unresolved, report.WaitsMS, report.AbstainsMS)
+	a.printf("members: %v\n", report.Members)
+}
+
+func (a *adminCommands) members() *cobra.Command {
+	command := &cobra.Command{Use: "members", Short: "the agents of whom one casts the votes"}
+	command.AddCommand(
+		a.listMembers(),
+		a.changeMembers("add", "let an agent in; to be asked of the one that leads"),
+		a.changeMembers("remove", "take an agent out; to be asked of the one that leads"),
+	)
+	return command
+}
+
+func (a *adminCommands) listMembers() *cobra.Command {
+	return a.withSocketFlag(&cobra.Command{
+		Use:   "list",
+		Short: "list them, as one agent knows",
+		Args:  noArgs,
+		RunE: func(*cobra.Command, []string) error {
+			report, err := coordinator.QueryStatus(a.socket)
+			for _, member := range report.Members {
+				a.printf("%d\n", member)
+			}
+			return err
+		},
+	})
+}
+
+func (a *adminCommands) changeMembers(change, short string) *cobra.Command {
+	return a.withSocketFlag(&cobra.Command{
+		Use:   change + " AGENT",
+		Short: short,
+		Args:  oneArg,
+		RunE: func(_ *cobra.Command, args []string) error {
+			agent, err := strconv.Atoi(args[0])
+			if err != nil || agent < 0 || agent >= election.MaxReplicas {
+				return use{fmt.Errorf("%q is no agent, expected a number from 0 to %d", args[0], election.MaxReplicas-1)}
+			}
+			return coordinator.RequestMemberChange(a.socket, change, agent)
+		},
+	})
+}
+
+func (a *adminCommands) state() *cobra.Command {
+	command := &cobra.Command{Use: "state", Short: "a decider's state folder"}
+	command.AddCommand(a.showState(), a.verifyState())
+	return command
+}
+
+func (a *adminCommands) showState() *cobra.Command {
+	return &cobra.Command{
+		Use:   "show FOLDER",
+		Short: "print what is kept in a folder",
+		Args:  oneArg,
+		RunE: func(_ *cobra.Command, args []string) error {
+			group, index, state, err := storage.Inspect(args[0])
+			if err != nil {
+				return err
+			}
+			if state == nil {
+				a.printf("nothing was ever kept\n")
+				return nil
+			}
+			a.printState(group, index, state)
+			return nil
+		},
+	}
+}
+
+func (a *adminCommands) printState(group uint64, index int, state *election.DurableState) {
+	newest, members := state.Newest, state.Members
+	a.printf("agent %d of group %016x\n", index, group)
+	a.printf("promised %d, accepted %d of agent %d, given up %d\n", state.Promised, state.Accepted, state.LeaseHolder, state.Released)
+	a.printf("newest decision: term %d, %d: build %d stage %d %v\n", newest.Term, newest.Index, newest.Build, newest.Stage, newest.Verdict)
+	a.printf("members %b, stamped %d.%d\n", members.Mask, members.Term, members.Version)
+}
+
+func (a *adminCommands) verifyState() *cobra.Command {
+	return &cobra.Command{
+		Use:   "verify FOLDER",
+		Short: "check that a folder can be relied on",
+		Args:  oneArg,
+		RunE: func(_ *cobra.Command, args []string) error {
+			if _, _, _, err := storage.Inspect(args[0]); err != nil {
+				return err
+			}
+			a.printf("sound\n")
+			return nil
+		},
+	}
+}
--- a/cmd/switchfork/main.go
+++ b/cmd/switchfork/main.go
@@ -60,7 +60,7 @@
 		&cobra.Command{Use: "version", Short: "print the version", Args: noArgs, Run: func(c *cobra.Command, _ []string) {
 			fmt.Fprintln(c.OutOrStdout(), "switchfork", release())
 		}})
-	root.AddCommand(asking(out)...)
+	root.AddCommand(newAdminCommands(out)...)
 	return root
 }
 
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -90,7 +90,7 @@
 		gate = agent.NewGate(open(orders.Admission, goods, stalls, customers, shares, lines, ration, purse, seed), clock, core)
 		front.Behind(gate, agent.WhoAsks{Header: orders.Admission.Header, Connection: orders.Admission.Client == "connection"})
 	}
-	seat, err := sit(orders.Coordinator, circle, file.Deployment, int64(seed), core, launcher, peers)
+	seat, err := wireCoordinator(orders.Coordinator, circle, file.Deployment, int64(seed), core, launcher, peers)
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 		for range hangup {
 			file = reload(file, roster, launcher)
 			if orders = reorder(orders, customers, shares, gate); seat != nil {
-				seat.reach(orders.Coordinator.Peers)
+				seat.setPeers(orders.Coordinator.Peers)
 			}
 		}
 	}()
@@ -145,7 +145,7 @@
 	defer cancel()
 	leave := func(context.Context) {}
 	if seat != nil {
-		leave = seat.council.Leave
+		leave = seat.coordinator.Leave
 	}
 	if err = depart(wait, leave, front.Drain); err != nil {
 		slog.Warn("drained with txns open", "err", err)
