--- a/cmd/switchfork/coordinator.go
+++ b/cmd/switchfork/coordinator.go
@@ -39,7 +39,7 @@
 // wireCoordinator makes the coordinator that the operator asks for; nil without one. The votes that the policy asks for then go
 // through the coordinator, and it gets the rollout updates.
 func wireCoordinator(opts options.Coordinator, peers config.Peers, settings *config.Settings, seed int64, core *agent.Core,
-	rolloutClient *agent.Launcher, gossip *agent.Peers,
+	rolloutClient *agent.Launcher, messenger *agent.Peers,
 ) (*coordinatorWiring, error) {
 	if !opts.Enabled {
 		if opts.AdminSocket != "" {
@@ -60,14 +60,14 @@
 		return nil, err
 	}
 	wiring := &coordinatorWiring{}
-	var carrier coordinator.Transport = gossip
+	var carrier coordinator.Transport = messenger
 	if opts.Listen != "" {
 		wiring.tcp = &lateTCP{}
 		carrier = wiring.tcp
 	}
 	wiring.coordinator = coordinator.New(replica, carrier, store, coordinatorCallbacks(core, rolloutClient))
 	if wiring.tcp == nil {
-		gossip.Beside(wiring.receiveGossip)
+		messenger.Beside(wiring.receiveGossip)
 	}
 	core.Through(wiring.coordinator.Recommend)
 	rolloutClient.Also(wiring.coordinator.UpdateRollout)
