--- a/cmd/switchfork/admin.go
+++ b/cmd/switchfork/admin.go
@@ -23,7 +23,7 @@
 // newAdminCommands makes the commands lead, members and state.
 func newAdminCommands(out io.Writer) []*cobra.Command {
 	a := &adminCommands{out: out}
-	return []*cobra.Command{a.lead(), a.members(), a.state()}
+	return []*cobra.Command{a.leaderCommand(), a.membersCommand(), a.stateCommand()}
 }
 
 // printf prints to the command's output.
@@ -37,7 +37,7 @@
 	return command
 }
 
-func (a *adminCommands) lead() *cobra.Command {
+func (a *adminCommands) leaderCommand() *cobra.Command {
 	return a.withSocketFlag(&cobra.Command{
 		Use:   "lead",
 		Short: "tell who casts the votes, as one agent knows",
@@ -69,17 +69,17 @@
 	a.printf("members: %v\n", report.Members)
 }
 
-func (a *adminCommands) members() *cobra.Command {
+func (a *adminCommands) membersCommand() *cobra.Command {
 	command := &cobra.Command{Use: "members", Short: "the agents of whom one casts the votes"}
 	command.AddCommand(
-		a.listMembers(),
-		a.changeMembers("add", "let an agent in; to be asked of the one that leads"),
-		a.changeMembers("remove", "take an agent out; to be asked of the one that leads"),
+		a.listMembersCommand(),
+		a.changeMembersCommand("add", "let an agent in; to be asked of the one that leads"),
+		a.changeMembersCommand("remove", "take an agent out; to be asked of the one that leads"),
 	)
 	return command
 }
 
-func (a *adminCommands) listMembers() *cobra.Command {
+func (a *adminCommands) listMembersCommand() *cobra.Command {
 	return a.withSocketFlag(&cobra.Command{
 		Use:   "list",
 		Short: "list them, as one agent knows",
@@ -94,7 +94,7 @@
 	})
 }
 
-func (a *adminCommands) changeMembers(change, short string) *cobra.Command {
+func (a *adminCommands) changeMembersCommand(change, short string) *cobra.Command {
 	return a.withSocketFlag(&cobra.Command{
 		Use:   change + " AGENT",
 		Short: short,
@@ -109,13 +109,13 @@
 	})
 }
 
-func (a *adminCommands) state() *cobra.Command {
+func (a *adminCommands) stateCommand() *cobra.Command {
 	command := &cobra.Command{Use: "state", Short: "a decider's state folder"}
-	command.AddCommand(a.showState(), a.verifyState())
+	command.AddCommand(a.showStateCommand(), a.verifyStateCommand())
 	return command
 }
 
-func (a *adminCommands) showState() *cobra.Command {
+func (a *adminCommands) showStateCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "show FOLDER",
 		Short: "print what is kept in a folder",
@@ -143,7 +143,7 @@
 	a.printf("members %b, stamped %d.%d\n", members.Mask, members.Term, members.Version)
 }
 
-func (a *adminCommands) verifyState() *cobra.Command {
+func (a *adminCommands) verifyStateCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "verify FOLDER",
 		Short: "check that a folder can be relied on",
--- a/cmd/switchfork/admin_test.go
+++ b/cmd/switchfork/admin_test.go
@@ -37,7 +37,7 @@
 }
 
 // Scripts of operators read what lead and members list print.
-func TestLeadAndMembersOutput(t *testing.T) {
+func TestLeaderAndMembersOutput(t *testing.T) {
 	for report, want := range map[string]string{
 		`{"me":1,"leads":true,"owner":1,"term":513,"left_ms":400,"unresolved":true,"waits_ms":5,"abstains_ms":6,"newest":"513.2 build 7 stage 1 hold","members":[0,1,2]}`: "agent 1: leads, term 513, lease left 400 ms\nnewest decision: 513.2 build 7 stage 1 hold\n" +
 			"unresolved: true; an earlier lead's may count for 5 ms; abstains for 6 ms\nmembers: [0 1 2]\n",
