--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -99,7 +99,7 @@
 		gate = proxy.NewAdmissionGate(open(orders.Admission, goods, stalls, customers, shares, lines, ration, purse, seed), clock, core)
 		front.UseAdmission(gate, proxy.ClientKey{Header: orders.Admission.Header, Connection: orders.Admission.Client == "connection"})
 	}
-	seat, err := sit(orders.Coordinator, circle, file.Deployment, int64(seed), core, launcher, peers)
+	seat, err := wireCoordinator(orders.Coordinator, circle, file.Deployment, int64(seed), core, launcher, peers)
 	if err != nil {
 		return err
 	}
@@ -137,7 +137,7 @@
 		for range hangup {
 			file = reload(file, roster, launcher)
 			if orders = reorder(orders, customers, shares, gate); seat != nil {
-				seat.reach(orders.Coordinator.Peers)
+				seat.setPeers(orders.Coordinator.Peers)
 			}
 		}
 	}()
@@ -154,7 +154,7 @@
 	defer cancel()
 	leave := func(context.Context) {}
 	if seat != nil {
-		leave = seat.council.Leave
+		leave = seat.coordinator.Leave
 	}
 	if err = depart(wait, leave, front.Drain); err != nil {
 		slog.Warn("drained with txns open", "err", err)
