--- /dev/null
+++ b/internal/admission/fair_scheduler_test.go
@@ -0,0 +1,45 @@
+package admission
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// The lowest start stands first, whatever wakes, pays and sleeps, and each flow knows its place.
+func TestFairSchedulerServesLowestStartTagFirst(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var scheduler fairScheduler
+		scheduler.init(8)
+		flows := make([]fairFlow, 40)
+		for i := range flows {
+			flows[i].heapIndex = -1
+		}
+		for range rapid.IntRange(1, 300).Draw(t, "steps") {
+			flow := &flows[rapid.IntRange(0, len(flows)-1).Draw(t, "flow")]
+			switch action := rapid.IntRange(0, 3).Draw(t, "what"); {
+			case flow.heapIndex < 0:
+				scheduler.activate(flow)
+			case action == 0:
+				scheduler.deactivate(flow)
+			default:
+				scheduler.charge(flow, rapid.Float64Range(0, 5).Draw(t, "cost"), action < 3)
+			}
+			activeCount := 0
+			for i := range flows {
+				if flow := &flows[i]; flow.heapIndex >= 0 {
+					activeCount++
+					if entry := scheduler.active[flow.heapIndex]; entry.fairFlow != flow || entry.startTag != flow.startTag {
+						t.Fatalf("flow %d is not at its place %d", i, flow.heapIndex)
+					}
+					if flow.startTag < scheduler.active[0].startTag {
+						t.Fatalf("flow %d starts at %v, before the first, %v", i, flow.startTag, scheduler.active[0].startTag)
+					}
+				}
+			}
+			if activeCount != len(scheduler.active) {
+				t.Fatalf("%d flows stand in it, %d have a place", len(scheduler.active), activeCount)
+			}
+		}
+	})
+}
