--- a/internal/hashring/ring.go
+++ b/internal/hashring/ring.go
@@ -19,27 +19,27 @@
 
 // Ring is a circle of points.
 type Ring struct {
-	buckets [][]Point // each sorted by hash, then owner
-	shift   uint      // of a hash to its bucket
-	points  int
+	buckets    [][]Point // each sorted by hash, then owner
+	shift      uint      // of a hash to its bucket
+	pointCount int
 }
 
 const (
-	// fill is the mean number of points in a bucket: a few, so that one cache line or two hold it; over fillMost there are
+	// targetBucketSize is the mean number of points in a bucket: a few, so that one cache line or two hold it; over fillMost there are
 	// twice as many buckets, under fillLeast half.
-	fill, fillMost, fillLeast = 4, 8, 1
-	firstBuckets              = 16
+	targetBucketSize, maxMeanBucketSize, minMeanBucketSize = 4, 8, 1
+	minBuckets                                             = 16
 )
 
 // New makes a circle without points.
 func New() *Ring {
-	return &Ring{buckets: make([][]Point, firstBuckets), shift: 64 - uint(bits.Len(firstBuckets-1))}
+	return &Ring{buckets: make([][]Point, minBuckets), shift: 64 - uint(bits.Len(minBuckets-1))}
 }
 
 // Points is how many there are.
-func (r *Ring) Points() int { return r.points }
+func (r *Ring) Points() int { return r.pointCount }
 
-func order(a, b Point) int {
+func comparePoints(a, b Point) int {
 	switch {
 	case a.Hash < b.Hash || a.Hash == b.Hash && a.Owner < b.Owner:
 		return -1
@@ -51,63 +51,63 @@
 
 // Add puts an owner's points in; a point that is there already stays one.
 func (r *Ring) Add(owner uint32, hashes []uint64) {
-	for _, h := range hashes {
-		p := Point{h, owner}
-		b := &r.buckets[h>>r.shift]
-		if at, is := slices.BinarySearchFunc(*b, p, order); !is {
-			*b = slices.Insert(*b, at, p)
-			r.points++
+	for _, hash := range hashes {
+		point := Point{hash, owner}
+		bucket := &r.buckets[hash>>r.shift]
+		if index, found := slices.BinarySearchFunc(*bucket, point, comparePoints); !found {
+			*bucket = slices.Insert(*bucket, index, point)
+			r.pointCount++
 		}
 	}
-	if r.points > fillMost*len(r.buckets) {
-		r.spread(r.points / fill)
+	if r.pointCount > maxMeanBucketSize*len(r.buckets) {
+		r.rebucket(r.pointCount / targetBucketSize)
 	}
 }
 
 // Remove takes an owner's points out.
 func (r *Ring) Remove(owner uint32, hashes []uint64) {
-	for _, h := range hashes {
-		b := &r.buckets[h>>r.shift]
-		if at, is := slices.BinarySearchFunc(*b, Point{h, owner}, order); is {
-			*b = slices.Delete(*b, at, at+1)
-			r.points--
+	for _, hash := range hashes {
+		bucket := &r.buckets[hash>>r.shift]
+		if index, found := slices.BinarySearchFunc(*bucket, Point{hash, owner}, comparePoints); found {
+			*bucket = slices.Delete(*bucket, index, index+1)
+			r.pointCount--
 		}
 	}
-	if len(r.buckets) > firstBuckets && r.points < fillLeast*len(r.buckets) {
-		r.spread(max(firstBuckets, r.points/fill))
+	if len(r.buckets) > minBuckets && r.pointCount < minMeanBucketSize*len(r.buckets) {
+		r.rebucket(max(minBuckets, r.pointCount/targetBucketSize))
 	}
 }
 
-// spread puts all points into another number of buckets, a power of two.
-func (r *Ring) spread(want int) {
-	n := uint(bits.Len(uint(want)))
+// rebucket puts all points into another number of buckets, a power of two.
+func (r *Ring) rebucket(wanted int) {
+	bucketBits := uint(bits.Len(uint(wanted)))
 	old := r.buckets
-	r.buckets, r.shift = make([][]Point, 1<<n), 64-n
-	for _, b := range old {
-		for _, p := range b { // in the circle's order, so each bucket stays sorted
-			at := p.Hash >> r.shift
-			r.buckets[at] = append(r.buckets[at], p)
+	r.buckets, r.shift = make([][]Point, 1<<bucketBits), 64-bucketBits
+	for _, points := range old {
+		for _, point := range points { // in the circle's order, so each bucket stays sorted
+			bucket := point.Hash >> r.shift
+			r.buckets[bucket] = append(r.buckets[bucket], point)
 		}
 	}
 }
 
 // Walk goes clockwise from a spot, once round, and tells each point's owner and the way to it; it ends where see says no.
-func (r *Ring) Walk(spot uint64, see func(owner uint32, way float64) bool) {
-	if r.points == 0 {
+func (r *Ring) Walk(position uint64, visit func(owner uint32, distance float64) bool) {
+	if r.pointCount == 0 {
 		return
 	}
-	first := int(spot >> r.shift)
-	begin, _ := slices.BinarySearchFunc(r.buckets[first], Point{spot, 0}, order)
+	firstBucket := int(position >> r.shift)
+	firstIndex, _ := slices.BinarySearchFunc(r.buckets[firstBucket], Point{position, 0}, comparePoints)
 	for i := 0; i <= len(r.buckets); i++ {
-		b := r.buckets[(first+i)%len(r.buckets)]
+		points := r.buckets[(firstBucket+i)%len(r.buckets)]
 		switch i {
 		case 0:
-			b = b[begin:]
+			points = points[firstIndex:]
 		case len(r.buckets):
-			b = b[:begin] // the first bucket's beginning is the walk's end
+			points = points[:firstIndex] // the first bucket's beginning is the walk's end
 		}
-		for _, p := range b {
-			if !see(p.Owner, float64(p.Hash-spot)+1) {
+		for _, point := range points {
+			if !visit(point.Owner, float64(point.Hash-position)+1) {
 				return
 			}
 		}
@@ -117,16 +117,16 @@
 // Nearest finds the owner whose way over its weight is the least, and that way over weight; of two alike the one met first.
 // weight tells an owner's, 0 for one that may not be taken, and is never over most. An owner's first point is its nearest, and
 // whoever comes later has a way at least as long: once that is over what the heaviest could make good, no later one can win.
-func (r *Ring) Nearest(spot uint64, most float64, weight func(owner uint32) float64) (owner uint32, by float64, found bool) {
-	by = math.Inf(1)
-	r.Walk(spot, func(o uint32, way float64) bool {
-		if way/most >= by {
+func (r *Ring) Nearest(position uint64, maxWeight float64, weight func(owner uint32) float64) (owner uint32, weightedDistance float64, found bool) {
+	weightedDistance = math.Inf(1)
+	r.Walk(position, func(candidate uint32, distance float64) bool {
+		if distance/maxWeight >= weightedDistance {
 			return false
 		}
-		if w := weight(o); w > 0 && way/w < by {
-			owner, by, found = o, way/w, true
+		if candidateWeight := weight(candidate); candidateWeight > 0 && distance/candidateWeight < weightedDistance {
+			owner, weightedDistance, found = candidate, distance/candidateWeight, true
 		}
 		return true
 	})
-	return owner, by, found
+	return owner, weightedDistance, found
 }
