--- a/internal/admission/concurrency_limit.go
+++ b/internal/admission/concurrency_limit.go
@@ -2,39 +2,53 @@
 
 import "math"
 
-// This file owns how many txns may be in at a time. It is learned, and from what the module does with them: what it has
-// out is what the fleet takes now, quick or slow, as it holds each appliance to what its answer times allow; what it keeps
-// without a way is too many, and there the dearest goes first, whoever sent it. Answer times alone would take a fleet that
-// slows down for a queue, and starve it. Between the rounds the limit stands.
+// concurrencyLimit is the adaptive limit on the number of requests in progress. It is learned from what the dispatcher does
+// with them. The requests that it has sent are what the endpoints take now, at whatever response time, as it holds each
+// endpoint to what its response times allow. Requests that it cannot send are too many. Response times alone would
+// mistake endpoints that slow down for a queue that builds up, and starve them.
+//
+// The limit changes once a round and stands in between. It doubles each round in slow start, until a round shows that it is
+// too high; from then on it increases by a small fraction.
 type concurrencyLimit struct {
-	current, ceiling float64
-	inSlowStart      bool // nothing has been too much yet: it doubles
-	roundStart       Micros
-	finishedCount    int
-	rejectedCount    float64
-	updatedAt        Micros
-	unsentTime       float64 // txns in without a way, times microseconds
-	inProgress, sent int
-	peakSent         int
-	peakInProgress   int  // the most that were in
-	wasReached       bool // the limit stood in the way
+	current     float64
+	ceiling     float64
+	inSlowStart bool
+
+	inProgress int
+	sent       int
+	updatedAt  Micros // when inProgress and sent last changed
+
+	// Measured since the start of the round.
+	roundStart     Micros
+	finishedCount  int
+	rejectedCount  float64
+	unsentTime     float64 // requests in progress that were not sent, times microseconds
+	peakSent       int
+	peakInProgress int
+	wasReached     bool
 }
 
 const (
-	// initialLimit: doubled each round until it is too much, so that its size matters for some tenths of a second only.
+	// initialLimit is doubled each round until it is too high, so its size matters for some tenths of a second only.
 	initialLimit = 32
-	// roundInterval: some answers fall into it in a small fleet, and a jam is answered well inside any SLA time.
+	// roundInterval lets some requests finish in each round even of a small deployment, and reacts to congestion well inside any
+	// latency objective.
 	roundInterval = 100 * millisecond
-	// unsentFraction of the limit, and keptLeast at the least, may be without a way: some always are (their group, their build's
-	// cap, on the way between two actors), and what is over shows that the module is never short of txns. Taken of those
-	// in, quiet moments would bring the limit down to what they need. So many are worth some tens of milliseconds of a small
-	// fleet; with two, a module that had drawn all its appliances' limits down found too few txns to raise them by again.
-	unsentFraction, minUnsentAllowance = 0.05, 16.0
-	// maxRejectedRatio of the answers being declines is too much; one at a time may be the txn's own.
+	// unsentFraction of the limit, and no less than minUnsentAllowance requests, may be in progress without having been sent. Some
+	// always are (no endpoint in their group, a cap on a release's traffic, on the way between two goroutines), and the
+	// surplus shows that the dispatcher is never short of requests. As a fraction of the requests in progress instead, the
+	// allowance would bring the limit down to the demand in quiet times. The least allowance amounts to some tens of
+	// milliseconds of a small deployment's work; with two, a dispatcher that had lowered all its endpoints' limits was
+	// given too few requests to raise them by again.
+	unsentFraction     = 0.05
+	minUnsentAllowance = 16.0
+	// maxRejectedRatio of the finished requests may have been rejected by endpoints; single rejections may be due to the request.
 	maxRejectedRatio = 0.1
-	// maxDecreaseFraction of the limit goes when all are declined; growPart is added a round while it is wanted.
-	maxDecreaseFraction, increaseFraction = 0.3, 0.05
-	// headroomFraction of the limit is kept beside it for those who come back at the time they were told.
+	// maxDecreaseFraction of the limit is taken away when all finished requests were rejected.
+	maxDecreaseFraction = 0.3
+	// increaseFraction is added to the limit in a round in which it was reached.
+	increaseFraction = 0.05
+	// headroomFraction of the limit is available on top of it to clients that return at their reserved time.
 	headroomFraction = 0.1
 )
 
@@ -42,56 +56,75 @@
 	return concurrencyLimit{current: min(initialLimit, ceiling), ceiling: ceiling, inSlowStart: true}
 }
 
-func (l *concurrencyLimit) value() int { return int(max(1, min(l.current, l.ceiling))) }
+// value returns the number of requests that may be in progress.
+func (l *concurrencyLimit) value() int {
+	return int(max(1, min(l.current, l.ceiling)))
+}
 
+// reservationHeadroom returns how many more requests with a reservation may be in progress.
 func (l *concurrencyLimit) reservationHeadroom() int {
 	return 1 + int(math.Ceil(headroomFraction*l.current))
 }
 
-// observe: so many are in from now on, and so many of them have been sent.
+// observe records how many requests are in progress from now on, and how many of them have been sent.
 func (l *concurrencyLimit) observe(now Micros, inProgress, sent int) {
-	span := float64(now - l.updatedAt)
-	l.unsentTime += span * float64(l.inProgress-l.sent)
+	elapsed := float64(now - l.updatedAt)
+	l.unsentTime += elapsed * float64(l.inProgress-l.sent)
 	l.updatedAt, l.inProgress, l.sent = now, inProgress, sent
-	l.peakInProgress, l.peakSent = max(l.peakInProgress, inProgress), max(l.peakSent, sent)
+	l.peakInProgress = max(l.peakInProgress, inProgress)
+	l.peakSent = max(l.peakSent, sent)
 	l.wasReached = l.wasReached || inProgress >= l.value()
 }
 
-// recordFinished: a txn is out again. One that was sent and declined in the end was turned off by appliances that are full. One that
-// the module declined without sending it was kept, which counts by its time, or came too late to be of worth, which says
-// nothing of the limit: counted as too much, late next tries shut the door for all.
-func (l *concurrencyLimit) recordFinished(now Micros, result Result, sent bool) {
+// recordFinished records that a request is no longer in progress. A request that was sent and rejected in the end met
+// endpoints that are at their limits. One that the dispatcher rejected without sending it was either held unsent, which
+// counts by its time, or arrived too late to be worth sending, which says nothing about the limit: counted as a rejection,
+// late retries would lower the limit for everyone.
+func (l *concurrencyLimit) recordFinished(now Micros, result Result, isSent bool) {
 	l.finishedCount++
-	if result == Rejected && sent {
+	if result == Rejected && isSent {
 		l.rejectedCount++
 	}
-	l.closeRound(now)
+	l.adjust(now)
 }
 
-// tick closes a round in which nothing ended.
+// tick closes a round in which no request finished.
 func (l *concurrencyLimit) tick(now Micros, hasWaiting bool) {
 	l.wasReached = l.wasReached || hasWaiting
-	l.closeRound(now)
+	l.adjust(now)
 }
 
-func (l *concurrencyLimit) closeRound(now Micros) {
-	span := now - l.roundStart
-	if span < roundInterval {
+// adjust changes the limit where the round is over, and starts the next one.
+func (l *concurrencyLimit) adjust(now Micros) {
+	elapsed := now - l.roundStart
+	if elapsed < roundInterval {
 		return
 	}
 	l.observe(now, l.inProgress, l.sent)
-	allowance := max(minUnsentAllowance, unsentFraction*l.current)
+	unsentAllowance := max(minUnsentAllowance, unsentFraction*l.current)
 	rejectedRatio := min(1, l.rejectedCount/max(1, float64(l.finishedCount)))
 	switch {
-	case l.unsentTime > allowance*float64(span):
-		// What it had out at the most, and what it may keep beside it: never less than the fleet takes.
-		l.current, l.inSlowStart = min(l.current, float64(l.peakSent)+allowance), false
+	case l.unsentTime > unsentAllowance*float64(elapsed):
+		// The most that it had sent and the allowance beside it: never less than the endpoints take.
+		l.current = min(l.current, float64(l.peakSent)+unsentAllowance)
+		l.inSlowStart = false
 	case l.rejectedCount > 0 && rejectedRatio > maxRejectedRatio:
-		l.current, l.inSlowStart = max(1, min(l.current, float64(l.peakInProgress))*(1-maxDecreaseFraction*rejectedRatio)), false
+		l.current = max(1, min(l.current, float64(l.peakInProgress))*(1-maxDecreaseFraction*rejectedRatio))
+		l.inSlowStart = false
 	case l.wasReached && l.finishedCount > 0 && l.inSlowStart:
 		l.current = min(l.ceiling, 2*l.current)
 	case l.wasReached && l.finishedCount > 0:
 		l.current = min(l.ceiling, l.current+max(1, increaseFraction*l.current))
 	}
-	l.roundStart, l.finishedCount, l.rejectedCount, l.unsentTime, l.peakInProgress, l.peakSent, l.wasReached = now, 0, 0, 0, l.inProgress, l.sent, false
+	l.startRound(now)
+}
+
+func (l *concurrencyLimit) startRound(now Micros) {
+	l.roundStart = now
+	l.finishedCount = 0
+	l.rejectedCount = 0
+	l.unsentTime = 0
+	l.peakInProgress = l.inProgress
+	l.peakSent = l.sent
+	l.wasReached = false
 }
--- /dev/null
+++ b/internal/admission/config.go
@@ -0,0 +1,49 @@
+package admission
+
+// Micros is a point in time or a duration in whole microseconds.
+type Micros = int64
+
+const (
+	millisecond Micros = 1000
+	second             = 1000 * millisecond
+)
+
+// RequestClass describes one kind of request.
+type RequestClass struct {
+	LatencyObjective Micros
+	Timeout          Micros
+	PriorityWeight   float64
+	Keyed            bool // the key identifies one request, so an equal key marks a retry
+}
+
+// Tenant is one customer of the service and its share of the whole.
+type Tenant struct{ Weight float64 }
+
+// Limits bounds what may be held at a time, waiting and in progress together.
+type Limits struct {
+	Requests int
+	Bytes    int64
+	Queues   int // per tenant; its clients are spread over them
+}
+
+const (
+	// budgetDivisor gives admission a quarter of the process's memory budget, and request bodies half of that.
+	budgetDivisor = 4
+	// bytesPerRequest is what one request holds beside its body, garbage included. Measured on loopback: a process with 730
+	// connections held 50 MB more than an idle one.
+	bytesPerRequest = 64 << 10
+)
+
+// LimitsFor derives the limits from the process's memory budget, the number of upstream slots and the number of queues
+// for each tenant.
+func LimitsFor(budgetMB, upstreamSlots, queues int) Limits {
+	budgetBytes := int64(budgetMB) << 20
+	return Limits{
+		Requests: max(1, min(upstreamSlots, int(budgetBytes/budgetDivisor/bytesPerRequest))),
+		Bytes:    budgetBytes / budgetDivisor / 2,
+		Queues:   queues,
+	}
+}
+
+// RetryAfterLimits bounds the Retry-After times that are sent to rejected clients. With Max 0 none are sent.
+type RetryAfterLimits struct{ Max Micros }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -186,7 +186,7 @@
 		weights := []float64{rapid.Float64Range(0.1, 1).Draw(t, "w0"), rapid.Float64Range(0.1, 1).Draw(t, "w1")}
 		c := newTestController(weights, Limits{Requests: 4000, Bytes: 1 << 30, Queues: 8}, false)
 		c.concurrency.current, c.concurrency.inSlowStart = 1, false
-		c.meanDuration = float64(millisecond)
+		c.meanResponseTime = float64(millisecond)
 		costs, largest, id := map[uint64]float64{}, [2]float64{}, uint64(0)
 		feed := func(tenant int) {
 			for c.tenants[tenant].waitingCount < 30 {
@@ -229,7 +229,7 @@
 
 func fixLimit(c *testController, ceiling float64) {
 	c.concurrency = concurrencyLimit{current: ceiling, ceiling: ceiling, roundStart: math.MaxInt64 / 2}
-	c.meanDuration = 20000
+	c.meanResponseTime = 20000
 }
 
 // When there is no room, the one who came last is not the one to go, unless it is his tenant that fills it.
@@ -387,7 +387,7 @@
 func TestRequestThatCannotMeetItsDeadlineIsRejectedOnArrival(t *testing.T) {
 	c := newTestController([]float64{1}, Limits{Requests: 500, Bytes: 1 << 20, Queues: 8}, false)
 	fixLimit(c, 1)
-	c.meanDuration = float64(100 * millisecond)
+	c.meanResponseTime = float64(100 * millisecond)
 	for id := uint64(1); id <= 100; id++ {
 		c.arrive(Arrival{ID: id, Client: id, CostHint: 100 * millisecond})
 	}
@@ -486,7 +486,7 @@
 				break
 			}
 		}
-		peak = max(peak, len(c.requests)+len(c.byRetryKey)+len(c.reservations.byRetryKey)+len(c.reservations.freeReservations))
+		peak = max(peak, len(c.requests)+len(c.byRetryKey)+len(c.reservations.byRetryKey)+len(c.reservations.free))
 		clear(c.rejected)
 	}
 	if peak > 500 {
--- a/internal/admission/fair_scheduler_test.go
+++ b/internal/admission/fair_scheduler_test.go
@@ -9,9 +9,8 @@
 // The lowest start stands first, whatever wakes, pays and sleeps, and each flow knows its place.
 func TestFairSchedulerServesLowestStartTagFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var scheduler fairScheduler
-		scheduler.init(8)
-		flows := make([]fairFlow, 40)
+		scheduler := newFairScheduler[int](8)
+		flows := make([]fairFlow[int], 40)
 		for i := range flows {
 			flows[i].heapIndex = -1
 		}
@@ -29,7 +28,7 @@
 			for i := range flows {
 				if flow := &flows[i]; flow.heapIndex >= 0 {
 					activeCount++
-					if entry := scheduler.active[flow.heapIndex]; entry.fairFlow != flow || entry.startTag != flow.startTag {
+					if entry := scheduler.active[flow.heapIndex]; entry.flow != flow || entry.startTag != flow.startTag {
 						t.Fatalf("flow %d is not at its place %d", i, flow.heapIndex)
 					}
 					if flow.startTag < scheduler.active[0].startTag {
--- a/internal/admission/reservations.go
+++ b/internal/admission/reservations.go
@@ -2,36 +2,33 @@
 
 import (
 	"container/heap"
-	"math"
 )
 
-// This file owns the come-back times. Who is turned away is told when its tenant will have room, and the room is booked:
-// for each tenant a calendar of the time ahead in equal slots, each of which holds the work that the tenant's part lets in
-// meanwhile. Who comes back in its time goes in before those who wait. A promise is kept, broken, or not claimed.
-
 const (
-	// calendarSlots of a calendar, over the longest told wait.
+	// calendarSlots divide the longest Retry-After time. A calendar has one slot more, since the current one has partly passed.
 	calendarSlots = 32
-	// reservableFraction of its tenant's part of a slot may be promised: the rest is for those who wait and for what is counted
-	// wrong. A tenant that floods is told the longest wait then, and nothing is promised.
+	// reservableFraction of what its tenant's rate allows in a slot may be reserved: the rest is for the requests that wait and
+	// for errors of the estimate. A tenant that floods is then given the longest time without a reservation.
 	reservableFraction = 0.5
-	// returnGrace, beside a slot: clients sleep at least as long as they are told, and the way takes its time.
+	// returnGrace follows the slot in which a client is to return: clients sleep at least as long as they are told, and the
+	// network takes its time. earlyTolerance precedes the time of return.
 	returnGrace, earlyTolerance = 100 * millisecond, 2 * millisecond
-	// minFallbackFraction: the least of the longest wait that is told where no slot is left; the rest is chance, so that a thousand
-	// who were refused together don't come back together.
+	// minFallbackFraction of the longest Retry-After time is the least that is sent without a reservation; the rest is random,
+	// so that a thousand clients that were rejected together don't return together.
 	minFallbackFraction = 0.75
 )
 
+// reservation is capacity held for a rejected client at the time at which it was told to return.
 type reservation struct {
 	retryKey  uint64
-	returnAt  Micros // when it was told to be back
 	tenant    int
-	slot      int64
 	cost      float64
+	slot      int64
+	returnAt  Micros
 	heapIndex int
 }
 
-// verdict of a claim.
+// claimResult says whether an arriving request had a reservation for now.
 type claimResult int
 
 const (
@@ -40,116 +37,144 @@
 	claimEarly
 )
 
-// reservationTable holds all promises.
+// calendar is the reserved cost of one tenant by slot, as a ring.
+type calendar [calendarSlots + 1]float64
+
+func (c *calendar) at(slot int64) *float64 { return &c[slot%int64(len(c))] }
+
+// reservationTable holds all reservations. The time ahead of each tenant is a calendar of equal slots, each of which takes the
+// cost that the tenant's rate allows to be admitted meanwhile. A client that returns on time is admitted ahead of the
+// requests that wait. A reservation ends honored, missed for want of capacity, or unclaimed.
 type reservationTable struct {
-	slotWidth        Micros // of a slot; 0: nothing is told
-	capacity         int    // promises at a time
-	byRetryKey       map[uint64]*reservation
-	byReturnTime     reservationHeap
-	freeReservations []*reservation
-	reservedCosts    [][calendarSlots + 1]float64 // by tenant and slot, round and round
-	clearedBefore    []int64                      // the slot up to which a tenant's calendar is clean
-	count            int
-}
-
-func (t *reservationTable) init(capacity, tenants int, maxRetryAfter Micros) {
-	t.capacity, t.byRetryKey = capacity, map[uint64]*reservation{}
-	t.reservedCosts, t.clearedBefore = make([][calendarSlots + 1]float64, tenants), make([]int64, tenants)
+	slotWidth     Micros // 0: clients are given no time to return
+	capacity      int    // reservations at a time
+	byRetryKey    map[uint64]*reservation
+	byReturnTime  reservationHeap
+	free          []*reservation // records to reuse
+	calendars     []calendar     // by tenant
+	clearedBefore []int64        // by tenant: the calendar's slots before this one are cleared
+}
+
+func newReservationTable(capacity, tenants int, maxRetryAfter Micros) reservationTable {
+	table := reservationTable{
+		capacity:      capacity,
+		byRetryKey:    map[uint64]*reservation{},
+		calendars:     make([]calendar, tenants),
+		clearedBefore: make([]int64, tenants),
+	}
 	if maxRetryAfter > 0 {
-		t.slotWidth = max(maxRetryAfter/calendarSlots, 1)
+		table.slotWidth = max(maxRetryAfter/calendarSlots, 1)
 	}
+	return table
 }
 
-// reserve tells a ticket that is turned away when to come back; 0 where nothing may be told.
+func (t *reservationTable) count() int { return len(t.byRetryKey) }
+
+// reserve returns the Retry-After time for a request that is rejected, and holds capacity for its return where a slot has some
+// left. It returns 0 where clients are given no time.
 func (t *reservationTable) reserve(c *Controller, request *trackedRequest) Micros {
 	if t.slotWidth == 0 {
 		return 0
 	}
 	fallback := c.retryAfter.Max - Micros(c.random.Float64()*(1-minFallbackFraction)*float64(c.retryAfter.Max))
-	if c.drainDeadline > 0 || len(t.byRetryKey) >= t.capacity {
+	if c.drainDeadline > 0 || t.count() >= t.capacity {
 		return fallback
 	}
 	if previous := t.byRetryKey[request.retryKey]; previous != nil {
 		t.remove(previous)
 	}
-	tenant := request.tenant
-	rate := c.tenantRate(tenant)
-	calendar := t.calendar(request.Tenant, c.now)
-	// Behind those who wait, as far as they leave it nothing.
-	firstSlot := (c.now + Micros(min(tenant.waitingCost*(1-reservableFraction)/rate, float64(c.retryAfter.Max)))) / t.slotWidth
+	slot, found := t.findSlot(c, request)
+	if !found {
+		return fallback
+	}
+	granted := t.newRecord()
+	*granted = reservation{
+		retryKey: request.retryKey,
+		tenant:   request.Tenant,
+		cost:     request.cost,
+		slot:     slot,
+		returnAt: slot*t.slotWidth + Micros(c.random.Float64()*float64(t.slotWidth)),
+	}
+	*t.calendars[request.Tenant].at(slot) += request.cost
+	t.byRetryKey[request.retryKey] = granted
+	heap.Push(&t.byReturnTime, granted)
+	c.Counters.Reserved++
+	return max(1, granted.returnAt-c.now)
+}
+
+// findSlot returns the first slot with capacity left for a request, after the time that its tenant's waiting requests take.
+func (t *reservationTable) findSlot(c *Controller, request *trackedRequest) (slot int64, found bool) {
+	rate := c.tenantRate(request.tenant)
+	calendar := t.currentCalendar(request.Tenant, c.now)
+	backlog := Micros(min(request.tenant.waitingCost*(1-reservableFraction)/rate, float64(c.retryAfter.Max)))
+	firstSlot := (c.now + backlog) / t.slotWidth
 	currentSlot, lastSlot := c.now/t.slotWidth, (c.now+c.retryAfter.Max)/t.slotWidth
 	reserved := 0.0
 	for slot := currentSlot + 1; slot < lastSlot; slot++ {
-		reserved += calendar[slot%(calendarSlots+1)]
-		if slot < firstSlot || reserved+request.cost > reservableFraction*rate*float64(t.slotWidth)*float64(slot-currentSlot) {
-			continue
+		reserved += *calendar.at(slot)
+		reservable := reservableFraction * rate * float64(t.slotWidth) * float64(slot-currentSlot)
+		if slot >= firstSlot && reserved+request.cost <= reservable {
+			return slot, true
 		}
-		calendar[slot%(calendarSlots+1)] += request.cost
-		granted := t.newReservation()
-		*granted = reservation{
-			retryKey: request.retryKey, tenant: request.Tenant, slot: slot, cost: request.cost,
-			returnAt: slot*t.slotWidth + Micros(c.random.Float64()*float64(t.slotWidth)),
-		}
-		t.byRetryKey[request.retryKey] = granted
-		heap.Push(&t.byReturnTime, granted)
-		t.count = len(t.byRetryKey)
-		c.Counters.Reserved++
-		return max(1, granted.returnAt-c.now)
 	}
-	return fallback
+	return 0, false
 }
 
-// timeToServe is how long a tenant needs for some work beside what it has been promised to others.
-func (t *reservationTable) timeToServe(c *Controller, tenant int, costLeft float64) Micros {
+// timeToServe returns how long a tenant needs for a cost beside what is reserved for others.
+func (t *reservationTable) timeToServe(c *Controller, tenant int, cost float64) Micros {
 	rate := c.tenantRate(c.tenants[tenant])
-	if t.slotWidth == 0 || len(t.byRetryKey) == 0 {
-		return Micros(costLeft / rate)
+	if t.slotWidth == 0 || t.count() == 0 {
+		return Micros(cost / rate)
 	}
-	calendar := t.calendar(tenant, c.now)
-	for slot, from := c.now/t.slotWidth, c.now; slot <= c.now/t.slotWidth+calendarSlots; slot++ {
+	calendar := t.currentCalendar(tenant, c.now)
+	currentSlot, from := c.now/t.slotWidth, c.now
+	for slot := currentSlot; slot <= currentSlot+calendarSlots; slot++ {
 		end := (slot + 1) * t.slotWidth
-		free := max(0, rate*float64(end-from)-calendar[slot%(calendarSlots+1)])
-		if free >= costLeft {
-			return from - c.now + Micros(costLeft/free*float64(end-from))
+		unreserved := max(0, rate*float64(end-from)-*calendar.at(slot))
+		if unreserved >= cost {
+			return from - c.now + Micros(cost/unreserved*float64(end-from))
 		}
-		costLeft, from = costLeft-free, end
+		cost -= unreserved
+		from = end
 	}
-	return c.retryAfter.Max + Micros(costLeft/rate)
+	return c.retryAfter.Max + Micros(cost/rate)
 }
 
-// outstandingCost is the work that a tenant has been promised room for and that has not come.
+// outstandingCost returns the cost reserved for a tenant in the current slot and later ones.
 func (t *reservationTable) outstandingCost(tenant int, now Micros) (total float64) {
 	if t.slotWidth == 0 {
 		return 0
 	}
-	for _, cost := range t.calendar(tenant, now) {
+	for _, cost := range t.currentCalendar(tenant, now) {
 		total += cost
 	}
 	return total
 }
 
-// calendar empties the slots of a calendar that are over.
-func (t *reservationTable) calendar(tenant int, now Micros) *[calendarSlots + 1]float64 {
-	calendar, currentSlot := &t.reservedCosts[tenant], now/t.slotWidth
+// currentCalendar returns a tenant's calendar after it has cleared the slots that have passed.
+func (t *reservationTable) currentCalendar(tenant int, now Micros) *calendar {
+	calendar, currentSlot := &t.calendars[tenant], now/t.slotWidth
 	for slot := max(t.clearedBefore[tenant], currentSlot-calendarSlots-1); slot < currentSlot; slot++ {
-		calendar[slot%(calendarSlots+1)] = 0
+		*calendar.at(slot) = 0
 	}
 	t.clearedBefore[tenant] = max(t.clearedBefore[tenant], currentSlot)
 	return calendar
 }
 
-// claim looks whether a ticket was told to come, and now.
+// claim ends the reservation of an arriving request, if it has one, and returns whether it was for now. A client that returns
+// early frees the capacity.
 func (t *reservationTable) claim(c *Controller, request *trackedRequest) claimResult {
 	held := t.byRetryKey[request.retryKey]
 	if held == nil {
 		return claimNone
 	}
 	result := claimOnTime
-	if c.now < held.returnAt-earlyTolerance {
+	switch {
+	case c.now < held.returnAt-earlyTolerance:
 		result = claimEarly
 		c.Counters.EarlyRetries++
-		t.releaseSlot(held)
-	} else if c.now > held.returnAt+t.slotWidth+returnGrace {
+		t.releaseCost(held)
+	case c.now > t.deadline(held):
 		result = claimNone
 		c.Counters.ReservationsUnclaimed++
 	}
@@ -157,46 +182,52 @@
 	return result
 }
 
-// expire lets go of promises whose time is over.
+// expire ends the reservations that were not claimed in time.
 func (t *reservationTable) expire(c *Controller) {
-	for len(t.byReturnTime) > 0 && t.byReturnTime[0].returnAt+t.slotWidth+returnGrace < c.now {
+	for len(t.byReturnTime) > 0 && t.deadline(t.byReturnTime[0]) < c.now {
 		c.Counters.ReservationsUnclaimed++
 		t.remove(t.byReturnTime[0])
 	}
 }
 
-// nextDeadline is when the first promise is over; 0: there is none.
+// deadline returns the last moment at which a reservation can be claimed.
+func (t *reservationTable) deadline(held *reservation) Micros {
+	return held.returnAt + t.slotWidth + returnGrace
+}
+
+// nextDeadline returns when the first reservation will have expired; 0: there is none.
 func (t *reservationTable) nextDeadline() Micros {
 	if len(t.byReturnTime) == 0 {
 		return 0
 	}
-	return t.byReturnTime[0].returnAt + t.slotWidth + returnGrace + 1
+	return t.deadline(t.byReturnTime[0]) + 1
 }
 
-// releaseSlot gives a slot back that has not come yet.
-func (t *reservationTable) releaseSlot(released *reservation) {
-	if released.slot >= t.clearedBefore[released.tenant] {
-		reserved := &t.reservedCosts[released.tenant][released.slot%(calendarSlots+1)]
-		*reserved = math.Max(0, *reserved-released.cost)
+// releaseCost gives back the cost of a reservation whose slot has not been cleared yet.
+func (t *reservationTable) releaseCost(held *reservation) {
+	if held.slot >= t.clearedBefore[held.tenant] {
+		reserved := t.calendars[held.tenant].at(held.slot)
+		*reserved = max(0, *reserved-held.cost)
 	}
 }
 
-func (t *reservationTable) remove(removed *reservation) {
-	heap.Remove(&t.byReturnTime, removed.heapIndex)
-	delete(t.byRetryKey, removed.retryKey)
-	t.count = len(t.byRetryKey)
-	t.freeReservations = append(t.freeReservations, removed)
+func (t *reservationTable) remove(ended *reservation) {
+	heap.Remove(&t.byReturnTime, ended.heapIndex)
+	delete(t.byRetryKey, ended.retryKey)
+	t.free = append(t.free, ended)
 }
 
-func (t *reservationTable) newReservation() *reservation {
-	if n := len(t.freeReservations); n > 0 {
-		p := t.freeReservations[n-1]
-		t.freeReservations = t.freeReservations[:n-1]
-		return p
+func (t *reservationTable) newRecord() *reservation {
+	last := len(t.free) - 1
+	if last < 0 {
+		return new(reservation)
 	}
-	return new(reservation)
+	record := t.free[last]
+	t.free = t.free[:last]
+	return record
 }
 
+// reservationHeap orders reservations by their time of return; it implements heap.Interface.
 type reservationHeap []*reservation
 
 func (h reservationHeap) Len() int           { return len(h) }
@@ -207,14 +238,14 @@
 }
 
 func (h *reservationHeap) Push(x any) {
-	p := x.(*reservation)
-	p.heapIndex = len(*h)
-	*h = append(*h, p)
+	added := x.(*reservation)
+	added.heapIndex = len(*h)
+	*h = append(*h, added)
 }
 
 func (h *reservationHeap) Pop() any {
-	old := *h
-	p := old[len(old)-1]
-	*h = old[:len(old)-1]
-	return p
+	last := len(*h) - 1
+	popped := (*h)[last]
+	*h = (*h)[:last]
+	return popped
 }
--- a/internal/admission/timing_wheel.go
+++ b/internal/admission/timing_wheel.go
@@ -1,24 +1,29 @@
 package admission
 
-// This file owns the tickets that wait, by the time at which they give up: a wheel of lists, one for each beat, so that
-// coming and going cost the same however many wait. A ticket is found up to two beats before its time and never after it.
-
-// timingWheelSlots of a beat each: ten seconds; who gives up later is passed over until its turn of the wheel.
-const timingWheelSlots = 1024
+const (
+	// tickInterval is the granularity of wait deadlines, and how often the concurrency limit is looked at while a request waits:
+	// well inside any latency objective.
+	tickInterval = 10 * millisecond
+	// timingWheelSlots of a tick each make ten seconds; a request with a later deadline is passed over until its tick comes.
+	timingWheelSlots = 1024
+)
 
+// timingWheel holds the waiting requests by their wait deadlines in a list for each tick, so that adding and removing cost the
+// same however many requests wait. A request expires up to two ticks before its deadline and never after it.
 type timingWheel struct {
 	slots         [timingWheelSlots]*trackedRequest
-	processedTick int64 // the beat up to which all have been found
+	processedTick int64 // the last tick whose requests have expired
 	count         int
 }
 
 func (w *timingWheel) add(request *trackedRequest) {
 	request.deadlineTick = max(request.waitDeadline/tickInterval-1, w.processedTick+1)
 	head := &w.slots[request.deadlineTick%timingWheelSlots]
-	if request.slotNext = *head; request.slotNext != nil {
+	request.slotPrevious, request.slotNext = nil, *head
+	if request.slotNext != nil {
 		request.slotNext.slotPrevious = request
 	}
-	request.slotPrevious, *head = nil, request
+	*head = request
 	w.count++
 }
 
@@ -31,30 +36,34 @@
 	if request.slotNext != nil {
 		request.slotNext.slotPrevious = request.slotPrevious
 	}
-	request.slotPrevious, request.slotNext, request.deadlineTick = nil, nil, -1
+	request.slotPrevious, request.slotNext = nil, nil
+	request.deadlineTick = -1
 	w.count--
 }
 
-// expire hands over each ticket whose time is near; what is done with it takes it out of the wheel.
+// expire passes each request whose deadline is near to handle, which has to remove it from the wheel.
 func (w *timingWheel) expire(now Micros, handle func(*trackedRequest)) {
 	currentTick := now / tickInterval
-	if w.count == 0 {
-		w.processedTick = max(w.processedTick, currentTick)
-		return
-	}
-	for tick := max(w.processedTick+1, currentTick-timingWheelSlots+1); tick <= currentTick; tick++ {
-		for request := w.slots[tick%timingWheelSlots]; request != nil; {
-			next := request.slotNext
-			if request.deadlineTick <= currentTick {
-				handle(request)
-			}
-			request = next
+	if w.count > 0 {
+		firstTick := max(w.processedTick+1, currentTick-timingWheelSlots+1)
+		for tick := firstTick; tick <= currentTick; tick++ {
+			w.expireSlot(tick%timingWheelSlots, currentTick, handle)
 		}
 	}
 	w.processedTick = max(w.processedTick, currentTick)
 }
 
-// forEach hands over every ticket; what is done may take it out.
+func (w *timingWheel) expireSlot(slot, currentTick int64, handle func(*trackedRequest)) {
+	for request := w.slots[slot]; request != nil; {
+		next := request.slotNext
+		if request.deadlineTick <= currentTick {
+			handle(request)
+		}
+		request = next
+	}
+}
+
+// forEach passes every request to handle, which may remove it from the wheel.
 func (w *timingWheel) forEach(handle func(*trackedRequest)) {
 	for i := range w.slots {
 		for request := w.slots[i]; request != nil; {
