--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -9,9 +9,7 @@
 // before the next call, in a slice that the next call reuses.
 package admission
 
-import (
-	"math/rand"
-)
+import "math/rand"
 
 // Controller is the admission control of one process. Create it with New.
 type Controller struct {
@@ -107,7 +105,7 @@
 	request := c.track(arrival)
 	if !c.joinEarlierAttempt(request) {
 		c.registerRetryKey(request)
-		hasReservation := c.reservations.claim(c, request) == claimOnTime
+		hasReservation := c.reservations.claim(c, request)
 		c.enqueue(request)
 		if !hasReservation || !c.admitReserved(request) {
 			c.admitOrWait(request)
--- a/internal/admission/reservations.go
+++ b/internal/admission/reservations.go
@@ -1,8 +1,6 @@
 package admission
 
-import (
-	"container/heap"
-)
+import "container/heap"
 
 const (
 	// calendarSlots divide the longest Retry-After time. A calendar has one slot more, since the current one has partly passed.
@@ -10,9 +8,11 @@
 	// reservableFraction of what its tenant's rate allows in a slot may be reserved: the rest is for the requests that wait and
 	// for errors of the estimate. A tenant that floods is then given the longest time without a reservation.
 	reservableFraction = 0.5
-	// returnGrace follows the slot in which a client is to return: clients sleep at least as long as they are told, and the
-	// network takes its time. earlyTolerance precedes the time of return.
-	returnGrace, earlyTolerance = 100 * millisecond, 2 * millisecond
+	// returnGrace, beside a slot's width, is how long after its time of return a client is still on time: clients sleep at least as
+	// long as they are told, and the network takes its time.
+	returnGrace = 100 * millisecond
+	// earlyTolerance is how long before its time of return a client is on time already.
+	earlyTolerance = 2 * millisecond
 	// minFallbackFraction of the longest Retry-After time is the least that is sent without a reservation; the rest is random,
 	// so that a thousand clients that were rejected together don't return together.
 	minFallbackFraction = 0.75
@@ -28,15 +28,6 @@
 	heapIndex int
 }
 
-// claimResult says whether an arriving request had a reservation for now.
-type claimResult int
-
-const (
-	claimNone claimResult = iota
-	claimOnTime
-	claimEarly
-)
-
 // calendar is the reserved cost of one tenant by slot, as a ring.
 type calendar [calendarSlots + 1]float64
 
@@ -161,25 +152,24 @@
 	return calendar
 }
 
-// claim ends the reservation of an arriving request, if it has one, and returns whether it was for now. A client that returns
-// early frees the capacity.
-func (t *reservationTable) claim(c *Controller, request *trackedRequest) claimResult {
+// claim ends the reservation of an arriving request, if it has one, and returns whether the client returned on time. A client
+// that returns early frees the reserved cost.
+func (t *reservationTable) claim(c *Controller, request *trackedRequest) (isOnTime bool) {
 	held := t.byRetryKey[request.retryKey]
 	if held == nil {
-		return claimNone
+		return false
 	}
-	result := claimOnTime
+	defer t.remove(held)
 	switch {
 	case c.now < held.returnAt-earlyTolerance:
-		result = claimEarly
 		c.Counters.EarlyRetries++
 		t.releaseCost(held)
+		return false
 	case c.now > t.deadline(held):
-		result = claimNone
 		c.Counters.ReservationsUnclaimed++
+		return false
 	}
-	t.remove(held)
-	return result
+	return true
 }
 
 // expire ends the reservations that were not claimed in time.
