--- a/internal/admission/fair_scheduler_test.go
+++ b/internal/admission/fair_scheduler_test.go
@@ -6,7 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// The lowest start stands first, whatever wakes, pays and sleeps, and each flow knows its place.
+// The flow with the lowest start tag stands first, whichever flows are activated, charged and deactivated, and each flow knows its
+// heap index.
 func TestFairSchedulerServesLowestStartTagFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scheduler := newFairScheduler[int](8)
@@ -16,7 +17,7 @@
 		}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			flow := &flows[rapid.IntRange(0, len(flows)-1).Draw(t, "flow")]
-			switch action := rapid.IntRange(0, 3).Draw(t, "what"); {
+			switch action := rapid.IntRange(0, 3).Draw(t, "action"); {
 			case flow.heapIndex < 0:
 				scheduler.activate(flow)
 			case action == 0:
@@ -29,15 +30,15 @@
 				if flow := &flows[i]; flow.heapIndex >= 0 {
 					activeCount++
 					if entry := scheduler.active[flow.heapIndex]; entry.flow != flow || entry.startTag != flow.startTag {
-						t.Fatalf("flow %d is not at its place %d", i, flow.heapIndex)
+						t.Fatalf("flow %d is not at its heap index %d", i, flow.heapIndex)
 					}
 					if flow.startTag < scheduler.active[0].startTag {
-						t.Fatalf("flow %d starts at %v, before the first, %v", i, flow.startTag, scheduler.active[0].startTag)
+						t.Fatalf("flow %d has start tag %v, lower than the first one's %v", i, flow.startTag, scheduler.active[0].startTag)
 					}
 				}
 			}
 			if activeCount != len(scheduler.active) {
-				t.Fatalf("%d flows stand in it, %d have a place", len(scheduler.active), activeCount)
+				t.Fatalf("the heap holds %d flows, %d have a heap index", len(scheduler.active), activeCount)
 			}
 		}
 	})
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -3,84 +3,127 @@
 import (
 	"fmt"
 	"math/rand"
+	"slices"
 	"strings"
 	"testing"
 
 	"switchfork/internal/golden"
 )
 
-// goldenSteps of a stream: enough for queues to fill, promises to be kept and broken, and a drain.
+// goldenSteps is enough for queues to fill, reservations to be honored and missed, and a drain.
 const goldenSteps = 8000
 
-// The same calls give the same orders as ever: the file's sums were made before names and shape of this package changed.
+// goldenStream drives a controller with random calls and digests all that it answers.
+type goldenStream struct {
+	controller   *Controller
+	random       *rand.Rand
+	digest       *golden.Digest
+	commandCount int
+	now          Micros
+	arrived      []uint64
+	inProgress   []uint64
+}
+
+func newGoldenStream(limits Limits, coalescesRetries bool, seed int64) *goldenStream {
+	tenants := []Tenant{{0.5}, {0.3}, {0.2}}
+	return &goldenStream{
+		controller: New(testClasses, tenants, limits, RetryAfterLimits{Max: 2 * second}, coalescesRetries, seed),
+		random:     rand.New(rand.NewSource(seed)),
+		digest:     golden.NewDigest(Command{}, Status{}, Counters{}, TenantStatus{}, Micros(0)),
+		now:        1000 * second,
+	}
+}
+
+func (s *goldenStream) record(commands []Command) {
+	for _, command := range commands {
+		s.commandCount++
+		s.digest.Add(command)
+		if command.Kind == Admit {
+			s.inProgress = append(s.inProgress, command.ID)
+		}
+	}
+}
+
+// takeOne removes a random ID from a list.
+func (s *goldenStream) takeOne(ids *[]uint64) uint64 {
+	i := s.random.Intn(len(*ids))
+	id := (*ids)[i]
+	*ids = slices.Delete(*ids, i, i+1)
+	return id
+}
+
+func (s *goldenStream) arrive(id uint64) {
+	s.arrived = append(s.arrived, id)
+	s.record(s.controller.Arrive(s.now, Arrival{
+		ID:       id,
+		Tenant:   s.random.Intn(6) - 1,
+		Client:   uint64(1 + s.random.Intn(9)),
+		Class:    s.random.Intn(2),
+		Key:      uint64(s.random.Intn(40)),
+		IsRetry:  s.random.Intn(3) == 0,
+		CostHint: s.random.Int63n(50 * millisecond),
+		Deadline: s.now + s.random.Int63n(3*second),
+		Bytes:    s.random.Intn(900),
+	}))
+}
+
+func (s *goldenStream) finishOne() {
+	if len(s.inProgress) == 0 {
+		return
+	}
+	id := s.takeOne(&s.inProgress)
+	if s.random.Intn(2) == 0 {
+		s.record(s.controller.AttemptSent(s.now, id))
+	}
+	s.record(s.controller.Finish(s.now, id, Result(s.random.Intn(4))))
+}
+
+func (s *goldenStream) abandonOne() {
+	if len(s.arrived) > 0 {
+		s.record(s.controller.Abandon(s.now, s.takeOne(&s.arrived)))
+	}
+}
+
+// step fires the timers that are due and makes one call, or lets time pass.
+func (s *goldenStream) step(id uint64) {
+	for next := s.controller.NextTimer(); next > 0 && next <= s.now; next = s.controller.NextTimer() {
+		s.record(s.controller.TimerFired(s.now))
+	}
+	s.digest.Add(s.controller.NextTimer())
+	switch action := s.random.Intn(20); {
+	case action < 9:
+		s.arrive(id)
+	case action < 15:
+		s.finishOne()
+	case action < 16:
+		s.abandonOne()
+	case action < 17:
+		s.controller.SetWeights([]Tenant{{0.1 + s.random.Float64()}, {0.3}, {0.2}})
+	default:
+		s.now += s.random.Int63n(120 * millisecond)
+	}
+	if id == goldenSteps*9/10 {
+		s.record(s.controller.Drain(s.now, s.now+2*second))
+	}
+}
+
+// The same calls produce the same commands as ever: the file's digests were made before names and shape of this package changed.
 func TestGoldenDecisions(t *testing.T) {
 	var summary strings.Builder
 	for _, coalescesRetries := range []bool{false, true} {
 		for _, limits := range []Limits{{Requests: 20, Bytes: 20000, Queues: 4}, {Requests: 300, Bytes: 300000, Queues: 16}} {
 			for seed := int64(1); seed <= 3; seed++ {
-				random := rand.New(rand.NewSource(seed))
-				c := New([]RequestClass{{LatencyObjective: second, Timeout: 3 * second, PriorityWeight: 1}, {LatencyObjective: second, Timeout: 3 * second, PriorityWeight: 5, Keyed: true}},
-					[]Tenant{{0.5}, {0.3}, {0.2}}, limits, RetryAfterLimits{Max: 2 * second}, coalescesRetries, seed)
-				digest := golden.NewDigest(Command{}, Status{}, Counters{}, TenantStatus{}, Micros(0))
-				now, commandCount := 1000*second, 0
-				var inProgress, waiting []uint64
-				record := func(commands []Command) {
-					for _, command := range commands {
-						commandCount++
-						digest.Add(command)
-						switch command.Kind {
-						case Admit:
-							inProgress = append(inProgress, command.ID)
-						case Reject, Coalesce:
-						}
-					}
-				}
-				remove := func(from *[]uint64) uint64 {
-					i := random.Intn(len(*from))
-					id := (*from)[i]
-					*from = append((*from)[:i], (*from)[i+1:]...)
-					return id
-				}
+				stream := newGoldenStream(limits, coalescesRetries, seed)
 				for id := uint64(1); id <= goldenSteps; id++ {
-					for next := c.NextTimer(); next > 0 && next <= now; next = c.NextTimer() {
-						record(c.TimerFired(now))
-					}
-					digest.Add(c.NextTimer())
-					switch action := random.Intn(20); {
-					case action < 9:
-						waiting = append(waiting, id)
-						record(c.Arrive(now, Arrival{
-							ID: id, Tenant: random.Intn(6) - 1, Client: uint64(1 + random.Intn(9)), Class: random.Intn(2),
-							Key: uint64(random.Intn(40)), IsRetry: random.Intn(3) == 0, CostHint: Micros(random.Int63n(int64(50 * millisecond))),
-							Deadline: now + Micros(random.Int63n(int64(3*second))), Bytes: random.Intn(900),
-						}))
-					case action < 15:
-						if len(inProgress) > 0 {
-							picked := remove(&inProgress)
-							if random.Intn(2) == 0 {
-								record(c.AttemptSent(now, picked))
-							}
-							record(c.Finish(now, picked, Result(random.Intn(4))))
-						}
-					case action < 16:
-						if len(waiting) > 0 {
-							record(c.Abandon(now, remove(&waiting)))
-						}
-					case action < 17:
-						c.SetWeights([]Tenant{{0.1 + random.Float64()}, {0.3}, {0.2}})
-					default:
-						now += Micros(random.Int63n(int64(120 * millisecond)))
-					}
-					if id == goldenSteps*9/10 {
-						record(c.Drain(now, now+2*second))
-					}
+					stream.step(id)
 				}
-				digest.Add(c.Status())
-				digest.Add(c.Counters)
+				stream.digest.Add(stream.controller.Status())
+				stream.digest.Add(stream.controller.Counters)
 				for tenant := range 4 {
-					digest.Add(c.Tenant(tenant))
+					stream.digest.Add(stream.controller.Tenant(tenant))
 				}
-				fmt.Fprintf(&summary, "shared %t room %d seed %d: %d orders %s\n", coalescesRetries, limits.Requests, seed, commandCount, digest)
+				fmt.Fprintf(&summary, "shared %t room %d seed %d: %d orders %s\n",
+					coalescesRetries, limits.Requests, seed, stream.commandCount, stream.digest)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/admission/retries_test.go
@@ -0,0 +1,61 @@
+package admission
+
+import (
+	"fmt"
+	"testing"
+)
+
+// A retry takes its earlier attempt's place while that waits, waits for its end while it is in progress, and is a request of its
+// own once that has finished.
+func TestRetryJoinsEarlierAttempt(t *testing.T) {
+	for _, coalescesRetries := range []bool{false, true} {
+		c := newTestController([]float64{1}, Limits{Requests: 100, Bytes: 1 << 20, Queues: 8}, coalescesRetries)
+		fixLimit(c, 1)
+		c.arrive(Arrival{ID: 1, Client: 1, Class: 1, Key: 5, CostHint: 5 * millisecond})
+		c.arrive(Arrival{ID: 2, Client: 2, Class: 1, Key: 6, CostHint: 5 * millisecond})
+		c.arrive(Arrival{ID: 3, Client: 3, Class: 1, Key: 7, CostHint: 5 * millisecond})
+		c.advance(50 * millisecond)
+		c.arrive(Arrival{ID: 4, Client: 2, Class: 1, Key: 6, CostHint: 5 * millisecond, Deadline: c.now + second})
+		if command := c.rejected[2]; command.Reason != Replaced {
+			t.Fatalf("the earlier attempt got %+v, want a rejection as replaced", command)
+		}
+		if retry := c.requests[4]; retry.firstArrival != 0 || retry.waitDeadline != 500*millisecond {
+			t.Errorf("the retry did not take over the times: first arrival %d, wait deadline %d", retry.firstArrival, retry.waitDeadline)
+		}
+		c.arrive(Arrival{ID: 5, Client: 1, Class: 1, Key: 5}) // its earlier attempt is in progress
+		if len(c.inProgress) != 1 {
+			t.Fatalf("two attempts of one request are in progress: %v", c.inProgress)
+		}
+		c.finish(1, Succeeded)
+		switch {
+		case coalescesRetries && c.finalAnswers[5] != 1:
+			t.Error("the retry did not get its earlier attempt's answer")
+		case !coalescesRetries && (c.finalAnswers[5] != 0 || c.requests[5] == nil):
+			t.Error("the retry is not queued after its earlier attempt has finished")
+		}
+		for range 3 {
+			for id := range c.inProgress {
+				c.finish(id, Succeeded)
+			}
+		}
+		c.arrive(Arrival{ID: 9, Client: 1, Class: 1, Key: 5})
+		if !c.inProgress[9] {
+			t.Error("an idempotency key whose request has finished was not admitted anew")
+		}
+		if want := []uint64{1, 4}; fmt.Sprint(c.admitted[:2]) != fmt.Sprint(want) {
+			t.Errorf("admitted %v, want %v first", c.admitted, want)
+		}
+	}
+}
+
+// Requests without an idempotency key that concern one object are apart: only one marked as a retry joins.
+func TestUnkeyedRequestsJoinOnlyAsRetries(t *testing.T) {
+	c := newTestController([]float64{1}, Limits{Requests: 100, Bytes: 1 << 20, Queues: 8}, false)
+	fixLimit(c, 1)
+	for id := uint64(1); id <= 4; id++ {
+		c.arrive(Arrival{ID: id, Client: 3, Key: 9, CostHint: 5 * millisecond, IsRetry: id == 4})
+	}
+	if c.Counters.Rejoined != 1 || c.rejected[3].Reason != Replaced || len(c.rejected) != 1 {
+		t.Errorf("joined %d, rejected %v", c.Counters.Rejoined, c.rejected)
+	}
+}
