--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,80 +1,106 @@
-// Package backoff decides when a call that failed is made again. It is for the calls that all agents make alike, to
-// discovery and the launcher: what one agent repeats without harm, many in step make a storm of, which keeps a party
-// down that would long be back (a metastable overload). It does no I/O and reads no clock.
+// Package backoff decides how long a caller waits before it calls a service again that failed. It is for the calls that all
+// agents make alike, to service discovery and to the rollout controller: what one agent repeats without harm, many agents in
+// step make a retry storm of, which keeps a service down that would have long recovered (a metastable failure).
+//
+// A Backoff belongs to one caller and is not safe for concurrent use. It does no I/O and reads no clock.
 package backoff
 
 import "math/rand"
 
-// Micros is a span in whole microseconds.
+// Micros is a duration in whole microseconds.
 type Micros = int64
 
-// Reason is why a call brought nothing.
+// Reason says why a call failed.
 type Reason int
 
 const (
-	Unreachable Reason = iota // the connection broke, was refused or was silent: the party may be back at once
-	Overloaded                // the party said that it has too much to do
+	// Unreachable means that the connection broke, was refused or stayed silent: the service may be back at any moment.
+	Unreachable Reason = iota
+	// Overloaded means that the service answered that it has too much to do.
+	Overloaded
 )
 
 const (
-	// minReconnectDelay doubles up to soonMost after a break: a party that is back is found at once, and what it tells binds.
+	// minReconnectDelay doubles with each Unreachable up to maxReconnectDelay. It is short, so that a service that is back is found
+	// at once: what it then tells is binding.
 	minReconnectDelay, maxReconnectDelay Micros = 50_000, 800_000
-	// jitterMultiplier is the usual figure of decorrelated jitter: the next wait is drawn from the first up to three last ones.
+	// maxDoublings keeps the doubled delay from overflowing; it is beyond maxReconnectDelay already.
+	maxDoublings = 8
+
+	// jitterMultiplier is the usual figure of decorrelated jitter: the next delay is drawn from between the minimum and three
+	// times the last delay.
 	jitterMultiplier = 3
-	// defaultMinOverloadDelay and fullMost are the least and the most wait after a party's word that it is full, where no time is told
-	// in which to ask. Else it is that time, and firstPart of it: a call that ran out of time there may still be worked
-	// on, so that asking sooner only fills the queue with calls that nobody waits for.
+	// defaultMinOverloadDelay and defaultMaxOverloadDelay bound the delay after Overloaded for a caller without a deadline.
 	defaultMinOverloadDelay, defaultMaxOverloadDelay Micros = 400_000, 3_200_000
-	minDelayDivisor                                         = 4
-	// startSpacing spreads the first calls of agents that start together: the order of what one costs a small service.
+	// minDelayDivisor of the longest delay is the shortest one for a caller with a deadline. A call that timed out may still be
+	// worked on by the service, so that an earlier retry only fills its queue with calls that nobody waits for.
+	minDelayDivisor = 4
+
+	// startSpacing spreads the first calls of agents that start together, by about the time that one call costs a small service.
 	startSpacing Micros = 60_000
 )
 
-// Backoff keeps one caller's waits.
+// Backoff computes the delays of one caller.
 type Backoff struct {
-	random                             *rand.Rand
-	hasMaxDelay                        bool
-	minOverloadDelay, maxOverloadDelay Micros // after Full
-	unreachableCount                   int    // breaks in a row
-	lastOverloadDelay                  Micros // the last wait after Full
+	random            *rand.Rand
+	hasDeadline       bool
+	minOverloadDelay  Micros
+	maxOverloadDelay  Micros
+	lastOverloadDelay Micros
+	unreachableCount  int // in a row
 }
 
-// New makes one for a caller that is told to ask within a time (0: not told).
-func New(maxDelay Micros, seed int64) *Backoff {
-	b := &Backoff{random: rand.New(rand.NewSource(seed)), minOverloadDelay: defaultMinOverloadDelay, maxOverloadDelay: defaultMaxOverloadDelay}
-	if maxDelay > 0 {
-		b.hasMaxDelay, b.minOverloadDelay, b.maxOverloadDelay = true, maxDelay/minDelayDivisor, maxDelay
+// New returns the backoff of a caller that has to call at least once within a deadline (0: it has none).
+func New(deadline Micros, seed int64) *Backoff {
+	b := &Backoff{
+		random:           rand.New(rand.NewSource(seed)),
+		minOverloadDelay: defaultMinOverloadDelay,
+		maxOverloadDelay: defaultMaxOverloadDelay,
+	}
+	if deadline > 0 {
+		b.hasDeadline = true
+		b.minOverloadDelay = deadline / minDelayDivisor
+		b.maxOverloadDelay = deadline
 	}
 	return b
 }
 
-// Initial is the wait before the first call: alike agents that start in one moment come one after another, inside half of
-// the time in which they should ask. Few agents wait next to nothing. Where no time is told there is none: the list comes
-// by itself, and a drain told while an agent was away binds as soon as it is back.
+// Initial returns the delay before the first call. Agents that start at the same moment call one after another within half of
+// the deadline; few agents wait next to nothing. Without a deadline there is no delay: the endpoint list then arrives by
+// itself, and a drain announced while an agent was away binds as soon as it is back.
 func (b *Backoff) Initial(agents int) Micros {
-	if !b.hasMaxDelay {
+	if !b.hasDeadline {
 		return 0
 	}
 	return b.randomDelay(min(b.maxOverloadDelay/2, Micros(agents-1)*startSpacing))
 }
 
-// Next is the wait before the next try. After a break it grows from 50 ms with a random part. After Full it is
-// decorrelated jitter: callers that were turned away together spread out within a few tries, over more time the longer the
-// party stays full.
+// Next returns the delay before the next call. After Unreachable it grows exponentially from 50 ms, with jitter. After Overloaded
+// it uses decorrelated jitter: callers that were rejected together spread out within a few retries, over a longer time the
+// longer the service stays overloaded.
 func (b *Backoff) Next(reason Reason) Micros {
 	if reason == Overloaded {
-		b.unreachableCount = 0
-		b.lastOverloadDelay = b.minOverloadDelay + b.randomDelay(min(b.maxOverloadDelay, jitterMultiplier*max(b.lastOverloadDelay, b.minOverloadDelay))-b.minOverloadDelay)
-		return b.lastOverloadDelay
+		return b.nextOverloadDelay()
 	}
-	delay := min(maxReconnectDelay, minReconnectDelay<<min(b.unreachableCount, 8))
+	delay := min(maxReconnectDelay, minReconnectDelay<<min(b.unreachableCount, maxDoublings))
 	b.unreachableCount++
 	return delay/2 + b.randomDelay(delay)
 }
 
-// Reset forgets the failures.
-func (b *Backoff) Reset() { b.unreachableCount, b.lastOverloadDelay = 0, 0 }
+func (b *Backoff) nextOverloadDelay() Micros {
+	b.unreachableCount = 0
+	longest := min(b.maxOverloadDelay, jitterMultiplier*max(b.lastOverloadDelay, b.minOverloadDelay))
+	b.lastOverloadDelay = b.minOverloadDelay + b.randomDelay(longest-b.minOverloadDelay)
+	return b.lastOverloadDelay
+}
+
+// Reset forgets the failures; it is called after a call that succeeded.
+func (b *Backoff) Reset() {
+	b.unreachableCount = 0
+	b.lastOverloadDelay = 0
+}
 
+// randomDelay returns a random delay below a limit; 0 where the limit is not positive.
 func (b *Backoff) randomDelay(limit Micros) Micros {
 	if limit <= 0 {
 		return 0
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -8,31 +8,41 @@
 
 const millisecond = 1000
 
-// A service of fixed capacity for all: calls wait in turn, a caller gives up after 2 s and asks again, and the call that
-// nobody waits for any more is worked on all the same.
+// event is a call that reaches the simulated service, or the timeout of one.
 type event struct {
 	at        Micros
 	caller    int
-	isTimeout bool // the call's patience, no new call
-	serial    int
+	isTimeout bool
 }
+
+// eventQueue orders events by time; it implements heap.Interface.
 type eventQueue []event
 
-func (c eventQueue) Len() int           { return len(c) }
-func (c eventQueue) Less(i, j int) bool { return c[i].at < c[j].at }
-func (c eventQueue) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
-func (c *eventQueue) Push(x any)        { *c = append(*c, x.(event)) }
-func (c *eventQueue) Pop() any          { o := *c; x := o[len(o)-1]; *c = o[:len(o)-1]; return x }
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)        { *q = append(*q, x.(event)) }
+
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	popped := (*q)[last]
+	*q = (*q)[:last]
+	return popped
+}
+
+// callTimeout is how long a caller waits for an answer.
+const callTimeout = 2000 * millisecond
 
-// simulateService is how many callers have had an answer by the end, and how many calls it took.
+// simulateService returns how many callers have had an answer by the end, and how many calls were made. The service has a fixed
+// capacity: calls wait in turn, a caller gives up after callTimeout and calls again, and the service works on a call
+// all the same when nobody waits for it any more.
 func simulateService(callers int, serviceTime, end Micros, initialDelay, retryDelay func(caller int) Micros) (answeredCount, callCount int) {
 	var events eventQueue
-	freeAt, serial := Micros(0), 0
+	freeAt := Micros(0)
 	answered := map[int]bool{}
-	for i := range callers {
-		heap.Push(&events, event{at: initialDelay(i), caller: i})
+	for caller := range callers {
+		heap.Push(&events, event{at: initialDelay(caller), caller: caller})
 	}
-	const callTimeout = 2000 * millisecond
 	for events.Len() > 0 {
 		next := heap.Pop(&events).(event)
 		if next.at > end {
@@ -42,17 +52,18 @@
 			heap.Push(&events, event{at: next.at + retryDelay(next.caller), caller: next.caller})
 			continue
 		}
-		callCount, serial = callCount+1, serial+1
-		if freeAt = max(freeAt, next.at) + serviceTime; freeAt <= next.at+callTimeout {
+		callCount++
+		freeAt = max(freeAt, next.at) + serviceTime
+		if freeAt <= next.at+callTimeout {
 			answered[next.caller] = true
 			continue
 		}
-		heap.Push(&events, event{at: next.at + callTimeout, caller: next.caller, isTimeout: true, serial: serial})
+		heap.Push(&events, event{at: next.at + callTimeout, caller: next.caller, isTimeout: true})
 	}
 	return len(answered), callCount
 }
 
-// Found on sockets with 80 agents: 49 never got a list in 40 s, each calling again at once.
+// Found on real connections with 80 agents: 49 never got an endpoint list in 40 s, each calling again at once.
 func TestOverloadedServiceIsReachedByAllCallers(t *testing.T) {
 	const callers, serviceTime, end = 80, 65 * millisecond, 20_000 * millisecond
 	for seed := int64(1); seed <= 20; seed++ {
@@ -63,29 +74,30 @@
 		answered, calls := simulateService(callers, serviceTime, end, func(i int) Micros { return backoffs[i].Initial(callers) },
 			func(i int) Micros { return backoffs[i].Next(Overloaded) })
 		if answered < callers || calls > 2*callers {
-			t.Errorf("seed %d: %d of %d callers served by %d calls", seed, answered, callers, calls)
+			t.Errorf("seed %d: %d of %d callers answered with %d calls", seed, answered, callers, calls)
 		}
 	}
 	random := rand.New(rand.NewSource(1))
 	immediateRetry := func(int) Micros { return 25*millisecond + random.Int63n(50*millisecond) }
 	if answered, _ := simulateService(callers, serviceTime, end, immediateRetry, immediateRetry); answered > callers/2 {
-		t.Errorf("asking again at once serves %d of %d: this service shows nothing", answered, callers)
+		t.Errorf("immediate retries reach %d of %d callers: the simulated service is not overloaded", answered, callers)
 	}
 }
 
+// Each kind of delay stays within its bounds, and success resets the growth.
 func TestDelaysStayInBounds(t *testing.T) {
-	bounded, unbounded := New(8_000*millisecond, 1), New(0, 1)
+	withDeadline, withoutDeadline := New(8_000*millisecond, 1), New(0, 1)
 	for range 1000 {
-		if delay := bounded.Next(Overloaded); delay < 2_000*millisecond || delay > 8_000*millisecond {
-			t.Fatalf("told 8 s, waits %d", delay)
+		if delay := withDeadline.Next(Overloaded); delay < 2_000*millisecond || delay > 8_000*millisecond {
+			t.Fatalf("deadline of 8 s: the delay after an overload is %d", delay)
 		}
-		if delay := unbounded.Next(Overloaded); delay < 400*millisecond || delay > 3_200*millisecond {
-			t.Fatalf("not told, waits %d", delay)
+		if delay := withoutDeadline.Next(Overloaded); delay < 400*millisecond || delay > 3_200*millisecond {
+			t.Fatalf("no deadline: the delay after an overload is %d", delay)
 		}
 	}
 	for reconnecting, limit := New(8_000*millisecond, 2), Micros(75*millisecond); limit < 1200*millisecond; limit *= 2 {
 		if delay := reconnecting.Next(Unreachable); delay > limit {
-			t.Errorf("after a break waits %d, over %d", delay, limit)
+			t.Errorf("the reconnect delay is %d, over %d", delay, limit)
 		}
 	}
 	reconnecting := New(8_000*millisecond, 3)
@@ -94,23 +106,24 @@
 	}
 	reconnecting.Reset()
 	if delay := reconnecting.Next(Unreachable); delay > 75*millisecond {
-		t.Errorf("failures are not forgotten: waits %d", delay)
+		t.Errorf("the reconnect delay after Reset is %d", delay)
 	}
 	for _, test := range []struct {
-		agents int
-		most   Micros
+		agents  int
+		longest Micros
 	}{{1, 0}, {3, 120 * millisecond}, {80, 4_000 * millisecond}, {100_000, 4_000 * millisecond}} {
 		for seed := range int64(50) {
-			if delay := New(8_000*millisecond, seed).Initial(test.agents); delay < 0 || delay > test.most {
-				t.Errorf("%d agents: begins after %d, over %d", test.agents, delay, test.most)
+			if delay := New(8_000*millisecond, seed).Initial(test.agents); delay < 0 || delay > test.longest {
+				t.Errorf("%d agents: the initial delay is %d, over %d", test.agents, delay, test.longest)
 			}
 		}
 	}
 	for seed := range int64(50) {
 		if delay := New(0, seed).Initial(100_000); delay != 0 {
-			t.Errorf("no time told: begins after %d", delay)
+			t.Errorf("no deadline: the initial delay is %d", delay)
 		}
 	}
-	New(-1, 1).Initial(-5) // absurd figures do no harm
+	// Absurd arguments must not panic.
+	New(-1, 1).Initial(-5)
 	New(1, 1).Next(Overloaded)
 }
