--- a/internal/hashring/ring.go
+++ b/internal/hashring/ring.go
@@ -1,55 +1,61 @@
-// Package hashring holds the points of one build's appliances on a circle of 64-bit hashes, and finds the owners of the next
-// points clockwise from a spot. It owns the points; it must never know why an appliance may or may not be taken.
+// Package hashring is a consistent-hash ring: it holds the points of endpoints on a circle of 64-bit hashes and finds the owners
+// of the next points clockwise from a position, weighted if wanted. It knows nothing of why an endpoint may or may not be
+// chosen; its caller says so by weight.
 //
-// The points lie in buckets by their highest bits, so that a look-up takes a bucket and not a search of all, and a change of
-// one appliance touches its own points' buckets only. Use: one Ring a build, from one goroutine; no I/O, no clock.
+// No package imports it yet. The routing policy searches the points of each endpoint separately, at a cost that grows with the
+// number of endpoints; this ring is the groundwork for a larger ring there.
+//
+// The points lie in buckets by their highest bits, so that a lookup reads a bucket instead of searching all points, and a
+// change of one endpoint touches the buckets of its own points only. A Ring is for one goroutine; it does no I/O and reads
+// no clock.
 package hashring
 
 import (
+	"cmp"
 	"math"
 	"math/bits"
 	"slices"
 )
 
-// Point is a place on the circle, and whose it is: 16 bytes with the alignment.
+// Point is a position on the ring and its owner: 16 bytes with the alignment.
 type Point struct {
 	Hash  uint64
 	Owner uint32
 }
 
-// Ring is a circle of points.
+// Ring is a consistent-hash ring. Create it with New.
 type Ring struct {
 	buckets    [][]Point // each sorted by hash, then owner
-	shift      uint      // of a hash to its bucket
+	shift      uint      // from a hash to the index of its bucket
 	pointCount int
 }
 
 const (
-	// targetBucketSize is the mean number of points in a bucket: a few, so that one cache line or two hold it; over fillMost there are
-	// twice as many buckets, under fillLeast half.
-	targetBucketSize, maxMeanBucketSize, minMeanBucketSize = 4, 8, 1
-	minBuckets                                             = 16
+	// targetBucketSize is the mean number of points in a bucket after a resize: few enough for one or two cache lines.
+	targetBucketSize = 4
+	// maxMeanBucketSize and minMeanBucketSize are the means beyond which the number of buckets grows and shrinks.
+	maxMeanBucketSize, minMeanBucketSize = 8, 1
+	// minBuckets is a power of two.
+	minBuckets = 16
+	hashBits   = 64
 )
 
-// New makes a circle without points.
+// New returns a ring without points.
 func New() *Ring {
-	return &Ring{buckets: make([][]Point, minBuckets), shift: 64 - uint(bits.Len(minBuckets-1))}
+	return &Ring{buckets: make([][]Point, minBuckets), shift: hashBits - uint(bits.Len(minBuckets-1))}
 }
 
-// Points is how many there are.
+// Points returns the number of points.
 func (r *Ring) Points() int { return r.pointCount }
 
 func comparePoints(a, b Point) int {
-	switch {
-	case a.Hash < b.Hash || a.Hash == b.Hash && a.Owner < b.Owner:
-		return -1
-	case a == b:
-		return 0
+	if order := cmp.Compare(a.Hash, b.Hash); order != 0 {
+		return order
 	}
-	return 1
+	return cmp.Compare(a.Owner, b.Owner)
 }
 
-// Add puts an owner's points in; a point that is there already stays one.
+// Add adds points of an owner. A point that is there already is not added again.
 func (r *Ring) Add(owner uint32, hashes []uint64) {
 	for _, hash := range hashes {
 		point := Point{hash, owner}
@@ -60,11 +66,11 @@
 		}
 	}
 	if r.pointCount > maxMeanBucketSize*len(r.buckets) {
-		r.rebucket(r.pointCount / targetBucketSize)
+		r.resize(r.pointCount / targetBucketSize)
 	}
 }
 
-// Remove takes an owner's points out.
+// Remove removes points of an owner. A point that is not there is passed over.
 func (r *Ring) Remove(owner uint32, hashes []uint64) {
 	for _, hash := range hashes {
 		bucket := &r.buckets[hash>>r.shift]
@@ -74,24 +80,26 @@
 		}
 	}
 	if len(r.buckets) > minBuckets && r.pointCount < minMeanBucketSize*len(r.buckets) {
-		r.rebucket(max(minBuckets, r.pointCount/targetBucketSize))
+		r.resize(max(minBuckets, r.pointCount/targetBucketSize))
 	}
 }
 
-// rebucket puts all points into another number of buckets, a power of two.
-func (r *Ring) rebucket(wanted int) {
-	bucketBits := uint(bits.Len(uint(wanted)))
-	old := r.buckets
-	r.buckets, r.shift = make([][]Point, 1<<bucketBits), 64-bucketBits
-	for _, points := range old {
-		for _, point := range points { // in the circle's order, so each bucket stays sorted
-			bucket := point.Hash >> r.shift
-			r.buckets[bucket] = append(r.buckets[bucket], point)
+// resize distributes all points over a number of buckets that is the next power of two above the given one.
+func (r *Ring) resize(bucketCount int) {
+	bucketBits := uint(bits.Len(uint(bucketCount)))
+	previous := r.buckets
+	r.buckets = make([][]Point, 1<<bucketBits)
+	r.shift = hashBits - bucketBits
+	for _, points := range previous {
+		for _, point := range points { // in the order of the ring, so each bucket stays sorted
+			bucket := &r.buckets[point.Hash>>r.shift]
+			*bucket = append(*bucket, point)
 		}
 	}
 }
 
-// Walk goes clockwise from a spot, once round, and tells each point's owner and the way to it; it ends where see says no.
+// Walk goes clockwise from a position once round the ring and passes each point's owner and distance to visit. It ends early
+// where visit returns false.
 func (r *Ring) Walk(position uint64, visit func(owner uint32, distance float64) bool) {
 	if r.pointCount == 0 {
 		return
@@ -104,7 +112,7 @@
 		case 0:
 			points = points[firstIndex:]
 		case len(r.buckets):
-			points = points[:firstIndex] // the first bucket's beginning is the walk's end
+			points = points[:firstIndex] // the beginning of the first bucket is the end of the walk
 		}
 		for _, point := range points {
 			if !visit(point.Owner, float64(point.Hash-position)+1) {
@@ -114,9 +122,11 @@
 	}
 }
 
-// Nearest finds the owner whose way over its weight is the least, and that way over weight; of two alike the one met first.
-// weight tells an owner's, 0 for one that may not be taken, and is never over most. An owner's first point is its nearest, and
-// whoever comes later has a way at least as long: once that is over what the heaviest could make good, no later one can win.
+// Nearest returns the owner with the least distance over its weight, and that weighted distance; of equal ones, the one met
+// first. weight returns an owner's weight, 0 for one that must not be chosen, and never more than maxWeight.
+//
+// An owner's first point is its nearest one, and the walk's distances never decrease. Once the distance is so long that not
+// even maxWeight would make up for it, no later owner can win and the walk ends.
 func (r *Ring) Nearest(position uint64, maxWeight float64, weight func(owner uint32) float64) (owner uint32, weightedDistance float64, found bool) {
 	weightedDistance = math.Inf(1)
 	r.Walk(position, func(candidate uint32, distance float64) bool {
--- a/internal/hashring/ring_test.go
+++ b/internal/hashring/ring_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// referenceRing is the slow reference: each owner's points apart, and a look at all of them, as the module does it.
+// referenceRing is the slow reference: it holds each owner's sorted points apart and searches all of them, as the routing policy
+// does.
 type referenceRing map[uint32][]uint64
 
 func (r referenceRing) nearest(position uint64, weight func(uint32) float64) (owner uint32, weightedDistance float64) {
@@ -22,14 +23,17 @@
 		}
 		i := sort.Search(len(points), func(i int) bool { return points[i] >= position })
 		distance := float64(points[i%len(points)]-position) + 1
-		if candidateDistance := distance / weight(candidate); candidateDistance < weightedDistance || candidateDistance == weightedDistance && candidate < owner {
+		candidateDistance := distance / weight(candidate)
+		isNearer := candidateDistance < weightedDistance
+		if isNearer || candidateDistance == weightedDistance && candidate < owner {
 			owner, weightedDistance = candidate, candidateDistance
 		}
 	}
 	return owner, weightedDistance
 }
 
-// After any changes the ring finds what a look at all finds, at any weights, and holds exactly the points that were put in.
+// After any changes and at any weights, the ring finds the same nearest distance as the reference, and it holds exactly the points
+// that were added.
 func TestRingMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ring, reference, weights := New(), referenceRing{}, map[uint32]float64{}
@@ -48,15 +52,15 @@
 				ring.Remove(owner, reference[owner])
 				delete(reference, owner)
 			},
-			"weigh": func(t *rapid.T) {
+			"setWeight": func(t *rapid.T) {
 				weights[owners.Draw(t, "owner")] = float64(rapid.IntRange(0, 4).Draw(t, "quarters")) / 4
 			},
 			"": func(t *rapid.T) {
-				position := rapid.Uint64().Draw(t, "spot")
+				position := rapid.Uint64().Draw(t, "position")
 				weight := func(owner uint32) float64 { return weights[owner] }
 				_, distance, found := ring.Nearest(position, 1, weight)
 				if _, want := reference.nearest(position, weight); distance != want || found == math.IsInf(want, 1) {
-					t.Fatalf("the nearest is at %g, want %g", distance, want)
+					t.Fatalf("the nearest owner is at %g, want %g", distance, want)
 				}
 				count := 0
 				for _, points := range reference {
@@ -71,23 +75,17 @@
 					return true
 				})
 				if seen != count || ring.Points() != count {
-					t.Fatalf("a walk meets %d points of %d, %d are counted", seen, count, ring.Points())
+					t.Fatalf("a walk visits %d of %d points, Points returns %d", seen, count, ring.Points())
 				}
 			},
 		})
 	})
 }
 
-// When one of many goes, only what it had moves.
+// When one of many owners is removed, only the positions that it owned move to others.
 func TestRemovalMovesOnlyTheOwnersPositions(t *testing.T) {
-	random := rand.New(rand.NewSource(1))
-	ring, points := New(), map[uint32][]uint64{}
-	for owner := range uint32(100) {
-		for range 64 {
-			points[owner] = append(points[owner], random.Uint64())
-		}
-		ring.Add(owner, points[owner])
-	}
+	ring, points := newFilledRing(100)
+	random := rand.New(rand.NewSource(2))
 	equalWeight := func(uint32) float64 { return 1 }
 	positions := make([]uint64, 20_000)
 	before := make([]uint32, len(positions))
@@ -101,16 +99,17 @@
 		switch owner, _, _ := ring.Nearest(position, 1, equalWeight); {
 		case owner == before[i]:
 		case before[i] != 7:
-			t.Fatalf("a spot has moved from %d to %d when 7 went", before[i], owner)
+			t.Fatalf("a position moved from owner %d to %d when 7 was removed", before[i], owner)
 		default:
 			moved++
 		}
 	}
 	if movedFraction := float64(moved) / float64(len(positions)); movedFraction < 0.005 || movedFraction > 0.02 {
-		t.Errorf("%.4f of the spots have moved, about 0.01 is wanted", movedFraction)
+		t.Errorf("%.4f of the positions moved, want about 0.01", movedFraction)
 	}
 }
 
+// newFilledRing returns a ring with 64 random points for each owner, and the points by owner.
 func newFilledRing(owners int) (*Ring, [][]uint64) {
 	random := rand.New(rand.NewSource(1))
 	ring, points := New(), make([][]uint64, owners)
@@ -127,7 +126,7 @@
 	for _, owners := range []int{15, 75, 300, 1000, 3000} {
 		b.Run(fmt.Sprint(owners), func(b *testing.B) {
 			ring, _ := newFilledRing(owners)
-			weight := func(owner uint32) float64 { // a fifth cold, a tenth not to be taken
+			weight := func(owner uint32) float64 { // a fifth in slow start, a tenth ejected
 				switch {
 				case owner%10 == 3:
 					return 0
