--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -115,6 +115,67 @@
 	return keys[rapid.IntRange(0, len(keys)-1).Draw(t, label)], true
 }
 
+func drawArrival(t *rapid.T, id uint64, now Micros) Arrival {
+	return Arrival{
+		ID:       id,
+		Tenant:   rapid.IntRange(-1, 4).Draw(t, "tenant"),
+		Client:   rapid.Uint64Range(1, 9).Draw(t, "client"),
+		Class:    rapid.IntRange(0, 1).Draw(t, "class"),
+		Key:      rapid.Uint64Range(0, 12).Draw(t, "key"),
+		IsRetry:  rapid.Bool().Draw(t, "isRetry"),
+		CostHint: rapid.Int64Range(0, 50*millisecond).Draw(t, "cost"),
+		Deadline: now + rapid.Int64Range(1, 3*second).Draw(t, "deadline"),
+		Bytes:    rapid.IntRange(0, 900).Draw(t, "bytes"),
+	}
+}
+
+// checkInvariants fails the test where a limit is exceeded, a request in progress is not counted, or two requests with one
+// idempotency key are in progress together.
+func (c *testController) checkInvariants(t *rapid.T, limits Limits, idempotencyKeys map[uint64]uint64) {
+	t.Helper()
+	status := c.Status()
+	exceedsRequests := status.Waiting+status.InProgress > limits.Requests && status.InProgress <= limits.Requests
+	exceedsBytes := status.Bytes > limits.Bytes && status.Waiting > 0
+	if exceedsRequests || exceedsBytes {
+		t.Fatalf("limits %+v exceeded: %+v", limits, status)
+	}
+	if status.InProgress != len(c.inProgress) {
+		t.Fatalf("%d requests are in progress, the controller counts %d", len(c.inProgress), status.InProgress)
+	}
+	holders := map[uint64]uint64{}
+	for id := range c.inProgress {
+		key := idempotencyKeys[id]
+		if key != 0 && holders[key] != 0 {
+			t.Fatalf("requests %d and %d with one idempotency key are in progress together", holders[key], id)
+		}
+		holders[key] = id
+	}
+}
+
+// finishAll lets every request end, and fails the test where one is left or got other than one final answer.
+func (c *testController) finishAll(t *rapid.T) {
+	t.Helper()
+	for range 40 {
+		for id := range c.inProgress {
+			c.finish(id, Succeeded)
+		}
+		c.advance(200 * millisecond)
+	}
+	for id := range c.inProgress {
+		c.finish(id, Succeeded)
+	}
+	status := c.Status()
+	if status.Waiting+status.InProgress > 0 || status.Bytes != 0 || len(c.unanswered)+len(c.requests)+len(c.byRetryKey) > 0 {
+		t.Fatalf("left at the end: %+v, %d unanswered, %d requests, %d retry keys",
+			status, len(c.unanswered), len(c.requests), len(c.byRetryKey))
+	}
+	for id, count := range c.finalAnswers {
+		if count != 1 {
+			t.Fatalf("request %d got %d final answers", id, count)
+		}
+	}
+}
+
 // Over any interleaving of arrivals, finished requests, clients that leave and a drain, each request gets one final answer, no two
 // requests with one idempotency key are in progress together, and the limits hold.
 func TestEveryRequestGetsOneFinalAnswer(t *testing.T) {
@@ -127,14 +188,9 @@
 		for id := uint64(1); id < 400; id++ {
 			switch rapid.IntRange(0, 9).Draw(t, "action") {
 			default:
-				arrival := Arrival{
-					ID: id, Tenant: rapid.IntRange(-1, 4).Draw(t, "tenant"), Client: rapid.Uint64Range(1, 9).Draw(t, "client"),
-					Class: rapid.IntRange(0, 1).Draw(t, "class"), Key: rapid.Uint64Range(0, 12).Draw(t, "key"),
-					IsRetry: rapid.Bool().Draw(t, "isRetry"), CostHint: rapid.Int64Range(0, 50*millisecond).Draw(t, "cost"),
-					Deadline: c.now + rapid.Int64Range(1, 3*second).Draw(t, "deadline"), Bytes: rapid.IntRange(0, 900).Draw(t, "bytes"),
-				}
+				arrival := drawArrival(t, id, c.now)
 				c.arrive(arrival)
-				if arrival.Class == 1 && arrival.Key > 0 {
+				if testClasses[arrival.Class].Keyed && arrival.Key > 0 {
 					idempotencyKeys[id] = arrival.Key<<8 | uint64(arrival.Tenant&7)
 				}
 			case 5, 6, 7:
@@ -145,7 +201,8 @@
 					c.finish(picked, Result(rapid.IntRange(0, 3).Draw(t, "result")))
 				}
 			case 8:
-				if picked, found := drawKey(t, c.unanswered, "abandoned"); found && !c.inProgress[picked] && !c.isCoalesced(picked) {
+				picked, found := drawKey(t, c.unanswered, "abandoned")
+				if found && !c.inProgress[picked] && !c.isCoalesced(picked) {
 					c.recordFinalAnswer(picked)
 					c.apply(c.Abandon(c.now, picked))
 				}
@@ -156,38 +213,9 @@
 					c.apply(c.Drain(c.now, c.now+second))
 				}
 			}
-			status := c.Status()
-			if status.Waiting+status.InProgress > limits.Requests && status.InProgress <= limits.Requests || status.Bytes > limits.Bytes && status.Waiting > 0 {
-				t.Fatalf("limits %+v exceeded: %+v", limits, status)
-			}
-			if status.InProgress != len(c.inProgress) {
-				t.Fatalf("%d requests are in progress, the controller counts %d", len(c.inProgress), status.InProgress)
-			}
-			holders := map[uint64]uint64{}
-			for admitted := range c.inProgress {
-				if key := idempotencyKeys[admitted]; key != 0 && holders[key] != 0 {
-					t.Fatalf("requests %d and %d with one idempotency key are in progress together", holders[key], admitted)
-				}
-				holders[idempotencyKeys[admitted]] = admitted
-			}
-		}
-		for id := range c.inProgress {
-			c.finish(id, Succeeded)
-		}
-		for range 40 {
-			c.advance(200 * millisecond)
-			for id := range c.inProgress {
-				c.finish(id, Succeeded)
-			}
-		}
-		if status := c.Status(); status.Waiting+status.InProgress > 0 || len(c.unanswered) > 0 || status.Bytes != 0 || len(c.requests)+len(c.byRetryKey) > 0 {
-			t.Fatalf("left at the end: %+v, %d unanswered, %d requests, %d retry keys", status, len(c.unanswered), len(c.requests), len(c.byRetryKey))
-		}
-		for id, count := range c.finalAnswers {
-			if count != 1 {
-				t.Fatalf("request %d got %d final answers", id, count)
-			}
+			c.checkInvariants(t, limits, idempotencyKeys)
 		}
+		c.finishAll(t)
 	})
 }
 
--- a/internal/admission/queues.go
+++ b/internal/admission/queues.go
@@ -37,28 +37,28 @@
 }
 
 // shardSize is the number of its tenant's queues that a client may be put into (shuffle sharding); it is put into the
-// cheapest of them. Few pairs of clients have all of them in common, so a client that floods delays hardly any other, and it
+// least loaded of them. Few pairs of clients have all of them in common, so a client that floods delays hardly any other, and it
 // holds four queues at the most.
 const shardSize = 4
 
 // chooseQueue returns the queue for a request.
 func (c *Controller) chooseQueue(request *trackedRequest) *clientQueue {
 	queues := request.tenant.queues
-	var cheapest *clientQueue
+	var leastLoaded *clientQueue
 	hash := mix(c.hashSeed ^ request.Client)
 	for range shardSize {
 		queue := &queues[hash%uint64(len(queues))]
-		if cheapest == nil || queue.cost < cheapest.cost {
-			cheapest = queue
+		if leastLoaded == nil || queue.cost < leastLoaded.cost {
+			leastLoaded = queue
 		}
 		hash = mix(hash)
 	}
-	if cheapest.priorities == nil {
-		cheapest.priorities = make([]requestList, c.priorityCount)
-		cheapest.flow.owner = cheapest
-		cheapest.flow.heapIndex = -1
+	if leastLoaded.priorities == nil {
+		leastLoaded.priorities = make([]requestList, c.priorityCount)
+		leastLoaded.flow.owner = leastLoaded
+		leastLoaded.flow.heapIndex = -1
 	}
-	return cheapest
+	return leastLoaded
 }
 
 // enqueue puts a request at the end of its queue, and into the timing wheel where it is not in it yet.
@@ -148,7 +148,7 @@
 }
 
 // evictionCandidate returns the request to reject when a limit is reached: the newest one of the lowest priority in the
-// most expensive queue of the tenant that waits with most beyond its share. It is nil where no queue holds a request.
+// most loaded queue of the tenant that waits with most beyond its share. It is nil where no queue holds a request.
 // The request that arrived last is not the one at fault for having come last.
 func (c *Controller) evictionCandidate() *trackedRequest {
 	var worst *tenantState
@@ -160,13 +160,13 @@
 	if worst == nil {
 		return nil
 	}
-	var mostExpensive *clientQueue
+	var mostLoaded *clientQueue
 	for _, entry := range worst.queueScheduler.active {
-		if queue := entry.flow.owner; mostExpensive == nil || queue.cost > mostExpensive.cost {
-			mostExpensive = queue
+		if queue := entry.flow.owner; mostLoaded == nil || queue.cost > mostLoaded.cost {
+			mostLoaded = queue
 		}
 	}
-	return mostExpensive.last()
+	return mostLoaded.last()
 }
 
 // first returns the request that the queue serves next; nil: it is empty.
