--- /dev/null
+++ b/internal/admission/controller_test.go
@@ -0,0 +1,325 @@
+package admission
+
+import (
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// testController carries out a controller's commands and records what each request was answered, by its ID.
+type testController struct {
+	*Controller
+	now          Micros
+	finalAnswers map[uint64]int
+	unanswered   map[uint64]bool // arrived, without a final answer
+	inProgress   map[uint64]bool
+	coalesced    map[uint64][]uint64 // by the request whose answer they share
+	rejected     map[uint64]Command
+	admitted     []uint64 // in order of admission
+}
+
+// testClasses are an unkeyed class and a keyed one of a higher priority.
+var testClasses = []RequestClass{
+	{LatencyObjective: second, Timeout: 3 * second, PriorityWeight: 1},
+	{LatencyObjective: second, Timeout: 3 * second, PriorityWeight: 5, Keyed: true},
+}
+
+func newTestController(weights []float64, limits Limits, coalescesRetries bool) *testController {
+	var tenants []Tenant
+	for _, weight := range weights {
+		tenants = append(tenants, Tenant{weight})
+	}
+	return &testController{
+		Controller:   New(testClasses, tenants, limits, RetryAfterLimits{Max: 2 * second}, coalescesRetries, 7),
+		finalAnswers: map[uint64]int{},
+		unanswered:   map[uint64]bool{},
+		inProgress:   map[uint64]bool{},
+		coalesced:    map[uint64][]uint64{},
+		rejected:     map[uint64]Command{},
+	}
+}
+
+func (c *testController) recordFinalAnswer(id uint64) {
+	c.finalAnswers[id]++
+	delete(c.unanswered, id)
+}
+
+func (c *testController) isCoalesced(id uint64) bool {
+	for _, followers := range c.coalesced {
+		if slices.Contains(followers, id) {
+			return true
+		}
+	}
+	return false
+}
+
+func (c *testController) apply(commands []Command) {
+	for _, command := range commands {
+		switch command.Kind {
+		case Admit:
+			c.inProgress[command.ID] = true
+			c.admitted = append(c.admitted, command.ID)
+		case Reject:
+			c.recordFinalAnswer(command.ID)
+			c.rejected[command.ID] = command
+		case Coalesce:
+			c.coalesced[command.LeaderID] = append(c.coalesced[command.LeaderID], command.ID)
+		}
+	}
+}
+
+func (c *testController) arrive(arrival Arrival) {
+	c.unanswered[arrival.ID] = true
+	if arrival.Deadline == 0 {
+		arrival.Deadline = c.now + testClasses[arrival.Class].Timeout
+	}
+	c.apply(c.Arrive(c.now, arrival))
+}
+
+func (c *testController) finish(id uint64, result Result) {
+	if !c.inProgress[id] {
+		return
+	}
+	delete(c.inProgress, id)
+	c.recordFinalAnswer(id)
+	for _, follower := range c.coalesced[id] {
+		c.recordFinalAnswer(follower)
+	}
+	delete(c.coalesced, id)
+	c.apply(c.Finish(c.now, id, result))
+}
+
+// advance lets time pass and fires the timers that are due.
+func (c *testController) advance(duration Micros) {
+	for end := c.now + duration; ; {
+		next := c.NextTimer()
+		if next == 0 || next > end {
+			c.now = end
+			return
+		}
+		c.now = max(c.now, next)
+		c.apply(c.TimerFired(c.now))
+	}
+}
+
+// drawKey draws one of a map's keys; found is false where it has none.
+func drawKey[V any](t *rapid.T, values map[uint64]V, label string) (key uint64, found bool) {
+	if len(values) == 0 {
+		return 0, false
+	}
+	keys := slices.Sorted(maps.Keys(values))
+	return keys[rapid.IntRange(0, len(keys)-1).Draw(t, label)], true
+}
+
+func drawArrival(t *rapid.T, id uint64, now Micros) Arrival {
+	return Arrival{
+		ID:       id,
+		Tenant:   rapid.IntRange(-1, 4).Draw(t, "tenant"),
+		Client:   rapid.Uint64Range(1, 9).Draw(t, "client"),
+		Class:    rapid.IntRange(0, 1).Draw(t, "class"),
+		Key:      rapid.Uint64Range(0, 12).Draw(t, "key"),
+		IsRetry:  rapid.Bool().Draw(t, "isRetry"),
+		CostHint: rapid.Int64Range(0, 50*millisecond).Draw(t, "cost"),
+		Deadline: now + rapid.Int64Range(1, 3*second).Draw(t, "deadline"),
+		Bytes:    rapid.IntRange(0, 900).Draw(t, "bytes"),
+	}
+}
+
+// checkInvariants fails the test where a limit is exceeded, a request in progress is not counted, or two requests with one
+// idempotency key are in progress together.
+func (c *testController) checkInvariants(t *rapid.T, limits Limits, idempotencyKeys map[uint64]uint64) {
+	t.Helper()
+	status := c.Status()
+	exceedsRequests := status.Waiting+status.InProgress > limits.Requests && status.InProgress <= limits.Requests
+	exceedsBytes := status.Bytes > limits.Bytes && status.Waiting > 0
+	if exceedsRequests || exceedsBytes {
+		t.Fatalf("limits %+v exceeded: %+v", limits, status)
+	}
+	if status.InProgress != len(c.inProgress) {
+		t.Fatalf("%d requests are in progress, the controller counts %d", len(c.inProgress), status.InProgress)
+	}
+	holders := map[uint64]uint64{}
+	for id := range c.inProgress {
+		key := idempotencyKeys[id]
+		if key != 0 && holders[key] != 0 {
+			t.Fatalf("requests %d and %d with one idempotency key are in progress together", holders[key], id)
+		}
+		holders[key] = id
+	}
+}
+
+// finishAll lets every request end, and fails the test where one is left or got other than one final answer.
+func (c *testController) finishAll(t *rapid.T) {
+	t.Helper()
+	for range 40 {
+		for id := range c.inProgress {
+			c.finish(id, Succeeded)
+		}
+		c.advance(200 * millisecond)
+	}
+	for id := range c.inProgress {
+		c.finish(id, Succeeded)
+	}
+	status := c.Status()
+	if status.Waiting+status.InProgress > 0 || status.Bytes != 0 || len(c.unanswered)+len(c.requests)+len(c.byRetryKey) > 0 {
+		t.Fatalf("left at the end: %+v, %d unanswered, %d requests, %d retry keys",
+			status, len(c.unanswered), len(c.requests), len(c.byRetryKey))
+	}
+	for id, count := range c.finalAnswers {
+		if count != 1 {
+			t.Fatalf("request %d got %d final answers", id, count)
+		}
+	}
+}
+
+// Over any interleaving of arrivals, finished requests, clients that leave and a drain, each request gets one final answer, no two
+// requests with one idempotency key are in progress together, and the limits hold.
+func TestEveryRequestGetsOneFinalAnswer(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		coalescesRetries := rapid.Bool().Draw(t, "coalescesRetries")
+		limits := Limits{Requests: rapid.IntRange(3, 60).Draw(t, "requests"), Bytes: 20000, Queues: 4}
+		c := newTestController([]float64{0.5, 0.3, 0.2}, limits, coalescesRetries)
+		idempotencyKeys := map[uint64]uint64{} // by request
+		isDraining := false
+		for id := uint64(1); id < 400; id++ {
+			switch rapid.IntRange(0, 9).Draw(t, "action") {
+			default:
+				arrival := drawArrival(t, id, c.now)
+				c.arrive(arrival)
+				if testClasses[arrival.Class].Keyed && arrival.Key > 0 {
+					idempotencyKeys[id] = arrival.Key<<8 | uint64(arrival.Tenant&7)
+				}
+			case 5, 6, 7:
+				if picked, found := drawKey(t, c.inProgress, "finished"); found {
+					if rapid.Bool().Draw(t, "sent") {
+						c.apply(c.AttemptSent(c.now, picked))
+					}
+					c.finish(picked, Result(rapid.IntRange(0, 3).Draw(t, "result")))
+				}
+			case 8:
+				picked, found := drawKey(t, c.unanswered, "abandoned")
+				if found && !c.inProgress[picked] && !c.isCoalesced(picked) {
+					c.recordFinalAnswer(picked)
+					c.apply(c.Abandon(c.now, picked))
+				}
+			case 9:
+				c.advance(rapid.Int64Range(1, 300*millisecond).Draw(t, "time"))
+				if id > 300 && !isDraining {
+					isDraining = true
+					c.apply(c.Drain(c.now, c.now+second))
+				}
+			}
+			c.checkInvariants(t, limits, idempotencyKeys)
+		}
+		c.finishAll(t)
+	})
+}
+
+// flood sends many requests of one tenant and returns the next free ID.
+func flood(c *testController, tenant, count int, firstID uint64) uint64 {
+	for i := range count {
+		c.arrive(Arrival{ID: firstID + uint64(i), Tenant: tenant, Client: uint64(i) % 50, CostHint: 20 * millisecond})
+	}
+	return firstID + uint64(count)
+}
+
+// fixLimit fixes the concurrency limit and the mean response time.
+func fixLimit(c *testController, ceiling float64) {
+	c.concurrency = concurrencyLimit{current: ceiling, ceiling: ceiling, roundStart: math.MaxInt64 / 2}
+	c.meanResponseTime = 20000
+}
+
+// A request that cannot be admitted in time is rejected on arrival, and one that was queued on a wrong estimate at its deadline.
+func TestRequestThatCannotMeetItsDeadlineIsRejectedOnArrival(t *testing.T) {
+	c := newTestController([]float64{1}, Limits{Requests: 500, Bytes: 1 << 20, Queues: 8}, false)
+	fixLimit(c, 1)
+	c.meanResponseTime = float64(100 * millisecond)
+	for id := uint64(1); id <= 100; id++ {
+		c.arrive(Arrival{ID: id, Client: id, CostHint: 100 * millisecond})
+	}
+	if waiting := c.Status().Waiting; waiting > 8 || waiting < 2 {
+		t.Errorf("%d requests wait, want about half a second of work", waiting)
+	}
+	c.advance(600 * millisecond)
+	if waiting := c.Status().Waiting; waiting != 0 {
+		t.Errorf("%d requests wait after their deadline", waiting)
+	}
+}
+
+// A drain rejects at once what will not be admitted in time, and leaves no request behind.
+func TestDrainEmptiesTheQueues(t *testing.T) {
+	c := newTestController([]float64{1}, Limits{Requests: 500, Bytes: 1 << 20, Queues: 8}, false)
+	fixLimit(c, 1)
+	flood(c, 0, 20, 1)
+	c.apply(c.Drain(c.now, c.now+100*millisecond))
+	if waiting := c.Status().Waiting; waiting > 8 || waiting < 2 { // of 19, to within one for each queue
+		t.Errorf("%d requests wait, there is time for five", waiting)
+	}
+	c.advance(150 * millisecond)
+	if waiting := c.Status().Waiting; waiting != 0 {
+		t.Errorf("%d requests wait after the drain", waiting)
+	}
+	c.arrive(Arrival{ID: 900, Client: 1, CostHint: millisecond})
+	if c.rejected[900].Reason == NoReason {
+		t.Error("a request that arrived after the drain waits")
+	}
+}
+
+// Clients that send a single request leave no record behind.
+func TestRecordsStayBounded(t *testing.T) {
+	c := newTestController([]float64{1}, Limits{Requests: 100, Bytes: 1 << 20, Queues: 16}, false)
+	peak := 0
+	for id := uint64(1); id <= 50000; id++ {
+		c.now += millisecond / 4
+		c.arrive(Arrival{ID: id, Client: id, Key: id, Class: 1, CostHint: 20 * millisecond})
+		c.advance(0)
+		if id%5 == 0 {
+			for admitted := range c.inProgress {
+				c.finish(admitted, Succeeded)
+				break
+			}
+		}
+		peak = max(peak, len(c.requests)+len(c.byRetryKey)+len(c.reservations.byRetryKey)+len(c.reservations.free))
+		clear(c.rejected)
+	}
+	if peak > 500 {
+		t.Errorf("%d records are held", peak)
+	}
+}
+
+// BenchmarkAdmitAndFinish measures one arrival and one finished request, with few queues and with many.
+func BenchmarkAdmitAndFinish(b *testing.B) {
+	for _, queues := range []int{10, 10000} {
+		b.Run(fmt.Sprint(queues), func(b *testing.B) {
+			c := New(testClasses, []Tenant{{0.5}, {0.5}}, Limits{Requests: 100000, Bytes: 1 << 40, Queues: queues}, RetryAfterLimits{}, false, 7)
+			c.concurrency = concurrencyLimit{current: 1, ceiling: 1, roundStart: math.MaxInt64 / 2}
+			c.classes = []RequestClass{{LatencyObjective: math.MaxInt64 / 4, Timeout: math.MaxInt64 / 4, PriorityWeight: 1}}
+			now, id, admitted := Micros(1), uint64(0), uint64(1)
+			arrive := func() {
+				id++
+				for _, command := range c.Arrive(now, Arrival{ID: id, Tenant: int(id & 1), Client: id * 7, CostHint: millisecond, Deadline: math.MaxInt64 / 4}) {
+					if command.Kind == Admit {
+						admitted = command.ID
+					}
+				}
+			}
+			for range 2*queues + 10 {
+				arrive()
+			}
+			b.ReportAllocs()
+			for b.Loop() {
+				now += 10
+				arrive()
+				for _, command := range c.Finish(now, admitted, Succeeded) {
+					if command.Kind == Admit {
+						admitted = command.ID
+					}
+				}
+			}
+		})
+	}
+}
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -3,86 +3,129 @@
 import (
 	"fmt"
 	"math/rand"
+	"slices"
 	"strings"
 	"testing"
 
 	"switchfork/internal/golden"
 )
 
-// goldenSteps of a stream: enough for queues to fill, promises to be kept and broken, and a drain.
+// goldenSteps is enough for queues to fill, reservations to be honored and missed, and a drain.
 const goldenSteps = 8000
 
-// The same calls give the same orders as ever: the file's sums were made before names and shape of this package changed.
+// goldenStream drives a controller with random calls and digests all that it answers.
+type goldenStream struct {
+	controller   *Controller
+	random       *rand.Rand
+	digest       *golden.Digest
+	commandCount int
+	now          Micros
+	arrived      []uint64
+	inProgress   []uint64
+}
+
+func newGoldenStream(limits Limits, coalescesRetries bool, seed int64) *goldenStream {
+	tenants := []Tenant{{0.5}, {0.3}, {0.2}}
+	return &goldenStream{
+		controller: New(testClasses, tenants, limits, RetryAfterLimits{Max: 2 * second}, coalescesRetries, seed),
+		random:     rand.New(rand.NewSource(seed)),
+		digest:     golden.NewDigest(Command{}, Status{}, Counters{}, TenantStatus{}, Micros(0)),
+		now:        1000 * second,
+	}
+}
+
+func (s *goldenStream) record(commands []Command) {
+	for _, command := range commands {
+		s.commandCount++
+		s.digest.Add(command)
+		if command.Kind == Admit {
+			s.inProgress = append(s.inProgress, command.ID)
+		}
+	}
+}
+
+// takeOne removes a random ID from a list.
+func (s *goldenStream) takeOne(ids *[]uint64) uint64 {
+	i := s.random.Intn(len(*ids))
+	id := (*ids)[i]
+	*ids = slices.Delete(*ids, i, i+1)
+	return id
+}
+
+func (s *goldenStream) arrive(id uint64) {
+	s.arrived = append(s.arrived, id)
+	s.record(s.controller.Arrive(s.now, Arrival{
+		ID:       id,
+		Tenant:   s.random.Intn(6) - 1,
+		Client:   uint64(1 + s.random.Intn(9)),
+		Class:    s.random.Intn(2),
+		Key:      uint64(s.random.Intn(40)),
+		IsRetry:  s.random.Intn(3) == 0,
+		CostHint: s.random.Int63n(50 * millisecond),
+		Deadline: s.now + s.random.Int63n(3*second),
+		Bytes:    s.random.Intn(900),
+	}))
+}
+
+func (s *goldenStream) finishOne() {
+	if len(s.inProgress) == 0 {
+		return
+	}
+	id := s.takeOne(&s.inProgress)
+	if s.random.Intn(2) == 0 {
+		s.record(s.controller.AttemptSent(s.now, id))
+	}
+	s.record(s.controller.Finish(s.now, id, Result(s.random.Intn(4))))
+}
+
+func (s *goldenStream) abandonOne() {
+	if len(s.arrived) > 0 {
+		s.record(s.controller.Abandon(s.now, s.takeOne(&s.arrived)))
+	}
+}
+
+// step fires the timers that are due and makes one call, or lets time pass.
+func (s *goldenStream) step(id uint64) {
+	for next := s.controller.NextTimer(); next > 0 && next <= s.now; next = s.controller.NextTimer() {
+		s.record(s.controller.TimerFired(s.now))
+	}
+	s.digest.Add(s.controller.NextTimer())
+	switch action := s.random.Intn(20); {
+	case action < 9:
+		s.arrive(id)
+	case action < 15:
+		s.finishOne()
+	case action < 16:
+		s.abandonOne()
+	case action < 17:
+		s.controller.SetWeights([]Tenant{{0.1 + s.random.Float64()}, {0.3}, {0.2}})
+	default:
+		s.now += s.random.Int63n(120 * millisecond)
+	}
+	if id == goldenSteps*9/10 {
+		s.record(s.controller.Drain(s.now, s.now+2*second))
+	}
+}
+
+// The same calls produce the same commands as ever: the file's digests were made before names and shape of this package changed.
 func TestGoldenDecisions(t *testing.T) {
-	var out strings.Builder
-	for _, shared := range []bool{false, true} {
-		for _, room := range []Limits{{Requests: 20, Bytes: 20000, Queues: 4}, {Requests: 300, Bytes: 300000, Queues: 16}} {
+	var summary strings.Builder
+	for _, coalescesRetries := range []bool{false, true} {
+		for _, limits := range []Limits{{Requests: 20, Bytes: 20000, Queues: 4}, {Requests: 300, Bytes: 300000, Queues: 16}} {
 			for seed := int64(1); seed <= 3; seed++ {
-				chance := rand.New(rand.NewSource(seed))
-				d := New([]RequestClass{{LatencyObjective: second, Timeout: 3 * second, PriorityWeight: 1}, {LatencyObjective: second, Timeout: 3 * second, PriorityWeight: 5, Keyed: true}},
-					[]Tenant{{0.5}, {0.3}, {0.2}}, room, RetryAfterLimits{Max: 2 * second}, shared, seed)
-				digest := golden.NewDigest(Command{}, Status{}, Counters{}, TenantStatus{}, Micros(0))
-				now, orders := 1000*second, 0
-				var in, waiting []uint64
-				carry := func(list []Command) {
-					for _, o := range list {
-						orders++
-						digest.Add(o)
-						switch o.Kind {
-						case Admit:
-							in = append(in, o.ID)
-						case Reject, Coalesce:
-						}
-					}
-				}
-				remove := func(from *[]uint64) uint64 {
-					i := chance.Intn(len(*from))
-					id := (*from)[i]
-					*from = append((*from)[:i], (*from)[i+1:]...)
-					return id
-				}
+				stream := newGoldenStream(limits, coalescesRetries, seed)
 				for id := uint64(1); id <= goldenSteps; id++ {
-					for next := d.NextTimer(); next > 0 && next <= now; next = d.NextTimer() {
-						carry(d.TimerFired(now))
-					}
-					digest.Add(d.NextTimer())
-					switch n := chance.Intn(20); {
-					case n < 9:
-						waiting = append(waiting, id)
-						carry(d.Arrive(now, Arrival{
-							ID: id, Tenant: chance.Intn(6) - 1, Client: uint64(1 + chance.Intn(9)), Class: chance.Intn(2),
-							Key: uint64(chance.Intn(40)), IsRetry: chance.Intn(3) == 0, CostHint: Micros(chance.Int63n(int64(50 * ms))),
-							Deadline: now + Micros(chance.Int63n(int64(3*second))), Bytes: chance.Intn(900),
-						}))
-					case n < 15:
-						if len(in) > 0 {
-							some := remove(&in)
-							if chance.Intn(2) == 0 {
-								carry(d.AttemptSent(now, some))
-							}
-							carry(d.Finish(now, some, Result(chance.Intn(4))))
-						}
-					case n < 16:
-						if len(waiting) > 0 {
-							carry(d.Abandon(now, remove(&waiting)))
-						}
-					case n < 17:
-						d.SetWeights([]Tenant{{0.1 + chance.Float64()}, {0.3}, {0.2}})
-					default:
-						now += Micros(chance.Int63n(int64(120 * ms)))
-					}
-					if id == goldenSteps*9/10 {
-						carry(d.Drain(now, now+2*second))
-					}
+					stream.step(id)
 				}
-				digest.Add(d.Status())
-				digest.Add(d.Counters)
+				stream.digest.Add(stream.controller.Status())
+				stream.digest.Add(stream.controller.Counters)
 				for tenant := range 4 {
-					digest.Add(d.Tenant(tenant))
+					stream.digest.Add(stream.controller.Tenant(tenant))
 				}
-				fmt.Fprintf(&out, "shared %t room %d seed %d: %d orders %s\n", shared, room.Requests, seed, orders, digest)
+				fmt.Fprintf(&summary, "shared %t room %d seed %d: %d orders %s\n",
+					coalescesRetries, limits.Requests, seed, stream.commandCount, stream.digest)
 			}
 		}
 	}
-	golden.Check(t, "decisions.golden", out.String())
+	golden.Check(t, "decisions.golden", summary.String())
 }
--- a/internal/hashring/ring.go
+++ b/internal/hashring/ring.go
@@ -1,132 +1,142 @@
-// Package hashring holds the points of one build's appliances on a circle of 64-bit hashes, and finds the owners of the next
-// points clockwise from a spot. It owns the points; it must never know why an appliance may or may not be taken.
+// Package hashring is a consistent-hash ring: it holds the points of endpoints on a circle of 64-bit hashes and finds the owners
+// of the next points clockwise from a position, weighted if wanted. It knows nothing of why an endpoint may or may not be
+// chosen; its caller says so by weight.
 //
-// The points lie in buckets by their highest bits, so that a look-up takes a bucket and not a search of all, and a change of
-// one appliance touches its own points' buckets only. Use: one Ring a build, from one goroutine; no I/O, no clock.
+// No package imports it yet. The routing policy searches the points of each endpoint separately, at a cost that grows with the
+// number of endpoints; this ring is the groundwork for a larger ring there.
+//
+// The points lie in buckets by their highest bits, so that a lookup reads a bucket instead of searching all points, and a
+// change of one endpoint touches the buckets of its own points only. A Ring is for one goroutine; it does no I/O and reads
+// no clock.
 package hashring
 
 import (
+	"cmp"
 	"math"
 	"math/bits"
 	"slices"
 )
 
-// Point is a place on the circle, and whose it is: 16 bytes with the alignment.
+// Point is a position on the ring and its owner: 16 bytes with the alignment.
 type Point struct {
 	Hash  uint64
 	Owner uint32
 }
 
-// Ring is a circle of points.
+// Ring is a consistent-hash ring. Create it with New.
 type Ring struct {
-	buckets [][]Point // each sorted by hash, then owner
-	shift   uint      // of a hash to its bucket
-	points  int
+	buckets    [][]Point // each sorted by hash, then owner
+	shift      uint      // from a hash to the index of its bucket
+	pointCount int
 }
 
 const (
-	// fill is the mean number of points in a bucket: a few, so that one cache line or two hold it; over fillMost there are
-	// twice as many buckets, under fillLeast half.
-	fill, fillMost, fillLeast = 4, 8, 1
-	firstBuckets              = 16
+	// targetBucketSize is the mean number of points in a bucket after a resize: few enough for one or two cache lines.
+	targetBucketSize = 4
+	// maxMeanBucketSize and minMeanBucketSize are the means beyond which the number of buckets grows and shrinks.
+	maxMeanBucketSize, minMeanBucketSize = 8, 1
+	// minBuckets is a power of two.
+	minBuckets = 16
+	hashBits   = 64
 )
 
-// New makes a circle without points.
+// New returns a ring without points.
 func New() *Ring {
-	return &Ring{buckets: make([][]Point, firstBuckets), shift: 64 - uint(bits.Len(firstBuckets-1))}
+	return &Ring{buckets: make([][]Point, minBuckets), shift: hashBits - uint(bits.Len(minBuckets-1))}
 }
 
-// Points is how many there are.
-func (r *Ring) Points() int { return r.points }
+// Points returns the number of points.
+func (r *Ring) Points() int { return r.pointCount }
 
-func order(a, b Point) int {
-	switch {
-	case a.Hash < b.Hash || a.Hash == b.Hash && a.Owner < b.Owner:
-		return -1
-	case a == b:
-		return 0
+func comparePoints(a, b Point) int {
+	if order := cmp.Compare(a.Hash, b.Hash); order != 0 {
+		return order
 	}
-	return 1
+	return cmp.Compare(a.Owner, b.Owner)
 }
 
-// Add puts an owner's points in; a point that is there already stays one.
+// Add adds points of an owner. A point that is there already is not added again.
 func (r *Ring) Add(owner uint32, hashes []uint64) {
-	for _, h := range hashes {
-		p := Point{h, owner}
-		b := &r.buckets[h>>r.shift]
-		if at, is := slices.BinarySearchFunc(*b, p, order); !is {
-			*b = slices.Insert(*b, at, p)
-			r.points++
+	for _, hash := range hashes {
+		point := Point{hash, owner}
+		bucket := &r.buckets[hash>>r.shift]
+		if index, found := slices.BinarySearchFunc(*bucket, point, comparePoints); !found {
+			*bucket = slices.Insert(*bucket, index, point)
+			r.pointCount++
 		}
 	}
-	if r.points > fillMost*len(r.buckets) {
-		r.spread(r.points / fill)
+	if r.pointCount > maxMeanBucketSize*len(r.buckets) {
+		r.resize(r.pointCount / targetBucketSize)
 	}
 }
 
-// Remove takes an owner's points out.
+// Remove removes points of an owner. A point that is not there is passed over.
 func (r *Ring) Remove(owner uint32, hashes []uint64) {
-	for _, h := range hashes {
-		b := &r.buckets[h>>r.shift]
-		if at, is := slices.BinarySearchFunc(*b, Point{h, owner}, order); is {
-			*b = slices.Delete(*b, at, at+1)
-			r.points--
+	for _, hash := range hashes {
+		bucket := &r.buckets[hash>>r.shift]
+		if index, found := slices.BinarySearchFunc(*bucket, Point{hash, owner}, comparePoints); found {
+			*bucket = slices.Delete(*bucket, index, index+1)
+			r.pointCount--
 		}
 	}
-	if len(r.buckets) > firstBuckets && r.points < fillLeast*len(r.buckets) {
-		r.spread(max(firstBuckets, r.points/fill))
+	if len(r.buckets) > minBuckets && r.pointCount < minMeanBucketSize*len(r.buckets) {
+		r.resize(max(minBuckets, r.pointCount/targetBucketSize))
 	}
 }
 
-// spread puts all points into another number of buckets, a power of two.
-func (r *Ring) spread(want int) {
-	n := uint(bits.Len(uint(want)))
-	old := r.buckets
-	r.buckets, r.shift = make([][]Point, 1<<n), 64-n
-	for _, b := range old {
-		for _, p := range b { // in the circle's order, so each bucket stays sorted
-			at := p.Hash >> r.shift
-			r.buckets[at] = append(r.buckets[at], p)
+// resize distributes all points over a number of buckets that is the next power of two above the given one.
+func (r *Ring) resize(bucketCount int) {
+	bucketBits := uint(bits.Len(uint(bucketCount)))
+	previous := r.buckets
+	r.buckets = make([][]Point, 1<<bucketBits)
+	r.shift = hashBits - bucketBits
+	for _, points := range previous {
+		for _, point := range points { // in the order of the ring, so each bucket stays sorted
+			bucket := &r.buckets[point.Hash>>r.shift]
+			*bucket = append(*bucket, point)
 		}
 	}
 }
 
-// Walk goes clockwise from a spot, once round, and tells each point's owner and the way to it; it ends where see says no.
-func (r *Ring) Walk(spot uint64, see func(owner uint32, way float64) bool) {
-	if r.points == 0 {
+// Walk goes clockwise from a position once round the ring and passes each point's owner and distance to visit. It ends early
+// where visit returns false.
+func (r *Ring) Walk(position uint64, visit func(owner uint32, distance float64) bool) {
+	if r.pointCount == 0 {
 		return
 	}
-	first := int(spot >> r.shift)
-	begin, _ := slices.BinarySearchFunc(r.buckets[first], Point{spot, 0}, order)
+	firstBucket := int(position >> r.shift)
+	firstIndex, _ := slices.BinarySearchFunc(r.buckets[firstBucket], Point{position, 0}, comparePoints)
 	for i := 0; i <= len(r.buckets); i++ {
-		b := r.buckets[(first+i)%len(r.buckets)]
+		points := r.buckets[(firstBucket+i)%len(r.buckets)]
 		switch i {
 		case 0:
-			b = b[begin:]
+			points = points[firstIndex:]
 		case len(r.buckets):
-			b = b[:begin] // the first bucket's beginning is the walk's end
+			points = points[:firstIndex] // the beginning of the first bucket is the end of the walk
 		}
-		for _, p := range b {
-			if !see(p.Owner, float64(p.Hash-spot)+1) {
+		for _, point := range points {
+			if !visit(point.Owner, float64(point.Hash-position)+1) {
 				return
 			}
 		}
 	}
 }
 
-// Nearest finds the owner whose way over its weight is the least, and that way over weight; of two alike the one met first.
-// weight tells an owner's, 0 for one that may not be taken, and is never over most. An owner's first point is its nearest, and
-// whoever comes later has a way at least as long: once that is over what the heaviest could make good, no later one can win.
-func (r *Ring) Nearest(spot uint64, most float64, weight func(owner uint32) float64) (owner uint32, by float64, found bool) {
-	by = math.Inf(1)
-	r.Walk(spot, func(o uint32, way float64) bool {
-		if way/most >= by {
+// Nearest returns the owner with the least distance over its weight, and that weighted distance; of equal ones, the one met
+// first. weight returns an owner's weight, 0 for one that must not be chosen, and never more than maxWeight.
+//
+// An owner's first point is its nearest one, and the walk's distances never decrease. Once the distance is so long that not
+// even maxWeight would make up for it, no later owner can win and the walk ends.
+func (r *Ring) Nearest(position uint64, maxWeight float64, weight func(owner uint32) float64) (owner uint32, weightedDistance float64, found bool) {
+	weightedDistance = math.Inf(1)
+	r.Walk(position, func(candidate uint32, distance float64) bool {
+		if distance/maxWeight >= weightedDistance {
 			return false
 		}
-		if w := weight(o); w > 0 && way/w < by {
-			owner, by, found = o, way/w, true
+		if candidateWeight := weight(candidate); candidateWeight > 0 && distance/candidateWeight < weightedDistance {
+			owner, weightedDistance, found = candidate, distance/candidateWeight, true
 		}
 		return true
 	})
-	return owner, by, found
+	return owner, weightedDistance, found
 }
