--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -21,7 +21,7 @@
 
 // A watch that ends goes on from the last version; numbers may be skipped, nothing old is told again, and after a
 // line that can't be read the whole list is fetched.
-func TestWatch(t *testing.T) {
+func TestWatchResumesFromLastVersion(t *testing.T) {
 	d := agenttest.NewStreamServer(t, "\n", 50*time.Millisecond, func(asked string) string {
 		if !strings.Contains(asked, "stream") {
 			return fakes.ListDocument(30, true, fakes.ListEntry("box", "127.0.0.1:1", "active", 9))
@@ -29,10 +29,10 @@
 		return fakes.ListDocument(12, false, fakes.ListEntry("box", "127.0.0.1:1", "active", 3))
 	})
 	r := newRig(t, d.Addr())
-	if err := r.roster.Known([]byte(fakes.ListDocument(10, true, fakes.ListEntry("box", "127.0.0.1:1", "active", 1)))); err != nil {
+	if err := r.client.Known([]byte(fakes.ListDocument(10, true, fakes.ListEntry("box", "127.0.0.1:1", "active", 1)))); err != nil {
 		t.Fatal(err)
 	}
-	go r.roster.Serve(r.Context)
+	go r.client.Serve(r.Context)
 	builds := func() (out []int) {
 		for _, l := range agenttest.Events[policy.EndpointUpdate](r.Router) {
 			for _, row := range l.Endpoints {
@@ -56,17 +56,17 @@
 }
 
 // A discovery that says it is full is asked again in the told time, not at once: all agents ask alike.
-func TestFullDiscoveryIsLeftAlone(t *testing.T) {
+func TestOverloadedDiscoveryIsNotRetriedAtOnce(t *testing.T) {
 	var calls atomic.Int64
 	full := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
 		http.Error(w, "full", http.StatusServiceUnavailable)
 	}))
 	defer full.Close()
-	roster := NewClient(agent.NewLoop(&agenttest.Router{}, agent.NewClock()), full.Listener.Addr().String(), []string{"suva"}, time.Second, 8*time.Second, 1, 1)
+	client := NewClient(agent.NewLoop(&agenttest.Router{}, agent.NewClock()), full.Listener.Addr().String(), []string{"suva"}, time.Second, 8*time.Second, 1, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go roster.Serve(ctx)
+	go client.Serve(ctx)
 	time.Sleep(1200 * time.Millisecond) // the next call is due 2 to 6 s after the first
 	if n := calls.Load(); n != 1 {
 		t.Errorf("%d calls in 1.2 s", n)
@@ -78,13 +78,13 @@
 // rig is an event loop with a discovery client.
 type rig struct {
 	*agenttest.Rig
-	roster *Client
+	client *Client
 }
 
 func newRig(t *testing.T, discovery string) *rig {
 	t.Helper()
 	r := &rig{Rig: agenttest.NewRig(t, time.Second)}
-	r.roster = NewClient(r.Loop, discovery, []string{agenttest.Zone}, time.Second, 0, 1, 1)
+	r.client = NewClient(r.Loop, discovery, []string{agenttest.Zone}, time.Second, 0, 1, 1)
 	return r
 }
 
@@ -97,8 +97,8 @@
 	return out.String() + "\n"
 }
 
-// states are what the module was last told of each host's build and state, by number.
-func (r *rig) states() map[uint32]policy.Endpoint {
+// endpoints are what the module was last told of each host's build and state, by number.
+func (r *rig) endpoints() map[uint32]policy.Endpoint {
 	out := map[uint32]policy.Endpoint{}
 	for _, l := range agenttest.Events[policy.EndpointUpdate](r.Router) {
 		if l.Full {
@@ -113,17 +113,17 @@
 	return out
 }
 
-// has waits until the module knows of so many hosts, and of the box with this build.
-func (r *rig) has(t *testing.T, hosts, build int) {
+// awaitHosts waits until the module knows of so many hosts, and of the box with this build.
+func (r *rig) awaitHosts(t *testing.T, hosts, build int) {
 	t.Helper()
 	agenttest.Eventually(t, fmt.Sprintf("a list of %d with build %d", hosts, build), func() bool {
-		s := r.states()
+		s := r.endpoints()
 		return len(s) == hosts && s[protocol.EndpointID("box")].Build == build
 	})
 }
 
 // Lists may come over several lines, whole as well as changes.
-func TestIndentedLists(t *testing.T) {
+func TestListsOverSeveralLines(t *testing.T) {
 	two := indented(fakes.ListDocument(5, true, fakes.ListEntry("box", "127.0.0.1:1", "active", 1), fakes.ListEntry("box2", "127.0.0.1:2", "active", 1)))
 	d := agenttest.NewStreamServer(t, "\n", 50*time.Millisecond, func(asked string) string {
 		if strings.Contains(asked, "stream") {
@@ -132,23 +132,23 @@
 		return two
 	})
 	r := newRig(t, d.Addr())
-	if err := r.roster.Known(nil); err != nil {
+	if err := r.client.Known(nil); err != nil {
 		t.Fatal(err)
 	}
-	go r.roster.Serve(r.Context)
-	r.has(t, 2, 1)
+	go r.client.Serve(r.Context)
+	r.awaitHosts(t, 2, 1)
 	agenttest.Eventually(t, "the watch", func() bool { return d.Open() == 1 })
 	d.Publish(indented(fakes.ListDocument(6, false, fakes.ListEntry("box", "127.0.0.1:1", "active", 2))))
-	r.has(t, 2, 2)
+	r.awaitHosts(t, 2, 2)
 	d.Publish(fakes.ListDocument(7, false, fakes.ListEntry("box", "127.0.0.1:1", "active", 3)) + indented(fakes.ListDocument(8, false, fakes.ListEntry("box2", "127.0.0.1:2", "left", 1))))
-	r.has(t, 1, 3)
+	r.awaitHosts(t, 1, 3)
 	if n := d.CallsContaining(""); n != 2 {
 		t.Errorf("asked %q", d.Targets())
 	}
 }
 
 // A list that lacks its end is found out by the next sign of life or the next list, and the whole list is fetched.
-func TestListWithoutItsEnd(t *testing.T) {
+func TestTruncatedListIsFetchedAgain(t *testing.T) {
 	cut := indented(fakes.ListDocument(6, false, fakes.ListEntry("box", "127.0.0.1:1", "leaving", 7)))
 	cut = cut[:strings.Index(cut, `"health"`)]
 	for name, rest := range map[string]string{
@@ -163,13 +163,13 @@
 				return fakes.ListDocument(9, true, fakes.ListEntry("box", "127.0.0.1:1", "active", 9))
 			})
 			r := newRig(t, d.Addr())
-			if err := r.roster.Known([]byte(fakes.ListDocument(5, true, fakes.ListEntry("box", "127.0.0.1:1", "active", 1)))); err != nil {
+			if err := r.client.Known([]byte(fakes.ListDocument(5, true, fakes.ListEntry("box", "127.0.0.1:1", "active", 1)))); err != nil {
 				t.Fatal(err)
 			}
-			go r.roster.Serve(r.Context)
+			go r.client.Serve(r.Context)
 			agenttest.Eventually(t, "the watch", func() bool { return d.Open() == 1 })
 			d.Publish(cut + "\n" + rest)
-			r.has(t, 1, 9)
+			r.awaitHosts(t, 1, 9)
 			for _, l := range agenttest.Events[policy.EndpointUpdate](r.Router) {
 				for _, row := range l.Endpoints {
 					if row.Build == 7 {
@@ -181,8 +181,8 @@
 	}
 }
 
-// moving is a rig that knows of version 5 and has been told a drain as version 9, before it moves to a discovery that is at version 7.
-func moving(t *testing.T, sign time.Duration) (r *rig, old, new *fakes.StreamServer) {
+// newMovingRig is a rig that knows of version 5 and has been told a drain as version 9, before it moves to a discovery that is at version 7.
+func newMovingRig(t *testing.T, sign time.Duration) (r *rig, old, new *fakes.StreamServer) {
 	silent := func(string) string { return "" }
 	old = agenttest.NewStreamServer(t, "\n", time.Hour, silent)
 	new = agenttest.NewStreamServer(t, "\n", sign, func(asked string) string {
@@ -192,20 +192,20 @@
 		return fakes.ListDocument(7, true, fakes.ListEntry("box", "127.0.0.1:1", "active", 1), fakes.ListEntry("box2", "127.0.0.1:2", "active", 1))
 	})
 	r = newRig(t, old.Addr())
-	if err := r.roster.Known([]byte(fakes.ListDocument(5, true, fakes.ListEntry("box", "127.0.0.1:1", "active", 1)))); err != nil {
+	if err := r.client.Known([]byte(fakes.ListDocument(5, true, fakes.ListEntry("box", "127.0.0.1:1", "active", 1)))); err != nil {
 		t.Fatal(err)
 	}
-	go r.roster.Serve(r.Context)
+	go r.client.Serve(r.Context)
 	agenttest.Eventually(t, "the old watch", func() bool { return old.Open() == 1 })
 	old.Publish(fakes.ListDocument(9, false, fakes.ListEntry("box", "127.0.0.1:1", "leaving", 1)))
-	agenttest.Eventually(t, "the drain", r.drained)
-	r.roster.Move(new.Addr())
+	agenttest.Eventually(t, "the drain", r.hasDrainingEndpoint)
+	r.client.Move(new.Addr())
 	return r, old, new
 }
 
-// drained tells whether the module knows that the box drains.
-func (r *rig) drained() bool {
-	for _, row := range r.states() {
+// hasDrainingEndpoint tells whether the module knows that the box drains.
+func (r *rig) hasDrainingEndpoint() bool {
+	for _, row := range r.endpoints() {
 		if row.State == policy.Draining {
 			return true
 		}
@@ -214,21 +214,21 @@
 }
 
 // A discovery that is behind does not take a drain back: its whole list is held until its watch has brought it as far.
-func TestMoveToAnOlderList(t *testing.T) {
-	r, old, new := moving(t, time.Hour)
+func TestMoveToOlderList(t *testing.T) {
+	r, old, new := newMovingRig(t, time.Hour)
 	agenttest.Eventually(t, "the new watch", func() bool { return new.CallsContaining("index=7") == 1 && new.Open() == 1 })
 	done := make(chan struct{}) // all that the new one has brought is handled
-	r.roster.box.Put(agent.Barrier{Done: done})
+	r.client.mailbox.Put(agent.Barrier{Done: done})
 	<-done
 	r.Loop.Flush(r.Context)
-	if !r.drained() || old.Closed() != 0 {
-		t.Fatalf("the older list is in force: %+v", r.states())
+	if !r.hasDrainingEndpoint() || old.Closed() != 0 {
+		t.Fatalf("the older list is in force: %+v", r.endpoints())
 	}
 	old.Publish(fakes.ListDocument(10, false, fakes.ListEntry("box", "127.0.0.1:1", "leaving", 2))) // which goes on telling
-	r.has(t, 1, 2)
+	r.awaitHosts(t, 1, 2)
 	new.Publish(fakes.ListDocument(9, false, fakes.ListEntry("box", "127.0.0.1:1", "leaving", 1)))
 	new.Publish(fakes.ListDocument(11, false, fakes.ListEntry("box", "127.0.0.1:1", "leaving", 3), fakes.ListEntry("box3", "127.0.0.1:3", "left", 1)))
-	r.has(t, 2, 3)
+	r.awaitHosts(t, 2, 3)
 	agenttest.Eventually(t, "the end of the old watch", func() bool { return old.Closed() == 1 })
 	for i, l := range agenttest.Events[policy.EndpointUpdate](r.Router) {
 		for _, row := range l.Endpoints {
@@ -240,47 +240,47 @@
 }
 
 // A discovery that counts otherwise is believed with its first sign of life.
-func TestMoveToOtherNumbers(t *testing.T) {
-	r, old, new := moving(t, 50*time.Millisecond)
-	r.has(t, 2, 1)
+func TestMoveToOtherVersionNumbers(t *testing.T) {
+	r, old, new := newMovingRig(t, 50*time.Millisecond)
+	r.awaitHosts(t, 2, 1)
 	agenttest.Eventually(t, "the end of the old watch", func() bool { return old.Closed() == 1 })
 	new.Publish(fakes.ListDocument(8, false, fakes.ListEntry("box", "127.0.0.1:1", "active", 5)))
-	r.has(t, 2, 5)
+	r.awaitHosts(t, 2, 5)
 }
 
 // A watch that falls silent is opened anew well before what it misses counts as told, 6 s after its last line.
-func TestSilentWatchIsOpenedAnew(t *testing.T) {
-	told := fakes.ListDocument(6, false, fakes.ListEntry("box", "127.0.0.1:1", "leaving", 1))
+func TestSilentWatchIsReopened(t *testing.T) {
+	drainingList := fakes.ListDocument(6, false, fakes.ListEntry("box", "127.0.0.1:1", "leaving", 1))
 	d := agenttest.NewStreamServer(t, "\n", time.Hour, func(string) string { return "\n" })
 	r := newRig(t, d.Addr())
-	if err := r.roster.Known([]byte(fakes.ListDocument(5, true, fakes.ListEntry("box", "127.0.0.1:1", "active", 1)))); err != nil {
+	if err := r.client.Known([]byte(fakes.ListDocument(5, true, fakes.ListEntry("box", "127.0.0.1:1", "active", 1)))); err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
-	go r.roster.Serve(r.Context)
+	go r.client.Serve(r.Context)
 	agenttest.Eventually(t, "the watch again", func() bool { return d.CallsContaining("stream=1&index=5") == 2 })
 	agenttest.Eventually(t, "its stream", func() bool { return d.Open() == 2 || d.Closed() == 1 })
-	d.Publish(told)
-	agenttest.Eventually(t, "the drain", r.drained)
-	if took := time.Since(start); took < watchSign || took > 3*watchSign-watchSign/4 {
+	d.Publish(drainingList)
+	agenttest.Eventually(t, "the drain", r.hasDrainingEndpoint)
+	if took := time.Since(start); took < heartbeatInterval || took > 3*heartbeatInterval-heartbeatInterval/4 {
 		t.Errorf("the drain came %v after the last line", took)
 	}
 }
 
 // Hosts that come and go leave no number behind.
-func TestGoneHostsGiveTheirNumbersBack(t *testing.T) {
+func TestGoneHostsReleaseTheirNumbers(t *testing.T) {
 	r := newRig(t, "127.0.0.1:1")
-	box := protocol.ListEntry{Host: "box", Dial: "127.0.0.1:1", Site: "suva", Health: "active"}
-	r.roster.tell(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{box}})
+	first := protocol.ListEntry{Host: "box", Dial: "127.0.0.1:1", Site: "suva", Health: "active"}
+	r.client.publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{first}})
 	for i := range 300 {
 		host := protocol.ListEntry{Host: fmt.Sprint("h", i), Dial: "127.0.0.1:1", Site: "suva", Health: "active"}
-		r.roster.tell(protocol.List{Seq: 2, Hosts: []protocol.ListEntry{host, {Host: "box", Health: "left"}}})
+		r.client.publish(protocol.List{Seq: 2, Hosts: []protocol.ListEntry{host, {Host: "box", Health: "left"}}})
 		if host.Health = "left"; i%2 == 0 {
-			r.roster.tell(protocol.List{Seq: 3, Hosts: []protocol.ListEntry{host}})
+			r.client.publish(protocol.List{Seq: 3, Hosts: []protocol.ListEntry{host}})
 		}
 	}
-	r.roster.tell(protocol.List{Seq: 4, Whole: true})
-	if n := len(r.roster.numbers) + len(r.roster.taken); n != 0 {
+	r.client.publish(protocol.List{Seq: 4, Whole: true})
+	if n := len(r.client.numberOfHost) + len(r.client.hostOfNumber); n != 0 {
 		t.Errorf("%d records are kept", n)
 	}
 }
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -17,16 +17,16 @@
 	write := func(what, text string) { fmt.Fprintf(&out, "== %s\n%q\n", what, text) }
 	address, first := agenttest.Capture(t)
 	loop := agent.NewLoop(&agenttest.Router{}, agent.NewClock())
-	roster := NewClient(loop, address, nil, time.Second, 0, 1, 1)
-	roster.now.whole = true
-	roster.now.start(t.Context())
+	client := NewClient(loop, address, nil, time.Second, 0, 1, 1)
+	client.current.needsFullList = true
+	client.current.start(t.Context())
 	write("list call", first())
-	roster.now.stop()
+	client.current.cancel()
 
-	roster = NewClient(loop, address, nil, time.Second, 0, 1, 1)
-	roster.now.seq = 77
-	roster.now.start(t.Context())
+	client = NewClient(loop, address, nil, time.Second, 0, 1, 1)
+	client.current.version = 77
+	client.current.start(t.Context())
 	write("watch", first())
-	roster.now.stop()
+	client.current.cancel()
 	golden.Check(t, "requests.golden", out.String())
 }
