--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -218,7 +218,7 @@
 	r, old, new := newMovingRig(t, time.Hour)
 	agenttest.Eventually(t, "the new watch", func() bool { return new.CallsContaining("index=7") == 1 && new.Open() == 1 })
 	done := make(chan struct{}) // all that the new one has brought is handled
-	r.client.mailbox.Put(agent.Barrier{Done: done})
+	r.client.mailbox.Put(barrierReceived{agent.Barrier{Done: done}})
 	<-done
 	r.Loop.Flush(r.Context)
 	if !r.hasDrainingEndpoint() || old.Closed() != 0 {
@@ -271,16 +271,17 @@
 func TestGoneHostsReleaseTheirNumbers(t *testing.T) {
 	r := newRig(t, "127.0.0.1:1")
 	first := protocol.ListEntry{Host: "box", Dial: "127.0.0.1:1", Site: "suva", Health: "active"}
-	r.client.publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{first}})
+	r.client.publisher.publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{first}})
 	for i := range 300 {
 		host := protocol.ListEntry{Host: fmt.Sprint("h", i), Dial: "127.0.0.1:1", Site: "suva", Health: "active"}
-		r.client.publish(protocol.List{Seq: 2, Hosts: []protocol.ListEntry{host, {Host: "box", Health: "left"}}})
+		r.client.publisher.publish(protocol.List{Seq: 2, Hosts: []protocol.ListEntry{host, {Host: "box", Health: "left"}}})
 		if host.Health = "left"; i%2 == 0 {
-			r.client.publish(protocol.List{Seq: 3, Hosts: []protocol.ListEntry{host}})
+			r.client.publisher.publish(protocol.List{Seq: 3, Hosts: []protocol.ListEntry{host}})
 		}
 	}
-	r.client.publish(protocol.List{Seq: 4, Whole: true})
-	if n := len(r.client.numberOfHost) + len(r.client.hostOfNumber); n != 0 {
+	r.client.publisher.publish(protocol.List{Seq: 4, Whole: true})
+	numbers := r.client.publisher.numbers
+	if n := len(numbers.numberOfHost) + len(numbers.hostOfNumber); n != 0 {
 		t.Errorf("%d records are kept", n)
 	}
 }
