--- /dev/null
+++ b/internal/discovery/rig_test.go
@@ -0,0 +1,113 @@
+package discovery
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"switchfork/internal/agenttest"
+	"switchfork/internal/fakes"
+	"switchfork/internal/policy"
+	"switchfork/internal/protocol"
+)
+
+// rig is an event loop with a discovery client.
+type rig struct {
+	*agenttest.Rig
+	client *Client
+}
+
+func newRig(t *testing.T, discovery string) *rig {
+	t.Helper()
+	r := &rig{Rig: agenttest.NewRig(t, time.Second)}
+	r.client = NewClient(r.Loop, discovery, []string{agenttest.Zone}, time.Second, 0, 1, 1)
+	return r
+}
+
+// serveKnown configures the client with a list and runs it until the end of the test.
+func (r *rig) serveKnown(t *testing.T, list string) {
+	t.Helper()
+	if err := r.client.Known([]byte(list)); err != nil {
+		t.Fatal(err)
+	}
+	go r.client.Serve(r.Context)
+}
+
+// endpoints returns the endpoints that the router knows of, by number.
+func (r *rig) endpoints() map[uint32]policy.Endpoint {
+	out := map[uint32]policy.Endpoint{}
+	for _, update := range agenttest.Events[policy.EndpointUpdate](r.Router) {
+		if update.Full {
+			clear(out)
+		}
+		for _, endpoint := range update.Endpoints {
+			out[endpoint.ID] = endpoint
+			if endpoint.State == policy.Gone {
+				delete(out, endpoint.ID)
+			}
+		}
+	}
+	return out
+}
+
+// builds returns the builds of all endpoints that the router has been notified of, in that order.
+func (r *rig) builds() (out []int) {
+	for _, update := range agenttest.Events[policy.EndpointUpdate](r.Router) {
+		for _, endpoint := range update.Endpoints {
+			out = append(out, endpoint.Build)
+		}
+	}
+	return out
+}
+
+// awaitHosts waits until the router knows of so many hosts, and of the host "box" with this build.
+func (r *rig) awaitHosts(t *testing.T, hosts, build int) {
+	t.Helper()
+	agenttest.Eventually(t, fmt.Sprintf("a list of %d with build %d", hosts, build), func() bool {
+		endpoints := r.endpoints()
+		return len(endpoints) == hosts && endpoints[protocol.EndpointID("box")].Build == build
+	})
+}
+
+// hasDrainingEndpoint tells whether the router knows of an endpoint that drains.
+func (r *rig) hasDrainingEndpoint() bool {
+	for _, endpoint := range r.endpoints() {
+		if endpoint.State == policy.Draining {
+			return true
+		}
+	}
+	return false
+}
+
+// firstHost is the list entry of the host "box".
+func firstHost(health string, build int) string {
+	return fakes.ListEntry("box", "127.0.0.1:1", health, build)
+}
+
+// secondHost is the list entry of the host "box2".
+func secondHost(health string, build int) string {
+	return fakes.ListEntry("box2", "127.0.0.1:2", health, build)
+}
+
+// indented is a list over several lines.
+func indented(t *testing.T, list string) string {
+	t.Helper()
+	var out bytes.Buffer
+	if err := json.Indent(&out, []byte(strings.TrimSpace(list)), "", "  "); err != nil {
+		t.Fatal(err)
+	}
+	return out.String() + "\n"
+}
+
+// onlyFullList answers a call for the whole list, and opens a watch without a line.
+func onlyFullList(list string) func(target string) string {
+	return func(target string) string {
+		if strings.Contains(target, "stream") {
+			return ""
+		}
+		return list
+	}
+}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -27,8 +27,8 @@
 	heartbeatTimeout = 3 * heartbeatInterval
 	// maxListSize has room for the whole list of a large fleet, on one line or over many.
 	maxListSize = 4 << 20
-	// initialLineBuffer is enough for the changes of most lists.
-	initialLineBuffer = 16 << 10
+	// initialBufferSize is enough for most lists of changes.
+	initialBufferSize = 16 << 10
 )
 
 var (
@@ -199,7 +199,7 @@
 		return streamclient.StatusError(response.StatusCode)
 	}
 	scanner := bufio.NewScanner(response.Body)
-	scanner.Buffer(make([]byte, 0, initialLineBuffer), maxListSize)
+	scanner.Buffer(make([]byte, 0, initialBufferSize), maxListSize)
 	var reader protocol.ListReader
 	for scanner.Scan() {
 		line := bytes.TrimSpace(scanner.Bytes())
--- /dev/null
+++ b/internal/discovery/watcher_test.go
@@ -0,0 +1,124 @@
+package discovery
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"switchfork/internal/agent"
+	"switchfork/internal/agenttest"
+	"switchfork/internal/fakes"
+	"switchfork/internal/policy"
+)
+
+// A watch that ends is resumed from the last version. Versions may be skipped, a list that is not newer is dropped, and after a line that
+// can't be read the whole list is fetched.
+func TestWatchResumesFromLastVersion(t *testing.T) {
+	server := agenttest.NewStreamServer(t, "\n", 50*time.Millisecond, func(target string) string {
+		if !strings.Contains(target, "stream") {
+			return fakes.ListDocument(30, true, firstHost("active", 9))
+		}
+		return fakes.ListDocument(12, false, firstHost("active", 3))
+	})
+	r := newRig(t, server.Addr())
+	r.serveKnown(t, fakes.ListDocument(10, true, firstHost("active", 1)))
+	agenttest.Eventually(t, "the first change", func() bool { return len(r.builds()) == 2 })
+	server.Publish(fakes.ListDocument(11, false, firstHost("active", 2)) + fakes.ListDocument(20, false, firstHost("leaving", 4)))
+	agenttest.Eventually(t, "the second change", func() bool { return len(r.builds()) == 3 })
+	server.CloseStreams()
+	agenttest.Eventually(t, "the next watch", func() bool { return server.CallsContaining("stream=1&index=20") == 1 })
+	agenttest.Eventually(t, "its stream", func() bool { return server.Open() == 1 })
+	server.Publish("{\"seq\":21,\"hosts\":[" + "\n")
+	agenttest.Eventually(t, "the whole list", func() bool { return len(r.builds()) == 4 })
+	if got := r.builds(); got[1] != 3 || got[2] != 4 || got[3] != 9 {
+		t.Errorf("builds published: %v", got)
+	}
+	agenttest.Eventually(t, "the watch from the whole list on", func() bool { return server.CallsContaining("index=30") > 0 })
+}
+
+// A discovery that reports overload is called again within the configured time, not at once: all agents call alike.
+func TestOverloadedDiscoveryIsNotRetriedAtOnce(t *testing.T) {
+	var calls atomic.Int64
+	overloaded := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		calls.Add(1)
+		http.Error(w, "full", http.StatusServiceUnavailable)
+	}))
+	defer overloaded.Close()
+	loop := agent.NewLoop(&agenttest.Router{}, agent.NewClock())
+	client := NewClient(loop, overloaded.Listener.Addr().String(), []string{agenttest.Zone}, time.Second, 8*time.Second, 1, 1)
+	go client.Serve(t.Context())
+	time.Sleep(1200 * time.Millisecond) // the next call is due 2 to 6 s after the first
+	if n := calls.Load(); n != 1 {
+		t.Errorf("%d calls in 1.2 s", n)
+	}
+}
+
+// A list may come over several lines, whether it is whole or of changes.
+func TestListsOverSeveralLines(t *testing.T) {
+	fullList := indented(t, fakes.ListDocument(5, true, firstHost("active", 1), secondHost("active", 1)))
+	server := agenttest.NewStreamServer(t, "\n", 50*time.Millisecond, onlyFullList(fullList))
+	r := newRig(t, server.Addr())
+	r.serveKnown(t, "")
+	r.awaitHosts(t, 2, 1)
+	agenttest.Eventually(t, "the watch", func() bool { return server.Open() == 1 })
+	server.Publish(indented(t, fakes.ListDocument(6, false, firstHost("active", 2))))
+	r.awaitHosts(t, 2, 2)
+	server.Publish(fakes.ListDocument(7, false, firstHost("active", 3)) + indented(t, fakes.ListDocument(8, false, secondHost("left", 1))))
+	r.awaitHosts(t, 1, 3)
+	if n := server.CallsContaining(""); n != 2 {
+		t.Errorf("calls: %q", server.Targets())
+	}
+}
+
+// A list that lacks its end is detected by the next heartbeat or the next list, and the whole list is fetched.
+func TestTruncatedListIsFetchedAgain(t *testing.T) {
+	truncated, _, found := strings.Cut(indented(t, fakes.ListDocument(6, false, firstHost("leaving", 7))), `"health"`)
+	if !found {
+		t.Fatal("a list entry without health")
+	}
+	for name, rest := range map[string]string{
+		"then a heartbeat":      "\n",
+		"then a list":           fakes.ListDocument(7, false, firstHost("leaving", 8)),
+		"then an indented list": indented(t, fakes.ListDocument(7, false, firstHost("leaving", 8))),
+	} {
+		t.Run(name, func(t *testing.T) {
+			fullList := fakes.ListDocument(9, true, firstHost("active", 9))
+			server := agenttest.NewStreamServer(t, "\n", 50*time.Millisecond, onlyFullList(fullList))
+			r := newRig(t, server.Addr())
+			r.serveKnown(t, fakes.ListDocument(5, true, firstHost("active", 1)))
+			agenttest.Eventually(t, "the watch", func() bool { return server.Open() == 1 })
+			server.Publish(truncated + "\n" + rest)
+			r.awaitHosts(t, 1, 9)
+			for _, update := range agenttest.Events[policy.EndpointUpdate](r.Router) {
+				for _, endpoint := range update.Endpoints {
+					if endpoint.Build == 7 {
+						t.Errorf("published %+v of a truncated list", endpoint)
+					}
+				}
+			}
+		})
+	}
+}
+
+// A watch that falls silent is opened again well before the control plane counts on the agent knowing what the watch has missed, 6 s after
+// its last line.
+func TestSilentWatchIsReopened(t *testing.T) {
+	drainingList := fakes.ListDocument(6, false, firstHost("leaving", 1))
+	server := agenttest.NewStreamServer(t, "\n", time.Hour, func(string) string { return "\n" })
+	r := newRig(t, server.Addr())
+	if err := r.client.Known([]byte(fakes.ListDocument(5, true, firstHost("active", 1)))); err != nil {
+		t.Fatal(err)
+	}
+	start := time.Now()
+	go r.client.Serve(r.Context)
+	agenttest.Eventually(t, "the next watch", func() bool { return server.CallsContaining("stream=1&index=5") == 2 })
+	agenttest.Eventually(t, "its stream", func() bool { return server.Open() == 2 || server.Closed() == 1 })
+	server.Publish(drainingList)
+	agenttest.Eventually(t, "the drain", r.hasDrainingEndpoint)
+	if took := time.Since(start); took < heartbeatInterval || took > 3*heartbeatInterval-heartbeatInterval/4 {
+		t.Errorf("the drain came %v after the last line", took)
+	}
+}
