--- a/internal/rollout/client.go
+++ b/internal/rollout/client.go
@@ -1,14 +1,11 @@
 package rollout
 
 import (
-	"bufio"
 	"context"
 	"encoding/json"
 	"fmt"
 	"log/slog"
 	"net/http"
-	"strings"
-	"sync"
 	"time"
 
 	"switchfork/internal/agent"
@@ -20,247 +17,169 @@
 	"switchfork/internal/streamclient"
 )
 
-// Client is its actor.
+const (
+	// heartbeatInterval is the protocol's interval of heartbeats on the stream.
+	heartbeatInterval = time.Second
+	// maxMissedHeartbeats is after how many intervals without a line a stream counts as silent and is replaced.
+	maxMissedHeartbeats = 3
+)
+
+// Client is the agent's connection to the rollout controller.
 type Client struct {
-	loop    *agent.Loop
-	apiURL    string
-	voteTimeout time.Duration // for the answer to a vote
-	mailbox     *mailbox.Mailbox[any]
+	loop        *agent.Loop
+	mailbox     *mailbox.Mailbox[message]
+	apiURL      string
 	httpClient  *http.Client
-	timedClient    *http.Client               // for votes that have a time after which they must not be written
-	observer    func(policy.RolloutUpdate) // hears the news, too; nil: nobody
-	current     *stream                    // the one that is believed
-	pending    *stream                    // the one that is to take its place
-	backoff   *backoff.Backoff
-
-	mu     sync.Mutex
-	updateCount   int                  // how often where things stand has been told
-	latestUpdate policy.RolloutUpdate // as it was told last
-}
-
-// stream is one connection that brings news.
-type stream struct {
-	cancel  context.CancelFunc
-	apiURL  string
-	lastLineAt  time.Time // the last
-	hasReceived bool      // it has brought something
+	timedClient *http.Client  // for votes with a time before which they have to be written
+	voteTimeout time.Duration // for the reply to a vote
+	publisher   *updatePublisher
+	current     *stream // whose updates are published
+	// pending is to take the current stream's place with the first update that it receives; nil where there is none.
+	pending *stream
+	backoff *backoff.Backoff
 }
 
-type (
-	lineReceived struct {
-		from *stream
-		update *policy.RolloutUpdate // nil: a sign of life
-	}
-	streamEnded struct {
-		from *stream
-		err  error
-	}
-	silenceCheckDue  struct{} // at the time
-	addressChanged struct{ apiURL string }
-)
-
+// NewClient returns a client of the rollout controller at an address. A connection has to come up within dialTimeout, and the reply to a
+// vote has to be there within voteTimeout.
 func NewClient(loop *agent.Loop, address string, dialTimeout, voteTimeout time.Duration, seed int64) *Client {
 	return &Client{
-		loop: loop, apiURL: apiURL(address), voteTimeout: voteTimeout, mailbox: mailbox.New[any](),
-		httpClient: streamclient.NewHTTPClient(dialTimeout, loop.UnreadInput()), timedClient: newTimedHTTPClient(dialTimeout), backoff: backoff.New(0, ^seed),
+		loop:        loop,
+		mailbox:     mailbox.New[message](),
+		apiURL:      apiURL(address),
+		httpClient:  streamclient.NewHTTPClient(dialTimeout, loop.UnreadInput()),
+		timedClient: newTimedHTTPClient(dialTimeout),
+		voteTimeout: voteTimeout,
+		publisher:   &updatePublisher{updateRollout: loop.UpdateRollout},
+		backoff:     backoff.New(0, ^seed), // the discovery client has the same seed: its waits are to differ
 	}
 }
 
-// Observe names who else hears the news. It is to be called before Known and Serve.
-func (l *Client) Observe(hear func(policy.RolloutUpdate)) { l.observer = hear }
-
-// publish gives news to the module, and to who else hears it.
-func (l *Client) publish(s policy.RolloutUpdate) {
-	l.mu.Lock()
-	l.updateCount, l.latestUpdate = l.updateCount+1, s
-	l.loop.UpdateRollout(s)
-	l.mu.Unlock()
-	if l.observer != nil {
-		l.observer(s)
-	}
-}
-
-// publishedCount is how often where things stand has been told by now.
-func (l *Client) publishedCount() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.updateCount
-}
-
-// publishReply gives a vote's answer to the module. Where things stand comes in answers and by the stream, on ways of their own: an answer
-// that was written before the launcher sent a build back may be read after its news, and would put the build on trial again. What was
-// told since the call began stands, then; the stream tells whatever is newer than that.
-func (l *Client) publishReply(s policy.RolloutUpdate, countAtStart int) policy.RolloutUpdate {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if s.Outcome == policy.OK {
-		if l.updateCount > countAtStart {
-			latest := l.latestUpdate
-			latest.IsVoteReply, latest.Outcome = s.IsVoteReply, s.Outcome
-			s = latest
-		}
-		l.updateCount, l.latestUpdate = l.updateCount+1, s
-	}
-	l.loop.UpdateRollout(s)
-	return s
-}
-
 func apiURL(address string) string { return "http://" + address + "/api/" }
 
-// Move goes to another address. The old stream is read until the new one has brought where things stand.
-func (l *Client) Move(address string) { l.mailbox.Put(addressChanged{apiURL(address)}) }
+// Observe has each update given to observer, too. It has to be called before Known and Serve.
+func (c *Client) Observe(observer func(policy.RolloutUpdate)) { c.publisher.observer = observer }
 
-// Known takes the news that the agent was started with.
-func (l *Client) Known(raw json.RawMessage) error {
+// Known publishes the update that the agent was configured with; raw is empty where there is none.
+func (c *Client) Known(raw json.RawMessage) error {
 	if len(raw) == 0 {
 		return nil
 	}
-	s, err := protocol.ReadRolloutJSON(raw)
+	update, err := protocol.ReadRolloutJSON(raw)
 	if err != nil {
 		return fmt.Errorf("setting config.platform.news: %w", err)
 	}
-	l.publish(s)
+	c.publisher.publish(update)
 	return nil
 }
 
-func (l *Client) Vote(v policy.Vote) { l.mailbox.Put(v) }
+// Vote casts a vote, and hands its reply to the event loop.
+func (c *Client) Vote(vote policy.Vote) { c.mailbox.Put(voteRequested{vote}) }
 
-const (
-	// heartbeatInterval is the protocol's interval of signs of life on the stream.
-	heartbeatInterval = time.Second
-	// maxMissedHeartbeats without a line are a silent stream, which is opened anew.
-	maxMissedHeartbeats = 3
-)
+// CastBefore casts a vote that must not be written after a time.
+func (c *Client) CastBefore(vote TimedVote) { c.mailbox.Put(timedVoteRequested{vote}) }
+
+// Move goes to another address. The old stream is read until the new one has brought the present state.
+func (c *Client) Move(address string) { c.mailbox.Put(addressChanged{apiURL(address)}) }
 
-// Serve empties the mailbox until the end.
-func (l *Client) Serve(ctx context.Context) {
-	l.loop.AddReader(func(n agent.Barrier) { l.mailbox.Put(n) })
-	tick := time.NewTicker(heartbeatInterval)
-	defer tick.Stop()
-	l.current = l.openStream(ctx, 0)
+// Serve handles the mailbox until the context ends.
+func (c *Client) Serve(ctx context.Context) {
+	c.loop.AddReader(func(barrier agent.Barrier) { c.mailbox.Put(barrierReceived{barrier}) })
+	ticker := time.NewTicker(heartbeatInterval)
+	defer ticker.Stop()
+	c.current = c.openStream(ctx, 0)
 	for {
-		var notes []any
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
-			notes = []any{silenceCheckDue{}}
-		case <-l.mailbox.Ready():
-			notes = l.mailbox.Take(nil)
-		}
-		for _, n := range notes {
-			l.handle(ctx, n)
+		case <-ticker.C:
+			c.replaceIfSilent(ctx)
+		case <-c.mailbox.Ready():
+			for _, received := range c.mailbox.Take(nil) {
+				c.handle(ctx, received)
+			}
 		}
 	}
 }
 
-func (l *Client) handle(ctx context.Context, n any) {
-	switch n := n.(type) {
-	case policy.Vote:
-		go l.castAndPublish(ctx, l.apiURL, n)
-	case TimedVote:
-		go l.castTimed(ctx, l.apiURL, n)
-	case agent.Barrier:
-		close(n.Done)
+func (c *Client) handle(ctx context.Context, received message) {
+	switch received := received.(type) {
+	case voteRequested:
+		go c.castVote(ctx, c.apiURL, received.vote)
+	case timedVoteRequested:
+		go c.castTimedVote(ctx, c.apiURL, received.vote)
+	case barrierReceived:
+		close(received.Done)
 	case addressChanged:
-		if l.apiURL = n.apiURL; l.pending != nil {
-			l.pending.cancel()
-		}
-		l.pending = l.openStream(ctx, 0)
-	case lineReceived:
-		n.from.lastLineAt, n.from.hasReceived = time.Now(), true
-		if n.from == l.pending && n.update != nil { // it has brought where things stand: nothing is lost between
-			l.current.cancel()
-			l.current, l.pending = l.pending, nil
-		}
-		if s := n.update; s != nil && n.from == l.current {
-			slog.Info("news", "build", s.Build, "stage", s.Stage, "phase", s.Phase, "cap", s.Cap, "age_ms", s.Age/1000)
-			l.publish(*s)
-		}
+		c.apiURL = received.apiURL
+		c.reopenPending(ctx)
+	case heartbeatReceived:
+		received.from.recordLine()
+	case updateReceived:
+		c.handleUpdate(received)
 	case streamEnded:
-		switch n.from {
-		case l.pending:
-			if l.pending = nil; l.current.apiURL != l.apiURL { // the old one is about to end
-				l.pending = l.openStream(ctx, l.backoff.Next(streamclient.BackoffReason(n.err)))
-			}
-		case l.current:
-			if n.from.hasReceived {
-				l.backoff.Reset()
-			}
-			ratelog.Warn("news", "news stream ended", "err", n.err)
-			if l.current, l.pending = l.pending, nil; l.current == nil {
-				l.current = l.openStream(ctx, l.backoff.Next(streamclient.BackoffReason(n.err)))
-			}
+		c.handleStreamEnd(ctx, received)
+	}
+}
+
+// handleUpdate publishes an update of the current stream. A pending stream becomes the current one with its first update: that is the
+// present state, so that nothing is lost between the two. Updates of streams that have been replaced are dropped.
+func (c *Client) handleUpdate(received updateReceived) {
+	received.from.recordLine()
+	if received.from == c.pending {
+		c.current.cancel()
+		c.current, c.pending = c.pending, nil
+	}
+	if received.from != c.current {
+		return
+	}
+	update := received.update
+	slog.Info("news", "build", update.Build, "stage", update.Stage, "phase", update.Phase, "cap", update.Cap, "age_ms", update.Age/1000)
+	c.publisher.publish(update)
+}
+
+// handleStreamEnd opens another stream in place of one that is still needed.
+func (c *Client) handleStreamEnd(ctx context.Context, ended streamEnded) {
+	switch ended.from {
+	case c.pending:
+		c.pending = nil
+		if c.current.apiURL != c.apiURL { // the current stream is at an address that has been left, and is about to end
+			c.pending = c.openStream(ctx, c.retryPause(ended.err))
 		}
-	case silenceCheckDue:
-		if time.Since(l.current.lastLineAt) < maxMissedHeartbeats*heartbeatInterval {
-			return
+	case c.current:
+		if ended.from.hasReceived {
+			c.backoff.Reset()
 		}
-		// Silent: the new one is opened before the old is closed, as what is told in between is not told again.
-		if l.pending == nil {
-			l.pending = l.openStream(ctx, 0)
-		} else if time.Since(l.pending.lastLineAt) >= maxMissedHeartbeats*heartbeatInterval {
-			l.pending.cancel()
-			l.pending = l.openStream(ctx, 0)
+		ratelog.Warn("news", "news stream ended", "err", ended.err)
+		c.current, c.pending = c.pending, nil
+		if c.current == nil {
+			c.current = c.openStream(ctx, c.retryPause(ended.err))
 		}
 	}
 }
 
-// openStream starts a stream, after a pause where one failed.
-func (l *Client) openStream(ctx context.Context, pause backoff.Micros) *stream {
-	ctx, stop := context.WithCancel(ctx)
-	s := &stream{cancel: stop, apiURL: l.apiURL, lastLineAt: time.Now()}
-	go func() {
-		if pause > 0 {
-			streamclient.Sleep(ctx, pause)
-		}
-		l.mailbox.Put(streamEnded{s, l.readStream(ctx, s)})
-	}()
-	return s
+func (c *Client) retryPause(err error) backoff.Micros {
+	return c.backoff.Next(streamclient.BackoffReason(err))
 }
 
-func (l *Client) readStream(ctx context.Context, s *stream) error {
-	defer s.cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.apiURL+"bulletin", nil)
-	if err != nil {
-		return err
+// replaceIfSilent opens another stream beside a current one that is silent. The silent one is not closed before the new one has brought an
+// update, as an update that is sent between the two is not sent again.
+func (c *Client) replaceIfSilent(ctx context.Context) {
+	if !c.current.isSilent() {
+		return
 	}
-	res, err := l.httpClient.Do(req)
-	if err != nil {
-		return err
-	}
-	defer res.Body.Close()
-	if res.StatusCode != http.StatusOK {
-		return streamclient.StatusError(res.StatusCode)
+	if c.pending == nil || c.pending.isSilent() {
+		c.reopenPending(ctx)
 	}
-	// An event counts with the empty line that ends it: one that is cut off may read as another. What can't be read
-	// makes the connection useless, and a new one brings where things stand at once.
-	sc, kind, data := bufio.NewScanner(res.Body), "", ""
-	for sc.Scan() {
-		field, value, _ := strings.Cut(sc.Text(), ":")
-		value = strings.TrimPrefix(value, " ")
-		switch {
-		case sc.Text() == "" && kind == "ROLLOUT":
-			news, err := protocol.ReadRolloutForm(data)
-			if err != nil {
-				return fmt.Errorf("news that can't be read: %w", err)
-			}
-			l.mailbox.Put(lineReceived{s, &news})
-			kind, data = "", ""
-		case sc.Text() == "":
-			if data != "" {
-				ratelog.Warn("news kind", "news of a kind not known here", "kind", fmt.Sprintf("%.40q", kind))
-			}
-			kind, data = "", ""
-		case field == "":
-			l.mailbox.Put(lineReceived{from: s})
-		case field == "event":
-			kind = value
-		case field == "data":
-			data = value
-		case field != "id" && field != "retry":
-			return fmt.Errorf("a line that is none of an event stream: %.40q", sc.Text())
-		}
+}
+
+// reopenPending opens a pending stream at the present address, in place of one that may be there.
+func (c *Client) reopenPending(ctx context.Context) {
+	if c.pending != nil {
+		c.pending.cancel()
 	}
-	return sc.Err()
+	c.pending = c.openStream(ctx, 0)
+}
+
+func (c *Client) openStream(ctx context.Context, pause backoff.Micros) *stream {
+	return openStream(ctx, c.httpClient, c.apiURL, pause, c.mailbox.Put)
 }
--- /dev/null
+++ b/internal/rollout/event_scanner.go
@@ -0,0 +1,74 @@
+package rollout
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"strings"
+
+	"switchfork/internal/policy"
+	"switchfork/internal/protocol"
+	"switchfork/internal/ratelog"
+)
+
+// rolloutEvent is the type of the events that bring updates.
+const rolloutEvent = "ROLLOUT"
+
+// eventScanner reads updates and heartbeats from a stream of server-sent events. An event counts only with the empty line that ends it: one
+// that is cut off may read as another.
+type eventScanner struct {
+	lines     *bufio.Scanner
+	eventType string // of the event whose lines are being read
+	data      string
+	update    *policy.RolloutUpdate // what was read last; nil: a heartbeat
+	err       error                 // why scan has returned false; nil: the stream has ended
+}
+
+func newEventScanner(stream io.Reader) *eventScanner {
+	return &eventScanner{lines: bufio.NewScanner(stream)}
+}
+
+// scan reads up to the next update or heartbeat. It returns false at the end of the stream, and at a line that can't be read.
+func (s *eventScanner) scan() bool {
+	for s.lines.Scan() {
+		line := s.lines.Text()
+		field, value, _ := strings.Cut(line, ":")
+		value = strings.TrimPrefix(value, " ")
+		switch {
+		case line == "":
+			if s.endEvent(); s.update != nil || s.err != nil {
+				return s.err == nil
+			}
+		case field == "": // a comment, which the controller sends as a heartbeat
+			s.update = nil
+			return true
+		case field == "event":
+			s.eventType = value
+		case field == "data":
+			s.data = value
+		case field == "id", field == "retry": // not used
+		default:
+			s.err = fmt.Errorf("not a line of an event stream: %.40q", line)
+			return false
+		}
+	}
+	s.err = s.lines.Err()
+	return false
+}
+
+// endEvent reads the event whose last line has come. Events of other types are left out.
+func (s *eventScanner) endEvent() {
+	eventType, data := s.eventType, s.data
+	s.eventType, s.data, s.update = "", "", nil
+	switch {
+	case eventType == rolloutEvent:
+		update, err := protocol.ReadRolloutForm(data)
+		if err != nil {
+			s.err = fmt.Errorf("news that can't be read: %w", err)
+			return
+		}
+		s.update = &update
+	case data != "":
+		ratelog.Warn("news kind", "news of a kind not known here", "kind", fmt.Sprintf("%.40q", eventType))
+	}
+}
--- /dev/null
+++ b/internal/rollout/rig_test.go
@@ -0,0 +1,33 @@
+package rollout
+
+import (
+	"testing"
+	"time"
+
+	"switchfork/internal/agenttest"
+	"switchfork/internal/policy"
+)
+
+// rig is an event loop with a rollout client.
+type rig struct {
+	*agenttest.Rig
+	client *Client
+}
+
+func newRig(t *testing.T, controller string) *rig {
+	t.Helper()
+	r := &rig{Rig: agenttest.NewRig(t, time.Second)}
+	r.client = NewClient(r.Loop, controller, time.Second, 300*time.Millisecond, 1)
+	return r
+}
+
+// updates returns the updates that the router has received so far.
+func (r *rig) updates() []policy.RolloutUpdate {
+	return agenttest.Events[policy.RolloutUpdate](r.Router)
+}
+
+// awaitUpdates waits until the router has received so many updates.
+func (r *rig) awaitUpdates(t *testing.T, what string, count int) {
+	t.Helper()
+	agenttest.Eventually(t, what, func() bool { return len(r.updates()) == count })
+}
--- /dev/null
+++ b/internal/rollout/stream_test.go
@@ -0,0 +1,41 @@
+package rollout
+
+import (
+	"testing"
+	"time"
+
+	"switchfork/internal/agenttest"
+	"switchfork/internal/fakes"
+	"switchfork/internal/policy"
+)
+
+// A stream that ends, or that can't be read, is opened again; a silent one is replaced by another beside it.
+func TestStreamIsReopened(t *testing.T) {
+	server := agenttest.NewStreamServer(t, ":\n", 100*time.Millisecond, func(string) string {
+		return fakes.RolloutEvent(42, 0, "testing", 0.1)
+	})
+	r := newRig(t, server.Addr())
+	go r.client.Serve(r.Context)
+	r.awaitUpdates(t, "the state at once", 1)
+	server.Publish("event: OTHER\ndata: image=1\n\n" + fakes.RolloutEvent(42, 1, "recalling", 0))
+	r.awaitUpdates(t, "an update", 2)
+	for i, c := range []struct {
+		malformed string
+		isCutOff  bool // the server closes the stream
+	}{
+		{"event: ROLLOUT\ndata: image=x&ring=0\n\n", false},
+		{"noise\n", false},
+		{"event: ROLLOUT\ndata: image=42&ring=1&progress=testing&ceiling=0.2", true}, // could be read, but may lack a part
+	} {
+		server.Publish(c.malformed)
+		if c.isCutOff {
+			server.CloseStreams()
+		}
+		r.awaitUpdates(t, "the state on a new stream", 3+i)
+	}
+	server.SetMuted(true)
+	r.awaitUpdates(t, "another stream beside the silent one", 6)
+	if got := r.updates()[1]; got.Phase != policy.RollingBack || got.Stage != 1 || got.Age != 9000 || got.IsVoteReply {
+		t.Errorf("published as %+v", got)
+	}
+}
--- /dev/null
+++ b/internal/rollout/votes_test.go
@@ -0,0 +1,138 @@
+package rollout
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"switchfork/internal/agenttest"
+	"switchfork/internal/fakes"
+	"switchfork/internal/policy"
+	"switchfork/internal/streamclient"
+)
+
+// voteReply is the controller's reply to a vote that counts.
+func voteReply(stage, ceiling, lagMillis string) string {
+	return "<Response><groups><item><image>42</image><ring>" + stage + "</ring><progress>testing</progress>" +
+		"<ceiling>" + ceiling + "</ceiling><lag_ms>" + lagMillis + "</lag_ms></item></groups></Response>"
+}
+
+// A reply that was written before the controller rolled the build back, and is read after that update, does not put the build on trial
+// again.
+func TestVoteReplyOlderThanUpdate(t *testing.T) {
+	stream := agenttest.NewStreamServer(t, ":\n", time.Hour, func(string) string { return fakes.RolloutEvent(42, 0, "testing", 0.1) })
+	release := make(chan struct{})
+	votes := agenttest.NewScriptedServer(t, func(c net.Conn, nth int) bool {
+		<-release
+		return fakes.Respond(fakes.OKResponse(voteReply("0", "0.1", "10")))(c, nth)
+	})
+	r := newRig(t, stream.Addr())
+	r.client.voteTimeout = agenttest.Patience
+	go r.client.Serve(r.Context)
+	r.awaitUpdates(t, "the canary stage", 1)
+	go r.client.castVote(r.Context, apiURL(votes.Addr()), policy.Vote{Build: 42, Verdict: policy.Advance})
+	agenttest.Eventually(t, "the vote", func() bool { return len(votes.Requests()) == 1 })
+	stream.Publish(fakes.RolloutEvent(42, 0, "recalling", 0))
+	r.awaitUpdates(t, "the rollback", 2)
+	close(release)
+	r.awaitUpdates(t, "the reply", 3)
+	if got := r.updates()[2]; !got.IsVoteReply || got.Outcome != policy.OK || got.Phase != policy.RollingBack || got.Cap != 0 {
+		t.Errorf("published as %+v after %+v", got, r.updates()[1])
+	}
+}
+
+// Each reply to a vote has the outcome of the protocol's table. Each vote has exactly one, at the latest after the vote timeout.
+func TestVoteReplies(t *testing.T) {
+	for _, c := range []struct {
+		reply string
+		want  policy.Outcome
+	}{
+		{"200|" + voteReply("1", "0.28", "310"), policy.OK},
+		{"200|no news", policy.TimedOut},
+		{"400|<Error><Code>Throttling</Code></Error>", policy.Rejected},
+		{"400|<Error><Code>ConditionFailed</Code></Error>", policy.NotAttempted},
+		{"400|<?xml version=\"1.0\"?>\n<Response><Error><Code>Throttling</Code></Error></Response>", policy.Rejected},
+		{"400|<Response><Error><Code>ConditionFailed</Code></Error></Response>", policy.NotAttempted},
+		{"400|<Error><Code>ValidationError</Code></Error>", policy.ServerError},
+		{"500|<Error><Code>InternalFailure</Code></Error>", policy.ServerError},
+		{"418|", policy.TimedOut},
+	} {
+		server := agenttest.NewStreamServer(t, ":\n", time.Hour, func(string) string { return c.reply })
+		r := newRig(t, server.Addr())
+		r.client.castVote(r.Context, r.client.apiURL, policy.Vote{Build: 42, Stage: 1, Verdict: policy.Advance})
+		r.awaitUpdates(t, "the reply", 1)
+		got := r.updates()[0]
+		if got.Outcome != c.want || !got.IsVoteReply || got.Build != 42 || got.Stage != 1 {
+			t.Errorf("%s: published as %+v", c.reply, got)
+		}
+		if c.want == policy.OK && (got.Cap != 0.28 || got.Age != 310000) {
+			t.Errorf("%s: published as %+v", c.reply, got)
+		}
+		if server.CallsContaining("POST /api/ Action=RecordOpinion&image=42&ring=1&opinion=approve") != 1 {
+			t.Errorf("calls: %q", server.Targets())
+		}
+	}
+}
+
+// A vote without a reply has an outcome, too.
+func TestVoteWithoutReply(t *testing.T) {
+	silent, closed := agenttest.NewScriptedServer(t, fakes.NeverRespond), agenttest.Listen(t)
+	if err := closed.Close(); err != nil {
+		t.Fatal(err)
+	}
+	for address, want := range map[string]policy.Outcome{silent.Addr(): policy.TimedOut, closed.Addr().String(): policy.ConnectFailed} {
+		r := newRig(t, address)
+		r.client.castVote(r.Context, r.client.apiURL, policy.Vote{})
+		r.awaitUpdates(t, "the outcome", 1)
+		if got := r.updates()[0]; got.Outcome != want {
+			t.Errorf("published as %+v, want outcome %d", got, want)
+		}
+	}
+}
+
+// The connection of a vote that is given up ends with a reset, so that the system does not go on sending it. That holds for timed votes,
+// too.
+func TestAbandonedVoteIsReset(t *testing.T) {
+	ended := make(chan error, 8)
+	listener := agenttest.Listen(t)
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go func() { ended <- readToEnd(conn) }()
+		}
+	}()
+	const dialTimeout = time.Second
+	for name, client := range map[string]*http.Client{
+		"vote": streamclient.NewHTTPClient(dialTimeout, nil), "timed vote": newTimedHTTPClient(dialTimeout),
+	} {
+		ctx, cancel := context.WithTimeout(withWriteDeadline(t.Context(), time.Now().Add(agenttest.Patience)), 200*time.Millisecond)
+		url := apiURL(listener.Addr().String())
+		request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader("image=1"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if response, err := client.Do(request); err == nil {
+			t.Errorf("%s: answered with %s", name, response.Status)
+			_ = response.Body.Close() // the test has failed by now
+		}
+		cancel()
+		if err := <-ended; !errors.Is(err, syscall.ECONNRESET) {
+			t.Errorf("%s: its connection ended with %v", name, err)
+		}
+	}
+}
+
+// readToEnd reads a connection and returns the error that ends it.
+func readToEnd(conn net.Conn) error {
+	_, err := io.Copy(io.Discard, conn)
+	return err
+}
