--- /dev/null
+++ b/internal/gossip/messenger.go
@@ -0,0 +1,136 @@
+package gossip
+
+import (
+	"context"
+	"fmt"
+	"math"
+	"net"
+	"net/netip"
+	"slices"
+
+	"switchfork/internal/agent"
+	"switchfork/internal/mailbox"
+	"switchfork/internal/policy"
+	"switchfork/internal/ratelog"
+)
+
+const (
+	// maxDatagramSize is the protocol's bound on a message.
+	maxDatagramSize = 256
+	// broadcastIndex is the peer index, as 32 bits, of a message to all agents.
+	broadcastIndex = math.MaxUint32
+)
+
+// Messenger exchanges messages with the other agents. Without an address to listen on it drops what it is given.
+type Messenger struct {
+	loop        *agent.Loop
+	mailbox     *mailbox.Mailbox[policy.SendGossip]
+	socket      *net.UDPConn     // nil: no address to listen on
+	peers       []netip.AddrPort // by the agents' indices
+	broadcast   netip.AddrPort
+	interceptor func([]byte) bool // nil: none
+}
+
+// NewMessenger returns a messenger that listens on an address. peers are the agents' addresses by their indices, and broadcast is the
+// address that reaches all of them; it may be empty.
+func NewMessenger(loop *agent.Loop, listen string, peers []string, broadcast string) (*Messenger, error) {
+	m := &Messenger{loop: loop, mailbox: mailbox.New[policy.SendGossip]()}
+	if listen == "" {
+		return m, nil
+	}
+	for _, peer := range peers {
+		address, err := netip.ParseAddrPort(peer)
+		if err != nil {
+			return nil, fmt.Errorf("setting config.peers: %w", err)
+		}
+		m.peers = append(m.peers, address)
+	}
+	if broadcast != "" {
+		address, err := netip.ParseAddrPort(broadcast)
+		if err != nil {
+			return nil, fmt.Errorf("setting config.peers_all: %w", err)
+		}
+		m.broadcast = address
+	}
+	own, err := netip.ParseAddrPort(listen)
+	if err != nil {
+		return nil, fmt.Errorf("setting config.peer_listen: %w", err)
+	}
+	if m.socket, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(own)); err != nil {
+		return nil, fmt.Errorf("setting config.peer_listen: %w", err)
+	}
+	return m, nil
+}
+
+// Intercept has interceptor look at each datagram before the router does; those for which it returns true are its own. It has to be called
+// before Serve.
+func (m *Messenger) Intercept(interceptor func([]byte) bool) { m.interceptor = interceptor }
+
+// Send sends a payload to an agent by its index.
+func (m *Messenger) Send(to int, payload []byte) {
+	m.Post(policy.SendGossip{To: to, Payload: payload})
+}
+
+// Post carries a command of the router out.
+func (m *Messenger) Post(command policy.SendGossip) { m.mailbox.Put(command) }
+
+// Serve sends what the mailbox holds, and hands on what comes, until the context ends.
+func (m *Messenger) Serve(ctx context.Context) {
+	if m.socket != nil {
+		go m.receive()
+		defer func() { _ = m.socket.Close() }() // nothing is sent after it
+	}
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-m.mailbox.Ready():
+		}
+		for _, command := range m.mailbox.Take(nil) {
+			m.send(command)
+		}
+	}
+}
+
+func (m *Messenger) send(command policy.SendGossip) {
+	address := m.address(command.To)
+	if m.socket == nil || !address.IsValid() || len(command.Payload) > maxDatagramSize {
+		ratelog.Warn("tell", "message not sent", "to", command.To, "bytes", len(command.Payload))
+		return
+	}
+	if _, err := m.socket.WriteToUDPAddrPort(command.Payload, address); err != nil {
+		ratelog.Warn("tell", "message not sent", "to", command.To, "err", err)
+	}
+}
+
+// address returns where messages to an index are sent. It is not valid where there is no such agent.
+func (m *Messenger) address(index int) netip.AddrPort {
+	switch {
+	case uint32(index) == broadcastIndex:
+		return m.broadcast
+	case index >= 0 && index < len(m.peers):
+		return m.peers[index]
+	}
+	return netip.AddrPort{}
+}
+
+// receive hands datagrams on until the socket is closed. Senders are told apart by their addresses; what does not come from an agent, or is
+// too long, is dropped.
+func (m *Messenger) receive() {
+	buffer := make([]byte, maxDatagramSize+1) // one byte more, to detect a datagram that is too long
+	for {
+		size, sender, err := m.socket.ReadFromUDPAddrPort(buffer)
+		if err != nil {
+			return // the socket is closed: reading datagrams has no other error
+		}
+		from := slices.Index(m.peers, netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port()))
+		if from < 0 || size > maxDatagramSize {
+			ratelog.Warn("datagram", "datagram dropped", "from", sender.String(), "bytes", size)
+			continue
+		}
+		if m.interceptor != nil && m.interceptor(slices.Clone(buffer[:size])) {
+			continue
+		}
+		m.loop.Post(policy.GossipReceived{From: from, Payload: slices.Clone(buffer[:size])})
+	}
+}
--- a/internal/gossip/messenger_test.go
+++ b/internal/gossip/messenger_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"net"
+	"net/netip"
 	"testing"
 	"time"
 
@@ -9,38 +10,51 @@
 	"switchfork/internal/policy"
 )
 
-// Datagrams are known by their sender; others are dropped.
-func TestPeers(t *testing.T) {
-	mine, other, strange := udp(t), udp(t), udp(t)
-	own := mine.LocalAddr().String()
-	mine.Close()
+// Datagrams are attributed to their sender. Those of strangers and those that are too long are dropped.
+func TestDatagramsOfPeers(t *testing.T) {
+	own, peer, stranger := listenUDP(t), listenUDP(t), listenUDP(t)
+	ownAddress := own.LocalAddr().String()
+	if err := own.Close(); err != nil {
+		t.Fatal(err)
+	}
 	r := agenttest.NewRig(t, time.Second)
-	p, err := NewMessenger(r.Loop, own, []string{own, other.LocalAddr().String()}, "")
+	messenger, err := NewMessenger(r.Loop, ownAddress, []string{ownAddress, peer.LocalAddr().String()}, "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go p.Serve(r.Context)
-	p.Post(policy.SendGossip{To: 1, Payload: []byte("hello")})
-	buf := make([]byte, 300)
-	other.SetReadDeadline(time.Now().Add(agenttest.Patience))
-	n, from, err := other.ReadFrom(buf)
-	if err != nil || string(buf[:n]) != "hello" {
-		t.Fatalf("got %q, %v", buf[:n], err)
+	go messenger.Serve(r.Context)
+	messenger.Post(policy.SendGossip{To: 1, Payload: []byte("hello")})
+	buffer := make([]byte, 300)
+	if err := peer.SetReadDeadline(time.Now().Add(agenttest.Patience)); err != nil {
+		t.Fatal(err)
+	}
+	n, from, err := peer.ReadFrom(buffer)
+	if err != nil || string(buffer[:n]) != "hello" {
+		t.Fatalf("got %q, %v", buffer[:n], err)
 	}
-	strange.WriteTo([]byte("who"), from)
-	other.WriteTo(make([]byte, 257), from)
-	other.WriteTo([]byte("yes"), from)
+	send(t, stranger, []byte("who"), from)
+	send(t, peer, make([]byte, 257), from)
+	send(t, peer, []byte("yes"), from)
 	agenttest.Eventually(t, "the message", func() bool { return len(agenttest.Events[policy.GossipReceived](r.Router)) > 0 })
-	if h := agenttest.Events[policy.GossipReceived](r.Router); len(h) != 1 || h[0].From != 1 || string(h[0].Payload) != "yes" {
-		t.Errorf("heard %+v", h)
+	got := agenttest.Events[policy.GossipReceived](r.Router)
+	if len(got) != 1 || got[0].From != 1 || string(got[0].Payload) != "yes" {
+		t.Errorf("received %+v", got)
 	}
 }
 
-func udp(t *testing.T) net.PacketConn {
-	c, err := net.ListenPacket("udp", "127.0.0.1:0")
+func listenUDP(t *testing.T) *net.UDPConn {
+	t.Helper()
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	return c
+	t.Cleanup(func() { _ = conn.Close() }) // closed twice where the test has closed it
+	return conn
+}
+
+func send(t *testing.T, conn *net.UDPConn, payload []byte, to net.Addr) {
+	t.Helper()
+	if _, err := conn.WriteTo(payload, to); err != nil {
+		t.Fatal(err)
+	}
 }
