--- a/internal/streamclient/client.go
+++ b/internal/streamclient/client.go
@@ -13,14 +13,15 @@
 	"switchfork/internal/tcpconn"
 )
 
-// NewHTTPClient is for discovery and the launcher: streams, and calls so rare that a connection each leaves none to go
-// stale. It follows no one elsewhere, and takes no more of a head than it should.
-func NewHTTPClient(dial time.Duration, among *tcpconn.UnreadGauge) *http.Client {
-	dialer := &net.Dialer{Timeout: dial}
+// NewHTTPClient returns a client for streams, and for calls so rare that a connection for each avoids stale ones. It follows no redirects
+// and bounds the size of a response's head. A connection has to come up within dialTimeout; unless unread is nil, it keeps count of the
+// connections while they are open.
+func NewHTTPClient(dialTimeout time.Duration, unread *tcpconn.UnreadGauge) *http.Client {
+	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-				return tcpconn.Dial(ctx, dialer, address, among)
+				return tcpconn.Dial(ctx, dialer, address, unread)
 			},
 			DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: protocol.HeadLimit,
 		},
@@ -28,22 +29,27 @@
 	}
 }
 
-// Sleep is a pause that the end cuts short.
-func Sleep(ctx context.Context, span backoff.Micros) {
+// Sleep waits for a time, or until the context ends.
+func Sleep(ctx context.Context, pause backoff.Micros) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(time.Duration(span) * time.Microsecond):
+	case <-time.After(time.Duration(pause) * time.Microsecond):
 	}
 }
 
-// StatusError is an answer that is no list and no stream.
+// StatusError is the status of a response that is neither a list nor a stream.
 type StatusError int
 
-func (r StatusError) Error() string { return fmt.Sprintf("status %d", int(r)) }
+func (e StatusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
 
-// BackoffReason tells a party that has too much to do from one that is not there.
+// isOverload tells whether the server reports that it has too much to do.
+func (e StatusError) isOverload() bool {
+	return e == http.StatusServiceUnavailable || e == http.StatusTooManyRequests
+}
+
+// BackoffReason tells a server that reports overload from one that can't be reached.
 func BackoffReason(err error) backoff.Reason {
-	if r := StatusError(0); errors.As(err, &r) && (r == http.StatusServiceUnavailable || r == http.StatusTooManyRequests) {
+	if status := StatusError(0); errors.As(err, &status) && status.isOverload() {
 		return backoff.Overloaded
 	}
 	return backoff.Unreachable
