--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// A discovery with version numbers of its own is believed with its first heartbeat.
+// The list of a discovery with version numbers of its own is published with its first heartbeat.
 func TestMoveToOtherVersionNumbers(t *testing.T) {
 	r, previous, next := newMovingRig(t, 50*time.Millisecond)
 	r.awaitHosts(t, 2, 1)
