--- /dev/null
+++ b/internal/sprt/sprt.go
@@ -0,0 +1,44 @@
+// Package sprt gives the steps of Wald's sequential probability ratio test: how far one outcome moves the logarithm of the
+// likelihood ratio between "the rate is bad" and "the rate is the baseline's".
+//
+// A Test is a value without state; the caller keeps the sum and its thresholds.
+package sprt
+
+import "math"
+
+// Bounds keep the two rates of a test apart and inside (0, 1).
+type Bounds struct {
+	MaxBadRate float64 // the bad rate is no higher than this
+	MinRatio   float64 // the baseline is at least this many times below the bad rate
+}
+
+// Test compares a baseline failure rate with a bad one.
+type Test struct {
+	baseline, bad float64
+}
+
+// NewTest returns the test of a baseline rate against one that is factor times as high.
+func NewTest(baseline, factor float64, bounds Bounds) Test {
+	bad := min(factor*baseline, bounds.MaxBadRate)
+	return Test{baseline: min(baseline, bad/bounds.MinRatio), bad: bad}
+}
+
+// Failure returns the step of one failed outcome. It is positive.
+func (t Test) Failure() float64 { return math.Log(t.bad / t.baseline) }
+
+// Success returns the step of one good outcome. It is negative.
+func (t Test) Success() float64 { return math.Log((1 - t.bad) / (1 - t.baseline)) }
+
+// Step returns the step of one outcome.
+func (t Test) Step(failed bool) float64 {
+	if failed {
+		return t.Failure()
+	}
+	return t.Success()
+}
+
+// ExponentialMean returns the step of count exponentially distributed durations with the given mean, where factor times the
+// expected mean is the bad one.
+func ExponentialMean(count, mean, expected, factor float64) float64 {
+	return count * (mean/expected*(1-1/factor) - math.Log(factor))
+}
