--- a/internal/aimd/aimd.go
+++ b/internal/aimd/aimd.go
@@ -3,12 +3,6 @@
 // A Limit belongs to its caller and is not safe for concurrent use. Times are in whole microseconds.
 package aimd
 
-// Decrease says how a limit falls.
-type Decrease struct {
-	Factor   float64 // what is left of the limit, between 0 and 1
-	Interval int64   // shortest time between two decreases, so that one burst of late answers counts once
-}
-
 // Limit is a concurrency limit.
 type Limit struct {
 	Value       float64
@@ -18,9 +12,10 @@
 // Increase raises the limit after a good answer: by one for each limit's worth of answers, and at most to the double.
 func (l *Limit) Increase() { l.Value += min(l.Value, 1/l.Value) }
 
-// Decrease lowers the limit after a bad answer, not below the minimum and not before the interval has passed.
-func (l *Limit) Decrease(now int64, minimum float64, by Decrease) {
-	if now >= l.decreasedAt+by.Interval {
-		l.Value, l.decreasedAt = max(minimum, l.Value*by.Factor), now
+// Decrease lowers the limit after a bad answer to the factor's part of it, not below the minimum. It does nothing before the
+// interval has passed since the last decrease, so that one burst of late answers counts once.
+func (l *Limit) Decrease(now int64, minimum, factor float64, interval int64) {
+	if now >= l.decreasedAt+interval {
+		l.Value, l.decreasedAt = max(minimum, l.Value*factor), now
 	}
 }
--- a/internal/aimd/aimd_test.go
+++ b/internal/aimd/aimd_test.go
@@ -18,13 +18,13 @@
 }
 
 func TestDecrease(t *testing.T) {
-	limit, by := Limit{Value: 10}, Decrease{Factor: 0.5, Interval: 100}
-	limit.Decrease(1000, 1, by)
-	limit.Decrease(1099, 1, by)
+	limit := Limit{Value: 10}
+	limit.Decrease(1000, 1, 0.5, 100)
+	limit.Decrease(1099, 1, 0.5, 100)
 	if limit.Value != 5 {
 		t.Errorf("two decreases within the interval left %v, want 5", limit.Value)
 	}
-	limit.Decrease(1100, 4, by)
+	limit.Decrease(1100, 4, 0.5, 100)
 	if limit.Value != 4 {
 		t.Errorf("a decrease went to %v, want the minimum of 4", limit.Value)
 	}
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -21,14 +21,14 @@
 }
 
 func goldenDeployments() []goldenDeployment {
-	inquiry := RequestClass{Idempotency: Idempotent, LatencyObjective: 100 * ms, Timeout: 400 * ms, PriorityWeight: 1}
-	keyed := RequestClass{Idempotency: Keyed, DedupWindow: 500 * ms, LatencyObjective: 200 * ms, Timeout: 900 * ms, PriorityWeight: 5, LateWeightShare: 0.3}
-	zoned := RequestClass{Idempotency: Keyed, DedupScope: DedupZone, DedupWindow: 300 * ms, LatencyObjective: 150 * ms, Timeout: 700 * ms, PriorityWeight: 3}
-	once := RequestClass{Idempotency: NonIdempotent, LatencyObjective: 300 * ms, Timeout: 1200 * ms, PriorityWeight: 9}
-	cell := RequestClass{Idempotency: Keyed, DedupScope: DedupCell, DedupWindow: 800 * ms, LatencyObjective: 250 * ms, Timeout: 1000 * ms, PriorityWeight: 2}
+	inquiry := RequestClass{Idempotency: Idempotent, LatencyObjective: 100 * millisecond, Timeout: 400 * millisecond, PriorityWeight: 1}
+	keyed := RequestClass{Idempotency: Keyed, DedupWindow: 500 * millisecond, LatencyObjective: 200 * millisecond, Timeout: 900 * millisecond, PriorityWeight: 5, LateWeightShare: 0.3}
+	zoned := RequestClass{Idempotency: Keyed, DedupScope: DedupZone, DedupWindow: 300 * millisecond, LatencyObjective: 150 * millisecond, Timeout: 700 * millisecond, PriorityWeight: 3}
+	once := RequestClass{Idempotency: NonIdempotent, LatencyObjective: 300 * millisecond, Timeout: 1200 * millisecond, PriorityWeight: 9}
+	cell := RequestClass{Idempotency: Keyed, DedupScope: DedupCell, DedupWindow: 800 * millisecond, LatencyObjective: 250 * millisecond, Timeout: 1000 * millisecond, PriorityWeight: 2}
 	caps := []float64{0.05, 0.3, 1}
 	all := []RequestClass{inquiry, keyed, zoned, once, cell}
-	votes := VotingRules{Rule: AnyVote, VoteLifetime: 4 * second, CallTimeout: 800 * ms, CallsPerSecond: 20, VotesToAdvance: 1, VotesToRollBack: 1}
+	votes := VotingRules{Rule: AnyVote, VoteLifetime: 4 * second, CallTimeout: 800 * millisecond, CallsPerSecond: 20, VotesToAdvance: 1, VotesToRollBack: 1}
 	share, timer := votes, votes
 	share.Rule, share.VotesToAdvance, share.VotesToRollBack, share.MetricsInterval = VoteShare, 4, 3, 1*second
 	timer.Rule = TimedStages
@@ -138,21 +138,21 @@
 	var raw []byte
 	for range 1 + s.chance.Intn(12) {
 		row := s.rows[s.ids[s.chance.Intn(len(s.ids))]]
-		n := told{
-			AttemptResult: AttemptResult{EndpointID: row.ID, Outcome: Outcome(s.chance.Intn(9)), Elapsed: Micros(s.chance.Int63n(int64(400 * ms)))},
-			by:            &appliance{Endpoint: row}, product: s.chance.Intn(len(s.d.products)), held: float64(s.chance.Intn(6)) - 1,
+		n := attemptOutcome{
+			AttemptResult: AttemptResult{EndpointID: row.ID, Outcome: Outcome(s.chance.Intn(9)), Elapsed: Micros(s.chance.Int63n(int64(400 * millisecond)))},
+			endpoint:      &endpointRecord{Endpoint: row}, class: s.chance.Intn(len(s.d.products)), reportedInFlight: float64(s.chance.Intn(6)) - 1,
 		}
 		switch s.chance.Intn(10) {
 		case 0:
-			n.Outcome = turnedLine
+			n.Outcome = rejectedRecord
 		case 1:
-			n.Outcome = wentLine
+			n.Outcome = sentRecord
 		case 2:
-			raw = append(raw, (&judge{wave: wave{build: s.build, stage: s.stage}}).wordFor(Verdict(s.chance.Intn(4)))...)
-			raw = append(raw, make([]byte, (lineBytes-len(raw)%lineBytes)%lineBytes)...)
+			raw = append(raw, (&releaseAnalyzer{rolloutState: rolloutState{build: s.build, stage: s.stage}}).encodeVerdict(Verdict(s.chance.Intn(4)))...)
+			raw = append(raw, make([]byte, (recordBytes-len(raw)%recordBytes)%recordBytes)...)
 			continue
 		}
-		raw = putLine(raw, n)
+		raw = appendOutcome(raw, n)
 	}
 	return raw
 }
@@ -175,10 +175,10 @@
 			t.Key = uint64(1 + s.chance.Intn(50))
 		}
 		if s.chance.Intn(3) == 0 {
-			t.CostHint = Micros(s.chance.Int63n(int64(60 * ms)))
+			t.CostHint = Micros(s.chance.Int63n(int64(60 * millisecond)))
 		}
 		if s.chance.Intn(5) == 0 {
-			t.ArrivedAt = s.now - Micros(s.chance.Int63n(int64(50*ms)))
+			t.ArrivedAt = s.now - Micros(s.chance.Int63n(int64(50*millisecond)))
 		}
 		s.products[t.ID] = product
 		s.give(t)
@@ -193,7 +193,7 @@
 		if s.rows[o.EndpointID].Build == s.build && s.chance.Intn(4) == 0 {
 			how = ServerError
 		}
-		s.give(AttemptResult{RequestID: o.RequestID, EndpointID: o.EndpointID, Outcome: how, Elapsed: Micros(s.chance.Int63n(int64(150 * ms))), RequestDone: how == OK, Load: s.load()})
+		s.give(AttemptResult{RequestID: o.RequestID, EndpointID: o.EndpointID, Outcome: how, Elapsed: Micros(s.chance.Int63n(int64(150 * millisecond))), RequestDone: how == OK, Load: s.load()})
 	case n < 84:
 		if s.nextID > 0 {
 			s.give(RequestCancelled{RequestID: 1 + uint64(s.chance.Int63n(int64(s.nextID)))})
@@ -204,7 +204,7 @@
 		if len(s.probes) > 0 {
 			p := s.probes[0]
 			s.probes = s.probes[1:]
-			s.give(HealthCheckResult{EndpointID: p.EndpointID, Outcome: s.outcome(), Elapsed: ms, Load: s.load()})
+			s.give(HealthCheckResult{EndpointID: p.EndpointID, Outcome: s.outcome(), Elapsed: millisecond, Load: s.load()})
 		}
 	case n < 93:
 		s.give(GossipReceived{From: s.chance.Intn(s.d.station.Agents), Payload: s.sheet()})
@@ -225,13 +225,13 @@
 		s.give(st)
 	case n < 96:
 		many := 1 + s.chance.Intn(200)
-		s.give(MetricsReport{Build: s.build - s.chance.Intn(2), Class: s.chance.Intn(len(s.d.products)), Requests: many, Failures: s.chance.Intn(many), MeanLatency: Micros(s.chance.Int63n(int64(200 * ms)))})
+		s.give(MetricsReport{Build: s.build - s.chance.Intn(2), Class: s.chance.Intn(len(s.d.products)), Requests: many, Failures: s.chance.Intn(many), MeanLatency: Micros(s.chance.Int63n(int64(200 * millisecond)))})
 	case n < 97:
 		s.give(ErrorReport{EndpointID: s.ids[s.chance.Intn(len(s.ids))]})
 	case n < 98:
 		s.give(EndpointUpdate{Failed: true})
 	default:
-		s.now += Micros(s.chance.Int63n(int64(200 * ms)))
+		s.now += Micros(s.chance.Int63n(int64(200 * millisecond)))
 	}
 }
 
@@ -246,9 +246,9 @@
 			station := d.station
 			station.Seed = seed
 			if d.name == "evaluator" {
-				station.Index = lot(station.Agents, seats, ringSalt)[0]
+				station.Index = selectAgents(station.Agents, panelSize, ringSalt)[0]
 			} else if d.name == "observer" {
-				station.Index = lot(station.Agents, station.Agents, ringSalt)[seats]
+				station.Index = selectAgents(station.Agents, station.Agents, ringSalt)[panelSize]
 			}
 			s := &goldenStream{
 				chance: rand.New(rand.NewSource(seed)), d: d, now: 1000 * second, build: 2, rows: map[uint32]Endpoint{}, products: map[uint64]int{},
@@ -261,12 +261,12 @@
 			for id := range appliances {
 				s.ids = append(s.ids, uint32(101+id*7))
 			}
-			s.r = New(station, d.products, d.plan, d.polling, d.count, SlowStart{InitialCapacity: 0.3, Duration: 3 * second, OverloadMultiple: 2, OverloadAfter: 500 * ms},
+			s.r = New(station, d.products, d.plan, d.polling, d.count, SlowStart{InitialCapacity: 0.3, Duration: 3 * second, OverloadMultiple: 2, OverloadAfter: 500 * millisecond},
 				RetryLimits{MaxAttempts: 3, MaxRetryAfter: 2 * second}, d.may, CostWeights{CrossZone: 0.05})
 			s.list(true)
 			s.give(RolloutUpdate{Build: 2, Cap: d.plan.Caps[0]})
 			for range goldenEvents {
-				s.now += Micros(s.chance.Int63n(int64(6 * ms)))
+				s.now += Micros(s.chance.Int63n(int64(6 * millisecond)))
 				s.bells()
 				s.event()
 			}
@@ -279,20 +279,20 @@
 // What agents write to each other stays as it was, byte by byte.
 func TestGoldenSheets(t *testing.T) {
 	var out strings.Builder
-	for i, n := range []told{
-		{AttemptResult: AttemptResult{EndpointID: 0xa1b2c3d4, Outcome: OK, Elapsed: 123456}, by: &appliance{Endpoint: Endpoint{Build: 7}}, product: 2, held: 3},
-		{AttemptResult: AttemptResult{EndpointID: 5, Outcome: Malformed, Elapsed: 99 * second}, by: &appliance{Endpoint: Endpoint{Build: 258}}, product: 0, held: -1},
-		{AttemptResult: AttemptResult{Outcome: turnedLine}, by: &appliance{}},
-		{AttemptResult: AttemptResult{EndpointID: 77, Outcome: wentLine}, by: &appliance{Endpoint: Endpoint{ID: 77}}},
+	for i, n := range []attemptOutcome{
+		{AttemptResult: AttemptResult{EndpointID: 0xa1b2c3d4, Outcome: OK, Elapsed: 123456}, endpoint: &endpointRecord{Endpoint: Endpoint{Build: 7}}, class: 2, reportedInFlight: 3},
+		{AttemptResult: AttemptResult{EndpointID: 5, Outcome: Malformed, Elapsed: 99 * second}, endpoint: &endpointRecord{Endpoint: Endpoint{Build: 258}}, class: 0, reportedInFlight: -1},
+		{AttemptResult: AttemptResult{Outcome: rejectedRecord}, endpoint: &endpointRecord{}},
+		{AttemptResult: AttemptResult{EndpointID: 77, Outcome: sentRecord}, endpoint: &endpointRecord{Endpoint: Endpoint{ID: 77}}},
 	} {
-		fmt.Fprintf(&out, "line %d: %x\n", i, putLine(nil, n))
+		fmt.Fprintf(&out, "line %d: %x\n", i, appendOutcome(nil, n))
 	}
-	j := &judge{wave: wave{build: 300, stage: 4}}
+	j := &releaseAnalyzer{rolloutState: rolloutState{build: 300, stage: 4}}
 	for v := NoVote; v <= RollBack; v++ {
-		fmt.Fprintf(&out, "word %d: %x\n", v, j.wordFor(v))
+		fmt.Fprintf(&out, "word %d: %x\n", v, j.encodeVerdict(v))
 	}
 	for _, id := range []uint32{0, 1, 77, 0xffffffff} {
-		at, bit := spotOf(id)
+		at, bit := digestBit(id)
 		fmt.Fprintf(&out, "digest bit of %d: byte %d, %08b of %d\n", id, at, bit, digestBytes)
 	}
 	golden.Check(t, "sheets.golden", out.String())
--- a/internal/policy/scenario_test.go
+++ b/internal/policy/scenario_test.go
@@ -107,13 +107,13 @@
 				"inquiry": Idempotent, "referenced": Keyed,
 				"once": NonIdempotent,
 			}[w[1]], DedupScope: map[string]DedupScope{"": DedupAll, "zone": DedupZone, "cell": DedupCell}[m["group"]],
-			DedupWindow: Micros(s.val(m, "memory", 0)) * ms, LatencyObjective: Micros(s.val(m, "sla", 1000)) * ms,
-			Timeout: Micros(s.val(m, "expiry", 3000)) * ms, PriorityWeight: s.val(m, "revenue", 1),
+			DedupWindow: Micros(s.val(m, "memory", 0)) * millisecond, LatencyObjective: Micros(s.val(m, "sla", 1000)) * millisecond,
+			Timeout: Micros(s.val(m, "expiry", 3000)) * millisecond, PriorityWeight: s.val(m, "revenue", 1),
 		})
 	case ">":
 		s.expect(w[1:])
 	default:
-		s.until(Micros(s.num(w[0])) * ms)
+		s.until(Micros(s.num(w[0])) * millisecond)
 		s.event(w[1], w[2:])
 	}
 }
@@ -127,7 +127,7 @@
 	if n, is := strings.CutPrefix(m["me"], "BENCH"); is {
 		m["me"] = strconv.Itoa(s.seat(n))
 	}
-	span := func(k string, def float64) Micros { return Micros(s.val(m, k, def)) * ms }
+	span := func(k string, def float64) Micros { return Micros(s.val(m, k, def)) * millisecond }
 	s.r = New(Instance{
 		Index: int(s.val(m, "me", 0)), Agents: int(s.val(m, "agents", 1)), Seed: 7, KeyAffinity: m["warmkeys"] != "",
 		HasWeights: m["unsized"] == "", LoadReport: map[string]LoadReportFormat{"1": {Utilization: 1, Rate: 2}, "": {InFlight: int(s.val(m, "holds", 0))}}[m["reports"]],
@@ -145,7 +145,7 @@
 // seat is the number of one of the bench; a number over the seats is another agent.
 func (s *stage) seat(w string) int {
 	from := int(s.num(w))
-	if bench := lot(int(s.val(s.words, "agents", 1)), seats, ringSalt); from < len(bench) {
+	if bench := selectAgents(int(s.val(s.words, "agents", 1)), panelSize, ringSalt); from < len(bench) {
 		return bench[from]
 	}
 	return from
@@ -196,7 +196,7 @@
 			x, started, _ := strings.Cut(x, "@")
 			row := Endpoint{State: Ready, Weight: 1}
 			if started != "" {
-				row.Started = Micros(s.num(started)) * ms
+				row.Started = Micros(s.num(started)) * millisecond
 			}
 			if y := strings.TrimRight(x, "-!"); y != x {
 				row.State = map[string]EndpointState{"-": Draining, "!": Gone}[x[len(y):]]
@@ -229,7 +229,7 @@
 		}
 		for id := s.num(first); id <= s.num(last); id++ {
 			if _, sent := s.on[uint64(id)]; sent {
-				s.end(uint64(id), outcomeWords[w[1]], Micros(s.val(opts(w[2:]), "took", 50))*ms)
+				s.end(uint64(id), outcomeWords[w[1]], Micros(s.val(opts(w[2:]), "took", 50))*millisecond)
 			}
 		}
 	case "abandon":
@@ -237,33 +237,33 @@
 	case "heard": // APPLIANCE OUTCOME TIMES took=, a sheet from a peer
 		for n := s.num(w[2]); n > 0; n-- {
 			a := uint32(s.num(w[0]))
-			s.give(GossipReceived{From: 1, Payload: putLine(nil, told{AttemptResult: AttemptResult{
+			s.give(GossipReceived{From: 1, Payload: appendOutcome(nil, attemptOutcome{AttemptResult: AttemptResult{
 				EndpointID: a, Outcome: outcomeWords[w[1]],
-				Elapsed: Micros(s.val(opts(w), "took", 50)) * ms,
-			}, by: &appliance{Endpoint: Endpoint{Build: s.builds[a]}}})})
+				Elapsed: Micros(s.val(opts(w), "took", 50)) * millisecond,
+			}, endpoint: &endpointRecord{Endpoint: Endpoint{Build: s.builds[a]}}})})
 		}
 	case "probed":
 		s.give(HealthCheckResult{EndpointID: uint32(s.num(w[0])), Outcome: outcomeWords[w[1]]})
 	case "digest": // SEAT ID,ID..: those that one of the bench calls busy
 		text := make([]byte, digestBytes)
 		for _, id := range strings.Split(w[1], ",") {
-			at, bit := spotOf(uint32(s.num(id)))
+			at, bit := digestBit(uint32(s.num(id)))
 			text[at] |= bit
 		}
 		s.give(GossipReceived{From: s.seat(w[0]), Payload: text})
 	case "went": // ID TIMES, a peer's submissions
 		for n := s.num(w[1]); n > 0; n-- {
-			s.give(GossipReceived{From: 1, Payload: putLine(nil, told{AttemptResult: AttemptResult{EndpointID: uint32(s.num(w[0])), Outcome: wentLine}, by: &appliance{}})})
+			s.give(GossipReceived{From: 1, Payload: appendOutcome(nil, attemptOutcome{AttemptResult: AttemptResult{EndpointID: uint32(s.num(w[0])), Outcome: sentRecord}, endpoint: &endpointRecord{}})})
 		}
 	case "tally": // BUILD PRODUCT MANY LOST took=
 		s.give(MetricsReport{
 			Build: int(s.num(w[0])), Class: int(s.num(w[1])), Requests: int(s.num(w[2])), Failures: int(s.num(w[3])),
-			MeanLatency: Micros(s.val(opts(w[4:]), "took", 0)) * ms, Age: second,
+			MeanLatency: Micros(s.val(opts(w[4:]), "took", 0)) * millisecond, Age: second,
 		})
 	case "word": // SEAT BUILD STAGE VERDICT, what one of the bench holds; a number over the seats is another agent
 		from := s.seat(w[0])
 		v := map[string]Verdict{"none": NoVote, "on": Advance, "back": RollBack, "9": 9}[w[3]]
-		s.give(GossipReceived{From: from, Payload: []byte{byte(s.num(w[1])), 0, 0, 0, byte(s.num(w[2])), byte(v), wordLine, 0, 0, 0}})
+		s.give(GossipReceived{From: from, Payload: []byte{byte(s.num(w[1])), 0, 0, 0, byte(s.num(w[2])), byte(v), verdictRecord, 0, 0, 0}})
 	case "flag":
 		for n := s.num(w[1]); n > 0; n-- { // ID TIMES
 			s.give(ErrorReport{EndpointID: uint32(s.num(w[0]))})
@@ -273,7 +273,7 @@
 		since := len(s.log)
 		errs, keys := int(s.val(m, "errs", 0)), int(s.val(m, "keys", 0))
 		customers, failFor := int(s.val(m, "customers", 1)), int(s.val(m, "failfor", -1))
-		for id, i := uint64(1e6)+uint64(s.now), 1; s.now < Micros(s.val(m, "until", 0))*ms; id, i = id+1, i+1 {
+		for id, i := uint64(1e6)+uint64(s.now), 1; s.now < Micros(s.val(m, "until", 0))*millisecond; id, i = id+1, i+1 {
 			if keys > 0 {
 				m["key"] = strconv.Itoa(1 + i%keys)
 			}
@@ -287,9 +287,9 @@
 					customer == failFor || spoil {
 					how, spoil = ServerError, false
 				}
-				took := Micros(s.val(m, "took", 20)) * ms
+				took := Micros(s.val(m, "took", 20)) * millisecond
 				if s.builds[a] == int(s.val(m, "slow", -1)) || slices.Contains(strings.Split(m["slowat"], ","), fmt.Sprint(a)) {
-					took = 1500 * ms
+					took = 1500 * millisecond
 				}
 				s.load = nil
 				for _, x := range strings.Split(m["rates"], ",") { // ID:RATE, what its reports say at that busy=
@@ -299,7 +299,7 @@
 				}
 				s.end(id, how, took)
 			}
-			s.until(s.now + Micros(s.val(m, "every", 20))*ms)
+			s.until(s.now + Micros(s.val(m, "every", 20))*millisecond)
 		}
 		s.since = since
 	default:
@@ -310,8 +310,8 @@
 func (s *stage) txn(id uint64, m map[string]string) {
 	p := int(s.val(m, "product", 0))
 	s.give(RequestArrived{
-		ID: id, Class: p, Tenant: int(s.val(m, "customer", 0)), Key: uint64(s.val(m, "key", 0)), CostHint: Micros(s.val(m, "work", 0)) * ms,
-		Deadline: s.now + Micros(s.val(m, "for", float64(s.prods[p].Timeout/ms)))*ms,
+		ID: id, Class: p, Tenant: int(s.val(m, "customer", 0)), Key: uint64(s.val(m, "key", 0)), CostHint: Micros(s.val(m, "work", 0)) * millisecond,
+		Deadline: s.now + Micros(s.val(m, "for", float64(s.prods[p].Timeout/millisecond)))*millisecond,
 	})
 }
 
@@ -327,7 +327,7 @@
 	case SendAttempt:
 		return "submit", map[string]float64{
 			"id": float64(c.RequestID), "to": float64(c.EndpointID),
-			"build": float64(s.builds[c.EndpointID]), "before": float64(c.WriteBefore / ms),
+			"build": float64(s.builds[c.EndpointID]), "before": float64(c.WriteBefore / millisecond),
 		}
 	case CancelAttempt:
 		return "calloff", map[string]float64{"id": float64(c.RequestID)}
@@ -382,21 +382,21 @@
 func TestNothingGrows(t *testing.T) {
 	g := New(Instance{Agents: 3, Seed: 7, KeyAffinity: true}, []RequestClass{{LatencyObjective: second, Timeout: 3 * second, PriorityWeight: 1}},
 		RolloutPlan{Caps: []float64{1}}, VotingRules{}, ExposureLimit{Window: second}, SlowStart{}, RetryLimits{MaxAttempts: 3},
-		Capabilities{}, CostWeights{}).(*agent)
+		Capabilities{}, CostWeights{}).(*router)
 	most := 0
 	for id := range uint64(20000) {
-		now := Micros(id) * ms
+		now := Micros(id) * millisecond
 		if id%10 == 0 {
 			g.Handle(now, EndpointUpdate{Full: true, Endpoints: []Endpoint{{ID: uint32(id), Build: 1, State: Ready, Weight: 1}}})
 		}
-		for _, o := range g.Handle(now, RequestArrived{ID: id, Key: id + 1, CostHint: 10 * ms, Deadline: now + 3*second}) {
+		for _, o := range g.Handle(now, RequestArrived{ID: id, Key: id + 1, CostHint: 10 * millisecond, Deadline: now + 3*second}) {
 			if s, is := o.(SendAttempt); is {
-				g.Handle(now, AttemptResult{RequestID: id, EndpointID: s.EndpointID, Outcome: OK, Elapsed: 10 * ms, RequestDone: true})
+				g.Handle(now, AttemptResult{RequestID: id, EndpointID: s.EndpointID, Outcome: OK, Elapsed: 10 * millisecond, RequestDone: true})
 			}
 		}
 		g.Handle(now, TimerFired{})
 		if id > 10000 {
-			most = max(most, len(g.desk.recent)+len(g.desk.before)+len(g.fleet.all)+len(g.fleet.byID)+len(g.desk.txns))
+			most = max(most, len(g.dispatcher.keys.recent)+len(g.dispatcher.keys.previous)+len(g.endpoints.all)+len(g.endpoints.byID)+len(g.dispatcher.requests))
 		}
 	}
 	if most > 1000 {
