--- a/internal/policy/analysis.go
+++ b/internal/policy/analysis.go
@@ -33,11 +33,11 @@
 	// baseline's warm endpoints the others are slow for that reason.
 	onTimeDrop, completionDrop, wholeFleetShare = 0.6, 0.85, 0.85
 	// collapsedCompletions need not be told apart from other trouble. slowdownRecovery: how much faster a passed
-	// overload is forgotten. slowdownAlone needs no drop, but counts for less.
-	collapsedCompletions, slowdownRecovery, slowdownAlone, slowdownAloneWeight = 0.5, 4, 1.6, 0.7
-	// completionWindow and baselineWindow: completions are averaged over these times. After settleTime a
+	// overload is forgotten. isolatedSlowdown needs no drop, but counts for less.
+	collapsedCompletions, slowdownRecovery, isolatedSlowdown, isolatedSlowdownWeight = 0.5, 4, 1.6, 0.7
+	// completionWindow and baselineWindow: completions are averaged over these times. After establishTime a
 	// released build counts as part of the baseline.
-	completionWindow, baselineWindow, settleTime = 3 * second, 10 * second, 25 * second
+	completionWindow, baselineWindow, establishTime = 3 * second, 10 * second, 25 * second
 	// Where the outcomes of all are known, a slowdown with stepCanaryShare and less than stepArrivals of the
 	// baseline's attempts came with the build: it counts stepWeight, so that three seconds are enough.
 	stepCanaryShare, stepArrivals, stepWeight = 0.1, 1.2, 3
@@ -130,7 +130,7 @@
 			latenessSum += sprt.ExponentialMean(good, float64(report.MeanLatency), expected, slowFactor)
 		}
 	}
-	if baselineRequests >= minOutcomes && !a.isSettled() {
+	if baselineRequests >= minOutcomes && !a.isEstablished() {
 		step := min(failureSum+max(0, latenessSum), maxReportStep)
 		a.reportedRatio = max(a.reportedRatio+step, -decisionThreshold-1)
 	}
@@ -211,13 +211,13 @@
 	return sum
 }
 
-// isSettled: the release has been out for a while, or since before this agent started.
-func (a *releaseAnalyzer) isSettled() bool {
-	return a.phase != Evaluating && (a.stageStartedAt <= a.startedAt || a.now-a.stageStartedAt > settleTime)
+// isEstablished: the release has been out for a while, or since before this agent started.
+func (a *releaseAnalyzer) isEstablished() bool {
+	return a.phase != Evaluating && (a.stageStartedAt <= a.startedAt || a.now-a.stageStartedAt > establishTime)
 }
 
 func (a *releaseAnalyzer) isBaselinePeriod() bool {
-	return a.slowdownTime == 0 && (a.build == 0 || a.isSettled())
+	return a.slowdownTime == 0 && (a.build == 0 || a.isEstablished())
 }
 
 // updateSlowdown guards against a release that slows old and new builds alike: the median answer is far
@@ -242,8 +242,8 @@
 	switch {
 	case a.hasFewerCompletions(slowdown, isWhole):
 		a.slowdownTime += elapsed * weight
-	case slowdown >= slowdownAlone:
-		a.slowdownTime += elapsed * weight * slowdownAloneWeight
+	case slowdown >= isolatedSlowdown:
+		a.slowdownTime += elapsed * weight * isolatedSlowdownWeight
 	default:
 		a.slowdownTime = max(0, a.slowdownTime-slowdownRecovery*elapsed)
 	}
--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -35,7 +35,7 @@
 	d.recordArrival(req)
 	req.ringPosition = d.ringPosition(req)
 	d.requests[arrived.ID] = req
-	d.exposureOf(arrived.Class).RecordRequest(d.now, d.exposureStart())
+	d.windowOf(arrived.Class).RecordRequest(d.now, d.windowStart())
 	d.routeRequest(req)
 }
 
@@ -65,13 +65,13 @@
 	req.attemptAt, req.sentAt = e, d.now
 	req.attempts++
 	if _, _, isCapped := d.capOf(e.Build); isCapped {
-		d.exposureOf(req.Class).RecordAttempt(d.now, d.exposureStart(), e.Build)
+		d.windowOf(req.Class).RecordAttempt(d.now, d.windowStart(), e.Build)
 	}
 	d.zoneFor(e.Zone).inFlight++
 	e.enqueue(attemptStarted{d.expectedCost(req), d.classes[req.Class].LatencyObjective})
 	d.analyzer.enqueue(attemptSent{endpoint: e})
 	d.emit(SendAttempt{
-		RequestID: req.ID, EndpointID: e.ID, Timeout: d.attemptTimeout(req), WriteBefore: req.dedupExpiry,
+		RequestID: req.ID, EndpointID: e.ID, Timeout: d.attemptTimeout(req), WriteBefore: req.dedupUntil,
 	})
 }
 
@@ -144,16 +144,16 @@
 	}
 }
 
-// exposureOf is the exposure count that applies to a class.
-func (d *dispatcher) exposureOf(class int) *exposure.Window {
+// windowOf is the exposure count that applies to a class.
+func (d *dispatcher) windowOf(class int) *exposure.Window {
 	if d.exposureLimit.PerClass {
-		return d.exposure[class]
+		return d.exposureWindows[class]
 	}
-	return d.exposure[0]
+	return d.exposureWindows[0]
 }
 
-// exposureStart is the time from which on the exposure counts.
-func (d *dispatcher) exposureStart() Micros { return d.now - d.exposureLimit.Window - windowMargin }
+// windowStart is the time from which on the exposure counts.
+func (d *dispatcher) windowStart() Micros { return d.now - d.exposureLimit.Window - windowMargin }
 
 func (d *dispatcher) zoneFor(zone int) *zoneState {
 	for len(d.zones) <= zone {
--- a/internal/policy/eventloop.go
+++ b/internal/policy/eventloop.go
@@ -129,7 +129,7 @@
 		tenantErrors: tenantErrorRates{map[int]float64{}},
 	}
 	for _, class := range classes {
-		r.dispatcher.exposure = append(r.dispatcher.exposure, &exposure.Window{})
+		r.dispatcher.exposureWindows = append(r.dispatcher.exposureWindows, &exposure.Window{})
 		cost := float64(class.LatencyObjective) * initialCostShare
 		r.dispatcher.meanCost = max(r.dispatcher.meanCost, cost)
 	}
--- a/internal/policy/exposure.go
+++ b/internal/policy/exposure.go
@@ -4,7 +4,7 @@
 const windowMargin = 2 * busyTickInterval
 
 // capOf is the exposure cap and stage that apply to a build, where any do.
-func (s *rolloutState) capOf(build int) (exposureCap float64, stage int, isCapped bool) {
+func (s *rolloutState) capOf(build int) (buildCap float64, stage int, isCapped bool) {
 	switch {
 	case build > s.build: // not announced yet: as in the first stage
 		return s.plan.Caps[0], 0, true
@@ -15,20 +15,20 @@
 }
 
 // isWithinCap holds the cap over every window that begins within the last one, whatever comes later.
-func (d *dispatcher) isWithinCap(class, build int, exposureCap float64) bool {
-	if exposureCap < 1 {
-		exposureCap *= 1 - 1e-6 // the announced cap has seven digits; a whole one is exact
+func (d *dispatcher) isWithinCap(class, build int, buildCap float64) bool {
+	if buildCap < 1 {
+		buildCap *= 1 - 1e-6 // the announced cap has seven digits; a whole one is exact
 	}
-	return d.exposureOf(class).Fits(build, exposureCap, d.exposureLimit.Allowance)
+	return d.windowOf(class).Fits(build, buildCap, d.exposureLimit.Allowance)
 }
 
 // mayUseBuild is rule 5: the exposure cap, the guarded stages, and that keys go back to no earlier build.
 func (d *dispatcher) mayUseBuild(req *request, build int) bool {
-	if exposureCap, stage, isCapped := d.capOf(build); isCapped {
+	if buildCap, stage, isCapped := d.capOf(build); isCapped {
 		if stage < d.plan.GuardedStages && d.classes[req.Class].Idempotency != Idempotent {
 			return false
 		}
-		if !d.isWithinCap(req.Class, build, exposureCap) {
+		if !d.isWithinCap(req.Class, build, buildCap) {
 			return false
 		}
 	}
--- a/internal/policy/gossip.go
+++ b/internal/policy/gossip.go
@@ -91,8 +91,8 @@
 	a.peerVerdicts = make([]peerVerdict, panelSize)
 }
 
-// seatOf is an agent's place in the panel, -1 where it has none.
-func (a *releaseAnalyzer) seatOf(agent int) int { return slices.Index(a.evaluators, agent) }
+// panelIndexOf is an agent's place in the panel, -1 where it has none.
+func (a *releaseAnalyzer) panelIndexOf(agent int) int { return slices.Index(a.evaluators, agent) }
 
 // decidesItself: without a panel, or as one of it.
 func (a *releaseAnalyzer) decidesItself() bool { return a.evaluators == nil || a.isEvaluator }
--- a/internal/policy/measurements.go
+++ b/internal/policy/measurements.go
@@ -22,8 +22,8 @@
 		}
 		a.recordOutcome(msg)
 	case peerVerdict:
-		if seat := a.seatOf(msg.from); seat >= 0 {
-			a.peerVerdicts[seat] = msg
+		if panelIndex := a.panelIndexOf(msg.from); panelIndex >= 0 {
+			a.peerVerdicts[panelIndex] = msg
 		}
 	case attemptSent:
 		msg.endpoint.enqueue(msg)
@@ -100,7 +100,7 @@
 
 // isBaselineReport tells whether a report is of what the canary is compared with.
 func (a *releaseAnalyzer) isBaselineReport(report MetricsReport) bool {
-	return report.Build < a.build || a.isSettled()
+	return report.Build < a.build || a.isEstablished()
 }
 
 // addReports takes over the reports of an interval. It returns those of the canary, and the requests of the baseline's.
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -44,7 +44,7 @@
 func (d *dispatcher) isRepeatable(req *request, isDeduplicated bool) bool {
 	idempotency := d.classes[req.Class].Idempotency
 	return req.mayHaveRunAt == nil || idempotency == Idempotent ||
-		idempotency == Keyed && isDeduplicated && d.now < req.dedupExpiry
+		idempotency == Keyed && isDeduplicated && d.now < req.dedupUntil
 }
 
 // attemptTimeout is none before the deadline, or the latency objective where rejected clients do not return.
--- a/internal/policy/routing.go
+++ b/internal/policy/routing.go
@@ -109,8 +109,8 @@
 		capacity = ready[newestBuild] + ready[earlierBuild]
 	}
 	share = ready[newestBuild] / max(capacity, 1e-9)
-	if exposureCap, _, isCapped := d.capOf(top); isCapped {
-		share = min(share, capUtilization*exposureCap)
+	if buildCap, _, isCapped := d.capOf(top); isCapped {
+		share = min(share, capUtilization*buildCap)
 	}
 	return top, share
 }
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -123,7 +123,7 @@
 	serverErrors    int
 	isClosed        bool      // answered or abandoned, with an attempt in flight
 	mayHaveRunAt    *Endpoint // where it may have run first
-	dedupExpiry     Micros    // when the deduplication of what may have run ends; 0: there is none
+	dedupUntil      Micros    // when the deduplication of what may have run ends; 0: there is none
 	triedEndpoints  []*endpointRecord
 }
 
@@ -133,12 +133,12 @@
 func (r *request) markMayHaveRun(e *endpointRecord, class *RequestClass) {
 	if r.mayHaveRunAt == nil {
 		ran := e.Endpoint
-		r.mayHaveRunAt, r.dedupExpiry = &ran, class.dedupExpiry(r.sentAt)
+		r.mayHaveRunAt, r.dedupUntil = &ran, class.dedupUntil(r.sentAt)
 	}
 }
 
-// dedupExpiry is when a keyed request that was sent at the given time is no longer deduplicated; 0 for others.
-func (c *RequestClass) dedupExpiry(sentAt Micros) Micros {
+// dedupUntil is when a keyed request that was sent at the given time is no longer deduplicated; 0 for others.
+func (c *RequestClass) dedupUntil(sentAt Micros) Micros {
 	if c.Idempotency != Keyed {
 		return 0
 	}
@@ -179,7 +179,7 @@
 	exposureLimit   ExposureLimit
 	crossZoneCost   float64            // of an attempt in another zone
 	zones           []*zoneState       // by their index
-	exposure        []*exposure.Window // by class, or a single one
+	exposureWindows []*exposure.Window // by class, or a single one
 	requests        map[uint64]*request
 	heldRequests    []*request
 	keyBuilds       map[uint64]int // the latest build that answered a key, where keys never go back
--- a/internal/policy/voting.go
+++ b/internal/policy/voting.go
@@ -34,12 +34,12 @@
 // broadcastDigest tells all agents which endpoints hold more than their share. Where an agent meets each once
 // a minute, no limit of its own can tell; the evaluators hear of all. A digest may be a second old.
 func (a *releaseAnalyzer) broadcastDigest() {
-	seat := a.seatOf(a.index)
-	if seat < 0 || !a.sharesInFlight || a.now < a.digestSentAt+digestInterval {
+	panelIndex := a.panelIndexOf(a.index)
+	if panelIndex < 0 || !a.sharesInFlight || a.now < a.digestSentAt+digestInterval {
 		return
 	}
 	if a.digestSentAt == 0 {
-		a.digestSentAt = a.now - digestInterval*Micros(seat)/panelSize // in turn
+		a.digestSentAt = a.now - digestInterval*Micros(panelIndex)/panelSize // in turn
 		return
 	}
 	inFlight, capacity := a.endpoints.totalLoad()
@@ -80,13 +80,13 @@
 
 func (a *releaseAnalyzer) mustRollBack(ratio float64) bool {
 	minCount := minOutcomes / max(1, a.votingRules.VotesToRollBack)
-	isSlowdown := !a.isSettled() && a.decidesItself() && a.slowdownTime >= slowdownRollsBack
+	isSlowdown := !a.isEstablished() && a.decidesItself() && a.slowdownTime >= slowdownRollsBack
 	isReported := a.usesReports() && a.reportedRatio >= decisionThreshold && ratio >= holdThreshold
 	return a.outcomeCount >= minCount && ratio >= a.rollBackThreshold() || isReported || isSlowdown
 }
 
 func (a *releaseAnalyzer) isPausedBySlowdown() bool {
-	watches := !a.isSettled()
+	watches := !a.isEstablished()
 	if a.isLastStage() {
 		return watches && a.slowdownTime >= slowdownHolds || a.onTimeShare < onTimeDrop
 	}
