--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -29,9 +29,9 @@
 	caps := []float64{0.05, 0.3, 1}
 	all := []RequestClass{idempotent, keyed, zoned, nonIdempotent, cell}
 	votes := VotingRules{Rule: AnyVote, VoteLifetime: 4 * second, CallTimeout: 800 * millisecond, CallsPerSecond: 20, VotesToAdvance: 1, VotesToRollBack: 1}
-	share, timer := votes, votes
+	share, timed := votes, votes
 	share.Rule, share.VotesToAdvance, share.VotesToRollBack, share.MetricsInterval = VoteShare, 4, 3, 1*second
-	timer.Rule = TimedStages
+	timed.Rule = TimedStages
 	window := ExposureLimit{Window: 4 * second, Allowance: 3}
 	byClass := ExposureLimit{Window: 2 * second, Allowance: 1, PerClass: true}
 	return []goldenDeployment{
@@ -40,29 +40,74 @@
 		{"evaluator", all, Instance{Agents: 40, KeyAffinity: true, LoadReport: LoadReportFormat{Utilization: 1, Rate: 2, InFlight: 3}}, RolloutPlan{Caps: caps, GuardedStages: 2, ReplacesInPlace: true}, votes, window, Capabilities{HealthChecks: true, Gossip: true, EndpointPolling: true}},
 		{"observer", all, Instance{Agents: 40, LoadReport: LoadReportFormat{Utilization: 1, Rate: 2, InFlight: 3}}, RolloutPlan{Caps: caps, KeysNeverGoBack: true}, votes, window, Capabilities{HealthChecks: true, Gossip: true}},
 		{"counted", all, Instance{Index: 7, Agents: 60, HasWeights: true}, RolloutPlan{Caps: caps}, share, window, Capabilities{EndpointPolling: true}},
-		{"timed", []RequestClass{idempotent, keyed}, Instance{Index: 2, Agents: 5, HasWeights: true}, RolloutPlan{Caps: caps}, timer, window, Capabilities{Gossip: true, HealthChecks: true}},
+		{"timed", []RequestClass{idempotent, keyed}, Instance{Index: 2, Agents: 5, HasWeights: true}, RolloutPlan{Caps: caps}, timed, window, Capabilities{Gossip: true, HealthChecks: true}},
 		{"large", []RequestClass{idempotent, nonIdempotent}, Instance{Index: 2, Agents: 12, HasWeights: true}, RolloutPlan{Caps: []float64{0.2, 1}}, votes, window, Capabilities{HealthChecks: true}},
 	}
 }
 
-// goldenStream makes the random events that fit what the router has ordered so far.
+// goldenStream makes random events that fit the commands that the router has given so far.
 type goldenStream struct {
-	random         *rand.Rand
-	deployment     goldenDeployment
-	router         Router
-	digest         *golden.Digest
-	now            Micros
-	nextID         uint64
-	open           []SendAttempt
-	healthChecks   []CheckHealth
-	timers         []Micros
-	endpoints      map[uint32]Endpoint
-	ids            []uint32
-	build          int
-	stage          int
-	many           int
-	commandCount   int
-	requestClasses map[uint64]int
+	random       *rand.Rand
+	deployment   goldenDeployment
+	router       Router
+	digest       *golden.Digest
+	commandCount int
+	now          Micros
+	nextID       uint64
+	inFlight     []SendAttempt
+	healthChecks []CheckHealth
+	timers       []Micros
+	endpoints    map[uint32]Endpoint
+	endpointIDs  []uint32
+	build        int
+	stage        int
+}
+
+// goldenEvents of a stream: enough for releases to begin, be voted on and be rolled back several times.
+const goldenEvents = 12000
+
+func newGoldenStream(deployment goldenDeployment, seed int64) *goldenStream {
+	instance := deployment.instance
+	instance.Seed = seed
+	switch deployment.name {
+	case "evaluator":
+		instance.Index = selectAgents(instance.Agents, panelSize, ringSalt)[0]
+	case "observer":
+		instance.Index = selectAgents(instance.Agents, instance.Agents, ringSalt)[panelSize]
+	}
+	s := &goldenStream{
+		random:     rand.New(rand.NewSource(seed)),
+		deployment: deployment,
+		now:        1000 * second,
+		build:      2,
+		endpoints:  map[uint32]Endpoint{},
+		digest: golden.NewDigest(
+			SendAttempt{}, CancelAttempt{}, Reject{}, Fail{}, SetTimer{}, CheckHealth{}, SendGossip{}, WatchEndpoints{}, Vote{}, LogMessage{},
+		),
+	}
+	endpointCount := 9
+	if deployment.name == "large" {
+		endpointCount = 60
+	}
+	for id := range endpointCount {
+		s.endpointIDs = append(s.endpointIDs, uint32(101+id*7))
+	}
+	s.router = New(
+		instance, deployment.classes, deployment.plan, deployment.votingRules, deployment.exposureLimit,
+		SlowStart{InitialCapacity: 0.3, Duration: 3 * second, OverloadMultiple: 2, OverloadAfter: 500 * millisecond},
+		RetryLimits{MaxAttempts: 3, MaxRetryAfter: 2 * second}, deployment.capabilities, CostWeights{CrossZone: 0.05},
+	)
+	return s
+}
+
+func (s *goldenStream) run() {
+	s.updateEndpoints(true)
+	s.handle(RolloutUpdate{Build: 2, Cap: s.deployment.plan.Caps[0]})
+	for range goldenEvents {
+		s.now += s.randomBelow(6 * millisecond)
+		s.fireTimers()
+		s.randomEvent()
+	}
 }
 
 func (s *goldenStream) handle(event Event) {
@@ -71,7 +116,7 @@
 		s.digest.Add(command)
 		switch command := command.(type) {
 		case SendAttempt:
-			s.open = append(s.open, command)
+			s.inFlight = append(s.inFlight, command)
 		case CheckHealth:
 			s.healthChecks = append(s.healthChecks, command)
 		case SetTimer:
@@ -80,24 +125,29 @@
 	}
 }
 
+// oneIn is true once in count times.
+func (s *goldenStream) oneIn(count int) bool { return s.random.Intn(count) == 0 }
+
+func (s *goldenStream) randomBelow(limit Micros) Micros { return s.random.Int63n(limit) }
+
 func (s *goldenStream) randomEndpoint(id uint32) Endpoint {
-	row := Endpoint{ID: id, Build: 1, Zone: int(id) % 3, State: Ready, Cell: int(id) % 5, Weight: 0.5 + float64(id%4)/2}
-	if s.random.Intn(3) == 0 {
-		row.Build = s.build
+	endpoint := Endpoint{ID: id, Build: 1, Zone: int(id) % 3, State: Ready, Cell: int(id) % 5, Weight: 0.5 + float64(id%4)/2}
+	if s.oneIn(3) {
+		endpoint.Build = s.build
 	}
-	if s.random.Intn(4) == 0 {
-		row.Started = s.now - Micros(s.random.Int63n(int64(4*second)))
+	if s.oneIn(4) {
+		endpoint.Started = s.now - s.randomBelow(4*second)
 	}
-	if s.random.Intn(12) == 0 {
-		row.State = []EndpointState{Draining, Gone}[s.random.Intn(2)]
+	if s.oneIn(12) {
+		endpoint.State = []EndpointState{Draining, Gone}[s.random.Intn(2)]
 	}
-	return row
+	return endpoint
 }
 
-func (s *goldenStream) updateEndpoints(full bool) {
-	update := EndpointUpdate{Full: full}
-	for _, id := range s.ids {
-		if full || s.random.Intn(len(s.ids)) == 0 {
+func (s *goldenStream) updateEndpoints(isFull bool) {
+	update := EndpointUpdate{Full: isFull}
+	for _, id := range s.endpointIDs {
+		if isFull || s.oneIn(len(s.endpointIDs)) {
 			s.endpoints[id] = s.randomEndpoint(id)
 			update.Endpoints = append(update.Endpoints, s.endpoints[id])
 		}
@@ -105,60 +155,68 @@
 	s.handle(update)
 }
 
+// fireTimers fires the timers that are due, the earliest first.
 func (s *goldenStream) fireTimers() {
 	for len(s.timers) > 0 {
-		least := 0
+		earliest := 0
 		for i, at := range s.timers {
-			if at < s.timers[least] {
-				least = i
+			if at < s.timers[earliest] {
+				earliest = i
 			}
 		}
-		at := s.timers[least]
-		if at > s.now {
+		if s.timers[earliest] > s.now {
 			return
 		}
-		s.timers = append(s.timers[:least], s.timers[least+1:]...)
+		s.timers = append(s.timers[:earliest], s.timers[earliest+1:]...)
 		s.handle(TimerFired{})
 	}
 }
 
 func (s *goldenStream) randomLoad() []float32 {
-	if s.random.Intn(3) == 0 {
+	if s.oneIn(3) {
 		return nil
 	}
 	return []float32{s.random.Float32(), s.random.Float32() * 100, float32(s.random.Intn(9))}
 }
 
+// randomGossip returns random bytes, or some random records.
 func (s *goldenStream) randomGossip() []byte {
-	if s.random.Intn(8) == 0 {
+	if s.oneIn(8) {
 		payload := make([]byte, []int{digestBytes, 7, 25}[s.random.Intn(3)])
 		s.random.Read(payload)
 		return payload
 	}
 	var payload []byte
 	for range 1 + s.random.Intn(12) {
-		row := s.endpoints[s.ids[s.random.Intn(len(s.ids))]]
-		outcome := attemptOutcome{
-			AttemptResult: AttemptResult{EndpointID: row.ID, Outcome: Outcome(s.random.Intn(9)), Elapsed: Micros(s.random.Int63n(int64(400 * millisecond)))},
-			endpoint:      &endpointRecord{Endpoint: row}, class: s.random.Intn(len(s.deployment.classes)), reportedInFlight: float64(s.random.Intn(6)) - 1,
-		}
-		switch s.random.Intn(10) {
-		case 0:
-			outcome.Outcome = rejectedRecord
-		case 1:
-			outcome.Outcome = sentRecord
-		case 2:
-			payload = append(payload, (&releaseAnalyzer{rolloutState: rolloutState{build: s.build, stage: s.stage}}).encodeVerdict(Verdict(s.random.Intn(4)))...)
-			payload = append(payload, make([]byte, (recordBytes-len(payload)%recordBytes)%recordBytes)...)
-			continue
-		}
-		payload = appendOutcome(payload, outcome)
+		payload = s.appendRandomRecord(payload)
 	}
 	return payload
 }
 
+func (s *goldenStream) appendRandomRecord(payload []byte) []byte {
+	endpoint := s.endpoints[s.endpointIDs[s.random.Intn(len(s.endpointIDs))]]
+	outcome := attemptOutcome{
+		AttemptResult: AttemptResult{
+			EndpointID: endpoint.ID, Outcome: Outcome(s.random.Intn(9)), Elapsed: s.randomBelow(400 * millisecond),
+		},
+		endpoint: &endpointRecord{Endpoint: endpoint}, class: s.random.Intn(len(s.deployment.classes)),
+		reportedInFlight: float64(s.random.Intn(6)) - 1,
+	}
+	switch s.random.Intn(10) {
+	case 0:
+		outcome.Outcome = rejectedRecord
+	case 1:
+		outcome.Outcome = sentRecord
+	case 2:
+		a := &releaseAnalyzer{rolloutState: rolloutState{build: s.build, stage: s.stage}}
+		payload = append(payload, a.encodeVerdict(Verdict(s.random.Intn(4)))...)
+		return append(payload, make([]byte, (recordBytes-len(payload)%recordBytes)%recordBytes)...)
+	}
+	return appendOutcome(payload, outcome)
+}
+
 func (s *goldenStream) randomOutcome() Outcome {
-	if s.random.Intn(4) > 0 {
+	if !s.oneIn(4) {
 		return OK
 	}
 	return Outcome(s.random.Intn(9))
@@ -167,110 +225,108 @@
 func (s *goldenStream) randomEvent() {
 	switch n := s.random.Intn(100); {
 	case n < 42:
-		s.nextID++
-		class := s.random.Intn(len(s.deployment.classes))
-		p := s.deployment.classes[class]
-		t := RequestArrived{ID: s.nextID, Class: class, Tenant: s.random.Intn(4), Deadline: s.now + p.Timeout, IsRetry: s.random.Intn(6) == 0}
-		if s.random.Intn(2) == 0 {
-			t.Key = uint64(1 + s.random.Intn(50))
-		}
-		if s.random.Intn(3) == 0 {
-			t.CostHint = Micros(s.random.Int63n(int64(60 * millisecond)))
-		}
-		if s.random.Intn(5) == 0 {
-			t.ArrivedAt = s.now - Micros(s.random.Int63n(int64(50*millisecond)))
-		}
-		s.requestClasses[t.ID] = class
-		s.handle(t)
+		s.requestArrives()
 	case n < 82:
-		if len(s.open) == 0 {
-			return
-		}
-		i := s.random.Intn(len(s.open))
-		o := s.open[i]
-		s.open = append(s.open[:i], s.open[i+1:]...)
-		outcome := s.randomOutcome()
-		if s.endpoints[o.EndpointID].Build == s.build && s.random.Intn(4) == 0 {
-			outcome = ServerError
-		}
-		s.handle(AttemptResult{RequestID: o.RequestID, EndpointID: o.EndpointID, Outcome: outcome, Elapsed: Micros(s.random.Int63n(int64(150 * millisecond))), RequestDone: outcome == OK, Load: s.randomLoad()})
+		s.attemptEnds()
 	case n < 84:
 		if s.nextID > 0 {
 			s.handle(RequestCancelled{RequestID: 1 + uint64(s.random.Int63n(int64(s.nextID)))})
 		}
 	case n < 86:
-		s.updateEndpoints(s.random.Intn(6) == 0)
+		s.updateEndpoints(s.oneIn(6))
 	case n < 88:
-		if len(s.healthChecks) > 0 {
-			p := s.healthChecks[0]
-			s.healthChecks = s.healthChecks[1:]
-			s.handle(HealthCheckResult{EndpointID: p.EndpointID, Outcome: s.randomOutcome(), Elapsed: millisecond, Load: s.randomLoad()})
-		}
+		s.healthCheckEnds()
 	case n < 93:
 		s.handle(GossipReceived{From: s.random.Intn(s.deployment.instance.Agents), Payload: s.randomGossip()})
 	case n < 94:
-		if s.random.Intn(3) == 0 {
-			s.stage = s.random.Intn(len(s.deployment.plan.Caps))
-			if s.random.Intn(5) == 0 {
-				s.build++
-			}
-		}
-		update := RolloutUpdate{Build: s.build, Stage: s.stage, Cap: s.deployment.plan.Caps[s.stage], Age: Micros(s.random.Int63n(int64(second)))}
-		if s.random.Intn(6) == 0 {
-			update.Phase = Phase(s.random.Intn(4))
-		}
-		if s.random.Intn(5) == 0 {
-			update.IsVoteReply, update.Outcome = true, Outcome(s.random.Intn(5))
-		}
-		s.handle(update)
+		s.updateRollout()
 	case n < 96:
-		count := 1 + s.random.Intn(200)
-		s.handle(MetricsReport{Build: s.build - s.random.Intn(2), Class: s.random.Intn(len(s.deployment.classes)), Requests: count, Failures: s.random.Intn(count), MeanLatency: Micros(s.random.Int63n(int64(200 * millisecond)))})
+		requests := 1 + s.random.Intn(200)
+		s.handle(MetricsReport{
+			Build: s.build - s.random.Intn(2), Class: s.random.Intn(len(s.deployment.classes)),
+			Requests: requests, Failures: s.random.Intn(requests), MeanLatency: s.randomBelow(200 * millisecond),
+		})
 	case n < 97:
-		s.handle(ErrorReport{EndpointID: s.ids[s.random.Intn(len(s.ids))]})
+		s.handle(ErrorReport{EndpointID: s.endpointIDs[s.random.Intn(len(s.endpointIDs))]})
 	case n < 98:
 		s.handle(EndpointUpdate{Failed: true})
 	default:
-		s.now += Micros(s.random.Int63n(int64(200 * millisecond)))
+		s.now += s.randomBelow(200 * millisecond)
 	}
 }
 
-// goldenEvents of a stream: enough for releases to begin, be voted on and go back several times.
-const goldenEvents = 12000
+func (s *goldenStream) requestArrives() {
+	s.nextID++
+	class := s.random.Intn(len(s.deployment.classes))
+	arrived := RequestArrived{
+		ID: s.nextID, Class: class, Tenant: s.random.Intn(4),
+		Deadline: s.now + s.deployment.classes[class].Timeout, IsRetry: s.oneIn(6),
+	}
+	if s.oneIn(2) {
+		arrived.Key = uint64(1 + s.random.Intn(50))
+	}
+	if s.oneIn(3) {
+		arrived.CostHint = s.randomBelow(60 * millisecond)
+	}
+	if s.oneIn(5) {
+		arrived.ArrivedAt = s.now - s.randomBelow(50*millisecond)
+	}
+	s.handle(arrived)
+}
 
-// The same events give the same orders as ever: the file's sums were made before names and shape of this package changed.
+func (s *goldenStream) attemptEnds() {
+	if len(s.inFlight) == 0 {
+		return
+	}
+	i := s.random.Intn(len(s.inFlight))
+	attempt := s.inFlight[i]
+	s.inFlight = append(s.inFlight[:i], s.inFlight[i+1:]...)
+	outcome := s.randomOutcome()
+	if s.endpoints[attempt.EndpointID].Build == s.build && s.oneIn(4) {
+		outcome = ServerError
+	}
+	s.handle(AttemptResult{
+		RequestID: attempt.RequestID, EndpointID: attempt.EndpointID, Outcome: outcome,
+		Elapsed: s.randomBelow(150 * millisecond), RequestDone: outcome == OK, Load: s.randomLoad(),
+	})
+}
+
+func (s *goldenStream) healthCheckEnds() {
+	if len(s.healthChecks) == 0 {
+		return
+	}
+	check := s.healthChecks[0]
+	s.healthChecks = s.healthChecks[1:]
+	s.handle(HealthCheckResult{
+		EndpointID: check.EndpointID, Outcome: s.randomOutcome(), Elapsed: millisecond, Load: s.randomLoad(),
+	})
+}
+
+func (s *goldenStream) updateRollout() {
+	if s.oneIn(3) {
+		s.stage = s.random.Intn(len(s.deployment.plan.Caps))
+		if s.oneIn(5) {
+			s.build++
+		}
+	}
+	update := RolloutUpdate{Build: s.build, Stage: s.stage, Cap: s.deployment.plan.Caps[s.stage], Age: s.randomBelow(second)}
+	if s.oneIn(6) {
+		update.Phase = Phase(s.random.Intn(4))
+	}
+	if s.oneIn(5) {
+		update.IsVoteReply, update.Outcome = true, Outcome(s.random.Intn(5))
+	}
+	s.handle(update)
+}
+
+// The same events give the same commands as ever: the golden file is older than the names and the shape of this package.
 func TestGoldenDecisions(t *testing.T) {
 	var out strings.Builder
-	for _, d := range goldenDeployments() {
+	for _, deployment := range goldenDeployments() {
 		for seed := int64(1); seed <= 3; seed++ {
-			instance := d.instance
-			instance.Seed = seed
-			if d.name == "evaluator" {
-				instance.Index = selectAgents(instance.Agents, panelSize, ringSalt)[0]
-			} else if d.name == "observer" {
-				instance.Index = selectAgents(instance.Agents, instance.Agents, ringSalt)[panelSize]
-			}
-			s := &goldenStream{
-				random: rand.New(rand.NewSource(seed)), deployment: d, now: 1000 * second, build: 2, endpoints: map[uint32]Endpoint{}, requestClasses: map[uint64]int{},
-				digest: golden.NewDigest(SendAttempt{}, CancelAttempt{}, Reject{}, Fail{}, SetTimer{}, CheckHealth{}, SendGossip{}, WatchEndpoints{}, Vote{}, LogMessage{}),
-			}
-			endpoints := 9
-			if d.name == "large" {
-				endpoints = 60
-			}
-			for id := range endpoints {
-				s.ids = append(s.ids, uint32(101+id*7))
-			}
-			s.router = New(instance, d.classes, d.plan, d.votingRules, d.exposureLimit, SlowStart{InitialCapacity: 0.3, Duration: 3 * second, OverloadMultiple: 2, OverloadAfter: 500 * millisecond},
-				RetryLimits{MaxAttempts: 3, MaxRetryAfter: 2 * second}, d.capabilities, CostWeights{CrossZone: 0.05})
-			s.updateEndpoints(true)
-			s.handle(RolloutUpdate{Build: 2, Cap: d.plan.Caps[0]})
-			for range goldenEvents {
-				s.now += Micros(s.random.Int63n(int64(6 * millisecond)))
-				s.fireTimers()
-				s.randomEvent()
-			}
-			fmt.Fprintf(&out, "%s seed %d: %d orders %s\n", d.name, seed, s.commandCount, s.digest)
+			s := newGoldenStream(deployment, seed)
+			s.run()
+			fmt.Fprintf(&out, "%s seed %d: %d orders %s\n", deployment.name, seed, s.commandCount, s.digest)
 		}
 	}
 	golden.Check(t, "decisions.golden", out.String())
@@ -278,22 +334,29 @@
 
 // What agents write to each other stays as it was, byte by byte.
 func TestGoldenGossip(t *testing.T) {
+	endpointWithBuild := func(build int) *endpointRecord { return &endpointRecord{Endpoint: Endpoint{Build: build}} }
 	var out strings.Builder
 	for i, outcome := range []attemptOutcome{
-		{AttemptResult: AttemptResult{EndpointID: 0xa1b2c3d4, Outcome: OK, Elapsed: 123456}, endpoint: &endpointRecord{Endpoint: Endpoint{Build: 7}}, class: 2, reportedInFlight: 3},
-		{AttemptResult: AttemptResult{EndpointID: 5, Outcome: Malformed, Elapsed: 99 * second}, endpoint: &endpointRecord{Endpoint: Endpoint{Build: 258}}, class: 0, reportedInFlight: -1},
+		{
+			AttemptResult: AttemptResult{EndpointID: 0xa1b2c3d4, Outcome: OK, Elapsed: 123456},
+			endpoint:      endpointWithBuild(7), class: 2, reportedInFlight: 3,
+		},
+		{
+			AttemptResult: AttemptResult{EndpointID: 5, Outcome: Malformed, Elapsed: 99 * second},
+			endpoint:      endpointWithBuild(258), class: 0, reportedInFlight: -1,
+		},
 		{AttemptResult: AttemptResult{Outcome: rejectedRecord}, endpoint: &endpointRecord{}},
 		{AttemptResult: AttemptResult{EndpointID: 77, Outcome: sentRecord}, endpoint: &endpointRecord{Endpoint: Endpoint{ID: 77}}},
 	} {
 		fmt.Fprintf(&out, "line %d: %x\n", i, appendOutcome(nil, outcome))
 	}
 	a := &releaseAnalyzer{rolloutState: rolloutState{build: 300, stage: 4}}
-	for v := NoVote; v <= RollBack; v++ {
-		fmt.Fprintf(&out, "word %d: %x\n", v, a.encodeVerdict(v))
+	for verdict := NoVote; verdict <= RollBack; verdict++ {
+		fmt.Fprintf(&out, "word %d: %x\n", verdict, a.encodeVerdict(verdict))
 	}
 	for _, id := range []uint32{0, 1, 77, 0xffffffff} {
-		at, bit := digestBit(id)
-		fmt.Fprintf(&out, "digest bit of %d: byte %d, %08b of %d\n", id, at, bit, digestBytes)
+		index, bit := digestBit(id)
+		fmt.Fprintf(&out, "digest bit of %d: byte %d, %08b of %d\n", id, index, bit, digestBytes)
 	}
 	golden.Check(t, "sheets.golden", out.String())
 }
