--- /dev/null
+++ b/internal/policy/scenario_events_test.go
@@ -0,0 +1,217 @@
+package policy
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// outcomesByName are the outcomes in the notation.
+var outcomesByName = map[string]Outcome{
+	"ok": OK, "error": ServerError, "full": Rejected, "timeout": TimedOut, "noconnect": ConnectFailed,
+	"broken": ConnectionLost, "cancelled": Cancelled, "moot": NotAttempted, "spoilt": Malformed,
+}
+
+// playEvent plays an event line, without its time.
+func (s *scenario) playEvent(kind string, words []string) {
+	switch kind {
+	case "wait":
+	case "list":
+		s.updateEndpoints(words[0], words[1:])
+	case "stage":
+		s.updateRollout(words)
+	case "txn":
+		s.requestArrives(uint64(s.number(words[0])), parseOptions(words[1:]))
+	case "txns":
+		for id := s.number(words[0]); id <= s.number(words[1]); id++ {
+			s.requestArrives(uint64(id), parseOptions(words[2:]))
+		}
+	case "end":
+		s.attemptsEnd(words[0], outcomesByName[words[1]], s.duration(parseOptions(words[2:]), "took", 50))
+	case "abandon":
+		s.handle(RequestCancelled{RequestID: uint64(s.number(words[0]))})
+	case "probed":
+		s.handle(HealthCheckResult{EndpointID: uint32(s.number(words[0])), Outcome: outcomesByName[words[1]]})
+	case "heard", "went", "digest", "word":
+		s.receiveGossip(kind, words)
+	case "tally": // BUILD CLASS REQUESTS FAILURES took=
+		s.handle(MetricsReport{
+			Build: int(s.number(words[0])), Class: int(s.number(words[1])), Requests: int(s.number(words[2])),
+			Failures: int(s.number(words[3])), MeanLatency: s.duration(parseOptions(words[4:]), "took", 0), Age: second,
+		})
+	case "flag": // ID TIMES
+		for count := s.number(words[1]); count > 0; count-- {
+			s.handle(ErrorReport{EndpointID: uint32(s.number(words[0]))})
+		}
+	case "run":
+		s.runTraffic(parseOptions(words))
+	default:
+		s.t.Fatalf("%s: no event %q", s.position, kind)
+	}
+}
+
+// updateEndpoints plays a list. A row FIRST..LAST/BUILD/ZONE stands for one row for each id.
+func (s *scenario) updateEndpoints(kind string, rows []string) {
+	update := EndpointUpdate{Full: kind == "full", Failed: kind == "failed"}
+	for _, row := range rows {
+		first, rest, isRange := strings.Cut(row, "..")
+		if !isRange {
+			update.Endpoints = append(update.Endpoints, s.endpoint(row))
+			continue
+		}
+		last, suffix, _ := strings.Cut(rest, "/")
+		for id := s.number(first); id <= s.number(last); id++ {
+			update.Endpoints = append(update.Endpoints, s.endpoint(fmt.Sprintf("%.0f/%s", id, suffix)))
+		}
+	}
+	s.handle(update)
+}
+
+// endpoint parses ID/BUILD/ZONE, then - for draining or ! for gone, then @ and the milliseconds of its start.
+func (s *scenario) endpoint(row string) Endpoint {
+	row, started, _ := strings.Cut(row, "@")
+	endpoint := Endpoint{State: Ready, Weight: 1}
+	if started != "" {
+		endpoint.Started = s.milliseconds(started)
+	}
+	if trimmed := strings.TrimRight(row, "-!"); trimmed != row {
+		endpoint.State = map[string]EndpointState{"-": Draining, "!": Gone}[row[len(trimmed):]]
+		row = trimmed
+	}
+	fields := strings.Split(row, "/")
+	endpoint.ID = uint32(s.number(fields[0]))
+	endpoint.Build = int(s.number(fields[1]))
+	endpoint.Zone = int(s.number(fields[2]))
+	s.builds[endpoint.ID] = endpoint.Build
+	return endpoint
+}
+
+// updateRollout plays BUILD STAGE PHASE CAP, then an outcome if it answers a vote.
+func (s *scenario) updateRollout(words []string) {
+	phases := map[string]Phase{"trial": Evaluating, "back": RollingBack, "released": Released, "withdrawn": RolledBack}
+	update := RolloutUpdate{
+		Build: int(s.number(words[0])), Stage: int(s.number(words[1])), Cap: s.number(words[3]), Phase: phases[words[2]],
+	}
+	if len(words) > 4 {
+		update.IsVoteReply, update.Outcome = true, outcomesByName[words[4]]
+	}
+	s.handle(update)
+}
+
+func (s *scenario) requestArrives(id uint64, given options) {
+	class := s.count(given, "product", 0)
+	timeout := float64(s.classes[class].Timeout / millisecond)
+	s.handle(RequestArrived{
+		ID: id, Class: class, Tenant: s.count(given, "customer", 0), Key: uint64(s.option(given, "key", 0)),
+		CostHint: s.duration(given, "work", 0), Deadline: s.now + s.duration(given, "for", timeout),
+	})
+}
+
+// attemptsEnd ends the attempt of the request ID, or those of ID..LAST that are in flight.
+func (s *scenario) attemptsEnd(ids string, outcome Outcome, elapsed Micros) {
+	first, last, isRange := strings.Cut(ids, "..")
+	if !isRange {
+		last = first
+	}
+	for id := s.number(first); id <= s.number(last); id++ {
+		if _, isInFlight := s.endpointOf[uint64(id)]; isInFlight {
+			s.attemptEnds(uint64(id), outcome, elapsed)
+		}
+	}
+}
+
+func (s *scenario) attemptEnds(requestID uint64, outcome Outcome, elapsed Micros) {
+	endpointID := s.endpointOf[requestID]
+	delete(s.endpointOf, requestID)
+	s.handle(AttemptResult{
+		RequestID: requestID, EndpointID: endpointID, Outcome: outcome, Elapsed: elapsed,
+		RequestDone: outcome == OK, Load: s.load,
+	})
+}
+
+// receiveGossip plays what peers tell.
+func (s *scenario) receiveGossip(kind string, words []string) {
+	switch kind {
+	case "heard": // ENDPOINT OUTCOME TIMES took=: results of a peer
+		id := uint32(s.number(words[0]))
+		s.receiveRecords(s.number(words[2]), attemptOutcome{
+			AttemptResult: AttemptResult{
+				EndpointID: id, Outcome: outcomesByName[words[1]], Elapsed: s.duration(parseOptions(words), "took", 50),
+			},
+			endpoint: &endpointRecord{Endpoint: Endpoint{Build: s.builds[id]}},
+		})
+	case "went": // ENDPOINT TIMES: attempts of a peer
+		s.receiveRecords(s.number(words[1]), attemptOutcome{
+			AttemptResult: AttemptResult{EndpointID: uint32(s.number(words[0])), Outcome: sentRecord},
+			endpoint:      &endpointRecord{},
+		})
+	case "digest": // EVALUATOR ID,ID..: the endpoints that an evaluator calls overloaded
+		payload := make([]byte, digestBytes)
+		for _, id := range strings.Split(words[1], ",") {
+			index, bit := digestBit(uint32(s.number(id)))
+			payload[index] |= bit
+		}
+		s.handle(GossipReceived{From: s.agentIndex(words[0]), Payload: payload})
+	case "word": // EVALUATOR BUILD STAGE VERDICT: a verdict; a number past the panel is another agent
+		from := s.agentIndex(words[0])
+		verdict := map[string]Verdict{"none": NoVote, "on": Advance, "back": RollBack, "9": 9}[words[3]]
+		build, stage := byte(s.number(words[1])), byte(s.number(words[2]))
+		payload := []byte{build, 0, 0, 0, stage, byte(verdict), verdictRecord, 0, 0, 0}
+		s.handle(GossipReceived{From: from, Payload: payload})
+	}
+}
+
+func (s *scenario) receiveRecords(count float64, record attemptOutcome) {
+	for ; count > 0; count-- {
+		s.handle(GossipReceived{From: 1, Payload: appendOutcome(nil, record)})
+	}
+}
+
+// runTraffic plays requests that are answered at once: until=ms every=ms fail=build failat=id slow=build slowat=id,id errs=every
+// keys=count customers=count failfor=customer took=ms rates=id:rate,.. busy=.
+func (s *scenario) runTraffic(given options) {
+	eventStart := len(s.commands)
+	errorEvery, keys := s.count(given, "errs", 0), s.count(given, "keys", 0)
+	tenants := s.count(given, "customers", 1)
+	end, interval := s.duration(given, "until", 0), s.duration(given, "every", 20)
+	for id, i := uint64(1e6)+uint64(s.now), 1; s.now < end; id, i = id+1, i+1 {
+		if keys > 0 {
+			given["key"] = strconv.Itoa(1 + i%keys)
+		}
+		given["customer"] = strconv.Itoa(i % tenants)
+		s.requestArrives(id, given)
+		s.answerAttempts(id, given, errorEvery > 0 && i%errorEvery == 0)
+		s.advanceTo(s.now + interval)
+	}
+	s.eventStart = eventStart
+}
+
+// answerAttempts answers the attempts of a request until there are no more.
+func (s *scenario) answerAttempts(requestID uint64, given options, failsOnce bool) {
+	failingBuild, failingEndpoint := s.count(given, "fail", -1), uint32(s.option(given, "failat", 0))
+	failsForTenant := s.count(given, "customer", 0) == s.count(given, "failfor", -1)
+	slowBuild, slowEndpoints := s.count(given, "slow", -1), strings.Split(given["slowat"], ",")
+	for id, isInFlight := s.endpointOf[requestID]; isInFlight; id, isInFlight = s.endpointOf[requestID] {
+		outcome, elapsed := OK, s.duration(given, "took", 20)
+		if s.builds[id] == failingBuild || id == failingEndpoint || failsForTenant || failsOnce {
+			outcome, failsOnce = ServerError, false
+		}
+		if s.builds[id] == slowBuild || slices.Contains(slowEndpoints, fmt.Sprint(id)) {
+			elapsed = 1500 * millisecond
+		}
+		s.load = s.loadReport(id, given)
+		s.attemptEnds(requestID, outcome, elapsed)
+	}
+}
+
+// loadReport is what an endpoint among rates=ID:RATE,.. reports, none for the others.
+func (s *scenario) loadReport(id uint32, given options) (load []float32) {
+	for _, rate := range strings.Split(given["rates"], ",") {
+		endpoint, served, isRate := strings.Cut(rate, ":")
+		if isRate && id == uint32(s.number(endpoint)) {
+			load = []float32{float32(s.option(given, "busy", 0)), float32(s.number(served))}
+		}
+	}
+	return load
+}
--- /dev/null
+++ b/internal/policy/state_test.go
@@ -0,0 +1,38 @@
+package policy
+
+import "testing"
+
+// Keys that are always new and endpoints that come and go leave nothing behind.
+func TestStateStaysBounded(t *testing.T) {
+	r := New(
+		Instance{Agents: 3, Seed: 7, KeyAffinity: true},
+		[]RequestClass{{LatencyObjective: second, Timeout: 3 * second, PriorityWeight: 1}},
+		RolloutPlan{Caps: []float64{1}}, VotingRules{}, ExposureLimit{Window: second}, SlowStart{},
+		RetryLimits{MaxAttempts: 3}, Capabilities{}, CostWeights{},
+	).(*router)
+	most := 0
+	for id := range uint64(20000) {
+		now := Micros(id) * millisecond
+		if id%10 == 0 {
+			endpoint := Endpoint{ID: uint32(id), Build: 1, State: Ready, Weight: 1}
+			r.Handle(now, EndpointUpdate{Full: true, Endpoints: []Endpoint{endpoint}})
+		}
+		arrived := RequestArrived{ID: id, Key: id + 1, CostHint: 10 * millisecond, Deadline: now + 3*second}
+		for _, command := range r.Handle(now, arrived) {
+			if attempt, isAttempt := command.(SendAttempt); isAttempt {
+				r.Handle(now, AttemptResult{
+					RequestID: id, EndpointID: attempt.EndpointID, Outcome: OK, Elapsed: 10 * millisecond, RequestDone: true,
+				})
+			}
+		}
+		r.Handle(now, TimerFired{})
+		if id > 10000 {
+			keys := len(r.dispatcher.keys.recent) + len(r.dispatcher.keys.previous)
+			endpoints := len(r.endpoints.all) + len(r.endpoints.byID)
+			most = max(most, keys+endpoints+len(r.dispatcher.requests))
+		}
+	}
+	if most > 1000 {
+		t.Errorf("%d records are kept", most)
+	}
+}
