--- a/internal/policy/analysis.go
+++ b/internal/policy/analysis.go
@@ -60,7 +60,7 @@
 	a.recordLatency(outcome)
 	isOnTime := isOK && outcome.Elapsed <= outcome.latencyObjective
 	a.recordOnTime(isOnTime)
-	// A slow build that still answers. Only while the earlier one has most of the traffic, and is warm.
+	// A slow build still answers, but late. Only while the earlier one has most of the traffic, and warm.
 	if a.decidesItself() && a.canaryTrafficShare < canaryMinority && outcome.endpoint.warmUpFactor() >= 1 {
 		a.addLatenessEvidence(outcome.endpoint, !isOnTime)
 	}
@@ -97,8 +97,7 @@
 	e.enqueue(evidence{latenessStep: step, minRatio: -(decisionThreshold + 1) / 2 / a.evidenceShares(e)})
 }
 
-// isEvidence tells whether an outcome is evidence on the canary. It adds the baseline's outcomes to the
-// counts.
+// isEvidence tells whether an outcome is evidence on the canary. The baseline's go into the counts.
 func (a *releaseAnalyzer) isEvidence(e *endpointRecord, counts *outcomeCounts, bad bool, decay float64) bool {
 	if a.rolledBack[e.Build] || e.Build > a.build {
 		return false
@@ -110,8 +109,7 @@
 	return e.Started <= 0 || a.now-e.Started >= youngEndpoint
 }
 
-// usesReports: the rollout controller's counts stand in for what agents without gossip cannot tell each
-// other.
+// usesReports: the controller's counts stand in for what agents without gossip cannot tell each other.
 func (a *releaseAnalyzer) usesReports() bool { return a.hasReports && a.evaluators == nil }
 
 // evaluateReports weighs what the rollout controller counted over all agents in an interval, the same for
@@ -145,9 +143,8 @@
 	return float64(a.endpoints.evidenceCount(e))
 }
 
-// evidenceRatio adds up the evidence of the build's endpoints, on failures and on lateness apart, each
-// bounded: a bad build fails, and is late, on most alike. Neither is saved up past the threshold, as a build
-// may turn bad late.
+// evidenceRatio adds up the evidence of the build's endpoints, on failures and lateness apart, each bounded:
+// a bad build fails, or is late, on most alike. None is saved up past the threshold: it may turn bad late.
 func (a *releaseAnalyzer) evidenceRatio() float64 {
 	// Where earlier builds fail too, endpoints that fail are no sign of the build.
 	earlierFailing := a.endpoints.isEarlierBuildFailing(a.build, ejectErrorRate)
@@ -172,6 +169,9 @@
 	return failing + late
 }
 
+// combinedRatio counts lateness only where that speaks for the build.
+func (e *endpointRecord) combinedRatio() float64 { return e.failureRatio + min(0, e.flooredLateness) }
+
 func (a *releaseAnalyzer) lateRatio(seen endpointEvidence) float64 {
 	late, n := boundedSum(seen.flooredLateness), len(seen.lateness)
 	isEnough := n > 1 && (a.isEvaluator || a.outcomeCount >= minOutcomes*n)
@@ -222,8 +222,7 @@
 
 // updateSlowdown guards against a release that slows old and new builds alike: the median answer is far
 // slower than before, with the fleet whole, and stays so. Its time counts by the build's share of the
-// traffic, and in full where less is completed too. It may roll back a good build in a long overload of the
-// whole fleet.
+// traffic, and in full with less completed. It may roll back a good build in a long overload of the fleet.
 func (a *releaseAnalyzer) updateSlowdown() {
 	elapsed, capacity, slowdown := a.updateRates()
 	isWhole := capacity >= wholeFleetShare*a.baselineCapacity
--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -84,7 +84,7 @@
 	outcome, req := d.classifyResult(result, e, req)
 	e.enqueue(outcome)
 	e.recordLoad(result.Load, d.instance.LoadReport)
-	d.endpoints.warmConcurrency = max(1, d.endpoints.meanCapacity*d.meanCost/float64(second))
+	d.updateWarmConcurrency()
 	d.analyzer.enqueue(outcome)
 	d.zoneFor(e.Zone).inFlight--
 	d.updateZone(e.Zone, outcome)
@@ -92,15 +92,14 @@
 		return
 	}
 	if result.Outcome == OK && req.CostHint == 0 {
-		d.meanCost = stats.MovingMean(d.meanCost, float64(result.Elapsed), meanCostWeight)
+		d.recordCost(result.Elapsed)
 	}
 	if result.RequestDone {
 		delete(d.requests, result.RequestID)
 		return
 	}
-	switch result.Outcome {
-	case ServerError, TimedOut, ConnectionLost, Cancelled, Malformed:
-		req.serverErrors += stats.Count(result.Outcome == ServerError)
+	req.serverErrors += stats.Count(result.Outcome == ServerError)
+	if mayHaveRun(result.Outcome) {
 		req.markMayHaveRun(e, &d.classes[req.Class])
 	}
 	req.attemptAt = nil
@@ -133,6 +132,14 @@
 	return outcome, req
 }
 
+// giveUp gives the final answer of a request that did not succeed.
+func (d *dispatcher) giveUp(req *request) {
+	d.closeRequest(req)
+	d.analyzer.enqueue(requestRejected{})
+	d.clients.reject(d.now, req.acceptedAt, req.clientHash)
+	d.emit(d.finalAnswer(req))
+}
+
 // closeRequest forgets a request. One with an attempt in flight is kept: its answer may still bind its key to a build.
 func (d *dispatcher) closeRequest(req *request) {
 	if req == nil {
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -241,7 +241,7 @@
 // endpointEvidence is the evidence of several endpoints, one figure each.
 type endpointEvidence struct {
 	failure, lateness, flooredLateness []float64
-	combined                           []float64 // failure, with lateness where that speaks for the build
+	combined                           []float64
 	failingEndpoints                   int
 }
 
@@ -251,7 +251,7 @@
 		seen.failure = append(seen.failure, e.failureRatio)
 		seen.lateness = append(seen.lateness, e.latenessRatio)
 		seen.flooredLateness = append(seen.flooredLateness, e.flooredLateness)
-		seen.combined = append(seen.combined, e.failureRatio+min(0, e.flooredLateness))
+		seen.combined = append(seen.combined, e.combinedRatio())
 		seen.failingEndpoints += stats.Count(e.failureCusum >= failingCusum)
 	}
 	return seen
@@ -278,10 +278,3 @@
 	}
 	return inFlight, limit
 }
-
-// isOverloaded tells whether the evaluators' last digest calls the endpoint so.
-func (s *endpointSet) isOverloaded(e *endpointRecord) bool {
-	index, bit := digestBit(e.ID)
-	isCurrent := len(s.overloadDigest) == digestBytes && s.now-s.digestReceivedAt < digestLifetime
-	return isCurrent && s.overloadDigest[index]&bit != 0
-}
--- a/internal/policy/gossip.go
+++ b/internal/policy/gossip.go
@@ -79,6 +79,12 @@
 	return int(place / 8), 1 << (place % 8)
 }
 
+// hasDigestBit tells whether an endpoint's bit is set. In anything else than a digest none is.
+func hasDigestBit(digest []byte, id uint32) bool {
+	index, bit := digestBit(id)
+	return len(digest) == digestBytes && digest[index]&bit != 0
+}
+
 // joinPanel: where there are more agents than seats, and they may tell each other, a few evaluate the outcomes of all. Each
 // alone sees too little, and of hundreds the one with the worst luck would decide.
 func (a *releaseAnalyzer) joinPanel(instance Instance) {
--- a/internal/policy/measurements.go
+++ b/internal/policy/measurements.go
@@ -60,6 +60,18 @@
 	a.castVote()
 }
 
+// castVote sends the current verdict, if a vote is due.
+func (a *releaseAnalyzer) castVote() {
+	verdict := a.currentVerdict()
+	if verdict != a.wantedVote {
+		a.wantedVote, a.wantedSince = verdict, a.now
+	}
+	if a.isVoteDue(verdict) {
+		a.lastVote, a.lastVoteAt = verdict, a.now
+		a.emit(Vote{Build: a.build, Stage: a.stage, Verdict: verdict})
+	}
+}
+
 func (a *releaseAnalyzer) receiveGossip(gossip GossipReceived) {
 	if len(gossip.Payload) == digestBytes && slices.Contains(a.evaluators, gossip.From) {
 		a.endpoints.overloadDigest, a.endpoints.digestReceivedAt = gossip.Payload, a.now
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -7,8 +7,7 @@
 	// lowReturnRate: below it, ending late attempts frees more than the retries cost. Clients that are spread
 	// over a zone's agents come back to any of them, so that one agent sees only its share.
 	returnRateWeight, returnGrace, initialReturnRate, lowReturnRate = 0.1, 500 * millisecond, 0.5, 0.3
-	// holdShare of its latency objective is how long a request is held. One given up means overload for
-	// overloadTime.
+	// A request is held for holdShare of its latency objective; giving one up means overload for overloadTime.
 	holdShare, overloadTime = 0.5, 1 * second
 	// tenantErrorWeight: a tenant's last twenty results. tenantErrorExcess: a bad build or endpoint fails less.
 	tenantErrorWeight, tenantErrorExcess, maxTenants = 0.05, 0.2, 1000
@@ -71,17 +70,19 @@
 		req.serverErrors >= d.maxServerErrors(req) || !d.isRepeatable(req, true)
 }
 
-// giveUp gives the final answer of a request that did not succeed: a rejection where a retry does no harm.
-func (d *dispatcher) giveUp(req *request) {
-	d.closeRequest(req)
-	d.analyzer.enqueue(requestRejected{})
-	d.clients.reject(d.now, req.acceptedAt, req.clientHash)
+// finalAnswer of a request that did not succeed is a rejection where a retry does no harm, with the longest
+// wait, as the overload would not be gone any sooner.
+func (d *dispatcher) finalAnswer(req *request) Command {
 	if d.isRepeatable(req, d.classes[req.Class].DedupScope == DedupAll) {
-		// The longest wait: the overload would not be gone any sooner.
-		d.emit(Reject{RequestID: req.ID, RetryAfter: d.retryLimits.MaxRetryAfter})
-	} else {
-		d.emit(Fail{RequestID: req.ID})
+		return Reject{RequestID: req.ID, RetryAfter: d.retryLimits.MaxRetryAfter}
 	}
+	return Fail{RequestID: req.ID}
+}
+
+// mayHaveRun tells after which outcomes a request may have run, or may still run.
+func mayHaveRun(outcome Outcome) bool {
+	return outcome == ServerError || outcome == TimedOut || outcome == ConnectionLost ||
+		outcome == Cancelled || outcome == Malformed
 }
 
 // isClientError guards healthy endpoints against tenants whose requests fail wherever they go: such errors
--- a/internal/policy/routing.go
+++ b/internal/policy/routing.go
@@ -55,11 +55,11 @@
 	}
 }
 
-// recordArrival keeps the mean cost and the mean time between two requests. A rejected client that returns
-// sends the same request to its own mind, so its time runs from the first try.
+// recordArrival keeps the mean cost and the mean time between two requests. To a client that returns after a
+// rejection the request is the same one, so its time runs from the first try.
 func (d *dispatcher) recordArrival(req *request) {
 	if req.CostHint > 0 {
-		d.meanCost = stats.MovingMean(d.meanCost, float64(req.CostHint), meanCostWeight)
+		d.recordCost(req.CostHint)
 	}
 	req.acceptedAt = d.clients.returned(req.clientHash, req.acceptedAt)
 	interval := float64(min(req.acceptedAt-d.lastArrivalAt, 10*second))
@@ -67,6 +67,15 @@
 	d.lastArrivalAt = req.acceptedAt
 }
 
+func (d *dispatcher) recordCost(cost Micros) {
+	d.meanCost = stats.MovingMean(d.meanCost, float64(cost), meanCostWeight)
+}
+
+// updateWarmConcurrency estimates by Little's law how many requests a warm endpoint serves at one time.
+func (d *dispatcher) updateWarmConcurrency() {
+	d.endpoints.warmConcurrency = max(1, d.endpoints.meanCapacity*d.meanCost/float64(second))
+}
+
 // ringPosition: a key has its own place only where affinity gains, as a hot key strains it.
 func (d *dispatcher) ringPosition(req *request) uint64 {
 	if d.instance.KeyAffinity && req.Key != 0 {
@@ -75,9 +84,8 @@
 	return mix64(req.ID ^ ringSalt)
 }
 
-// keyReplica guards against keys that draw more than one endpoint can serve: a key gets a place for each of
-// its requests in the time in which all agents, alike, fill hotKeyShare of an endpoint. It may cost a warm
-// cache.
+// keyReplica guards against keys that draw more than an endpoint can serve: a key gets a place for each
+// request in the time in which all agents, alike, fill hotKeyShare of an endpoint. It may cost a warm cache.
 func (d *dispatcher) keyReplica(key uint64) uint64 {
 	window := d.meanCost * float64(d.instance.Agents) / hotKeyShare
 	usage := d.keys.record(key, d.now, window)
@@ -166,6 +174,11 @@
 	return inFlight+1 <= max(1, limit)
 }
 
+// isOverloaded tells whether the evaluators' last digest says so.
+func (s *endpointSet) isOverloaded(e *endpointRecord) bool {
+	return s.now-s.digestReceivedAt < digestLifetime && hasDigestBit(s.overloadDigest, e.ID)
+}
+
 // ringDistance is how far an endpoint is from the request's place, with what speaks against it.
 func (d *dispatcher) ringDistance(req *request, e *endpointRecord, among candidateSet) float64 {
 	distance := e.ringDistance(req.ringPosition) / e.capacity()
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -18,8 +18,7 @@
 	return e.slowStart.warmUp().At(e.now - e.Started)
 }
 
-// coldBudget is an agent's share of what a cold endpoint can take. Where it is below one request, the agents
-// use slots.
+// coldBudget is an agent's share of what a cold endpoint takes. Below one request, agents use slots.
 func (d *dispatcher) coldBudget(e *endpointRecord) float64 {
 	overload := coldMargin * d.slowStart.OverloadMultiple * e.warmUpFactor()
 	total := overload * float64(d.slowStart.OverloadAfter) * d.endpoints.warmConcurrency
@@ -43,8 +42,7 @@
 }
 
 // inColdSlot guards a cold endpoint against all agents together, also with hot keys and moved traffic: one
-// request in an agent's slot, which comes by the agents' numbers and lasts for OverloadAfter. It may leave
-// the endpoint idle.
+// request in an agent's slot, by the agents' indices and for OverloadAfter. It may leave it idle.
 func (d *dispatcher) inColdSlot(e *endpointRecord) bool {
 	slot := float64(d.slowStart.OverloadAfter)
 	if n := len(e.recentAttempts); n > 0 && e.recentAttempts[n-1].sentAt > d.now-d.slowStart.OverloadAfter {
--- a/internal/policy/voting.go
+++ b/internal/policy/voting.go
@@ -159,17 +159,9 @@
 	return Micros(unitInterval(hash) * float64(a.votingPeriod()))
 }
 
-func (a *releaseAnalyzer) castVote() {
-	verdict := a.currentVerdict()
+func (a *releaseAnalyzer) isVoteDue(verdict Verdict) bool {
 	renewAfter := Micros(voteRenewal * float64(a.votingRules.VoteLifetime))
-	if verdict != a.wantedVote {
-		a.wantedVote, a.wantedSince = verdict, a.now
-	}
-	if a.now < max(a.quietUntil, a.wantedSince+a.voteDelay()) {
-		return
-	}
-	if verdict != a.lastVote || verdict != NoVote && a.now-a.lastVoteAt >= renewAfter {
-		a.lastVote, a.lastVoteAt = verdict, a.now
-		a.emit(Vote{Build: a.build, Stage: a.stage, Verdict: verdict})
-	}
+	isRenewal := verdict != NoVote && a.now-a.lastVoteAt >= renewAfter
+	isQuiet := a.now < max(a.quietUntil, a.wantedSince+a.voteDelay())
+	return !isQuiet && (verdict != a.lastVote || isRenewal)
 }
