--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -255,8 +255,8 @@
 	RollBack
 )
 
-// Command is one of the command types below, from SendAttempt to LogMessage.
-type Command any
+// Command is one of the command types below, from SendAttempt to LogMessage. Only this package can add another.
+type Command interface{ isCommand() }
 
 type (
 	// SendAttempt sends a request to an endpoint. A Timeout of 0 waits until its deadline.
@@ -300,3 +300,14 @@
 	// LogMessage writes a line in the log.
 	LogMessage struct{ Text string }
 )
+
+func (SendAttempt) isCommand()    {}
+func (CancelAttempt) isCommand()  {}
+func (Reject) isCommand()         {}
+func (Fail) isCommand()           {}
+func (SetTimer) isCommand()       {}
+func (CheckHealth) isCommand()    {}
+func (SendGossip) isCommand()     {}
+func (WatchEndpoints) isCommand() {}
+func (Vote) isCommand()           {}
+func (LogMessage) isCommand()     {}
