--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -18,10 +18,11 @@
 	initialLimit, quickShare, lateShare = 4, 0.25, 0.45
 	// limitDecrease at most once in limitCutInterval: a few late answers from one overload are one sign.
 	limitDecrease, limitCutInterval = 0.7, 250 * millisecond
-	// slowShareWeight: some twenty answers. maxSlowShare: a busy zone that is well is late with a tenth.
+	// slowShareWeight: some twenty answers. maxSlowShare: a healthy busy zone is late with a tenth.
 	// zoneLimitStep halves a limit in some twenty answers and raises it zoneGrowth times as fast.
 	slowShareWeight, maxSlowShare, zoneLimitStep, zoneGrowth = 0.05, 0.25, 0.03, 3
-	// minOpenPerEndpoint, of all agents together, leaves no queue. unlimitedOpen is no limit.
+	// minOpenPerEndpoint, or openFactor of what it serves at one time, leaves no queue, of all agents together.
+	// unlimitedOpen is no limit.
 	minOpenPerEndpoint, openFactor, unlimitedOpen = 4, 2, 1e6
 	// inFlightReportWeight: reports of it are late and noisy, and set right what lost messages left.
 	inFlightReportWeight = 0.2
@@ -128,7 +129,7 @@
 	}
 }
 
-// updateZone has at the least this agent's share of the attempts that leave no queue at the zone's endpoints.
+// updateZone keeps the limit at or above this agent's share of the attempts that leave no queue in the zone.
 func (d *dispatcher) updateZone(zone int, outcome attemptOutcome) {
 	isSlow := outcome.Outcome != OK || outcome.Elapsed > outcome.latencyObjective
 	if outcome.latencyObjective > 0 && outcome.Outcome != ServerError && outcome.Outcome < NotAttempted {
