--- a/internal/policy/scenario_events_test.go
+++ b/internal/policy/scenario_events_test.go
@@ -47,7 +47,7 @@
 	case "run":
 		s.runTraffic(parseOptions(words))
 	default:
-		s.t.Fatalf("%s: no event %q", s.position, kind)
+		s.test.Fatalf("%s: no event %q", s.position, kind)
 	}
 }
 
--- a/internal/policy/scenario_test.go
+++ b/internal/policy/scenario_test.go
@@ -35,7 +35,7 @@
 
 // scenario plays the lines of one file.
 type scenario struct {
-	t          *testing.T
+	test       *testing.T
 	position   string // file and line
 	settings   options
 	classes    []RequestClass
@@ -55,8 +55,8 @@
 
 func parseOptions(words []string) options {
 	parsed := options{}
-	for _, word := range words {
-		key, value, hasValue := strings.Cut(word, "=")
+	for _, token := range words {
+		key, value, hasValue := strings.Cut(token, "=")
 		if !hasValue {
 			value = "1"
 		}
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scenario{t: t, settings: options{}, builds: map[uint32]int{}, endpointOf: map[uint64]uint32{}}
+	s := &scenario{test: t, settings: options{}, builds: map[uint32]int{}, endpointOf: map[uint64]uint32{}}
 	lines := bufio.NewScanner(strings.NewReader(string(content)))
 	for number := 1; lines.Scan(); number++ {
 		s.position = fmt.Sprintf("%s:%d", filepath.Base(file), number)
@@ -100,15 +100,15 @@
 	}
 }
 
-func (s *scenario) number(word string) float64 {
-	value, err := strconv.ParseFloat(word, 64)
+func (s *scenario) number(token string) float64 {
+	value, err := strconv.ParseFloat(token, 64)
 	if err != nil {
-		s.t.Fatalf("%s: %q is not a number", s.position, word)
+		s.test.Fatalf("%s: %q is not a number", s.position, token)
 	}
 	return value
 }
 
-func (s *scenario) milliseconds(word string) Micros { return Micros(s.number(word)) * millisecond }
+func (s *scenario) milliseconds(token string) Micros { return Micros(s.number(token)) * millisecond }
 
 // option returns a number among the options, or a default where it is not given.
 func (s *scenario) option(from options, key string, byDefault float64) float64 {
@@ -144,8 +144,8 @@
 func (s *scenario) start() {
 	given := s.settings
 	var caps []float64
-	for _, word := range strings.Split(given["caps"], ",") {
-		caps = append(caps, s.number(word))
+	for _, token := range strings.Split(given["caps"], ",") {
+		caps = append(caps, s.number(token))
 	}
 	if evaluator, isEvaluator := strings.CutPrefix(given["me"], "BENCH"); isEvaluator {
 		given["me"] = strconv.Itoa(s.agentIndex(evaluator))
@@ -181,8 +181,8 @@
 }
 
 // agentIndex is the index of an evaluator. A number past the panel is another agent's index.
-func (s *scenario) agentIndex(word string) int {
-	number := int(s.number(word))
+func (s *scenario) agentIndex(token string) int {
+	number := int(s.number(token))
 	evaluators := selectAgents(s.count(s.settings, "agents", 1), panelSize, ringSalt)
 	if number < len(evaluators) {
 		return evaluators[number]
@@ -216,8 +216,8 @@
 	s.now = at
 }
 
-// describe gives a command's word in the notation, and the figures that a scenario may ask for.
-func (s *scenario) describe(command Command) (word string, figures map[string]float64) {
+// describe gives a command's name in the notation, and the figures that a scenario may ask for.
+func (s *scenario) describe(command Command) (token string, figures map[string]float64) {
 	switch c := command.(type) {
 	case SendAttempt:
 		return "submit", map[string]float64{
@@ -242,7 +242,7 @@
 	case LogMessage:
 		return "say", nil
 	}
-	s.t.Fatalf("%s: no word for %T", s.position, command)
+	s.test.Fatalf("%s: no word for %T", s.position, command)
 	return "", nil
 }
 
@@ -266,14 +266,14 @@
 		}
 	}
 	if count < least || count > most {
-		s.t.Errorf("%s: %s came %d times, want %d to %d, of %d commands: %.600s",
+		s.test.Errorf("%s: %s came %d times, want %d to %d, of %d commands: %.600s",
 			s.position, strings.Join(words, " "), count, least, most, len(recent), fmt.Sprintf("%+v", recent))
 	}
 }
 
 func (s *scenario) fits(command Command, kind string, wanted options) bool {
-	word, figures := s.describe(command)
-	if word != kind {
+	token, figures := s.describe(command)
+	if token != kind {
 		return false
 	}
 	for key, value := range wanted {
