--- a/internal/policy/gossip.go
+++ b/internal/policy/gossip.go
@@ -17,6 +17,8 @@
 // The places of the one-byte fields of a record.
 const (
 	buildByte    = 4
+	stageByte    = 4 // of a verdict
+	verdictByte  = 5 // of a verdict
 	classByte    = 5
 	outcomeByte  = 6
 	elapsedByte  = 7 // two bytes
@@ -48,7 +50,7 @@
 	case rejectedRecord:
 		return requestRejected{fromPeer: true}
 	case verdictRecord:
-		return peerVerdict{from, int(id), int(record[4]), Verdict(record[5]), a.now}
+		return peerVerdict{from, int(id), int(record[stageByte]), Verdict(record[verdictByte]), a.now}
 	}
 	e, class := a.endpoints.byID[id], int(record[classByte])
 	switch {
