--- a/internal/cluster/election/doc.go
+++ b/internal/cluster/election/doc.go
@@ -32,5 +32,5 @@
 //   - Durable state is persisted before any message or vote that depends on it leaves; a replica that restarts without its
 //     state abstains until nothing can count any more that it may have answered for.
 //
-// The full argument is in docs/design-decider.md.
+// The full argument is in docs/design-election.md.
 package election
