--- a/internal/agent/activity.go
+++ b/internal/agent/activity.go
@@ -6,32 +6,38 @@
 	"time"
 )
 
-// activityInterval bounds it to a line so often, and none while nothing was done.
+// activityInterval is the shortest time between two lines of the activity log.
 const activityInterval = 5 * time.Second
 
-// activity counts since its last line.
-type activity struct {
+// activityCounts are the counters that only the loop's goroutine touches.
+type activityCounts struct {
 	arrived, succeeded, rejected, failed, cancelledByClient                  int
 	attempts, retries, healthChecks, votes, votesRejected, cancelledAttempts int
-	dials, listCalls                                                         atomic.Int64 // counted by others than the core
-	since                                                                    time.Time
 }
 
-// log writes the line when it is due.
+// activity counts what the agent has done since its last line in the log.
+type activity struct {
+	activityCounts
+	dials, listCalls atomic.Int64 // counted by other goroutines than the loop's
+	since            time.Time
+}
+
+// log writes a line when one is due, and none where nothing was done.
 func (a *activity) log(now time.Time) {
 	if a.since.IsZero() {
 		a.since = now
 	}
-	if now.Sub(a.since) < activityInterval {
+	elapsed := now.Sub(a.since)
+	if elapsed < activityInterval {
 		return
 	}
-	dials, calls := a.dials.Swap(0), a.listCalls.Swap(0)
-	if a.arrived+a.attempts+a.healthChecks+a.votes > 0 || dials+calls > 0 {
-		slog.Info("account", "ms", now.Sub(a.since).Milliseconds(), "taken", a.arrived, "settled", a.succeeded, "declined", a.rejected,
-			"voided", a.failed, "left", a.cancelledByClient, "submissions", a.attempts, "again", a.retries, "called_off", a.cancelledAttempts, "probes", a.healthChecks,
-			"votes", a.votes, "vote_full", a.votesRejected, "dials", dials, "list_calls", calls)
+	dials, listCalls := a.dials.Swap(0), a.listCalls.Swap(0)
+	if a.arrived+a.attempts+a.healthChecks+a.votes > 0 || dials+listCalls > 0 {
+		slog.Info("account", "ms", elapsed.Milliseconds(), "taken", a.arrived, "settled", a.succeeded, "declined", a.rejected,
+			"voided", a.failed, "left", a.cancelledByClient, "submissions", a.attempts, "again", a.retries,
+			"called_off", a.cancelledAttempts, "probes", a.healthChecks, "votes", a.votes, "vote_full", a.votesRejected,
+			"dials", dials, "list_calls", listCalls)
 	}
-	a.arrived, a.succeeded, a.rejected, a.failed, a.cancelledByClient = 0, 0, 0, 0, 0
-	a.attempts, a.retries, a.healthChecks, a.votes, a.votesRejected, a.cancelledAttempts = 0, 0, 0, 0, 0, 0
+	a.activityCounts = activityCounts{}
 	a.since = now
 }
--- a/internal/agent/activity_test.go
+++ b/internal/agent/activity_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// An agent's account is one line in a while, and none while nothing was done.
-func TestAccountIsBounded(t *testing.T) {
+// The activity log has at most one line for each interval, and none while nothing was done.
+func TestActivityLogIsBounded(t *testing.T) {
 	var out bytes.Buffer
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&out, nil)))
@@ -34,6 +34,6 @@
 		now = now.Add(20 * time.Millisecond)
 	}
 	if out.Len() > 0 {
-		t.Errorf("idle, it says\n%s", out.String())
+		t.Errorf("idle, it logs\n%s", out.String())
 	}
 }
--- a/internal/agent/export_test.go
+++ b/internal/agent/export_test.go
@@ -5,8 +5,8 @@
 // ReaderGrace is how long readers get after a stall.
 const ReaderGrace = readerGrace
 
-// Handle hands an event to the router, as the loop's goroutine does.
-func (c *Loop) Handle(event policy.Event) { c.handle(event) }
+// Handle hands an event to the policy, as the loop's goroutine does.
+func (l *Loop) Handle(event policy.Event) { l.handle(event) }
 
-// Endpoints is the number of records that are kept of endpoints. The loop must be at rest.
-func (c *Loop) Endpoints() int { return len(c.endpoints) + len(c.endpointOrder) }
+// EndpointRecords is the number of records that are kept of endpoints. The loop has to be idle.
+func (l *Loop) EndpointRecords() int { return len(l.endpoints) + len(l.endpointOrder) }
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -21,109 +21,120 @@
 	"switchfork/internal/upstream"
 )
 
-// The list and news of the start come at one time, or news would read as younger than the agent.
-func TestStartIsOneMoment(t *testing.T) {
-	s := &agenttest.Router{}
-	core := agent.NewLoop(s, agent.NewClock())
-	roster, launcher := discovery.NewClient(core, "127.0.0.1:1", []string{"suva"}, time.Second, 0, 1, 1), rollout.NewClient(core, "127.0.0.1:1", time.Second, time.Second, 1)
-	if err := roster.Known([]byte(fakes.ListDocument(4, false, fakes.ListEntry("box", "127.0.0.1:1", "active", 41)))); err != nil {
+// The configured endpoint list and rollout update have one time, or the update would read as younger than the agent.
+func TestConfiguredStateHasOneTime(t *testing.T) {
+	router := &agenttest.Router{}
+	loop := agent.NewLoop(router, agent.NewClock())
+	discoveryClient := discovery.NewClient(loop, "127.0.0.1:1", []string{"suva"}, time.Second, 0, 1, 1)
+	rolloutClient := rollout.NewClient(loop, "127.0.0.1:1", time.Second, time.Second, 1)
+	if err := discoveryClient.Known([]byte(fakes.ListDocument(4, false, fakes.ListEntry("box", "127.0.0.1:1", "active", 41)))); err != nil {
 		t.Fatal(err)
 	}
-	if err := launcher.Known([]byte(`{"image":41,"ring":2,"progress":"live","ceiling":1,"lag_ms":0}`)); err != nil {
+	if err := rolloutClient.Known([]byte(`{"image":41,"ring":2,"progress":"live","ceiling":1,"lag_ms":0}`)); err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	pool := upstream.NewPool(upstream.Config{DialTimeout: time.Second, IdleTimeout: time.Minute, Budget: connlimit.NewBudget(9)})
-	go core.Serve(ctx, pool, launcher.Vote, func(policy.SendGossip) {})
-	core.Flush(ctx)
-	events, times := s.All()
+	go loop.Serve(ctx, pool, rolloutClient.Vote, func(policy.SendGossip) {})
+	loop.Flush(ctx)
+	events, times := router.All()
 	if len(events) != 2 || times[0] != times[1] {
 		t.Fatalf("events %+v at %v", events, times)
 	}
-	if l, is := events[0].(policy.EndpointUpdate); !is || !l.Full || len(l.Endpoints) != 1 {
-		t.Errorf("first came %+v", events[0])
+	if update, ok := events[0].(policy.EndpointUpdate); !ok || !update.Full || len(update.Endpoints) != 1 {
+		t.Errorf("the first event is %+v", events[0])
 	}
 }
 
-// After a standstill, what the list has to tell goes before the txns that came meanwhile.
-func TestListFirstAfterStall(t *testing.T) {
-	r := agenttest.NewRig(t, time.Second)
-	r.Respond(func(ev policy.Event) []policy.Command {
-		if _, is := ev.(policy.GossipReceived); !is {
+// stallOnGossip has the policy find a timer long late after a gossip message, with a health check result waiting behind it. publish is
+// called at that moment.
+func stallOnGossip(r *agenttest.Rig, publish func()) {
+	r.Respond(func(event policy.Event) []policy.Command {
+		if _, ok := event.(policy.GossipReceived); !ok {
 			return nil
 		}
 		r.Loop.Post(policy.HealthCheckResult{})
-		time.AfterFunc(time.Millisecond, func() { r.Publish(protocol.List{Seq: 1, Whole: true}) })
+		publish()
 		return []policy.Command{policy.SetTimer{At: r.Loop.Clock().Now() - 1e6}} // as if that time had passed
 	})
-	r.Loop.Post(policy.GossipReceived{})
+}
+
+// wantListBeforeOthers waits for three events and fails where the second is not the endpoint list.
+func wantListBeforeOthers(t *testing.T, r *agenttest.Rig) {
+	t.Helper()
 	agenttest.Eventually(t, "three events", func() bool { events, _ := r.All(); return len(events) >= 3 })
 	events, _ := r.All()
-	if _, is := events[1].(policy.EndpointUpdate); !is {
+	if _, ok := events[1].(policy.EndpointUpdate); !ok {
 		t.Errorf("events came as %+v", events)
 	}
 }
 
-// The readers get longer than a moment where something has come in that is not handed on yet.
-func TestUnreadListFirstAfterStall(t *testing.T) {
+// After a stall, changes of the endpoint list go before the messages that came meanwhile.
+func TestEndpointListFirstAfterStall(t *testing.T) {
+	r := agenttest.NewRig(t, time.Second)
+	stallOnGossip(r, func() {
+		time.AfterFunc(time.Millisecond, func() { r.Publish(protocol.List{Seq: 1, Whole: true}) })
+	})
+	r.Loop.Post(policy.GossipReceived{})
+	wantListBeforeOthers(t, r)
+}
+
+// The readers get longer than the grace period where input has arrived that is not handed on yet.
+func TestUnreadEndpointListFirstAfterStall(t *testing.T) {
 	r := agenttest.NewRig(t, time.Second)
 	l := agenttest.Listen(t)
-	c, err := tcpconn.Dial(t.Context(), &net.Dialer{}, l.Addr().String(), r.Loop.UnreadInput())
+	near, err := tcpconn.Dial(t.Context(), &net.Dialer{}, l.Addr().String(), r.Loop.UnreadInput())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = near.Close() }() // the test is over
 	far, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
-	io.WriteString(far, "line")
-	r.Respond(func(ev policy.Event) []policy.Command {
-		if _, is := ev.(policy.GossipReceived); !is {
-			return nil
-		}
-		r.Loop.Post(policy.HealthCheckResult{})
-		time.AfterFunc(8*agent.ReaderGrace, func() { // by then a moment is long over
+	defer func() { _ = far.Close() }() // the test is over
+	if _, err := io.WriteString(far, "line"); err != nil {
+		t.Fatal(err)
+	}
+	stallOnGossip(r, func() {
+		time.AfterFunc(8*agent.ReaderGrace, func() { // by then the grace period is long over
 			r.Publish(protocol.List{Seq: 1, Whole: true})
-			go io.Copy(io.Discard, c)
+			go func() { _, _ = io.Copy(io.Discard, near) }() // ends with the connection
 		})
-		return []policy.Command{policy.SetTimer{At: r.Loop.Clock().Now() - 1e6}} // as if that time had passed
 	})
 	r.Loop.Post(policy.GossipReceived{})
-	agenttest.Eventually(t, "three events", func() bool { events, _ := r.All(); return len(events) >= 3 })
-	events, _ := r.All()
-	if _, is := events[1].(policy.EndpointUpdate); !is {
-		t.Errorf("events came as %+v", events)
-	}
+	wantListBeforeOthers(t, r)
 	agenttest.Eventually(t, "a reader that has caught up", func() bool { return !r.Loop.UnreadInput().HasUnread() })
 }
 
-// A panic of the module is not hidden: the process ends with it.
-func TestModulePanics(t *testing.T) {
+// A panic of the policy is not hidden: the process ends with it.
+func TestPolicyPanicIsNotHidden(t *testing.T) {
 	router := &agenttest.Router{}
 	router.Respond(func(policy.Event) []policy.Command { panic("index out of range") })
-	c := agent.NewLoop(router, agent.NewClock())
+	loop := agent.NewLoop(router, agent.NewClock())
 	defer func() {
 		if p := recover(); p != "index out of range" {
 			t.Errorf("recovered %v", p)
 		}
 	}()
-	c.Handle(policy.TimerFired{})
+	loop.Handle(policy.TimerFired{})
 	t.Error("went on")
 }
 
-// Hosts that come and go leave no actor, connection or number behind, and end only once what they have is answered.
-func TestGoneHostsAreLetGo(t *testing.T) {
-	let := make(chan struct{})
-	b := agenttest.NewScriptedServer(t, func(c net.Conn, nth int) bool { <-let; return fakes.Respond(fakes.OKResponse("done"))(c, nth) })
+// Endpoints that come and go leave no goroutine, connection or record behind, and stop only once their attempts have ended.
+func TestRemovedEndpointsAreReleased(t *testing.T) {
+	release := make(chan struct{})
+	server := agenttest.NewScriptedServer(t, func(c net.Conn, nth int) bool {
+		<-release
+		return fakes.Respond(fakes.OKResponse("done"))(c, nth)
+	})
 	r := agenttest.NewRig(t, time.Second)
 	before := runtime.NumGoroutine()
-	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
-	got := make(chan agent.Reply)
-	go func() { got <- r.Send(t, 1, agenttest.Posting, agenttest.Patience) }()
-	agenttest.Eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
+	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{{Host: "box", Dial: server.Addr(), Site: "suva", Health: "active"}}})
+	replies := make(chan agent.Reply)
+	go func() { replies <- r.Send(t, 1, agenttest.Posting, agenttest.Patience) }()
+	agenttest.Eventually(t, "the attempt", func() bool { return len(server.Requests()) == 1 })
 	for i := range 300 {
 		host := protocol.ListEntry{Host: fmt.Sprint("h", i), Dial: "127.0.0.1:1", Site: "suva", Health: "active"}
 		r.Publish(protocol.List{Seq: 2, Hosts: []protocol.ListEntry{host, {Host: "box", Health: "left"}}})
@@ -132,13 +143,15 @@
 		}
 	}
 	r.Publish(protocol.List{Seq: 4, Whole: true})
-	close(let)
-	if said := <-got; said.Response == nil {
-		t.Errorf("what was out at the time got %+v", said)
+	close(release)
+	if reply := <-replies; reply.Response == nil {
+		t.Errorf("the request in flight got %+v", reply)
 	}
 	r.Loop.Flush(r.Context)
-	if n := r.Loop.Endpoints(); n != 0 {
+	if n := r.Loop.EndpointRecords(); n != 0 {
 		t.Errorf("%d records are kept", n)
 	}
-	agenttest.Eventually(t, "the end of the connection and the actors", func() bool { return b.Closed() == 1 && runtime.NumGoroutine() <= before+2 })
+	agenttest.Eventually(t, "the end of the connection and the goroutines", func() bool {
+		return server.Closed() == 1 && runtime.NumGoroutine() <= before+2
+	})
 }
--- /dev/null
+++ b/internal/agent/messages.go
@@ -0,0 +1,98 @@
+package agent
+
+import (
+	"context"
+
+	"switchfork/internal/policy"
+	"switchfork/internal/protocol"
+	"switchfork/internal/upstream"
+)
+
+// message is what the loop's mailboxes hold.
+type message interface{ isMessage() }
+
+type (
+	// policyEvent is an event that another goroutine has for the policy.
+	policyEvent struct{ policy.Event }
+
+	// requestArrived is a new request with what is needed to answer it.
+	requestArrived struct {
+		event   policy.RequestArrived
+		request *Request
+	}
+
+	// requestCoalesced is a client's retry that is to get the reply of the request that it repeats.
+	requestCoalesced struct {
+		leaderID uint64
+		request  *Request
+	}
+
+	// attemptFinished is an endpoint's result of an attempt.
+	attemptFinished struct{ upstream.AttemptFinished }
+
+	// connectionsExhausted says that no descriptor was left for a connection to an endpoint.
+	connectionsExhausted struct{}
+)
+
+// EndpointList is a change of the endpoint list, or the whole list.
+type EndpointList struct {
+	policy.EndpointUpdate
+	Entries []protocol.ListEntry // what discovery says of each of Endpoints, in the same order
+}
+
+// Barrier is a message whose channel is closed when all messages before it have been handled.
+type Barrier struct{ Done chan struct{} }
+
+func (policyEvent) isMessage()          {}
+func (requestArrived) isMessage()       {}
+func (requestCoalesced) isMessage()     {}
+func (attemptFinished) isMessage()      {}
+func (connectionsExhausted) isMessage() {}
+func (EndpointList) isMessage()         {}
+func (Barrier) isMessage()              {}
+
+// Post hands an event to the policy.
+func (l *Loop) Post(event policy.Event) { l.mailbox.Put(policyEvent{event}) }
+
+// Admit hands a request to the policy and keeps it until it is answered and none of its attempts is in flight.
+func (l *Loop) Admit(event policy.RequestArrived, request *Request) {
+	l.mailbox.Put(requestArrived{event, request})
+}
+
+// Coalesce answers a client's retry with the reply of the request that it repeats.
+func (l *Loop) Coalesce(leaderID uint64, request *Request) {
+	l.mailbox.Put(requestCoalesced{leaderID, request})
+}
+
+// UpdateEndpoints applies a change of the endpoint list, ahead of all messages that wait.
+func (l *Loop) UpdateEndpoints(list EndpointList) { l.urgent.Put(list) }
+
+// UpdateRollout hands the state of a rollout to the policy, ahead of all messages that wait.
+func (l *Loop) UpdateRollout(update policy.RolloutUpdate) { l.urgent.Put(policyEvent{update}) }
+
+// AttemptFinished implements upstream.Events.
+func (l *Loop) AttemptFinished(result upstream.AttemptFinished) {
+	l.mailbox.Put(attemptFinished{result})
+}
+
+// HealthChecked implements upstream.Events.
+func (l *Loop) HealthChecked(result policy.HealthCheckResult) { l.mailbox.Put(policyEvent{result}) }
+
+// ConnectionsExhausted implements upstream.Events: all endpoints close the connections that they do not need.
+func (l *Loop) ConnectionsExhausted() { l.mailbox.Put(connectionsExhausted{}) }
+
+// DialStarted implements upstream.Events: it counts a dial for the activity log.
+func (l *Loop) DialStarted() { l.activity.dials.Add(1) }
+
+// CountListCall counts a call to discovery for the activity log.
+func (l *Loop) CountListCall() { l.activity.listCalls.Add(1) }
+
+// Flush waits until all messages put into the mailbox before have been handled, or ctx ends.
+func (l *Loop) Flush(ctx context.Context) {
+	done := make(chan struct{})
+	l.mailbox.Put(Barrier{done})
+	select {
+	case <-done:
+	case <-ctx.Done():
+	}
+}
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -9,44 +9,47 @@
 	"switchfork/internal/upstream"
 )
 
-// Reply is what the client gets in the end: an appliance's answer, or the module's own no.
+// Reply is the final answer to a client: an endpoint's response, or the agent's own rejection or failure.
 type Reply struct {
-	Response   *protocol.Response
-	Rejected   bool // a repeat does no harm
-	RetryAfter policy.Micros
+	Response   *protocol.Response // nil: rejected or failed
+	Rejected   bool               // the request never ran, so the client may retry it
+	RetryAfter policy.Micros      // after which a retry of a rejected request makes sense
 }
 
-// Request is a txn that the module has, or that has a submission out.
+// Request is a client's request that is not answered yet or has an attempt in flight. The loop's goroutine owns all fields but Encoded
+// and Deadline, which do not change, and the reply channels.
 type Request struct {
 	Encoded        *protocol.EncodedRequest
-	replies        chan Reply // holds one
 	Deadline       time.Time
-	answered       bool // it has its final answer, or nobody waits for one
-	inFlight       int  // submissions that have not ended
-	attempts       int
-	endpoint       *upstream.Endpoint
-	OnDone         func() // when it is over and nothing of it is out; nil where nobody asks
-	OnFirstAttempt func() // when it is first sent; nil where nobody asks
-	result         admission.Result
-	coalesced      []chan Reply // its next tries, which get its answer
+	OnDone         func() // called when it is answered and none of its attempts is in flight; nil: not called
+	OnFirstAttempt func() // called before its first attempt is sent; nil: not called
+
+	replies   chan Reply   // has room for the one final reply
+	coalesced []chan Reply // those of its retries, which get the same reply
+	answered  bool         // it has its final reply, or its client has gone
+	result    admission.Result
+	inFlight  int // attempts that have not ended
+	attempts  int
+	endpoint  *upstream.Endpoint // of the latest attempt
 }
 
-// NewRequest makes a request that has to be answered by a deadline. onDone is called when it is answered and nothing of it is in flight.
+// NewRequest makes a request that has to be answered by a deadline. onDone is called when it is answered and none of its attempts is in
+// flight.
 func NewRequest(encoded *protocol.EncodedRequest, deadline time.Time, onDone func()) *Request {
 	return &Request{Encoded: encoded, replies: make(chan Reply, 1), Deadline: deadline, OnDone: onDone}
 }
 
-// Replies gives the one final answer.
-func (t *Request) Replies() <-chan Reply { return t.replies }
+// Replies is the channel of the one final reply.
+func (r *Request) Replies() <-chan Reply { return r.replies }
 
 // Result tells how an answered request ended.
-func (t *Request) Result() admission.Result { return t.result }
+func (r *Request) Result() admission.Result { return r.result }
 
-// Deliver gives a final answer to all who wait for it.
-func (t *Request) Deliver(r Reply) {
-	t.replies <- r
-	for _, also := range t.coalesced {
-		also <- r
+// Deliver gives the final reply to the client and to those of its retries.
+func (r *Request) Deliver(reply Reply) {
+	r.replies <- reply
+	for _, replies := range r.coalesced {
+		replies <- reply
 	}
-	t.coalesced = nil
+	r.coalesced = nil
 }
