--- a/internal/upstream/response_reader.go
+++ b/internal/upstream/response_reader.go
@@ -11,69 +11,77 @@
 	"switchfork/internal/protocol"
 )
 
-// responseReader reads the answers of one connection. Nothing an appliance sends takes more memory or time than an answer may.
-type responseReader struct {
-	conn  net.Conn
-	limit io.LimitedReader
-	br    *bufio.Reader
-	begun bool // an answer's first byte has come
-}
+// maxResponseGap is the longest that a response may pause once it has begun: an endpoint writes it in one piece, with no work between.
+// It guards against heads and bodies that do not end and lengths that are too long, which would else be waited for until the request's
+// deadline. One that comes slowly, byte by byte, has its attempt's time.
+const maxResponseGap = 300 * time.Millisecond
 
-// Read waits as long as the submission does for an answer's first byte, and answerWait for each further piece.
-func (a *responseReader) Read(b []byte) (int, error) {
-	if a.begun {
-		a.conn.SetReadDeadline(time.Now().Add(answerWait))
-	}
-	return a.conn.Read(b)
-}
+const readBufferSize = 4 << 10
 
-// answerWait is the longest that a begun answer may pause: it is written in one piece, with no work between. It guards against heads
-// and bodies that do not end and lengths that are too long, which would else be waited for until the txn's time is over. One that
-// comes slowly, byte by byte, has its submission's time.
-const answerWait = 300 * time.Millisecond
+// Headers of responses that the protocol defines.
+const (
+	headerNotRun     = "X-Not-Run" // notRun: the request was rejected before it ran
+	headerLoadReport = "X-Load"
 
-var errNoEnd = errors.New("nothing but the connection's end says that the answer is whole")
+	notRun = "1"
+)
+
+var errNoLength = errors.New("only the connection's end says that the response is complete")
+
+// responseReader reads the responses of one connection. Nothing that an endpoint sends takes more memory or time than a response may.
+type responseReader struct {
+	conn     net.Conn
+	limit    io.LimitedReader
+	buffered *bufio.Reader
+	hasBegun bool // a response's first byte has come
+}
 
 func newResponseReader(conn net.Conn) *responseReader {
-	a := &responseReader{conn: conn}
-	a.limit.R = a
-	a.br = bufio.NewReaderSize(&a.limit, 4<<10)
-	return a
+	r := &responseReader{conn: conn}
+	r.limit.R = r
+	r.buffered = bufio.NewReaderSize(&r.limit, readBufferSize)
+	return r
+}
+
+// Read waits as long as the attempt does for a response's first byte, and maxResponseGap for each further piece.
+func (r *responseReader) Read(b []byte) (int, error) {
+	if r.hasBegun {
+		_ = r.conn.SetReadDeadline(time.Now().Add(maxResponseGap)) // fails only on a closed connection, which Read reports
+	}
+	return r.conn.Read(b)
 }
 
-// next takes one answer, with the words in between that may come ahead of it. If more stands behind it, it is the
-// connection's last.
-func (a *responseReader) next(fields []string) (*protocol.Response, error) {
-	a.limit.N = protocol.HeadLimit + protocol.BodyLimit
+// next reads one response, after any interim responses. If more bytes follow, it is the connection's last.
+func (r *responseReader) next(loadReportFields []string) (*protocol.Response, error) {
+	r.limit.N = protocol.HeadLimit + protocol.BodyLimit
 	for {
-		_, err := a.br.Peek(1)
-		if err != nil {
-			return nil, a.over(err)
+		if _, err := r.buffered.Peek(1); err != nil {
+			return nil, r.readError(err)
 		}
-		a.begun = true
-		ans, err := readAnswer(a.br, fields)
+		r.hasBegun = true
+		response, err := readResponse(r.buffered, loadReportFields)
 		if err != nil {
-			return nil, a.over(err)
+			return nil, r.readError(err)
 		}
-		a.begun = false
-		a.conn.SetReadDeadline(time.Time{})
-		if ans != nil {
-			ans.IsLast = ans.IsLast || a.br.Buffered() > 0
-			return ans, nil
+		r.hasBegun = false
+		_ = r.conn.SetReadDeadline(time.Time{}) // fails only on a closed connection, which the next Read reports
+		if response != nil {
+			response.IsLast = response.IsLast || r.buffered.Buffered() > 0
+			return response, nil
 		}
 	}
 }
 
-// over tells an answer that is too long from the connection's end.
-func (a *responseReader) over(err error) error {
-	if a.limit.N <= 0 {
+// readError tells a response that is too long from the connection's end.
+func (r *responseReader) readError(err error) error {
+	if r.limit.N <= 0 {
 		return protocol.ErrBodyTooLong
 	}
 	return err
 }
 
-// readAnswer takes one answer off a connection; a word in between is none.
-func readAnswer(from *bufio.Reader, fields []string) (*protocol.Response, error) {
+// readResponse reads one response; it is nil for an interim one.
+func readResponse(from *bufio.Reader, loadReportFields []string) (*protocol.Response, error) {
 	r, err := http.ReadResponse(from, nil)
 	if err != nil {
 		return nil, err
@@ -82,22 +90,34 @@
 		return nil, nil
 	}
 	if r.ContentLength < 0 && len(r.TransferEncoding) == 0 {
-		return nil, errNoEnd
+		return nil, errNoLength
+	}
+	response := &protocol.Response{
+		Result:      responseResult(r),
+		Status:      r.StatusCode,
+		ContentType: r.Header.Get("Content-Type"),
+		IsLast:      r.Close,
 	}
-	a := &protocol.Response{Status: r.StatusCode, ContentType: r.Header.Get("Content-Type"), IsLast: r.Close}
-	if a.Body, err = protocol.ReadBody(r.Body, r.ContentLength); err != nil {
+	if response.Body, err = protocol.ReadBody(r.Body, r.ContentLength); err != nil {
 		return nil, err
 	}
-	r.Body.Close()
-	a.Result = protocol.ServerError
+	_ = r.Body.Close() // all of it has been read
+	response.Load = protocol.ParseLoadReport([]byte(r.Header.Get(headerLoadReport)), loadReportFields)
+	return response, nil
+}
+
+// responseResult classifies a response by its status and headers.
+func responseResult(r *http.Response) protocol.Result {
+	isUnavailable := r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusGatewayTimeout
+	isClientError := r.StatusCode >= 400 && r.StatusCode < 500 && r.StatusCode != http.StatusTooManyRequests
 	switch {
 	case r.StatusCode == http.StatusOK:
-		a.Result = protocol.Succeeded
-	case r.Header.Get("X-Not-Run") == "1" && (r.StatusCode == 503 || r.StatusCode == 504):
-		a.Result = protocol.NotRun
-	case r.StatusCode >= 400 && r.StatusCode < 500 && r.StatusCode != http.StatusTooManyRequests:
-		a.Result = protocol.ClientError
+		return protocol.Succeeded
+	case isUnavailable && r.Header.Get(headerNotRun) == notRun:
+		return protocol.NotRun
+	case isClientError:
+		return protocol.ClientError
+	default:
+		return protocol.ServerError
 	}
-	a.Load = protocol.ParseLoadReport([]byte(r.Header.Get("X-Load")), fields)
-	return a, nil
 }
--- a/internal/upstream/results_test.go
+++ b/internal/upstream/results_test.go
@@ -17,132 +17,141 @@
 	"switchfork/internal/upstream"
 )
 
-// Each way a submission can end, the module's outcome for it, and that exactly one copy arrived.
-func TestEndings(t *testing.T) {
+// publishEndpoint publishes a list of one endpoint, "box".
+func publishEndpoint(r *agenttest.Rig, address string) {
+	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{{Host: "box", Dial: address, Site: agenttest.Zone, Health: "active"}}})
+}
+
+// Each way in which an attempt can end, the policy's outcome for it, and that exactly one request arrived.
+func TestAttemptResults(t *testing.T) {
 	notRun := "HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
-	for _, c := range []struct {
-		name   string
-		do     func(net.Conn, int) bool
-		want   policy.Outcome
-		copies int
+	for _, conn := range []struct {
+		name     string
+		respond  func(net.Conn, int) bool
+		want     policy.Outcome
+		requests int
 	}{
-		{"settled", fakes.Respond(fakes.OKResponse("done")), policy.OK, 1},
-		{"settled without length", func(c net.Conn, _ int) bool {
-			fakes.Respond("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\ndone")(c, 0)
+		{"succeeded", fakes.Respond(fakes.OKResponse("done")), policy.OK, 1},
+		{"success without length", func(conn net.Conn, _ int) bool {
+			fakes.Respond("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\ndone")(conn, 0)
 			return false
 		}, policy.Malformed, 1},
-		{"a word in between", fakes.Respond("HTTP/1.1 102 Wait\r\n\r\n" + fakes.OKResponse("done")), policy.OK, 1},
-		{"error", fakes.Respond("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"), policy.ServerError, 1},
-		{"turned away", fakes.Respond(notRun), policy.Rejected, 1},
+		{"interim response", fakes.Respond("HTTP/1.1 102 Wait\r\n\r\n" + fakes.OKResponse("done")), policy.OK, 1},
+		{"server error", fakes.Respond("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"), policy.ServerError, 1},
+		{"rejected", fakes.Respond(notRun), policy.Rejected, 1},
 		{"503 that may have run", fakes.Respond("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"), policy.ServerError, 1},
-		{"breaks after the last byte", fakes.CloseUnanswered, policy.ConnectionLost, 1},
-		{"answer cut off", func(c net.Conn, _ int) bool {
-			return fakes.Respond("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")(c, 0) && false
+		{"connection lost after the last byte", fakes.CloseUnanswered, policy.ConnectionLost, 1},
+		{"response cut off", func(conn net.Conn, _ int) bool {
+			return fakes.Respond("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")(conn, 0) && false
 		}, policy.ConnectionLost, 1},
 		{"not HTTP", fakes.Respond("good evening\r\n\r\n"), policy.Malformed, 1},
-		{"a head without end", fakes.Respond("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20)), policy.Malformed, 1},
-		{"words in between without end", fakes.Respond(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 9999)), policy.Malformed, 1},
+		{"head without end", fakes.Respond("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20)), policy.Malformed, 1},
+		{"interim responses without end", fakes.Respond(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 9999)), policy.Malformed, 1},
 		{"half a head", fakes.Respond("HTTP/1.1 200 OK\r\nConte"), policy.Malformed, 1},
-		{"a body shorter than said", fakes.Respond("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), policy.Malformed, 1},
-		{"3 GB", fakes.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<20)), policy.Malformed, 1},
+		{"body shorter than its length", fakes.Respond("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), policy.Malformed, 1},
+		{"length of 3 GB", fakes.Respond("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<20)), policy.Malformed, 1},
 		{"chunks without end", fakes.Respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			strings.Repeat("400\r\n"+strings.Repeat("x", 1024)+"\r\n", 999)), policy.Malformed, 1},
-		{"the request is wrong", fakes.Respond("HTTP/1.1 400 X\r\nContent-Length: 0\r\n\r\n"), policy.NotAttempted, 1},
-		{"answer too long", fakes.Respond("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537)), policy.Malformed, 1},
-		{"nothing in time", fakes.NeverRespond, policy.TimedOut, 1},
+		{"client error", fakes.Respond("HTTP/1.1 400 X\r\nContent-Length: 0\r\n\r\n"), policy.NotAttempted, 1},
+		{"response too long", fakes.Respond("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537)), policy.Malformed, 1},
+		{"timed out", fakes.NeverRespond, policy.TimedOut, 1},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			b := agenttest.NewScriptedServer(t, c.do)
+		t.Run(conn.name, func(t *testing.T) {
+			server := agenttest.NewScriptedServer(t, conn.respond)
 			r := agenttest.NewRig(t, time.Second)
-			r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
+			publishEndpoint(r, server.Addr())
 			got := r.Send(t, 1, agenttest.Posting, 400*time.Millisecond)
-			ends := agenttest.Events[policy.AttemptResult](r.Router)
-			if len(ends) != 1 || ends[0].Outcome != c.want || ends[0].RequestDone != (c.want == policy.OK || c.want == policy.NotAttempted) {
-				t.Errorf("ended as %+v, want outcome %d", ends, c.want)
+			results := agenttest.Events[policy.AttemptResult](r.Router)
+			if len(results) != 1 || results[0].Outcome != conn.want || results[0].RequestDone != (conn.want == policy.OK || conn.want == policy.NotAttempted) {
+				t.Errorf("ended as %+v, want outcome %d", results, conn.want)
 			}
-			if c.want == policy.OK && (got.Response == nil || string(got.Response.Body) != "done") {
+			if conn.want == policy.OK && (got.Response == nil || string(got.Response.Body) != "done") {
 				t.Errorf("client got %+v", got)
 			}
-			if c.want == policy.NotAttempted && (got.Response == nil || got.Response.Status != 400) {
+			if conn.want == policy.NotAttempted && (got.Response == nil || got.Response.Status != 400) {
 				t.Errorf("client got %+v", got)
 			}
-			if copies := b.Requests(); len(copies) != c.copies || copies[0].Body != "body" {
-				t.Errorf("%d copies arrived: %+v", len(copies), copies)
+			if requests := server.Requests(); len(requests) != conn.requests || requests[0].Body != "body" {
+				t.Errorf("%d requests arrived: %+v", len(requests), requests)
 			}
-			if c.want == policy.TimedOut || c.want == policy.ConnectionLost || c.want == policy.Malformed { // given up: never two out at once
-				agenttest.Eventually(t, "the end of the connection", func() bool { return b.Closed() == 1 })
+			if conn.want == policy.TimedOut || conn.want == policy.ConnectionLost || conn.want == policy.Malformed { // closed: never two attempts at once
+				agenttest.Eventually(t, "the end of the connection", func() bool { return server.Closed() == 1 })
 			}
 		})
 	}
 }
 
-// What never ran, because no connection came up.
-func TestNoConnection(t *testing.T) {
-	gone := agenttest.Listen(t)
-	gone.Close()
-	for name, c := range map[string]struct {
+// An attempt never ran where no connection came up.
+func TestConnectFailures(t *testing.T) {
+	closed := agenttest.Listen(t)
+	if err := closed.Close(); err != nil {
+		t.Fatal(err)
+	}
+	for name, conn := range map[string]struct {
 		dial time.Duration
 		addr string
-	}{"refused": {time.Second, gone.Addr().String()}, "never came up": {1, agenttest.Listen(t).Addr().String()}} {
-		r := agenttest.NewRig(t, c.dial)
-		r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{{Host: "box", Dial: c.addr, Site: "suva", Health: "active"}}})
+	}{"refused": {time.Second, closed.Addr().String()}, "never came up": {1, agenttest.Listen(t).Addr().String()}} {
+		r := agenttest.NewRig(t, conn.dial)
+		publishEndpoint(r, conn.addr)
 		r.Send(t, 1, agenttest.Posting, time.Second)
-		if ends := agenttest.Events[policy.AttemptResult](r.Router); len(ends) != 1 || ends[0].Outcome != policy.ConnectFailed {
-			t.Errorf("%s: ended as %+v", name, ends)
+		if results := agenttest.Events[policy.AttemptResult](r.Router); len(results) != 1 || results[0].Outcome != policy.ConnectFailed {
+			t.Errorf("%s: ended as %+v", name, results)
 		}
 	}
 }
 
 // A connection is used again; one that breaks under a request with an Idempotency-Key brings no second copy, one
-// that ended while idle costs nothing, and what nobody asked for ends it.
-func TestReusedConnection(t *testing.T) {
-	b := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
+// that ended while idle costs nothing, and a response that nobody asked for ends it.
+func TestConnectionReuse(t *testing.T) {
+	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, time.Second)
-	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
+	publishEndpoint(r, server.Addr())
 	r.Send(t, 1, agenttest.Posting, time.Second)
-	b.SetHandler(fakes.CloseUnanswered)
+	server.SetHandler(fakes.CloseUnanswered)
 	r.Send(t, 2, agenttest.Posting, time.Second)
-	ends, copies := agenttest.Events[policy.AttemptResult](r.Router), b.Requests()
-	if len(copies) != 2 || copies[1].Conn != 1 || ends[1].Outcome != policy.ConnectionLost {
-		t.Fatalf("ended as %+v after copies %+v", ends, copies)
+	results, requests := agenttest.Events[policy.AttemptResult](r.Router), server.Requests()
+	if len(requests) != 2 || requests[1].Conn != 1 || results[1].Outcome != policy.ConnectionLost {
+		t.Fatalf("ended as %+v after requests %+v", results, requests)
 	}
-	b.SetHandler(func(c net.Conn, nth int) bool {
-		return fakes.Respond(fakes.OKResponse("done")+fakes.OKResponse("not asked for"))(c, nth)
+	server.SetHandler(func(conn net.Conn, nth int) bool {
+		return fakes.Respond(fakes.OKResponse("done")+fakes.OKResponse("not asked for"))(conn, nth)
 	})
 	r.Send(t, 3, agenttest.Posting, time.Second)
-	agenttest.Eventually(t, "the end of a connection that brought too much", func() bool { return b.Closed() == 2 })
-	b.SetHandler(fakes.Respond(fakes.OKResponse("done")))
-	if got := r.Send(t, 4, agenttest.Posting, time.Second); got.Response == nil || len(b.Requests()) != 4 || b.Requests()[3].Conn != 3 {
-		t.Errorf("got %+v after copies %+v", got, b.Requests())
+	agenttest.Eventually(t, "the end of a connection with an unrequested response", func() bool { return server.Closed() == 2 })
+	server.SetHandler(fakes.Respond(fakes.OKResponse("done")))
+	if got := r.Send(t, 4, agenttest.Posting, time.Second); got.Response == nil || len(server.Requests()) != 4 || server.Requests()[3].Conn != 3 {
+		t.Errorf("got %+v after requests %+v", got, server.Requests())
 	}
 }
 
-// What an appliance sends behind an answer, at once or later, never meets the next txn.
-func TestMoreThanAsked(t *testing.T) {
+// What an endpoint sends after a response, at once or later, never becomes the response to the next request.
+func TestUnrequestedResponseIsNotDelivered(t *testing.T) {
 	for _, pause := range []time.Duration{0, 20 * time.Millisecond} {
-		b := agenttest.NewScriptedServer(t, nil)
+		server := agenttest.NewScriptedServer(t, nil)
 		r := agenttest.NewRig(t, time.Second)
-		r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
-		behind := make(chan bool, 50)
-		b.SetHandler(func(c net.Conn, nth int) bool {
-			io.WriteString(c, fakes.OKResponse(fmt.Sprint(nth)))
+		publishEndpoint(r, server.Addr())
+		sentAfter := make(chan bool, 50)
+		server.SetHandler(func(conn net.Conn, nth int) bool {
+			if _, err := io.WriteString(conn, fakes.OKResponse(fmt.Sprint(nth))); err != nil {
+				return false
+			}
 			time.Sleep(pause)
-			_, err := io.WriteString(c, fakes.OKResponse("not asked for"))
-			behind <- true
+			_, err := io.WriteString(conn, fakes.OKResponse("not asked for"))
+			sentAfter <- true
 			return err == nil
 		})
 		for id := uint64(1); id <= 50; id++ {
 			got := r.Send(t, id, agenttest.Posting, time.Second)
 			if got.Response == nil || string(got.Response.Body) != fmt.Sprint(id) {
-				t.Fatalf("txn %d got %+v", id, got)
+				t.Fatalf("request %d got %+v", id, got)
 			}
-			<-behind
+			<-sentAfter
 		}
 	}
 }
 
-// A host that returns with another address is the same appliance to the module, and gets nothing on the old one.
-func TestHostMoves(t *testing.T) {
+// An endpoint that returns with another address is the same one to the policy, and gets nothing at the old address.
+func TestEndpointAddressChanges(t *testing.T) {
 	before, after := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("a"))), agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("b")))
 	r := agenttest.NewRig(t, time.Second)
 	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{{Host: "box", Dial: before.Addr(), Site: "suva", Health: "active", Build: 1}}})
@@ -152,61 +161,62 @@
 	r.Send(t, 2, agenttest.Posting, time.Second)
 	lists := agenttest.Events[policy.EndpointUpdate](r.Router)
 	if len(before.Requests()) != 1 || len(after.Requests()) != 1 || lists[0].Endpoints[0].ID != lists[1].Endpoints[0].ID || lists[1].Endpoints[0].Build != 2 {
-		t.Errorf("%d and %d copies, lists %+v", len(before.Requests()), len(after.Requests()), lists)
+		t.Errorf("%d and %d requests, lists %+v", len(before.Requests()), len(after.Requests()), lists)
 	}
 }
 
-func TestCallOffAndProbe(t *testing.T) {
-	b := agenttest.NewScriptedServer(t, fakes.NeverRespond)
+// A cancelled request ends its attempt once, and a health check brings its load report.
+func TestCancelAndHealthCheck(t *testing.T) {
+	server := agenttest.NewScriptedServer(t, fakes.NeverRespond)
 	r := agenttest.NewRig(t, time.Second)
-	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
+	publishEndpoint(r, server.Addr())
 	n := protocol.EndpointID("box")
-	r.Respond(func(ev policy.Event) []policy.Command {
-		switch ev := ev.(type) {
+	r.Respond(func(event policy.Event) []policy.Command {
+		switch event := event.(type) {
 		case policy.RequestArrived:
-			return []policy.Command{policy.SendAttempt{RequestID: ev.ID, EndpointID: n}}
+			return []policy.Command{policy.SendAttempt{RequestID: event.ID, EndpointID: n}}
 		case policy.RequestCancelled:
-			return []policy.Command{policy.CancelAttempt{RequestID: ev.RequestID}}
+			return []policy.Command{policy.CancelAttempt{RequestID: event.RequestID}}
 		case policy.AttemptResult:
 			return []policy.Command{policy.CheckHealth{EndpointID: n}}
 		}
 		return nil
 	})
 	r.Loop.Admit(policy.RequestArrived{ID: 7}, agent.NewRequest(agenttest.Posting, time.Now().Add(agenttest.Patience), nil))
-	agenttest.Eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
-	b.SetHandler(fakes.Respond("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"queue\":3}"))
+	agenttest.Eventually(t, "the attempt", func() bool { return len(server.Requests()) == 1 })
+	server.SetHandler(fakes.Respond("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"queue\":3}"))
 	r.Loop.Post(policy.RequestCancelled{RequestID: 7})
-	r.Loop.Post(policy.RequestCancelled{RequestID: 7}) // told once
-	agenttest.Eventually(t, "the probe's answer", func() bool { return len(agenttest.Events[policy.HealthCheckResult](r.Router)) == 1 })
+	r.Loop.Post(policy.RequestCancelled{RequestID: 7}) // reported once
+	agenttest.Eventually(t, "the health check's result", func() bool { return len(agenttest.Events[policy.HealthCheckResult](r.Router)) == 1 })
 	if p := agenttest.Events[policy.HealthCheckResult](r.Router)[0]; p.Outcome != policy.OK || len(p.Load) != 1 || p.Load[0] != 3 {
-		t.Errorf("probed as %+v", p)
+		t.Errorf("checked as %+v", p)
 	}
-	ends := agenttest.Events[policy.AttemptResult](r.Router)
-	if len(ends) != 1 || ends[0].Outcome != policy.Cancelled || !ends[0].RequestDone || len(agenttest.Events[policy.RequestCancelled](r.Router)) != 1 {
-		t.Errorf("ended as %+v", ends)
+	results := agenttest.Events[policy.AttemptResult](r.Router)
+	if len(results) != 1 || results[0].Outcome != policy.Cancelled || !results[0].RequestDone || len(agenttest.Events[policy.RequestCancelled](r.Router)) != 1 {
+		t.Errorf("ended as %+v", results)
 	}
-	if b.Requests()[1].RequestLine != "GET /_load" {
-		t.Errorf("probed by %s", b.Requests()[1].RequestLine)
+	if server.Requests()[1].RequestLine != "GET /_load" {
+		t.Errorf("checked by %s", server.Requests()[1].RequestLine)
 	}
 }
 
-// A submission that the module ordered before a standstill is not written after it: it is chosen again.
-func TestOldSubmissionIsNotWritten(t *testing.T) {
-	b := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
+// An attempt that was decided before a stall is not written after it: the policy chooses again.
+func TestOutdatedAttemptIsNotWritten(t *testing.T) {
+	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, 100*time.Millisecond)
-	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
+	publishEndpoint(r, server.Addr())
 	if got := r.Send(t, 1, agenttest.Posting, time.Second); got.Response == nil {
 		t.Fatalf("a fresh one got %+v", got)
 	}
 	r.Loop.Flush(r.Context)
-	entry := protocol.ListEntry{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}
-	a := r.Pool.NewEndpoint(protocol.EndpointID("box"), entry, r.Loop)
-	a.Update(entry)
-	defer a.Remove()
+	entry := protocol.ListEntry{Host: "box", Dial: server.Addr(), Site: "suva", Health: "active"}
+	endpoint := r.Pool.NewEndpoint(protocol.EndpointID("box"), entry, r.Loop)
+	endpoint.Update(entry)
+	defer endpoint.Remove()
 	now := time.Now()
 	for id, age := range map[uint64]time.Duration{2: 0, 3: time.Second} {
-		a.Send(upstream.Attempt{RequestID: id, Encoded: agenttest.Posting, DecidedAt: now.Add(-age), Deadline: now.Add(agenttest.Patience)})
-		agenttest.Eventually(t, "its ending", func() bool {
+		endpoint.Send(upstream.Attempt{RequestID: id, Encoded: agenttest.Posting, DecidedAt: now.Add(-age), Deadline: now.Add(agenttest.Patience)})
+		agenttest.Eventually(t, "its result", func() bool {
 			for _, e := range agenttest.Events[policy.AttemptResult](r.Router) {
 				if e.RequestID == id {
 					return true
@@ -215,30 +225,30 @@
 			return false
 		})
 	}
-	if n := len(b.Requests()); n != 2 {
+	if n := len(server.Requests()); n != 2 {
 		t.Errorf("%d arrived, want the two fresh ones", n)
 	}
 }
 
-// Where one connection broke, the idle ones beside it are not trusted: a machine that was cut off leaves them dead.
-func TestBreakTakesIdleAlong(t *testing.T) {
-	b := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
+// Where one connection is lost, the idle ones beside it are not trusted: a machine that was cut off leaves them dead.
+func TestLostConnectionClosesIdleOnes(t *testing.T) {
+	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, time.Second)
-	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{{Host: "box", Dial: b.Addr(), Site: "suva", Health: "active"}}})
-	gate := make(chan struct{})
-	b.SetHandler(func(c net.Conn, nth int) bool {
+	publishEndpoint(r, server.Addr())
+	release := make(chan struct{})
+	server.SetHandler(func(conn net.Conn, nth int) bool {
 		if nth == 2 {
-			close(gate)
+			close(release)
 		}
-		<-gate
-		return fakes.Respond(fakes.OKResponse("done"))(c, nth)
+		<-release
+		return fakes.Respond(fakes.OKResponse("done"))(conn, nth)
 	})
 	var both sync.WaitGroup
 	for id := range uint64(2) {
 		both.Go(func() { r.Send(t, id+1, agenttest.Posting, agenttest.Patience) })
 	}
 	both.Wait()
-	b.SetHandler(fakes.CloseUnanswered)
+	server.SetHandler(fakes.CloseUnanswered)
 	r.Send(t, 3, agenttest.Posting, time.Second)
-	agenttest.Eventually(t, "the end of both connections", func() bool { return b.Closed() == 2 })
+	agenttest.Eventually(t, "the end of both connections", func() bool { return server.Closed() == 2 })
 }
