--- a/internal/protocol/list.go
+++ b/internal/protocol/list.go
@@ -9,68 +9,79 @@
 	"switchfork/internal/policy"
 )
 
-// List is a line of discovery: the whole list, or what changed.
+// maxBornMs bounds the start times of endpoints, in milliseconds since the Unix epoch.
+const maxBornMs = 1e15
+
+const microsPerMilli = 1000
+
+// List is a document of discovery: the whole endpoint list, or the entries that have changed.
 type List struct {
 	Seq   uint64      `json:"seq"`
 	Whole bool        `json:"whole"`
 	Hosts []ListEntry `json:"hosts"`
 }
 
-// ListEntry is one appliance there.
+// ListEntry is one endpoint of a list.
 type ListEntry struct {
 	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
+	Dial   string  `json:"dial"` // the address to connect to
+	Site   string  `json:"site"` // its zone
 	Block  int     `json:"block"`
 	Health string  `json:"health"`
 	Share  float64 `json:"share"`
-	BornMs float64 `json:"born_ms"`
+	BornMs float64 `json:"born_ms"` // when its process has started
 	Build  int     `json:"build"`
 }
 
+// ReadList decodes a list.
 func ReadList(raw []byte) (List, error) {
-	var r List
-	err := json.Unmarshal(raw, &r)
-	return r, err
+	var list List
+	err := json.Unmarshal(raw, &list)
+	return list, err
 }
 
-var endpointStates = map[string]policy.EndpointState{"active": policy.Ready, "leaving": policy.Draining, "left": policy.Gone}
+// endpointStates has the policy's state for each health that discovery knows.
+var endpointStates = map[string]policy.EndpointState{
+	"active":  policy.Ready,
+	"leaving": policy.Draining,
+	"left":    policy.Gone,
+}
 
-// Endpoint is the entry as the module knows it, but for its number.
+// Endpoint converts an entry to the policy's form, without the endpoint's number. Where zones are configured, it has to be in one of
+// them.
 func (e ListEntry) Endpoint(zones []string) (policy.Endpoint, error) {
-	state, known := endpointStates[e.Health]
+	state, isKnown := endpointStates[e.Health]
 	zone := slices.Index(zones, e.Site)
+	hasStartTime := e.BornMs >= 0 && e.BornMs < maxBornMs
 	switch {
 	case e.Host == "":
 		return policy.Endpoint{}, errors.New("an entry without host")
-	case !known:
+	case !isKnown:
 		return policy.Endpoint{}, fmt.Errorf("%.40q has health %.20q", e.Host, e.Health)
 	case zone < 0 && len(zones) > 0 && state != policy.Gone:
 		return policy.Endpoint{}, fmt.Errorf("%.40q is at site %.20q", e.Host, e.Site)
-	case !(e.BornMs >= 0 && e.BornMs < 1e15):
+	case !hasStartTime:
 		return policy.Endpoint{}, fmt.Errorf("%.40q has born_ms %v", e.Host, e.BornMs)
 	}
 	return policy.Endpoint{
-		Build: e.Build, Zone: max(0, zone), State: state, Cell: e.Block,
-		Started: policy.Micros(e.BornMs * 1000), Weight: e.Share,
+		Build:   e.Build,
+		Zone:    max(0, zone),
+		State:   state,
+		Cell:    e.Block,
+		Started: policy.Micros(e.BornMs * microsPerMilli),
+		Weight:  e.Share,
 	}, nil
 }
 
-// Merge is a list with later changes.
+// Merge returns the list with a later one applied to it.
 func (l List) Merge(later List) List {
 	if later.Whole {
 		return later
 	}
-	changed := map[string]bool{}
-	for _, e := range later.Hosts {
-		changed[e.Host] = true
+	isChanged := map[string]bool{}
+	for _, entry := range later.Hosts {
+		isChanged[entry.Host] = true
 	}
-	hosts := slices.DeleteFunc(slices.Clone(l.Hosts), func(e ListEntry) bool { return changed[e.Host] })
+	hosts := slices.DeleteFunc(slices.Clone(l.Hosts), func(entry ListEntry) bool { return isChanged[entry.Host] })
 	return List{Seq: later.Seq, Whole: l.Whole, Hosts: append(hosts, later.Hosts...)}
 }
-
-// EndpointID is a host's number: a hash of its name, alike on every agent and after a restart.
-func EndpointID(host string) uint32 {
-	h := Hash64(host)
-	return uint32(h ^ h>>32)
-}
--- a/internal/protocol/list_reader.go
+++ b/internal/protocol/list_reader.go
@@ -2,56 +2,68 @@
 
 import "errors"
 
-// ListReader puts a list back together that comes over several lines: lists may come indented. A line alone is whole when its brackets
-// are; within a text no line ends.
+// ErrListCutOff says that a list ended before its brackets were closed.
+var ErrListCutOff = errors.New("a list that ends in its middle")
+
+// ListReader puts together lists that may be indented over several lines. A list is complete when its brackets are closed; a JSON string
+// never goes on in the next line.
 type ListReader struct {
-	raw   []byte
-	depth int
+	document []byte // the lines so far
+	depth    int    // brackets that are open
 }
 
-var ErrListCutOff = errors.New("a list that ends in its middle")
-
-// Add takes a line; whole is the list that it ends, or nil while more has to come. An empty line is a sign of life, which never comes
-// within a list: what has begun will not be ended.
-func (m *ListReader) Add(line []byte, most int) (whole []byte, err error) {
+// Add takes a line. It returns the document that the line completes, or nil while more has to come. An empty line is a keep-alive, which
+// is never sent within a list: one that has begun will not be completed. limit bounds a document's length.
+func (r *ListReader) Add(line []byte, limit int) (document []byte, err error) {
 	if len(line) == 0 {
-		return nil, m.End()
-	}
-	if len(m.raw) > 0 {
-		if next, err := ReadList(line); err == nil && next.Seq > 0 {
-			return nil, ErrListCutOff // a list of its own: the one before lacks its end
-		}
+		return nil, r.End()
 	}
-	text, escaped := false, false
-	for _, c := range line {
-		switch {
-		case escaped:
-			escaped = false
-		case text && c == '\\':
-			escaped = true
-		case c == '"':
-			text = !text
-		case text:
-		case c == '{' || c == '[':
-			m.depth++
-		case c == '}' || c == ']':
-			m.depth--
-		}
+	if len(r.document) > 0 && isWholeList(line) {
+		return nil, ErrListCutOff // the list before lacks its end
 	}
-	if len(m.raw)+len(line) > most {
+	endsInString := r.countBrackets(line)
+	if len(r.document)+len(line) > limit {
 		return nil, ErrBodyTooLong
 	}
-	if m.raw = append(m.raw, line...); m.depth > 0 && !text {
+	r.document = append(r.document, line...)
+	if r.depth > 0 && !endsInString {
 		return nil, nil
 	}
-	whole, *m = m.raw, ListReader{}
-	return whole, nil
+	document, *r = r.document, ListReader{}
+	return document, nil
 }
 
-// End tells whether a list has been cut off.
-func (m *ListReader) End() error {
-	if len(m.raw) > 0 {
+// End returns ErrListCutOff where a list has begun and is not complete.
+func (r *ListReader) End() error {
+	if len(r.document) > 0 {
 		return ErrListCutOff
 	}
 	return nil
 }
+
+// isWholeList tells whether a line is a list of its own.
+func isWholeList(line []byte) bool {
+	list, err := ReadList(line)
+	return err == nil && list.Seq > 0
+}
+
+// countBrackets counts a line's brackets outside of strings, and tells whether the line ends within a string.
+func (r *ListReader) countBrackets(line []byte) (endsInString bool) {
+	inString, isEscaped := false, false
+	for _, c := range line {
+		switch {
+		case isEscaped:
+			isEscaped = false
+		case inString && c == '\\':
+			isEscaped = true
+		case c == '"':
+			inString = !inString
+		case inString:
+		case c == '{' || c == '[':
+			r.depth++
+		case c == '}' || c == ']':
+			r.depth--
+		}
+	}
+	return inString
+}
--- a/internal/protocol/list_reader_test.go
+++ b/internal/protocol/list_reader_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// Brackets within texts are none, and a line alone that is no list is told as it came.
-func TestMessage(t *testing.T) {
+// Brackets within strings do not count, and a single line that is no list is returned as it came.
+func TestListReader(t *testing.T) {
 	for _, c := range []struct {
 		lines string // with / between
-		want  string // the lists that come, with / between; ! for an error
+		want  string // the documents that come, with / between; ! for an error
 	}{
 		{`{"a":"}"}`, `{"a":"}"}`},
 		{`{/ "a":"\"}{"/}/`, `{ "a":"\"}{"}/`},
@@ -20,16 +20,16 @@
 		{`{"a":"/b"}`, `{"a":"`},
 		{`{/"01234567890123456789012345678901234567890123456789"`, `!`},
 	} {
-		var m ListReader
+		var reader ListReader
 		var got []string
-		for _, l := range strings.Split(c.lines, "/") {
-			whole, err := m.Add([]byte(l), 50)
+		for _, line := range strings.Split(c.lines, "/") {
+			document, err := reader.Add([]byte(line), 50)
 			if err != nil {
 				got = append(got, "!")
 				break
 			}
-			if whole != nil || l == "" {
-				got = append(got, string(whole))
+			if document != nil || line == "" {
+				got = append(got, string(document))
 			}
 			if c.lines == `{"a":"/b"}` {
 				break
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -2,63 +2,39 @@
 
 import (
 	"bytes"
-	"errors"
 	"fmt"
-	"hash/fnv"
-	"io"
 	"net/http"
 	"strconv"
 	"time"
 )
 
-const BodyLimit = 64 << 10 // the protocol's
+// headerDeadline has the milliseconds for which the agent will wait for the response.
+const headerDeadline = "X-Deadline-Ms"
 
-var ErrBodyTooLong = errors.New("body is over 64 KiB")
+// deadlineLength is room for the deadline's header, and the empty line after it.
+const deadlineLength = 32
 
-// EncodedRequest is a txn on its way to appliances, encoded but for the time that remains.
+// HopHeaders are those of a client's request that are not forwarded: they are written anew for each attempt, or have no meaning on an
+// endpoint's connection.
+var HopHeaders = []string{headerDeadline, "Content-Length", "Transfer-Encoding", "Host", "Connection", "Expect"}
+
+// EncodedRequest is a request as it is sent to endpoints, but for the deadline, which each attempt has for itself.
 type EncodedRequest struct{ Head, Body []byte }
 
-// EncodeRequest encodes a client's request; target is its path and query as they came.
+// EncodeRequest encodes a request; target is its path and query as they came.
 func EncodeRequest(method, target, host string, header http.Header, body []byte) *EncodedRequest {
-	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n", method, target, host, len(body))
-	header.Write(&b)
-	return &EncodedRequest{b.Bytes(), body}
+	var head bytes.Buffer
+	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n", method, target, host, len(body))
+	_ = header.Write(&head) // a buffer's Write returns no error
+	return &EncodedRequest{head.Bytes(), body}
 }
 
-// Bytes is the whole request, with the time that the agent will wait.
-func (p *EncodedRequest) Bytes(wait time.Duration) []byte {
-	out := make([]byte, 0, len(p.Head)+len(p.Body)+32)
-	out = append(out, p.Head...)
-	out = append(out, "X-Deadline-Ms: "...)
+// Bytes is the whole request, with the time for which the agent will wait for the response.
+func (r *EncodedRequest) Bytes(wait time.Duration) []byte {
+	out := make([]byte, 0, len(r.Head)+len(r.Body)+deadlineLength)
+	out = append(out, r.Head...)
+	out = append(out, headerDeadline+": "...)
 	out = strconv.AppendInt(out, max(1, wait.Milliseconds()), 10)
 	out = append(out, "\r\n\r\n"...)
-	return append(out, p.Body...)
-}
-
-// HopHeaders are written by pack and bytes, or make no sense on an appliance's connection.
-var HopHeaders = []string{"X-Deadline-Ms", "Content-Length", "Transfer-Encoding", "Host", "Connection", "Expect"}
-
-func Hash64(s string) uint64 {
-	h := fnv.New64a()
-	io.WriteString(h, s)
-	return h.Sum64()
+	return append(out, r.Body...)
 }
-
-// ReadBody takes a body whole, or says that it is too long.
-func ReadBody(r io.Reader, length int64) ([]byte, error) {
-	if r == nil || length == 0 {
-		return nil, nil
-	}
-	if length > BodyLimit {
-		return nil, ErrBodyTooLong
-	}
-	body, err := io.ReadAll(io.LimitReader(r, BodyLimit+1))
-	if err == nil && len(body) > BodyLimit {
-		err = ErrBodyTooLong
-	}
-	return body, err
-}
-
-// HeadLimit holds any head of the protocol many times over; hundreds of endless ones must fit into the least memory.
-const HeadLimit = 8 << 10
--- a/internal/protocol/result.go
+++ b/internal/protocol/result.go
@@ -2,34 +2,35 @@
 
 import "switchfork/internal/policy"
 
-// Result is how a submission, a probe or a call ended.
+// Result is how an attempt, a health check or a call ended.
 type Result int
 
+// The results.
 const (
-	Succeeded         Result = iota // a whole 200 answer
-	ServerError                     // an answer that is none of the others
-	ClientError                     // an answer that the request itself is wrong
-	NotRun                          // an answer that says that it never ran
+	Succeeded         Result = iota // a complete response with status 200
+	ServerError                     // a response that is none of the others
+	ClientError                     // a response that says that the request itself is wrong
+	NotRun                          // a response that says that the request did not run
 	ConnectionRefused               // the connection was refused
-	ConnectTimeout                  // the connection did not come up in its time
-	LostBeforeSent                  // it broke before the last byte was written
-	LostAfterSent                   // it broke after that
-	TimedOut                        // nothing came while the agent waited
-	Cancelled                       // the module called it off
-	Malformed                       // what came is no answer
+	ConnectTimeout                  // the connection did not come up within its timeout
+	LostBeforeSent                  // the connection was lost before the last byte was written
+	LostAfterSent                   // the connection was lost after that
+	TimedOut                        // no response came within the timeout
+	Cancelled                       // the policy cancelled it
+	Malformed                       // what came is no response of the protocol
 	NotSent                         // the agent had no time or no descriptor left for it
-	Stale                           // the call names what no longer stands
-	resultCount                     // not an ending
+	Stale                           // the call names a state that is no longer current
+	resultCount                     // the number of results
 )
 
-// results is the one place that maps endings to outcomes, with the words that the log uses.
+// results maps each result to the policy's outcome and to its name in the log.
 var results = [resultCount]struct {
 	outcome policy.Outcome
-	word    string
+	name    string
 }{
 	Succeeded:         {policy.OK, "settled"},
 	ServerError:       {policy.ServerError, "error"},
-	ClientError:       {policy.NotAttempted, "rejected"}, // the client's own doing, and final: no sign of the appliance's state
+	ClientError:       {policy.NotAttempted, "rejected"}, // final, and the client's own fault: no sign of the endpoint's state
 	NotRun:            {policy.Rejected, "turned away"},
 	ConnectionRefused: {policy.ConnectFailed, "connection refused"},
 	ConnectTimeout:    {policy.ConnectFailed, "connection never came up"},
@@ -42,6 +43,8 @@
 	Stale:             {policy.NotAttempted, "outdated"},
 }
 
-func (e Result) Outcome() policy.Outcome { return results[e].outcome }
+// Outcome is what the policy is told of the result.
+func (r Result) Outcome() policy.Outcome { return results[r].outcome }
 
-func (e Result) String() string { return results[e].word }
+// String is the result's name in the log.
+func (r Result) String() string { return results[r].name }
--- a/internal/protocol/rollout.go
+++ b/internal/protocol/rollout.go
@@ -10,7 +10,10 @@
 	"switchfork/internal/policy"
 )
 
-// rolloutStatus is where the newest build stands, in any of the launcher's three forms.
+// maxLagMs bounds the age of a rollout update, in milliseconds.
+const maxLagMs = 1e12
+
+// rolloutStatus is the state of the newest build's rollout, in any of the three forms that the rollout controller writes.
 type rolloutStatus struct {
 	Image    int     `json:"image" xml:"image"`
 	Ring     int     `json:"ring" xml:"ring"`
@@ -19,44 +22,54 @@
 	LagMs    float64 `json:"lag_ms" xml:"lag_ms"`
 }
 
+// phases has the policy's phase for each progress that the rollout controller knows.
 var phases = map[string]policy.Phase{
-	"testing": policy.Evaluating, "recalling": policy.RollingBack,
-	"live": policy.Released, "recalled": policy.RolledBack,
+	"testing":   policy.Evaluating,
+	"recalling": policy.RollingBack,
+	"live":      policy.Released,
+	"recalled":  policy.RolledBack,
 }
 
-func (n rolloutStatus) update() (policy.RolloutUpdate, error) {
-	phase, known := phases[n.Progress]
-	if !known || n.Image < 0 || n.Ring < 0 || !(n.Ceiling >= 0 && n.Ceiling <= 1) || !(n.LagMs >= 0 && n.LagMs < 1e12) {
-		return policy.RolloutUpdate{}, fmt.Errorf("news that makes no sense: %+v", n)
+// update converts a status to the policy's form.
+func (s rolloutStatus) update() (policy.RolloutUpdate, error) {
+	phase, isKnown := phases[s.Progress]
+	hasValidCeiling := s.Ceiling >= 0 && s.Ceiling <= 1
+	hasValidLag := s.LagMs >= 0 && s.LagMs < maxLagMs
+	if !isKnown || s.Image < 0 || s.Ring < 0 || !hasValidCeiling || !hasValidLag {
+		return policy.RolloutUpdate{}, fmt.Errorf("rollout status out of range: %+v", s)
 	}
 	return policy.RolloutUpdate{
-		Build: n.Image, Stage: n.Ring, Phase: phase, Cap: n.Ceiling,
-		Age: policy.Micros(n.LagMs * 1000),
+		Build: s.Image,
+		Stage: s.Ring,
+		Phase: phase,
+		Cap:   s.Ceiling,
+		Age:   policy.Micros(s.LagMs * microsPerMilli),
 	}, nil
 }
 
+// ReadRolloutJSON reads a rollout update in JSON.
 func ReadRolloutJSON(raw []byte) (policy.RolloutUpdate, error) {
-	var n rolloutStatus
-	if err := json.Unmarshal(raw, &n); err != nil {
+	var status rolloutStatus
+	if err := json.Unmarshal(raw, &status); err != nil {
 		return policy.RolloutUpdate{}, err
 	}
-	return n.update()
+	return status.update()
 }
 
-// ReadRolloutForm reads an event's data line.
+// ReadRolloutForm reads a rollout update from an event's data line, which is a URL-encoded form.
 func ReadRolloutForm(data string) (policy.RolloutUpdate, error) {
-	v, err := url.ParseQuery(data)
+	form, err := url.ParseQuery(data)
 	if err != nil {
 		return policy.RolloutUpdate{}, err
 	}
-	n := rolloutStatus{Progress: v.Get("progress")}
+	status := rolloutStatus{Progress: form.Get("progress")}
 	var errs [4]error
-	n.Image, errs[0] = strconv.Atoi(v.Get("image"))
-	n.Ring, errs[1] = strconv.Atoi(v.Get("ring"))
-	n.Ceiling, errs[2] = strconv.ParseFloat(v.Get("ceiling"), 64)
-	n.LagMs, errs[3] = strconv.ParseFloat(v.Get("lag_ms"), 64)
-	if err = errors.Join(errs[:]...); err != nil {
+	status.Image, errs[0] = strconv.Atoi(form.Get("image"))
+	status.Ring, errs[1] = strconv.Atoi(form.Get("ring"))
+	status.Ceiling, errs[2] = strconv.ParseFloat(form.Get("ceiling"), 64)
+	status.LagMs, errs[3] = strconv.ParseFloat(form.Get("lag_ms"), 64)
+	if err := errors.Join(errs[:]...); err != nil {
 		return policy.RolloutUpdate{}, err
 	}
-	return n.update()
+	return status.update()
 }
--- a/internal/protocol/vote.go
+++ b/internal/protocol/vote.go
@@ -9,39 +9,75 @@
 	"switchfork/internal/policy"
 )
 
-var VerdictNames = []string{policy.NoVote: "clear", policy.Advance: "approve", policy.Hold: "wait", policy.RollBack: "reject"}
+// VerdictNames are the rollout controller's names of the policy's verdicts.
+var VerdictNames = []string{
+	policy.NoVote:   "clear",
+	policy.Advance:  "approve",
+	policy.Hold:     "wait",
+	policy.RollBack: "reject",
+}
+
+// The rollout controller's error codes.
+const (
+	codeThrottling      = "Throttling"      // the vote was not read
+	codeConditionFailed = "ConditionFailed" // the build is no longer at that stage
+	codeValidationError = "ValidationError"
+)
+
+// voteReply is the rollout controller's reply to a vote that counts.
+type voteReply struct {
+	Statuses []rolloutStatus `xml:"groups>item"`
+}
 
-func EncodeVote(v policy.Vote) string {
-	return fmt.Sprintf("Action=RecordOpinion&image=%d&ring=%d&opinion=%s", v.Build, v.Stage, VerdictNames[v.Verdict])
+// voteError is its reply to one that does not. The error is the document's root, or inside of it.
+type voteError struct {
+	RootCode   string `xml:"Code"`
+	NestedCode string `xml:"Error>Code"`
 }
 
-// ReadVoteReply tells how a vote ended and, if it counts, where the build stands.
+// EncodeVote is the body of a call that casts a vote.
+func EncodeVote(vote policy.Vote) string {
+	return fmt.Sprintf("Action=RecordOpinion&image=%d&ring=%d&opinion=%s", vote.Build, vote.Stage, VerdictNames[vote.Verdict])
+}
+
+// ReadVoteReply tells how a vote ended and, if it counts, the state of the rollout. A reply that can't be read is TimedOut: the vote may
+// count.
 func ReadVoteReply(status int, raw []byte) (Result, policy.RolloutUpdate) {
-	var ok struct {
-		News []rolloutStatus `xml:"groups>item"`
-	}
-	var no struct { // the error stands alone, or inside the answer
-		Alone  string `xml:"Code"`
-		Inside string `xml:"Error>Code"`
-	}
-	switch {
-	case status == http.StatusOK:
-		if xml.Unmarshal(raw, &ok) == nil && len(ok.News) == 1 {
-			if s, err := ok.News[0].update(); err == nil {
-				return Succeeded, s
-			}
+	switch status {
+	case http.StatusOK:
+		if update, ok := readVoteStatus(raw); ok {
+			return Succeeded, update
 		}
-	case status == http.StatusBadRequest && xml.Unmarshal(raw, &no) == nil:
-		switch cmp.Or(no.Inside, no.Alone) {
-		case "Throttling":
-			return NotRun, policy.RolloutUpdate{}
-		case "ConditionFailed":
-			return Stale, policy.RolloutUpdate{}
-		case "ValidationError":
-			return ServerError, policy.RolloutUpdate{}
-		}
-	case status == http.StatusInternalServerError:
+	case http.StatusBadRequest:
+		return readVoteError(raw), policy.RolloutUpdate{}
+	case http.StatusInternalServerError:
 		return ServerError, policy.RolloutUpdate{}
 	}
-	return TimedOut, policy.RolloutUpdate{} // it may count
+	return TimedOut, policy.RolloutUpdate{}
+}
+
+func readVoteStatus(raw []byte) (policy.RolloutUpdate, bool) {
+	var reply voteReply
+	if xml.Unmarshal(raw, &reply) != nil || len(reply.Statuses) != 1 {
+		return policy.RolloutUpdate{}, false
+	}
+	update, err := reply.Statuses[0].update()
+	return update, err == nil
+}
+
+func readVoteError(raw []byte) Result {
+	var reply voteError
+	if xml.Unmarshal(raw, &reply) != nil {
+		return TimedOut
+	}
+	switch cmp.Or(reply.NestedCode, reply.RootCode) {
+	case codeThrottling:
+		return NotRun
+	case codeConditionFailed:
+		return Stale
+	case codeValidationError:
+		return ServerError
+	default:
+		return TimedOut
+	}
 }
