--- a/internal/ratelog/ratelog.go
+++ b/internal/ratelog/ratelog.go
@@ -1,3 +1,5 @@
+// Package ratelog writes warnings to the process's log at a bounded rate, so that bad input can't flood it. It may be used by any
+// goroutine.
 package ratelog
 
 import (
@@ -6,34 +8,42 @@
 	"time"
 )
 
-// Logger lets one line a second through for each thing that is wrong, so that bad input can't flood the log.
+const (
+	// interval is the shortest time between two warnings of one kind.
+	interval = time.Second
+	// maxKinds bounds the memory of a logger: with more kinds than that, all are forgotten and start anew.
+	maxKinds = 256
+)
+
+// Logger lets one warning of each kind through in an interval.
 type Logger struct {
-	mu   sync.Mutex
-	last map[string]time.Time
+	mu       sync.Mutex
+	loggedAt map[string]time.Time // by kind
 }
 
-var standard = &Logger{last: map[string]time.Time{}}
+var standard = &Logger{loggedAt: map[string]time.Time{}}
 
 // Warn writes a warning to the process's log, at most once a second for each kind.
 func Warn(kind, text string, args ...any) { standard.Warn(kind, text, args...) }
 
-const (
-	interval = time.Second
-	maxKinds = 256 // kinds of complaint kept apart; beyond that they are forgotten and start anew
-)
+// Warn writes a warning, at most once a second for each kind.
+func (l *Logger) Warn(kind, text string, args ...any) {
+	if l.isDue(kind) {
+		slog.Warn(text, args...)
+	}
+}
 
-func (s *Logger) Warn(kind, text string, args ...any) {
-	s.mu.Lock()
+// isDue tells whether a warning of a kind may be written now, and counts it as written.
+func (l *Logger) isDue(kind string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := time.Now()
-	fresh := now.Sub(s.last[kind]) >= interval
-	if fresh {
-		if len(s.last) >= maxKinds {
-			clear(s.last)
-		}
-		s.last[kind] = now
+	if now.Sub(l.loggedAt[kind]) < interval {
+		return false
 	}
-	s.mu.Unlock()
-	if fresh {
-		slog.Warn(text, args...)
+	if len(l.loggedAt) >= maxKinds {
+		clear(l.loggedAt)
 	}
+	l.loggedAt[kind] = now
+	return true
 }
--- a/internal/tcpconn/reset_conn.go
+++ b/internal/tcpconn/reset_conn.go
@@ -1,3 +1,5 @@
+// Package tcpconn opens TCP connections that do not go on sending after they have been given up, and tells what has arrived on a
+// connection without reading it.
 package tcpconn
 
 import (
@@ -8,35 +10,56 @@
 	"time"
 )
 
-// ResetConn is a connection that is reset where it ends before what was written has an answer's first byte. Closed, the system would go
-// on sending the rest by itself for a quarter of an hour: a posting or a vote that was given up came out of a way that had dropped
-// everything, seconds or minutes later, when nobody remembered it any more. It also catches what a full window holds back. It may
-// harm where the other side reads slowly: what it has not read by then it never sees, which a call that was given up may suffer.
+// ResetConn is a connection that is reset where it is closed before the first byte of a response to what was written has come. Closed as
+// usual, the system would go on sending the rest by itself for a quarter of an hour: a request or a vote that was given up was delivered
+// seconds or minutes later, out of a path that had dropped everything, when nothing waited for it any more. It also catches what a full
+// send window holds back. It may harm where the other side reads slowly: what it has not read by then it never sees, which a call that
+// was given up may suffer.
 type ResetConn struct {
 	tcp        *net.TCPConn
-	unanswered atomic.Bool
-	reading    atomic.Bool  // a reader waits here: all that it has read before is handed on
-	gauge      *UnreadGauge // nil: nobody asks
+	unanswered atomic.Bool  // something was written and nothing has come since
+	isReading  atomic.Bool  // a reader waits in Read: all that it has read before is handed on
+	gauge      *UnreadGauge // nil: it is in none
 }
 
+// Dial opens a ResetConn. gauge counts it while it is open; nil where none is to.
+func Dial(ctx context.Context, dialer *net.Dialer, address string, gauge *UnreadGauge) (net.Conn, error) {
+	conn, err := dialer.DialContext(ctx, "tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	tcp, ok := conn.(*net.TCPConn)
+	if !ok {
+		return conn, nil
+	}
+	reset := &ResetConn{tcp: tcp, gauge: gauge}
+	if gauge != nil {
+		gauge.add(reset)
+	}
+	return reset, nil
+}
+
+// Read implements net.Conn.
 func (c *ResetConn) Read(b []byte) (int, error) {
-	c.reading.Store(true)
+	c.isReading.Store(true)
 	n, err := c.tcp.Read(b)
-	c.reading.Store(false)
+	c.isReading.Store(false)
 	if n > 0 {
 		c.unanswered.Store(false)
 	}
 	return n, err
 }
 
+// Write implements net.Conn.
 func (c *ResetConn) Write(b []byte) (int, error) {
 	c.unanswered.Store(true)
 	return c.tcp.Write(b)
 }
 
+// Close implements net.Conn. It resets the connection where the last write has no response.
 func (c *ResetConn) Close() error {
 	if c.unanswered.Load() {
-		c.tcp.SetLinger(0)
+		_ = c.tcp.SetLinger(0) // fails only on a closed connection, which Close reports
 	}
 	if c.gauge != nil {
 		c.gauge.remove(c)
@@ -44,32 +67,20 @@
 	return c.tcp.Close()
 }
 
+// LocalAddr implements net.Conn.
 func (c *ResetConn) LocalAddr() net.Addr { return c.tcp.LocalAddr() }
 
+// RemoteAddr implements net.Conn.
 func (c *ResetConn) RemoteAddr() net.Addr { return c.tcp.RemoteAddr() }
 
+// SetDeadline implements net.Conn.
 func (c *ResetConn) SetDeadline(t time.Time) error { return c.tcp.SetDeadline(t) }
 
+// SetReadDeadline implements net.Conn.
 func (c *ResetConn) SetReadDeadline(t time.Time) error { return c.tcp.SetReadDeadline(t) }
 
+// SetWriteDeadline implements net.Conn.
 func (c *ResetConn) SetWriteDeadline(t time.Time) error { return c.tcp.SetWriteDeadline(t) }
 
+// SyscallConn implements syscall.Conn.
 func (c *ResetConn) SyscallConn() (syscall.RawConn, error) { return c.tcp.SyscallConn() }
-
-// Dial dials one; among, unless it is nil, keeps it while it is open.
-func Dial(ctx context.Context, d *net.Dialer, address string, among *UnreadGauge) (net.Conn, error) {
-	c, err := d.DialContext(ctx, "tcp", address)
-	if err != nil {
-		return nil, err
-	}
-	if tcp, is := c.(*net.TCPConn); is {
-		o := &ResetConn{tcp: tcp, gauge: among}
-		if among != nil {
-			among.mu.Lock()
-			among.open[o] = true
-			among.mu.Unlock()
-		}
-		return o, nil
-	}
-	return c, nil
-}
--- a/internal/tcpconn/reset_conn_test.go
+++ b/internal/tcpconn/reset_conn_test.go
@@ -8,47 +8,57 @@
 	"testing"
 )
 
-// A submission or a vote that was given up is taken back from the system too: its connection ends with a reset, so that nothing of it
-// is still sent. One that was answered ends as usual.
-func TestGivenUpIsReset(t *testing.T) {
+const response = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+
+// serveOne reads a request, responds to it or not, and returns the error with which the connection ends.
+func serveOne(conn net.Conn, responds bool) error {
+	if _, err := conn.Read(make([]byte, 4096)); err != nil {
+		return err
+	}
+	if responds {
+		if _, err := io.WriteString(conn, response); err != nil {
+			return err
+		}
+	}
+	_, err := io.Copy(io.Discard, conn)
+	return err
+}
+
+// The connection of a request that was given up ends with a reset, so that the system sends nothing of it any more. That of one that was
+// answered ends as usual.
+func TestUnansweredConnectionIsReset(t *testing.T) {
 	ended := make(chan error, 8)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	const response = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+	defer func() { _ = listener.Close() }() // the test is over
 	go func() {
 		for n := 0; ; n++ {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go func() {
-				b := make([]byte, 4096)
-				if _, err := c.Read(b); err != nil {
-					ended <- err
-					return
-				}
-				if n == 0 {
-					io.WriteString(c, response)
-				}
-				_, err := io.Copy(io.Discard, c)
-				ended <- err
-			}()
+			go func() { ended <- serveOne(conn, n == 0) }()
 		}
 	}()
 	dialer := &net.Dialer{}
 	for n, want := range []error{nil, syscall.ECONNRESET} {
-		c, err := Dial(t.Context(), dialer, l.Addr().String(), nil)
+		conn, err := Dial(t.Context(), dialer, listener.Addr().String(), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, "GET /lookup HTTP/1.1\r\n\r\n")
+		if _, err := io.WriteString(conn, "GET /lookup HTTP/1.1\r\n\r\n"); err != nil {
+			t.Fatal(err)
+		}
 		if n == 0 {
-			io.ReadFull(c, make([]byte, len(response)))
+			if _, err := io.ReadFull(conn, make([]byte, len(response))); err != nil {
+				t.Fatal(err)
+			}
+		}
+		if err := conn.Close(); err != nil {
+			t.Fatal(err)
 		}
-		c.Close()
 		if err = <-ended; !errors.Is(err, want) {
 			t.Errorf("connection %d ended with %v, want %v", n, err, want)
 		}
