--- /dev/null
+++ b/internal/agenttest/rig.go
@@ -0,0 +1,93 @@
+package agenttest
+
+import (
+	"context"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"switchfork/internal/agent"
+	"switchfork/internal/connlimit"
+	"switchfork/internal/policy"
+	"switchfork/internal/protocol"
+	"switchfork/internal/ratelog"
+	"switchfork/internal/upstream"
+)
+
+// The settings of a Rig's pool that no test depends on.
+const (
+	idleTimeout      = time.Minute
+	connectionBudget = 64
+)
+
+// Rig is an event loop with a scripted router and an endpoint pool, and no clients.
+type Rig struct {
+	*Router
+	Loop    *agent.Loop
+	Pool    *upstream.Pool
+	Context context.Context // ends with the test
+}
+
+// NewRig starts a rig whose connections have to come up within dialTimeout. They are reused at once after a response.
+func NewRig(t *testing.T, dialTimeout time.Duration) *Rig {
+	t.Helper()
+	r := &Rig{Router: &Router{}, Context: t.Context()}
+	r.Loop = agent.NewLoop(r.Router, agent.NewClock())
+	r.Pool = upstream.NewPool(upstream.Config{
+		DialTimeout:      dialTimeout,
+		IdleTimeout:      idleTimeout,
+		LoadReportFields: []string{"queue"},
+		Budget:           connlimit.NewBudget(connectionBudget),
+	})
+	go r.Loop.Serve(r.Context, r.Pool, func(policy.Vote) {}, func(policy.SendGossip) {})
+	return r
+}
+
+// Publish hands a list to the loop as the discovery client does.
+func (r *Rig) Publish(list protocol.List) {
+	slices.SortStableFunc(list.Hosts, func(a, b protocol.ListEntry) int { return strings.Compare(a.Host, b.Host) })
+	update := agent.EndpointList{EndpointUpdate: policy.EndpointUpdate{Full: list.Whole}}
+	for _, entry := range list.Hosts {
+		endpoint, err := entry.Endpoint([]string{Zone})
+		if err != nil {
+			ratelog.Warn("row", "list entry left out", "why", err)
+			continue
+		}
+		endpoint.ID = protocol.EndpointID(entry.Host)
+		update.Endpoints = append(update.Endpoints, endpoint)
+		update.Entries = append(update.Entries, entry)
+	}
+	r.Loop.UpdateEndpoints(update)
+}
+
+// Send admits a request, has the policy send one attempt of it to the endpoint "box" and returns the final reply. A request whose attempt
+// does not succeed is failed.
+func (r *Rig) Send(t *testing.T, id uint64, encoded *protocol.EncodedRequest, timeout time.Duration) agent.Reply {
+	t.Helper()
+	r.Respond(func(event policy.Event) []policy.Command {
+		switch event := event.(type) {
+		case policy.RequestArrived:
+			return []policy.Command{policy.SendAttempt{
+				RequestID:  event.ID,
+				EndpointID: protocol.EndpointID("box"),
+				Timeout:    timeout.Microseconds(),
+			}}
+		case policy.AttemptResult:
+			if !event.RequestDone {
+				return []policy.Command{policy.Fail{RequestID: event.RequestID}}
+			}
+		}
+		return nil
+	})
+	request := agent.NewRequest(encoded, time.Now().Add(Patience), nil)
+	r.Loop.Admit(policy.RequestArrived{ID: id}, request)
+	select {
+	case reply := <-request.Replies():
+		r.Loop.Flush(r.Context) // the router gets the result after the client
+		return reply
+	case <-time.After(Patience):
+		t.Fatal("no final reply")
+		return agent.Reply{}
+	}
+}
--- /dev/null
+++ b/internal/agenttest/router.go
@@ -0,0 +1,53 @@
+package agenttest
+
+import (
+	"slices"
+	"sync"
+
+	"switchfork/internal/policy"
+)
+
+// Router is a scripted routing policy: it records events and returns the commands that the test wants. It may be used by any goroutine.
+type Router struct {
+	mu      sync.Mutex
+	events  []policy.Event
+	times   []policy.Micros
+	respond func(policy.Event) []policy.Command
+}
+
+// Handle records an event.
+func (r *Router) Handle(now policy.Micros, event policy.Event) []policy.Command {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.events = append(r.events, event)
+	r.times = append(r.times, now)
+	if r.respond == nil {
+		return nil
+	}
+	return r.respond(event)
+}
+
+// Respond sets what is returned for each event from now on. It is called with the router locked.
+func (r *Router) Respond(respond func(policy.Event) []policy.Command) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.respond = respond
+}
+
+// All returns the events so far, with the times at which they came.
+func (r *Router) All() ([]policy.Event, []policy.Micros) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.events), slices.Clone(r.times)
+}
+
+// Events returns the events of one type so far.
+func Events[T policy.Event](r *Router) (out []T) {
+	events, _ := r.All()
+	for _, event := range events {
+		if e, ok := event.(T); ok {
+			out = append(out, e)
+		}
+	}
+	return out
+}
