--- a/cmd/switchfork/main.go
+++ b/cmd/switchfork/main.go
@@ -1,6 +1,8 @@
-// Command switchfork is one agent: it serves clients, sends their txns to appliances and votes on releases as the
-// module decides. It reads what it is told through package charter and what its operator wants through package operator.
-// This file owns the command line; serve.go owns how the parts are put together.
+// Command switchfork is one agent of a fleet: it serves clients, routes their requests to endpoints and votes on rollouts as its routing
+// policy decides. Package config reads how the deployment configures it, package options what its operator wants of it.
+//
+// main.go holds the command line, serve.go how the parts of an agent are put together and how it serves, admission.go the settings of
+// its admission control, and reload.go what a SIGHUP changes.
 package main
 
 import (
@@ -16,90 +18,105 @@
 	"github.com/spf13/cobra"
 )
 
-// Exit codes: 0, failed, wrong use.
-const failed, wrongUse = 1, 2
+// The exit codes of a command that does not succeed.
+const (
+	exitFailure = 1
+	exitUsage   = 2
+)
+
+// usageError is an error in the command line itself.
+type usageError struct{ error }
 
-// use marks an error of the command line itself.
-type use struct{ error }
+// use is usageError under the name that the admin commands know.
+type use = usageError
 
 // version may be set when the program is linked.
 var version = ""
 
 func main() {
 	err := commands(os.Stdout).Execute()
-	var wrong use
+	var usage usageError
 	switch {
-	case errors.As(err, &wrong):
+	case errors.As(err, &usage):
 		fmt.Fprintln(os.Stderr, "switchfork:", err, "(see switchfork help)")
-		os.Exit(wrongUse)
+		os.Exit(exitUsage)
 	case err != nil:
 		slog.Error("ends", "err", err)
-		os.Exit(failed)
+		os.Exit(exitFailure)
 	}
 }
 
+// commands is the command line, whose commands print to out.
 func commands(out io.Writer) *cobra.Command {
-	var file string
+	var optionsPath string
+	serveAgent := func(*cobra.Command, []string) error { return serve(optionsPath) }
 	root := &cobra.Command{
 		Use: "switchfork", Short: "txn router and release judge", SilenceUsage: true, SilenceErrors: true,
-		Args: noArgs, RunE: func(*cobra.Command, []string) error { return serve(file) },
+		Args: noArgs, RunE: serveAgent,
 	}
 	root.SetOut(out)
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return use{err} })
-	root.PersistentFlags().StringVar(&file, "operator", os.Getenv("SWITCHFORK_OPERATOR"),
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
+	root.PersistentFlags().StringVar(&optionsPath, "operator", os.Getenv("SWITCHFORK_OPERATOR"),
 		"the operator's file; SWITCHFORK_OPERATOR where the flag is not given")
 	root.AddCommand(
 		&cobra.Command{
 			Use: "serve", Short: "serve as an agent, as without any command", Args: noArgs,
-			RunE: func(*cobra.Command, []string) error { return serve(file) },
+			RunE: serveAgent,
 		},
 		&cobra.Command{
 			Use: "check FILE", Short: "read an operator's file, print its faults, or the file in force with every default",
-			Args: oneArg, RunE: func(c *cobra.Command, args []string) error { return check(c.OutOrStdout(), args[0]) },
+			Args: oneArg, RunE: func(c *cobra.Command, args []string) error { return checkOptions(c.OutOrStdout(), args[0]) },
+		},
+		&cobra.Command{
+			Use: "version", Short: "print the version", Args: noArgs,
+			Run: func(c *cobra.Command, _ []string) { printVersion(c.OutOrStdout()) },
 		},
-		&cobra.Command{Use: "version", Short: "print the version", Args: noArgs, Run: func(c *cobra.Command, _ []string) {
-			fmt.Fprintln(c.OutOrStdout(), "switchfork", release())
-		}})
+	)
 	root.AddCommand(asking(out)...)
 	return root
 }
 
 func noArgs(c *cobra.Command, args []string) error {
 	if len(args) > 0 {
-		return use{fmt.Errorf("%q is no command of %s", args[0], c.CommandPath())}
+		return usageError{fmt.Errorf("%q is no command of %s", args[0], c.CommandPath())}
 	}
 	return nil
 }
 
 func oneArg(c *cobra.Command, args []string) error {
 	if len(args) != 1 {
-		return use{fmt.Errorf("%s wants one file, not %d", c.CommandPath(), len(args))}
+		return usageError{fmt.Errorf("%s wants one file, not %d", c.CommandPath(), len(args))}
 	}
 	return nil
 }
 
-// check prints what would be in force.
-func check(out io.Writer, path string) error {
-	orders, err := options.Read(path)
+// checkOptions reads an operator's file and prints what would be in force.
+func checkOptions(out io.Writer, path string) error {
+	opts, err := options.Read(path)
 	if err != nil {
 		return err
 	}
-	orders.Write(out)
+	opts.Write(out)
 	return nil
 }
 
-// release is the version that was linked in, or the commit that the program was built from.
-func release() string {
+func printVersion(out io.Writer) {
+	_, _ = fmt.Fprintln(out, "switchfork", versionText()) // who closes the output doesn't want it
+}
+
+// versionText is the version that was linked in, or else the commit or module version that the program was built from.
+func versionText() string {
 	if version != "" {
 		return version
 	}
-	if info, is := debug.ReadBuildInfo(); is {
-		for _, s := range info.Settings {
-			if s.Key == "vcs.revision" {
-				return s.Value
-			}
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return "unknown"
+	}
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			return setting.Value
 		}
-		return info.Main.Version
 	}
-	return "unknown"
+	return info.Main.Version
 }
--- a/cmd/switchfork/main_test.go
+++ b/cmd/switchfork/main_test.go
@@ -20,24 +20,28 @@
 	return out.String(), err
 }
 
-// Wrong use is told apart from failure, which is told by file, line and keyword.
-func TestCommandLine(t *testing.T) {
+// Usage errors are told apart from failures, and the faults of a file name it with line and keyword.
+func TestUsageAndFileErrors(t *testing.T) {
 	for _, args := range [][]string{{"chekc"}, {"check"}, {"check", "a", "b"}, {"serve", "now"}, {"--operater", "x"}, {"version", "1"}} {
-		var wrong use
-		if _, err := run(t, args...); !errors.As(err, &wrong) {
-			t.Errorf("%q is no wrong use: %v", args, err)
+		var usage usageError
+		if _, err := run(t, args...); !errors.As(err, &usage) {
+			t.Errorf("%q is no usage error: %v", args, err)
 		}
 	}
 	file := filepath.Join(t.TempDir(), "operator.conf")
-	os.WriteFile(file, []byte("door on\ndoor-queus 5\n"), 0o600)
+	if err := os.WriteFile(file, []byte("door on\ndoor-queus 5\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
 	var faults options.FileErrors
 	if _, err := run(t, "check", file); !errors.As(err, &faults) || faults[0].Line != 2 || faults[0].Keyword != "door-queus" ||
 		!strings.Contains(faults[0].Why, "door-queues") {
 		t.Errorf("a faulty file: %v", err)
 	}
-	os.WriteFile(file, []byte("door on\n"), 0o600)
+	if err := os.WriteFile(file, []byte("door on\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
 	if out, err := run(t, "check", file); err != nil || !strings.Contains(out, "door on\n") || !strings.Contains(out, "door-queues 64\n") {
-		t.Errorf("a sound file: %v, %s", err, out)
+		t.Errorf("a valid file: %v, %s", err, out)
 	}
 	if out, err := run(t, "completion", "bash"); err != nil || !strings.Contains(out, "switchfork") {
 		t.Errorf("completion: %v", err)
--- /dev/null
+++ b/cmd/switchfork/reload.go
@@ -0,0 +1,74 @@
+package main
+
+import (
+	"log/slog"
+	"os"
+
+	"switchfork/internal/config"
+	"switchfork/internal/options"
+)
+
+// reloader reads the configuration and the operator's file again, and applies what may change while an agent serves. Only the goroutine
+// that calls run touches its fields.
+type reloader struct {
+	process *agentProcess
+	file    *config.File     // in force
+	options *options.Options // in force
+}
+
+func (p *agentProcess) newReloader() *reloader {
+	return &reloader{process: p, file: p.file, options: p.options}
+}
+
+// run reloads at each signal.
+func (r *reloader) run(hangup <-chan os.Signal) {
+	for range hangup {
+		r.reloadConfig()
+		r.reloadOptions()
+		if r.process.coordinator != nil {
+			r.process.coordinator.reach(r.options.Coordinator.Peers)
+		}
+	}
+}
+
+// reloadConfig applies the addresses that the configuration has changed. Other keys need a restart, and a faulty file changes nothing.
+func (r *reloader) reloadConfig() {
+	next, moved, unapplied, err := r.file.Reload()
+	if err != nil {
+		slog.Error("reload: the old stays in force", "err", err)
+		return
+	}
+	slog.Info("reload", "discovery", moved.Discovery, "platform.address", moved.Rollout)
+	if len(unapplied) > 0 {
+		slog.Warn("reload: other keys need a restart", "keys", unapplied)
+	}
+	if moved.Discovery != "" {
+		r.process.discovery.Move(moved.Discovery)
+	}
+	if moved.Rollout != "" {
+		r.process.rollout.Move(moved.Rollout)
+	}
+	r.file = next
+}
+
+// reloadOptions applies the operator's log settings and tenant weights. Other keywords need a restart, and a faulty file changes nothing.
+func (r *reloader) reloadOptions() {
+	if r.options.Path == "" {
+		return
+	}
+	next, err := options.Read(r.options.Path)
+	if err != nil {
+		slog.Error("operator's file: the old stays in force", "err", err)
+		return
+	}
+	setLogger(next.Log)
+	if r.process.admission != nil {
+		settings := r.process.settings
+		r.process.admission.SetWeights(tenantWeights(next.Admission, settings.tenants, settings.tenantShares))
+	}
+	if unapplied := r.options.ChangedKeywords(next); len(unapplied) > 0 {
+		slog.Warn("operator's file: other keywords need a restart", "keywords", unapplied)
+	}
+	slog.Info("operator's file read again", "file", next.Path)
+	r.options = next
+}
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -13,7 +13,6 @@
 	"syscall"
 	"time"
 
-	"switchfork/internal/admission"
 	"switchfork/internal/agent"
 	"switchfork/internal/config"
 	"switchfork/internal/connlimit"
@@ -26,250 +25,287 @@
 	"switchfork/internal/upstream"
 )
 
-// This file owns how an agent's parts are put together, its drain and its reload. It decides nothing about txns.
+const (
+	// heapShare is the part of the agent's memory that the garbage collector's limit gets; the rest is for stacks, buffers and the
+	// program.
+	heapShare = 0.7
+	// gcPercent lets garbage grow to several times the live data, which is a few MB, before collecting it is worth the time.
+	gcPercent = 400
+	// reservedDescriptors are those that are not for connections to clients and endpoints: the listener, gossip, discovery, the rollout
+	// controller, the log and what the runtime holds, with some to spare.
+	reservedDescriptors = 32
+
+	// requestIDShift leaves 52 bits of the random number at which request IDs begin.
+	requestIDShift = 12
+)
 
+// A drain has to be over when SIGKILL comes: by the protocol no sooner than killDelay after the longest request timeout, which counts as
+// maxDrainTimeout where it is longer. drainReserve is left for the log, and for an exit that the system is slow to notice.
 const (
-	// heapPart of the told memory is the collector's limit; the rest is for stacks, buffers and the program.
-	heapPart = 0.7
-	// collectAt: live data is a few MB, so garbage may grow to several times it before it is worth the time.
-	collectAt = 400
-	// ownSockets: listener, peers, list, news and votes, the log and what the runtime holds, with room.
-	ownSockets = 32
-	// A drain has to be over when SIGKILL comes, by the protocol no sooner than killAfter after the longest expiry, which counts as
-	// longestCounts where it is longer. drainSpare is left for the log and for an end that the system is slow to see.
-	killAfter, longestCounts, drainSpare = 700 * time.Millisecond, 3 * time.Second, 100 * time.Millisecond
+	killDelay       = 700 * time.Millisecond
+	maxDrainTimeout = 3 * time.Second
+	drainReserve    = 100 * time.Millisecond
 )
 
-// serve is an agent's life.
-func serve(operatorFile string) error {
-	hangup := make(chan os.Signal, 1) // taken from here on: one that nobody takes ends the process
-	signal.Notify(hangup, syscall.SIGHUP)
-	orders := options.Defaults()
-	if operatorFile != "" {
-		var err error
-		if orders, err = options.Read(operatorFile); err != nil {
-			return err
-		}
-	}
-	logTo(orders.Log)
-	file, err := config.Load(os.Getenv)
-	if err != nil {
-		return err
-	}
-	post, ration, circle, seed := file.Identity(), file.ResourceLimits(), file.Peers(), file.Seed()
-	goods, customers := file.Deployment.RequestClasses(), file.Deployment.Tenants()
-	shares, stalls := file.Deployment.TenantShares(), file.Deployment.ClassPriorities()
-	zones, lines := file.Deployment.Zones(), file.Deployment.Connections()
-	if err = file.Err(); err != nil {
-		return err
-	}
-	module, err := file.Deployment.NewRouter(seed)
-	if err != nil {
-		return err
-	}
-	runtime.GOMAXPROCS(int(max(1, math.Ceil(ration.Cores))))
-	debug.SetMemoryLimit(int64(heapPart * float64(ration.MemoryMB) * (1 << 20)))
-	debug.SetGCPercent(collectAt)
+// deploymentSettings are the values of the configuration from which an agent is built.
+type deploymentSettings struct {
+	identity        config.Identity
+	limits          config.ResourceLimits
+	peers           config.Peers
+	seed            uint64
+	classes         []config.RequestClass
+	classPriorities []config.ClassPriority // in the order of classes
+	tenants         []string
+	tenantShares    []float64 // in the order of tenants
+	zones           []string
+	connections     config.Connections
+}
 
-	var names []string
-	var effects []policy.Idempotency
-	var expiry []time.Duration
-	longest := time.Duration(0)
-	for _, g := range goods {
-		names, effects, expiry = append(names, g.Name), append(effects, g.Idempotency), append(expiry, g.Timeout)
-		longest = max(longest, g.Timeout)
-	}
-	purse := connlimit.NewBudget(ration.Sockets - ownSockets)
-	clock := agent.NewClock()
-	core := agent.NewLoop(module, clock)
-	pool := upstream.NewPool(upstream.Config{
-		DialTimeout: lines.DialTimeout, IdleTimeout: lines.IdleTimeout, LoadReportFields: lines.LoadReportFields, Budget: purse,
-		SettleTime: upstream.DefaultSettleTime,
-	})
-	roster := discovery.NewClient(core, post.Discovery, zones, lines.DialTimeout, lines.PollWithin, file.Deployment.Voting().Agents, int64(seed))
-	launcher := rollout.NewClient(core, post.Rollout, lines.DialTimeout, lines.CallTimeout, int64(seed))
-	peers, err := gossip.NewMessenger(core, circle.Listen, circle.Addresses, circle.Broadcast)
+// agentProcess is an agent with all its parts.
+type agentProcess struct {
+	file     *config.File
+	options  *options.Options
+	settings deploymentSettings
+
+	clock       agent.Clock
+	budget      *connlimit.Budget
+	loop        *agent.Loop
+	pool        *upstream.Pool
+	discovery   *discovery.Client
+	rollout     *rollout.Client
+	gossip      *gossip.Messenger
+	proxy       *proxy.Proxy
+	admission   *proxy.AdmissionGate // nil: admission control is off
+	coordinator *chair               // nil: this agent's votes stand for itself alone
+}
+
+// serve runs an agent until it is told to end, and drains it.
+func serve(optionsPath string) error {
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP) // first of all: a SIGHUP that is not caught ends the process
+	opts, err := readOptions(optionsPath)
 	if err != nil {
 		return err
 	}
-	front := proxy.New(core, names, effects, expiry, customers, lines.MaxOpenRequests, lines.MaxRetryAfter, purse,
-		rand.New(rand.NewSource(int64(seed))).Uint64()>>12)
-	var gate *proxy.AdmissionGate
-	if orders.Admission.Enabled {
-		gate = proxy.NewAdmissionGate(open(orders.Admission, goods, stalls, customers, shares, lines, ration, purse, seed), clock, core)
-		front.UseAdmission(gate, proxy.ClientKey{Header: orders.Admission.Header, Connection: orders.Admission.Client == "connection"})
-	}
-	seat, err := sit(orders.Coordinator, circle, file.Deployment, int64(seed), core, launcher, peers)
+	setLogger(opts.Log)
+	process, err := newAgentProcess(opts)
 	if err != nil {
 		return err
 	}
-	for _, name := range orders.UnknownTenants(customers) {
-		slog.Warn("operator's file names a tenant that was not told", "tenant", name)
-	}
 
 	stopped, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	if err = roster.Known(file.Endpoints); err != nil {
+	if err := process.start(ctx); err != nil {
 		return err
 	}
-	if err = launcher.Known(file.Rollout); err != nil {
-		return err
-	}
-	if seat != nil {
-		if err = seat.serve(ctx, orders.Coordinator); err != nil {
-			return err
-		}
-	}
-	go core.Serve(ctx, pool, launcher.Vote, peers.Post)
-	core.Flush(ctx) // no txn before the list and the news
-	go roster.Serve(ctx)
-	go launcher.Serve(ctx)
-	go peers.Serve(ctx)
-	if gate != nil {
-		go gate.Serve(ctx)
-	}
-	if err = front.Listen(post.Listen); err != nil {
-		return fmt.Errorf("setting config.listen: %w", err)
-	}
-	go func() {
-		for range hangup {
-			file = reload(file, roster, launcher)
-			if orders = reorder(orders, customers, shares, gate); seat != nil {
-				seat.reach(orders.Coordinator.Peers)
-			}
-		}
-	}()
-	slog.Info("serves", "agent", post.Name, "listen", post.Listen)
+	go process.newReloader().run(hangup)
+	slog.Info("serves", "agent", process.settings.identity.Name, "listen", process.settings.identity.Listen)
 	served := make(chan error, 1)
-	go func() { served <- front.Serve() }()
+	go func() { served <- process.proxy.Serve() }()
 	select {
-	case err = <-served:
+	case err := <-served:
 		return fmt.Errorf("serving clients: %w", err)
 	case <-stopped.Done():
 	}
-	slog.Info("drains")
-	wait, cancel := context.WithTimeout(ctx, min(longest, longestCounts)+killAfter-drainSpare)
-	defer cancel()
-	leave := func(context.Context) {}
-	if seat != nil {
-		leave = seat.council.Leave
-	}
-	if err = depart(wait, leave, front.Drain); err != nil {
-		slog.Warn("drained with txns open", "err", err)
-	}
-	if gate != nil {
-		gate.Close(wait)
-	}
+	process.drain(ctx)
 	slog.Info("ended")
 	return nil
 }
 
-// depart passes the lead on and drains, beside each other: a lead that is slow to go, behind a disk or others that are silent, would
-// have the time in which clients are still answered, and leave those it had taken without one.
-func depart(ctx context.Context, leave func(context.Context), drain func(context.Context) error) error {
-	left := make(chan struct{})
-	go func() {
-		defer close(left)
-		leave(ctx)
-	}()
-	err := drain(ctx)
-	select {
-	case <-left:
-	case <-ctx.Done():
+// readOptions reads the operator's file, or returns the defaults where there is none.
+func readOptions(path string) (*options.Options, error) {
+	if path == "" {
+		return options.Defaults(), nil
 	}
-	return err
+	return options.Read(path)
+}
+
+// setLogger sets the log's level and format.
+func setLogger(opts options.Log) {
+	var level slog.Level
+	_ = level.UnmarshalText([]byte(opts.Level)) // checked when the options are read
+	handlerOptions := &slog.HandlerOptions{Level: level}
+	var handler slog.Handler = slog.NewTextHandler(os.Stderr, handlerOptions)
+	if opts.Format == "json" {
+		handler = slog.NewJSONHandler(os.Stderr, handlerOptions)
+	}
+	slog.SetDefault(slog.New(handler))
+}
+
+// readSettings reads the configuration's values, and checks them all.
+func readSettings(file *config.File) (deploymentSettings, error) {
+	settings := deploymentSettings{
+		identity:        file.Identity(),
+		limits:          file.ResourceLimits(),
+		peers:           file.Peers(),
+		seed:            file.Seed(),
+		classes:         file.Deployment.RequestClasses(),
+		tenants:         file.Deployment.Tenants(),
+		tenantShares:    file.Deployment.TenantShares(),
+		classPriorities: file.Deployment.ClassPriorities(),
+		zones:           file.Deployment.Zones(),
+		connections:     file.Deployment.Connections(),
+	}
+	return settings, file.Err()
 }
 
-// reload hands on what the file has changed that may change at work; a faulty file leaves all as it is.
-func reload(file *config.File, roster *discovery.Client, launcher *rollout.Client) *config.File {
-	next, moved, left, err := file.Reload()
+// setRuntimeLimits fits the Go runtime to what the agent may use.
+func setRuntimeLimits(limits config.ResourceLimits) {
+	const bytesPerMB = 1 << 20
+	runtime.GOMAXPROCS(int(max(1, math.Ceil(limits.Cores))))
+	debug.SetMemoryLimit(int64(heapShare * float64(limits.MemoryMB) * bytesPerMB))
+	debug.SetGCPercent(gcPercent)
+}
+
+// newAgentProcess reads the configuration and builds an agent of it, which start starts.
+func newAgentProcess(opts *options.Options) (*agentProcess, error) {
+	file, err := config.Load(os.Getenv)
 	if err != nil {
-		slog.Error("reload: the old stays in force", "err", err)
-		return file
+		return nil, err
 	}
-	slog.Info("reload", "discovery", moved.Discovery, "platform.address", moved.Rollout)
-	if len(left) > 0 {
-		slog.Warn("reload: other keys need a restart", "keys", left)
+	settings, err := readSettings(file)
+	if err != nil {
+		return nil, err
+	}
+	router, err := file.Deployment.NewRouter(settings.seed)
+	if err != nil {
+		return nil, err
+	}
+	setRuntimeLimits(settings.limits)
+	p := &agentProcess{file: file, options: opts, settings: settings}
+	p.clock = agent.NewClock()
+	p.budget = connlimit.NewBudget(settings.limits.Sockets - reservedDescriptors)
+	p.loop = agent.NewLoop(router, p.clock)
+	p.pool = p.newPool()
+	p.discovery = p.newDiscoveryClient()
+	p.rollout = p.newRolloutClient()
+	p.gossip, err = gossip.NewMessenger(p.loop, settings.peers.Listen, settings.peers.Addresses, settings.peers.Broadcast)
+	if err != nil {
+		return nil, err
+	}
+	p.proxy = p.newProxy()
+	if opts.Admission.Enabled {
+		p.enableAdmission()
 	}
-	if moved.Discovery != "" {
-		roster.Move(moved.Discovery)
+	p.coordinator, err = sit(opts.Coordinator, settings.peers, file.Deployment, int64(settings.seed), p.loop, p.rollout, p.gossip)
+	if err != nil {
+		return nil, err
 	}
-	if moved.Rollout != "" {
-		launcher.Move(moved.Rollout)
+	for _, name := range opts.UnknownTenants(settings.tenants) {
+		slog.Warn("operator's file names a tenant that was not told", "tenant", name)
 	}
-	return next
+	return p, nil
+}
+
+func (p *agentProcess) newPool() *upstream.Pool {
+	connections := p.settings.connections
+	return upstream.NewPool(upstream.Config{
+		DialTimeout:      connections.DialTimeout,
+		IdleTimeout:      connections.IdleTimeout,
+		LoadReportFields: connections.LoadReportFields,
+		Budget:           p.budget,
+		SettleTime:       upstream.DefaultSettleTime,
+	})
+}
+
+func (p *agentProcess) newDiscoveryClient() *discovery.Client {
+	connections := p.settings.connections
+	agents := p.file.Deployment.Voting().Agents
+	return discovery.NewClient(p.loop, p.settings.identity.Discovery, p.settings.zones, connections.DialTimeout, connections.PollWithin,
+		agents, int64(p.settings.seed))
+}
+
+func (p *agentProcess) newRolloutClient() *rollout.Client {
+	connections := p.settings.connections
+	return rollout.NewClient(p.loop, p.settings.identity.Rollout, connections.DialTimeout, connections.CallTimeout, int64(p.settings.seed))
+}
+
+func (p *agentProcess) newProxy() *proxy.Proxy {
+	var names []string
+	var idempotencies []policy.Idempotency
+	var timeouts []time.Duration
+	for _, class := range p.settings.classes {
+		names = append(names, class.Name)
+		idempotencies = append(idempotencies, class.Idempotency)
+		timeouts = append(timeouts, class.Timeout)
+	}
+	connections := p.settings.connections
+	return proxy.New(p.loop, names, idempotencies, timeouts, p.settings.tenants, connections.MaxOpenRequests, connections.MaxRetryAfter,
+		p.budget, firstRequestID(p.settings.seed))
+}
+
+// firstRequestID is the number at which an agent's request IDs begin.
+func firstRequestID(seed uint64) uint64 {
+	return rand.New(rand.NewSource(int64(seed))).Uint64() >> requestIDShift
 }
 
-// open makes the door that the operator asks for.
-func open(keep options.Admission, goods []config.RequestClass, stalls []config.ClassPriority, customers []string, shares []float64,
-	lines config.Connections, ration config.ResourceLimits, purse *connlimit.Budget, seed uint64,
-) *admission.Controller {
-	var products []admission.RequestClass
-	for i, g := range goods {
-		products = append(products, admission.RequestClass{
-			LatencyObjective: stalls[i].LatencyObjective.Microseconds(), Timeout: g.Timeout.Microseconds(),
-			PriorityWeight: stalls[i].PriorityWeight, Keyed: g.Idempotency == policy.Keyed,
-		})
+// start starts the agent's parts, which run until ctx ends, and opens its address to clients.
+func (p *agentProcess) start(ctx context.Context) error {
+	if err := p.discovery.Known(p.file.Endpoints); err != nil {
+		return err
 	}
-	room := admission.LimitsFor(ration.MemoryMB, min(lines.MaxOpenRequests, purse.MaxRequests()), keep.Queues)
-	if keep.Requests > 0 {
-		room.Requests = min(room.Requests, keep.Requests)
+	if err := p.rollout.Known(p.file.Rollout); err != nil {
+		return err
 	}
-	if keep.Bytes > 0 {
-		room.Bytes = keep.Bytes
+	if p.coordinator != nil {
+		if err := p.coordinator.serve(ctx, p.options.Coordinator); err != nil {
+			return err
+		}
 	}
-	waits := admission.RetryAfterLimits{}
-	if keep.SendsRetryAfter {
-		waits.Max = lines.MaxRetryAfter.Microseconds()
+	go p.loop.Serve(ctx, p.pool, p.rollout.Vote, p.gossip.Post)
+	p.loop.Flush(ctx) // no request before the configured endpoint list and rollout update
+	go p.discovery.Serve(ctx)
+	go p.rollout.Serve(ctx)
+	go p.gossip.Serve(ctx)
+	if p.admission != nil {
+		go p.admission.Serve(ctx)
 	}
-	slog.Info("door", "txns", room.Requests, "kib", room.Bytes>>10, "queues", room.Queues, "tenants", len(customers))
-	return admission.New(products, weights(keep, customers, shares), room, waits, keep.Coalesces, int64(seed))
+	if err := p.proxy.Listen(p.settings.identity.Listen); err != nil {
+		return fmt.Errorf("setting config.listen: %w", err)
+	}
+	return nil
 }
 
-// weights are the told shares, or what the operator has put in their place.
-func weights(keep options.Admission, customers []string, shares []float64) (out []admission.Tenant) {
-	for i, name := range customers {
-		w := shares[i]
-		if own, is := keep.Weights[name]; is {
-			w = own
-		}
-		out = append(out, admission.Tenant{Weight: w})
+// drain lets open requests finish and passes the leadership on, in the time that is left before the process is killed.
+func (p *agentProcess) drain(ctx context.Context) {
+	slog.Info("drains")
+	ctx, cancel := context.WithTimeout(ctx, p.drainTimeout())
+	defer cancel()
+	passLeadership := func(context.Context) {}
+	if p.coordinator != nil {
+		passLeadership = p.coordinator.council.Leave
+	}
+	if err := drainAndPassLeadership(ctx, passLeadership, p.proxy.Drain); err != nil {
+		slog.Warn("drained with txns open", "err", err)
+	}
+	if p.admission != nil {
+		p.admission.Close(ctx)
 	}
-	return out
 }
 
-// logTo puts the log's level and form in force.
-func logTo(book options.Log) {
-	var level slog.Level
-	level.UnmarshalText([]byte(book.Level))
-	how := &slog.HandlerOptions{Level: level}
-	if book.Format == "json" {
-		slog.SetDefault(slog.New(slog.NewJSONHandler(os.Stderr, how)))
-	} else {
-		slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, how)))
+// drainTimeout is the longest that a drain may take.
+func (p *agentProcess) drainTimeout() time.Duration {
+	longest := time.Duration(0)
+	for _, class := range p.settings.classes {
+		longest = max(longest, class.Timeout)
 	}
+	return min(longest, maxDrainTimeout) + killDelay - drainReserve
 }
 
-// reorder reads the operator's file again: log and shares take effect at once, other keywords need a restart, and a faulty
-// file changes nothing.
-func reorder(now *options.Options, customers []string, shares []float64, gate *proxy.AdmissionGate) *options.Options {
-	if now.Path == "" {
-		return now
-	}
-	next, err := options.Read(now.Path)
-	if err != nil {
-		slog.Error("operator's file: the old stays in force", "err", err)
-		return now
-	}
-	logTo(next.Log)
-	if gate != nil {
-		gate.SetWeights(weights(next.Admission, customers, shares))
-	}
-	if left := now.ChangedKeywords(next); len(left) > 0 {
-		slog.Warn("operator's file: other keywords need a restart", "keywords", left)
+// drainAndPassLeadership does both at the same time: a leadership that is slow to pass, behind a disk or agents that are silent, would
+// use up the time in which clients are still answered, and leave the requests that were accepted without an answer.
+func drainAndPassLeadership(ctx context.Context, passLeadership func(context.Context), drain func(context.Context) error) error {
+	passed := make(chan struct{})
+	go func() {
+		defer close(passed)
+		passLeadership(ctx)
+	}()
+	err := drain(ctx)
+	select {
+	case <-passed:
+	case <-ctx.Done():
 	}
-	slog.Info("operator's file read again", "file", next.Path)
-	return next
+	return err
 }
--- a/cmd/switchfork/serve_test.go
+++ b/cmd/switchfork/serve_test.go
@@ -6,30 +6,32 @@
 	"time"
 )
 
-// A lead that is slow to go does not hold the drain up, and the drain's end waits for it within the time.
-func TestDepart(t *testing.T) {
+// A leadership that is slow to pass does not hold the drain up, and the end waits for it within the time.
+func TestDrainDoesNotWaitForLeadership(t *testing.T) {
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	defer stop()
-	began, drained, left := make(chan struct{}), make(chan struct{}), false
-	err := depart(ctx, func(context.Context) {
+	began, drained, hasPassed := make(chan struct{}), make(chan struct{}), false
+	err := drainAndPassLeadership(ctx, func(context.Context) {
 		select {
 		case <-began:
 		case <-ctx.Done():
-			t.Error("the drain waits for the lead")
+			t.Error("the drain waits for the leadership")
 		}
 		<-drained
-		left = true
+		hasPassed = true
 	}, func(context.Context) error {
 		close(began)
 		close(drained)
 		return nil
 	})
-	if err != nil || !left {
-		t.Errorf("departed with %v, lead passed on: %v", err, left)
+	if err != nil || !hasPassed {
+		t.Errorf("drained with %v, leadership passed on: %v", err, hasPassed)
 	}
 	ctx, stop = context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer stop()
-	if err := depart(ctx, func(context.Context) { select {} }, func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }); err == nil {
-		t.Error("nothing said of a drain that ran out")
+	stuck := func(context.Context) { select {} }
+	drain := func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }
+	if err := drainAndPassLeadership(ctx, stuck, drain); err == nil {
+		t.Error("no error of a drain that ran out of time")
 	}
 }
