--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -25,9 +25,9 @@
 func TestConfiguredStateHasOneTime(t *testing.T) {
 	router := &agenttest.Router{}
 	loop := agent.NewLoop(router, agent.NewClock())
-	discoveryClient := discovery.NewClient(loop, "127.0.0.1:1", []string{"suva"}, time.Second, 0, 1, 1)
+	discoveryClient := discovery.NewClient(loop, "127.0.0.1:1", []string{agenttest.Zone}, time.Second, 0, 1, 1)
 	rolloutClient := rollout.NewClient(loop, "127.0.0.1:1", time.Second, time.Second, 1)
-	if err := discoveryClient.Known([]byte(fakes.ListDocument(4, false, fakes.ListEntry("box", "127.0.0.1:1", "active", 41)))); err != nil {
+	if err := discoveryClient.Known([]byte(fakes.ListDocument(4, false, fakes.ListEntry(agenttest.Host, "127.0.0.1:1", "active", 41)))); err != nil {
 		t.Fatal(err)
 	}
 	if err := rolloutClient.Known([]byte(`{"image":41,"ring":2,"progress":"live","ceiling":1,"lag_ms":0}`)); err != nil {
@@ -131,13 +131,14 @@
 	})
 	r := agenttest.NewRig(t, time.Second)
 	before := runtime.NumGoroutine()
-	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{{Host: "box", Dial: server.Addr(), Site: "suva", Health: "active"}}})
+	r.PublishOne(server.Addr())
 	replies := make(chan agent.Reply)
 	go func() { replies <- r.Send(t, 1, agenttest.Posting, agenttest.Patience) }()
 	agenttest.Eventually(t, "the attempt", func() bool { return len(server.Requests()) == 1 })
 	for i := range 300 {
-		host := protocol.ListEntry{Host: fmt.Sprint("h", i), Dial: "127.0.0.1:1", Site: "suva", Health: "active"}
-		r.Publish(protocol.List{Seq: 2, Hosts: []protocol.ListEntry{host, {Host: "box", Health: "left"}}})
+		host := agenttest.Entry("127.0.0.1:1")
+		host.Host = fmt.Sprint("h", i)
+		r.Publish(protocol.List{Seq: 2, Hosts: []protocol.ListEntry{host, {Host: agenttest.Host, Health: "left"}}})
 		if host.Health = "left"; i%2 == 0 {
 			r.Publish(protocol.List{Seq: 3, Hosts: []protocol.ListEntry{host}})
 		}
--- a/internal/agenttest/rig.go
+++ b/internal/agenttest/rig.go
@@ -61,7 +61,20 @@
 	r.Loop.UpdateEndpoints(update)
 }
 
-// Send admits a request, has the policy send one attempt of it to the endpoint "box" and returns the final reply. A request whose attempt
+// Host is the name of the endpoint that most tests have only one of.
+const Host = "box"
+
+// Entry is the list entry of Host at an address, which takes new attempts.
+func Entry(address string) protocol.ListEntry {
+	return protocol.ListEntry{Host: Host, Dial: address, Site: Zone, Health: "active"}
+}
+
+// PublishOne hands a list with the one endpoint Host to the loop.
+func (r *Rig) PublishOne(address string) {
+	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{Entry(address)}})
+}
+
+// Send admits a request, has the policy send one attempt of it to the endpoint Host and returns the final reply. A request whose attempt
 // does not succeed is failed.
 func (r *Rig) Send(t *testing.T, id uint64, encoded *protocol.EncodedRequest, timeout time.Duration) agent.Reply {
 	t.Helper()
@@ -70,7 +83,7 @@
 		case policy.RequestArrived:
 			return []policy.Command{policy.SendAttempt{
 				RequestID:  event.ID,
-				EndpointID: protocol.EndpointID("box"),
+				EndpointID: protocol.EndpointID(Host),
 				Timeout:    timeout.Microseconds(),
 			}}
 		case policy.AttemptResult:
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -33,6 +33,9 @@
 // taken for the response to the next request.
 func (conn *connection) isQuiet() bool { return tcpconn.IsQuiet(conn.Conn) }
 
+// isCurrent tells whether a connection leads to the process that the list has.
+func (e *Endpoint) isCurrent(conn *connection) bool { return !e.isRemoved && conn.process == e.process }
+
 // dial opens a connection for an exchange, in a goroutine that goes on as the connection's reader. A descriptor has been acquired.
 func (e *Endpoint) dial(exchange *httpExchange) {
 	e.pending++
@@ -72,9 +75,8 @@
 
 // connected uses a new connection. One to a process that has been replaced or removed meanwhile is closed.
 func (e *Endpoint) connected(conn *connection, exchange *httpExchange) {
-	isOutdated := e.isRemoved || conn.process != e.process
 	switch {
-	case isOutdated:
+	case !e.isCurrent(conn):
 		e.closeConnection(conn)
 		if !exchange.isFinished {
 			e.finish(exchange, protocol.NotSent, nil)
--- a/internal/upstream/endpoint_test.go
+++ b/internal/upstream/endpoint_test.go
@@ -40,7 +40,7 @@
 	r.Respond(func(event policy.Event) []policy.Command {
 		switch event := event.(type) {
 		case policy.RequestArrived:
-			command.RequestID, command.EndpointID = event.ID, protocol.EndpointID("box")
+			command.RequestID, command.EndpointID = event.ID, protocol.EndpointID(agenttest.Host)
 			return []policy.Command{command}
 		case policy.AttemptResult:
 			if !event.RequestDone {
@@ -71,7 +71,8 @@
 // The list may change while a connection is dialed. An attempt that was decided before is not written then: the process that answers may
 // be draining, may have been removed, or may be another.
 func TestListChangesDuringDial(t *testing.T) {
-	before := protocol.ListEntry{Host: "box", Site: "suva", Health: "active", BornMs: 5, Build: 1}
+	before := agenttest.Entry("")
+	before.BornMs, before.Build = 5, 1
 	for name, change := range map[string]func(e *protocol.ListEntry, other string){
 		"draining":    func(e *protocol.ListEntry, _ string) { e.Health = "leaving" },
 		"removed":     func(e *protocol.ListEntry, _ string) { e.Health = "left" },
@@ -80,7 +81,8 @@
 		"moved":       func(e *protocol.ListEntry, other string) { e.Dial = other },
 	} {
 		t.Run(name, func(t *testing.T) {
-			server, other := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done"))), agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
+			server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
+			other := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 			r := agenttest.NewRig(t, agenttest.Patience)
 			dialing, release := holdDials(t, r)
 			before.Dial = server.Addr()
@@ -112,7 +114,7 @@
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, agenttest.Patience)
 	dialing, release := holdDials(t, r)
-	publishEndpoint(r, server.Addr())
+	r.PublishOne(server.Addr())
 	replies := sendRequest(r, 1, agenttest.Posting, policy.SendAttempt{WriteBefore: r.Loop.Clock().At(time.Now().Add(30 * time.Millisecond))})
 	<-dialing
 	wantNotAttempted(t, r, replies)
@@ -138,7 +140,7 @@
 	})
 	r := agenttest.NewRig(t, time.Second)
 	r.Pool.SetSettleTime(agenttest.Patience)
-	publishEndpoint(r, server.Addr())
+	r.PublishOne(server.Addr())
 	if got := <-sendRequest(r, 1, agenttest.Posting, policy.SendAttempt{}); string(got.Response.Body) != "first" {
 		t.Fatalf("the first got %q", got.Response.Body)
 	}
@@ -159,7 +161,7 @@
 	r := agenttest.NewRig(t, time.Second)
 	r.Pool.SetSettleTime(agenttest.Patience)
 	r.Pool.SetBudget(connlimit.NewBudget(1))
-	publishEndpoint(r, server.Addr())
+	r.PublishOne(server.Addr())
 	for id := range uint64(3) {
 		if got := <-sendRequest(r, id+1, agenttest.Posting, policy.SendAttempt{}); got.Response == nil {
 			t.Fatalf("request %d ended as %+v", id+1, got)
@@ -172,12 +174,13 @@
 
 // A health check whose connection comes up after its address has another process is not sent: the response would be about the wrong one.
 func TestHealthCheckWhileListChanges(t *testing.T) {
-	server, other := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("{}"))), agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("{}")))
+	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("{}")))
+	other := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("{}")))
 	r := agenttest.NewRig(t, agenttest.Patience)
 	dialing, release := holdDials(t, r)
-	entry := protocol.ListEntry{Host: "box", Dial: server.Addr(), Site: "suva", Health: "active"}
+	entry := agenttest.Entry(server.Addr())
 	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{entry}})
-	id := protocol.EndpointID("box")
+	id := protocol.EndpointID(agenttest.Host)
 	r.Respond(func(event policy.Event) []policy.Command {
 		if _, ok := event.(policy.GossipReceived); ok {
 			return []policy.Command{policy.CheckHealth{EndpointID: id}}
@@ -199,14 +202,14 @@
 // A response that comes slowly has its attempt's time; one that pauses in its middle ends soon.
 func TestSlowResponse(t *testing.T) {
 	whole := fakes.OKResponse(strings.Repeat("x", 20))
-	for _, conn := range []struct {
+	for _, test := range []struct {
 		stops int // after so many bytes; 0: does not
 		want  policy.Outcome
 	}{{0, policy.OK}, {30, policy.Malformed}} {
-		t.Run(fmt.Sprint(conn.stops), func(t *testing.T) {
+		t.Run(fmt.Sprint(test.stops), func(t *testing.T) {
 			server := agenttest.NewScriptedServer(t, func(own net.Conn, _ int) bool {
 				for i := range whole {
-					if i == conn.stops && conn.stops > 0 {
+					if i == test.stops && test.stops > 0 {
 						_, _ = io.Copy(io.Discard, own) // until the connection is closed
 						return false
 					}
@@ -218,11 +221,11 @@
 				return true
 			})
 			r := agenttest.NewRig(t, time.Second)
-			publishEndpoint(r, server.Addr())
+			r.PublishOne(server.Addr())
 			<-sendRequest(r, 1, agenttest.Posting, policy.SendAttempt{})
 			r.Loop.Flush(context.Background())
-			if results := agenttest.Events[policy.AttemptResult](r.Router); len(results) != 1 || results[0].Outcome != conn.want {
-				t.Errorf("ended as %+v, want %v", results, conn.want)
+			if results := agenttest.Events[policy.AttemptResult](r.Router); len(results) != 1 || results[0].Outcome != test.want {
+				t.Errorf("ended as %+v, want %v", results, test.want)
 			}
 		})
 	}
@@ -234,7 +237,7 @@
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, time.Second)
 	r.Pool.SetIdleTimeout(0) // no sweep
-	publishEndpoint(r, server.Addr())
+	r.PublishOne(server.Addr())
 	for id := range uint64(2) {
 		if got := <-sendRequest(r, id+1, agenttest.Posting, policy.SendAttempt{}); got.Response == nil {
 			t.Fatalf("request %d ended as %+v", id+1, got)
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -50,7 +50,7 @@
 
 // makeIdle keeps a connection for the next exchange, unless it leads to a process that was replaced or removed.
 func (e *Endpoint) makeIdle(conn *connection) {
-	if conn.isClosed || conn.process != e.process || e.isRemoved {
+	if conn.isClosed || !e.isCurrent(conn) {
 		e.closeConnection(conn)
 		return
 	}
--- a/internal/upstream/results_test.go
+++ b/internal/upstream/results_test.go
@@ -17,15 +17,10 @@
 	"switchfork/internal/upstream"
 )
 
-// publishEndpoint publishes a list of one endpoint, "box".
-func publishEndpoint(r *agenttest.Rig, address string) {
-	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{{Host: "box", Dial: address, Site: agenttest.Zone, Health: "active"}}})
-}
-
 // Each way in which an attempt can end, the policy's outcome for it, and that exactly one request arrived.
 func TestAttemptResults(t *testing.T) {
 	notRun := "HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
-	for _, conn := range []struct {
+	for _, test := range []struct {
 		name     string
 		respond  func(net.Conn, int) bool
 		want     policy.Outcome
@@ -56,25 +51,26 @@
 		{"response too long", fakes.Respond("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537)), policy.Malformed, 1},
 		{"timed out", fakes.NeverRespond, policy.TimedOut, 1},
 	} {
-		t.Run(conn.name, func(t *testing.T) {
-			server := agenttest.NewScriptedServer(t, conn.respond)
+		t.Run(test.name, func(t *testing.T) {
+			server := agenttest.NewScriptedServer(t, test.respond)
 			r := agenttest.NewRig(t, time.Second)
-			publishEndpoint(r, server.Addr())
+			r.PublishOne(server.Addr())
 			got := r.Send(t, 1, agenttest.Posting, 400*time.Millisecond)
 			results := agenttest.Events[policy.AttemptResult](r.Router)
-			if len(results) != 1 || results[0].Outcome != conn.want || results[0].RequestDone != (conn.want == policy.OK || conn.want == policy.NotAttempted) {
-				t.Errorf("ended as %+v, want outcome %d", results, conn.want)
+			if len(results) != 1 || results[0].Outcome != test.want || results[0].RequestDone != (test.want == policy.OK || test.want == policy.NotAttempted) {
+				t.Errorf("ended as %+v, want outcome %d", results, test.want)
 			}
-			if conn.want == policy.OK && (got.Response == nil || string(got.Response.Body) != "done") {
+			if test.want == policy.OK && (got.Response == nil || string(got.Response.Body) != "done") {
 				t.Errorf("client got %+v", got)
 			}
-			if conn.want == policy.NotAttempted && (got.Response == nil || got.Response.Status != 400) {
+			if test.want == policy.NotAttempted && (got.Response == nil || got.Response.Status != 400) {
 				t.Errorf("client got %+v", got)
 			}
-			if requests := server.Requests(); len(requests) != conn.requests || requests[0].Body != "body" {
+			if requests := server.Requests(); len(requests) != test.requests || requests[0].Body != "body" {
 				t.Errorf("%d requests arrived: %+v", len(requests), requests)
 			}
-			if conn.want == policy.TimedOut || conn.want == policy.ConnectionLost || conn.want == policy.Malformed { // closed: never two attempts at once
+			isLost := test.want == policy.TimedOut || test.want == policy.ConnectionLost || test.want == policy.Malformed
+			if isLost { // its connection is closed, so that there are never two attempts at once
 				agenttest.Eventually(t, "the end of the connection", func() bool { return server.Closed() == 1 })
 			}
 		})
@@ -87,12 +83,12 @@
 	if err := closed.Close(); err != nil {
 		t.Fatal(err)
 	}
-	for name, conn := range map[string]struct {
+	for name, test := range map[string]struct {
 		dial time.Duration
 		addr string
 	}{"refused": {time.Second, closed.Addr().String()}, "never came up": {1, agenttest.Listen(t).Addr().String()}} {
-		r := agenttest.NewRig(t, conn.dial)
-		publishEndpoint(r, conn.addr)
+		r := agenttest.NewRig(t, test.dial)
+		r.PublishOne(test.addr)
 		r.Send(t, 1, agenttest.Posting, time.Second)
 		if results := agenttest.Events[policy.AttemptResult](r.Router); len(results) != 1 || results[0].Outcome != policy.ConnectFailed {
 			t.Errorf("%s: ended as %+v", name, results)
@@ -100,12 +96,12 @@
 	}
 }
 
-// A connection is used again; one that breaks under a request with an Idempotency-Key brings no second copy, one
-// that ended while idle costs nothing, and a response that nobody asked for ends it.
+// A connection is reused. One that is lost under a keyed request brings no second attempt, one that ended while idle costs nothing, and a
+// response that was not requested ends it.
 func TestConnectionReuse(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, time.Second)
-	publishEndpoint(r, server.Addr())
+	r.PublishOne(server.Addr())
 	r.Send(t, 1, agenttest.Posting, time.Second)
 	server.SetHandler(fakes.CloseUnanswered)
 	r.Send(t, 2, agenttest.Posting, time.Second)
@@ -129,7 +125,7 @@
 	for _, pause := range []time.Duration{0, 20 * time.Millisecond} {
 		server := agenttest.NewScriptedServer(t, nil)
 		r := agenttest.NewRig(t, time.Second)
-		publishEndpoint(r, server.Addr())
+		r.PublishOne(server.Addr())
 		sentAfter := make(chan bool, 50)
 		server.SetHandler(func(conn net.Conn, nth int) bool {
 			if _, err := io.WriteString(conn, fakes.OKResponse(fmt.Sprint(nth))); err != nil {
@@ -152,15 +148,20 @@
 
 // An endpoint that returns with another address is the same one to the policy, and gets nothing at the old address.
 func TestEndpointAddressChanges(t *testing.T) {
-	before, after := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("a"))), agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("b")))
+	before := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("a")))
+	after := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("b")))
 	r := agenttest.NewRig(t, time.Second)
-	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{{Host: "box", Dial: before.Addr(), Site: "suva", Health: "active", Build: 1}}})
+	entry := agenttest.Entry(before.Addr())
+	entry.Build = 1
+	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{entry}})
 	r.Send(t, 1, agenttest.Posting, time.Second)
-	r.Publish(protocol.List{Seq: 2, Hosts: []protocol.ListEntry{{Host: "box", Dial: after.Addr(), Site: "suva", Health: "active", Build: 2}}})
+	entry.Dial, entry.Build = after.Addr(), 2
+	r.Publish(protocol.List{Seq: 2, Hosts: []protocol.ListEntry{entry}})
 	agenttest.Eventually(t, "the end of the old connection", func() bool { return before.Closed() == 1 })
 	r.Send(t, 2, agenttest.Posting, time.Second)
 	lists := agenttest.Events[policy.EndpointUpdate](r.Router)
-	if len(before.Requests()) != 1 || len(after.Requests()) != 1 || lists[0].Endpoints[0].ID != lists[1].Endpoints[0].ID || lists[1].Endpoints[0].Build != 2 {
+	first, second := lists[0].Endpoints[0], lists[1].Endpoints[0]
+	if len(before.Requests()) != 1 || len(after.Requests()) != 1 || first.ID != second.ID || second.Build != 2 {
 		t.Errorf("%d and %d requests, lists %+v", len(before.Requests()), len(after.Requests()), lists)
 	}
 }
@@ -169,16 +170,16 @@
 func TestCancelAndHealthCheck(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.NeverRespond)
 	r := agenttest.NewRig(t, time.Second)
-	publishEndpoint(r, server.Addr())
-	n := protocol.EndpointID("box")
+	r.PublishOne(server.Addr())
+	endpointID := protocol.EndpointID(agenttest.Host)
 	r.Respond(func(event policy.Event) []policy.Command {
 		switch event := event.(type) {
 		case policy.RequestArrived:
-			return []policy.Command{policy.SendAttempt{RequestID: event.ID, EndpointID: n}}
+			return []policy.Command{policy.SendAttempt{RequestID: event.ID, EndpointID: endpointID}}
 		case policy.RequestCancelled:
 			return []policy.Command{policy.CancelAttempt{RequestID: event.RequestID}}
 		case policy.AttemptResult:
-			return []policy.Command{policy.CheckHealth{EndpointID: n}}
+			return []policy.Command{policy.CheckHealth{EndpointID: endpointID}}
 		}
 		return nil
 	})
@@ -204,13 +205,13 @@
 func TestOutdatedAttemptIsNotWritten(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, 100*time.Millisecond)
-	publishEndpoint(r, server.Addr())
+	r.PublishOne(server.Addr())
 	if got := r.Send(t, 1, agenttest.Posting, time.Second); got.Response == nil {
 		t.Fatalf("a fresh one got %+v", got)
 	}
 	r.Loop.Flush(r.Context)
-	entry := protocol.ListEntry{Host: "box", Dial: server.Addr(), Site: "suva", Health: "active"}
-	endpoint := r.Pool.NewEndpoint(protocol.EndpointID("box"), entry, r.Loop)
+	entry := agenttest.Entry(server.Addr())
+	endpoint := r.Pool.NewEndpoint(protocol.EndpointID(agenttest.Host), entry, r.Loop)
 	endpoint.Update(entry)
 	defer endpoint.Remove()
 	now := time.Now()
@@ -234,7 +235,7 @@
 func TestLostConnectionClosesIdleOnes(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, time.Second)
-	publishEndpoint(r, server.Addr())
+	r.PublishOne(server.Addr())
 	release := make(chan struct{})
 	server.SetHandler(func(conn net.Conn, nth int) bool {
 		if nth == 2 {
