--- a/cmd/switchfork/admin.go
+++ b/cmd/switchfork/admin.go
@@ -102,7 +102,7 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			agent, err := strconv.Atoi(args[0])
 			if err != nil || agent < 0 || agent >= election.MaxReplicas {
-				return use{fmt.Errorf("%q is no agent, expected a number from 0 to %d", args[0], election.MaxReplicas-1)}
+				return usageError{fmt.Errorf("%q is no agent, expected a number from 0 to %d", args[0], election.MaxReplicas-1)}
 			}
 			return coordinator.RequestMemberChange(a.socket, change, agent)
 		},
--- a/cmd/switchfork/admin_test.go
+++ b/cmd/switchfork/admin_test.go
@@ -75,9 +75,9 @@
 			t.Errorf("%s prints %q, %v", change, out, err)
 		}
 		for _, agent := range []string{"x", "64"} {
-			var wrong use
+			var usage usageError
 			want := "\"" + agent + "\" is no agent, expected a number from 0 to 63"
-			if _, err := run(t, "members", change, agent, "--admin", admin); !errors.As(err, &wrong) || err.Error() != want {
+			if _, err := run(t, "members", change, agent, "--admin", admin); !errors.As(err, &usage) || err.Error() != want {
 				t.Errorf("%s %s gives %v, want %s", change, agent, err, want)
 			}
 		}
