--- a/internal/connlimit/budget.go
+++ b/internal/connlimit/budget.go
@@ -5,9 +5,9 @@
 // Budget holds the descriptors for connections, to clients and appliances together, so that neither can use up what
 // the other must have. Connections to appliances get what clients leave; clients leave them two fifths.
 type Budget struct {
-	mu                        sync.Mutex
-	limit, clients, upstreams int
-	freed                     chan struct{} // holds a token after one was given back
+	mu                                sync.Mutex
+	limit, clientConns, upstreamConns int
+	freed                             chan struct{} // holds a token after one was given back
 }
 
 func NewBudget(most int) *Budget { return &Budget{limit: most, freed: make(chan struct{}, 1)} }
@@ -22,54 +22,54 @@
 const reservedShare = 0.125
 
 // MaxRequests is the number that may be open.
-func (p *Budget) MaxRequests() int { return int((1 - reservedShare) * clientShare * float64(p.limit)) }
+func (b *Budget) MaxRequests() int { return int((1 - reservedShare) * clientShare * float64(b.limit)) }
 
 // idleShare is the most that clients' idle connections may hold, a few times what traffic needs between two requests.
 // It guards against clients that ask once and keep the connection: they may have no place left to ask from while each
 // stands for its idle time. It costs a handshake where clients come back in turn, the one idle longest first.
 const idleShare = 0.1
 
-func (p *Budget) MaxIdleClients() int { return max(1, int(idleShare*float64(p.limit))) }
+func (b *Budget) MaxIdleClients() int { return max(1, int(idleShare*float64(b.limit))) }
 
 // AcquireUpstream books a connection to an appliance, if there is one left.
-func (p *Budget) AcquireUpstream() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.clients+p.upstreams >= p.limit {
+func (b *Budget) AcquireUpstream() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.clientConns+b.upstreamConns >= b.limit {
 		return false
 	}
-	p.upstreams++
+	b.upstreamConns++
 	return true
 }
 
 // AcquireClient books a client's connection, if there is one left for clients.
-func (p *Budget) AcquireClient() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.clients+p.upstreams >= p.limit || p.clients >= max(1, int(clientShare*float64(p.limit))) {
+func (b *Budget) AcquireClient() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.clientConns+b.upstreamConns >= b.limit || b.clientConns >= max(1, int(clientShare*float64(b.limit))) {
 		return false
 	}
-	p.clients++
+	b.clientConns++
 	return true
 }
 
 // Freed holds a token after a connection was given back.
-func (p *Budget) Freed() <-chan struct{} { return p.freed }
+func (b *Budget) Freed() <-chan struct{} { return b.freed }
 
 // Release gives connections back.
-func (p *Budget) Release(clients, addresses int) {
-	p.mu.Lock()
-	p.clients, p.upstreams = p.clients-clients, p.upstreams-addresses
-	p.mu.Unlock()
+func (b *Budget) Release(clients, addresses int) {
+	b.mu.Lock()
+	b.clientConns, b.upstreamConns = b.clientConns-clients, b.upstreamConns-addresses
+	b.mu.Unlock()
 	select {
-	case p.freed <- struct{}{}:
+	case b.freed <- struct{}{}:
 	default:
 	}
 }
 
 // InUse returns how many connections are held.
-func (p *Budget) InUse() (clients, upstreams int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.clients, p.upstreams
+func (b *Budget) InUse() (clients, upstreams int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.clientConns, b.upstreamConns
 }
--- a/internal/endtoend/admission_test.go
+++ b/internal/endtoend/admission_test.go
@@ -18,7 +18,7 @@
 
 // The program with an operator's file: no more in than it says, a flood refused with a time to come back, and all who were
 // let in answered; SIGHUP keeps what stands when the file is spoilt.
-func TestDoorOfTheProgram(t *testing.T) {
+func TestAdmissionControl(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.conf")
 	write := func(text string) {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -27,10 +27,10 @@
 	}
 	write("door on\ndoor-txns 3\ndoor-client header X-Client\ntenant acme share 0.7\n")
 	t.Setenv("SWITCHFORK_OPERATOR", file)
-	let := make(chan struct{})
-	b := agenttest.NewScriptedServer(t, nil)
-	b.SetHandler(func(c net.Conn, nth int) bool { <-let; return fakes.Respond(fakes.OKResponse("yes"))(c, nth) })
-	a := launch(t, nil, fakes.ListEntry("s-1", b.Addr(), "active", 41))
+	release := make(chan struct{})
+	endpoint := agenttest.NewScriptedServer(t, nil)
+	endpoint.SetHandler(func(c net.Conn, nth int) bool { <-release; return fakes.Respond(fakes.OKResponse("yes"))(c, nth) })
+	a := startAgent(t, nil, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 	ask := func(n int) (status int, wait string) {
 		r, _ := http.NewRequest("GET", fmt.Sprintf("%s/lookup?sid=%016x", a.url, n), nil)
 		r.Header.Set("X-Request-Id", strconv.Itoa(n))
@@ -45,27 +45,27 @@
 		return res.StatusCode, res.Header.Get("Retry-After")
 	}
 	var wait sync.WaitGroup
-	settled := make([]int, 3)
+	statuses := make([]int, 3)
 	for n := range 3 {
 		wait.Add(1)
-		go func() { defer wait.Done(); settled[n], _ = ask(n + 1) }()
+		go func() { defer wait.Done(); statuses[n], _ = ask(n + 1) }()
 	}
-	agenttest.Eventually(t, "three at the appliance", func() bool { return len(b.Requests()) == 3 })
+	agenttest.Eventually(t, "three at the appliance", func() bool { return len(endpoint.Requests()) == 3 })
 	for n := range 5 {
 		status, back := ask(10 + n)
 		if s, err := strconv.ParseFloat(back, 64); status != 503 || err != nil || s <= 0 || s > 0.5 {
 			t.Errorf("a fourth txn got %d with Retry-After %q", status, back)
 		}
 	}
-	close(let)
+	close(release)
 	wait.Wait()
-	for n, s := range settled {
+	for n, s := range statuses {
 		if s != 200 {
 			t.Errorf("txn %d got %d", n+1, s)
 		}
 	}
 	write("door onn\n")
-	a.cmd.Process.Signal(syscall.SIGHUP)
+	a.command.Process.Signal(syscall.SIGHUP)
 	agenttest.Eventually(t, "the fault in the log", func() bool { return strings.Contains(a.log.String(), "operator.conf:1: door") })
 	if status, _ := ask(99); status != 200 {
 		t.Errorf("after a spoilt file a txn got %d", status)
@@ -74,20 +74,20 @@
 
 // One tenant's flood of clients that come once, twenty times what the door holds, with the appliance standing still: another
 // tenant's txns that come last are let wait, and settled, and no one of the flood is left without an answer.
-func TestFloodOfOneOffClients(t *testing.T) {
+func TestTenantFlood(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.conf")
 	if err := os.WriteFile(file, []byte("door on\ndoor-txns 48\ndoor-client header X-Client\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	t.Setenv("SWITCHFORK_OPERATOR", file)
-	let := make(chan struct{})
-	b := agenttest.NewScriptedServer(t, nil)
-	b.SetHandler(func(c net.Conn, nth int) bool { <-let; return fakes.Respond(fakes.OKResponse("yes"))(c, nth) })
-	a := launch(t, func(conf string) string {
+	release := make(chan struct{})
+	endpoint := agenttest.NewScriptedServer(t, nil)
+	endpoint.SetHandler(func(c net.Conn, nth int) bool { <-release; return fakes.Respond(fakes.OKResponse("yes"))(c, nth) })
+	a := startAgent(t, func(conf string) string {
 		conf = strings.ReplaceAll(conf, `"SloMs":600.0,"HardLimitMs":2000.0`, `"SloMs":30000.0,"HardLimitMs":60000.0`)
 		return strings.ReplaceAll(conf, `"Parties":[{"Name":"acme"}]`, `"Parties":[{"Name":"acme","Fraction":0.5},{"Name":"beqa","Fraction":0.5}]`)
-	}, fakes.ListEntry("s-1", b.Addr(), "active", 41))
-	a.healthy(t)
+	}, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+	a.waitHealthy(t)
 	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 100, MaxIdleConnsPerHost: 100}}
 	ask := func(tenant string, n int) int {
 		r, _ := http.NewRequest("GET", fmt.Sprintf("%s/lookup?sid=%016x", a.url, n), nil)
@@ -107,10 +107,10 @@
 	for n := range many {
 		go func() { statuses <- ask("acme", n+1) }()
 	}
-	refused := 0
+	rejected := 0
 	for range many - 48 { // all that the door does not hold
 		if s := <-statuses; s == 503 {
-			refused++
+			rejected++
 		}
 	}
 	last := make(chan int, quiet)
@@ -119,22 +119,22 @@
 	}
 	for range quiet { // each takes the place of one of the flood
 		if s := <-statuses; s == 503 {
-			refused++
+			rejected++
 		}
 	}
-	close(let)
+	close(release)
 	for range quiet {
 		if s := <-last; s != 200 {
 			t.Errorf("a quiet tenant's txn got %d", s)
 		}
 	}
-	settled := 0
+	succeeded := 0
 	for range 48 - quiet {
 		if s := <-statuses; s == 200 {
-			settled++
+			succeeded++
 		}
 	}
-	if refused != many-48+quiet || settled != 48-quiet {
-		t.Errorf("of the flood %d were refused and %d settled, want %d and %d", refused, settled, many-48+quiet, 48-quiet)
+	if rejected != many-48+quiet || succeeded != 48-quiet {
+		t.Errorf("of the flood %d were refused and %d settled, want %d and %d", rejected, succeeded, many-48+quiet, 48-quiet)
 	}
 }
--- a/internal/endtoend/agent_test.go
+++ b/internal/endtoend/agent_test.go
@@ -26,7 +26,7 @@
 
 // These start the program itself and speak to it as its parties do.
 
-var program = sync.OnceValues(func() (string, error) {
+var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "switchfork")
 	if err != nil {
 		return "", err
@@ -41,13 +41,13 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if path, err := program(); err == nil {
+	if path, err := buildProgram(); err == nil {
 		os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
 }
 
-const settings = `{"Me":0,"Balancers":1,"Zone":0,"Discovery":"automatic","Localities":["suva"],
+const deploymentSettings = `{"Me":0,"Balancers":1,"Zone":0,"Discovery":"automatic","Localities":["suva"],
 
 "Grades":[{"Name":"lookup","Repeat":"read_like","SloMs":600.0,"HardLimitMs":2000.0,"Worth":1.0},
 {"Name":"posting","Repeat":"idempotency_key","KeyScope":"zone","WindowMs":8000.0,"SloMs":600.0,"HardLimitMs":2000.0,"Worth":5.0}],
@@ -58,28 +58,28 @@
 "GraceToAnswerMs":20.0},"Limits":{"MaxAttempts":6,"DialTimeoutMs":250.0,"ConnIdleMs":30000.0,"RetryAfter":true,
 "MaxRetryAfterMs":500.0,"Probes":true,"MayTell":false}}`
 
-// agent is the program at work among stand-ins.
-type agent struct {
-	cmd       *exec.Cmd
-	url       string
-	discovery *fakes.StreamServer
-	launcher  *fakes.StreamServer
-	file      string // the configuration, and what stands in it
-	conf      string
-	log       *fakes.Log
-	exit      chan error
+// runningAgent is the program at work among stand-ins.
+type runningAgent struct {
+	command           *exec.Cmd
+	url               string
+	discovery         *fakes.StreamServer
+	rolloutController *fakes.StreamServer
+	configPath        string // the configuration, and what stands in it
+	config            string
+	log               *fakes.Log
+	exited            chan error
 }
 
-// launch writes the configuration and starts the program; change edits the configuration first.
-func launch(t *testing.T, change func(string) string, hosts ...string) *agent {
+// startAgent writes the configuration and starts the program; change edits the configuration first.
+func startAgent(t *testing.T, change func(string) string, hosts ...string) *runningAgent {
 	t.Helper()
-	path, err := program()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &agent{log: &fakes.Log{}, exit: make(chan error, 1)}
+	a := &runningAgent{log: &fakes.Log{}, exited: make(chan error, 1)}
 	a.discovery = agenttest.NewStreamServer(t, "\n", 100*time.Millisecond, func(string) string { return "" })
-	a.launcher = agenttest.NewStreamServer(t, ":\n", 100*time.Millisecond, func(asked string) string {
+	a.rolloutController = agenttest.NewStreamServer(t, ":\n", 100*time.Millisecond, func(asked string) string {
 		if strings.HasPrefix(asked, "POST") {
 			return "400|<Error><Code>Throttling</Code></Error>"
 		}
@@ -91,35 +91,35 @@
 	}
 	conf := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,
 "sockets":1024},"platform":{"address":%q,"news":{"image":41,"ring":1,"progress":"live","ceiling":1,"lag_ms":9000}},
-"known":%s,"settings":%s}`, own, a.discovery.Addr(), a.launcher.Addr(), fakes.ListDocument(1, true, hosts...), settings)
+"known":%s,"settings":%s}`, own, a.discovery.Addr(), a.rolloutController.Addr(), fakes.ListDocument(1, true, hosts...), deploymentSettings)
 	if change != nil {
 		conf = change(conf)
 	}
 	file := filepath.Join(t.TempDir(), "config.json")
-	a.file, a.conf = file, conf
+	a.configPath, a.config = file, conf
 	if err = os.WriteFile(file, []byte(conf), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	a.url = "http://" + own
-	a.cmd = exec.Command(path)
-	a.cmd.Env, a.cmd.Stderr = append(os.Environ(), "GW_CONFIG="+file), a.log
-	if err = a.cmd.Start(); err != nil {
+	a.command = exec.Command(path)
+	a.command.Env, a.command.Stderr = append(os.Environ(), "GW_CONFIG="+file), a.log
+	if err = a.command.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { a.exit <- a.cmd.Wait() }()
+	go func() { a.exited <- a.command.Wait() }()
 	t.Cleanup(func() {
-		a.cmd.Process.Kill()
+		a.command.Process.Kill()
 		if t.Failed() {
 			t.Log(a.log)
 		}
 	})
 	if change == nil {
-		a.healthy(t)
+		a.waitHealthy(t)
 	}
 	return a
 }
 
-func (a *agent) healthy(t *testing.T) {
+func (a *runningAgent) waitHealthy(t *testing.T) {
 	t.Helper()
 	agenttest.Eventually(t, "health", func() bool {
 		r, err := http.Get(a.url + "/_health")
@@ -132,32 +132,32 @@
 }
 
 // said is an answer as a client got it.
-type answered struct {
-	status int
-	body   string
-	header http.Header
-	took   time.Duration
+type clientResponse struct {
+	status  int
+	body    string
+	header  http.Header
+	latency time.Duration
 }
 
-var freshID atomic.Uint64
+var lastRequestID atomic.Uint64
 
-// ask sends one request as a client does.
-func (a *agent) ask(t *testing.T, method, target, body string, with ...string) answered {
+// request sends one request as a client does.
+func (a *runningAgent) request(t *testing.T, method, target, body string, with ...string) clientResponse {
 	t.Helper()
-	got, err := a.try(context.Background(), method, target, body, with...)
+	got, err := a.tryRequest(context.Background(), method, target, body, with...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return got
 }
 
-func (a *agent) try(ctx context.Context, method, target, body string, with ...string) (answered, error) {
+func (a *runningAgent) tryRequest(ctx context.Context, method, target, body string, with ...string) (clientResponse, error) {
 	req, err := http.NewRequestWithContext(ctx, method, a.url, strings.NewReader(body))
 	if err != nil {
-		return answered{}, err
+		return clientResponse{}, err
 	}
 	req.URL.Opaque = target
-	req.Header.Set("X-Request-Id", fmt.Sprintf("%016x", freshID.Add(1)))
+	req.Header.Set("X-Request-Id", fmt.Sprintf("%016x", lastRequestID.Add(1)))
 	if method == "POST" {
 		req.Header.Set("Idempotency-Key", "5c0f6e1a")
 	}
@@ -169,22 +169,22 @@
 	start := time.Now()
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answered{}, err
+		return clientResponse{}, err
 	}
 	defer res.Body.Close()
 	raw, err := io.ReadAll(res.Body)
-	return answered{res.StatusCode, string(raw), res.Header, time.Since(start)}, err
+	return clientResponse{res.StatusCode, string(raw), res.Header, time.Since(start)}, err
 }
 
-func TestSettledUnchanged(t *testing.T) {
-	b := agenttest.NewScriptedServer(t, fakes.Respond("HTTP/1.1 200 OK\r\nContent-Type: text/odd\r\nContent-Length: 4\r\n\r\n\x00\xff\n!"))
-	a := launch(t, nil, fakes.ListEntry("s-1", b.Addr(), "active", 41))
+func TestRequestAndResponseUnchanged(t *testing.T) {
+	endpoint := agenttest.NewScriptedServer(t, fakes.Respond("HTTP/1.1 200 OK\r\nContent-Type: text/odd\r\nContent-Length: 4\r\n\r\n\x00\xff\n!"))
+	a := startAgent(t, nil, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 	target := "/posting//a/../b%2Fc?sid=7f3a9c21e0b4d655&odd;=%zz&&x"
-	got := a.ask(t, "POST", target, "some\r\nbody", "X-Request-Id", "9b1f03aa5c7e2d41", "X-Deadline-Ms", "900", "X-Tenant", "nobody", "X-Other", "kept")
+	got := a.request(t, "POST", target, "some\r\nbody", "X-Request-Id", "9b1f03aa5c7e2d41", "X-Deadline-Ms", "900", "X-Tenant", "nobody", "X-Other", "kept")
 	if got.status != 200 || got.body != "\x00\xff\n!" || got.header.Get("Content-Type") != "text/odd" {
 		t.Errorf("client got %+v", got)
 	}
-	copies := b.Requests()
+	copies := endpoint.Requests()
 	if len(copies) != 1 {
 		t.Fatalf("%d copies arrived", len(copies))
 	}
@@ -196,34 +196,34 @@
 		t.Errorf("arrived: %+v", c)
 	}
 	time.Sleep(2 * upstream.DefaultSettleTime) // from then on it is used, however much later
-	a.ask(t, "GET", "/lookup", "")
-	if copies = b.Requests(); copies[1].Conn != 1 {
+	a.request(t, "GET", "/lookup", "")
+	if copies = endpoint.Requests(); copies[1].Conn != 1 {
 		t.Error("the connection was not used again")
 	}
 }
 
 // Agents that start together do not send their first, second, n-th txns without a key to one and the same appliance.
-func TestAgentsAreNotInStep(t *testing.T) {
+func TestAgentsSpreadKeylessRequests(t *testing.T) {
 	var hosts []string
 	for i := range 8 {
 		name := fmt.Sprintf("s-%d", i)
 		hosts = append(hosts, fakes.ListEntry(name, agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse(name))).Addr(), "active", 41))
 	}
-	const agents, txns = 3, 24
-	var went [agents][txns]string
+	const agents, requests = 3, 24
+	var servedBy [agents][requests]string
 	for i := range agents {
-		a := launch(t, func(conf string) string { return strings.Replace(conf, "8c1f30d2", fmt.Sprintf("8c1f30d%d", i), 1) }, hosts...)
-		a.healthy(t)
-		for n := range txns {
-			went[i][n] = a.ask(t, "GET", "/lookup", "").body
+		a := startAgent(t, func(conf string) string { return strings.Replace(conf, "8c1f30d2", fmt.Sprintf("8c1f30d%d", i), 1) }, hosts...)
+		a.waitHealthy(t)
+		for n := range requests {
+			servedBy[i][n] = a.request(t, "GET", "/lookup", "").body
 		}
 	}
-	for n, alike := 0, 0; n < txns; n++ {
-		if went[0][n] == went[1][n] && went[1][n] == went[2][n] {
+	for n, alike := 0, 0; n < requests; n++ {
+		if servedBy[0][n] == servedBy[1][n] && servedBy[1][n] == servedBy[2][n] {
 			alike++
 		}
-		if alike > txns/4 { // by chance one in 64
-			t.Fatalf("the agents' txns went the same way: %v", went)
+		if alike > requests/4 { // by chance one in 64
+			t.Fatalf("the agents' txns went the same way: %v", servedBy)
 		}
 	}
 }
@@ -231,18 +231,18 @@
 // Where no zones are named, all there is is in one, wherever the list says that it stands.
 func TestNoZones(t *testing.T) {
 	for _, zones := range []string{``, `"Localities":[],`} {
-		b := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("served")))
-		a := launch(t, func(conf string) string { return strings.Replace(conf, `"Localities":["suva"],`, zones, 1) }, fakes.ListEntry("s-1", b.Addr(), "active", 41))
-		a.healthy(t)
-		if got := a.ask(t, "GET", "/lookup", ""); got.body != "served" {
+		endpoint := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("served")))
+		a := startAgent(t, func(conf string) string { return strings.Replace(conf, `"Localities":["suva"],`, zones, 1) }, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+		a.waitHealthy(t)
+		if got := a.request(t, "GET", "/lookup", ""); got.body != "served" {
 			t.Errorf("zones %q: %+v", zones, got)
 		}
 	}
 }
 
-func TestRequestsTurnedAway(t *testing.T) {
-	b := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
-	a := launch(t, nil, fakes.ListEntry("s-1", b.Addr(), "active", 41))
+func TestInvalidRequests(t *testing.T) {
+	endpoint := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
+	a := startAgent(t, nil, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 	for _, c := range []struct {
 		method, target, body string
 		with                 []string
@@ -260,17 +260,17 @@
 		{"GET", "/lookup", "", []string{"X-Class", "posting"}, 400},
 		{"GET", "/lookup", "", []string{"X-Class", "lookup"}, 200},
 	} {
-		if got := a.ask(t, c.method, c.target, c.body, c.with...); got.status != c.want {
+		if got := a.request(t, c.method, c.target, c.body, c.with...); got.status != c.want {
 			t.Errorf("%s %s %v: got %d %q, want %d", c.method, c.target, c.with, got.status, got.body, c.want)
 		}
 	}
-	if n := len(b.Requests()); n != 1 {
+	if n := len(endpoint.Requests()); n != 1 {
 		t.Errorf("%d copies arrived, want the last one's", n)
 	}
 }
 
-// raw writes what a client may send and reads until the agent ends the connection.
-func (a *agent) raw(t *testing.T, text string) string {
+// exchangeRaw writes what a client may send and reads until the agent ends the connection.
+func (a *runningAgent) exchangeRaw(t *testing.T, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 	if err != nil {
@@ -287,9 +287,9 @@
 }
 
 // What is no request gets an error or a close in time, and nothing of it reaches an appliance.
-func TestBadClients(t *testing.T) {
-	b := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
-	a := launch(t, nil, fakes.ListEntry("s-1", b.Addr(), "active", 41))
+func TestMalformedInput(t *testing.T) {
+	endpoint := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
+	a := startAgent(t, nil, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 	head := "POST /posting HTTP/1.1\r\nHost: x\r\nX-Request-Id: 1\r\nIdempotency-Key: k\r\n"
 	hidden := "GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: 2\r\n\r\n"
 	var wait sync.WaitGroup
@@ -308,7 +308,7 @@
 	} {
 		wait.Go(func() {
 			start := time.Now()
-			got := a.raw(t, c.text)
+			got := a.exchangeRaw(t, c.text)
 			if got != "" && !strings.HasPrefix(got, "HTTP/1.1 "+c.want) || strings.Count(got, "HTTP/1.1") > 1 {
 				t.Errorf("%.90q got %.90q, want %s", c.text, got, c.want)
 			}
@@ -318,106 +318,106 @@
 		})
 	}
 	wait.Wait()
-	if n := len(b.Requests()); n != 0 {
-		t.Errorf("%d copies arrived: %+v", n, b.Requests())
+	if n := len(endpoint.Requests()); n != 0 {
+		t.Errorf("%d copies arrived: %+v", n, endpoint.Requests())
 	}
 }
 
 // A second request under the id of an open txn gets an error; the first goes on, and then the id is free again.
-func TestDoubledID(t *testing.T) {
-	let := make(chan struct{})
-	b := agenttest.NewScriptedServer(t, func(c net.Conn, nth int) bool { <-let; return fakes.Respond(fakes.OKResponse("done"))(c, nth) })
-	a := launch(t, nil, fakes.ListEntry("s-1", b.Addr(), "active", 41))
-	first := make(chan answered, 1)
+func TestDuplicateRequestID(t *testing.T) {
+	release := make(chan struct{})
+	endpoint := agenttest.NewScriptedServer(t, func(c net.Conn, nth int) bool { <-release; return fakes.Respond(fakes.OKResponse("done"))(c, nth) })
+	a := startAgent(t, nil, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+	first := make(chan clientResponse, 1)
 	go func() {
-		got, _ := a.try(context.Background(), "GET", "/lookup", "", "X-Request-Id", "a1")
+		got, _ := a.tryRequest(context.Background(), "GET", "/lookup", "", "X-Request-Id", "a1")
 		first <- got
 	}()
-	agenttest.Eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
-	if got := a.ask(t, "POST", "/posting", "x", "X-Request-Id", "a1"); got.status != 409 {
+	agenttest.Eventually(t, "the copy", func() bool { return len(endpoint.Requests()) == 1 })
+	if got := a.request(t, "POST", "/posting", "x", "X-Request-Id", "a1"); got.status != 409 {
 		t.Errorf("the second got %+v", got)
 	}
-	close(let)
-	if got := <-first; got.status != 200 || len(b.Requests()) != 1 {
-		t.Errorf("the first got %+v, %d copies", got, len(b.Requests()))
+	close(release)
+	if got := <-first; got.status != 200 || len(endpoint.Requests()) != 1 {
+		t.Errorf("the first got %+v, %d copies", got, len(endpoint.Requests()))
 	}
-	agenttest.Eventually(t, "the id's freedom", func() bool { return a.ask(t, "GET", "/lookup", "", "X-Request-Id", "a1").status == 200 })
+	agenttest.Eventually(t, "the id's freedom", func() bool { return a.request(t, "GET", "/lookup", "", "X-Request-Id", "a1").status == 200 })
 }
 
 // With nothing to send to, a txn is declined with advice; one that may have run gets an answer by its expiry.
-func TestDeclinedAndVoided(t *testing.T) {
-	b := agenttest.NewScriptedServer(t, fakes.NeverRespond)
-	a := launch(t, nil, fakes.ListEntry("s-1", b.Addr(), "leaving", 41))
-	if got := a.ask(t, "POST", "/posting", ""); got.status != 503 || got.header.Get("Retry-After") != "0.500" {
+func TestRejectedAndFailed(t *testing.T) {
+	endpoint := agenttest.NewScriptedServer(t, fakes.NeverRespond)
+	a := startAgent(t, nil, fakes.ListEntry("s-1", endpoint.Addr(), "leaving", 41))
+	if got := a.request(t, "POST", "/posting", ""); got.status != 503 || got.header.Get("Retry-After") != "0.500" {
 		t.Errorf("declined with %+v", got)
 	}
-	a.discovery.Publish(fakes.ListDocument(2, false, fakes.ListEntry("s-1", b.Addr(), "active", 41)))
+	a.discovery.Publish(fakes.ListDocument(2, false, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41)))
 	agenttest.Eventually(t, "the list", func() bool { return strings.Contains(a.log.String(), "seq=2") })
-	got := a.ask(t, "POST", "/posting", "", "X-Deadline-Ms", "300")
-	if got.status != 504 || len(b.Requests()) != 1 {
-		t.Errorf("got %+v after %d copies", got, len(b.Requests()))
+	got := a.request(t, "POST", "/posting", "", "X-Deadline-Ms", "300")
+	if got.status != 504 || len(endpoint.Requests()) != 1 {
+		t.Errorf("got %+v after %d copies", got, len(endpoint.Requests()))
 	}
-	if got.took < 200*time.Millisecond {
-		t.Errorf("answered after %v, before its time", got.took)
+	if got.latency < 200*time.Millisecond {
+		t.Errorf("answered after %v, before its time", got.latency)
 	}
 }
 
 // A client that goes away ends nothing but its own txn.
-func TestClientGone(t *testing.T) {
-	b := agenttest.NewScriptedServer(t, fakes.NeverRespond)
-	a := launch(t, nil, fakes.ListEntry("s-1", b.Addr(), "active", 41))
+func TestClientDisconnects(t *testing.T) {
+	endpoint := agenttest.NewScriptedServer(t, fakes.NeverRespond)
+	a := startAgent(t, nil, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 	ctx, leave := context.WithCancel(context.Background())
 	left := make(chan error)
-	go func() { _, err := a.try(ctx, "GET", "/lookup", ""); left <- err }()
-	agenttest.Eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
+	go func() { _, err := a.tryRequest(ctx, "GET", "/lookup", ""); left <- err }()
+	agenttest.Eventually(t, "the copy", func() bool { return len(endpoint.Requests()) == 1 })
 	leave()
 	if err := <-left; err == nil {
 		t.Error("answered all the same")
 	}
-	b.SetHandler(fakes.Respond(fakes.OKResponse("done")))
-	agenttest.Eventually(t, "the next one's answer", func() bool { return a.ask(t, "GET", "/lookup", "").status == 200 })
+	endpoint.SetHandler(fakes.Respond(fakes.OKResponse("done")))
+	agenttest.Eventually(t, "the next one's answer", func() bool { return a.request(t, "GET", "/lookup", "").status == 200 })
 }
 
 // Nothing new goes to an appliance that drains; a host that is back with another build and address is served.
-func TestDrainNotice(t *testing.T) {
+func TestDrainingEndpoint(t *testing.T) {
 	first, second, third := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("1"))), agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("2"))), agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("3")))
-	a := launch(t, nil, fakes.ListEntry("s-1", first.Addr(), "active", 41))
-	if got := a.ask(t, "GET", "/lookup", ""); got.body != "1" {
+	a := startAgent(t, nil, fakes.ListEntry("s-1", first.Addr(), "active", 41))
+	if got := a.request(t, "GET", "/lookup", ""); got.body != "1" {
 		t.Errorf("got %+v", got)
 	}
 	a.discovery.Publish(fakes.ListDocument(2, false, fakes.ListEntry("s-1", first.Addr(), "leaving", 41), fakes.ListEntry("s-2", second.Addr(), "active", 41)))
 	agenttest.Eventually(t, "the drain", func() bool { return strings.Contains(a.log.String(), "seq=2") })
 	for range 5 {
-		if got := a.ask(t, "GET", "/lookup", ""); got.body != "2" {
+		if got := a.request(t, "GET", "/lookup", ""); got.body != "2" {
 			t.Errorf("after the drain notice: %+v", got)
 		}
 	}
 	a.discovery.Publish(fakes.ListDocument(3, false, fakes.ListEntry("s-1", third.Addr(), "active", 41), fakes.ListEntry("s-2", second.Addr(), "left", 41)))
-	agenttest.Eventually(t, "the return", func() bool { return a.ask(t, "GET", "/lookup", "").body == "3" })
+	agenttest.Eventually(t, "the return", func() bool { return a.request(t, "GET", "/lookup", "").body == "3" })
 	if len(first.Requests()) != 1 {
 		t.Errorf("%d copies at the first", len(first.Requests()))
 	}
 }
 
 // A build that fails is voted back, and again after the pause when the launcher says that it is full.
-func TestVotesBack(t *testing.T) {
+func TestRollbackVote(t *testing.T) {
 	good, bad := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("1"))), agenttest.NewScriptedServer(t, fakes.Respond("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"))
 	hosts := []string{fakes.ListEntry("s-1", good.Addr(), "active", 41)}
 	for i := range 4 { // one alone is set aside before there is evidence enough
 		hosts = append(hosts, fakes.ListEntry(fmt.Sprint("t-", i), bad.Addr(), "active", 42))
 	}
-	a := launch(t, nil, hosts...)
-	agenttest.Eventually(t, "the bulletin", func() bool { return a.launcher.CallsContaining("/api/bulletin") > 0 })
-	a.launcher.Publish(fakes.RolloutEvent(42, 0, "testing", 0.5))
+	a := startAgent(t, nil, hosts...)
+	agenttest.Eventually(t, "the bulletin", func() bool { return a.rolloutController.CallsContaining("/api/bulletin") > 0 })
+	a.rolloutController.Publish(fakes.RolloutEvent(42, 0, "testing", 0.5))
 	agenttest.Eventually(t, "the news", func() bool { return strings.Contains(a.log.String(), "build=42") })
 	asked := 0
 	vote := "image=42&ring=0&opinion=reject"
 	agenttest.Eventually(t, "two votes", func() bool {
 		asked++
-		if got := a.ask(t, "GET", fmt.Sprintf("/lookup?sid=%016x", asked), ""); got.status != 200 && got.status != 503 {
+		if got := a.request(t, "GET", fmt.Sprintf("/lookup?sid=%016x", asked), ""); got.status != 200 && got.status != 503 {
 			t.Errorf("got %+v", got)
 		}
-		return a.launcher.CallsContaining(vote) >= 2
+		return a.rolloutController.CallsContaining(vote) >= 2
 	})
 	if len(bad.Requests()) < 10 {
 		t.Errorf("voted after %d outcomes", len(bad.Requests()))
@@ -426,22 +426,22 @@
 
 // After SIGTERM what is open and what still comes is answered, each answer ends its connection, and the program
 // ends well by itself.
-func TestDrain(t *testing.T) {
-	let := make(chan struct{})
-	b := agenttest.NewScriptedServer(t, func(c net.Conn, nth int) bool {
+func TestGracefulShutdown(t *testing.T) {
+	release := make(chan struct{})
+	endpoint := agenttest.NewScriptedServer(t, func(c net.Conn, nth int) bool {
 		if nth == 1 {
-			<-let
+			<-release
 		}
 		return fakes.Respond(fakes.OKResponse("done"))(c, nth)
 	})
-	a := launch(t, nil, fakes.ListEntry("s-1", b.Addr(), "active", 41))
-	open := make(chan answered, 1)
+	a := startAgent(t, nil, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+	open := make(chan clientResponse, 1)
 	go func() {
-		got, _ := a.try(context.Background(), "GET", "/lookup", "", "X-Deadline-Ms", "2000")
+		got, _ := a.tryRequest(context.Background(), "GET", "/lookup", "", "X-Deadline-Ms", "2000")
 		open <- got
 	}()
-	agenttest.Eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
-	if err := a.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	agenttest.Eventually(t, "the copy", func() bool { return len(endpoint.Requests()) == 1 })
+	if err := a.command.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	agenttest.Eventually(t, "the drain", func() bool { return strings.Contains(a.log.String(), "drains") })
@@ -456,12 +456,12 @@
 	if err != nil || res.StatusCode != 200 || !res.Close {
 		t.Errorf("a late comer got %+v, %v", res, err)
 	}
-	close(let)
+	close(release)
 	if got := <-open; got.status != 200 || got.body != "done" {
 		t.Errorf("the open one got %+v", got)
 	}
 	select {
-	case err := <-a.exit:
+	case err := <-a.exited:
 		if err != nil {
 			t.Errorf("ended with %v", err)
 		}
@@ -472,44 +472,44 @@
 
 // With hardly any descriptors and far more clients, every txn has its answer, and then all is well again.
 func TestMoreClientsThanDescriptors(t *testing.T) {
-	let := make(chan struct{})
-	b := agenttest.NewScriptedServer(t, func(c net.Conn, nth int) bool { <-let; return fakes.Respond(fakes.OKResponse("done"))(c, nth) })
-	few := launch(t, func(conf string) string { return strings.Replace(conf, `"sockets":1024`, `"sockets":64`, 1) },
-		fakes.ListEntry("s-1", b.Addr(), "active", 41))
-	few.healthy(t)
+	release := make(chan struct{})
+	endpoint := agenttest.NewScriptedServer(t, func(c net.Conn, nth int) bool { <-release; return fakes.Respond(fakes.OKResponse("done"))(c, nth) })
+	agent := startAgent(t, func(conf string) string { return strings.Replace(conf, `"sockets":1024`, `"sockets":64`, 1) },
+		fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+	agent.waitHealthy(t)
 	var wait sync.WaitGroup
 	var mu sync.Mutex
 	got := map[int]int{}
 	for range 100 {
 		wait.Go(func() {
-			said, err := few.try(context.Background(), "GET", "/lookup", "", "X-Deadline-Ms", "1900")
+			response, err := agent.tryRequest(context.Background(), "GET", "/lookup", "", "X-Deadline-Ms", "1900")
 			mu.Lock()
 			defer mu.Unlock()
-			if got[said.status]++; err != nil {
+			if got[response.status]++; err != nil {
 				t.Error(err)
 			}
 		})
 	}
-	agenttest.Eventually(t, "a refusal for want of room", func() bool { return strings.Contains(few.log.String(), "no room for another txn") })
-	close(let)
+	agenttest.Eventually(t, "a refusal for want of room", func() bool { return strings.Contains(agent.log.String(), "no room for another txn") })
+	close(release)
 	wait.Wait()
-	if got[200] == 0 || got[200] != len(b.Requests()) || got[503] == 0 || got[200]+got[503] != 100 {
-		t.Errorf("answers by status: %v, with %d copies", got, len(b.Requests()))
+	if got[200] == 0 || got[200] != len(endpoint.Requests()) || got[503] == 0 || got[200]+got[503] != 100 {
+		t.Errorf("answers by status: %v, with %d copies", got, len(endpoint.Requests()))
 	}
-	if again := few.ask(t, "GET", "/lookup", ""); again.status != 200 {
+	if again := agent.request(t, "GET", "/lookup", ""); again.status != 200 {
 		t.Errorf("then got %+v", again)
 	}
 }
 
 // Far more silent connections than descriptors keep nobody waiting, and each is closed in time.
-func TestSilentCrowd(t *testing.T) {
-	b := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
-	few := launch(t, func(conf string) string { return strings.Replace(conf, `"sockets":1024`, `"sockets":64`, 1) },
-		fakes.ListEntry("s-1", b.Addr(), "active", 41))
-	few.healthy(t)
+func TestSilentConnections(t *testing.T) {
+	endpoint := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
+	agent := startAgent(t, func(conf string) string { return strings.Replace(conf, `"sockets":1024`, `"sockets":64`, 1) },
+		fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+	agent.waitHealthy(t)
 	var wait sync.WaitGroup
 	for range 60 {
-		c, err := net.Dial("tcp", strings.TrimPrefix(few.url, "http://"))
+		c, err := net.Dial("tcp", strings.TrimPrefix(agent.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -522,22 +522,22 @@
 			}
 		})
 	}
-	if got := few.ask(t, "GET", "/lookup", "", "X-Deadline-Ms", "1900"); got.status != 200 {
+	if got := agent.request(t, "GET", "/lookup", "", "X-Deadline-Ms", "1900"); got.status != 200 {
 		t.Errorf("behind a silent crowd: %+v", got)
 	}
 	wait.Wait()
 }
 
 // Clients that ask once and keep their connection hold few: beyond those, the one idle longest ends before its time.
-func TestAskedOnce(t *testing.T) {
-	b := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
-	few := launch(t, func(conf string) string { return strings.Replace(conf, `"sockets":1024`, `"sockets":64`, 1) },
-		fakes.ListEntry("s-1", b.Addr(), "active", 41))
-	few.healthy(t)
+func TestIdleConnectionLimit(t *testing.T) {
+	endpoint := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
+	agent := startAgent(t, func(conf string) string { return strings.Replace(conf, `"sockets":1024`, `"sockets":64`, 1) },
+		fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+	agent.waitHealthy(t)
 	var first net.Conn
 	start := time.Now()
 	for i := range 8 {
-		c, err := net.Dial("tcp", strings.TrimPrefix(few.url, "http://"))
+		c, err := net.Dial("tcp", strings.TrimPrefix(agent.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -560,14 +560,14 @@
 }
 
 // A request that stood unread while the agent was stopped has that much less time left.
-func TestTimeInTheQueueCounts(t *testing.T) {
-	b := agenttest.NewScriptedServer(t, fakes.NeverRespond)
-	a := launch(t, nil, fakes.ListEntry("s-1", b.Addr(), "active", 41))
-	if err := a.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
+func TestQueueDelayCountsTowardsDeadline(t *testing.T) {
+	endpoint := agenttest.NewScriptedServer(t, fakes.NeverRespond)
+	a := startAgent(t, nil, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+	if err := a.command.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
 	// The signal's sender goes on before all threads have stopped: one of them could still take the request.
-	agenttest.Eventually(t, "all threads to stand still", func() bool { return stopped(a.cmd.Process.Pid) })
+	agenttest.Eventually(t, "all threads to stand still", func() bool { return allThreadsStopped(a.command.Process.Pid) })
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -578,19 +578,19 @@
 	for time.Since(sent) < time.Second { // the standstill itself
 		time.Sleep(10 * time.Millisecond)
 	}
-	if err := a.cmd.Process.Signal(syscall.SIGCONT); err != nil {
+	if err := a.command.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	agenttest.Eventually(t, "the copy", func() bool { return len(b.Requests()) == 1 })
+	agenttest.Eventually(t, "the copy", func() bool { return len(endpoint.Requests()) == 1 })
 	wait := 0
-	fmt.Sscan(b.Requests()[0].Header.Get("X-Deadline-Ms"), &wait)
+	fmt.Sscan(endpoint.Requests()[0].Header.Get("X-Deadline-Ms"), &wait)
 	if wait < 1 || wait > 1050 {
 		t.Errorf("the appliance was told to have %d ms", wait)
 	}
 }
 
-// stopped tells whether every thread of a process stands still by a signal.
-func stopped(pid int) bool {
+// allThreadsStopped tells whether every thread of a process stands still by a signal.
+func allThreadsStopped(pid int) bool {
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	for _, name := range threads {
 		stat, err := os.ReadFile(name)
@@ -605,17 +605,17 @@
 // nothing, and other keys are named.
 func TestReload(t *testing.T) {
 	first, second := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("1"))), agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("2")))
-	a := launch(t, nil, fakes.ListEntry("s-1", first.Addr(), "active", 41))
+	a := startAgent(t, nil, fakes.ListEntry("s-1", first.Addr(), "active", 41))
 	agenttest.Eventually(t, "the start's watch and news", func() bool {
-		return a.discovery.CallsContaining("index=1") == 1 && a.launcher.CallsContaining("bulletin") == 1
+		return a.discovery.CallsContaining("index=1") == 1 && a.rolloutController.CallsContaining("bulletin") == 1
 	})
 	reload := func(want string, change ...string) {
 		t.Helper()
-		conf, seen := strings.NewReplacer(change...).Replace(a.conf), strings.Count(a.log.String(), want)
-		if err := os.WriteFile(a.file, []byte(conf), 0o600); err != nil {
+		conf, seen := strings.NewReplacer(change...).Replace(a.config), strings.Count(a.log.String(), want)
+		if err := os.WriteFile(a.configPath, []byte(conf), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := a.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+		if err := a.command.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 		agenttest.Eventually(t, want, func() bool { return strings.Count(a.log.String(), want) > seen })
@@ -624,34 +624,34 @@
 	reload("config.settings.Limits.DialTimeoutMs is 0", `"DialTimeoutMs":250.0`, `"DialTimeoutMs":0`)
 	reload(`platform.address=""`)
 	reload("config.limits.sockets", `"sockets":1024`, `"sockets":512`)
-	if a.discovery.CallsContaining("") != 1 || a.launcher.CallsContaining("") != 1 {
-		t.Errorf("what did not change was asked anew: %q, %q", a.discovery.Targets(), a.launcher.Targets())
+	if a.discovery.CallsContaining("") != 1 || a.rolloutController.CallsContaining("") != 1 {
+		t.Errorf("what did not change was asked anew: %q, %q", a.discovery.Targets(), a.rolloutController.Targets())
 	}
 
 	hosts := fakes.ListDocument(2, true, fakes.ListEntry("s-1", first.Addr(), "leaving", 41), fakes.ListEntry("s-2", second.Addr(), "active", 41))
-	there := agenttest.NewStreamServer(t, "\n", 100*time.Millisecond, func(asked string) string {
+	newDiscovery := agenttest.NewStreamServer(t, "\n", 100*time.Millisecond, func(asked string) string {
 		if strings.Contains(asked, "stream") {
 			return ""
 		}
 		return hosts
 	})
-	news := agenttest.NewStreamServer(t, ":\n", 100*time.Millisecond, func(string) string { return fakes.RolloutEvent(43, 0, "testing", 0.5) })
+	newController := agenttest.NewStreamServer(t, ":\n", 100*time.Millisecond, func(string) string { return fakes.RolloutEvent(43, 0, "testing", 0.5) })
 	silent := agenttest.Listen(t)
 	reload("reload", a.discovery.Addr(), silent.Addr().String()) // one that says nothing leaves the old one in force
 	a.discovery.Publish(fakes.ListDocument(2, false, fakes.ListEntry("s-3", second.Addr(), "left", 41)))
 	agenttest.Eventually(t, "a change from the old address", func() bool { return strings.Contains(a.log.String(), "seq=2") })
-	reload("reload", a.discovery.Addr(), there.Addr(), a.launcher.Addr(), news.Addr())
-	agenttest.Eventually(t, "the new list", func() bool { return a.ask(t, "GET", "/lookup", "").body == "2" })
+	reload("reload", a.discovery.Addr(), newDiscovery.Addr(), a.rolloutController.Addr(), newController.Addr())
+	agenttest.Eventually(t, "the new list", func() bool { return a.request(t, "GET", "/lookup", "").body == "2" })
 	agenttest.Eventually(t, "the new news", func() bool { return strings.Contains(a.log.String(), "build=43") })
-	agenttest.Eventually(t, "the end of the old streams", func() bool { return a.discovery.Closed() == 1 && a.launcher.Closed() == 1 })
-	agenttest.Eventually(t, "the new watch", func() bool { return there.CallsContaining("index=2") == 1 })
-	if a.discovery.CallsContaining("") != 1 || a.launcher.CallsContaining("") != 1 {
-		t.Errorf("the old addresses were asked again: %q, %q", a.discovery.Targets(), a.launcher.Targets())
+	agenttest.Eventually(t, "the end of the old streams", func() bool { return a.discovery.Closed() == 1 && a.rolloutController.Closed() == 1 })
+	agenttest.Eventually(t, "the new watch", func() bool { return newDiscovery.CallsContaining("index=2") == 1 })
+	if a.discovery.CallsContaining("") != 1 || a.rolloutController.CallsContaining("") != 1 {
+		t.Errorf("the old addresses were asked again: %q, %q", a.discovery.Targets(), a.rolloutController.Targets())
 	}
 }
 
 // What is wrong with the configuration stops the start with one line that names it.
-func TestFaultyCharter(t *testing.T) {
+func TestInvalidConfigFile(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`"SloMs":600.0`, `"SloMs":"soon"`, "config.settings.Grades.0.SloMs is \\\"soon\\\", not a number"},
 		{`"Swap":"beside"`, `"Swap":"above"`, "config.settings.FamilyInfo.Swap"},
@@ -665,9 +665,9 @@
 		{`"seq":1`, `"seq":"one"`, "config.known"},
 		{`{"name"`, `{"name`, "GW_CONFIG"},
 	} {
-		a := launch(t, func(conf string) string { return strings.Replace(conf, c.from, c.to, 1) })
+		a := startAgent(t, func(conf string) string { return strings.Replace(conf, c.from, c.to, 1) })
 		select {
-		case err := <-a.exit:
+		case err := <-a.exited:
 			if log := a.log.String(); err == nil || !strings.Contains(log, c.want) || strings.Count(log, "\n") != 1 {
 				t.Errorf("%s: %v, log %q", c.to, err, log)
 			}
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -12,7 +12,7 @@
 )
 
 // What is written stays as it was, byte by byte.
-func TestGoldenRequests(t *testing.T) {
+func TestGoldenReplies(t *testing.T) {
 	var out strings.Builder
 	write := func(what, text string) { fmt.Fprintf(&out, "== %s\n%q\n", what, text) }
 	request, err := http.NewRequest(http.MethodGet, "http://client/", nil)
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -20,15 +20,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// phase is where a client's connection stands. The drawing in docs/design.md has the ways between them.
-type phase int
+// connState is where a client's connection stands. The drawing in docs/design.md has the ways between them.
+type connState int
 
 const (
-	fresh   phase = iota // came, and nothing of a request has been read
-	idle                 // all that was read has been answered
-	asking               // at least a byte of a request has been read
-	asked                // a request has been read whole and waits for its answer
-	retired              // nothing more is read from it; it is about to be closed
+	stateNew      connState = iota // came, and nothing of a request has been read
+	stateIdle                      // all that was read has been answered
+	stateReading                   // at least a byte of a request has been read
+	stateAwaiting                  // a request has been read whole and waits for its answer
+	stateRetired                   // nothing more is read from it; it is about to be closed
 )
 
 // A client has headTimeout for a request's head, counted from its first byte, and requestTimeout for the whole: both well inside
@@ -36,27 +36,27 @@
 // IdleTimeout is the told time after which a connection without a request may go: who asks once and stays for good holds nothing longer.
 const firstByteTimeout, headTimeout, requestTimeout, IdleTimeout = 1500 * time.Millisecond, 1500 * time.Millisecond, 2 * time.Second, 2 * time.Second
 
-// lingerWait is how long a connection that ends with an answer stays half open for the client to close it: closed with bytes unread, the
+// defaultLingerTimeout is how long a connection that ends with an answer stays half open for the client to close it: closed with bytes unread, the
 // system resets it, and the reset may overtake the answer. It is what http.Server waits for an answer to an overlong head.
-const lingerWait = 500 * time.Millisecond
+const defaultLingerTimeout = 500 * time.Millisecond
 
 // clientConn is one client's connection. Whether it carries a request is known in the moment of the read: bytes are taken from the
 // system and the phase is changed under one lock, so that a connection that is retired has not had a byte read from it.
 type clientConn struct {
 	*net.TCPConn
-	raw  syscall.RawConn
-	from *clientListener
-
-	mu      sync.Mutex
-	phase   phase
-	since   time.Time // in this phase
-	began   time.Time // the first byte of the request
-	due     time.Time // when tick is to act; zero: not
-	tick    *time.Timer
-	late    bool   // the request took too long
-	ahead   []byte // read while an answer was awaited: what a client sent too early
-	wrote   bool   // something was written since the connection was last at rest
-	lingers bool
+	raw      syscall.RawConn
+	listener *clientListener
+
+	mu            sync.Mutex
+	state         connState
+	stateSince    time.Time // in this phase
+	requestStart  time.Time // the first byte of the request
+	stateDeadline time.Time // when tick is to act; zero: not
+	stateTimer    *time.Timer
+	timedOut      bool   // the request took too long
+	readAhead     []byte // read while an answer was awaited: what a client sent too early
+	hasWritten    bool   // something was written since the connection was last at rest
+	isLingering   bool
 }
 
 // ReadFrom keeps the library from handing the descriptor to the kernel for copying.
@@ -64,8 +64,8 @@
 	return io.Copy(struct{ io.Writer }{c}, r)
 }
 
-// aheadMost bounds what is kept of bytes that come before the answer to the last request.
-const aheadMost = 4 << 10
+// readAheadLimit bounds what is kept of bytes that come before the answer to the last request.
+const readAheadLimit = 4 << 10
 
 // Read takes bytes and the connection's phase on in one step. While an answer is awaited it keeps what comes and goes on reading: the
 // library looks for the client's end with a read of one byte, and would see nothing behind a byte too many.
@@ -77,18 +77,18 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for {
-			watches := c.phase == asked || len(b) == 1
+			watches := c.state == stateAwaiting || len(b) == 1
 			switch {
-			case c.phase == retired:
+			case c.state == stateRetired:
 				n, err = 0, io.EOF
 				return true
-			case c.late:
+			case c.timedOut:
 				n, err = 0, os.ErrDeadlineExceeded
 				return true
-			case len(c.ahead) > 0 && (!watches || len(c.ahead) >= aheadMost):
-				n = copy(b, c.ahead)
-				c.ahead = c.ahead[n:]
-				c.asks()
+			case len(c.readAhead) > 0 && (!watches || len(c.readAhead) >= readAheadLimit):
+				n = copy(b, c.readAhead)
+				c.readAhead = c.readAhead[n:]
+				c.startReading()
 				return true
 			}
 			into := b
@@ -107,10 +107,10 @@
 				n, err = 0, io.EOF
 				return true
 			case watches:
-				c.ahead = append(c.ahead, into[:got]...)
+				c.readAhead = append(c.readAhead, into[:got]...)
 			default:
 				n = got
-				c.asks()
+				c.startReading()
 				return true
 			}
 		}
@@ -120,7 +120,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase == retired {
+	if c.state == stateRetired {
 		return 0, io.EOF
 	}
 	return 0, failed
@@ -128,90 +128,90 @@
 
 func (c *clientConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	c.wrote = true
+	c.hasWritten = true
 	c.mu.Unlock()
 	return c.TCPConn.Write(b)
 }
 
-// asks notes that bytes of a request have been read. The lock is held.
-func (c *clientConn) asks() {
-	if c.phase == fresh || c.phase == idle {
-		c.to(asking)
-		c.began = c.since
-		c.actAt(c.began.Add(headTimeout))
+// startReading notes that bytes of a request have been read. The lock is held.
+func (c *clientConn) startReading() {
+	if c.state == stateNew || c.state == stateIdle {
+		c.setState(stateReading)
+		c.requestStart = c.stateSince
+		c.setStateDeadline(c.requestStart.Add(headTimeout))
 	}
 }
 
-// to changes the phase. The lock is held.
-func (c *clientConn) to(p phase) { c.phase, c.since = p, time.Now() }
+// setState changes the phase. The lock is held.
+func (c *clientConn) setState(p connState) { c.state, c.stateSince = p, time.Now() }
 
-// actAt sets the time at which the present phase has lasted too long. The lock is held.
-func (c *clientConn) actAt(due time.Time) {
-	c.due = due
-	if c.tick == nil {
-		c.tick = time.AfterFunc(time.Until(due), c.overdue)
+// setStateDeadline sets the time at which the present phase has lasted too long. The lock is held.
+func (c *clientConn) setStateDeadline(due time.Time) {
+	c.stateDeadline = due
+	if c.stateTimer == nil {
+		c.stateTimer = time.AfterFunc(time.Until(due), c.stateDeadlinePassed)
 	} else {
-		c.tick.Reset(time.Until(due))
+		c.stateTimer.Reset(time.Until(due))
 	}
 }
 
-// headRead is told by the library. A retired connection of which it held a whole request is served after all.
-func (c *clientConn) headRead() {
+// headReceived is told by the library. A retired connection of which it held a whole request is served after all.
+func (c *clientConn) headReceived() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase != asking {
-		c.to(asking)
-		c.began = c.since
+	if c.state != stateReading {
+		c.setState(stateReading)
+		c.requestStart = c.stateSince
 	}
-	c.inTime()
-	c.actAt(c.began.Add(requestTimeout))
+	c.clearTimeout()
+	c.setStateDeadline(c.requestStart.Add(requestTimeout))
 }
 
-// inTime: what the library holds came in time after all. The clock may find a phase overdue, or the listener retire the connection, when
+// clearTimeout: what the library holds came in time after all. The clock may find a phase overdue, or the listener retire the connection, when
 // the bytes that end that phase have been read and the library has not said so yet; its next read would fail then, which it takes for
 // the client's end, and a txn that was taken would have no answer. The lock is held.
-func (c *clientConn) inTime() {
-	c.late = false
+func (c *clientConn) clearTimeout() {
+	c.timedOut = false
 	c.SetReadDeadline(time.Time{})
 }
 
-// wholeRead: the request is whole, and what it waits for now takes its own time.
-func (c *clientConn) wholeRead() {
+// requestReceived: the request is whole, and what it waits for now takes its own time.
+func (c *clientConn) requestReceived() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.to(asked)
-	c.inTime()
-	c.due = time.Time{}
-	if c.tick != nil {
-		c.tick.Stop()
+	c.setState(stateAwaiting)
+	c.clearTimeout()
+	c.stateDeadline = time.Time{}
+	if c.stateTimer != nil {
+		c.stateTimer.Stop()
 	}
 }
 
-// rests is told by the library after an answer. What a client sent before it is the next request's beginning.
-func (c *clientConn) rests() {
+// becomeIdle is told by the library after an answer. What a client sent before it is the next request's beginning.
+func (c *clientConn) becomeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wrote = false
-	c.to(idle)
-	if len(c.ahead) > 0 {
-		c.asks()
+	c.hasWritten = false
+	c.setState(stateIdle)
+	if len(c.readAhead) > 0 {
+		c.startReading()
 		return
 	}
-	c.actAt(c.since.Add(IdleTimeout))
+	c.setStateDeadline(c.stateSince.Add(IdleTimeout))
 }
 
-// overdue ends a phase that has lasted too long.
-func (c *clientConn) overdue() {
+// stateDeadlinePassed ends a phase that has lasted too long.
+func (c *clientConn) stateDeadlinePassed() {
 	c.mu.Lock()
-	stale := c.due.IsZero() || time.Now().Before(c.due)
-	late := !stale && c.phase == asking
+	stale := c.stateDeadline.IsZero() || time.Now().Before(c.stateDeadline)
+	late := !stale && c.state == stateReading
 	if late {
-		c.late = true
-		c.SetReadDeadline(longAgo)
+		c.timedOut = true
+		c.SetReadDeadline(pastDeadline)
 	}
-	waits := !stale && (c.phase == fresh || c.phase == idle)
+	waits := !stale && (c.state == stateNew || c.state == stateIdle)
 	if waits && !tcpconn.IsQuiet(c.TCPConn) { // its reader is about to find it
-		c.actAt(time.Now().Add(headTimeout))
+		c.setStateDeadline(time.Now().Add(headTimeout))
 		waits = false
 	}
 	c.mu.Unlock()
@@ -220,7 +220,7 @@
 	}
 }
 
-var longAgo = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
 // retire ends a connection that carries no request, and tells whether it did. What the client has sent and nobody has read goes
 // unread, and the client knows that it may send it again; so one with something unread is left alone, and what comes after that
@@ -228,11 +228,11 @@
 func (c *clientConn) retire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.phase != fresh && c.phase != idle || !tcpconn.IsQuiet(c.TCPConn) {
+	if c.state != stateNew && c.state != stateIdle || !tcpconn.IsQuiet(c.TCPConn) {
 		return false
 	}
-	c.to(retired)
-	c.SetReadDeadline(longAgo)
+	c.setState(stateRetired)
+	c.SetReadDeadline(pastDeadline)
 	return true
 }
 
@@ -240,16 +240,16 @@
 // until the client closes too, or lingerWait, or another client needs its place.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
-	if c.tick != nil {
-		c.tick.Stop()
+	if c.stateTimer != nil {
+		c.stateTimer.Stop()
 	}
-	c.due = time.Time{}
-	c.lingers = c.wrote && !c.lingers
-	c.to(retired)
-	lingers := c.lingers
+	c.stateDeadline = time.Time{}
+	c.isLingering = c.hasWritten && !c.isLingering
+	c.setState(stateRetired)
+	lingers := c.isLingering
 	c.mu.Unlock()
 	if lingers && c.CloseWrite() == nil {
-		c.SetReadDeadline(time.Now().Add(c.from.lingers))
+		c.SetReadDeadline(time.Now().Add(c.listener.lingerTimeout))
 		c.raw.Read(func(fd uintptr) bool {
 			var first [1]byte
 			n, _, err := unix.Recvfrom(int(fd), first[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -265,29 +265,29 @@
 // over while one in the kernel's queue waits unread until its time is over. That every answer ends its connection when
 // few are left was tried: all clients came back on new ones, which cost more than there was.
 type clientListener struct {
-	tcp   *net.TCPListener
-	purse *connlimit.Budget
-	core  *agent.Loop
-	waits atomic.Bool   // a client waits for another's place
-	ended chan struct{} // closed with the listener
+	tcp             *net.TCPListener
+	budget          *connlimit.Budget
+	loop            *agent.Loop
+	isClientWaiting atomic.Bool   // a client waits for another's place
+	closed          chan struct{} // closed with the listener
 	// lingers is how long a connection stays half open behind its last answer.
-	lingers time.Duration
-
-	mu     sync.Mutex
-	in     map[*clientConn]bool
-	idle   map[*clientConn]time.Time // at rest since; some may have begun to ask meanwhile
-	asked  time.Time                 // when appliances were last asked to drop what they don't use
-	drains bool                      // no connection is kept
-	leaves bool                      // to be closed once no client is there and none waits
+	lingerTimeout time.Duration
+
+	mu              sync.Mutex
+	conns           map[*clientConn]bool
+	idleSince       map[*clientConn]time.Time // at rest since; some may have begun to ask meanwhile
+	trimRequestedAt time.Time                 // when appliances were last asked to drop what they don't use
+	isDraining      bool                      // no connection is kept
+	closesWhenEmpty bool                      // to be closed once no client is there and none waits
 }
 
 func newClientListener(core *agent.Loop, purse *connlimit.Budget) *clientListener {
-	return &clientListener{core: core, purse: purse, ended: make(chan struct{}), lingers: lingerWait, in: map[*clientConn]bool{}, idle: map[*clientConn]time.Time{}}
+	return &clientListener{loop: core, budget: purse, closed: make(chan struct{}), lingerTimeout: defaultLingerTimeout, conns: map[*clientConn]bool{}, idleSince: map[*clientConn]time.Time{}}
 }
 
-// placeWait is how often a client without a place looks for others that have fallen idle: a small part of any SLA time. lastLook is how
+// budgetRetryInterval is how often a client without a place looks for others that have fallen idle: a small part of any SLA time. lastLook is how
 // long the listener looks for one more client before it closes: whoever is in the system's queue then would be reset unanswered.
-const placeWait, lastLook = 5 * time.Millisecond, 20 * time.Millisecond
+const budgetRetryInterval, finalAcceptWait = 5 * time.Millisecond, 20 * time.Millisecond
 
 func (l *clientListener) Addr() net.Addr { return l.tcp.Addr() }
 
@@ -295,159 +295,159 @@
 func (l *clientListener) Close() error { return nil }
 
 func (l *clientListener) Accept() (net.Conn, error) {
-	for !l.purse.AcquireClient() {
-		l.waits.Store(true)
-		l.makeRoom()
+	for !l.budget.AcquireClient() {
+		l.isClientWaiting.Store(true)
+		l.freeConnection()
 		select {
-		case <-l.purse.Freed():
-		case <-time.After(placeWait):
+		case <-l.budget.Freed():
+		case <-time.After(budgetRetryInterval):
 		}
 	}
-	l.waits.Store(false)
+	l.isClientWaiting.Store(false)
 	for {
 		tcp, err := l.tcp.AcceptTCP()
 		if err == nil {
-			return l.enter(tcp), nil
+			return l.register(tcp), nil
 		}
-		if errors.Is(err, os.ErrDeadlineExceeded) && !l.empty() {
-			l.tcp.SetDeadline(time.Now().Add(lastLook))
+		if errors.Is(err, os.ErrDeadlineExceeded) && !l.shouldClose() {
+			l.tcp.SetDeadline(time.Now().Add(finalAcceptWait))
 			continue
 		}
-		l.purse.Release(1, 0)
+		l.budget.Release(1, 0)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			l.stop()
+			l.shutdown()
 			err = net.ErrClosed
 		}
 		return nil, err
 	}
 }
 
-func (l *clientListener) enter(tcp *net.TCPConn) *clientConn {
-	c := &clientConn{TCPConn: tcp, from: l}
+func (l *clientListener) register(tcp *net.TCPConn) *clientConn {
+	c := &clientConn{TCPConn: tcp, listener: l}
 	c.raw, _ = tcp.SyscallConn() // fails for a connection that is not there only
 	c.mu.Lock()
-	c.to(fresh)
-	c.actAt(c.since.Add(firstByteTimeout))
+	c.setState(stateNew)
+	c.setStateDeadline(c.stateSince.Add(firstByteTimeout))
 	c.mu.Unlock()
 	l.mu.Lock()
-	l.in[c] = true
+	l.conns[c] = true
 	l.mu.Unlock()
 	return c
 }
 
-func (l *clientListener) empty() bool {
+func (l *clientListener) shouldClose() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.leaves && len(l.in) == 0
+	return l.closesWhenEmpty && len(l.conns) == 0
 }
 
-// drain keeps no connection from here on: those at rest end at once, the others with their answers.
-func (l *clientListener) drain() {
+// startDrain keeps no connection from here on: those at rest end at once, the others with their answers.
+func (l *clientListener) startDrain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.drains = true
-	for c := range l.idle {
+	l.isDraining = true
+	for c := range l.idleSince {
 		c.retire()
 	}
-	clear(l.idle)
+	clear(l.idleSince)
 }
 
-// leave closes the listener once no client is there and none waits.
-func (l *clientListener) leave() {
+// closeWhenEmpty closes the listener once no client is there and none waits.
+func (l *clientListener) closeWhenEmpty() {
 	l.mu.Lock()
-	l.leaves = true
+	l.closesWhenEmpty = true
 	l.mu.Unlock()
-	l.tcp.SetDeadline(time.Now().Add(lastLook))
+	l.tcp.SetDeadline(time.Now().Add(finalAcceptWait))
 }
 
-// stop closes the listener.
-func (l *clientListener) stop() {
+// shutdown closes the listener.
+func (l *clientListener) shutdown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
-	case <-l.ended:
+	case <-l.closed:
 	default:
 		l.tcp.Close()
-		close(l.ended)
+		close(l.closed)
 	}
 }
 
-// silentWait: clients connect to ask. Who has said nothing for so long makes room for those who wait.
-const silentWait = 250 * time.Millisecond
+// silentConnTimeout: clients connect to ask. Who has said nothing for so long makes room for those who wait.
+const silentConnTimeout = 250 * time.Millisecond
 
-// makeRoom ends what waits for clients that have had their answer, retires those that came and said nothing, or else the one that has
+// freeConnection ends what waits for clients that have had their answer, retires those that came and said nothing, or else the one that has
 // been idle longest, and lets appliances drop what they don't use.
-func (l *clientListener) makeRoom() {
+func (l *clientListener) freeConnection() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if now.Sub(l.asked) >= upstream.TrimIdleAfter {
-		l.asked = now
-		l.core.ConnectionsExhausted()
+	if now.Sub(l.trimRequestedAt) >= upstream.TrimIdleAfter {
+		l.trimRequestedAt = now
+		l.loop.ConnectionsExhausted()
 	}
 	silent := 0
-	for c := range l.in {
+	for c := range l.conns {
 		c.mu.Lock()
-		silence, lingers := c.phase == fresh && now.Sub(c.since) >= silentWait, c.lingers && now.Sub(c.since) >= placeWait
+		silence, lingers := c.state == stateNew && now.Sub(c.stateSince) >= silentConnTimeout, c.isLingering && now.Sub(c.stateSince) >= budgetRetryInterval
 		c.mu.Unlock()
 		if lingers {
-			c.SetReadDeadline(longAgo)
+			c.SetReadDeadline(pastDeadline)
 		}
 		if lingers || silence && c.retire() {
 			silent++
 		}
 	}
 	if silent == 0 {
-		l.retireOldest()
+		l.retireLongestIdle()
 	}
-	ratelog.Warn("door", "no descriptor left for a client", "open", len(l.in), "idle", len(l.idle),
+	ratelog.Warn("door", "no descriptor left for a client", "open", len(l.conns), "idle", len(l.idleSince),
 		"silent", silent)
 }
 
-// retireOldest ends the client's connection that has been idle longest. The lock is held.
-func (l *clientListener) retireOldest() {
+// retireLongestIdle ends the client's connection that has been idle longest. The lock is held.
+func (l *clientListener) retireLongestIdle() {
 	for {
 		var oldest *clientConn
-		for c, since := range l.idle {
-			if oldest == nil || since.Before(l.idle[oldest]) {
+		for c, since := range l.idleSince {
+			if oldest == nil || since.Before(l.idleSince[oldest]) {
 				oldest = c
 			}
 		}
 		if oldest == nil {
 			return
 		}
-		delete(l.idle, oldest)
+		delete(l.idleSince, oldest)
 		if oldest.retire() {
 			return
 		}
 	}
 }
 
-// state is told by the library; a closed connection's place is free again.
-func (l *clientListener) state(nc net.Conn, s http.ConnState) {
+// connStateChanged is told by the library; a closed connection's place is free again.
+func (l *clientListener) connStateChanged(nc net.Conn, s http.ConnState) {
 	c, is := nc.(*clientConn)
 	if !is {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.idle, c)
+	delete(l.idleSince, c)
 	switch s {
 	case http.StateActive:
-		c.headRead()
+		c.headReceived()
 	case http.StateIdle:
-		c.rests()
-		if l.drains {
+		c.becomeIdle()
+		if l.isDraining {
 			c.retire()
 			return
 		}
-		if l.idle[c] = time.Now(); len(l.idle) > l.purse.MaxIdleClients() {
-			l.retireOldest()
+		if l.idleSince[c] = time.Now(); len(l.idleSince) > l.budget.MaxIdleClients() {
+			l.retireLongestIdle()
 		}
 	case http.StateClosed, http.StateHijacked:
-		if l.in[c] {
-			delete(l.in, c)
-			l.purse.Release(1, 0)
+		if l.conns[c] {
+			delete(l.conns, c)
+			l.budget.Release(1, 0)
 		}
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -28,55 +28,55 @@
 
 // Proxy serves clients.
 type Proxy struct {
-	core   *agent.Loop
-	count  *counter
-	lastID atomic.Uint64
-	open   atomic.Int64
-	most   int // open txns that are told
+	loop            *agent.Loop
+	reader          *requestReader
+	lastRequestID   atomic.Uint64
+	openRequests    atomic.Int64
+	maxOpenRequests int // open txns that are told
 	// holdOff is the longest wait that clients follow, 0 where they are not told any
-	holdOff policy.Micros
-	purse   *connlimit.Budget
-	server  *http.Server
-	clients *clientListener
-	gate    *AdmissionGate // nil: no door
-	who     ClientKey
-	drains  atomic.Bool
-	until   time.Time     // of the drain; set before drains
-	giveUp  chan struct{} // closed when the drain has run out
-	ids     ids
+	maxRetryAfter policy.Micros
+	budget        *connlimit.Budget
+	server        *http.Server
+	listener      *clientListener
+	gate          *AdmissionGate // nil: no door
+	clientKey     ClientKey
+	isDraining    atomic.Bool
+	drainDeadline time.Time     // of the drain; set before drains
+	drainExpired  chan struct{} // closed when the drain has run out
+	requestIDs    requestIDSet
 }
 
-// exchangeWait bounds the answers to what is no txn, and how old a request can be that waits in the system; a txn's answer has a bound of
+// exchangeTimeout bounds the answers to what is no txn, and how old a request can be that waits in the system; a txn's answer has a bound of
 // its own.
-const exchangeWait = time.Minute
+const exchangeTimeout = time.Minute
 
-// ids are those of the open txns. A second request under one of them would be a copy to an appliance, and could be
+// requestIDSet are those of the open txns. A second request under one of them would be a copy to an appliance, and could be
 // handed the other's answer.
-type ids struct {
-	mu   sync.Mutex
-	open map[string]bool
+type requestIDSet struct {
+	mu       sync.Mutex
+	reserved map[string]bool
 }
 
-func (i *ids) take(id string) bool {
+func (i *requestIDSet) reserve(id string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.open[id] {
+	if i.reserved[id] {
 		return false
 	}
-	i.open[id] = true
+	i.reserved[id] = true
 	return true
 }
 
-func (i *ids) free(id string) {
+func (i *requestIDSet) release(id string) {
 	i.mu.Lock()
-	delete(i.open, id)
+	delete(i.reserved, id)
 	i.mu.Unlock()
 }
 
-// grumble takes what the standard library would log, one line a second: clients can cause any number.
-type grumble struct{}
+// errorLogWriter takes what the standard library would log, one line a second: clients can cause any number.
+type errorLogWriter struct{}
 
-func (grumble) Write(line []byte) (int, error) {
+func (errorLogWriter) Write(line []byte) (int, error) {
 	ratelog.Warn("server", "clients' server", "says", strings.TrimSpace(string(line)))
 	return len(line), nil
 }
@@ -90,27 +90,27 @@
 
 	most int, holdOff time.Duration, purse *connlimit.Budget, first uint64,
 ) *Proxy {
-	f := &Proxy{core: core, most: most, holdOff: holdOff.Microseconds(), purse: purse, count: &counter{names, effects, expiry, customers}}
-	f.ids.open = map[string]bool{}
-	f.giveUp = make(chan struct{})
-	f.lastID.Store(first)
-	quiet := log.New(grumble{}, "", 0)
+	f := &Proxy{loop: core, maxOpenRequests: most, maxRetryAfter: holdOff.Microseconds(), budget: purse, reader: &requestReader{names, effects, expiry, customers}}
+	f.requestIDs.reserved = map[string]bool{}
+	f.drainExpired = make(chan struct{})
+	f.lastRequestID.Store(first)
+	quiet := log.New(errorLogWriter{}, "", 0)
 	proxy := &httputil.ReverseProxy{
 		Transport: f, ErrorLog: quiet, ErrorHandler: f.failed,
-		Rewrite: func(r *httputil.ProxyRequest) { r.Out.Host = r.In.Host }, BufferPool: &buffers{},
+		Rewrite: func(r *httputil.ProxyRequest) { r.Out.Host = r.In.Host }, BufferPool: &bufferPool{},
 		ModifyResponse: func(r *http.Response) error {
-			if f.clients.waits.CompareAndSwap(true, false) || f.drains.Load() {
+			if f.listener.isClientWaiting.CompareAndSwap(true, false) || f.isDraining.Load() {
 				r.Header.Set("Connection", "close")
 			}
 			return nil
 		},
 	}
-	f.clients = newClientListener(core, purse)
+	f.listener = newClientListener(core, purse)
 	f.server = &http.Server{
-		ErrorLog: quiet, WriteTimeout: exchangeWait, MaxHeaderBytes: protocol.HeadLimit, ConnState: f.clients.state,
+		ErrorLog: quiet, WriteTimeout: exchangeTimeout, MaxHeaderBytes: protocol.HeadLimit, ConnState: f.listener.connStateChanged,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if f.drains.Load() {
+			if f.isDraining.Load() {
 				w.Header().Set("Connection", "close")
 			}
 			// A class may have the path's name: its requests have ids.
@@ -140,14 +140,14 @@
 }
 
 // UseAdmission puts a door before the module. It is to be called before Serve.
-func (f *Proxy) UseAdmission(gate *AdmissionGate, who ClientKey) { f.gate, f.who = gate, who }
+func (f *Proxy) UseAdmission(gate *AdmissionGate, who ClientKey) { f.gate, f.clientKey = gate, who }
 
 // client is who asks, as a number.
 func (f *Proxy) client(r *http.Request) uint64 {
-	if f.who.Header != "" {
-		return protocol.Hash64(r.Header.Get(f.who.Header))
+	if f.clientKey.Header != "" {
+		return protocol.Hash64(r.Header.Get(f.clientKey.Header))
 	}
-	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil && !f.who.Connection {
+	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil && !f.clientKey.Connection {
 		return protocol.Hash64(host)
 	}
 	return protocol.Hash64(r.RemoteAddr)
@@ -155,9 +155,9 @@
 
 type connKey struct{}
 
-// waited is how long ago a request's last byte came in, by the kernel's count: one that stood in a queue while the
+// queueDelay is how long ago a request's last byte came in, by the kernel's count: one that stood in a queue while the
 // agent was short of time or descriptors has that much less left. Where the kernel can't tell, it is none.
-func waited(r *http.Request) (ago time.Duration) {
+func queueDelay(r *http.Request) (ago time.Duration) {
 	c, is := r.Context().Value(connKey{}).(syscall.Conn)
 	if !is {
 		return 0
@@ -168,31 +168,31 @@
 	}
 	raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		if err == nil && time.Duration(info.Last_data_recv)*time.Millisecond < exchangeWait {
+		if err == nil && time.Duration(info.Last_data_recv)*time.Millisecond < exchangeTimeout {
 			ago = time.Duration(info.Last_data_recv) * time.Millisecond
 		}
 	})
 	return ago
 }
 
-// buffers lends ReverseProxy its copy buffers: an own one for each answer was a tenth of the agent's time.
-type buffers struct{ sync.Pool }
+// bufferPool lends ReverseProxy its copy buffers: an own one for each answer was a tenth of the agent's time.
+type bufferPool struct{ sync.Pool }
 
 const bufferSize = 4 << 10 // most bodies fit
 
-func (b *buffers) Get() []byte {
+func (b *bufferPool) Get() []byte {
 	if buf, is := b.Pool.Get().(*[bufferSize]byte); is {
 		return buf[:]
 	}
 	return make([]byte, bufferSize)
 }
 
-func (b *buffers) Put(buf []byte) { b.Pool.Put((*[bufferSize]byte)(buf)) }
+func (b *bufferPool) Put(buf []byte) { b.Pool.Put((*[bufferSize]byte)(buf)) }
 
 type targetKey struct{}
 
 func (f *Proxy) health(w http.ResponseWriter) {
-	if f.drains.Load() {
+	if f.isDraining.Load() {
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 		return
 	}
@@ -205,30 +205,30 @@
 	if !strings.HasPrefix(target, "/") {
 		target = r.URL.RequestURI()
 	}
-	o, bad := f.count.read(r, target)
+	o, bad := f.reader.read(r, target)
 	if bad != nil {
 		return f.turnAway(r, bad)
 	}
 	body, err := protocol.ReadBody(r.Body, r.ContentLength)
 	switch {
 	case errors.Is(err, protocol.ErrBodyTooLong):
-		return f.turnAway(r, &fault{http.StatusRequestEntityTooLarge, err.Error()})
+		return f.turnAway(r, &requestError{http.StatusRequestEntityTooLarge, err.Error()})
 	case err != nil:
 		return nil, err // the client has gone, or takes too long
 	}
 	if c, is := r.Context().Value(connKey{}).(*clientConn); is {
-		c.wholeRead()
+		c.requestReceived()
 	}
-	at := time.Now().Add(-waited(r))
-	defer f.open.Add(-1)
-	if n, most := f.open.Add(1), min(f.most, f.purse.MaxRequests()); f.gate == nil && n > int64(most) {
+	at := time.Now().Add(-queueDelay(r))
+	defer f.openRequests.Add(-1)
+	if n, most := f.openRequests.Add(1), min(f.maxOpenRequests, f.budget.MaxRequests()); f.gate == nil && n > int64(most) {
 		ratelog.Warn("open", "no room for another txn", "most", most)
 		// As over the told cap: sent back before the module has it. It is a jam, so no one should be back soon.
-		return replyResponse(agent.Reply{Rejected: true, RetryAfter: f.holdOff}, r), nil
+		return replyResponse(agent.Reply{Rejected: true, RetryAfter: f.maxRetryAfter}, r), nil
 	}
 	name := r.Header.Get("X-Request-Id")
-	if !f.ids.take(name) {
-		return f.turnAway(r, &fault{http.StatusConflict, "X-Request-Id is that of an open txn"})
+	if !f.requestIDs.reserve(name) {
+		return f.turnAway(r, &requestError{http.StatusConflict, "X-Request-Id is that of an open txn"})
 	}
 	for _, h := range protocol.HopHeaders {
 		r.Header.Del(h)
@@ -236,24 +236,24 @@
 	if r.Header.Get("User-Agent") == "" {
 		r.Header.Del("User-Agent")
 	}
-	t := agent.NewRequest(protocol.EncodeRequest(r.Method, target, r.Host, r.Header, body), at.Add(o.wait), func() { f.ids.free(name) })
-	if f.drains.Load() && t.Deadline.After(f.until) {
-		t.Deadline = f.until // nobody is there to answer it later
+	t := agent.NewRequest(protocol.EncodeRequest(r.Method, target, r.Host, r.Header, body), at.Add(o.timeout), func() { f.requestIDs.release(name) })
+	if f.isDraining.Load() && t.Deadline.After(f.drainDeadline) {
+		t.Deadline = f.drainDeadline // nobody is there to answer it later
 	}
-	id := f.lastID.Add(1)
+	id := f.lastRequestID.Add(1)
 	taken := policy.RequestArrived{
-		ID: id, Class: o.product, Tenant: o.customer, Key: o.key,
-		Deadline: f.core.Clock().At(t.Deadline), CostHint: o.work, IsRetry: o.repeat,
+		ID: id, Class: o.class, Tenant: o.tenant, Key: o.key,
+		Deadline: f.loop.Clock().At(t.Deadline), CostHint: o.costHint, IsRetry: o.isRetry,
 	}
-	leave := func() { f.core.Post(policy.RequestCancelled{RequestID: id}) }
+	leave := func() { f.loop.Post(policy.RequestCancelled{RequestID: id}) }
 	if f.gate == nil {
-		f.core.Admit(taken, t)
+		f.loop.Admit(taken, t)
 	} else {
-		taken.ArrivedAt = f.core.Clock().At(at)
-		leave = func() { f.gate.box.Put(left{id}) }
-		f.gate.box.Put(knock{admission.Arrival{
-			ID: id, Tenant: o.customer, Client: f.client(r), Class: o.product, Key: o.mark,
-			IsRetry: o.repeat, CostHint: o.work, Deadline: taken.Deadline, Bytes: len(t.Encoded.Head) + len(body),
+		taken.ArrivedAt = f.loop.Clock().At(at)
+		leave = func() { f.gate.mailbox.Put(requestCancelled{id}) }
+		f.gate.mailbox.Put(requestArrival{admission.Arrival{
+			ID: id, Tenant: o.tenant, Client: f.client(r), Class: o.class, Key: o.retryKey,
+			IsRetry: o.isRetry, CostHint: o.costHint, Deadline: taken.Deadline, Bytes: len(t.Encoded.Head) + len(body),
 		}, taken, t})
 	}
 	// Who has not taken its answer some time after it stopped waiting holds a descriptor for nothing; before, it has its time, however
@@ -273,16 +273,16 @@
 	case <-r.Context().Done():
 		leave()
 		return nil, r.Context().Err()
-	case <-f.giveUp:
+	case <-f.drainExpired:
 		leave()
 		return replyResponse(agent.Reply{}, r), nil
 	}
 }
 
 // turnAway answers what is no txn; the module never hears of it.
-func (f *Proxy) turnAway(r *http.Request, bad *fault) (*http.Response, error) {
-	ratelog.Warn("request"+strconv.Itoa(bad.status), "request turned away", "status", bad.status, "why", bad.why)
-	return respond(r, bad.status, "text/plain; charset=utf-8", []byte(bad.why+"\n")), nil
+func (f *Proxy) turnAway(r *http.Request, bad *requestError) (*http.Response, error) {
+	ratelog.Warn("request"+strconv.Itoa(bad.status), "request turned away", "status", bad.status, "why", bad.reason)
+	return respond(r, bad.status, "text/plain; charset=utf-8", []byte(bad.reason+"\n")), nil
 }
 
 // replyResponse puts a final answer into the protocol's words.
@@ -326,52 +326,52 @@
 	if err != nil {
 		return err
 	}
-	f.clients.tcp = l.(*net.TCPListener)
+	f.listener.tcp = l.(*net.TCPListener)
 	return nil
 }
 
 // Serve takes clients until Drain has ended.
 func (f *Proxy) Serve() error {
-	if err := f.server.Serve(f.clients); !errors.Is(err, net.ErrClosed) {
+	if err := f.server.Serve(f.listener); !errors.Is(err, net.ErrClosed) {
 		return err
 	}
 	return nil
 }
 
-// comeStill is the protocol's: new connections and what was on its way still come for so long after SIGTERM.
-const comeStill = 700 * time.Millisecond
+// lateArrivalWindow is the protocol's: new connections and what was on its way still come for so long after SIGTERM.
+const lateArrivalWindow = 700 * time.Millisecond
 
-// lastAnswers is how long before the end of a drain what is still open is answered: time enough to write it.
-const lastAnswers = 100 * time.Millisecond
+// finalReplyWindow is how long before the end of a drain what is still open is answered: time enough to write it.
+const finalReplyWindow = 100 * time.Millisecond
 
 // Drain takes what still comes, closes each connection with its answer, or at once where it carries no request, and returns when no client
 // is there any more. What is open when its time has nearly run out is answered then, as nobody will be there to do it later. The
 // library's own Shutdown is not used: it closes connections of which half a head has been read, and drops a request that was
 // read whole after it began, with no answer.
 func (f *Proxy) Drain(ctx context.Context) error {
-	f.until = time.Now().Add(time.Hour)
+	f.drainDeadline = time.Now().Add(time.Hour)
 	if until, is := ctx.Deadline(); is {
-		f.until = until.Add(-lastAnswers)
+		f.drainDeadline = until.Add(-finalReplyWindow)
 	}
-	f.drains.Store(true)
-	f.clients.drain()
+	f.isDraining.Store(true)
+	f.listener.startDrain()
 	if f.gate != nil {
-		f.gate.box.Put(drain{f.until})
+		f.gate.mailbox.Put(drainStarted{f.drainDeadline})
 	}
-	runsOut := time.NewTimer(time.Until(f.until))
+	runsOut := time.NewTimer(time.Until(f.drainDeadline))
 	defer runsOut.Stop()
-	still := time.NewTimer(comeStill)
+	still := time.NewTimer(lateArrivalWindow)
 	defer still.Stop()
 	for {
 		select {
 		case <-still.C:
-			f.clients.leave()
+			f.listener.closeWhenEmpty()
 		case <-runsOut.C:
-			close(f.giveUp)
-		case <-f.clients.ended:
+			close(f.drainExpired)
+		case <-f.listener.closed:
 			return nil
 		case <-ctx.Done():
-			f.clients.stop()
+			f.listener.shutdown()
 			return ctx.Err()
 		}
 	}
