--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -92,8 +92,11 @@
 	if err != nil {
 		return err
 	}
-	front := proxy.New(core, names, effects, expiry, customers, lines.MaxOpenRequests, lines.MaxRetryAfter, purse,
-		rand.New(rand.NewSource(int64(seed))).Uint64()>>12)
+	front := proxy.New(proxy.Config{
+		Loop: core, Classes: proxy.RequestClasses(names, effects, expiry), Tenants: customers,
+		MaxOpenRequests: lines.MaxOpenRequests, MaxRetryAfter: lines.MaxRetryAfter, Budget: purse,
+		LastRequestID: rand.New(rand.NewSource(int64(seed))).Uint64() >> 12,
+	})
 	var gate *proxy.AdmissionGate
 	if orders.Admission.Enabled {
 		gate = proxy.NewAdmissionGate(open(orders.Admission, goods, stalls, customers, shares, lines, ration, purse, seed), clock, core)
--- a/internal/proxy/admission_gate.go
+++ b/internal/proxy/admission_gate.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"log/slog"
 	"time"
 
 	"switchfork/internal/admission"
@@ -11,73 +10,58 @@
 	"switchfork/internal/policy"
 )
 
-// What the others put into the gate's mailbox.
-type (
-	requestArrival struct {
-		admission.Arrival
-		taken policy.RequestArrived
-		*agent.Request
-	}
-	attemptSent     struct{ id uint64 } // the module has sent it
-	requestFinished struct {
-		id     uint64
-		result admission.Result
-	}
-	requestCancelled struct{ id uint64 } // its client has gone
-	drainStarted     struct{ deadline time.Time }
-	weightsUpdate    struct{ tenants []admission.Tenant }
-	statusQuery      struct{ reply chan AdmissionStatus }
-	summaryRequest   struct{ done chan struct{} } // writes the last line of figures
+const (
+	// summaryInterval is how often the log gets a summary of the admission gate, while there is anything to report.
+	summaryInterval = 10 * time.Second
+	// idleTimerInterval is what the gate's timer is set to while the controller has set none.
+	idleTimerInterval = time.Hour
 )
 
-// AdmissionStatus is what the door has in hand and has done.
-type AdmissionStatus struct {
-	admission.Status
-	admission.Counters
-}
-
-// AdmissionGate is the door's actor.
+// AdmissionGate drives an admission controller: it holds requests back until the controller admits them to the event loop, rejects
+// them, or has them answered with the reply of the request that they repeat.
+//
+// The goroutine that runs Serve owns all its state. The other methods may be called by any goroutine.
 type AdmissionGate struct {
 	controller *admission.Controller
 	clock      agent.Clock
 	loop       *agent.Loop
-	mailbox    *mailbox.Mailbox[any]
-	waiting    map[uint64]requestArrival // at the door, not in
-	inProgress map[uint64]bool
-	lastLogged AdmissionStatus // what the log has had
+	mailbox    *mailbox.Mailbox[gateMessage]
+	waiting    map[uint64]requestArrival // not admitted yet
+	inProgress map[uint64]bool           // admitted and not finished
+	lastLogged AdmissionStatus
 }
 
-// NewAdmissionGate puts a door before the core.
-func NewAdmissionGate(d *admission.Controller, clock agent.Clock, core *agent.Loop) *AdmissionGate {
-	return &AdmissionGate{controller: d, clock: clock, loop: core, mailbox: mailbox.New[any](), waiting: map[uint64]requestArrival{}, inProgress: map[uint64]bool{}}
+// NewAdmissionGate makes a gate before an event loop.
+func NewAdmissionGate(controller *admission.Controller, clock agent.Clock, loop *agent.Loop) *AdmissionGate {
+	return &AdmissionGate{
+		controller: controller,
+		clock:      clock,
+		loop:       loop,
+		mailbox:    mailbox.New[gateMessage](),
+		waiting:    map[uint64]requestArrival{},
+		inProgress: map[uint64]bool{},
+	}
 }
 
-// summaryInterval is how often the log gets the door's figures, while anything happens there.
-const summaryInterval = 10 * time.Second
-
-// Serve empties the mailbox until the end.
+// Serve handles messages and timers until the context ends.
 func (g *AdmissionGate) Serve(ctx context.Context) {
-	timer := time.NewTimer(time.Hour)
-	figures := time.NewTicker(summaryInterval)
-	defer figures.Stop()
-	var notes []any
+	timer := time.NewTimer(idleTimerInterval)
+	summaries := time.NewTicker(summaryInterval)
+	defer summaries.Stop()
+	var messages []gateMessage
 	for {
-		wait := time.Hour
-		if next := g.controller.NextTimer(); next > 0 {
-			wait = time.Duration(next-g.clock.Now()) * time.Microsecond
-		}
-		timer.Reset(max(0, wait))
+		timer.Reset(g.untilNextTimer())
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
 		case <-g.mailbox.Ready():
-		case <-figures.C:
+		case <-summaries.C:
 			g.logSummary()
 		}
-		notes = g.mailbox.Take(notes)
-		for _, n := range notes {
-			g.handle(n)
+		messages = g.mailbox.Take(messages)
+		for _, message := range messages {
+			g.handle(message)
 		}
 		if next := g.controller.NextTimer(); next > 0 && next <= g.clock.Now() {
 			g.execute(g.controller.TimerFired(g.clock.Now()))
@@ -85,113 +69,119 @@
 	}
 }
 
-func (g *AdmissionGate) handle(n any) {
+// untilNextTimer returns how long the controller may be left alone while no message comes.
+func (g *AdmissionGate) untilNextTimer() time.Duration {
+	next := g.controller.NextTimer()
+	if next <= 0 {
+		return idleTimerInterval
+	}
+	return max(0, time.Duration(next-g.clock.Now())*time.Microsecond)
+}
+
+func (g *AdmissionGate) handle(message gateMessage) {
 	now := g.clock.Now()
-	switch n := n.(type) {
+	switch m := message.(type) {
 	case requestArrival:
-		g.waiting[n.ID] = n
-		g.execute(g.controller.Arrive(now, n.Arrival))
+		g.waiting[m.arrival.ID] = m
+		g.execute(g.controller.Arrive(now, m.arrival))
 	case attemptSent:
-		g.execute(g.controller.AttemptSent(now, n.id))
+		g.execute(g.controller.AttemptSent(now, m.id))
 	case requestFinished:
-		delete(g.inProgress, n.id)
-		g.execute(g.controller.Finish(now, n.id, n.result))
+		delete(g.inProgress, m.id)
+		g.execute(g.controller.Finish(now, m.id, m.result))
 	case requestCancelled:
-		if g.inProgress[n.id] { // the core tells when nothing of it is out any more
-			g.loop.Post(policy.RequestCancelled{RequestID: n.id})
-			return
-		}
-		g.forget(n.id)
-		g.execute(g.controller.Abandon(now, n.id))
+		g.cancel(now, m.id)
 	case drainStarted:
-		g.execute(g.controller.Drain(now, g.clock.At(n.deadline)))
+		g.execute(g.controller.Drain(now, g.clock.At(m.deadline)))
 	case weightsUpdate:
-		g.controller.SetWeights(n.tenants)
+		g.controller.SetWeights(m.tenants)
 	case summaryRequest:
 		g.logSummary()
-		close(n.done)
+		close(m.done)
 	case statusQuery:
-		n.reply <- AdmissionStatus{g.controller.Status(), g.controller.Counters}
+		m.reply <- g.status()
 	}
 }
 
-func (g *AdmissionGate) forget(id uint64) (k requestArrival, was bool) {
-	if k, was = g.waiting[id]; was {
-		delete(g.waiting, id)
-		if k.OnDone != nil {
-			k.OnDone()
-		}
+// cancel takes a request back. The event loop reports an admitted one as finished when nothing of it is in flight any more.
+func (g *AdmissionGate) cancel(now policy.Micros, id uint64) {
+	if g.inProgress[id] {
+		g.loop.Post(policy.RequestCancelled{RequestID: id})
+		return
 	}
-	return k, was
+	g.remove(id)
+	g.execute(g.controller.Abandon(now, id))
 }
 
-func (g *AdmissionGate) execute(orders []admission.Command) {
-	for _, o := range orders {
-		switch o.Kind {
+// execute carries the controller's commands out.
+func (g *AdmissionGate) execute(commands []admission.Command) {
+	for _, command := range commands {
+		switch command.Kind {
 		case admission.Admit:
-			k := g.waiting[o.ID]
-			delete(g.waiting, o.ID)
-			g.inProgress[o.ID] = true
-			id, free := o.ID, k.OnDone
-			k.OnFirstAttempt = func() { g.mailbox.Put(attemptSent{id}) }
-			k.OnDone = func() {
-				if free != nil {
-					free()
-				}
-				g.mailbox.Put(requestFinished{id, k.Request.Result()})
-			}
-			g.loop.Admit(k.taken, k.Request)
+			g.admit(command.ID)
 		case admission.Reject:
-			if k, was := g.forget(o.ID); was {
-				k.Deliver(agent.Reply{Rejected: true, RetryAfter: o.RetryAfter})
+			if rejected, ok := g.remove(command.ID); ok {
+				rejected.request.Deliver(agent.Reply{Rejected: true, RetryAfter: command.RetryAfter})
 			}
 		case admission.Coalesce:
-			if k, was := g.forget(o.ID); was {
-				g.loop.Coalesce(o.LeaderID, k.Request)
+			if retry, ok := g.remove(command.ID); ok {
+				g.loop.Coalesce(command.LeaderID, retry.request)
 			}
 		}
 	}
 }
 
-// logSummary writes a line of figures where anything has happened since the last.
-func (g *AdmissionGate) logSummary() {
-	now := AdmissionStatus{g.controller.Status(), g.controller.Counters}
-	if now.Arrived != g.lastLogged.Arrived || now.Waiting > 0 {
-		writeSummary(now, g.lastLogged)
+// admit hands a request to the event loop, which reports back its first attempt and its end.
+func (g *AdmissionGate) admit(id uint64) {
+	admitted := g.waiting[id]
+	delete(g.waiting, id)
+	g.inProgress[id] = true
+	request, onDone := admitted.request, admitted.request.OnDone
+	request.OnFirstAttempt = func() { g.mailbox.Put(attemptSent{id}) }
+	request.OnDone = func() {
+		if onDone != nil {
+			onDone()
+		}
+		g.mailbox.Put(requestFinished{id, request.Result()})
 	}
-	g.lastLogged = now
+	g.loop.Admit(admitted.event, request)
 }
 
-// Close writes the last figures.
-func (g *AdmissionGate) Close(ctx context.Context) {
-	done := make(chan struct{})
-	g.mailbox.Put(summaryRequest{done})
-	select {
-	case <-done:
-	case <-ctx.Done():
+// remove takes a request off those that wait, and reports whether it was one of them.
+func (g *AdmissionGate) remove(id uint64) (removed requestArrival, ok bool) {
+	removed, ok = g.waiting[id]
+	if !ok {
+		return removed, false
 	}
+	delete(g.waiting, id)
+	if removed.request.OnDone != nil {
+		removed.request.OnDone()
+	}
+	return removed, true
 }
 
-// Status asks for what is in hand.
-func (g *AdmissionGate) Status(ctx context.Context) (s AdmissionStatus) {
-	answer := make(chan AdmissionStatus, 1)
-	g.mailbox.Put(statusQuery{answer})
+// Status returns the gate's status, or an empty one where the context ends first.
+func (g *AdmissionGate) Status(ctx context.Context) (status AdmissionStatus) {
+	reply := make(chan AdmissionStatus, 1)
+	g.mailbox.Put(statusQuery{reply})
 	select {
-	case s = <-answer:
+	case status = <-reply:
 	case <-ctx.Done():
 	}
-	return s
+	return status
 }
 
-// SetWeights puts other weights in force.
-func (g *AdmissionGate) SetWeights(shares []admission.Tenant) { g.mailbox.Put(weightsUpdate{shares}) }
+// SetWeights puts other weights of the tenants in force.
+func (g *AdmissionGate) SetWeights(tenants []admission.Tenant) {
+	g.mailbox.Put(weightsUpdate{tenants})
+}
 
-// writeSummary writes the door's figures: levels as they are, counts since the last line.
-func writeSummary(now, last AdmissionStatus) {
-	slog.Info("door", "in", now.InProgress, "limit", int(now.Limit), "waiting", now.Waiting, "kib", now.Bytes>>10,
-		"arrived", now.Arrived-last.Arrived, "admitted", now.Admitted-last.Admitted, "joined", now.Rejoined-last.Rejoined,
-		"toolate", now.Rejected[admission.TooLate]-last.Rejected[admission.TooLate], "noroom", now.Rejected[admission.NoCapacity]-last.Rejected[admission.NoCapacity],
-		"promised", now.Reserved-last.Reserved, "kept", now.ReservationsHonored-last.ReservationsHonored, "broken", now.ReservationsMissed-last.ReservationsMissed,
-		"unclaimed", now.ReservationsUnclaimed-last.ReservationsUnclaimed, "settled", now.Finished[admission.Succeeded]-last.Finished[admission.Succeeded],
-		"declined", now.Finished[admission.Rejected]-last.Finished[admission.Rejected], "voided", now.Finished[admission.Failed]-last.Finished[admission.Failed])
+// Close writes the last summary to the log.
+func (g *AdmissionGate) Close(ctx context.Context) {
+	done := make(chan struct{})
+	g.mailbox.Put(summaryRequest{done})
+	select {
+	case <-done:
+	case <-ctx.Done():
+	}
 }
--- a/internal/proxy/admission_gate_test.go
+++ b/internal/proxy/admission_gate_test.go
@@ -33,9 +33,9 @@
 	o := agent.NewRequest(agenttest.Posting, time.Now().Add(agenttest.Patience), nil)
 	expires := g.gate.clock.At(o.Deadline)
 	g.gate.mailbox.Put(requestArrival{
-		admission.Arrival{ID: id, Client: id, Key: key, Deadline: expires, Bytes: 100},
-		policy.RequestArrived{ID: id, Key: key, Deadline: expires},
-		o,
+		arrival: admission.Arrival{ID: id, Client: id, Key: key, Deadline: expires, Bytes: 100},
+		event:   policy.RequestArrived{ID: id, Key: key, Deadline: expires},
+		request: o,
 	})
 	return o.Replies()
 }
--- /dev/null
+++ b/internal/proxy/admission_summary.go
@@ -0,0 +1,49 @@
+package proxy
+
+import (
+	"log/slog"
+
+	"switchfork/internal/admission"
+)
+
+// AdmissionStatus is what an admission gate holds and has done.
+type AdmissionStatus struct {
+	admission.Status
+	admission.Counters
+}
+
+// status returns the controller's state. Only the goroutine that runs Serve may call it.
+func (g *AdmissionGate) status() AdmissionStatus {
+	return AdmissionStatus{g.controller.Status(), g.controller.Counters}
+}
+
+// logSummary writes a summary to the log if anything has happened since the last one.
+func (g *AdmissionGate) logSummary() {
+	now := g.status()
+	if now.Arrived != g.lastLogged.Arrived || now.Waiting > 0 {
+		writeSummary(now, g.lastLogged)
+	}
+	g.lastLogged = now
+}
+
+// writeSummary logs gauges as they are, and counters as their increase since the last summary.
+func writeSummary(now, last AdmissionStatus) {
+	slog.Info("door",
+		"in", now.InProgress,
+		"limit", int(now.Limit),
+		"waiting", now.Waiting,
+		"kib", now.Bytes>>10,
+		"arrived", now.Arrived-last.Arrived,
+		"admitted", now.Admitted-last.Admitted,
+		"joined", now.Rejoined-last.Rejoined,
+		"toolate", now.Rejected[admission.TooLate]-last.Rejected[admission.TooLate],
+		"noroom", now.Rejected[admission.NoCapacity]-last.Rejected[admission.NoCapacity],
+		"promised", now.Reserved-last.Reserved,
+		"kept", now.ReservationsHonored-last.ReservationsHonored,
+		"broken", now.ReservationsMissed-last.ReservationsMissed,
+		"unclaimed", now.ReservationsUnclaimed-last.ReservationsUnclaimed,
+		"settled", now.Finished[admission.Succeeded]-last.Finished[admission.Succeeded],
+		"declined", now.Finished[admission.Rejected]-last.Finished[admission.Rejected],
+		"voided", now.Finished[admission.Failed]-last.Finished[admission.Failed],
+	)
+}
--- /dev/null
+++ b/internal/proxy/client_conn.go
@@ -0,0 +1,157 @@
+package proxy
+
+import (
+	"errors"
+	"io"
+	"net"
+	"os"
+	"sync"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	// defaultLingerTimeout is how long a connection that ends with a response stays half open for the client to close it. A connection
+	// that is closed with bytes unread is reset by the system, and the reset may overtake the response. http.Server waits as long after
+	// its response to a head that is too long.
+	defaultLingerTimeout = 500 * time.Millisecond
+	// readAheadLimit bounds what is kept of bytes that come before the response to the last request.
+	readAheadLimit = 4 << 10
+	// readAheadChunk is how much of them is read at a time.
+	readAheadChunk = 256
+)
+
+// clientConn is a client's connection. Whether it carries a request is known in the moment of the read: bytes are taken from the system
+// and the state is changed under one lock, so that no byte has been read from a connection that is retired.
+type clientConn struct {
+	*net.TCPConn
+	raw      syscall.RawConn
+	listener *clientListener
+
+	mu            sync.Mutex
+	state         connState
+	stateSince    time.Time
+	requestStart  time.Time // when the first byte of the request was read
+	stateDeadline time.Time // when stateTimer is to act; zero: not at all
+	stateTimer    *time.Timer
+	timedOut      bool   // the request took too long
+	readAhead     []byte // bytes that the client sent before the response to its last request
+	hasWritten    bool   // something was written since the connection was last idle
+	isLingering   bool   // half closed, and waiting for the client to close
+}
+
+// ReadFrom keeps net/http from handing the descriptor to the kernel for copying, which would bypass Write.
+func (c *clientConn) ReadFrom(r io.Reader) (int64, error) {
+	return io.Copy(struct{ io.Writer }{c}, r)
+}
+
+// Read reads bytes and changes the state in one step. While a request awaits its reply, Read keeps what comes and goes on reading:
+// net/http detects a disconnection with a read of one byte, and would see nothing behind a byte that came too early.
+func (c *clientConn) Read(b []byte) (n int, err error) {
+	if len(b) == 0 {
+		return 0, nil
+	}
+	pollErr := c.raw.Read(func(fd uintptr) (isDone bool) {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		n, isDone, err = c.readAvailable(int(fd), b)
+		return isDone
+	})
+	if pollErr == nil {
+		return n, err
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.state == stateRetired {
+		return 0, io.EOF
+	}
+	return 0, pollErr
+}
+
+// readAvailable reads without waiting. It reports whether Read is done, and not to be called again when more has come. The lock is held.
+func (c *clientConn) readAvailable(fd int, b []byte) (n int, isDone bool, err error) {
+	for {
+		keepsBytes := c.state == stateAwaiting || len(b) == 1
+		switch {
+		case c.state == stateRetired:
+			return 0, true, io.EOF
+		case c.timedOut:
+			return 0, true, os.ErrDeadlineExceeded
+		case len(c.readAhead) > 0 && (!keepsBytes || len(c.readAhead) >= readAheadLimit):
+			n = copy(b, c.readAhead)
+			c.readAhead = c.readAhead[n:]
+			c.startReading()
+			return n, true, nil
+		}
+		buffer := b
+		if keepsBytes {
+			buffer = make([]byte, readAheadChunk)
+		}
+		n, err = unix.Read(fd, buffer)
+		switch {
+		case errors.Is(err, unix.EINTR):
+		case errors.Is(err, unix.EAGAIN):
+			return 0, false, nil
+		case err != nil:
+			return 0, true, c.readError(err)
+		case n == 0:
+			return 0, true, io.EOF
+		case keepsBytes:
+			c.readAhead = append(c.readAhead, buffer[:n]...)
+		default:
+			c.startReading()
+			return n, true, nil
+		}
+	}
+}
+
+// readError wraps an error of the read system call as package net does.
+func (c *clientConn) readError(err error) error {
+	return &net.OpError{
+		Op:     "read",
+		Net:    "tcp",
+		Source: c.LocalAddr(),
+		Addr:   c.RemoteAddr(),
+		Err:    os.NewSyscallError("read", err),
+	}
+}
+
+// Write writes to the client.
+func (c *clientConn) Write(b []byte) (int, error) {
+	c.mu.Lock()
+	c.hasWritten = true
+	c.mu.Unlock()
+	return c.TCPConn.Write(b)
+}
+
+// Close ends a connection. Where something was written that the client may not have read yet, the connection is half closed first, until
+// the client closes it too, the linger timeout is over, or another client needs its descriptor.
+func (c *clientConn) Close() error {
+	c.mu.Lock()
+	if c.stateTimer != nil {
+		c.stateTimer.Stop()
+	}
+	c.stateDeadline = time.Time{}
+	c.isLingering = c.hasWritten && !c.isLingering
+	c.setState(stateRetired)
+	isLingering := c.isLingering
+	c.mu.Unlock()
+	if isLingering && c.CloseWrite() == nil {
+		c.setReadDeadline(time.Now().Add(c.listener.lingerTimeout))
+		c.waitForClose()
+	}
+	return c.TCPConn.Close()
+}
+
+// waitForClose waits for the client to close its side, or for the read deadline.
+func (c *clientConn) waitForClose() {
+	// An error is the deadline's, and the connection is closed in any case.
+	_ = c.raw.Read(func(fd uintptr) (isDone bool) {
+		var first [1]byte
+		n, _, err := unix.Recvfrom(int(fd), first[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		// Bytes behind the request stay unread, as they are no part of anything that was accepted.
+		return n == 0 && err == nil || err != nil && !errors.Is(err, unix.EAGAIN) && !errors.Is(err, unix.EINTR)
+	})
+}
--- /dev/null
+++ b/internal/proxy/conn_state.go
@@ -0,0 +1,145 @@
+package proxy
+
+import (
+	"time"
+
+	"switchfork/internal/tcpconn"
+)
+
+// connState is where a client's connection stands. docs/design.md has a drawing of the transitions.
+type connState int
+
+const (
+	stateNew      connState = iota // accepted, and nothing of a request has been read
+	stateIdle                      // all requests that were read have been answered
+	stateReading                   // at least a byte of a request has been read
+	stateAwaiting                  // a request has been read whole and waits for its reply
+	stateRetired                   // nothing more is read; the connection is about to be closed
+)
+
+// A connection that is silent, or has sent half of something, has to be closed within 3 s. The timeouts are well inside that.
+const (
+	firstByteTimeout = 1500 * time.Millisecond // from accepting the connection to the first byte
+	headTimeout      = 1500 * time.Millisecond // from the first byte of a request to the end of its head
+	requestTimeout   = 2 * time.Second         // from the first byte of a request to the end of its body
+)
+
+// IdleTimeout is how long a connection is kept without a request. The protocol sets it as the time after which such a connection may be
+// closed; keeping it no longer frees the descriptors of clients that ask once and stay.
+const IdleTimeout = 2 * time.Second
+
+// pastDeadline is a deadline that ends a pending read at once.
+var pastDeadline = time.Unix(1, 0)
+
+// setState changes the state. The lock is held.
+func (c *clientConn) setState(state connState) {
+	c.state = state
+	c.stateSince = time.Now()
+}
+
+// setStateDeadline sets the time at which the present state has lasted too long. The lock is held.
+func (c *clientConn) setStateDeadline(deadline time.Time) {
+	c.stateDeadline = deadline
+	if c.stateTimer == nil {
+		c.stateTimer = time.AfterFunc(time.Until(deadline), c.stateDeadlinePassed)
+	} else {
+		c.stateTimer.Reset(time.Until(deadline))
+	}
+}
+
+// startReading notes that bytes of a request have been read. The lock is held.
+func (c *clientConn) startReading() {
+	if c.state == stateNew || c.state == stateIdle {
+		c.startRequest()
+		c.setStateDeadline(c.requestStart.Add(headTimeout))
+	}
+}
+
+// startRequest enters stateReading at the start of a request. The lock is held.
+func (c *clientConn) startRequest() {
+	c.setState(stateReading)
+	c.requestStart = c.stateSince
+}
+
+// headReceived is called when net/http has read a request's head. A retired connection of which it had a whole request buffered is
+// served after all.
+func (c *clientConn) headReceived() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.state != stateReading {
+		c.startRequest()
+	}
+	c.clearTimeout()
+	c.setStateDeadline(c.requestStart.Add(requestTimeout))
+}
+
+// clearTimeout takes a timeout back, as what net/http has buffered came in time after all. The timer may find a state to have lasted too
+// long, or the listener may retire the connection, when the bytes that end that state have been read and net/http has not said so yet.
+// Its next read would fail then, which it takes for the client's disconnection, and a request that was accepted would have no reply. The
+// lock is held.
+func (c *clientConn) clearTimeout() {
+	c.timedOut = false
+	c.setReadDeadline(time.Time{})
+}
+
+// requestReceived is called when a request has been read whole. What it waits for now has no bound here.
+func (c *clientConn) requestReceived() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.setState(stateAwaiting)
+	c.clearTimeout()
+	c.stateDeadline = time.Time{}
+	if c.stateTimer != nil {
+		c.stateTimer.Stop()
+	}
+}
+
+// becomeIdle is called when net/http has written a response. What the client sent before that is the start of its next request.
+func (c *clientConn) becomeIdle() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.hasWritten = false
+	c.setState(stateIdle)
+	if len(c.readAhead) > 0 {
+		c.startReading()
+		return
+	}
+	c.setStateDeadline(c.stateSince.Add(IdleTimeout))
+}
+
+// stateDeadlinePassed is called by the timer. It ends a state that has lasted too long.
+func (c *clientConn) stateDeadlinePassed() {
+	c.mu.Lock()
+	isStale := c.stateDeadline.IsZero() || time.Now().Before(c.stateDeadline) // the deadline has been moved since the timer fired
+	if !isStale && c.state == stateReading {
+		c.timedOut = true
+		c.setReadDeadline(pastDeadline)
+	}
+	isUnused := !isStale && (c.state == stateNew || c.state == stateIdle)
+	if isUnused && !tcpconn.IsQuiet(c.TCPConn) { // its reader is about to find a byte
+		c.setStateDeadline(time.Now().Add(headTimeout))
+		isUnused = false
+	}
+	c.mu.Unlock()
+	if isUnused {
+		c.retire()
+	}
+}
+
+// retire ends a connection that carries no request, and reports whether it did. A connection with unread bytes is left alone. Bytes that
+// come after that look cross the close: they stay unread, so that the client knows that it may send them again.
+func (c *clientConn) retire() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.state != stateNew && c.state != stateIdle || !tcpconn.IsQuiet(c.TCPConn) {
+		return false
+	}
+	c.setState(stateRetired)
+	c.setReadDeadline(pastDeadline)
+	return true
+}
+
+// setReadDeadline sets the deadline of pending and later reads.
+func (c *clientConn) setReadDeadline(deadline time.Time) {
+	_ = c.SetReadDeadline(deadline) // fails only where the connection is closed, and then there is no read to end
+}
--- /dev/null
+++ b/internal/proxy/drain.go
@@ -0,0 +1,48 @@
+package proxy
+
+import (
+	"context"
+	"time"
+)
+
+const (
+	// lateArrivalWindow is set by the protocol: new connections and requests on their way still arrive for so long after SIGTERM.
+	lateArrivalWindow = 700 * time.Millisecond
+	// finalReplyWindow is how long before the end of a drain open requests are answered: time enough to write the responses.
+	finalReplyWindow = 100 * time.Millisecond
+	// unboundedDrain stands in for the deadline of a drain whose context has none.
+	unboundedDrain = time.Hour
+)
+
+// Drain serves what still arrives, closes each connection with its response, or at once where it carries no request, and returns when no
+// client is connected any more. Requests that are open when its time has nearly run out are answered then, as nobody will be there to
+// answer them later. http.Server.Shutdown is not used: it closes connections of which half a head has been read, and drops without an
+// answer a request that was read whole after it began.
+func (p *Proxy) Drain(ctx context.Context) error {
+	p.drainDeadline = time.Now().Add(unboundedDrain)
+	if deadline, ok := ctx.Deadline(); ok {
+		p.drainDeadline = deadline.Add(-finalReplyWindow)
+	}
+	p.isDraining.Store(true)
+	p.listener.startDrain()
+	if p.gate != nil {
+		p.gate.mailbox.Put(drainStarted{p.drainDeadline})
+	}
+	deadlineTimer := time.NewTimer(time.Until(p.drainDeadline))
+	defer deadlineTimer.Stop()
+	lateArrivals := time.NewTimer(lateArrivalWindow)
+	defer lateArrivals.Stop()
+	for {
+		select {
+		case <-lateArrivals.C:
+			p.listener.closeWhenEmpty()
+		case <-deadlineTimer.C:
+			close(p.drainExpired)
+		case <-p.listener.closed:
+			return nil
+		case <-ctx.Done():
+			p.listener.shutdown()
+			return ctx.Err()
+		}
+	}
+}
--- /dev/null
+++ b/internal/proxy/errorlog.go
@@ -0,0 +1,19 @@
+package proxy
+
+import (
+	"log"
+	"strings"
+
+	"switchfork/internal/ratelog"
+)
+
+// errorLogWriter takes what net/http logs and passes on one line a second, since clients can cause any number of them.
+type errorLogWriter struct{}
+
+func newErrorLog() *log.Logger { return log.New(errorLogWriter{}, "", 0) }
+
+// Write logs one line.
+func (errorLogWriter) Write(text []byte) (int, error) {
+	ratelog.Warn("server", "clients' server", "says", strings.TrimSpace(string(text)))
+	return len(text), nil
+}
--- /dev/null
+++ b/internal/proxy/gate_messages.go
@@ -0,0 +1,52 @@
+package proxy
+
+import (
+	"time"
+
+	"switchfork/internal/admission"
+	"switchfork/internal/agent"
+	"switchfork/internal/policy"
+)
+
+// gateMessage is a message in the mailbox of an AdmissionGate.
+type gateMessage interface{ isGateMessage() }
+
+// requestArrival asks for a request to be admitted.
+type requestArrival struct {
+	arrival admission.Arrival
+	event   policy.RequestArrived // for the router, once the request is admitted
+	request *agent.Request
+}
+
+// attemptSent reports the first attempt of a request.
+type attemptSent struct{ id uint64 }
+
+// requestFinished reports that an admitted request has its reply and nothing of it is in flight.
+type requestFinished struct {
+	id     uint64
+	result admission.Result
+}
+
+// requestCancelled reports that the client of a request has gone, or that nobody waits for its reply any more.
+type requestCancelled struct{ id uint64 }
+
+// drainStarted announces that no request can be answered after a deadline.
+type drainStarted struct{ deadline time.Time }
+
+// weightsUpdate puts other weights of the tenants in force.
+type weightsUpdate struct{ tenants []admission.Tenant }
+
+// statusQuery asks for the gate's status.
+type statusQuery struct{ reply chan<- AdmissionStatus }
+
+// summaryRequest asks for a summary in the log; done is closed when it is written.
+type summaryRequest struct{ done chan<- struct{} }
+
+func (requestArrival) isGateMessage()   {}
+func (attemptSent) isGateMessage()      {}
+func (requestFinished) isGateMessage()  {}
+func (requestCancelled) isGateMessage() {}
+func (drainStarted) isGateMessage()     {}
+func (weightsUpdate) isGateMessage()    {}
+func (statusQuery) isGateMessage()      {}
+func (summaryRequest) isGateMessage()   {}
--- /dev/null
+++ b/internal/proxy/handler.go
@@ -0,0 +1,98 @@
+package proxy
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httputil"
+
+	"switchfork/internal/protocol"
+	"switchfork/internal/ratelog"
+)
+
+// healthPath is the path of the health endpoint.
+const healthPath = "/_health"
+
+// Keys of the values that a request's context carries.
+type (
+	connKey   struct{} // the net.Conn that the request came on
+	targetKey struct{} // its path and query as they were sent
+)
+
+// newServer makes the HTTP server that reads requests and writes responses.
+func (p *Proxy) newServer() *http.Server {
+	errorLog := newErrorLog()
+	reverseProxy := &httputil.ReverseProxy{
+		Transport:      p,
+		ErrorLog:       errorLog,
+		ErrorHandler:   p.handleReadError,
+		Rewrite:        func(r *httputil.ProxyRequest) { r.Out.Host = r.In.Host },
+		BufferPool:     &bufferPool{},
+		ModifyResponse: p.closeConnIfNeeded,
+	}
+	return &http.Server{
+		ErrorLog:       errorLog,
+		WriteTimeout:   exchangeTimeout,
+		MaxHeaderBytes: protocol.HeadLimit,
+		ConnState:      p.listener.connStateChanged,
+		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
+			return context.WithValue(ctx, connKey{}, conn)
+		},
+		Handler: p.newHandler(reverseProxy),
+	}
+}
+
+// newHandler answers health checks and what no request may look like, and hands all else on.
+func (p *Proxy) newHandler(next http.Handler) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if p.isDraining.Load() {
+			w.Header().Set("Connection", "close")
+		}
+		// A request class may have the path's name: its requests have ids.
+		if r.URL.Path == healthPath && r.Header.Get(requestIDHeader) == "" {
+			p.serveHealth(w)
+			return
+		}
+		if len(r.TransferEncoding) > 0 {
+			rejectTransferEncoding(w)
+			return
+		}
+		// The target goes on as it was sent, also where ReverseProxy would clean it.
+		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), targetKey{}, r.RequestURI)))
+	})
+}
+
+func (p *Proxy) serveHealth(w http.ResponseWriter) {
+	if p.isDraining.Load() {
+		http.Error(w, "draining", http.StatusServiceUnavailable)
+		return
+	}
+	_, _ = io.WriteString(w, "ok\n") // fails only where the client has gone
+}
+
+// rejectTransferEncoding answers a body without a length and closes the connection. Clients of the protocol send lengths. Where a request
+// has both, net/http follows the chunks and drops the length, and what another reader takes for the rest of the body would pass as the
+// next request; so nothing behind it is read.
+func rejectTransferEncoding(w http.ResponseWriter) {
+	w.Header().Set("Connection", "close")
+	http.Error(w, "a body needs a Content-Length and no Transfer-Encoding", http.StatusLengthRequired)
+	ratelog.Warn("request411", "request turned away", "status", http.StatusLengthRequired)
+}
+
+// closeConnIfNeeded has a response end its connection during a drain, and once for each client that waits for a descriptor.
+func (p *Proxy) closeConnIfNeeded(response *http.Response) error {
+	if p.listener.isClientWaiting.CompareAndSwap(true, false) || p.isDraining.Load() {
+		response.Header.Set("Connection", "close")
+	}
+	return nil
+}
+
+// handleReadError is called for a client that went away, or whose body could not be read.
+func (p *Proxy) handleReadError(w http.ResponseWriter, r *http.Request, err error) {
+	if r.Context().Err() == nil {
+		ratelog.Warn("body", "request not read", "err", err)
+	}
+	w.Header().Set("Connection", "close")
+	w.WriteHeader(http.StatusBadRequest)
+}
--- a/internal/proxy/listener_test.go
+++ b/internal/proxy/listener_test.go
@@ -58,8 +58,17 @@
 		}
 		return nil
 	})
-	s.proxy = New(s.Loop, []string{"lookup", "posting", "_health"}, []policy.Idempotency{policy.Idempotent, policy.Keyed, policy.Idempotent},
-		[]time.Duration{agenttest.Patience, agenttest.Patience, agenttest.Patience}, nil, 1000, 0, s.budget, 1)
+	s.proxy = New(Config{
+		Loop: s.Loop,
+		Classes: []RequestClass{
+			{Name: "lookup", Idempotency: policy.Idempotent, Timeout: agenttest.Patience},
+			{Name: "posting", Idempotency: policy.Keyed, Timeout: agenttest.Patience},
+			{Name: "_health", Idempotency: policy.Idempotent, Timeout: agenttest.Patience},
+		},
+		MaxOpenRequests: 1000,
+		Budget:          s.budget,
+		LastRequestID:   1,
+	})
 	s.proxy.listener.lingerTimeout = lingers
 	if err := s.proxy.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/proxy/round_trip.go
@@ -0,0 +1,152 @@
+package proxy
+
+import (
+	"errors"
+	"net"
+	"net/http"
+	"strings"
+	"time"
+
+	"switchfork/internal/admission"
+	"switchfork/internal/agent"
+	"switchfork/internal/policy"
+	"switchfork/internal/protocol"
+	"switchfork/internal/ratelog"
+)
+
+// RoundTrip hands a request to the event loop and waits for its final reply. It implements http.RoundTripper.
+func (p *Proxy) RoundTrip(r *http.Request) (*http.Response, error) {
+	received, err := p.receive(r)
+	if err != nil {
+		return errorResponse(r, err)
+	}
+	receivedAt := time.Now().Add(-queueDelay(r))
+	defer p.openRequests.Add(-1)
+	if open, limit := p.openRequests.Add(1), min(p.maxOpenRequests, p.budget.MaxRequests()); p.gate == nil && open > int64(limit) {
+		ratelog.Warn("open", "no room for another txn", "most", limit)
+		// As when the router is at its own limit: rejected before the router has it. This is overload, so nobody should be back soon.
+		return replyResponse(agent.Reply{Rejected: true, RetryAfter: p.maxRetryAfter}, r), nil
+	}
+	requestID := r.Header.Get(requestIDHeader)
+	if !p.requestIDs.reserve(requestID) {
+		return errorResponse(r, &requestError{http.StatusConflict, "X-Request-Id is that of an open txn"})
+	}
+	request := p.newRequest(r, received, receivedAt, func() { p.requestIDs.release(requestID) })
+	cancel := p.submit(r, received, request, receivedAt)
+	defer limitWriteTime(r, request)
+	select {
+	case reply := <-request.Replies():
+		return replyResponse(reply, r), nil
+	case <-r.Context().Done():
+		cancel()
+		return nil, r.Context().Err()
+	case <-p.drainExpired:
+		cancel()
+		return replyResponse(agent.Reply{}, r), nil
+	}
+}
+
+// receivedRequest is a client's request that has been read whole.
+type receivedRequest struct {
+	*clientRequest
+	target string // path and query as they were sent
+	body   []byte
+}
+
+// receive decodes a request and reads its body.
+func (p *Proxy) receive(r *http.Request) (*receivedRequest, error) {
+	target, _ := r.Context().Value(targetKey{}).(string)
+	if !strings.HasPrefix(target, "/") {
+		target = r.URL.RequestURI()
+	}
+	decoded, err := p.reader.read(r, target)
+	if err != nil {
+		return nil, err
+	}
+	body, err := protocol.ReadBody(r.Body, r.ContentLength)
+	if errors.Is(err, protocol.ErrBodyTooLong) {
+		return nil, &requestError{http.StatusRequestEntityTooLarge, err.Error()}
+	}
+	if err != nil {
+		return nil, err
+	}
+	if conn, ok := r.Context().Value(connKey{}).(*clientConn); ok {
+		conn.requestReceived()
+	}
+	return &receivedRequest{decoded, target, body}, nil
+}
+
+// newRequest encodes a request for endpoints and sets its deadline.
+func (p *Proxy) newRequest(r *http.Request, received *receivedRequest, receivedAt time.Time, onDone func()) *agent.Request {
+	for _, header := range protocol.HopHeaders {
+		r.Header.Del(header)
+	}
+	if r.Header.Get("User-Agent") == "" {
+		r.Header.Del("User-Agent")
+	}
+	encoded := protocol.EncodeRequest(r.Method, received.target, r.Host, r.Header, received.body)
+	request := agent.NewRequest(encoded, receivedAt.Add(received.timeout), onDone)
+	if p.isDraining.Load() && request.Deadline.After(p.drainDeadline) {
+		request.Deadline = p.drainDeadline // nobody will be there to answer it later
+	}
+	return request
+}
+
+// submit hands a request to the admission gate, or to the event loop where there is none. It returns what cancels the request.
+func (p *Proxy) submit(r *http.Request, received *receivedRequest, request *agent.Request, receivedAt time.Time) (cancel func()) {
+	event := policy.RequestArrived{
+		ID:       p.lastRequestID.Add(1),
+		Class:    received.class,
+		Tenant:   received.tenant,
+		Key:      received.key,
+		Deadline: p.loop.Clock().At(request.Deadline),
+		CostHint: received.costHint,
+		IsRetry:  received.isRetry,
+	}
+	if p.gate == nil {
+		p.loop.Admit(event, request)
+		return func() { p.loop.Post(policy.RequestCancelled{RequestID: event.ID}) }
+	}
+	event.ArrivedAt = p.loop.Clock().At(receivedAt)
+	p.gate.mailbox.Put(requestArrival{
+		arrival: admission.Arrival{
+			ID:       event.ID,
+			Tenant:   event.Tenant,
+			Client:   p.clientID(r),
+			Class:    event.Class,
+			Key:      received.retryKey,
+			IsRetry:  event.IsRetry,
+			CostHint: event.CostHint,
+			Deadline: event.Deadline,
+			Bytes:    len(request.Encoded.Head) + len(received.body),
+		},
+		event:   event,
+		request: request,
+	})
+	return func() { p.gate.mailbox.Put(requestCancelled{event.ID}) }
+}
+
+// clientID tells the clients of a tenant apart.
+func (p *Proxy) clientID(r *http.Request) uint64 {
+	if p.clientKey.Header != "" {
+		return protocol.Hash64(r.Header.Get(p.clientKey.Header))
+	}
+	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil && !p.clientKey.Connection {
+		return protocol.Hash64(host)
+	}
+	return protocol.Hash64(r.RemoteAddr)
+}
+
+// limitWriteTime gives a client until some time after its deadline to take its response: one that does not take it holds a descriptor for
+// nothing. Until the deadline it has its time, however long that is, while the WriteTimeout of http.Server counts from the request.
+func limitWriteTime(r *http.Request, request *agent.Request) {
+	conn, ok := r.Context().Value(connKey{}).(*clientConn)
+	if !ok {
+		return
+	}
+	latest := time.Now()
+	if request.Deadline.After(latest) {
+		latest = request.Deadline
+	}
+	_ = conn.SetWriteDeadline(latest.Add(requestTimeout)) // fails only where the connection is closed
+}
