--- a/internal/connlimit/budget.go
+++ b/internal/connlimit/budget.go
@@ -2,36 +2,53 @@
 
 import "sync"
 
-// Budget holds the descriptors for connections, to clients and appliances together, so that neither can use up what
-// the other must have. Connections to appliances get what clients leave; clients leave them two fifths.
-type Budget struct {
-	mu                                sync.Mutex
-	limit, clientConns, upstreamConns int
-	freed                             chan struct{} // holds a token after one was given back
-}
+const (
+	// clientShare is the most of the limit that connections to clients may hold. Endpoints get what clients leave, two fifths at least.
+	// Clients with an open request hold at most a third, each of these requests has at most one attempt in flight, and what is left
+	// beside that lets further clients in, if only to reject their requests.
+	clientShare = 0.6
 
-func NewBudget(most int) *Budget { return &Budget{limit: most, freed: make(chan struct{}, 1)} }
+	// reservedShare is the part of the clients' connections that is kept free of open requests, so that a client that waits to connect
+	// is let in and learns at once that the agent is full. Without it all connections fill with requests that the router holds, and
+	// those that wait in the kernel's queue stay unread until their deadlines.
+	reservedShare = 0.125
 
-// clientShare is the most that clients get: they hold a third at most for requests, each of those has one submission at
-// most, and what is left beside that lets others in, be it to be turned away.
-const clientShare = 0.6
+	// idleShare is the most of the limit that idle connections to clients may hold, a few times what traffic needs between two
+	// requests. It guards against clients that send one request and keep the connection: they could leave no descriptor for the next
+	// client until the idle timeout. It costs a handshake where clients come back in turn, the one idle longest first.
+	idleShare = 0.1
+)
 
-// reservedShare is the part of the clients' places that is kept from open txns, so that whoever waits at the door is let in
-// and hears at once that there is no room. Without it all fill with txns that the module holds, and those at the door
-// wait unread until their time is over.
-const reservedShare = 0.125
+// Budget counts the descriptors in use by connections to clients and to endpoints, and bounds them together.
+type Budget struct {
+	mu            sync.Mutex
+	limit         int
+	clientConns   int
+	upstreamConns int
+	freed         chan struct{} // holds a token after a connection was given back
+}
 
-// MaxRequests is the number that may be open.
-func (b *Budget) MaxRequests() int { return int((1 - reservedShare) * clientShare * float64(b.limit)) }
+// NewBudget makes a budget of so many descriptors.
+func NewBudget(limit int) *Budget {
+	return &Budget{limit: limit, freed: make(chan struct{}, 1)}
+}
 
-// idleShare is the most that clients' idle connections may hold, a few times what traffic needs between two requests.
-// It guards against clients that ask once and keep the connection: they may have no place left to ask from while each
-// stands for its idle time. It costs a handshake where clients come back in turn, the one idle longest first.
-const idleShare = 0.1
+// MaxRequests returns how many requests may be open.
+func (b *Budget) MaxRequests() int {
+	return int((1 - reservedShare) * clientShare * float64(b.limit))
+}
+
+// MaxIdleClients returns how many idle connections to clients may be kept.
+func (b *Budget) MaxIdleClients() int {
+	return max(1, int(idleShare*float64(b.limit)))
+}
 
-func (b *Budget) MaxIdleClients() int { return max(1, int(idleShare*float64(b.limit))) }
+// maxClients returns how many connections clients may hold.
+func (b *Budget) maxClients() int {
+	return max(1, int(clientShare*float64(b.limit)))
+}
 
-// AcquireUpstream books a connection to an appliance, if there is one left.
+// AcquireUpstream takes a descriptor for a connection to an endpoint, and reports whether there was one.
 func (b *Budget) AcquireUpstream() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -42,24 +59,25 @@
 	return true
 }
 
-// AcquireClient books a client's connection, if there is one left for clients.
+// AcquireClient takes a descriptor for a connection to a client, and reports whether there was one left for clients.
 func (b *Budget) AcquireClient() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.clientConns+b.upstreamConns >= b.limit || b.clientConns >= max(1, int(clientShare*float64(b.limit))) {
+	if b.clientConns+b.upstreamConns >= b.limit || b.clientConns >= b.maxClients() {
 		return false
 	}
 	b.clientConns++
 	return true
 }
 
-// Freed holds a token after a connection was given back.
+// Freed returns a channel that holds a token after a connection was given back.
 func (b *Budget) Freed() <-chan struct{} { return b.freed }
 
-// Release gives connections back.
-func (b *Budget) Release(clients, addresses int) {
+// Release gives the descriptors of closed connections back.
+func (b *Budget) Release(clients, upstreams int) {
 	b.mu.Lock()
-	b.clientConns, b.upstreamConns = b.clientConns-clients, b.upstreamConns-addresses
+	b.clientConns -= clients
+	b.upstreamConns -= upstreams
 	b.mu.Unlock()
 	select {
 	case b.freed <- struct{}{}:
--- a/internal/connlimit/budget_test.go
+++ b/internal/connlimit/budget_test.go
@@ -2,31 +2,31 @@
 
 import "testing"
 
-// Descriptors: clients leave appliances two fifths, and get no more until one is given back.
+// Clients leave endpoints two fifths of the descriptors, and get no more until one of theirs is given back.
 func TestBudget(t *testing.T) {
 	b := NewBudget(20)
 	for range 12 {
 		if !b.AcquireClient() {
-			t.Error("clients did not get twelve")
+			t.Error("clients did not get twelve connections")
 		}
 	}
 	if b.AcquireClient() || b.MaxRequests() != 10 {
-		t.Errorf("clients got more, %d txns may be open", b.MaxRequests())
+		t.Errorf("clients got more than their share, or %d requests may be open", b.MaxRequests())
 	}
 	for range 8 {
 		if !b.AcquireUpstream() {
-			t.Error("appliances did not get what clients leave")
+			t.Error("endpoints did not get what clients leave")
 		}
 	}
 	if b.AcquireUpstream() {
-		t.Error("appliances got more than there is")
+		t.Error("endpoints got more than the limit")
 	}
 	b.Release(0, 1)
 	if b.AcquireClient() {
-		t.Error("clients took the appliances' part")
+		t.Error("a client took a descriptor of the endpoints' share")
 	}
 	b.Release(1, 0)
 	if !b.AcquireClient() || len(b.freed) != 1 {
-		t.Error("what was given back is not to be had")
+		t.Error("a released descriptor can't be acquired")
 	}
 }
--- /dev/null
+++ b/internal/connlimit/doc.go
@@ -0,0 +1,5 @@
+// Package connlimit shares the process's file descriptors between connections to clients and connections to endpoints, so that neither
+// side can use up what the other must have.
+//
+// A Budget counts connections and opens none. Its methods may be called by any goroutine.
+package connlimit
