--- a/internal/proxy/admission_gate.go
+++ b/internal/proxy/admission_gate.go
@@ -25,7 +25,7 @@
 	controller *admission.Controller
 	clock      agent.Clock
 	loop       *agent.Loop
-	mailbox    *mailbox.Mailbox[gateMessage]
+	mailbox    *mailbox.Mailbox[admissionMessage]
 	waiting    map[uint64]requestArrival // not admitted yet
 	inProgress map[uint64]bool           // admitted and not finished
 	lastLogged AdmissionStatus
@@ -37,7 +37,7 @@
 		controller: controller,
 		clock:      clock,
 		loop:       loop,
-		mailbox:    mailbox.New[gateMessage](),
+		mailbox:    mailbox.New[admissionMessage](),
 		waiting:    map[uint64]requestArrival{},
 		inProgress: map[uint64]bool{},
 	}
@@ -48,7 +48,7 @@
 	timer := time.NewTimer(idleTimerInterval)
 	summaries := time.NewTicker(summaryInterval)
 	defer summaries.Stop()
-	var messages []gateMessage
+	var messages []admissionMessage
 	for {
 		timer.Reset(g.untilNextTimer())
 		select {
@@ -78,7 +78,7 @@
 	return max(0, time.Duration(next-g.clock.Now())*time.Microsecond)
 }
 
-func (g *AdmissionGate) handle(message gateMessage) {
+func (g *AdmissionGate) handle(message admissionMessage) {
 	now := g.clock.Now()
 	switch m := message.(type) {
 	case requestArrival:
--- a/internal/proxy/gate_messages.go
+++ b/internal/proxy/admission_messages.go
@@ -8,8 +8,8 @@
 	"switchfork/internal/policy"
 )
 
-// gateMessage is a message in the mailbox of an AdmissionGate.
-type gateMessage interface{ isGateMessage() }
+// admissionMessage is a message in the mailbox of an AdmissionGate.
+type admissionMessage interface{ isAdmissionMessage() }
 
 // requestArrival asks for a request to be admitted.
 type requestArrival struct {
@@ -42,11 +42,11 @@
 // summaryRequest asks for a summary in the log; done is closed when it is written.
 type summaryRequest struct{ done chan<- struct{} }
 
-func (requestArrival) isGateMessage()   {}
-func (attemptSent) isGateMessage()      {}
-func (requestFinished) isGateMessage()  {}
-func (requestCancelled) isGateMessage() {}
-func (drainStarted) isGateMessage()     {}
-func (weightsUpdate) isGateMessage()    {}
-func (statusQuery) isGateMessage()      {}
-func (summaryRequest) isGateMessage()   {}
+func (requestArrival) isAdmissionMessage()   {}
+func (attemptSent) isAdmissionMessage()      {}
+func (requestFinished) isAdmissionMessage()  {}
+func (requestCancelled) isAdmissionMessage() {}
+func (drainStarted) isAdmissionMessage()     {}
+func (weightsUpdate) isAdmissionMessage()    {}
+func (statusQuery) isAdmissionMessage()      {}
+func (summaryRequest) isAdmissionMessage()   {}
--- /dev/null
+++ b/internal/proxy/client_conn_test.go
@@ -0,0 +1,227 @@
+package proxy
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"switchfork/internal/agenttest"
+	"switchfork/internal/policy"
+	"switchfork/internal/tcpconn"
+)
+
+// Neither a shortage of descriptors nor the limit of idle connections nor a timeout ends a connection of which a byte has been read or
+// waits to be read. A connection that carries nothing is ended instead.
+func TestRetireSparesStartedRequest(t *testing.T) {
+	server := newTestServer(t, 64, false)
+	reading, silent := server.dial(t), server.dial(t)
+	raw := rawRequest("lookup")
+	reading.send(raw[:5])
+	server.waitForState(t, reading, stateReading)
+	server.waitForState(t, silent, stateNew)
+	if server.serverConn(t, reading).retire() {
+		t.Error("retired with part of a head read")
+	}
+	if conn := server.serverConn(t, silent); !conn.retire() {
+		t.Error("a silent connection was not retired")
+	}
+	silent.expectEOF()
+	reading.send(raw[5:])
+	reading.expectResponse(http.StatusServiceUnavailable, false)
+	// A byte has come that its reader has not read yet, as it waits for the lock.
+	server.waitForState(t, reading, stateIdle)
+	conn := server.serverConn(t, reading)
+	conn.mu.Lock()
+	reading.send(raw[:1])
+	agenttest.Eventually(t, "the byte", func() bool { return !tcpconn.IsQuiet(conn.TCPConn) })
+	free := conn.state == stateIdle && tcpconn.IsQuiet(conn.TCPConn)
+	conn.stateDeadline = time.Now().Add(-time.Second)
+	conn.mu.Unlock()
+	conn.stateDeadlinePassed()
+	if free || conn.retire() {
+		t.Error("retired with a byte unread")
+	}
+	reading.send(rawRequest("lookup")[1:])
+	reading.expectResponse(http.StatusServiceUnavailable, false)
+}
+
+// A connection's last response is not overtaken by a reset, though the client goes on sending behind its request.
+func TestLastResponseIsNotReset(t *testing.T) {
+	server := newTestServer(t, 64, true)
+	client := server.dial(t)
+	client.send("GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: last\r\nConnection: close\r\n\r\n")
+	server.waitForState(t, client, stateAwaiting)
+	server.waitForRequests(t, 1)
+	conn := server.serverConn(t, client)
+	client.send(strings.Repeat("x", 32<<10)) // far more than is read ahead
+	agenttest.Eventually(t, "more than is read ahead", func() bool {
+		conn.mu.Lock()
+		defer conn.mu.Unlock()
+		return len(conn.readAhead) >= readAheadLimit-1 && !tcpconn.IsQuiet(conn.TCPConn)
+	})
+	server.rejectAll()
+	client.expectResponse(http.StatusServiceUnavailable, true)
+	client.expectEOF()
+	_ = client.Close()
+	server.assertReleased(t, server.startDrain(t, agenttest.Patience))
+}
+
+// A client's disconnection is detected whether or not it sent something before its response.
+func TestDisconnectAfterEarlyBytes(t *testing.T) {
+	for _, early := range []string{"", "G", strings.Repeat("x", 300)} {
+		server := newTestServer(t, 64, true)
+		client := server.dial(t)
+		client.send(rawRequest("lookup"))
+		server.waitForState(t, client, stateAwaiting)
+		conn := server.serverConn(t, client)
+		client.send(early)
+		agenttest.Eventually(t, "the early bytes", func() bool {
+			conn.mu.Lock()
+			defer conn.mu.Unlock()
+			return len(conn.readAhead) == len(early)
+		})
+		_ = client.Close()
+		agenttest.Eventually(t, fmt.Sprintf("the disconnection of a client that sent %d bytes early", len(early)),
+			func() bool { return len(agenttest.Events[policy.RequestCancelled](server.Router)) == 1 })
+		server.assertReleased(t, server.startDrain(t, agenttest.Patience))
+	}
+}
+
+// Bytes that come before a response are the start of the next request.
+func TestEarlyBytesStartNextRequest(t *testing.T) {
+	server := newTestServer(t, 64, true)
+	client := server.dial(t)
+	client.send(rawRequest("lookup"))
+	server.waitForState(t, client, stateAwaiting)
+	server.waitForRequests(t, 1)
+	conn, next := server.serverConn(t, client), rawRequest("lookup")
+	for i := range 7 {
+		client.send(next[i : i+1])
+		agenttest.Eventually(t, "the early byte", func() bool {
+			conn.mu.Lock()
+			defer conn.mu.Unlock()
+			return len(conn.readAhead) == i+1
+		})
+	}
+	server.rejectAll()
+	client.expectResponse(http.StatusServiceUnavailable, false)
+	server.waitForState(t, client, stateReading)
+	client.send(next[7:])
+	server.waitForRequests(t, 2)
+	server.rejectAll()
+	client.expectResponse(http.StatusServiceUnavailable, false)
+}
+
+// A timeout may fire, or a connection be retired, when the last byte of a request has been read and net/http has not said so yet. The
+// request is served all the same: the read that follows waits for the client, and does not fail.
+func TestTimeoutAsLastByteArrives(t *testing.T) {
+	for name, expire := range map[string]func(conn *clientConn, read func()){
+		"head": func(conn *clientConn, read func()) {
+			read()
+			expireState(conn)
+			conn.headReceived()
+			conn.requestReceived()
+		},
+		"body": func(conn *clientConn, read func()) {
+			read()
+			conn.headReceived()
+			expireState(conn)
+			conn.requestReceived()
+		},
+		"buffered by server": func(conn *clientConn, read func()) {
+			read()
+			conn.headReceived()
+			conn.requestReceived()
+			conn.becomeIdle() // with the next request buffered behind the first
+			if !conn.retire() {
+				t.Error("not retired")
+			}
+			conn.headReceived()
+			conn.requestReceived()
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			server := newTestServer(t, 64, false)
+			listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer func() { _ = listener.Close() }()
+			far, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", listener.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer func() { _ = far.Close() }()
+			near, err := listener.Accept()
+			if err != nil {
+				t.Fatal(err)
+			}
+			conn := server.proxy.listener.register(near.(*net.TCPConn))
+			defer func() { _ = conn.Close() }()
+			expire(conn, func() {
+				if _, err := io.WriteString(far, "the last"); err != nil {
+					t.Fatal(err)
+				}
+				if _, err := conn.Read(make([]byte, 100)); err != nil {
+					t.Fatal(err)
+				}
+			})
+			readError := make(chan error, 1)
+			go func() {
+				_, err := conn.Read(make([]byte, 1))
+				readError <- err
+			}()
+			// This byte is kept for the next request, and the read goes on.
+			if _, err := io.WriteString(far, "x"); err != nil {
+				t.Fatal(err)
+			}
+			agenttest.Eventually(t, "the byte", func() bool {
+				conn.mu.Lock()
+				defer conn.mu.Unlock()
+				return len(conn.readAhead) == 1
+			})
+			_ = far.Close()
+			if err := <-readError; !errors.Is(err, io.EOF) {
+				t.Errorf("the read that detects a disconnection got %v", err)
+			}
+		})
+	}
+}
+
+// expireState has the timer find that the state has lasted too long.
+func expireState(conn *clientConn) {
+	conn.mu.Lock()
+	conn.stateDeadline = time.Now().Add(-time.Second)
+	conn.mu.Unlock()
+	conn.stateDeadlinePassed()
+}
+
+// A client that sends requests and reads no response keeps its descriptor little longer than its deadline.
+func TestUnreadResponses(t *testing.T) {
+	server := newTestServer(t, 64, false)
+	client := server.dial(t)
+	if err := client.Conn.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
+		t.Fatal(err)
+	}
+	if err := server.serverConn(t, client).SetWriteBuffer(4 << 10); err != nil {
+		t.Fatal(err)
+	}
+	go func() {
+		for { // until the server closes the connection
+			raw := fmt.Sprintf("GET /lookup HTTP/1.1\r\nHost: x\r\nX-Deadline-Ms: 300\r\nX-Request-Id: %x\r\n\r\n", lastTestID.Add(1))
+			if _, err := io.WriteString(client, raw); err != nil {
+				return
+			}
+		}
+	}()
+	agenttest.Eventually(t, "the connection's end", func() bool {
+		server.proxy.listener.mu.Lock()
+		defer server.proxy.listener.mu.Unlock()
+		return len(server.proxy.listener.conns) == 0
+	})
+}
--- /dev/null
+++ b/internal/proxy/client_listener_test.go
@@ -0,0 +1,36 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"testing"
+
+	"switchfork/internal/agenttest"
+)
+
+// A client that has its last response and does not close keeps its descriptor only until another client needs it.
+func TestLingeringConnMakesRoom(t *testing.T) {
+	server := newLingeringServer(t, 2, false, 10*agenttest.Patience) // clients get one
+	stays := server.dial(t)
+	stays.send("GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: stays\r\nConnection: close\r\n\r\n")
+	stays.expectResponse(http.StatusServiceUnavailable, true)
+	next := server.dial(t)
+	next.send(rawRequest("lookup"))
+	if response, err := next.readResponse(); err != nil || response.status != http.StatusServiceUnavailable {
+		t.Fatalf("the next client got %+v, %v", response, err)
+	}
+}
+
+// A listener that is shut down ends Serve without an error.
+func TestListenerShutdown(t *testing.T) {
+	server := newTestServer(t, 64, false)
+	server.proxy.listener.shutdown()
+	if err := <-server.served; err != nil {
+		t.Errorf("serving ended with %v", err)
+	}
+	if _, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", server.proxy.listener.Addr().String()); err == nil || errors.Is(err, context.DeadlineExceeded) {
+		t.Errorf("dialed a closed listener: %v", err)
+	}
+}
--- a/internal/proxy/round_trip.go
+++ b/internal/proxy/round_trip.go
@@ -32,7 +32,7 @@
 		return errorResponse(r, &requestError{http.StatusConflict, "X-Request-Id is that of an open txn"})
 	}
 	request := p.newRequest(r, received, receivedAt, func() { p.requestIDs.release(requestID) })
-	cancel := p.submit(r, received, request, receivedAt)
+	cancel := p.forward(r, received, request, receivedAt)
 	defer limitWriteTime(r, request)
 	select {
 	case reply := <-request.Replies():
@@ -92,8 +92,8 @@
 	return request
 }
 
-// submit hands a request to the admission gate, or to the event loop where there is none. It returns what cancels the request.
-func (p *Proxy) submit(r *http.Request, received *receivedRequest, request *agent.Request, receivedAt time.Time) (cancel func()) {
+// forward hands a request to the admission gate, or to the event loop where there is none. It returns what cancels the request.
+func (p *Proxy) forward(r *http.Request, received *receivedRequest, request *agent.Request, receivedAt time.Time) (cancel func()) {
 	event := policy.RequestArrived{
 		ID:       p.lastRequestID.Add(1),
 		Class:    received.class,
--- /dev/null
+++ b/internal/proxy/server_test.go
@@ -0,0 +1,210 @@
+package proxy
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"switchfork/internal/agenttest"
+	"switchfork/internal/connlimit"
+	"switchfork/internal/policy"
+)
+
+// testServer is a proxy on a loopback listener before a router that rejects requests: at once, or when the test calls rejectAll.
+type testServer struct {
+	*agenttest.Rig
+	proxy  *Proxy
+	budget *connlimit.Budget
+	served chan error
+}
+
+// newTestServer starts a proxy with so many descriptors. With holdsRequests, requests stay open until rejectAll.
+func newTestServer(t *testing.T, descriptors int, holdsRequests bool) *testServer {
+	t.Helper()
+	return newLingeringServer(t, descriptors, holdsRequests, defaultLingerTimeout)
+}
+
+// newLingeringServer starts a proxy whose connections stay half open for so long after their last response.
+func newLingeringServer(t *testing.T, descriptors int, holdsRequests bool, lingerTimeout time.Duration) *testServer {
+	t.Helper()
+	server := &testServer{Rig: agenttest.NewRig(t, time.Second), budget: connlimit.NewBudget(descriptors), served: make(chan error, 1)}
+	var held []policy.Command
+	server.Respond(func(event policy.Event) []policy.Command {
+		switch event := event.(type) {
+		case policy.RequestArrived:
+			rejection := policy.Reject{RequestID: event.ID}
+			if !holdsRequests {
+				return []policy.Command{rejection}
+			}
+			held = append(held, rejection)
+		case policy.GossipReceived: // rejectAll
+			return slices.Clone(held)
+		}
+		return nil
+	})
+	server.proxy = New(Config{
+		Loop: server.Loop,
+		Classes: []RequestClass{
+			{Name: "lookup", Idempotency: policy.Idempotent, Timeout: agenttest.Patience},
+			{Name: "posting", Idempotency: policy.Keyed, Timeout: agenttest.Patience},
+			{Name: "_health", Idempotency: policy.Idempotent, Timeout: agenttest.Patience},
+		},
+		MaxOpenRequests: 1000,
+		Budget:          server.budget,
+		LastRequestID:   1,
+	})
+	server.proxy.listener.lingerTimeout = lingerTimeout
+	if err := server.proxy.Listen("127.0.0.1:0"); err != nil {
+		t.Fatal(err)
+	}
+	go func() { server.served <- server.proxy.Serve() }()
+	t.Cleanup(func() { server.proxy.listener.shutdown() })
+	return server
+}
+
+// rejectAll has the router reject all requests that it holds.
+func (s *testServer) rejectAll() { s.Loop.Post(policy.GossipReceived{}) }
+
+// waitForRequests waits until the router has so many requests.
+func (s *testServer) waitForRequests(t *testing.T, n int) {
+	t.Helper()
+	agenttest.Eventually(t, "the request", func() bool { return len(agenttest.Events[policy.RequestArrived](s.Router)) == n })
+}
+
+// testClient is a client's connection.
+type testClient struct {
+	net.Conn
+	t      *testing.T
+	reader *bufio.Reader
+}
+
+// dial connects a client.
+func (s *testServer) dial(t *testing.T) *testClient {
+	t.Helper()
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", s.proxy.listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = c.Close() }) // closed twice where the test has closed it
+	_ = c.SetDeadline(time.Now().Add(agenttest.Patience))
+	return &testClient{c, t, bufio.NewReader(c)}
+}
+
+// lastTestID numbers requests, so that no two have one id.
+var lastTestID atomic.Uint64
+
+// rawRequest encodes a request with an id of its own. All requests for one path have the same length.
+func rawRequest(path string) string {
+	return fmt.Sprintf("GET /%s HTTP/1.1\r\nHost: x\r\nX-Request-Id: %08x\r\n\r\n", path, lastTestID.Add(1))
+}
+
+// send writes to the server.
+func (c *testClient) send(raw string) {
+	c.t.Helper()
+	if _, err := io.WriteString(c, raw); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// testResponse is what the tests look at of a response.
+type testResponse struct {
+	status int
+	isLast bool // it ends its connection
+}
+
+// readResponse reads one response with its body.
+func (c *testClient) readResponse() (testResponse, error) {
+	response, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		return testResponse{}, err
+	}
+	defer func() { _ = response.Body.Close() }() // read whole, or the connection has failed
+	_, err = io.Copy(io.Discard, response.Body)
+	return testResponse{response.StatusCode, response.Close}, err
+}
+
+// expectResponse reads one response, which has to have a status and, if isLast, to end its connection.
+func (c *testClient) expectResponse(status int, isLast bool) {
+	c.t.Helper()
+	response, err := c.readResponse()
+	if want := (testResponse{status, isLast}); err != nil || response != want {
+		c.t.Fatalf("got response %+v, %v; want %+v", response, err, want)
+	}
+}
+
+// expectEOF waits for the end of the connection, which must not be a reset.
+func (c *testClient) expectEOF() {
+	c.t.Helper()
+	if b, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
+		c.t.Fatalf("got %q, %v, want the end of the connection", b, err)
+	}
+}
+
+// serverConn returns the server's side of a client's connection.
+func (s *testServer) serverConn(t *testing.T, c *testClient) (conn *clientConn) {
+	t.Helper()
+	agenttest.Eventually(t, "the connection", func() bool {
+		s.proxy.listener.mu.Lock()
+		defer s.proxy.listener.mu.Unlock()
+		for candidate := range s.proxy.listener.conns {
+			if candidate.RemoteAddr().String() == c.LocalAddr().String() {
+				conn = candidate
+			}
+		}
+		return conn != nil
+	})
+	return conn
+}
+
+// waitForState waits until the server's side of a connection is in a state.
+func (s *testServer) waitForState(t *testing.T, c *testClient, want connState) {
+	t.Helper()
+	conn := s.serverConn(t, c)
+	agenttest.Eventually(t, fmt.Sprintf("state %d", want), func() bool {
+		conn.mu.Lock()
+		defer conn.mu.Unlock()
+		return conn.state == want
+	})
+}
+
+// startDrain starts a drain in the background and sends what Drain returns to the channel.
+func (s *testServer) startDrain(t *testing.T, within time.Duration) chan error {
+	t.Helper()
+	done := make(chan error, 1)
+	ctx, stop := context.WithTimeout(t.Context(), within)
+	t.Cleanup(stop)
+	go func() { done <- s.proxy.Drain(ctx) }()
+	agenttest.Eventually(t, "the drain", func() bool {
+		s.proxy.listener.mu.Lock()
+		defer s.proxy.listener.mu.Unlock()
+		return s.proxy.listener.isDraining
+	})
+	return done
+}
+
+// assertReleased waits for the end of a drain and checks that no connection, descriptor or request id is left.
+func (s *testServer) assertReleased(t *testing.T, done chan error) {
+	t.Helper()
+	if err := <-done; err != nil {
+		t.Errorf("the drain ended with %v", err)
+	}
+	if err := <-s.served; err != nil {
+		t.Errorf("serving ended with %v", err)
+	}
+	s.Loop.Flush(t.Context())
+	clients, _ := s.budget.InUse()
+	s.proxy.requestIDs.mu.Lock()
+	defer s.proxy.requestIDs.mu.Unlock()
+	if clients != 0 || len(s.proxy.requestIDs.reserved) != 0 || len(s.proxy.listener.conns) != 0 || len(s.proxy.listener.idleSince) != 0 {
+		t.Errorf("left: %d descriptors, %d ids, %d connections, %d idle", clients, len(s.proxy.requestIDs.reserved), len(s.proxy.listener.conns),
+			len(s.proxy.listener.idleSince))
+	}
+}
