--- /dev/null
+++ b/internal/endtoend/connections_test.go
@@ -0,0 +1,108 @@
+package endtoend
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"switchfork/internal/agenttest"
+	"switchfork/internal/fakes"
+	"switchfork/internal/proxy"
+)
+
+// withFewDescriptors edits a configuration so that clients outnumber descriptors soon.
+func withFewDescriptors(config string) string {
+	return strings.Replace(config, `"sockets":1024`, `"sockets":64`, 1)
+}
+
+// With few descriptors and far more clients, every request has a response, and afterwards requests succeed again.
+func TestMoreClientsThanDescriptors(t *testing.T) {
+	const clients = 100
+	release := make(chan struct{})
+	endpoint := agenttest.NewScriptedServer(t, func(c net.Conn, nth int) bool { <-release; return fakes.Respond(fakes.OKResponse("done"))(c, nth) })
+	agent := startAgent(t, withFewDescriptors, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+	agent.waitHealthy(t)
+	var pending sync.WaitGroup
+	var mu sync.Mutex
+	got := map[int]int{}
+	for range clients {
+		pending.Go(func() {
+			response, err := agent.tryRequest(context.Background(), "GET", "/lookup", "", "X-Deadline-Ms", "1900")
+			mu.Lock()
+			defer mu.Unlock()
+			got[response.status]++
+			if err != nil {
+				t.Error(err)
+			}
+		})
+	}
+	agenttest.Eventually(t, "a rejection for lack of descriptors", func() bool { return strings.Contains(agent.log.String(), "no room for another txn") })
+	close(release)
+	pending.Wait()
+	succeeded, rejected := got[http.StatusOK], got[http.StatusServiceUnavailable]
+	if succeeded == 0 || succeeded != len(endpoint.Requests()) || rejected == 0 || succeeded+rejected != clients {
+		t.Errorf("responses by status: %v, with %d attempts", got, len(endpoint.Requests()))
+	}
+	if again := agent.request(t, "GET", "/lookup", ""); again.status != http.StatusOK {
+		t.Errorf("then got %+v", again)
+	}
+}
+
+// Far more silent connections than descriptors keep no client waiting, and each is closed in time.
+func TestSilentConnections(t *testing.T) {
+	endpoint := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
+	agent := startAgent(t, withFewDescriptors, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+	agent.waitHealthy(t)
+	var pending sync.WaitGroup
+	for range 60 {
+		conn := agent.dial(t)
+		connected := time.Now()
+		pending.Go(func() {
+			defer func() { _ = conn.Close() }()
+			_ = conn.SetReadDeadline(connected.Add(agenttest.Patience))
+			if _, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) || time.Since(connected) > 3*time.Second {
+				t.Errorf("kept for %v, %v", time.Since(connected), err)
+			}
+		})
+	}
+	if got := agent.request(t, "GET", "/lookup", "", "X-Deadline-Ms", "1900"); got.status != http.StatusOK {
+		t.Errorf("behind silent connections: %+v", got)
+	}
+	pending.Wait()
+}
+
+// Clients that send one request and keep the connection hold few descriptors: beyond those, the connection that has been idle longest is
+// closed before its idle timeout.
+func TestIdleConnectionLimit(t *testing.T) {
+	endpoint := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
+	agent := startAgent(t, withFewDescriptors, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+	agent.waitHealthy(t)
+	var first net.Conn
+	start := time.Now()
+	for i := range 8 {
+		conn := agent.dial(t)
+		defer func() { _ = conn.Close() }()
+		send(t, conn, fmt.Sprintf("GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: once%d\r\n\r\n", i))
+		if status, _, err := readStatus(conn); err != nil || status != http.StatusOK {
+			t.Fatalf("got status %d, %v", status, err)
+		}
+		if first == nil {
+			first = conn
+		}
+		for idleSince := time.Now(); time.Since(idleSince) < 10*time.Millisecond; { // the order of idle connections is by their time
+			time.Sleep(time.Millisecond)
+		}
+	}
+	_ = first.SetReadDeadline(start.Add(agenttest.Patience))
+	if _, err := io.ReadAll(first); err != nil || time.Since(start) > proxy.IdleTimeout/2 {
+		t.Errorf("the first connection ended after %v, %v", time.Since(start), err)
+	}
+}
--- /dev/null
+++ b/internal/endtoend/invalid_config_test.go
@@ -0,0 +1,66 @@
+package endtoend
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"switchfork/internal/agenttest"
+)
+
+// An error in the configuration ends the start with one line that names it.
+func TestInvalidConfigFile(t *testing.T) {
+	for _, test := range []struct{ from, to, want string }{
+		{`"SloMs":600.0`, `"SloMs":"soon"`, "config.settings.Grades.0.SloMs is \\\"soon\\\", not a number"},
+		{`"Swap":"beside"`, `"Swap":"above"`, "config.settings.FamilyInfo.Swap"},
+		{`"SloMs":600.0`, `"SloMs":0`, "config.settings.Grades.0.SloMs is 0"},
+		{`"DialTimeoutMs":250.0`, `"DialTimeoutMs":0`, "config.settings.Limits.DialTimeoutMs"},
+		{`"seed":"8c`, `"seed":"xx`, "config.seed"},
+		{`"sockets":1024`, `"sockets":9`, "config.limits.sockets"},
+		{`"discovery":"127`, `"discovery":"127.0.0.1","was":"127`, "config.discovery"},
+		{`"Balancers":1`, `"Balancers":0`, "config.settings.Balancers is 0"},
+		{`"progress":"live"`, `"progress":"odd"`, "config.platform.news"},
+		{`"seq":1`, `"seq":"one"`, "config.known"},
+		{`{"name"`, `{"name`, "GW_CONFIG"},
+	} {
+		agent := startAgent(t, func(config string) string { return strings.Replace(config, test.from, test.to, 1) })
+		select {
+		case err := <-agent.exited:
+			if log := agent.log.String(); err == nil || !strings.Contains(log, test.want) || strings.Count(log, "\n") != 1 {
+				t.Errorf("%s: %v, log %q", test.to, err, log)
+			}
+		case <-time.After(agenttest.Patience):
+			t.Errorf("%s: started", test.to)
+		}
+	}
+}
+
+// Settings that lack something or have it wrong end the start with one line that names the key and what is expected there.
+func TestInvalidSettings(t *testing.T) {
+	for name, test := range map[string]struct {
+		change func(config, settings jsonObject)
+		want   string
+	}{
+		"no class":               {func(_, settings jsonObject) { settings["Grades"] = []any{} }, "config.settings.Grades"},
+		"a class without name":   {func(_, settings jsonObject) { settings["Grades"].([]any)[0].(jsonObject)["Name"] = "" }, "config.settings.Grades.0.Name"},
+		"two of one name":        {func(_, settings jsonObject) { settings["Grades"].([]any)[1].(jsonObject)["Name"] = "lookup" }, "config.settings.Grades.1.Name"},
+		"an effect not known":    {func(_, settings jsonObject) { settings["Grades"].([]any)[0].(jsonObject)["Repeat"] = "maybe" }, "config.settings.Grades.0.Repeat"},
+		"no deadline":            {func(_, settings jsonObject) { settings["Grades"].([]any)[0].(jsonObject)["HardLimitMs"] = 0 }, "config.settings.Grades.0.HardLimitMs"},
+		"keyed without window":   {func(_, settings jsonObject) { delete(settings["Grades"].([]any)[1].(jsonObject), "WindowMs") }, "config.settings.Grades.1.WindowMs"},
+		"a zone that is not one": {func(_, settings jsonObject) { settings["Zone"] = 3 }, "config.settings.Zone"},
+		"no idle time":           {func(_, settings jsonObject) { delete(settings["Limits"].(jsonObject), "ConnIdleMs") }, "config.settings.Limits.ConnIdleMs"},
+		"no stage":               {func(_, settings jsonObject) { settings["FamilyInfo"].(jsonObject)["StageCap"] = []any{} }, "config.settings.FamilyInfo.StageCap"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			agent := startAgent(t, func(text string) string { return editConfig(t, text, test.change) })
+			select {
+			case err := <-agent.exited:
+				if logged := strings.TrimSpace(agent.log.String()); err == nil || !strings.Contains(logged, test.want) || strings.Contains(logged, "\n") {
+					t.Errorf("ended with %v and %q, want one line with %s", err, logged, test.want)
+				}
+			case <-time.After(agenttest.Patience):
+				t.Error("started")
+			}
+		})
+	}
+}
