--- a/internal/proxy/admission_gate_test.go
+++ b/internal/proxy/admission_gate_test.go
@@ -15,7 +15,6 @@
 type testAdmission struct {
 	*agenttest.Rig
 	gate *AdmissionGate
-	t    *testing.T
 }
 
 // newTestAdmission starts a gate with so much capacity for one class and one tenant.
@@ -23,9 +22,10 @@
 	t.Helper()
 	rig := agenttest.NewRig(t, time.Second)
 	clock := agent.NewClock()
-	controller := admission.New([]admission.RequestClass{{LatencyObjective: 10_000_000, Timeout: 20_000_000, PriorityWeight: 1, Keyed: true}}, []admission.Tenant{{Weight: 1}},
-		limits, admission.RetryAfterLimits{Max: 500_000}, coalesces, 1)
-	admissionRig := &testAdmission{rig, NewAdmissionGate(controller, clock, rig.Loop), t}
+	classes := []admission.RequestClass{{LatencyObjective: 10_000_000, Timeout: 20_000_000, PriorityWeight: 1, Keyed: true}}
+	tenants := []admission.Tenant{{Weight: 1}}
+	controller := admission.New(classes, tenants, limits, admission.RetryAfterLimits{Max: 500_000}, coalesces, 1)
+	admissionRig := &testAdmission{rig, NewAdmissionGate(controller, clock, rig.Loop)}
 	go admissionRig.gate.Serve(rig.Context)
 	return admissionRig
 }
--- a/internal/proxy/client_conn_test.go
+++ b/internal/proxy/client_conn_test.go
@@ -59,9 +59,7 @@
 	server.waitForRequests(t, 1)
 	conn := server.serverConn(t, client)
 	client.send(strings.Repeat("x", 32<<10)) // far more than is read ahead
-	agenttest.Eventually(t, "more than is read ahead", func() bool {
-		conn.mu.Lock()
-		defer conn.mu.Unlock()
+	waitForConn(t, "more than is read ahead", conn, func() bool {
 		return len(conn.readAhead) >= readAheadLimit-1 && !tcpconn.IsQuiet(conn.TCPConn)
 	})
 	server.rejectAll()
@@ -80,11 +78,7 @@
 		server.waitForState(t, client, stateAwaiting)
 		conn := server.serverConn(t, client)
 		client.send(early)
-		agenttest.Eventually(t, "the early bytes", func() bool {
-			conn.mu.Lock()
-			defer conn.mu.Unlock()
-			return len(conn.readAhead) == len(early)
-		})
+		waitForConn(t, "the early bytes", conn, func() bool { return len(conn.readAhead) == len(early) })
 		_ = client.Close()
 		agenttest.Eventually(t, fmt.Sprintf("the disconnection of a client that sent %d bytes early", len(early)),
 			func() bool { return len(agenttest.Events[policy.RequestCancelled](server.Router)) == 1 })
@@ -102,11 +96,7 @@
 	conn, next := server.serverConn(t, client), rawRequest("lookup")
 	for i := range 7 {
 		client.send(next[i : i+1])
-		agenttest.Eventually(t, "the early byte", func() bool {
-			conn.mu.Lock()
-			defer conn.mu.Unlock()
-			return len(conn.readAhead) == i+1
-		})
+		waitForConn(t, "the early byte", conn, func() bool { return len(conn.readAhead) == i+1 })
 	}
 	server.rejectAll()
 	client.expectResponse(http.StatusServiceUnavailable, false)
@@ -180,11 +170,7 @@
 			if _, err := io.WriteString(far, "x"); err != nil {
 				t.Fatal(err)
 			}
-			agenttest.Eventually(t, "the byte", func() bool {
-				conn.mu.Lock()
-				defer conn.mu.Unlock()
-				return len(conn.readAhead) == 1
-			})
+			waitForConn(t, "the byte", conn, func() bool { return len(conn.readAhead) == 1 })
 			_ = far.Close()
 			if err := <-readError; !errors.Is(err, io.EOF) {
 				t.Errorf("the read that detects a disconnection got %v", err)
@@ -219,9 +205,5 @@
 			}
 		}
 	}()
-	agenttest.Eventually(t, "the connection's end", func() bool {
-		server.proxy.listener.mu.Lock()
-		defer server.proxy.listener.mu.Unlock()
-		return len(server.proxy.listener.conns) == 0
-	})
+	server.waitForListener(t, "the connection's end", func(l *clientListener) bool { return len(l.conns) == 0 })
 }
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -30,11 +30,7 @@
 	}
 	done := server.startDrain(t, agenttest.Patience)
 	quiet.expectEOF()
-	agenttest.Eventually(t, "closing when empty", func() bool {
-		server.proxy.listener.mu.Lock()
-		defer server.proxy.listener.mu.Unlock()
-		return server.proxy.listener.closesWhenEmpty
-	})
+	server.waitForListener(t, "closing when empty", func(l *clientListener) bool { return l.closesWhenEmpty })
 	for i, client := range []*testClient{kept, fresh} {
 		client.send(rest[i])
 		client.expectResponse(http.StatusServiceUnavailable, true)
@@ -51,11 +47,7 @@
 	first.send(rawRequest("lookup"))
 	server.waitForState(t, first, stateAwaiting)
 	done := server.startDrain(t, agenttest.Patience)
-	agenttest.Eventually(t, "closing when empty", func() bool {
-		server.proxy.listener.mu.Lock()
-		defer server.proxy.listener.mu.Unlock()
-		return server.proxy.listener.closesWhenEmpty
-	})
+	server.waitForListener(t, "closing when empty", func(l *clientListener) bool { return l.closesWhenEmpty })
 	late := server.dial(t)
 	late.send(rawRequest("lookup"))
 	server.waitForRequests(t, 2)
--- a/internal/proxy/random_clients_test.go
+++ b/internal/proxy/random_clients_test.go
@@ -58,11 +58,7 @@
 				}
 				// Until the server has read them they cross whatever follows.
 				conn := server.serverConn(t, client.testClient)
-				agenttest.Eventually(t, "the bytes", func() bool {
-					conn.mu.Lock()
-					defer conn.mu.Unlock()
-					return conn.state == stateReading || conn.state == stateAwaiting
-				})
+				waitForConn(t, "the bytes", conn, func() bool { return conn.state == stateReading || conn.state == stateAwaiting })
 				if client.rest = client.rest[n:]; client.rest == "" {
 					client.rest = rawRequest("lookup")
 					client.requests++
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -148,13 +148,32 @@
 	}
 }
 
+// waitForListener waits for a condition on the listener, which is locked while it is evaluated.
+func (s *testServer) waitForListener(t *testing.T, what string, isMet func(*clientListener) bool) {
+	t.Helper()
+	listener := s.proxy.listener
+	agenttest.Eventually(t, what, func() bool {
+		listener.mu.Lock()
+		defer listener.mu.Unlock()
+		return isMet(listener)
+	})
+}
+
+// waitForConn waits for a condition on a connection, which is locked while it is evaluated.
+func waitForConn(t *testing.T, what string, conn *clientConn, isMet func() bool) {
+	t.Helper()
+	agenttest.Eventually(t, what, func() bool {
+		conn.mu.Lock()
+		defer conn.mu.Unlock()
+		return isMet()
+	})
+}
+
 // serverConn returns the server's side of a client's connection.
 func (s *testServer) serverConn(t *testing.T, c *testClient) (conn *clientConn) {
 	t.Helper()
-	agenttest.Eventually(t, "the connection", func() bool {
-		s.proxy.listener.mu.Lock()
-		defer s.proxy.listener.mu.Unlock()
-		for candidate := range s.proxy.listener.conns {
+	s.waitForListener(t, "the connection", func(l *clientListener) bool {
+		for candidate := range l.conns {
 			if candidate.RemoteAddr().String() == c.LocalAddr().String() {
 				conn = candidate
 			}
@@ -168,11 +187,7 @@
 func (s *testServer) waitForState(t *testing.T, c *testClient, want connState) {
 	t.Helper()
 	conn := s.serverConn(t, c)
-	agenttest.Eventually(t, fmt.Sprintf("state %d", want), func() bool {
-		conn.mu.Lock()
-		defer conn.mu.Unlock()
-		return conn.state == want
-	})
+	waitForConn(t, fmt.Sprintf("state %d", want), conn, func() bool { return conn.state == want })
 }
 
 // startDrain starts a drain in the background and sends what Drain returns to the channel.
@@ -182,11 +197,7 @@
 	ctx, stop := context.WithTimeout(t.Context(), within)
 	t.Cleanup(stop)
 	go func() { done <- s.proxy.Drain(ctx) }()
-	agenttest.Eventually(t, "the drain", func() bool {
-		s.proxy.listener.mu.Lock()
-		defer s.proxy.listener.mu.Unlock()
-		return s.proxy.listener.isDraining
-	})
+	s.waitForListener(t, "the drain", func(l *clientListener) bool { return l.isDraining })
 	return done
 }
 
