--- a/internal/proxy/random_clients_test.go
+++ b/internal/proxy/random_clients_test.go
@@ -14,117 +14,191 @@
 	"switchfork/internal/policy"
 )
 
-// Whatever clients do, in any order, each accepted request has one whole response or a client that disconnected, a client that stays
-// gets as many responses as it sent requests, and all descriptors and request ids are released.
-func TestRandomClientSequences(t *testing.T) {
-	type randomClient struct {
-		*testClient
-		rest      string // what is left to send of the next request
-		requests  int
-		responses atomic.Int64
-		ended     chan struct{}
-	}
-	rapid.Check(t, func(rt *rapid.T) {
-		server := newTestServer(t, 64, true)
-		var open, all []*randomClient
-		disconnected := 0
-		for range rapid.IntRange(1, 16).Draw(rt, "steps") {
-			if len(open) < 4 && rapid.Bool().Draw(rt, "connects") {
-				client := &randomClient{testClient: server.dial(t), rest: rawRequest("lookup"), ended: make(chan struct{})}
-				open, all = append(open, client), append(all, client)
-				go func() {
-					defer close(client.ended)
-					for {
-						if _, err := client.readResponse(); err != nil {
-							return
-						}
-						client.responses.Add(1)
-					}
-				}()
-				continue
-			}
-			if len(open) == 0 {
-				continue
-			}
-			i := rapid.IntRange(0, len(open)-1).Draw(rt, "which")
-			switch client := open[i]; rapid.IntRange(0, 5).Draw(rt, "what") {
-			case 0, 1: // some bytes of a request, or the rest of it
-				if int(client.responses.Load()) < client.requests {
-					continue // one request at a time
-				}
-				n := min(len(client.rest), rapid.SampledFrom([]int{1, 20, 1000}).Draw(rt, "bytes"))
-				if _, err := io.WriteString(client, client.rest[:n]); err != nil {
-					continue // retired
-				}
-				// Until the server has read them they cross whatever follows.
-				conn := server.serverConn(t, client.testClient)
-				waitForConn(t, "the bytes", conn, func() bool { return conn.state == stateReading || conn.state == stateAwaiting })
-				if client.rest = client.rest[n:]; client.rest == "" {
-					client.rest = rawRequest("lookup")
-					client.requests++
-				}
-			case 2, 3: // disconnects, also with a reset
-				disconnected++
-				if rapid.Bool().Draw(rt, "reset") {
-					_ = client.Conn.(*net.TCPConn).SetLinger(0)
-				}
-				_ = client.Close()
-				open = slices.Delete(open, i, i+1)
-			case 4:
-				if server.serverConn(t, client.testClient).retire() {
-					if len(client.rest) < len(rawRequest("lookup")) {
-						rt.Fatal("retired with a request started")
-					}
-					agenttest.Eventually(t, "the responses to all its requests", func() bool { return int(client.responses.Load()) == client.requests })
-					disconnected++ // without a request; what it sends from now on crosses the close
-					_ = client.Close()
-					open = slices.Delete(open, i, i+1)
-				}
-			case 5:
-				server.rejectAll()
+const (
+	maxRandomClients = 4
+	maxRandomSteps   = 16
+)
+
+// randomClient is a client that sends requests in pieces and counts the responses.
+type randomClient struct {
+	*testClient
+	unsent    string // what is left to send of the next request
+	requests  int    // sent whole
+	responses atomic.Int64
+	ended     chan struct{} // closed when no response can come any more
+}
+
+// newRandomClient connects a client and starts to read responses.
+func newRandomClient(t *testing.T, server *testServer) *randomClient {
+	t.Helper()
+	client := &randomClient{testClient: server.dial(t), unsent: rawRequest("lookup"), ended: make(chan struct{})}
+	go func() {
+		defer close(client.ended)
+		for {
+			if _, err := client.readResponse(); err != nil {
+				return
 			}
+			client.responses.Add(1)
 		}
-		// As Drain does, without the wait for late arrivals.
-		server.proxy.drainDeadline = time.Now().Add(agenttest.Patience)
-		server.proxy.isDraining.Store(true)
-		server.proxy.listener.startDrain()
-		server.proxy.listener.closeWhenEmpty()
-		done := make(chan error, 1)
-		go func() { <-server.proxy.listener.closed; done <- nil }()
-		for _, client := range open {
-			if whole := rawRequest("lookup"); len(client.rest) < len(whole) { // a started request is completed
-				if _, err := io.WriteString(client, client.rest); err != nil {
-					rt.Fatalf("closed within a request: %v", err)
-				}
-				client.requests++
-			} else if client.requests == 0 {
-				_ = client.Close() // connected and sent nothing
-			}
+	}()
+	return client
+}
+
+// hasAllResponses reports whether all requests have been answered.
+func (c *randomClient) hasAllResponses() bool { return int(c.responses.Load()) == c.requests }
+
+// hasStartedRequest reports whether a part of a request has been sent.
+func (c *randomClient) hasStartedRequest() bool { return len(c.unsent) < len(rawRequest("lookup")) }
+
+// sendBytes sends some bytes of the next request and waits until the server has read them: until then they cross whatever follows.
+func (c *randomClient) sendBytes(t *testing.T, server *testServer, count int) {
+	t.Helper()
+	count = min(len(c.unsent), count)
+	if _, err := io.WriteString(c, c.unsent[:count]); err != nil {
+		return // retired
+	}
+	conn := server.serverConn(t, c.testClient)
+	waitForConn(t, "the bytes", conn, func() bool { return conn.state == stateReading || conn.state == stateAwaiting })
+	c.unsent = c.unsent[count:]
+	if c.unsent == "" {
+		c.unsent = rawRequest("lookup")
+		c.requests++
+	}
+}
+
+// randomClients is the state of one random sequence.
+type randomClients struct {
+	server       *testServer
+	open         []*randomClient
+	all          []*randomClient
+	disconnected int
+}
+
+// connect adds a client.
+func (r *randomClients) connect(t *testing.T) {
+	t.Helper()
+	client := newRandomClient(t, r.server)
+	r.open = append(r.open, client)
+	r.all = append(r.all, client)
+}
+
+// disconnect closes the connection of an open client.
+func (r *randomClients) disconnect(index int) {
+	_ = r.open[index].Close()
+	r.open = slices.Delete(r.open, index, index+1)
+	r.disconnected++
+}
+
+// step has an open client do something.
+func (r *randomClients) step(t *testing.T, rt *rapid.T) {
+	t.Helper()
+	index := rapid.IntRange(0, len(r.open)-1).Draw(rt, "which")
+	client := r.open[index]
+	switch rapid.IntRange(0, 5).Draw(rt, "what") {
+	case 0, 1: // some bytes of a request, or the rest of it
+		if int(client.responses.Load()) < client.requests {
+			return // one request at a time
 		}
-		for _, client := range open {
-			for waiting := true; waiting; {
-				server.rejectAll()
-				select {
-				case <-client.ended:
-					waiting = false
-				case <-time.After(5 * time.Millisecond):
-				}
+		client.sendBytes(t, r.server, rapid.SampledFrom([]int{1, 20, 1000}).Draw(rt, "bytes"))
+	case 2, 3: // disconnects, also with a reset
+		if rapid.Bool().Draw(rt, "reset") {
+			_ = client.Conn.(*net.TCPConn).SetLinger(0)
+		}
+		r.disconnect(index)
+	case 4:
+		if !r.server.serverConn(t, client.testClient).retire() {
+			return
+		}
+		if client.hasStartedRequest() {
+			rt.Fatal("retired with a request started")
+		}
+		agenttest.Eventually(t, "the responses to all its requests", client.hasAllResponses)
+		r.disconnect(index) // without a request; what it sends from now on crosses the close
+	case 5:
+		r.server.rejectAll()
+	}
+}
+
+// startDrain does as Drain, without the wait for late arrivals. The channel reports the end.
+func (r *randomClients) startDrain() chan error {
+	proxy := r.server.proxy
+	proxy.drainDeadline = time.Now().Add(agenttest.Patience)
+	proxy.isDraining.Store(true)
+	proxy.listener.startDrain()
+	proxy.listener.closeWhenEmpty()
+	done := make(chan error, 1)
+	go func() {
+		<-proxy.listener.closed
+		done <- nil
+	}()
+	return done
+}
+
+// completeRequests sends the rest of each started request, and disconnects clients that have sent nothing.
+func (r *randomClients) completeRequests(rt *rapid.T) {
+	for _, client := range r.open {
+		if client.hasStartedRequest() {
+			if _, err := io.WriteString(client, client.unsent); err != nil {
+				rt.Fatalf("closed within a request: %v", err)
 			}
+			client.requests++
+		} else if client.requests == 0 {
 			_ = client.Close()
-			if int(client.responses.Load()) != client.requests {
-				rt.Fatalf("a client that stayed sent %d requests and got %d responses", client.requests, client.responses.Load())
+		}
+	}
+}
+
+// checkOpen answers the clients that have stayed and checks that each has all its responses.
+func (r *randomClients) checkOpen(rt *rapid.T) {
+	for _, client := range r.open {
+		for isOpen := true; isOpen; {
+			r.server.rejectAll()
+			select {
+			case <-client.ended:
+				isOpen = false
+			case <-time.After(5 * time.Millisecond):
 			}
 		}
-		for _, client := range all {
-			<-client.ended
+		_ = client.Close()
+		if !client.hasAllResponses() {
+			rt.Fatalf("a client that stayed sent %d requests and got %d responses", client.requests, client.responses.Load())
 		}
-		server.assertReleased(t, done)
-		accepted, answered := len(agenttest.Events[policy.RequestArrived](server.Router)), 0
-		for _, client := range all {
-			answered += int(client.responses.Load())
+	}
+}
+
+// checkTotals checks that each accepted request has a response or a client that disconnected.
+func (r *randomClients) checkTotals(rt *rapid.T) {
+	accepted := len(agenttest.Events[policy.RequestArrived](r.server.Router))
+	answered := 0
+	for _, client := range r.all {
+		answered += int(client.responses.Load())
+	}
+	if answered > accepted || answered+r.disconnected < accepted {
+		rt.Fatalf("%d requests accepted, %d answered, %d clients disconnected", accepted, answered, r.disconnected)
+	}
+}
+
+// Whatever clients do, in any order, each accepted request has one whole response or a client that disconnected, a client that stays
+// gets as many responses as it sent requests, and all descriptors and request ids are released.
+func TestRandomClientSequences(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		clients := &randomClients{server: newTestServer(t, 64, true)}
+		for range rapid.IntRange(1, maxRandomSteps).Draw(rt, "steps") {
+			if len(clients.open) < maxRandomClients && rapid.Bool().Draw(rt, "connects") {
+				clients.connect(t)
+				continue
+			}
+			if len(clients.open) > 0 {
+				clients.step(t, rt)
+			}
 		}
-		if answered > accepted || answered+disconnected < accepted {
-			rt.Fatalf("%d requests accepted, %d answered, %d clients disconnected", accepted, answered, disconnected)
+		done := clients.startDrain()
+		clients.completeRequests(rt)
+		clients.checkOpen(rt)
+		for _, client := range clients.all {
+			<-client.ended
 		}
+		clients.server.assertReleased(t, done)
+		clients.checkTotals(rt)
 	})
 }
