--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -19,7 +19,6 @@
 	"switchfork/internal/discovery"
 	"switchfork/internal/gossip"
 	"switchfork/internal/options"
-	"switchfork/internal/policy"
 	"switchfork/internal/proxy"
 	"switchfork/internal/rollout"
 	"switchfork/internal/upstream"
@@ -223,17 +222,19 @@
 }
 
 func (p *agentProcess) newProxy() *proxy.Proxy {
-	var names []string
-	var idempotencies []policy.Idempotency
-	var timeouts []time.Duration
+	var classes []proxy.RequestClass
 	for _, class := range p.settings.classes {
-		names = append(names, class.Name)
-		idempotencies = append(idempotencies, class.Idempotency)
-		timeouts = append(timeouts, class.Timeout)
+		classes = append(classes, proxy.RequestClass{Name: class.Name, Idempotency: class.Idempotency, Timeout: class.Timeout})
 	}
-	connections := p.settings.connections
-	return proxy.New(p.loop, names, idempotencies, timeouts, p.settings.tenants, connections.MaxOpenRequests, connections.MaxRetryAfter,
-		p.budget, firstRequestID(p.settings.seed))
+	return proxy.New(proxy.Config{
+		Loop:            p.loop,
+		Classes:         classes,
+		Tenants:         p.settings.tenants,
+		MaxOpenRequests: p.settings.connections.MaxOpenRequests,
+		MaxRetryAfter:   p.settings.connections.MaxRetryAfter,
+		Budget:          p.budget,
+		LastRequestID:   firstRequestID(p.settings.seed),
+	})
 }
 
 // firstRequestID is the number at which an agent's request IDs begin.
--- a/internal/connlimit/budget_test.go
+++ b/internal/connlimit/budget_test.go
@@ -2,31 +2,31 @@
 
 import "testing"
 
-// Descriptors: clients leave appliances two fifths, and get no more until one is given back.
-func TestPurse(t *testing.T) {
-	p := NewBudget(20)
+// Clients leave endpoints two fifths of the descriptors, and get no more until one of theirs is given back.
+func TestBudget(t *testing.T) {
+	b := NewBudget(20)
 	for range 12 {
-		if !p.AcquireClient() {
-			t.Error("clients did not get twelve")
+		if !b.AcquireClient() {
+			t.Error("clients did not get twelve connections")
 		}
 	}
-	if p.AcquireClient() || p.MaxRequests() != 10 {
-		t.Errorf("clients got more, %d txns may be open", p.MaxRequests())
+	if b.AcquireClient() || b.MaxRequests() != 10 {
+		t.Errorf("clients got more than their share, or %d requests may be open", b.MaxRequests())
 	}
 	for range 8 {
-		if !p.AcquireUpstream() {
-			t.Error("appliances did not get what clients leave")
+		if !b.AcquireUpstream() {
+			t.Error("endpoints did not get what clients leave")
 		}
 	}
-	if p.AcquireUpstream() {
-		t.Error("appliances got more than there is")
+	if b.AcquireUpstream() {
+		t.Error("endpoints got more than the limit")
 	}
-	p.Release(0, 1)
-	if p.AcquireClient() {
-		t.Error("clients took the appliances' part")
+	b.Release(0, 1)
+	if b.AcquireClient() {
+		t.Error("a client took a descriptor of the endpoints' share")
 	}
-	p.Release(1, 0)
-	if !p.AcquireClient() || len(p.freed) != 1 {
-		t.Error("what was given back is not to be had")
+	b.Release(1, 0)
+	if !b.AcquireClient() || len(b.freed) != 1 {
+		t.Error("a released descriptor can't be acquired")
 	}
 }
--- a/internal/proxy/admission_gate.go
+++ b/internal/proxy/admission_gate.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"log/slog"
 	"time"
 
 	"switchfork/internal/admission"
@@ -11,187 +10,178 @@
 	"switchfork/internal/policy"
 )
 
-// What the others put into the gate's mailbox.
-type (
-	knock struct {
-		admission.Arrival
-		taken policy.RequestArrived
-		*agent.Request
-	}
-	found struct{ id uint64 } // the module has sent it
-	over  struct {
-		id  uint64
-		how admission.Result
-	}
-	left    struct{ id uint64 } // its client has gone
-	drain   struct{ until time.Time }
-	reshare struct{ shares []admission.Tenant }
-	ask     struct{ answer chan AdmissionStatus }
-	sum     struct{ done chan struct{} } // writes the last line of figures
+const (
+	// summaryInterval is how often the log gets a summary of the admission gate, while there is anything to report.
+	summaryInterval = 10 * time.Second
+	// idleTimerInterval is what the gate's timer is set to while the controller has set none.
+	idleTimerInterval = time.Hour
 )
 
-// AdmissionStatus is what the door has in hand and has done.
-type AdmissionStatus struct {
-	admission.Status
-	admission.Counters
-}
-
-// AdmissionGate is the door's actor.
+// AdmissionGate drives an admission controller: it holds requests back until the controller admits them to the event loop, rejects
+// them, or has them answered with the reply of the request that they repeat.
+//
+// The goroutine that runs Serve owns all its state. The other methods may be called by any goroutine.
 type AdmissionGate struct {
-	door  *admission.Controller
-	clock agent.Clock
-	core  *agent.Loop
-	box   *mailbox.Mailbox[any]
-	known map[uint64]knock // at the door, not in
-	in    map[uint64]bool
-	last  AdmissionStatus // what the log has had
+	controller *admission.Controller
+	clock      agent.Clock
+	loop       *agent.Loop
+	mailbox    *mailbox.Mailbox[admissionMessage]
+	waiting    map[uint64]requestArrival // not admitted yet
+	inProgress map[uint64]bool           // admitted and not finished
+	lastLogged AdmissionStatus
 }
 
-// NewAdmissionGate puts a door before the core.
-func NewAdmissionGate(d *admission.Controller, clock agent.Clock, core *agent.Loop) *AdmissionGate {
-	return &AdmissionGate{door: d, clock: clock, core: core, box: mailbox.New[any](), known: map[uint64]knock{}, in: map[uint64]bool{}}
+// NewAdmissionGate makes a gate before an event loop.
+func NewAdmissionGate(controller *admission.Controller, clock agent.Clock, loop *agent.Loop) *AdmissionGate {
+	return &AdmissionGate{
+		controller: controller,
+		clock:      clock,
+		loop:       loop,
+		mailbox:    mailbox.New[admissionMessage](),
+		waiting:    map[uint64]requestArrival{},
+		inProgress: map[uint64]bool{},
+	}
 }
 
-// figuresEvery is how often the log gets the door's figures, while anything happens there.
-const figuresEvery = 10 * time.Second
-
-// Serve empties the mailbox until the end.
+// Serve handles messages and timers until the context ends.
 func (g *AdmissionGate) Serve(ctx context.Context) {
-	timer := time.NewTimer(time.Hour)
-	figures := time.NewTicker(figuresEvery)
-	defer figures.Stop()
-	var notes []any
+	timer := time.NewTimer(idleTimerInterval)
+	summaries := time.NewTicker(summaryInterval)
+	defer summaries.Stop()
+	var messages []admissionMessage
 	for {
-		wait := time.Hour
-		if next := g.door.NextTimer(); next > 0 {
-			wait = time.Duration(next-g.clock.Now()) * time.Microsecond
-		}
-		timer.Reset(max(0, wait))
+		timer.Reset(g.untilNextTimer())
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-g.box.Ready():
-		case <-figures.C:
-			g.log()
+		case <-g.mailbox.Ready():
+		case <-summaries.C:
+			g.logSummary()
 		}
-		notes = g.box.Take(notes)
-		for _, n := range notes {
-			g.note(n)
+		messages = g.mailbox.Take(messages)
+		for _, message := range messages {
+			g.handle(message)
 		}
-		if next := g.door.NextTimer(); next > 0 && next <= g.clock.Now() {
-			g.carryOut(g.door.TimerFired(g.clock.Now()))
+		if next := g.controller.NextTimer(); next > 0 && next <= g.clock.Now() {
+			g.execute(g.controller.TimerFired(g.clock.Now()))
 		}
 	}
 }
 
-func (g *AdmissionGate) note(n any) {
+// untilNextTimer returns how long the controller may be left alone while no message comes.
+func (g *AdmissionGate) untilNextTimer() time.Duration {
+	next := g.controller.NextTimer()
+	if next <= 0 {
+		return idleTimerInterval
+	}
+	return max(0, time.Duration(next-g.clock.Now())*time.Microsecond)
+}
+
+func (g *AdmissionGate) handle(message admissionMessage) {
 	now := g.clock.Now()
-	switch n := n.(type) {
-	case knock:
-		g.known[n.ID] = n
-		g.carryOut(g.door.Arrive(now, n.Arrival))
-	case found:
-		g.carryOut(g.door.AttemptSent(now, n.id))
-	case over:
-		delete(g.in, n.id)
-		g.carryOut(g.door.Finish(now, n.id, n.how))
-	case left:
-		if g.in[n.id] { // the core tells when nothing of it is out any more
-			g.core.Post(policy.RequestCancelled{RequestID: n.id})
-			return
-		}
-		g.forget(n.id)
-		g.carryOut(g.door.Abandon(now, n.id))
-	case drain:
-		g.carryOut(g.door.Drain(now, g.clock.At(n.until)))
-	case reshare:
-		g.door.SetWeights(n.shares)
-	case sum:
-		g.log()
-		close(n.done)
-	case ask:
-		n.answer <- AdmissionStatus{g.door.Status(), g.door.Counters}
+	switch m := message.(type) {
+	case requestArrival:
+		g.waiting[m.arrival.ID] = m
+		g.execute(g.controller.Arrive(now, m.arrival))
+	case attemptSent:
+		g.execute(g.controller.AttemptSent(now, m.id))
+	case requestFinished:
+		delete(g.inProgress, m.id)
+		g.execute(g.controller.Finish(now, m.id, m.result))
+	case requestCancelled:
+		g.cancel(now, m.id)
+	case drainStarted:
+		g.execute(g.controller.Drain(now, g.clock.At(m.deadline)))
+	case weightsUpdate:
+		g.controller.SetWeights(m.tenants)
+	case summaryRequest:
+		g.logSummary()
+		close(m.done)
+	case statusQuery:
+		m.reply <- g.status()
 	}
 }
 
-func (g *AdmissionGate) forget(id uint64) (k knock, was bool) {
-	if k, was = g.known[id]; was {
-		delete(g.known, id)
-		if k.OnDone != nil {
-			k.OnDone()
-		}
+// cancel takes a request back. The event loop reports an admitted one as finished when nothing of it is in flight any more.
+func (g *AdmissionGate) cancel(now policy.Micros, id uint64) {
+	if g.inProgress[id] {
+		g.loop.Post(policy.RequestCancelled{RequestID: id})
+		return
 	}
-	return k, was
+	g.remove(id)
+	g.execute(g.controller.Abandon(now, id))
 }
 
-func (g *AdmissionGate) carryOut(orders []admission.Command) {
-	for _, o := range orders {
-		switch o.Kind {
+// execute carries the controller's commands out.
+func (g *AdmissionGate) execute(commands []admission.Command) {
+	for _, command := range commands {
+		switch command.Kind {
 		case admission.Admit:
-			k := g.known[o.ID]
-			delete(g.known, o.ID)
-			g.in[o.ID] = true
-			id, free := o.ID, k.OnDone
-			k.OnFirstAttempt = func() { g.box.Put(found{id}) }
-			k.OnDone = func() {
-				if free != nil {
-					free()
-				}
-				g.box.Put(over{id, k.Request.Result()})
-			}
-			g.core.Admit(k.taken, k.Request)
+			g.admit(command.ID)
 		case admission.Reject:
-			if k, was := g.forget(o.ID); was {
-				k.Deliver(agent.Reply{Rejected: true, RetryAfter: o.RetryAfter})
+			if rejected, ok := g.remove(command.ID); ok {
+				rejected.request.Deliver(agent.Reply{Rejected: true, RetryAfter: command.RetryAfter})
 			}
 		case admission.Coalesce:
-			if k, was := g.forget(o.ID); was {
-				g.core.Coalesce(o.LeaderID, k.Request)
+			if retry, ok := g.remove(command.ID); ok {
+				g.loop.Coalesce(command.LeaderID, retry.request)
 			}
 		}
 	}
 }
 
-// log writes a line of figures where anything has happened since the last.
-func (g *AdmissionGate) log() {
-	now := AdmissionStatus{g.door.Status(), g.door.Counters}
-	if now.Arrived != g.last.Arrived || now.Waiting > 0 {
-		journal(now, g.last)
+// admit hands a request to the event loop, which reports back its first attempt and its end.
+func (g *AdmissionGate) admit(id uint64) {
+	admitted := g.waiting[id]
+	delete(g.waiting, id)
+	g.inProgress[id] = true
+	request, onDone := admitted.request, admitted.request.OnDone
+	request.OnFirstAttempt = func() { g.mailbox.Put(attemptSent{id}) }
+	request.OnDone = func() {
+		if onDone != nil {
+			onDone()
+		}
+		g.mailbox.Put(requestFinished{id, request.Result()})
 	}
-	g.last = now
+	g.loop.Admit(admitted.event, request)
 }
 
-// Close writes the last figures.
-func (g *AdmissionGate) Close(ctx context.Context) {
-	done := make(chan struct{})
-	g.box.Put(sum{done})
-	select {
-	case <-done:
-	case <-ctx.Done():
+// remove takes a request off those that wait, and reports whether it was one of them.
+func (g *AdmissionGate) remove(id uint64) (removed requestArrival, ok bool) {
+	removed, ok = g.waiting[id]
+	if !ok {
+		return removed, false
+	}
+	delete(g.waiting, id)
+	if removed.request.OnDone != nil {
+		removed.request.OnDone()
 	}
+	return removed, true
 }
 
-// Status asks for what is in hand.
-func (g *AdmissionGate) Status(ctx context.Context) (s AdmissionStatus) {
-	answer := make(chan AdmissionStatus, 1)
-	g.box.Put(ask{answer})
+// Status returns the gate's status, or an empty one where the context ends first.
+func (g *AdmissionGate) Status(ctx context.Context) (status AdmissionStatus) {
+	reply := make(chan AdmissionStatus, 1)
+	g.mailbox.Put(statusQuery{reply})
 	select {
-	case s = <-answer:
+	case status = <-reply:
 	case <-ctx.Done():
 	}
-	return s
+	return status
 }
 
-// SetWeights puts other weights in force.
-func (g *AdmissionGate) SetWeights(shares []admission.Tenant) { g.box.Put(reshare{shares}) }
+// SetWeights puts other weights of the tenants in force.
+func (g *AdmissionGate) SetWeights(tenants []admission.Tenant) {
+	g.mailbox.Put(weightsUpdate{tenants})
+}
 
-// journal writes the door's figures: levels as they are, counts since the last line.
-func journal(now, last AdmissionStatus) {
-	slog.Info("door", "in", now.InProgress, "limit", int(now.Limit), "waiting", now.Waiting, "kib", now.Bytes>>10,
-		"arrived", now.Arrived-last.Arrived, "admitted", now.Admitted-last.Admitted, "joined", now.Rejoined-last.Rejoined,
-		"toolate", now.Rejected[admission.TooLate]-last.Rejected[admission.TooLate], "noroom", now.Rejected[admission.NoCapacity]-last.Rejected[admission.NoCapacity],
-		"promised", now.Reserved-last.Reserved, "kept", now.ReservationsHonored-last.ReservationsHonored, "broken", now.ReservationsMissed-last.ReservationsMissed,
-		"unclaimed", now.ReservationsUnclaimed-last.ReservationsUnclaimed, "settled", now.Finished[admission.Succeeded]-last.Finished[admission.Succeeded],
-		"declined", now.Finished[admission.Rejected]-last.Finished[admission.Rejected], "voided", now.Finished[admission.Failed]-last.Finished[admission.Failed])
+// Close writes the last summary to the log.
+func (g *AdmissionGate) Close(ctx context.Context) {
+	done := make(chan struct{})
+	g.mailbox.Put(summaryRequest{done})
+	select {
+	case <-done:
+	case <-ctx.Done():
+	}
 }
