--- a/cmd/switchfork-lab/logs.go
+++ b/cmd/switchfork-lab/logs.go
@@ -13,57 +13,77 @@
 	"github.com/spf13/cobra"
 )
 
-// This file owns the count over many agents' logs.
-
+// logsCommand reports on the logs of many agents.
 func logsCommand() *cobra.Command {
 	var every time.Duration
-	var boxes int
+	var endpoints int
 	var rate float64
 	c := &cobra.Command{
 		Use: "logs FOLDER", Short: "count what many agents did together, from a folder with a log an agent (*.log)",
 		Args: func(c *cobra.Command, args []string) error {
-			if len(args) != 1 || every < time.Second || boxes < 0 || rate < 0 {
+			if len(args) != 1 || every < time.Second || endpoints < 0 || rate < 0 {
 				return use{fmt.Errorf("%s wants a folder, --every from 1s, --appliances and --calls not under 0", c.CommandPath())}
 			}
 			return nil
 		},
-		RunE: func(c *cobra.Command, args []string) error { return logs(c.OutOrStdout(), args[0], every, boxes, rate) },
+		RunE: func(c *cobra.Command, args []string) error { return logs(c.OutOrStdout(), args[0], every, endpoints, rate) },
 	}
-	c.Flags().DurationVar(&every, "every", 5*time.Second, "length of a row")
-	c.Flags().IntVar(&boxes, "appliances", 10, "how many appliances are shown")
+	c.Flags().DurationVar(&every, "every", defaultInterval, "length of a row")
+	c.Flags().IntVar(&endpoints, "appliances", defaultMaxEndpoints, "how many appliances are shown")
 	c.Flags().Float64Var(&rate, "calls", 0, "the told votes a second: fail where all agents cast more in over a tenth of the seconds with any; 0: don't ask")
 	return c
 }
 
-// oddSeconds of those with votes may be over the told rate: a change of stage has the few that judge vote at once.
-const oddSeconds = 0.1
+// maxShareOverRate of the seconds with votes may exceed the configured rate: when a stage changes, the few agents that evaluate
+// the release vote at once.
+const maxShareOverRate = 0.1
+
+const (
+	defaultInterval     = 5 * time.Second
+	defaultMaxEndpoints = 10
+)
 
-func logs(out io.Writer, folder string, every time.Duration, boxes int, rate float64) error {
+// logs prints the report on a folder's logs and checks the rate of votes in it.
+func logs(out io.Writer, folder string, every time.Duration, endpoints int, rate float64) error {
 	files, err := filepath.Glob(filepath.Join(folder, "*.log"))
 	if err != nil || len(files) == 0 {
 		return use{fmt.Errorf("%s holds no *.log", folder)}
 	}
-	book := loganalysis.New(every)
+	report := loganalysis.NewReport(every)
 	for _, name := range files {
-		f, err := os.Open(name)
-		if err != nil {
-			return err
-		}
-		err = book.Read(filepath.Base(name), f)
-		f.Close()
-		if err != nil {
-			return fmt.Errorf("%s: %w", name, err)
+		if err := readLog(report, name); err != nil {
+			return fmt.Errorf("reading the log %s: %w", name, err)
 		}
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	book.Print(table, boxes)
+	if err := report.Print(table, endpoints); err != nil {
+		return err
+	}
 	if err := table.Flush(); err != nil {
+		return fmt.Errorf("writing the report: %w", err)
+	}
+	return checkVoteRate(report, rate)
+}
+
+// readLog adds an agent's log file to the report.
+func readLog(report *loganalysis.Report, path string) error {
+	file, err := os.Open(path)
+	if err != nil {
 		return err
 	}
-	if seconds, over := book.Seconds(), 0; rate > 0 {
-		if _, over = book.PeakCalls(rate); float64(over) > oddSeconds*float64(seconds) {
-			return fmt.Errorf("over %g votes a second in %d of %d seconds with votes", rate, over, seconds)
-		}
+	defer func() { _ = file.Close() }() // it was only read
+	return report.Read(filepath.Base(path), file)
+}
+
+// checkVoteRate fails where too many seconds have more votes than the rate allows. A rate of 0 allows all.
+func checkVoteRate(report *loganalysis.Report, rate float64) error {
+	if rate <= 0 {
+		return nil
+	}
+	seconds := report.SecondsWithVotes()
+	_, secondsOver := report.PeakVoteRate(rate)
+	if float64(secondsOver) > maxShareOverRate*float64(seconds) {
+		return fmt.Errorf("over %g votes a second in %d of %d seconds with votes", rate, secondsOver, seconds)
 	}
 	return nil
 }
--- a/cmd/switchfork-lab/logs_test.go
+++ b/cmd/switchfork-lab/logs_test.go
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// Votes of many agents in one second fail where a rate is told; the same spread out pass.
-func TestLogsHoldTheToldRate(t *testing.T) {
-	for apart, bad := range map[time.Duration]bool{0: true, time.Second: false} {
+// Votes of many agents in one second fail where a rate is given; the same votes spread out pass.
+func TestLogsCheckVoteRate(t *testing.T) {
+	for spacing, shouldFail := range map[time.Duration]bool{0: true, time.Second: false} {
 		folder := t.TempDir()
 		for agent := range 20 {
-			at := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC).Add(time.Duration(agent) * apart)
-			line := fmt.Sprintf("time=%s level=INFO msg=vote build=2 stage=0 verdict=approve ending=settled ms=0\n", at.Format(time.RFC3339Nano))
-			if err := os.WriteFile(filepath.Join(folder, fmt.Sprintf("n%d.log", agent)), []byte(line), 0o600); err != nil {
+			at := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC).Add(time.Duration(agent) * spacing)
+			entry := fmt.Sprintf("time=%s level=INFO msg=vote build=2 stage=0 verdict=approve ending=settled ms=0\n", at.Format(time.RFC3339Nano))
+			if err := os.WriteFile(filepath.Join(folder, fmt.Sprintf("n%d.log", agent)), []byte(entry), 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
 		var out bytes.Buffer
 		err := logs(&out, folder, 5*time.Second, 3, 16)
-		if bad != (err != nil) || !strings.Contains(out.String(), "build 2 stage 0 approve: settled") {
-			t.Errorf("%v apart: %v\n%s", apart, err, out.String())
+		if shouldFail != (err != nil) || !strings.Contains(out.String(), "build 2 stage 0 approve: settled") {
+			t.Errorf("%v apart: %v\n%s", spacing, err, out.String())
 		}
 	}
 	var wrong use
--- /dev/null
+++ b/internal/loganalysis/print.go
@@ -0,0 +1,80 @@
+package loganalysis
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+)
+
+// counterColumns are the account lines' keys in the order of the table's columns.
+var counterColumns = []string{"taken", "settled", "declined", "voided", "left", "submissions", "again", "probes", "dials", "list_calls", "votes", "vote_full"}
+
+// Print writes the tables, tab-separated. Of the endpoints it shows those with the most warnings, at most maxEndpoints.
+func (r *Report) Print(w io.Writer, maxEndpoints int) error {
+	var out bytes.Buffer
+	r.printIntervals(&out)
+	r.printVotes(&out)
+	r.printEndpoints(&out, maxEndpoints)
+	if _, err := out.WriteTo(w); err != nil {
+		return fmt.Errorf("writing the report: %w", err)
+	}
+	return nil
+}
+
+func (r *Report) printIntervals(out *bytes.Buffer) {
+	fmt.Fprintf(out, "%d agents, rows of %v; %d lines that are none of a log\n\n", r.Agents, r.Interval, r.MalformedLines)
+	fmt.Fprintf(out, "from_s\t%s\tagents_with_news_of_the_list\tlist_calls_failed\t", strings.Join(counterColumns, "\t"))
+	fmt.Fprintf(out, "endings (a line a second, agent and appliance at most)\n")
+	indices := slices.Sorted(maps.Keys(r.intervals))
+	for _, index := range indices {
+		totals := r.intervals[index]
+		fmt.Fprintf(out, "%g", (time.Duration(index-indices[0]) * r.Interval).Seconds())
+		for _, key := range counterColumns {
+			fmt.Fprintf(out, "\t%d", totals.counters[key])
+		}
+		fmt.Fprintf(out, "\t%d\t%d\t%s\n", len(totals.updatedAgents), totals.failedCalls, formatCounts(totals.attemptResults))
+	}
+}
+
+func (r *Report) printVotes(out *bytes.Buffer) {
+	if len(r.votes) == 0 {
+		return
+	}
+	peak, _ := r.PeakVoteRate(0)
+	fmt.Fprintf(out, "\nvotes, %d in the busiest second\n", peak)
+	for _, vote := range slices.Sorted(maps.Keys(r.votes)) {
+		fmt.Fprintf(out, "%s\t%d\n", vote, r.votes[vote])
+	}
+}
+
+func (r *Report) printEndpoints(out *bytes.Buffer, maxEndpoints int) {
+	names := slices.Sorted(maps.Keys(r.endpointWarnings))
+	if len(names) == 0 {
+		return
+	}
+	slices.SortStableFunc(names, func(a, b string) int { return sum(r.endpointWarnings[b]) - sum(r.endpointWarnings[a]) })
+	fmt.Fprintf(out, "\nappliances with the most warnings, of %d\n", len(names))
+	for _, name := range names[:min(maxEndpoints, len(names))] {
+		fmt.Fprintf(out, "%s\t%s\n", name, formatCounts(r.endpointWarnings[name]))
+	}
+}
+
+func sum(counts map[string]int) (total int) {
+	for _, count := range counts {
+		total += count
+	}
+	return total
+}
+
+// formatCounts lists counts by name.
+func formatCounts(counts map[string]int) string {
+	var parts []string
+	for _, name := range slices.Sorted(maps.Keys(counts)) {
+		parts = append(parts, fmt.Sprintf("%s %d", name, counts[name]))
+	}
+	return strings.Join(parts, ", ")
+}
--- a/internal/loganalysis/logbook_test.go
+++ b/internal/loganalysis/report_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// written is a log as an agent writes it, with times of our own.
-func written(t *testing.T, lines ...func(*slog.Logger)) string {
+// writeLog returns a log as an agent writes it, with a line every half second.
+func writeLog(t *testing.T, lines ...func(*slog.Logger)) string {
 	t.Helper()
 	var out bytes.Buffer
 	at := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
@@ -20,39 +20,41 @@
 		}
 		return a
 	}}))
-	for _, l := range lines {
-		l(log)
+	for _, writeLine := range lines {
+		writeLine(log)
 	}
 	return out.String()
 }
 
-func vote(log *slog.Logger) {
+func logVote(log *slog.Logger) {
 	log.Info("vote", "build", 7, "stage", 1, "verdict", "approve", "ending", "turned away", "ms", 120)
 }
 
-func account(log *slog.Logger) {
+func logAccount(log *slog.Logger) {
 	log.Info("account", "ms", 5001, "taken", 40, "settled", 30, "declined", 9, "submissions", 44, "again", 5, "list_calls", 2)
 }
 
-func TestCountsOverAgents(t *testing.T) {
-	one := written(t, account, vote, vote, func(l *slog.Logger) {
+func TestReportAddsUpAgents(t *testing.T) {
+	one := writeLog(t, logAccount, logVote, logVote, func(l *slog.Logger) {
 		l.Warn("appliance", "appliance", "box 1", "ending", "nothing in time", "probe", false, "after_ms", 380)
 	}, func(l *slog.Logger) { l.Info("list", "seq", 4, "whole", false, "entries", 3) })
-	two := written(t, account, vote, func(l *slog.Logger) { l.Warn("watch ended", "err", "status 503") })
-	b := New(5 * time.Second)
+	two := writeLog(t, logAccount, logVote, func(l *slog.Logger) { l.Warn("watch ended", "err", "status 503") })
+	report := NewReport(5 * time.Second)
 	for name, log := range map[string]string{"a": "0.013 " + strings.ReplaceAll(one, "\n", "\n0.020 "), "b": two + "no log line\ntime=never msg=vote\n"} {
-		if err := b.Read(name, strings.NewReader(log)); err != nil {
+		if err := report.Read(name, strings.NewReader(log)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if peak, over := b.PeakCalls(2); peak != 2 || over != 0 || b.Seconds() != 2 {
-		t.Errorf("busiest second %d, over %d of %d", peak, over, b.Seconds())
+	if peak, over := report.PeakVoteRate(2); peak != 2 || over != 0 || report.SecondsWithVotes() != 2 {
+		t.Errorf("busiest second %d, over %d of %d", peak, over, report.SecondsWithVotes())
 	}
-	if _, over := b.PeakCalls(1); over != 1 {
-		t.Errorf("%d seconds over one call", over)
+	if _, over := report.PeakVoteRate(1); over != 1 {
+		t.Errorf("%d seconds over one vote", over)
 	}
 	var out bytes.Buffer
-	b.Print(&out, 1)
+	if err := report.Print(&out, 1); err != nil {
+		t.Fatal(err)
+	}
 	for _, want := range []string{
 		"2 agents", "\n0\t80\t60\t18\t0\t0\t88\t10\t0\t0\t4\t0\t0\t1\t1\tnothing in time 1\n",
 		"build 7 stage 1 approve: turned away\t3\n", "box 1\tnothing in time 1\n",
@@ -61,8 +63,8 @@
 			t.Errorf("%q is missing in\n%s", want, out.String())
 		}
 	}
-	if b.Odd != 3 { // the two above, and what stands before the end of the first log
-		t.Errorf("%d odd lines", b.Odd)
+	if report.MalformedLines != 3 { // the two above, and what stands before the end of the first log
+		t.Errorf("%d malformed lines", report.MalformedLines)
 	}
 }
 
@@ -70,8 +72,10 @@
 	f.Add([]byte("time=2026-01-02T03:04:05Z msg=account taken=1\n"))
 	f.Add([]byte("time=2026-01-02T03:04:05Z msg=\"vote\" ms=\n\x00=time="))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		b := New(0)
-		b.Read("x", bytes.NewReader(raw))
-		b.Print(&bytes.Buffer{}, 100)
+		report := NewReport(0)
+		_ = report.Read("x", bytes.NewReader(raw)) // any error will do, as long as nothing panics
+		if err := report.Print(&bytes.Buffer{}, 100); err != nil {
+			t.Fatal(err)
+		}
 	})
 }
