--- a/cmd/switchfork-lab/door.go
+++ b/cmd/switchfork-lab/door.go
@@ -77,26 +77,26 @@
 var shares = []float64{0.4, 0.25, 0.2, 0.15}
 
 // settledInTime is a tenant's share of txns that were settled in their SLA time.
-func settledInTime(r *simulation.Result, tenant int) float64 {
+func settledInTime(r *simulation.AdmissionResult, tenant int) float64 {
 	a := r.Tenants[tenant]
 	return float64(a.InTime) / max(1, float64(a.Offered))
 }
 
-func total(r *simulation.Result) (n float64) {
+func total(r *simulation.AdmissionResult) (n float64) {
 	for _, a := range r.Tenants {
-		n += float64(a.Settled)
+		n += float64(a.Succeeded)
 	}
 	return n
 }
 
 // jain is Jain's index of the work let in by weight.
-func jain(r *simulation.Result) float64 {
+func jain(r *simulation.AdmissionResult) float64 {
 	sum, squares := 0.0, 0.0
-	for i, s := range r.Served {
+	for i, s := range r.AdmittedCost {
 		x := s / shares[i]
 		sum, squares = sum+x, squares+x*x
 	}
-	return sum * sum / (float64(len(r.Served)) * squares)
+	return sum * sum / (float64(len(r.AdmittedCost)) * squares)
 }
 
 func median(of []float64) float64 {
@@ -108,43 +108,43 @@
 }
 
 func simulatedDoor(out io.Writer, seed int64, times float64, noisy, oneOff, seconds int) error {
-	base := simulation.Day{Seed: seed, Seconds: seconds, Appliances: 12, Slots: 4, Work: 40_000, Load: 0.6, Shares: shares, OneOff: oneOff, Times: 1}
+	base := simulation.AdmissionScenario{Seed: seed, Seconds: seconds, Endpoints: 12, Slots: 4, MeanWork: 40_000, Load: 0.6, TenantShares: shares, OneOffClients: oneOff, NoiseFactor: 1}
 	loud := base
-	loud.Times = times
+	loud.NoiseFactor = times
 	for i := range noisy {
-		loud.Noisy = append(loud.Noisy, i)
+		loud.NoisyTenants = append(loud.NoisyTenants, i)
 	}
 	two, fresh, all, slow := loud, loud, base, loud
-	two.Noisy = []int{0, 1}
-	fresh.FreshNames = true
-	all.All = 3
-	slow.SlowBy, slow.SlowFrom, slow.SlowTo = 5, int64(seconds)*1_000_000/3, int64(seconds)*1_000_000*2/3
+	two.NoisyTenants = []int{0, 1}
+	fresh.UniqueNoisyClients = true
+	all.OverloadFactor = 3
+	slow.SlowFactor, slow.SlowFrom, slow.SlowTo = 5, int64(seconds)*1_000_000/3, int64(seconds)*1_000_000*2/3
 
 	type play struct {
 		name string
-		day  simulation.Day
-		kind simulation.Kind
+		day  simulation.AdmissionScenario
+		kind simulation.AdmissionPolicy
 	}
 	plays := []play{
-		{"quiet", base, simulation.Fair},
-		{"noisy", loud, simulation.Fair},
-		{"two noisy", two, simulation.Fair},
-		{"new names", fresh, simulation.Fair},
-		{"all backlogged", all, simulation.Fair},
-		{"slow fivefold", slow, simulation.Fair},
-		{"noisy", loud, simulation.NoCalendar},
-		{"quiet", base, simulation.Fifo},
-		{"noisy", loud, simulation.Fifo},
-		{"noisy", loud, simulation.Bucket},
-		{"all backlogged", all, simulation.Fifo},
+		{"quiet", base, simulation.FairQueues},
+		{"noisy", loud, simulation.FairQueues},
+		{"two noisy", two, simulation.FairQueues},
+		{"new names", fresh, simulation.FairQueues},
+		{"all backlogged", all, simulation.FairQueues},
+		{"slow fivefold", slow, simulation.FairQueues},
+		{"noisy", loud, simulation.FairQueuesNoReservations},
+		{"quiet", base, simulation.FIFO},
+		{"noisy", loud, simulation.FIFO},
+		{"noisy", loud, simulation.TokenBucket},
+		{"all backlogged", all, simulation.FIFO},
 	}
-	results := make([]*simulation.Result, len(plays))
+	results := make([]*simulation.AdmissionResult, len(plays))
 	var wait sync.WaitGroup
 	for i, p := range plays {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			results[i] = simulation.Play(p.day, p.kind)
+			results[i] = simulation.PlayAdmission(p.day, p.kind)
 		}()
 	}
 	wait.Wait()
@@ -158,10 +158,10 @@
 		for tenant := range shares {
 			parts = append(parts, fmt.Sprintf("%.3f", settledInTime(r, tenant)))
 		}
-		kept := float64(r.Count.ReservationsHonored) / max(1, float64(r.Count.ReservationsHonored+r.Count.ReservationsMissed))
+		kept := float64(r.Counters.ReservationsHonored) / max(1, float64(r.Counters.ReservationsHonored+r.Counters.ReservationsMissed))
 		fmt.Fprintf(t, "%s\t%s\t%s\t%.0f\t%d\t%d\t%.3f\t%.2f\t%.4f\t%.0f\n", p.kind, p.name, strings.Join(parts, " "), total(r),
-			r.Count.ReservationsHonored, r.Count.ReservationsMissed, kept, median(r.Told), jain(r), r.Limit[len(r.Limit)-1])
-		if p.kind != simulation.Fair {
+			r.Counters.ReservationsHonored, r.Counters.ReservationsMissed, kept, median(r.RetryAfterRatios), jain(r), r.ConcurrencyLimits[len(r.ConcurrencyLimits)-1])
+		if p.kind != simulation.FairQueues {
 			continue
 		}
 		quietOnes := func(from int) {
@@ -173,7 +173,7 @@
 		case "noisy", "new names":
 			quietOnes(noisy)
 			b.least(p.name+": who came back at the told time and got in at once", kept, keptBar)
-			b.most(p.name+": told wait over the needed one, median", median(r.Told), toldBar)
+			b.most(p.name+": told wait over the needed one, median", median(r.RetryAfterRatios), toldBar)
 			b.least(p.name+": throughput beside first in, first out", total(r)/total(results[8]), throughputBar)
 		case "two noisy":
 			quietOnes(2)
--- a/cmd/switchfork-lab/election.go
+++ b/cmd/switchfork-lab/election.go
@@ -59,7 +59,7 @@
 	without   string
 }
 
-func deciderCommand() *cobra.Command {
+func electionCommand() *cobra.Command {
 	var experiment electionExperiment
 	c := &cobra.Command{
 		Use: "decider", Short: "one decider at a time: random partitions, standstills, restarts", Args: none,
@@ -87,11 +87,11 @@
 }
 
 // draw returns the schedules with faults, at most so many.
-func (e *electionExperiment) draw(count int) []simulation.Schedule {
-	schedules := make([]simulation.Schedule, 0, count)
+func (e *electionExperiment) draw(count int) []simulation.ElectionSchedule {
+	schedules := make([]simulation.ElectionSchedule, 0, count)
 	for i := range min(e.schedules, count) {
-		schedules = append(schedules, simulation.Schedule{
-			Seed: e.seed + int64(i), Agents: e.agents, Seconds: e.seconds, Without: guardsByName[e.without],
+		schedules = append(schedules, simulation.ElectionSchedule{
+			Seed: e.seed + int64(i), Agents: e.agents, Seconds: e.seconds, DisabledGuards: guardsByName[e.without],
 		})
 	}
 	return schedules
@@ -107,7 +107,7 @@
 		report.bars.most("nights in which a bad release was never sent back", float64(never), 0)
 		e.checkGaps(report)
 	}
-	independent := variant(faulty, func(s *simulation.Schedule) { s.VoteIndependently = true })
+	independent := variant(faulty, func(s *simulation.ElectionSchedule) { s.VoteIndependently = true })
 	report.addRow("troubled, each votes by itself", playAll(independent), nil)
 	growth := e.measureIdleTraffic(report)
 	if e.without == "" {
@@ -126,10 +126,12 @@
 
 // checkGaps measures how long there is no leader after a crash and after a planned leave.
 func (e *electionExperiment) checkGaps(report *electionReport) {
-	lease := float64(simulation.NightLease())
-	crashes := variant(e.draw(maxCrashSchedules), func(s *simulation.Schedule) { s.Calm = true })
-	slow := variant(crashes, func(s *simulation.Schedule) { s.Slow = simulation.NightLease() / slowMessagesPerLease })
-	leaves := variant(crashes, func(s *simulation.Schedule) { s.LeaderLeaves = true })
+	lease := float64(simulation.ElectionLease())
+	crashes := variant(e.draw(maxCrashSchedules), func(s *simulation.ElectionSchedule) { s.LeaderFaultOnly = true })
+	slow := variant(crashes, func(s *simulation.ElectionSchedule) {
+		s.MessageDelay = simulation.ElectionLease() / slowMessagesPerLease
+	})
+	leaves := variant(crashes, func(s *simulation.ElectionSchedule) { s.LeaderLeaves = true })
 
 	gaps := report.addRow("calm, who leads crashes", playAll(crashes), crashes).gaps
 	report.bars.most("leases without a decider after a crash, 99th", quantile(gaps, 0.99)*microsPerSecond/lease, maxGapLeases)
@@ -144,8 +146,8 @@
 func (e *electionExperiment) measureIdleTraffic(report *electionReport) (growth float64) {
 	var rates []float64
 	for _, agents := range idleAgents {
-		schedules := variant(e.draw(maxIdleSchedules), func(s *simulation.Schedule) {
-			s.Calm, s.NoFaults, s.Agents = true, true, agents
+		schedules := variant(e.draw(maxIdleSchedules), func(s *simulation.ElectionSchedule) {
+			s.LeaderFaultOnly, s.NoFaults, s.Agents = true, true, agents
 		})
 		rate := 0.0
 		for _, result := range playAll(schedules) {
@@ -158,8 +160,8 @@
 }
 
 // playAll plays schedules on all cores and returns the results in the same order.
-func playAll(schedules []simulation.Schedule) []*simulation.Night {
-	results := make([]*simulation.Night, len(schedules))
+func playAll(schedules []simulation.ElectionSchedule) []*simulation.ElectionResult {
+	results := make([]*simulation.ElectionResult, len(schedules))
 	next := make(chan int)
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -167,7 +169,7 @@
 		go func() {
 			defer workers.Done()
 			for i := range next {
-				results[i] = simulation.PlayNight(schedules[i])
+				results[i] = simulation.PlayElection(schedules[i])
 			}
 		}()
 	}
@@ -180,7 +182,7 @@
 }
 
 // variant returns the same schedules, changed.
-func variant(schedules []simulation.Schedule, change func(*simulation.Schedule)) []simulation.Schedule {
+func variant(schedules []simulation.ElectionSchedule, change func(*simulation.ElectionSchedule)) []simulation.ElectionSchedule {
 	changed := slices.Clone(schedules)
 	for i := range changed {
 		change(&changed[i])
--- a/cmd/switchfork-lab/election_report.go
+++ b/cmd/switchfork-lab/election_report.go
@@ -48,14 +48,14 @@
 }
 
 // sumUp adds results up. Without their schedules, gaps at the start don't count and no violation is named.
-func sumUp(results []*simulation.Night, schedules []simulation.Schedule) (totals electionTotals) {
+func sumUp(results []*simulation.ElectionResult, schedules []simulation.ElectionSchedule) (totals electionTotals) {
 	for i, result := range results {
 		totals.leaderships += result.Leaderships
 		totals.leaderChanges += result.LeaderChanges
 		totals.votes += result.EffectiveVotes
 		totals.messages += result.Messages
 		totals.memberChanges += result.MemberChanges
-		countsStart := schedules != nil && !schedules[i].Calm
+		countsStart := schedules != nil && !schedules[i].LeaderFaultOnly
 		totals.addGaps(result.Gaps, countsStart)
 		if result.RollbackAfter >= 0 {
 			totals.rollbackDelays = append(totals.rollbackDelays, float64(result.RollbackAfter)/microsPerSecond)
@@ -83,7 +83,7 @@
 }
 
 // addRow adds the totals of results to the table. Violations fail the experiment where the schedules are given.
-func (r *electionReport) addRow(name string, results []*simulation.Night, schedules []simulation.Schedule) electionTotals {
+func (r *electionReport) addRow(name string, results []*simulation.ElectionResult, schedules []simulation.ElectionSchedule) electionTotals {
 	t := sumUp(results, schedules)
 	if t.firstViolation != "" {
 		r.bars = append(r.bars, name+": "+t.firstViolation)
--- a/cmd/switchfork-lab/logs.go
+++ b/cmd/switchfork-lab/logs.go
@@ -26,7 +26,9 @@
 			}
 			return nil
 		},
-		RunE: func(c *cobra.Command, args []string) error { return logs(c.OutOrStdout(), args[0], every, endpoints, rate) },
+		RunE: func(c *cobra.Command, args []string) error {
+			return logs(c.OutOrStdout(), args[0], every, endpoints, rate)
+		},
 	}
 	c.Flags().DurationVar(&every, "every", defaultInterval, "length of a row")
 	c.Flags().IntVar(&endpoints, "appliances", defaultMaxEndpoints, "how many appliances are shown")
--- a/cmd/switchfork-lab/main.go
+++ b/cmd/switchfork-lab/main.go
@@ -28,7 +28,7 @@
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return use{err} })
-	root.AddCommand(doorCommand(), deciderCommand(), demoCommand(), logsCommand(), trialCommand())
+	root.AddCommand(doorCommand(), electionCommand(), demoCommand(), logsCommand(), trialCommand())
 	err := root.Execute()
 	var wrong use
 	switch {
--- /dev/null
+++ b/internal/simulation/admission.go
@@ -0,0 +1,214 @@
+package simulation
+
+import (
+	"math/rand"
+
+	"switchfork/internal/admission"
+	"switchfork/internal/policy"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+// AdmissionScenario describes a load and the endpoints that serve it.
+type AdmissionScenario struct {
+	Seed         int64
+	Seconds      int
+	Endpoints    int
+	Slots        int     // requests that an endpoint works on at a time
+	MeanWork     int64   // of a request, in microseconds
+	Load         float64 // of all tenants together, as a part of the endpoints' capacity
+	TenantShares []float64
+
+	NoisyTenants       []int   // those that send NoiseFactor times their load
+	NoiseFactor        float64 // 1: nobody does
+	UniqueNoisyClients bool    // each request of a noisy tenant comes from a new client
+	OneOffClients      int     // clients that send one request, spread over the whole time
+	OverloadFactor     float64 // every tenant sends so many times its share of the capacity; 0: Load decides
+
+	SlowFrom   int64 // between SlowFrom and SlowTo, in microseconds, endpoints are SlowFactor times slower
+	SlowTo     int64
+	SlowFactor float64
+}
+
+// The latency objective and timeout of the one request class, as multiples of its mean work: a request has time for some queueing.
+const (
+	objectiveWorks = 20
+	timeoutWorks   = 60
+)
+
+const (
+	// maxRetryAfter bounds the waits that clients are asked for.
+	maxRetryAfter = 2 * second
+	// maxClientRetries of a rejected request.
+	maxClientRetries = 3
+)
+
+func (s *AdmissionScenario) latencyObjective() int64 { return objectiveWorks * s.MeanWork }
+
+func (s *AdmissionScenario) timeout() int64 { return timeoutWorks * s.MeanWork }
+
+func (s *AdmissionScenario) duration() int64 { return int64(s.Seconds) * second }
+
+// capacity returns the work that the endpoints do in a microsecond.
+func (s *AdmissionScenario) capacity() float64 { return float64(s.Endpoints * s.Slots) }
+
+// TenantResult counts the outcomes of a tenant's requests.
+type TenantResult struct {
+	Offered   int
+	InTime    int // succeeded within the latency objective
+	GivenUp   int // failed, or rejected too often
+	Succeeded int // within the scenario's duration
+	Tries     int // requests including the clients' retries
+	Rejected  int
+	Latency   *hdrhistogram.Histogram // of the last try, in microseconds
+}
+
+// AdmissionResult is the outcome of an admission scenario.
+type AdmissionResult struct {
+	Tenants           []TenantResult
+	AdmittedCost      []float64 // by tenant
+	Counters          admission.Counters
+	RetryAfterRatios  []float64 // of rejected requests: the wait that they were asked for, divided by the one that was needed
+	ConcurrencyLimits []float64 // once a second
+}
+
+// admissionRun is the state of a scenario that is being played.
+type admissionRun struct {
+	timeline
+	scenario AdmissionScenario
+	random   *rand.Rand
+	result   *AdmissionResult
+
+	admitter   admitter
+	timerAt    int64             // at which the admission controller wants to be called
+	rejections [][]waitingClient // by tenant
+
+	router        policy.Router
+	endpoints     []*endpoint
+	pending       map[uint64]*request
+	lastRequestID uint64
+}
+
+// waitingClient is one that was rejected with a wait. The wait was needed up to the time at which the tenant's admitted cost
+// reaches targetCost.
+type waitingClient struct {
+	targetCost float64
+	retryAfter float64
+	rejectedAt int64
+}
+
+// PlayAdmission plays a scenario under an admission policy.
+func PlayAdmission(scenario AdmissionScenario, kind AdmissionPolicy) *AdmissionResult {
+	r := &admissionRun{
+		scenario:   scenario,
+		random:     rand.New(rand.NewSource(scenario.Seed)),
+		result:     &AdmissionResult{},
+		timerAt:    never,
+		rejections: make([][]waitingClient, len(scenario.TenantShares)),
+		pending:    map[uint64]*request{},
+	}
+	for range scenario.TenantShares {
+		r.result.Tenants = append(r.result.Tenants, TenantResult{Latency: hdrhistogram.New(1, 100*second, 3)})
+	}
+	r.startRouter()
+	r.admitter = newAdmitter(&r.scenario, kind)
+	r.scheduleArrivals()
+	r.scheduleLimitSamples()
+	r.runUntil(scenario.duration() + scenario.timeout() + maxRetryAfter*maxClientRetries)
+	r.result.Counters = r.admitter.Counters
+	for tenant := range scenario.TenantShares {
+		r.result.AdmittedCost = append(r.result.AdmittedCost, r.tenantStatus(tenant).AdmittedCost)
+	}
+	return r.result
+}
+
+func (r *admissionRun) scheduleLimitSamples() {
+	for i := range r.scenario.Seconds {
+		r.schedule(int64(i+1)*second, func() {
+			r.result.ConcurrencyLimits = append(r.result.ConcurrencyLimits, r.admitter.Status().Limit)
+		})
+	}
+}
+
+// admit asks the admission controller to admit a request.
+func (r *admissionRun) admit(request *request) {
+	if !r.admitter.allows(r.now, request.tenant) {
+		r.rejectRequest(request, r.admitter.fixedRetryAfter)
+		return
+	}
+	r.executeAdmission(r.admitter.Arrive(r.now, admission.Arrival{
+		ID:       request.id,
+		Tenant:   r.admitter.queueTenant(request.tenant),
+		Client:   request.client,
+		Key:      request.key,
+		IsRetry:  request.tries > 1,
+		Deadline: request.deadline,
+		Bytes:    requestBytes,
+	}))
+}
+
+// executeAdmission carries out the admission controller's commands, and follows its progress and its timer.
+func (r *admissionRun) executeAdmission(commands []admission.Command) {
+	for _, command := range commands {
+		request := r.pending[command.ID]
+		if request == nil {
+			continue
+		}
+		switch command.Kind {
+		case admission.Admit:
+			r.sendToRouter(policy.RequestArrived{ID: command.ID, Deadline: request.deadline, ArrivedAt: request.arrivedAt})
+		case admission.Reject:
+			r.executeReject(request, command)
+		}
+	}
+	r.measureNeededWaits()
+	r.scheduleAdmissionTimer()
+}
+
+func (r *admissionRun) executeReject(request *request, command admission.Command) {
+	retryAfter := command.RetryAfter
+	if r.admitter.fixedRetryAfter > 0 && command.Reason != admission.Replaced {
+		retryAfter = r.admitter.fixedRetryAfter
+	}
+	if command.RetryAfter > 0 {
+		status := r.tenantStatus(request.tenant)
+		r.rejections[request.tenant] = append(r.rejections[request.tenant], waitingClient{
+			targetCost: status.AdmittedCost + status.Cost + status.ReservedCost,
+			retryAfter: float64(command.RetryAfter),
+			rejectedAt: r.now,
+		})
+	}
+	r.rejectRequest(request, retryAfter)
+}
+
+// measureNeededWaits compares the waits of rejected requests with the time at which there was capacity for them.
+func (r *admissionRun) measureNeededWaits() {
+	for tenant := range r.rejections {
+		admittedCost := r.tenantStatus(tenant).AdmittedCost
+		for len(r.rejections[tenant]) > 0 && admittedCost >= r.rejections[tenant][0].targetCost {
+			first := r.rejections[tenant][0]
+			r.rejections[tenant] = r.rejections[tenant][1:]
+			if needed := float64(r.now - first.rejectedAt); needed > 0 {
+				r.result.RetryAfterRatios = append(r.result.RetryAfterRatios, first.retryAfter/needed)
+			}
+		}
+	}
+}
+
+func (r *admissionRun) scheduleAdmissionTimer() {
+	next := r.admitter.NextTimer()
+	if next <= 0 || next >= r.timerAt {
+		return
+	}
+	r.timerAt = next
+	r.schedule(next, func() {
+		if r.timerAt <= r.now {
+			r.timerAt = never
+			r.executeAdmission(r.admitter.TimerFired(r.now))
+		}
+	})
+}
+
+func (r *admissionRun) tenantStatus(tenant int) admission.TenantStatus {
+	return r.admitter.Tenant(r.admitter.queueTenant(tenant))
+}
--- /dev/null
+++ b/internal/simulation/admission_clients.go
@@ -0,0 +1,157 @@
+package simulation
+
+import (
+	"math/rand"
+	"slices"
+
+	"switchfork/internal/admission"
+)
+
+const (
+	// clientsPerTenant of those tenants whose clients come repeatedly.
+	clientsPerTenant = 20
+	// firstUniqueClient numbers the clients of a noisy tenant that come once, after its other clients.
+	firstUniqueClient = 1000
+	// tenantKeyShift and tenantClientShift separate the tenants' idempotency keys and client numbers.
+	tenantKeyShift    = 40
+	tenantClientShift = 32
+	// firstOneOffClient is above all other clients' numbers and keys.
+	firstOneOffClient = 1 << 50
+	// maxRetryJitter is added to the wait that a rejected client was asked for.
+	maxRetryJitter = 3 * ms
+	// requestBytes is the size of each request.
+	requestBytes = 400
+)
+
+// request is a client's request through all its tries. Each try has an id, an arrival time and a deadline of its own.
+type request struct {
+	tenant int
+	client uint64
+	key    uint64
+	work   int64
+	tries  int
+
+	id        uint64
+	arrivedAt int64
+	deadline  int64
+	isSent    bool // to an endpoint
+	isDone    bool
+}
+
+// scheduleArrivals schedules the load. It is open: arrivals don't wait for answers.
+func (r *admissionRun) scheduleArrivals() {
+	for tenant, share := range r.scenario.TenantShares {
+		r.scheduleTenant(tenant, share)
+	}
+	for i := range r.scenario.OneOffClients {
+		part := float64(i) / float64(r.scenario.OneOffClients)
+		r.schedule(int64(part*float64(r.scenario.Seconds)*float64(second)), func() { r.sendOneOff(i) })
+	}
+}
+
+// scheduleTenant schedules a tenant's requests. They have a random source of their own, so that the other tenants' requests are
+// the same with and without a noisy one.
+func (r *admissionRun) scheduleTenant(tenant int, share float64) {
+	s := &r.scenario
+	random := rand.New(rand.NewSource(s.Seed*1000 + int64(tenant)))
+	rate := s.Load * share * s.capacity() / float64(s.MeanWork)
+	if s.OverloadFactor > 0 {
+		rate = s.OverloadFactor * share * s.capacity() / float64(s.MeanWork)
+	}
+	isNoisy := s.NoiseFactor > 1 && slices.Contains(s.NoisyTenants, tenant)
+	if isNoisy {
+		rate *= s.NoiseFactor
+	}
+	serial := uint64(0)
+	var scheduleNext func(at int64)
+	scheduleNext = func(at int64) {
+		if at > s.duration() {
+			return
+		}
+		r.schedule(at, func() {
+			serial++
+			client := uint64(tenant)<<tenantClientShift + serial%clientsPerTenant
+			if isNoisy && s.UniqueNoisyClients {
+				client = uint64(tenant)<<tenantClientShift + serial + firstUniqueClient
+			}
+			key := uint64(tenant)<<tenantKeyShift + serial
+			r.offer(&request{tenant: tenant, client: client, key: key, work: s.drawWork(random)})
+			scheduleNext(at + int64(random.ExpFloat64()/rate) + 1)
+		})
+	}
+	scheduleNext(int64(random.ExpFloat64() / rate))
+}
+
+func (r *admissionRun) sendOneOff(i int) {
+	id := firstOneOffClient + uint64(i)
+	tenant := i % len(r.scenario.TenantShares)
+	r.offer(&request{tenant: tenant, client: id, key: id, work: r.scenario.drawWork(r.random)})
+}
+
+func (s *AdmissionScenario) drawWork(random *rand.Rand) int64 {
+	return int64(random.ExpFloat64()*float64(s.MeanWork)) + 1
+}
+
+// offer sends a new request.
+func (r *admissionRun) offer(request *request) {
+	r.result.Tenants[request.tenant].Offered++
+	r.try(request)
+}
+
+// try sends a request, for the first time or again.
+func (r *admissionRun) try(request *request) {
+	request.tries++
+	r.result.Tenants[request.tenant].Tries++
+	r.lastRequestID++
+	request.id = r.lastRequestID
+	request.arrivedAt = r.now
+	request.deadline = r.now + r.scenario.timeout()
+	request.isSent = false
+	request.isDone = false
+	r.pending[request.id] = request
+	r.admit(request)
+}
+
+// rejectRequest answers a try with a rejection. The client tries again after the wait, or gives up where it has none.
+func (r *admissionRun) rejectRequest(request *request, retryAfter int64) {
+	tenant := &r.result.Tenants[request.tenant]
+	tenant.Rejected++
+	delete(r.pending, request.id)
+	if request.tries > maxClientRetries || retryAfter == 0 {
+		tenant.GivenUp++
+		return
+	}
+	jitter := int64(r.random.Float64() * float64(maxRetryJitter))
+	r.schedule(r.now+retryAfter+jitter, func() { r.try(request) })
+}
+
+// finishRequest answers a try that was admitted.
+func (r *admissionRun) finishRequest(request *request, result admission.Result) {
+	if request.isDone {
+		return
+	}
+	request.isDone = true
+	id := request.id
+	delete(r.pending, id)
+	switch result {
+	case admission.Succeeded:
+		r.recordSuccess(request)
+	case admission.Rejected:
+		r.rejectRequest(request, maxRetryAfter)
+	default:
+		r.result.Tenants[request.tenant].GivenUp++
+	}
+	r.schedule(r.now, func() { r.executeAdmission(r.admitter.Finish(r.now, id, result)) })
+}
+
+func (r *admissionRun) recordSuccess(request *request) {
+	tenant := &r.result.Tenants[request.tenant]
+	if r.now <= r.scenario.duration() {
+		tenant.Succeeded++
+	}
+	latency := r.now - request.arrivedAt
+	_ = tenant.Latency.RecordValue(latency) // it fails for values out of its range only, and no latency exceeds the timeout
+	if latency <= r.scenario.latencyObjective() {
+		tenant.InTime++
+	}
+}
--- /dev/null
+++ b/internal/simulation/admission_endpoints.go
@@ -0,0 +1,152 @@
+package simulation
+
+import (
+	"switchfork/internal/admission"
+	"switchfork/internal/policy"
+)
+
+const (
+	// networkDelay to an endpoint, and back.
+	networkDelay = ms / 4
+	// queueLengthPerSlot of an endpoint; it rejects what comes beyond.
+	queueLengthPerSlot = 8
+)
+
+// endpoint models a server that works on some requests at a time and queues others.
+type endpoint struct {
+	id        uint32
+	slots     int
+	busySlots int
+	queue     []*attempt
+}
+
+// attempt is one attempt to serve a request at an endpoint.
+type attempt struct {
+	request   *request
+	requestID uint64
+	sentAt    int64
+	isDone    bool
+}
+
+// startRouter creates the endpoints and a router that knows them, with a build that has long been released.
+func (r *admissionRun) startRouter() {
+	class := policy.RequestClass{
+		Idempotency:      policy.Idempotent,
+		LatencyObjective: r.scenario.latencyObjective(),
+		Timeout:          r.scenario.timeout(),
+		PriorityWeight:   1,
+	}
+	r.router = policy.New(
+		policy.Instance{Agents: 1, Seed: r.scenario.Seed},
+		[]policy.RequestClass{class},
+		policy.RolloutPlan{Caps: []float64{1}},
+		policy.VotingRules{Rule: policy.TimedStages, VoteLifetime: 4 * second, VotesToRollBack: 1},
+		policy.ExposureLimit{Window: 4 * second, Allowance: 3},
+		policy.SlowStart{InitialCapacity: 0.3, Duration: 5 * second, OverloadMultiple: 2, OverloadAfter: 1500 * ms},
+		policy.RetryLimits{MaxAttempts: 3, MaxRetryAfter: maxRetryAfter},
+		policy.Capabilities{HealthChecks: true},
+		policy.CostWeights{},
+	)
+	update := policy.EndpointUpdate{Full: true}
+	for i := range r.scenario.Endpoints {
+		id := uint32(i + 1)
+		r.endpoints = append(r.endpoints, &endpoint{id: id, slots: r.scenario.Slots})
+		update.Endpoints = append(update.Endpoints, policy.Endpoint{ID: id, Build: 1, State: policy.Ready, Weight: 1})
+	}
+	r.sendToRouter(update)
+	r.sendToRouter(policy.RolloutUpdate{Build: 1, Phase: policy.Released, Cap: 1, Age: 100 * second})
+}
+
+// sendToRouter lets the router handle an event, and carries out its commands.
+func (r *admissionRun) sendToRouter(event policy.Event) {
+	for _, command := range r.router.Handle(r.now, event) {
+		switch command := command.(type) {
+		case policy.SetTimer:
+			r.schedule(command.At, func() { r.sendToRouter(policy.TimerFired{Token: command.Token}) })
+		case policy.SendAttempt:
+			r.sendAttempt(command)
+		case policy.Reject:
+			if request := r.pending[command.RequestID]; request != nil {
+				r.finishRequest(request, admission.Rejected)
+			}
+		case policy.Fail:
+			if request := r.pending[command.RequestID]; request != nil {
+				r.finishRequest(request, admission.Failed)
+			}
+		case policy.CheckHealth:
+			r.schedule(r.now+ms, func() { r.sendToRouter(policy.HealthCheckResult{EndpointID: command.EndpointID, Elapsed: ms}) })
+		}
+	}
+}
+
+// sendAttempt sends a request to an endpoint. The attempt times out at its own timeout or the request's deadline.
+func (r *admissionRun) sendAttempt(command policy.SendAttempt) {
+	request := r.pending[command.RequestID]
+	if request == nil {
+		return
+	}
+	if !request.isSent {
+		id := request.id
+		r.schedule(r.now, func() { r.executeAdmission(r.admitter.AttemptSent(r.now, id)) })
+	}
+	request.isSent = true
+	endpoint := r.endpoints[command.EndpointID-1]
+	attempt := &attempt{request: request, requestID: request.id, sentAt: r.now}
+	timeoutAt := request.deadline
+	if command.Timeout > 0 {
+		timeoutAt = min(timeoutAt, r.now+command.Timeout)
+	}
+	r.schedule(timeoutAt, func() { r.finishAttempt(endpoint, attempt, policy.TimedOut) })
+	r.schedule(r.now+networkDelay, func() { r.receiveAttempt(endpoint, attempt) })
+}
+
+func (r *admissionRun) receiveAttempt(endpoint *endpoint, attempt *attempt) {
+	if len(endpoint.queue) >= queueLengthPerSlot*endpoint.slots {
+		r.schedule(r.now+networkDelay, func() { r.finishAttempt(endpoint, attempt, policy.Rejected) })
+		return
+	}
+	endpoint.queue = append(endpoint.queue, attempt)
+	r.startQueued(endpoint)
+}
+
+// startQueued starts work on queued attempts in the endpoint's free slots.
+func (r *admissionRun) startQueued(endpoint *endpoint) {
+	for endpoint.busySlots < endpoint.slots && len(endpoint.queue) > 0 {
+		attempt := endpoint.queue[0]
+		endpoint.queue = endpoint.queue[1:]
+		endpoint.busySlots++
+		duration := float64(attempt.request.work)
+		if r.isSlowPeriod() {
+			duration *= r.scenario.SlowFactor
+		}
+		r.schedule(r.now+int64(duration), func() {
+			endpoint.busySlots--
+			r.schedule(r.now+networkDelay, func() { r.finishAttempt(endpoint, attempt, policy.OK) })
+			r.startQueued(endpoint)
+		})
+	}
+}
+
+func (r *admissionRun) isSlowPeriod() bool {
+	return r.scenario.SlowFactor > 1 && r.now >= r.scenario.SlowFrom && r.now < r.scenario.SlowTo
+}
+
+// finishAttempt reports an attempt's outcome to the router, unless it has one already.
+func (r *admissionRun) finishAttempt(endpoint *endpoint, attempt *attempt, outcome policy.Outcome) {
+	if attempt.isDone {
+		return
+	}
+	attempt.isDone = true
+	request := r.pending[attempt.requestID]
+	result := policy.AttemptResult{
+		RequestID:   attempt.requestID,
+		EndpointID:  endpoint.id,
+		Outcome:     outcome,
+		Elapsed:     r.now - attempt.sentAt,
+		RequestDone: request == nil || outcome == policy.OK,
+	}
+	if request != nil && outcome == policy.OK {
+		r.finishRequest(request, admission.Succeeded)
+	}
+	r.sendToRouter(result)
+}
--- /dev/null
+++ b/internal/simulation/admission_policies.go
@@ -0,0 +1,104 @@
+package simulation
+
+import "switchfork/internal/admission"
+
+// AdmissionPolicy names a way to decide which requests are admitted: the admission controller as it is, or a baseline.
+type AdmissionPolicy string
+
+// The admission policies.
+const (
+	// FairQueues is the admission controller as the agent has it.
+	FairQueues AdmissionPolicy = "fair queues"
+	// FairQueuesNoReservations asks every rejected client for the same wait and reserves nothing for its return.
+	FairQueuesNoReservations AdmissionPolicy = "fair queues, no calendar"
+	// FIFO serves all tenants from one queue.
+	FIFO AdmissionPolicy = "first in, first out"
+	// TokenBucket limits each tenant to its share of the capacity, before one queue.
+	TokenBucket AdmissionPolicy = "token bucket a tenant"
+)
+
+// Limits of the admission controller.
+const (
+	maxAdmittedRequests = 1000
+	maxAdmittedBytes    = 1 << 30
+	admissionQueues     = 64
+)
+
+// admitter is an admission controller set up for a policy.
+type admitter struct {
+	*admission.Controller
+	queueTenant     func(tenant int) int // the controller's number of a tenant
+	fixedRetryAfter int64                // replaces the controller's waits; 0: its own count
+	allows          func(now int64, tenant int) bool
+}
+
+func newAdmitter(scenario *AdmissionScenario, kind AdmissionPolicy) admitter {
+	classes := []admission.RequestClass{{
+		LatencyObjective: scenario.latencyObjective(),
+		Timeout:          scenario.timeout(),
+		PriorityWeight:   1,
+	}}
+	limits := admission.Limits{Requests: maxAdmittedRequests, Bytes: maxAdmittedBytes, Queues: admissionQueues}
+	retryAfter := admission.RetryAfterLimits{Max: maxRetryAfter}
+	var tenants []admission.Tenant
+	for _, share := range scenario.TenantShares {
+		tenants = append(tenants, admission.Tenant{Weight: share})
+	}
+	a := admitter{
+		queueTenant: func(tenant int) int { return tenant },
+		allows:      func(int64, int) bool { return true },
+	}
+	switch kind {
+	case FairQueuesNoReservations:
+		retryAfter.Max = 0
+		a.fixedRetryAfter = maxRetryAfter
+	case FIFO, TokenBucket:
+		// A single tenant with a single queue is served first in, first out.
+		tenants = nil
+		limits.Queues = 1
+		retryAfter.Max = 0
+		a.fixedRetryAfter = maxRetryAfter
+		a.queueTenant = func(int) int { return 0 }
+	}
+	if kind == TokenBucket {
+		a.allows = newTokenBuckets(scenario).take
+	}
+	a.Controller = admission.New(classes, tenants, limits, retryAfter, false, scenario.Seed)
+	return a
+}
+
+// tokenBuckets holds a bucket for each tenant. Tokens are microseconds of work: a bucket fills at the tenant's share of the
+// capacity and holds a second of it.
+type tokenBuckets struct {
+	rates       []float64 // tokens per microsecond
+	tokens      []float64
+	refilledAt  []int64
+	requestCost float64
+}
+
+func newTokenBuckets(scenario *AdmissionScenario) *tokenBuckets {
+	count := len(scenario.TenantShares)
+	b := &tokenBuckets{
+		rates:       make([]float64, count),
+		tokens:      make([]float64, count),
+		refilledAt:  make([]int64, count),
+		requestCost: float64(scenario.MeanWork),
+	}
+	for tenant, share := range scenario.TenantShares {
+		b.rates[tenant] = share * scenario.capacity()
+		b.tokens[tenant] = b.rates[tenant] * float64(second)
+	}
+	return b
+}
+
+// take reports whether the tenant has the tokens for a request, and removes them.
+func (b *tokenBuckets) take(now int64, tenant int) bool {
+	rate := b.rates[tenant]
+	b.tokens[tenant] = min(b.tokens[tenant]+rate*float64(now-b.refilledAt[tenant]), rate*float64(second))
+	b.refilledAt[tenant] = now
+	if b.tokens[tenant] < b.requestCost {
+		return false
+	}
+	b.tokens[tenant] -= b.requestCost
+	return true
+}
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -1,31 +1,29 @@
 package simulation
 
 import (
-	"container/heap"
-	"fmt"
 	"math/rand"
 	"slices"
 
 	"switchfork/internal/cluster/election"
 )
 
-// Schedule describes one random run of leader election under faults. In it agents have clocks of their own, pause and restart;
+// ElectionSchedule describes one random run of leader election under faults. In it agents have clocks of their own, pause and restart;
 // the network loses, delays, duplicates and partitions; and the rollout controller carries votes out late. The checker sits at
 // the rollout controller and trusts no agent.
-type Schedule struct {
+type ElectionSchedule struct {
 	Seed              int64
 	Agents            int
 	Seconds           int
-	Without           election.DisabledGuards
-	Calm              bool  // no faults but a crash of the leader, at a third of the time
+	DisabledGuards    election.DisabledGuards
+	LeaderFaultOnly   bool  // no faults but a crash of the leader, at a third of the time
 	LeaderLeaves      bool  // a planned leave instead of that crash
-	NoFaults          bool  // Calm, and the leader neither crashes nor leaves
+	NoFaults          bool  // LeaderFaultOnly, and the leader neither crashes nor leaves
 	VoteIndependently bool  // every agent votes by itself: the baseline
-	Slow              int64 // each message takes this long, and up to a third more or less
+	MessageDelay      int64 // each message takes this long, and up to a third more or less
 }
 
-// Night is the outcome of a schedule. Times are in microseconds.
-type Night struct {
+// ElectionResult is the outcome of a schedule. Times are in microseconds.
+type ElectionResult struct {
 	Violations     []string
 	Leaderships    int
 	LeaderChanges  int
@@ -44,8 +42,8 @@
 	RollBackQuorum: 1,
 }
 
-// NightLease returns the lease of all schedules.
-func NightLease() int64 { return electionSettings.Lease }
+// ElectionLease returns the lease of all schedules.
+func ElectionLease() int64 { return electionSettings.Lease }
 
 const (
 	// settlingTime after the faults: a bad build is rolled back within a few leases and a vote's lifetime.
@@ -91,12 +89,10 @@
 
 // electionRun is the state of a schedule that is being played.
 type electionRun struct {
-	Schedule
-	result *Night
+	ElectionSchedule
+	timeline
+	result *ElectionResult
 	random *rand.Rand
-	now    int64
-	events events
-	seq    int
 
 	agents         []*electionAgent
 	changesMembers bool // each agent then has a disk: without one it would forget the members
@@ -115,79 +111,74 @@
 	gapStartedAt int64
 }
 
-// PlayNight plays a schedule.
-func PlayNight(schedule Schedule) *Night {
-	n := &electionRun{
-		Schedule: schedule,
-		result:   &Night{RollbackAfter: -1},
-		random:   rand.New(rand.NewSource(schedule.Seed)),
-		maxDelay: defaultDelay,
-		build:    1,
-		leader:   noAgent,
+// PlayElection plays a schedule.
+func PlayElection(schedule ElectionSchedule) *ElectionResult {
+	r := &electionRun{
+		ElectionSchedule: schedule,
+		result:           &ElectionResult{RollbackAfter: -1},
+		random:           rand.New(rand.NewSource(schedule.Seed)),
+		maxDelay:         defaultDelay,
+		build:            1,
+		leader:           noAgent,
 	}
-	n.makeAgents()
-	for i := range n.agents {
-		n.start(i, false)
+	r.makeAgents()
+	for i := range r.agents {
+		r.start(i, false)
 	}
-	n.scheduleEvents()
-	n.play()
-	if n.gapStartedAt > 0 {
-		n.result.Gaps = append(n.result.Gaps, n.now-n.gapStartedAt)
+	r.scheduleEvents()
+	r.play()
+	if r.gapStartedAt > 0 {
+		r.result.Gaps = append(r.result.Gaps, r.now-r.gapStartedAt)
 	}
-	return n.result
+	return r.result
 }
 
-func (n *electionRun) makeAgents() {
-	count := n.Agents
-	n.changesMembers = !n.Calm && n.Agents > 1 && n.random.Float64() < memberChangeRate
-	if n.changesMembers {
+func (r *electionRun) makeAgents() {
+	count := r.Agents
+	r.changesMembers = !r.LeaderFaultOnly && r.Agents > 1 && r.random.Float64() < memberChangeRate
+	if r.changesMembers {
 		count += spareAgents
 	}
-	n.agents = make([]*electionAgent, count)
-	n.isCut = make([][]bool, count)
-	for i := range n.agents {
-		n.isCut[i] = make([]bool, count)
-		n.agents[i] = &electionAgent{
-			clockRate: 1 + (n.random.Float64()*2-1)*electionSettings.ClockDrift,
-			hasDisk:   n.changesMembers || n.random.Float64() < diskRate,
+	r.agents = make([]*electionAgent, count)
+	r.isCut = make([][]bool, count)
+	for i := range r.agents {
+		r.isCut[i] = make([]bool, count)
+		r.agents[i] = &electionAgent{
+			clockRate: 1 + (r.random.Float64()*2-1)*electionSettings.ClockDrift,
+			hasDisk:   r.changesMembers || r.random.Float64() < diskRate,
 		}
 	}
 }
 
 // play runs all events up to the end. After the faults there is time to roll back what is still bad.
-func (n *electionRun) play() {
-	end := n.end()
-	for len(n.events) > 0 {
-		next := heap.Pop(&n.events).(event)
-		isDone := n.Calm || n.result.RollbackAfter >= 0
+func (r *electionRun) play() {
+	end := r.end()
+	for len(r.events) > 0 {
+		next := r.pop()
+		isDone := r.LeaderFaultOnly || r.result.RollbackAfter >= 0
 		if next.at > end+settlingTime || next.at > end && isDone {
 			return
 		}
-		n.now = next.at
+		r.now = next.at
 		next.do()
-		n.observeLeader()
+		r.observeLeader()
 	}
 }
 
-func (n *electionRun) end() int64 { return int64(n.Seconds) * second }
-
-func (n *electionRun) schedule(at int64, do func()) {
-	n.seq++
-	heap.Push(&n.events, event{max(at, n.now), n.seq, do})
-}
+func (r *electionRun) end() int64 { return int64(r.Seconds) * second }
 
 // clock returns an agent's own time.
-func (n *electionRun) clock(a *electionAgent) int64 { return int64(float64(n.now)*a.clockRate) + 1 }
+func (r *electionRun) clock(a *electionAgent) int64 { return int64(float64(r.now)*a.clockRate) + 1 }
 
 // start starts an agent's process, also again. It has its durable state if that was persisted on a disk.
-func (n *electionRun) start(i int, isFresh bool) {
-	a := n.agents[i]
+func (r *electionRun) start(i int, isFresh bool) {
+	a := r.agents[i]
 	a.epoch++
 	a.isDown = false
 	a.deferred = nil
 	a.pausedUntil = 0
-	members := election.InitialMembers(n.Agents)
-	if i >= n.Agents {
+	members := election.InitialMembers(r.Agents)
+	if i >= r.Agents {
 		members = election.Members{} // it has to be let in first
 	}
 	var state *election.DurableState
@@ -195,185 +186,118 @@
 		state = a.persisted
 		isFresh = false
 	}
-	seed := n.Seed*31 + int64(i) + int64(a.epoch)*7919
-	a.replica = election.New(i, members, state, electionSettings, n.Without, isFresh, n.clock(a), seed)
-	n.execute(i, a.replica.UpdateRollout(n.clock(a), n.build, n.stage, true))
-	n.execute(i, a.replica.Recommend(n.clock(a), a.recommendation))
-	n.scheduleTick(i, a.epoch)
+	seed := r.Seed*31 + int64(i) + int64(a.epoch)*7919
+	a.replica = election.New(i, members, state, electionSettings, r.DisabledGuards, isFresh, r.clock(a), seed)
+	r.execute(i, a.replica.UpdateRollout(r.clock(a), r.build, r.stage, true))
+	r.execute(i, a.replica.Recommend(r.clock(a), a.recommendation))
+	r.scheduleTick(i, a.epoch)
 }
 
-// run lets an agent act, or defers that while the agent is paused.
-func (n *electionRun) run(i int, do func(a *electionAgent)) {
-	a := n.agents[i]
+// runAgent lets an agent act, or defers that while the agent is paused.
+func (r *electionRun) runAgent(i int, do func(a *electionAgent)) {
+	a := r.agents[i]
 	switch {
 	case a.isDown:
-	case n.now < a.pausedUntil:
+	case r.now < a.pausedUntil:
 		a.deferred = append(a.deferred, func() { do(a) })
 	default:
 		do(a)
 	}
 }
 
-func (n *electionRun) scheduleTick(i, epoch int) {
-	a := n.agents[i]
-	n.schedule(n.now+electionSettings.Lease/ticksPerLease, func() {
+func (r *electionRun) scheduleTick(i, epoch int) {
+	a := r.agents[i]
+	r.schedule(r.now+electionSettings.Lease/ticksPerLease, func() {
 		if a.epoch != epoch || a.isDown {
 			return
 		}
-		n.run(i, func(a *electionAgent) { n.execute(i, a.replica.Tick(n.clock(a))) })
-		n.scheduleTick(i, epoch)
+		r.runAgent(i, func(a *electionAgent) { r.execute(i, a.replica.Tick(r.clock(a))) })
+		r.scheduleTick(i, epoch)
 	})
 }
 
-func (n *electionRun) execute(i int, commands []election.Command) {
+func (r *electionRun) execute(i int, commands []election.Command) {
 	for _, command := range slices.Clone(commands) {
 		switch command := command.(type) {
 		case election.SendMessage:
-			n.sendMessage(i, command)
+			r.sendMessage(i, command)
 		case election.CastVote:
-			if !n.VoteIndependently {
-				n.writeVote(i, command)
+			if !r.VoteIndependently {
+				r.writeVote(i, command)
 			}
 		case election.Persist:
-			n.agents[i].persisted = &command.DurableState
+			r.agents[i].persisted = &command.DurableState
 		}
 	}
 }
 
 // sendMessage delivers a message after a delay, at times twice, or loses it.
-func (n *electionRun) sendMessage(from int, command election.SendMessage) {
-	if n.now <= n.end() {
-		n.result.Messages++
+func (r *electionRun) sendMessage(from int, command election.SendMessage) {
+	if r.now <= r.end() {
+		r.result.Messages++
 	}
 	copies := 1
-	if n.random.Float64() < n.lossRate/4 {
+	if r.random.Float64() < r.lossRate/4 {
 		copies = 2
 	}
 	for range copies {
-		if n.random.Float64() < n.lossRate || n.isCut[from][command.To] {
+		if r.random.Float64() < r.lossRate || r.isCut[from][command.To] {
 			continue
 		}
-		n.deliver(from, command)
+		r.deliver(from, command)
 	}
 }
 
-func (n *electionRun) deliver(from int, command election.SendMessage) {
-	epoch := n.agents[command.To].epoch
-	delay := 1 + n.random.Int63n(n.maxDelay)
-	if n.Slow > 0 {
-		delay += n.Slow*2/3 + n.random.Int63n(n.Slow*2/3)
+func (r *electionRun) deliver(from int, command election.SendMessage) {
+	epoch := r.agents[command.To].epoch
+	delay := 1 + r.random.Int63n(r.maxDelay)
+	if r.MessageDelay > 0 {
+		delay += r.MessageDelay*2/3 + r.random.Int63n(r.MessageDelay*2/3)
 	}
-	n.schedule(n.now+delay, func() {
-		if n.agents[command.To].epoch != epoch {
+	r.schedule(r.now+delay, func() {
+		if r.agents[command.To].epoch != epoch {
 			return
 		}
-		n.run(command.To, func(a *electionAgent) {
-			n.execute(command.To, a.replica.Receive(n.clock(a), from, command.Message))
+		r.runAgent(command.To, func(a *electionAgent) {
+			r.execute(command.To, a.replica.Receive(r.clock(a), from, command.Message))
 		})
 	})
 }
 
 // writeVote sends a vote to the rollout controller. The process may pause just before it writes; it then looks at the time.
-func (n *electionRun) writeVote(i int, vote election.CastVote) {
-	epoch := n.agents[i].epoch
-	castAt := n.now
-	n.schedule(n.now+n.random.Int63n(defaultDelay)+1, func() {
-		if n.agents[i].epoch != epoch {
+func (r *electionRun) writeVote(i int, vote election.CastVote) {
+	epoch := r.agents[i].epoch
+	castAt := r.now
+	r.schedule(r.now+r.random.Int63n(defaultDelay)+1, func() {
+		if r.agents[i].epoch != epoch {
 			return
 		}
-		n.run(i, func(a *electionAgent) {
-			isTooLate := n.clock(a) >= vote.WriteBefore && !n.Without.LeaseExpiry
+		r.runAgent(i, func(a *electionAgent) {
+			isTooLate := r.clock(a) >= vote.WriteBefore && !r.DisabledGuards.LeaseExpiry
 			if !isTooLate {
-				n.carryOut(i, epoch, vote.Record, castAt)
+				r.carryOut(i, epoch, vote.Record, castAt)
 			}
 		})
 	})
 }
 
 // carryOut lets a written vote take effect after a delay, and answers the agent unless the answer is lost.
-func (n *electionRun) carryOut(i, epoch int, record election.Record, castAt int64) {
-	delay := n.random.Int63n(maxEffectDelay) + 1
-	if n.random.Float64() < lateVoteRate && !n.Calm {
-		delay = n.random.Int63n(electionSettings.MaxVoteDelay - ms)
+func (r *electionRun) carryOut(i, epoch int, record election.Record, castAt int64) {
+	delay := r.random.Int63n(maxEffectDelay) + 1
+	if r.random.Float64() < lateVoteRate && !r.LeaderFaultOnly {
+		delay = r.random.Int63n(electionSettings.MaxVoteDelay - ms)
 	}
-	isAnswerLost := !n.Calm && n.random.Float64() < lostAnswerRate
-	stalledUntil := min(n.controllerStalledUntil, n.now+electionSettings.MaxVoteDelay-ms)
-	n.schedule(max(n.now+delay, stalledUntil), func() {
-		n.checkVote(i, record, castAt)
+	isAnswerLost := !r.LeaderFaultOnly && r.random.Float64() < lostAnswerRate
+	stalledUntil := min(r.controllerStalledUntil, r.now+electionSettings.MaxVoteDelay-ms)
+	r.schedule(max(r.now+delay, stalledUntil), func() {
+		r.checkVote(i, record, castAt)
 		if isAnswerLost {
 			return
 		}
-		n.run(i, func(a *electionAgent) {
+		r.runAgent(i, func(a *electionAgent) {
 			if a.epoch == epoch {
-				n.execute(i, a.replica.ResolveVote(n.clock(a), record))
+				r.execute(i, a.replica.ResolveVote(r.clock(a), record))
 			}
 		})
 	})
 }
-
-// checkVote takes a vote into effect at the rollout controller. It must not be contrary to another agent's that counts, nor
-// advance the build when it was cast before another agent's contrary vote took effect.
-func (n *electionRun) checkVote(i int, record election.Record, castAt int64) {
-	if record.Build != n.build || record.Stage != n.stage {
-		return // moot
-	}
-	n.result.EffectiveVotes++
-	n.votes = slices.DeleteFunc(n.votes, func(v effectiveVote) bool { return v.until <= n.now || v.agent == i })
-	for _, other := range n.votes {
-		if isContrary(other.record, record) {
-			n.reportViolation("at %d us agent %d's %v counts beside agent %d's %v", n.now, i, record, other.agent, other.record)
-		}
-	}
-	newest := n.newestVote
-	if newest.agent != i && castAt < newest.until && record.Verdict == election.Advance && isContrary(newest.record, record) {
-		n.reportViolation("at %d us deposed agent %d's %v is carried out after %v", n.now, i, record, newest.record)
-	}
-	n.newestVote = effectiveVote{agent: i, record: record, until: n.now}
-	n.votes = append(n.votes, effectiveVote{agent: i, record: record, until: n.now + electionSettings.VoteLifetime})
-	if record.Verdict == election.RollBack && n.badSince > 0 && n.result.RollbackAfter < 0 {
-		n.result.RollbackAfter = n.now - n.badSince
-	}
-}
-
-// isContrary reports whether two records decide differently on the same stage.
-func isContrary(a, b election.Record) bool {
-	return a.Build == b.Build && a.Stage == b.Stage && a.Verdict != b.Verdict
-}
-
-func (n *electionRun) reportViolation(format string, arguments ...any) {
-	if len(n.result.Violations) < maxViolations {
-		n.result.Violations = append(n.result.Violations, fmt.Sprintf(format, arguments...))
-	}
-}
-
-// observeLeader keeps the account of who leads, and checks that one agent does at most.
-func (n *electionRun) observeLeader() {
-	leader, count := noAgent, 0
-	for i, a := range n.agents {
-		if !a.isDown && n.now >= a.pausedUntil && a.replica.IsLeader(n.clock(a)) {
-			leader = i
-			count++
-		}
-	}
-	if count > 1 {
-		n.reportViolation("at %d us %d agents lead", n.now, count)
-	}
-	if leader == noAgent {
-		if n.gapStartedAt == 0 {
-			n.gapStartedAt = n.now
-		}
-		return
-	}
-	if n.gapStartedAt > 0 {
-		n.result.Gaps = append(n.result.Gaps, n.now-n.gapStartedAt)
-		n.gapStartedAt = 0
-	}
-	if leader == n.leader {
-		return
-	}
-	n.result.Leaderships++
-	if n.leader != noAgent {
-		n.result.LeaderChanges++
-	}
-	n.leader = leader
-}
--- a/internal/simulation/election_faults.go
+++ b/internal/simulation/election_faults.go
@@ -36,142 +36,142 @@
 )
 
 // scheduleEvents draws what happens in the schedule.
-func (n *electionRun) scheduleEvents() {
-	for i := range n.agents {
-		n.schedule(n.random.Int63n(500*ms), func() { n.recommendRepeatedly(i, election.Advance) })
+func (r *electionRun) scheduleEvents() {
+	for i := range r.agents {
+		r.schedule(r.random.Int63n(500*ms), func() { r.recommendRepeatedly(i, election.Advance) })
 	}
-	if n.Calm {
-		n.schedule(n.end()/3, n.endLeadership)
+	if r.LeaderFaultOnly {
+		r.schedule(r.end()/3, r.endLeadership)
 		return
 	}
-	n.schedule(n.end()*2/3, func() { n.badSince = n.now })
-	for range minFaults + n.random.Intn(maxExtraFaults+1) {
-		n.scheduleFault()
+	r.schedule(r.end()*2/3, func() { r.badSince = r.now })
+	for range minFaults + r.random.Intn(maxExtraFaults+1) {
+		r.scheduleFault()
 	}
-	for range n.random.Intn(maxStageChanges + 1) {
-		n.schedule(n.random.Int63n(n.end()), n.nextStage)
+	for range r.random.Intn(maxStageChanges + 1) {
+		r.schedule(r.random.Int63n(r.end()), r.nextStage)
 	}
 }
 
 // recommendRepeatedly makes an agent repeat its recommendation, as its release analyzer would. In schedules with faults the
 // recommendations alternate.
-func (n *electionRun) recommendRepeatedly(i int, verdict election.Verdict) {
-	if n.badSince > 0 {
+func (r *electionRun) recommendRepeatedly(i int, verdict election.Verdict) {
+	if r.badSince > 0 {
 		verdict = election.RollBack
-	} else if !n.Calm && n.random.Float64() < alternatingRate {
+	} else if !r.LeaderFaultOnly && r.random.Float64() < alternatingRate {
 		verdicts := []election.Verdict{election.Advance, election.RollBack, election.Hold}
-		verdict = verdicts[n.random.Intn(len(verdicts))]
+		verdict = verdicts[r.random.Intn(len(verdicts))]
 	}
-	n.recommend(i, verdict)
-	n.schedule(n.now+electionSettings.Lease/4+n.random.Int63n(200*ms), func() { n.recommendRepeatedly(i, verdict) })
+	r.recommend(i, verdict)
+	r.schedule(r.now+electionSettings.Lease/4+r.random.Int63n(200*ms), func() { r.recommendRepeatedly(i, verdict) })
 }
 
-func (n *electionRun) recommend(i int, verdict election.Verdict) {
-	n.agents[i].recommendation = election.Decision{Build: n.build, Stage: n.stage, Verdict: verdict}
-	n.run(i, func(a *electionAgent) {
-		n.execute(i, a.replica.Recommend(n.clock(a), a.recommendation))
-		if n.VoteIndependently && verdict != election.NoVote {
-			n.writeVote(i, election.CastVote{Record: election.Record{Term: 1, Decision: a.recommendation}, WriteBefore: 1 << 60})
+func (r *electionRun) recommend(i int, verdict election.Verdict) {
+	r.agents[i].recommendation = election.Decision{Build: r.build, Stage: r.stage, Verdict: verdict}
+	r.runAgent(i, func(a *electionAgent) {
+		r.execute(i, a.replica.Recommend(r.clock(a), a.recommendation))
+		if r.VoteIndependently && verdict != election.NoVote {
+			r.writeVote(i, election.CastVote{Record: election.Record{Term: 1, Decision: a.recommendation}, WriteBefore: 1 << 60})
 		}
 	})
 }
 
-// endLeadership is the one event of a calm schedule: the build turns bad, and the leader crashes or leaves.
-func (n *electionRun) endLeadership() {
-	n.badSince = n.now
-	if n.NoFaults {
+// endLeadership is the one event of a schedule with LeaderFaultOnly: the build turns bad, and the leader crashes or leaves.
+func (r *electionRun) endLeadership() {
+	r.badSince = r.now
+	if r.NoFaults {
 		return
 	}
-	i := n.leaderOrAny()
-	if n.LeaderLeaves {
-		n.execute(i, n.agents[i].replica.Leave(n.clock(n.agents[i])))
+	i := r.leaderOrAny()
+	if r.LeaderLeaves {
+		r.execute(i, r.agents[i].replica.Leave(r.clock(r.agents[i])))
 		return
 	}
-	n.agents[i].isDown = true
-	n.schedule(n.now+n.end()/4, func() { n.start(i, true) })
+	r.agents[i].isDown = true
+	r.schedule(r.now+r.end()/4, func() { r.start(i, true) })
 }
 
 // leaderOrAny returns the agent that leads now, or else a random one.
-func (n *electionRun) leaderOrAny() int {
-	for i, a := range n.agents {
-		if !a.isDown && a.replica.IsLeader(n.clock(a)) {
+func (r *electionRun) leaderOrAny() int {
+	for i, a := range r.agents {
+		if !a.isDown && a.replica.IsLeader(r.clock(a)) {
 			return i
 		}
 	}
-	return n.random.Intn(n.Agents)
+	return r.random.Intn(r.Agents)
 }
 
-func (n *electionRun) scheduleFault() {
-	at := n.random.Int63n(n.end() * 9 / 10)
-	span := n.random.Int63n(maxFaultSpan) + minFaultSpan
-	fault := electionFault(n.random.Intn(int(randomFaults)))
-	if n.changesMembers && n.random.Float64() < memberFaultRate {
+func (r *electionRun) scheduleFault() {
+	at := r.random.Int63n(r.end() * 9 / 10)
+	span := r.random.Int63n(maxFaultSpan) + minFaultSpan
+	fault := electionFault(r.random.Intn(int(randomFaults)))
+	if r.changesMembers && r.random.Float64() < memberFaultRate {
 		fault = changeMembers
 	}
-	n.schedule(at, func() { n.inject(fault, span) })
+	r.schedule(at, func() { r.inject(fault, span) })
 }
 
-func (n *electionRun) inject(fault electionFault, span int64) {
-	i := n.random.Intn(n.Agents)
-	if n.random.Float64() < leaderFaultRate {
-		i = n.leaderOrAny()
+func (r *electionRun) inject(fault electionFault, span int64) {
+	i := r.random.Intn(r.Agents)
+	if r.random.Float64() < leaderFaultRate {
+		i = r.leaderOrAny()
 	}
 	switch fault {
 	case isolateAgent:
-		n.partition(span, func(from, to int) bool { return from == i || to == i })
+		r.partition(span, func(from, to int) bool { return from == i || to == i })
 	case cutOneDirection:
-		isInbound := n.random.Float64() < 0.5
-		n.partition(span, func(from, to int) bool { return from == i && !isInbound || to == i && isInbound })
+		isInbound := r.random.Float64() < 0.5
+		r.partition(span, func(from, to int) bool { return from == i && !isInbound || to == i && isInbound })
 	case splitInHalves:
-		n.partition(span, func(from, to int) bool { return from%2 != to%2 })
+		r.partition(span, func(from, to int) bool { return from%2 != to%2 })
 	case loseMessages:
-		n.lossRate = n.random.Float64() * maxLossRate
-		n.schedule(n.now+span, func() { n.lossRate = 0 })
+		r.lossRate = r.random.Float64() * maxLossRate
+		r.schedule(r.now+span, func() { r.lossRate = 0 })
 	case delayMessages:
-		n.maxDelay = 1 + n.random.Int63n(maxFaultDelay)
-		n.schedule(n.now+span, func() { n.maxDelay = defaultDelay })
+		r.maxDelay = 1 + r.random.Int63n(maxFaultDelay)
+		r.schedule(r.now+span, func() { r.maxDelay = defaultDelay })
 	case pauseAgent:
-		n.pause(i, span)
+		r.pause(i, span)
 	case crashAgent:
-		n.agents[i].isDown = true
-		n.agents[i].epoch++
-		n.schedule(n.now+span/4, func() { n.start(i, true) })
+		r.agents[i].isDown = true
+		r.agents[i].epoch++
+		r.schedule(r.now+span/4, func() { r.start(i, true) })
 	case stallController:
-		n.controllerStalledUntil = n.now + span
-		n.pause(i, span/2)
+		r.controllerStalledUntil = r.now + span
+		r.pause(i, span/2)
 	case changeMembers:
-		for range 1 + n.random.Intn(maxChangesAtATime) {
-			n.changeMember()
+		for range 1 + r.random.Intn(maxChangesAtATime) {
+			r.changeMember()
 		}
 	}
 }
 
 // partition cuts connections for a time. The end of any partition heals all connections.
-func (n *electionRun) partition(span int64, isApart func(from, to int) bool) {
-	for from := range n.isCut {
-		for to := range n.isCut[from] {
+func (r *electionRun) partition(span int64, isApart func(from, to int) bool) {
+	for from := range r.isCut {
+		for to := range r.isCut[from] {
 			if isApart(from, to) {
-				n.isCut[from][to] = true
+				r.isCut[from][to] = true
 			}
 		}
 	}
-	n.schedule(n.now+span, func() {
-		for from := range n.isCut {
-			clear(n.isCut[from])
+	r.schedule(r.now+span, func() {
+		for from := range r.isCut {
+			clear(r.isCut[from])
 		}
 	})
 }
 
 // pause makes an agent stand still; what comes in meanwhile is handled at the end.
-func (n *electionRun) pause(i int, span int64) {
-	a := n.agents[i]
+func (r *electionRun) pause(i int, span int64) {
+	a := r.agents[i]
 	if a.isDown {
 		return
 	}
-	a.pausedUntil = max(a.pausedUntil, n.now+span)
+	a.pausedUntil = max(a.pausedUntil, r.now+span)
 	epoch := a.epoch
-	n.schedule(a.pausedUntil, func() {
-		if a.epoch != epoch || n.now < a.pausedUntil {
+	r.schedule(a.pausedUntil, func() {
+		if a.epoch != epoch || r.now < a.pausedUntil {
 			return
 		}
 		deferred := a.deferred
@@ -183,32 +183,32 @@
 }
 
 // changeMember makes the leader let a random agent in, or out.
-func (n *electionRun) changeMember() {
-	i := n.leaderOrAny()
-	a := n.agents[i]
-	if a.isDown || n.now < a.pausedUntil {
+func (r *electionRun) changeMember() {
+	i := r.leaderOrAny()
+	a := r.agents[i]
+	if a.isDown || r.now < a.pausedUntil {
 		return
 	}
-	changed := n.random.Intn(len(n.agents))
-	mask := a.replica.Status(n.clock(a)).Members.Mask ^ 1<<changed
+	changed := r.random.Intn(len(r.agents))
+	mask := a.replica.Status(r.clock(a)).Members.Mask ^ 1<<changed
 	if mask == 0 {
 		return
 	}
-	commands, err := a.replica.ChangeMembers(n.clock(a), mask)
-	n.execute(i, commands)
+	commands, err := a.replica.ChangeMembers(r.clock(a), mask)
+	r.execute(i, commands)
 	if err == nil {
-		n.result.MemberChanges++
+		r.result.MemberChanges++
 	}
 }
 
 // nextStage moves the rollout on; votes on the stage before are moot. Agents notice it one after the other.
-func (n *electionRun) nextStage() {
-	n.stage++
-	n.votes = nil
-	for i := range n.agents {
-		n.schedule(n.now+n.random.Int63n(300*ms), func() {
-			n.run(i, func(a *electionAgent) {
-				n.execute(i, a.replica.UpdateRollout(n.clock(a), n.build, n.stage, true))
+func (r *electionRun) nextStage() {
+	r.stage++
+	r.votes = nil
+	for i := range r.agents {
+		r.schedule(r.now+r.random.Int63n(300*ms), func() {
+			r.runAgent(i, func(a *electionAgent) {
+				r.execute(i, a.replica.UpdateRollout(r.clock(a), r.build, r.stage, true))
 			})
 		})
 	}
