--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -4,8 +4,8 @@
 	"context"
 	"fmt"
 	"io"
+	"maps"
 	"math/rand"
-	"net"
 	"net/http"
 	"strconv"
 	"strings"
@@ -16,199 +16,250 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Totals is what became of one tenant's txns.
+const (
+	// maxClientRetries of a request that is rejected with a Retry-After.
+	maxClientRetries = 2
+	// clientsPerGroup of a group whose clients come repeatedly.
+	clientsPerGroup = 10
+	// clientTimeoutMargin is how long after its deadline a client still waits for the agent's answer.
+	clientTimeoutMargin = time.Second
+	// postBody of every POST.
+	postBody = "beam=1"
+	// The latency histogram's range in microseconds and its precision in digits.
+	maxLatencyMicros = 60_000_000
+	latencyDigits    = 3
+)
+
+// Totals counts the outcomes of a tenant's requests.
 type Totals struct {
 	Offered, Succeeded, InTime, Rejected, Failed, Returned int
-	Builds                                                 map[string]int
+	Builds                                                 map[string]int // successes by the build that answered
 }
 
-// ClientGroup is a tenant's clients: an open load, whose arrivals do not wait for answers.
+// ClientGroup is a tenant's clients. Their load is open: arrivals do not wait for answers.
 type ClientGroup struct {
 	Tenant        string
-	Rate          float64 // txns a second
-	PostShare     float64 // the part that posts
-	UniqueClients bool    // every txn from a client of its own
+	Rate          float64 // requests a second
+	PostShare     float64 // the part of the requests that are POSTs
+	UniqueClients bool    // each request comes from a client of its own
 }
 
-// Clients send for crews and keep the account.
+// Clients send requests to an agent and count the outcomes.
 type Clients struct {
-	url      string
-	sla      time.Duration
-	expiry   time.Duration
-	pools    map[string]*pool // each tenant's clients have connections of their own
-	mu       sync.Mutex
-	tallies  map[string]*Totals
-	took     *hdrhistogram.Histogram
-	serial   atomic.Int64
-	inflight sync.WaitGroup
-}
-
-// quietConns and loudConns bound a tenant's connections, so that all tenants' together are a part of what an agent with
-// 1,024 descriptors lets in: a tenant that sends over loudRate gets the larger number.
-const quietConns, loudConns, loudRate, backTries = 50, 400, 400.0, 2
-
-func NewClients(url string, sla, expiry time.Duration) *Clients {
-	return &Clients{
-		url: url, sla: sla, expiry: expiry, pools: map[string]*pool{}, tallies: map[string]*Totals{},
-		took: hdrhistogram.New(1, 60_000_000, 3),
-	}
+	url       string
+	objective time.Duration
+	timeout   time.Duration
+	serial    atomic.Int64 // of the last request
+	inFlight  sync.WaitGroup
+
+	mu      sync.Mutex
+	pools   map[string]*clientPool
+	totals  map[string]*Totals // by tenant
+	latency *hdrhistogram.Histogram
 }
 
-// pool is a crew's connections; a client waits for one of them and knows how much of its time that took.
-type pool struct {
-	places chan struct{}
-	http   *http.Client
+// clientRequest is a request through all its tries.
+type clientRequest struct {
+	serial int64
+	tenant string
+	client string
+	isPost bool
 }
 
-// pool is where a crew's clients have their connections.
-func (c *Clients) pool(crew ClientGroup) *pool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	most, name := quietConns, crew.Tenant
-	if crew.Rate > loudRate {
-		most, name = loudConns, crew.Tenant+" loud"
-	}
-	if c.pools[name] == nil {
-		c.pools[name] = &pool{make(chan struct{}, most), &http.Client{Transport: &http.Transport{
-			MaxIdleConns: most, MaxIdleConnsPerHost: most,
-			IdleConnTimeout: time.Second, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext,
-		}}}
+// NewClients returns clients of an agent whose requests have a latency objective and a timeout.
+func NewClients(url string, objective, timeout time.Duration) *Clients {
+	return &Clients{
+		url: url, objective: objective, timeout: timeout,
+		pools: map[string]*clientPool{}, totals: map[string]*Totals{},
+		latency: hdrhistogram.New(1, maxLatencyMicros, latencyDigits),
 	}
-	return c.pools[name]
 }
 
-// Send runs the crews' load until the context ends, and then waits for the last answers.
-func (c *Clients) Send(ctx context.Context, seed int64, crews ...ClientGroup) {
+// Send runs the groups' load until the context ends, and then waits for the last answers.
+func (c *Clients) Send(ctx context.Context, seed int64, groups ...ClientGroup) {
 	var senders sync.WaitGroup
-	for i, crew := range crews {
+	for i, group := range groups {
 		senders.Add(1)
 		go func() {
 			defer senders.Done()
-			chance, pool := rand.New(rand.NewSource(seed+int64(i))), c.pool(crew)
-			next := time.Now()
-			for n := 0; ; n++ {
-				next = next.Add(time.Duration(chance.ExpFloat64() / crew.Rate * float64(time.Second)))
-				select {
-				case <-ctx.Done():
-					return
-				case <-time.After(time.Until(next)):
-				}
-				client := strconv.Itoa(n % 10)
-				if crew.UniqueClients {
-					client = fmt.Sprint("fresh-", n)
-				}
-				post := chance.Float64() < crew.PostShare
-				c.inflight.Add(1)
-				go func() {
-					defer c.inflight.Done()
-					c.ask(pool, crew.Tenant, client, post)
-				}()
-			}
+			c.sendGroup(ctx, seed+int64(i), group)
 		}()
 	}
 	senders.Wait()
-	c.inflight.Wait()
-}
-
-// ask is one txn with its next tries.
-func (c *Clients) ask(pool *pool, tenant, client string, post bool) {
-	serial := c.serial.Add(1)
-	key := fmt.Sprintf("%032x", serial)
-	c.count(tenant, func(t *Totals) { t.Offered++ })
-	for try := 0; try <= backTries; try++ {
-		began := time.Now()
-		method, target := "GET", fmt.Sprintf("/lookup?sid=%016x", serial)
-		if post {
-			method, target = "POST", fmt.Sprintf("/posting?sid=%016x", serial)
-		}
+	c.inFlight.Wait()
+}
+
+// sendGroup sends a group's requests, at random intervals, until the context ends.
+func (c *Clients) sendGroup(ctx context.Context, seed int64, group ClientGroup) {
+	random, pool := rand.New(rand.NewSource(seed)), c.pool(group)
+	next := time.Now()
+	for n := 0; ; n++ {
+		next = next.Add(time.Duration(random.ExpFloat64() / group.Rate * float64(time.Second)))
 		select {
-		case pool.places <- struct{}{}:
-		case <-time.After(c.expiry):
-			c.count(tenant, func(t *Totals) { t.Failed++ }) // it never got as far as the agent
+		case <-ctx.Done():
 			return
+		case <-time.After(time.Until(next)):
 		}
-		left := c.expiry - time.Since(began)
-		ctx, stop := context.WithTimeout(context.Background(), left+time.Second)
-		r, _ := http.NewRequestWithContext(ctx, method, c.url+target, nil)
-		if post {
-			r.Body, r.ContentLength = io.NopCloser(strings.NewReader("beam=1")), 6
-			r.Header.Set("Idempotency-Key", key)
-		}
-		r.Header.Set("X-Request-Id", fmt.Sprintf("%x-%d", serial, try))
-		r.Header.Set("X-Tenant", tenant)
-		r.Header.Set("X-Client", client)
-		r.Header.Set("X-Deadline-Ms", strconv.FormatInt(max(1, left.Milliseconds()), 10))
-		if try > 0 {
-			r.Header.Set("X-Retry", "1")
+		client := strconv.Itoa(n % clientsPerGroup)
+		if group.UniqueClients {
+			client = fmt.Sprint("fresh-", n)
 		}
-		res, err := pool.http.Do(r)
-		if err != nil {
-			<-pool.places
-			stop()
-			c.count(tenant, func(t *Totals) { t.Failed++ })
+		isPost := random.Float64() < group.PostShare
+		c.inFlight.Add(1)
+		go func() {
+			defer c.inFlight.Done()
+			request := clientRequest{serial: c.serial.Add(1), tenant: group.Tenant, client: client, isPost: isPost}
+			c.sendWithRetries(pool, request)
+		}()
+	}
+}
+
+// sendWithRetries sends a request, again after each rejection that has a Retry-After.
+func (c *Clients) sendWithRetries(pool *clientPool, request clientRequest) {
+	c.count(request.tenant, func(t *Totals) { t.Offered++ })
+	for try := 0; ; try++ {
+		retryAfter, isRejected := c.send(pool, request, try)
+		if !isRejected {
 			return
 		}
-		body, _ := io.ReadAll(res.Body)
-		res.Body.Close()
-		<-pool.places
-		stop()
-		took := time.Since(began)
-		switch {
-		case res.StatusCode == http.StatusOK:
-			_, build, _ := strings.Cut(string(body), " ")
-			c.count(tenant, func(t *Totals) {
-				t.Succeeded++
-				t.Builds[build]++
-				if took <= c.sla {
-					t.InTime++
-				}
-				c.took.RecordValue(took.Microseconds())
-			})
-			return
-		case res.StatusCode == http.StatusServiceUnavailable:
-			wait, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
-			if err != nil || try == backTries {
-				c.count(tenant, func(t *Totals) { t.Rejected++ })
-				return
-			}
-			time.Sleep(time.Duration(wait * float64(time.Second)))
-			c.count(tenant, func(t *Totals) { t.Returned++ })
-		default:
-			c.count(tenant, func(t *Totals) { t.Failed++ })
+		if retryAfter == nil || try == maxClientRetries {
+			c.count(request.tenant, func(t *Totals) { t.Rejected++ })
 			return
 		}
+		time.Sleep(*retryAfter)
+		c.count(request.tenant, func(t *Totals) { t.Returned++ })
 	}
 }
 
-func (c *Clients) count(tenant string, what func(*Totals)) {
+// send sends a request once, with a deadline of its own, and counts the outcome unless it is a rejection. That is returned with
+// its Retry-After, if it has a valid one.
+func (c *Clients) send(pool *clientPool, request clientRequest, try int) (retryAfter *time.Duration, isRejected bool) {
+	startedAt := time.Now()
+	response, err := c.exchange(pool, request, try, startedAt)
+	if err != nil {
+		c.count(request.tenant, func(t *Totals) { t.Failed++ })
+		return nil, false
+	}
+	switch response.status {
+	case http.StatusOK:
+		c.countSuccess(request.tenant, response.body, time.Since(startedAt))
+		return nil, false
+	case http.StatusServiceUnavailable:
+		return parseRetryAfter(response.header), true
+	default:
+		c.count(request.tenant, func(t *Totals) { t.Failed++ })
+		return nil, false
+	}
+}
+
+// clientResponse is a response that was read in full, or as far as it came.
+type clientResponse struct {
+	status int
+	header http.Header
+	body   string
+}
+
+// exchange waits for a connection, sends a request on it and reads the response.
+func (c *Clients) exchange(pool *clientPool, request clientRequest, try int, startedAt time.Time) (*clientResponse, error) {
+	select {
+	case pool.slots <- struct{}{}:
+		defer func() { <-pool.slots }()
+	case <-time.After(c.timeout):
+		return nil, fmt.Errorf("no connection to the agent within %v", c.timeout)
+	}
+	remaining := c.timeout - time.Since(startedAt)
+	ctx, stop := context.WithTimeout(context.Background(), remaining+clientTimeoutMargin)
+	defer stop()
+	httpRequest, err := c.newHTTPRequest(ctx, request, try, remaining)
+	if err != nil {
+		return nil, err
+	}
+	response, err := pool.http.Do(httpRequest)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = response.Body.Close() }() // it has been read
+	body, _ := io.ReadAll(response.Body)         // the status decides also where the body was cut short
+	return &clientResponse{status: response.StatusCode, header: response.Header, body: string(body)}, nil
+}
+
+func (c *Clients) newHTTPRequest(ctx context.Context, request clientRequest, try int, remaining time.Duration) (*http.Request, error) {
+	method, path := http.MethodGet, "lookup"
+	if request.isPost {
+		method, path = http.MethodPost, "posting"
+	}
+	target := fmt.Sprintf("%s/%s?sid=%016x", c.url, path, request.serial)
+	r, err := http.NewRequestWithContext(ctx, method, target, nil)
+	if err != nil {
+		return nil, err
+	}
+	if request.isPost {
+		// The body is set here since http.Client would repeat a request whose body it can read again.
+		r.Body = io.NopCloser(strings.NewReader(postBody))
+		r.ContentLength = int64(len(postBody))
+		r.Header.Set("Idempotency-Key", fmt.Sprintf("%032x", request.serial))
+	}
+	r.Header.Set("X-Request-Id", fmt.Sprintf("%x-%d", request.serial, try))
+	r.Header.Set("X-Tenant", request.tenant)
+	r.Header.Set("X-Client", request.client)
+	r.Header.Set("X-Deadline-Ms", strconv.FormatInt(max(1, remaining.Milliseconds()), 10))
+	if try > 0 {
+		r.Header.Set("X-Retry", "1")
+	}
+	return r, nil
+}
+
+// parseRetryAfter returns the wait that a response asks for, or nil.
+func parseRetryAfter(header http.Header) *time.Duration {
+	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
+	if err != nil {
+		return nil
+	}
+	wait := time.Duration(seconds * float64(time.Second))
+	return &wait
+}
+
+// countSuccess counts a response whose body ends in the build that gave it.
+func (c *Clients) countSuccess(tenant, body string, latency time.Duration) {
+	_, build, _ := strings.Cut(body, " ")
+	c.count(tenant, func(t *Totals) {
+		t.Succeeded++
+		t.Builds[build]++
+		if latency <= c.objective {
+			t.InTime++
+		}
+		_ = c.latency.RecordValue(latency.Microseconds()) // what exceeds its range is no matter for a percentile
+	})
+}
+
+// count changes a tenant's totals under the lock.
+func (c *Clients) count(tenant string, change func(*Totals)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.tallies[tenant]
-	if t == nil {
-		t = &Totals{Builds: map[string]int{}}
-		c.tallies[tenant] = t
+	totals := c.totals[tenant]
+	if totals == nil {
+		totals = &Totals{Builds: map[string]int{}}
+		c.totals[tenant] = totals
 	}
-	what(t)
+	change(totals)
 }
 
-// Totals is what became of a tenant's txns so far.
+// Totals returns the outcomes of a tenant's requests so far.
 func (c *Clients) Totals(tenant string) Totals {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t := c.tallies[tenant]; t != nil {
-		copied := *t
-		copied.Builds = map[string]int{}
-		for b, n := range t.Builds {
-			copied.Builds[b] = n
-		}
-		return copied
+	totals := c.totals[tenant]
+	if totals == nil {
+		return Totals{Builds: map[string]int{}}
 	}
-	return Totals{Builds: map[string]int{}}
+	copied := *totals
+	copied.Builds = maps.Clone(totals.Builds)
+	return copied
 }
 
-// LatencyPercentile is a quantile, in percent, of the settled answers' times.
+// LatencyPercentile returns a percentile of the successes' latencies.
 func (c *Clients) LatencyPercentile(percent float64) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Duration(c.took.ValueAtQuantile(percent)) * time.Microsecond
+	return time.Duration(c.latency.ValueAtQuantile(percent)) * time.Microsecond
 }
--- a/internal/fakes/log.go
+++ b/internal/fakes/log.go
@@ -5,20 +5,23 @@
 	"sync"
 )
 
-// Log takes what a process writes, and may be read meanwhile. Its buffer is not embedded: that one's ReadFrom would go past the lock.
+// Log collects what a process writes and may be read at the same time. It does not embed its buffer, whose ReadFrom would not
+// take the lock.
 type Log struct {
-	mu  sync.Mutex
-	all bytes.Buffer
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
+// Write implements io.Writer.
 func (l *Log) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.all.Write(b)
+	return l.buffer.Write(b)
 }
 
+// String returns all that was written so far.
 func (l *Log) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.all.String()
+	return l.buffer.String()
 }
--- /dev/null
+++ b/internal/fakes/stream_server.go
@@ -0,0 +1,199 @@
+package fakes
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+)
+
+// NoAnswer is an answer that leaves a call open and writes nothing.
+const NoAnswer = "no answer"
+
+// maxPendingWrites to a stream whose client does not read.
+const maxPendingWrites = 64
+
+// StreamServer is a fake of a peer that answers calls and keeps streams open: discovery, or the rollout controller.
+type StreamServer struct {
+	net.Listener
+	server            *http.Server
+	keepAlive         string
+	keepAliveInterval time.Duration
+
+	mu      sync.Mutex
+	calls   []string // method, path with query, and body
+	streams []chan string
+	answer  func(call string) string
+	isMuted bool // no keep-alives
+	closed  int  // streams that the client has closed
+}
+
+// NewStreamServer serves a listener. The function answer returns what a call is answered at once: a body, a status and a body
+// with | in between, or NoAnswer; it is called under the server's lock and must not call the server. Streams then carry what is
+// published, and a keep-alive when there was nothing for an interval.
+func NewStreamServer(listener net.Listener, keepAlive string, interval time.Duration, answer func(call string) string) *StreamServer {
+	s := &StreamServer{Listener: listener, keepAlive: keepAlive, keepAliveInterval: interval, answer: answer}
+	s.server = &http.Server{Handler: http.HandlerFunc(s.serve)}
+	go func() { _ = s.server.Serve(listener) }() // it ends by Close
+	return s
+}
+
+func (s *StreamServer) serve(w http.ResponseWriter, r *http.Request) {
+	body, _ := io.ReadAll(r.Body) // of a request that was cut short, the call holds what came
+	call := strings.TrimSpace(r.Method + " " + r.RequestURI + " " + string(body))
+	var stream chan string
+	if isStream(r) {
+		stream = make(chan string, maxPendingWrites)
+	}
+	answer := s.record(call, stream)
+	if answer == NoAnswer {
+		<-r.Context().Done()
+		return
+	}
+	if status, text, hasStatus := strings.Cut(answer, "|"); hasStatus {
+		code, err := strconv.Atoi(status)
+		if err != nil {
+			panic(fmt.Sprintf("a scripted answer to %s has the status %q", call, status))
+		}
+		w.WriteHeader(code)
+		answer = text
+	}
+	writeAndFlush(w, answer)
+	if stream != nil {
+		s.serveStream(w, r, stream)
+	}
+}
+
+// isStream reports whether a request asks for a stream. A call with members in its path is answered once unless it asks for one.
+func isStream(r *http.Request) bool {
+	if r.URL.Query().Get("stream") != "" {
+		return true
+	}
+	return r.Method == http.MethodGet && !strings.HasSuffix(r.URL.Path, "members")
+}
+
+// record keeps a call and its stream, if it has one, and returns the answer.
+func (s *StreamServer) record(call string, stream chan string) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.calls = append(s.calls, call)
+	if stream != nil {
+		s.streams = append(s.streams, stream)
+	}
+	return s.answer(call)
+}
+
+// serveStream writes what is published until the stream is closed by either side.
+func (s *StreamServer) serveStream(w http.ResponseWriter, r *http.Request, stream <-chan string) {
+	for {
+		select {
+		case text, isOpen := <-stream:
+			if !isOpen {
+				return
+			}
+			writeAndFlush(w, text)
+		case <-time.After(s.keepAliveInterval):
+			s.sendKeepAlive(w)
+		case <-r.Context().Done():
+			s.mu.Lock()
+			s.closed++
+			s.mu.Unlock()
+			return
+		}
+	}
+}
+
+// sendKeepAlive writes under the lock: once SetMuted has returned, no keep-alive follows.
+func (s *StreamServer) sendKeepAlive(w http.ResponseWriter) {
+	s.mu.Lock()
+	if !s.isMuted {
+		writeBody(w, s.keepAlive)
+	}
+	s.mu.Unlock()
+	flush(w)
+}
+
+func writeAndFlush(w http.ResponseWriter, text string) {
+	writeBody(w, text)
+	flush(w)
+}
+
+func flush(w http.ResponseWriter) { w.(http.Flusher).Flush() }
+
+// CallsContaining returns the number of calls with a text in their method, path or body.
+func (s *StreamServer) CallsContaining(text string) (count int) {
+	for _, call := range s.Targets() {
+		if strings.Contains(call, text) {
+			count++
+		}
+	}
+	return count
+}
+
+// Targets returns all calls in order: method, path with query, and body.
+func (s *StreamServer) Targets() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]string(nil), s.calls...)
+}
+
+// Open returns the number of streams that the server has not closed.
+func (s *StreamServer) Open() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.streams)
+}
+
+// Closed returns the number of streams that clients have closed.
+func (s *StreamServer) Closed() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.closed
+}
+
+// Publish writes to the stream that was opened last. There has to be one.
+func (s *StreamServer) Publish(text string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.streams[len(s.streams)-1] <- text
+}
+
+// Write writes to all streams. A stream with too much unread text misses it; its client gets the full state when it reconnects.
+func (s *StreamServer) Write(text string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, stream := range s.streams {
+		select {
+		case stream <- text:
+		default:
+		}
+	}
+}
+
+// CloseStreams closes the stream that was opened last. There has to be one.
+func (s *StreamServer) CloseStreams() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	last := len(s.streams) - 1
+	close(s.streams[last])
+	s.streams = s.streams[:last]
+}
+
+// SetMuted stops the keep-alives, or resumes them.
+func (s *StreamServer) SetMuted(isMuted bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.isMuted = isMuted
+}
+
+// Addr returns the listener's address as a string, in place of its own method.
+func (s *StreamServer) Addr() string { return s.Listener.Addr().String() }
+
+// Close closes the listener and all connections.
+func (s *StreamServer) Close() {
+	_ = s.server.Close() // it fails where the listener is closed already
+}
