--- a/internal/loganalysis/report.go
+++ b/internal/loganalysis/report.go
@@ -18,10 +18,10 @@
 const (
 	// minInterval of a table row.
 	minInterval = time.Second
-	// initialLineBuffer is the scanner's buffer before it grows.
-	initialLineBuffer = 64 << 10
-	// maxLineLength bounds one line; Read fails on a longer one.
-	maxLineLength = 1 << 20
+	// initialBufferSize of the scanner; it grows with the longest line.
+	initialBufferSize = 64 << 10
+	// maxEntryLength bounds one line; Read fails on a longer one.
+	maxEntryLength = 1 << 20
 )
 
 // timePrefix starts the part of a line that log/slog wrote.
@@ -62,7 +62,7 @@
 func (r *Report) Read(agent string, log io.Reader) error {
 	r.Agents++
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(make([]byte, 0, initialLineBuffer), maxLineLength)
+	scanner.Buffer(make([]byte, 0, initialBufferSize), maxEntryLength)
 	for scanner.Scan() {
 		text := scanner.Bytes()
 		start := bytes.Index(text, timePrefix)
@@ -70,7 +70,7 @@
 			r.MalformedLines++
 			continue
 		}
-		loggedAt, fields, err := parseLine(text[start:])
+		loggedAt, fields, err := parseEntry(text[start:])
 		if err != nil {
 			r.MalformedLines++
 			continue
@@ -80,8 +80,8 @@
 	return scanner.Err()
 }
 
-// parseLine returns the time and all keys of a log line.
-func parseLine(text []byte) (time.Time, map[string]string, error) {
+// parseEntry returns the time and all keys of a log line.
+func parseEntry(text []byte) (time.Time, map[string]string, error) {
 	fields := map[string]string{}
 	decoder := logfmt.NewDecoder(bytes.NewReader(text))
 	for decoder.ScanRecord() {
--- a/internal/loganalysis/report_test.go
+++ b/internal/loganalysis/report_test.go
@@ -20,8 +20,8 @@
 		}
 		return a
 	}}))
-	for _, writeLine := range lines {
-		writeLine(log)
+	for _, logEntry := range lines {
+		logEntry(log)
 	}
 	return out.String()
 }
--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -84,8 +84,8 @@
 	rejections [][]waitingClient // by tenant
 
 	router        policy.Router
-	endpoints     []*endpoint
-	pending       map[uint64]*request
+	endpoints     []*endpointModel
+	pending       map[uint64]*clientRequest
 	lastRequestID uint64
 }
 
@@ -98,20 +98,20 @@
 }
 
 // PlayAdmission plays a scenario under an admission policy.
-func PlayAdmission(scenario AdmissionScenario, kind AdmissionPolicy) *AdmissionResult {
+func PlayAdmission(scenario AdmissionScenario, admissionPolicy AdmissionPolicy) *AdmissionResult {
 	r := &admissionRun{
 		scenario:   scenario,
 		random:     rand.New(rand.NewSource(scenario.Seed)),
 		result:     &AdmissionResult{},
 		timerAt:    never,
 		rejections: make([][]waitingClient, len(scenario.TenantShares)),
-		pending:    map[uint64]*request{},
+		pending:    map[uint64]*clientRequest{},
 	}
 	for range scenario.TenantShares {
 		r.result.Tenants = append(r.result.Tenants, TenantResult{Latency: hdrhistogram.New(1, 100*second, 3)})
 	}
 	r.startRouter()
-	r.admitter = newAdmitter(&r.scenario, kind)
+	r.admitter = newAdmitter(&r.scenario, admissionPolicy)
 	r.scheduleArrivals()
 	r.scheduleLimitSamples()
 	r.runUntil(scenario.duration() + scenario.timeout() + maxRetryAfter*maxClientRetries)
@@ -131,7 +131,7 @@
 }
 
 // admit asks the admission controller to admit a request.
-func (r *admissionRun) admit(request *request) {
+func (r *admissionRun) admit(request *clientRequest) {
 	if !r.admitter.allows(r.now, request.tenant) {
 		r.rejectRequest(request, r.admitter.fixedRetryAfter)
 		return
@@ -165,7 +165,7 @@
 	r.scheduleAdmissionTimer()
 }
 
-func (r *admissionRun) executeReject(request *request, command admission.Command) {
+func (r *admissionRun) executeReject(request *clientRequest, command admission.Command) {
 	retryAfter := command.RetryAfter
 	if r.admitter.fixedRetryAfter > 0 && command.Reason != admission.Replaced {
 		retryAfter = r.admitter.fixedRetryAfter
--- a/internal/simulation/admission_clients.go
+++ b/internal/simulation/admission_clients.go
@@ -23,8 +23,8 @@
 	requestBytes = 400
 )
 
-// request is a client's request through all its tries. Each try has an id, an arrival time and a deadline of its own.
-type request struct {
+// clientRequest is a client's request through all its tries. Each try has an id, an arrival time and a deadline of its own.
+type clientRequest struct {
 	tenant int
 	client uint64
 	key    uint64
@@ -75,7 +75,7 @@
 				client = uint64(tenant)<<tenantClientShift + serial + firstUniqueClient
 			}
 			key := uint64(tenant)<<tenantKeyShift + serial
-			r.offer(&request{tenant: tenant, client: client, key: key, work: s.drawWork(random)})
+			r.offer(&clientRequest{tenant: tenant, client: client, key: key, work: s.drawWork(random)})
 			scheduleNext(at + int64(random.ExpFloat64()/rate) + 1)
 		})
 	}
@@ -85,7 +85,7 @@
 func (r *admissionRun) sendOneOff(i int) {
 	id := firstOneOffClient + uint64(i)
 	tenant := i % len(r.scenario.TenantShares)
-	r.offer(&request{tenant: tenant, client: id, key: id, work: r.scenario.drawWork(r.random)})
+	r.offer(&clientRequest{tenant: tenant, client: id, key: id, work: r.scenario.drawWork(r.random)})
 }
 
 func (s *AdmissionScenario) drawWork(random *rand.Rand) int64 {
@@ -93,13 +93,13 @@
 }
 
 // offer sends a new request.
-func (r *admissionRun) offer(request *request) {
+func (r *admissionRun) offer(request *clientRequest) {
 	r.result.Tenants[request.tenant].Offered++
 	r.try(request)
 }
 
 // try sends a request, for the first time or again.
-func (r *admissionRun) try(request *request) {
+func (r *admissionRun) try(request *clientRequest) {
 	request.tries++
 	r.result.Tenants[request.tenant].Tries++
 	r.lastRequestID++
@@ -113,7 +113,7 @@
 }
 
 // rejectRequest answers a try with a rejection. The client tries again after the wait, or gives up where it has none.
-func (r *admissionRun) rejectRequest(request *request, retryAfter int64) {
+func (r *admissionRun) rejectRequest(request *clientRequest, retryAfter int64) {
 	tenant := &r.result.Tenants[request.tenant]
 	tenant.Rejected++
 	delete(r.pending, request.id)
@@ -126,7 +126,7 @@
 }
 
 // finishRequest answers a try that was admitted.
-func (r *admissionRun) finishRequest(request *request, result admission.Result) {
+func (r *admissionRun) finishRequest(request *clientRequest, result admission.Result) {
 	if request.isDone {
 		return
 	}
@@ -144,7 +144,7 @@
 	r.schedule(r.now, func() { r.executeAdmission(r.admitter.Finish(r.now, id, result)) })
 }
 
-func (r *admissionRun) recordSuccess(request *request) {
+func (r *admissionRun) recordSuccess(request *clientRequest) {
 	tenant := &r.result.Tenants[request.tenant]
 	if r.now <= r.scenario.duration() {
 		tenant.Succeeded++
--- a/internal/simulation/admission_endpoints.go
+++ b/internal/simulation/admission_endpoints.go
@@ -12,17 +12,17 @@
 	queueLengthPerSlot = 8
 )
 
-// endpoint models a server that works on some requests at a time and queues others.
-type endpoint struct {
+// endpointModel models a server that works on some requests at a time and queues others.
+type endpointModel struct {
 	id        uint32
 	slots     int
 	busySlots int
-	queue     []*attempt
+	queue     []*endpointAttempt
 }
 
-// attempt is one attempt to serve a request at an endpoint.
-type attempt struct {
-	request   *request
+// endpointAttempt is one attempt to serve a request at an endpoint.
+type endpointAttempt struct {
+	request   *clientRequest
 	requestID uint64
 	sentAt    int64
 	isDone    bool
@@ -50,7 +50,7 @@
 	update := policy.EndpointUpdate{Full: true}
 	for i := range r.scenario.Endpoints {
 		id := uint32(i + 1)
-		r.endpoints = append(r.endpoints, &endpoint{id: id, slots: r.scenario.Slots})
+		r.endpoints = append(r.endpoints, &endpointModel{id: id, slots: r.scenario.Slots})
 		update.Endpoints = append(update.Endpoints, policy.Endpoint{ID: id, Build: 1, State: policy.Ready, Weight: 1})
 	}
 	r.sendToRouter(update)
@@ -91,7 +91,7 @@
 	}
 	request.isSent = true
 	endpoint := r.endpoints[command.EndpointID-1]
-	attempt := &attempt{request: request, requestID: request.id, sentAt: r.now}
+	attempt := &endpointAttempt{request: request, requestID: request.id, sentAt: r.now}
 	timeoutAt := request.deadline
 	if command.Timeout > 0 {
 		timeoutAt = min(timeoutAt, r.now+command.Timeout)
@@ -100,7 +100,7 @@
 	r.schedule(r.now+networkDelay, func() { r.receiveAttempt(endpoint, attempt) })
 }
 
-func (r *admissionRun) receiveAttempt(endpoint *endpoint, attempt *attempt) {
+func (r *admissionRun) receiveAttempt(endpoint *endpointModel, attempt *endpointAttempt) {
 	if len(endpoint.queue) >= queueLengthPerSlot*endpoint.slots {
 		r.schedule(r.now+networkDelay, func() { r.finishAttempt(endpoint, attempt, policy.Rejected) })
 		return
@@ -110,7 +110,7 @@
 }
 
 // startQueued starts work on queued attempts in the endpoint's free slots.
-func (r *admissionRun) startQueued(endpoint *endpoint) {
+func (r *admissionRun) startQueued(endpoint *endpointModel) {
 	for endpoint.busySlots < endpoint.slots && len(endpoint.queue) > 0 {
 		attempt := endpoint.queue[0]
 		endpoint.queue = endpoint.queue[1:]
@@ -132,7 +132,7 @@
 }
 
 // finishAttempt reports an attempt's outcome to the router, unless it has one already.
-func (r *admissionRun) finishAttempt(endpoint *endpoint, attempt *attempt, outcome policy.Outcome) {
+func (r *admissionRun) finishAttempt(endpoint *endpointModel, attempt *endpointAttempt, outcome policy.Outcome) {
 	if attempt.isDone {
 		return
 	}
--- a/internal/simulation/admission_policies.go
+++ b/internal/simulation/admission_policies.go
@@ -32,7 +32,7 @@
 	allows          func(now int64, tenant int) bool
 }
 
-func newAdmitter(scenario *AdmissionScenario, kind AdmissionPolicy) admitter {
+func newAdmitter(scenario *AdmissionScenario, admissionPolicy AdmissionPolicy) admitter {
 	classes := []admission.RequestClass{{
 		LatencyObjective: scenario.latencyObjective(),
 		Timeout:          scenario.timeout(),
@@ -48,7 +48,7 @@
 		queueTenant: func(tenant int) int { return tenant },
 		allows:      func(int64, int) bool { return true },
 	}
-	switch kind {
+	switch admissionPolicy {
 	case FairQueuesNoReservations:
 		retryAfter.Max = 0
 		a.fixedRetryAfter = maxRetryAfter
@@ -60,7 +60,7 @@
 		a.fixedRetryAfter = maxRetryAfter
 		a.queueTenant = func(int) int { return 0 }
 	}
-	if kind == TokenBucket {
+	if admissionPolicy == TokenBucket {
 		a.allows = newTokenBuckets(scenario).take
 	}
 	a.Controller = admission.New(classes, tenants, limits, retryAfter, false, scenario.Seed)
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -7,9 +7,9 @@
 	"switchfork/internal/cluster/election"
 )
 
-// ElectionSchedule describes one random run of leader election under faults. In it agents have clocks of their own, pause and restart;
-// the network loses, delays, duplicates and partitions; and the rollout controller carries votes out late. The checker sits at
-// the rollout controller and trusts no agent.
+// ElectionSchedule describes one random run of leader election under faults. In it agents have clocks of their own, pause and
+// restart; the network loses, delays, duplicates and partitions; and the rollout controller carries votes out late. The checker
+// sits at the rollout controller and trusts no agent.
 type ElectionSchedule struct {
 	Seed              int64
 	Agents            int
@@ -34,6 +34,7 @@
 	MemberChanges  int
 }
 
+// electionSettings of all schedules.
 var electionSettings = election.Settings{
 	Lease:          2 * second,
 	ClockDrift:     0.005,
