--- a/cmd/switchfork-lab/election.go
+++ b/cmd/switchfork-lab/election.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"io"
 	"runtime"
 	"slices"
@@ -59,13 +58,13 @@
 	without   string
 }
 
-func deciderCommand() *cobra.Command {
+func electionCommand() *cobra.Command {
 	var experiment electionExperiment
 	c := &cobra.Command{
-		Use: "decider", Short: "one decider at a time: random partitions, standstills, restarts", Args: none,
+		Use: "decider", Short: "one decider at a time: random partitions, standstills, restarts", Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if !experiment.isValid() {
-				return use{errors.New("--schedules 1 to 1000000, --agents 1 to 9, --seconds 10 to 600, --without lease, record, wait, prevote or begin")}
+				return usageError{errors.New("--schedules 1 to 1000000, --agents 1 to 9, --seconds 10 to 600, --without lease, record, wait, prevote or begin")}
 			}
 			return experiment.run(c.OutOrStdout())
 		},
@@ -87,11 +86,11 @@
 }
 
 // draw returns the schedules with faults, at most so many.
-func (e *electionExperiment) draw(count int) []simulation.Schedule {
-	schedules := make([]simulation.Schedule, 0, count)
+func (e *electionExperiment) draw(count int) []simulation.ElectionSchedule {
+	schedules := make([]simulation.ElectionSchedule, 0, count)
 	for i := range min(e.schedules, count) {
-		schedules = append(schedules, simulation.Schedule{
-			Seed: e.seed + int64(i), Agents: e.agents, Seconds: e.seconds, Without: guardsByName[e.without],
+		schedules = append(schedules, simulation.ElectionSchedule{
+			Seed: e.seed + int64(i), Agents: e.agents, Seconds: e.seconds, DisabledGuards: guardsByName[e.without],
 		})
 	}
 	return schedules
@@ -104,39 +103,41 @@
 	never := report.addRow("troubled", playAll(faulty), faulty).never
 	isChecked := e.without == "" && e.agents >= minAgentsForCrash
 	if isChecked {
-		report.bars.most("nights in which a bad release was never sent back", float64(never), 0)
+		report.expected.atMost("nights in which a bad release was never sent back", float64(never), 0)
 		e.checkGaps(report)
 	}
-	independent := variant(faulty, func(s *simulation.Schedule) { s.VoteIndependently = true })
+	independent := variant(faulty, func(s *simulation.ElectionSchedule) { s.VoteIndependently = true })
 	report.addRow("troubled, each votes by itself", playAll(independent), nil)
 	growth := e.measureIdleTraffic(report)
 	if e.without == "" {
-		report.bars.most("messages an agent a second, 9 agents beside 3", growth, maxMessageGrowth)
+		report.expected.atMost("messages an agent a second, 9 agents beside 3", growth, maxMessageGrowth)
 	}
 	if err := report.flush(); err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(out, "played in %v\n", time.Since(startedAt).Round(time.Second)) // a closed terminal can't be told
-	if err := report.bars.err(); err != nil {
+	printf(out, "played in %v\n", time.Since(startedAt).Round(time.Second))
+	if err := report.expected.err(); err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintln(out, "no violation; all bars hold") // the exit code says the same
+	printf(out, "no violation; all bars hold\n")
 	return nil
 }
 
 // checkGaps measures how long there is no leader after a crash and after a planned leave.
 func (e *electionExperiment) checkGaps(report *electionReport) {
-	lease := float64(simulation.NightLease())
-	crashes := variant(e.draw(maxCrashSchedules), func(s *simulation.Schedule) { s.Calm = true })
-	slow := variant(crashes, func(s *simulation.Schedule) { s.Slow = simulation.NightLease() / slowMessagesPerLease })
-	leaves := variant(crashes, func(s *simulation.Schedule) { s.LeaderLeaves = true })
+	lease := float64(simulation.ElectionLease())
+	crashes := variant(e.draw(maxCrashSchedules), func(s *simulation.ElectionSchedule) { s.LeaderFaultOnly = true })
+	slow := variant(crashes, func(s *simulation.ElectionSchedule) {
+		s.MessageDelay = simulation.ElectionLease() / slowMessagesPerLease
+	})
+	leaves := variant(crashes, func(s *simulation.ElectionSchedule) { s.LeaderLeaves = true })
 
 	gaps := report.addRow("calm, who leads crashes", playAll(crashes), crashes).gaps
-	report.bars.most("leases without a decider after a crash, 99th", quantile(gaps, 0.99)*microsPerSecond/lease, maxGapLeases)
+	report.expected.atMost("leases without a decider after a crash, 99th", quantile(gaps, 0.99)*microsPerSecond/lease, maxGapLeases)
 	gaps = report.addRow("calm, a way takes a tenth of a lease, who leads crashes", playAll(slow), crashes).gaps
-	report.bars.most("the same on ways that take a tenth of a lease, 99th", quantile(gaps, 0.99)*microsPerSecond/lease, maxGapLeases)
+	report.expected.atMost("the same on ways that take a tenth of a lease, 99th", quantile(gaps, 0.99)*microsPerSecond/lease, maxGapLeases)
 	gaps = report.addRow("calm, who leads leaves", playAll(leaves), leaves).gaps
-	report.bars.most("ms without a decider at a planned hand-over, 99th", quantile(gaps, 0.99)*millisPerSecond, maxLeaveGapMillis)
+	report.expected.atMost("ms without a decider at a planned hand-over, 99th", quantile(gaps, 0.99)*millisPerSecond, maxLeaveGapMillis)
 }
 
 // measureIdleTraffic reports the messages of an agent without faults, and returns the rate of the largest group as a multiple of
@@ -144,8 +145,8 @@
 func (e *electionExperiment) measureIdleTraffic(report *electionReport) (growth float64) {
 	var rates []float64
 	for _, agents := range idleAgents {
-		schedules := variant(e.draw(maxIdleSchedules), func(s *simulation.Schedule) {
-			s.Calm, s.NoFaults, s.Agents = true, true, agents
+		schedules := variant(e.draw(maxIdleSchedules), func(s *simulation.ElectionSchedule) {
+			s.LeaderFaultOnly, s.NoFaults, s.Agents = true, true, agents
 		})
 		rate := 0.0
 		for _, result := range playAll(schedules) {
@@ -158,8 +159,8 @@
 }
 
 // playAll plays schedules on all cores and returns the results in the same order.
-func playAll(schedules []simulation.Schedule) []*simulation.Night {
-	results := make([]*simulation.Night, len(schedules))
+func playAll(schedules []simulation.ElectionSchedule) []*simulation.ElectionResult {
+	results := make([]*simulation.ElectionResult, len(schedules))
 	next := make(chan int)
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -167,7 +168,7 @@
 		go func() {
 			defer workers.Done()
 			for i := range next {
-				results[i] = simulation.PlayNight(schedules[i])
+				results[i] = simulation.PlayElection(schedules[i])
 			}
 		}()
 	}
@@ -180,19 +181,10 @@
 }
 
 // variant returns the same schedules, changed.
-func variant(schedules []simulation.Schedule, change func(*simulation.Schedule)) []simulation.Schedule {
+func variant(schedules []simulation.ElectionSchedule, change func(*simulation.ElectionSchedule)) []simulation.ElectionSchedule {
 	changed := slices.Clone(schedules)
 	for i := range changed {
 		change(&changed[i])
 	}
 	return changed
 }
-
-// quantile sorts the values and returns the one below which a part of them lies.
-func quantile(values []float64, part float64) float64 {
-	if len(values) == 0 {
-		return 0
-	}
-	slices.Sort(values)
-	return values[min(len(values)-1, int(part*float64(len(values))))]
-}
