--- a/cmd/switchfork-lab/trial.go
+++ b/cmd/switchfork-lab/trial.go
@@ -19,110 +19,157 @@
 	"golang.org/x/term"
 )
 
-// This file owns the command that plays nights: several real agents, with faults between them.
+// progressBarWidth is in characters.
+const progressBarWidth = 20
 
+// trialOptions are the flags of the trial command.
+type trialOptions struct {
+	run          faulttest.RunOptions
+	namedProgram []string // NAME=PATH
+	agentPath    string   // empty: the agent is built
+}
+
+// trialCommand runs fault scenarios: several real agents, with faults between them.
 func trialCommand() *cobra.Command {
-	var how faulttest.Playing
-	var named []string
-	var agent string
+	var o trialOptions
 	c := &cobra.Command{
 		Use: "trial [flags] FILE...", Short: "play nights: several agents among stand-ins, with faults on ways and processes",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) == 0 {
 				return use{fmt.Errorf("%s wants the files of the nights", c.CommandPath())}
 			}
-			if how.Agents < 0 || how.Agents > faulttest.AgentsMost {
-				return use{fmt.Errorf("--agents is %d, expected 1 to %d, or 0 for each night's own", how.Agents, faulttest.AgentsMost)}
+			if o.run.Agents < 0 || o.run.Agents > faulttest.MaxAgents {
+				return use{fmt.Errorf("--agents is %d, expected 1 to %d, or 0 for each night's own", o.run.Agents, faulttest.MaxAgents)}
 			}
 			return nil
 		},
-		RunE: func(c *cobra.Command, args []string) error {
-			how.Programs = map[string]string{}
-			for _, p := range named {
-				name, path, is := strings.Cut(p, "=")
-				if !is || name == "" || path == "" {
-					return use{fmt.Errorf("--program is %q, expected NAME=PATH", p)}
-				}
-				how.Programs[name] = path
-			}
-			return trials(c.OutOrStdout(), args, agent, how)
-		},
+		RunE: func(c *cobra.Command, args []string) error { return runTrials(c.OutOrStdout(), args, o) },
 	}
-	c.Flags().Int64Var(&how.Seed, "seed", 0, "of loads and faults; 0: each night's own")
-	c.Flags().StringVar(&how.Keep, "keep", "", "a folder for every night's logs, time line and records; without it they are kept where a night fails")
-	c.Flags().IntVar(&how.Agents, "agents", 0, "how many agents; 0: each night's own")
-	c.Flags().StringVar(&agent, "agent", "", "the agent's program; built anew where none is named")
-	c.Flags().StringArrayVar(&named, "program", nil, "NAME=PATH, another version of the program, for nights that start one; built anew under that version where none is named")
-	c.Flags().BoolVar(&how.Idle, "idle", false, "relays do nothing: each night with a fault should then fail")
-	c.Flags().BoolVar(&how.Direct, "direct", false, "no relays at all, for the measure of what they cost: faults on ways are then impossible")
+	c.Flags().Int64Var(&o.run.Seed, "seed", 0, "of loads and faults; 0: each night's own")
+	c.Flags().StringVar(&o.run.Keep, "keep", "", "a folder for every night's logs, time line and records; without it they are kept where a night fails")
+	c.Flags().IntVar(&o.run.Agents, "agents", 0, "how many agents; 0: each night's own")
+	c.Flags().StringVar(&o.agentPath, "agent", "", "the agent's program; built anew where none is named")
+	c.Flags().StringArrayVar(&o.namedProgram, "program", nil, "NAME=PATH, another version of the program, for nights that start one; built anew under that version where none is named")
+	c.Flags().BoolVar(&o.run.IdleRelays, "idle", false, "relays do nothing: each night with a fault should then fail")
+	c.Flags().BoolVar(&o.run.Direct, "direct", false, "no relays at all, for the measure of what they cost: faults on ways are then impossible")
 	return c
 }
 
-func trials(out io.Writer, files []string, agent string, how faulttest.Playing) error {
-	var nights []*faulttest.Night
-	var faulty []error
-	var others []string // versions that none was named for: the same program under another version's name
-	for _, f := range files {
-		n, err := faulttest.ReadNight(f)
-		if err == nil {
-			for _, name := range n.Programs() {
-				if how.Programs[name] == "" {
-					how.Programs[name], others = name, append(others, name)
-				}
-			}
-			err = n.Playable(how)
+// parsePrograms reads NAME=PATH arguments into paths by name.
+func parsePrograms(arguments []string) (map[string]string, error) {
+	programs := map[string]string{}
+	for _, argument := range arguments {
+		name, path, hasPath := strings.Cut(argument, "=")
+		if !hasPath || name == "" || path == "" {
+			return nil, use{fmt.Errorf("--program is %q, expected NAME=PATH", argument)}
 		}
-		if err != nil {
-			faulty = append(faulty, err)
-		}
-		nights = append(nights, n)
+		programs[name] = path
 	}
-	if len(faulty) > 0 {
-		return use{errors.Join(faulty...)}
+	return programs, nil
+}
+
+// runTrials runs the scenarios one after the other and prints a verdict for each, a line of JSON.
+func runTrials(out io.Writer, files []string, o trialOptions) (err error) {
+	if o.run.Programs, err = parsePrograms(o.namedProgram); err != nil {
+		return err
 	}
-	dir, err := os.MkdirTemp("", "switchfork-lab")
+	scenarios, unnamed, err := readScenarios(files, &o.run)
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
-	if how.Programs[""], err = agentProgram(dir, agent); err != nil {
+	dir, err := os.MkdirTemp("", "switchfork-lab")
+	if err != nil {
 		return err
 	}
-	for _, name := range others {
-		if how.Programs[name], err = fakes.BuildAgent(dir, "other-"+name, "-ldflags", "-X main.version="+name); err != nil {
-			return err
-		}
+	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder that stays does no harm
+	if err := buildPrograms(dir, o, unnamed); err != nil {
+		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	live := term.IsTerminal(int(os.Stderr.Fd()))
-	lines, bad := json.NewEncoder(out), 0
-	for _, n := range nights {
-		if live {
-			bar := progressbar.NewOptions(len(n.Steps), progressbar.OptionSetWriter(os.Stderr), progressbar.OptionClearOnFinish(), progressbar.OptionSetWidth(20))
-			how.Progress = func(done, _ int, text string) {
-				bar.Describe(fmt.Sprintf("%s %.60s", n.File, text))
-				bar.Set(done)
-			}
-			defer bar.Finish()
-		}
-		v := faulttest.Play(ctx, n, how)
-		if err := lines.Encode(v); err != nil {
+	encoder := json.NewEncoder(out)
+	failed := 0
+	for _, s := range scenarios {
+		verdict := runScenario(ctx, s, o.run)
+		if err := encoder.Encode(verdict); err != nil {
 			return err
 		}
-		for _, f := range v.Failures() {
-			fmt.Fprintln(os.Stderr, f)
-		}
-		if !v.Passed {
-			bad++
-			fmt.Fprintf(os.Stderr, "%s: logs, time line and records are in %s\n", n.File, v.Folder)
+		reportFailures(verdict)
+		if !verdict.Passed {
+			failed++
 		}
 		if ctx.Err() != nil {
-			return fmt.Errorf("interrupted; nothing that was started is left")
+			return errors.New("interrupted; nothing that was started is left")
+		}
+	}
+	if failed > 0 {
+		return fmt.Errorf("%d of %d nights failed", failed, len(scenarios))
+	}
+	return nil
+}
+
+// readScenarios reads and checks all files. Programs that scenarios start and no flag names are returned, to be built: the same
+// program under another version's name.
+func readScenarios(files []string, options *faulttest.RunOptions) (scenarios []*faulttest.Scenario, unnamed []string, err error) {
+	var errs []error
+	for _, file := range files {
+		s, err := faulttest.ReadScenario(file)
+		if err != nil {
+			errs = append(errs, err)
+			continue
+		}
+		for _, name := range s.ProgramNames() {
+			if options.Programs[name] == "" {
+				options.Programs[name] = name
+				unnamed = append(unnamed, name)
+			}
 		}
+		if err := s.CheckRunnable(*options); err != nil {
+			errs = append(errs, err)
+		}
+		scenarios = append(scenarios, s)
+	}
+	if len(errs) > 0 {
+		return nil, nil, use{errors.Join(errs...)}
+	}
+	return scenarios, unnamed, nil
+}
+
+// buildPrograms sets the paths of the agent and of the programs that no flag names.
+func buildPrograms(dir string, o trialOptions, unnamed []string) (err error) {
+	programs := o.run.Programs
+	if programs[""], err = agentProgram(dir, o.agentPath); err != nil {
+		return err
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d of %d nights failed", bad, len(nights))
+	for _, name := range unnamed {
+		if programs[name], err = fakes.BuildAgent(dir, "other-"+name, "-ldflags", "-X main.version="+name); err != nil {
+			return err
+		}
 	}
 	return nil
 }
+
+// runScenario runs one scenario, with a progress bar where the standard error is a terminal.
+func runScenario(ctx context.Context, s *faulttest.Scenario, options faulttest.RunOptions) *faulttest.Verdict {
+	if !term.IsTerminal(int(os.Stderr.Fd())) {
+		return faulttest.Run(ctx, s, options)
+	}
+	bar := progressbar.NewOptions(len(s.Steps), progressbar.OptionSetWriter(os.Stderr), progressbar.OptionClearOnFinish(),
+		progressbar.OptionSetWidth(progressBarWidth))
+	options.Progress = func(done, _ int, text string) {
+		bar.Describe(fmt.Sprintf("%s %.60s", s.File, text))
+		_ = bar.Set(done) // a bar that isn't drawn does no harm
+	}
+	defer func() { _ = bar.Finish() }()
+	return faulttest.Run(ctx, s, options)
+}
+
+// reportFailures writes to the standard error, the only place where a failure to write could be reported.
+func reportFailures(v *faulttest.Verdict) {
+	for _, failure := range v.Failures() {
+		fmt.Fprintln(os.Stderr, failure)
+	}
+	if !v.Passed {
+		fmt.Fprintf(os.Stderr, "%s: logs, time line and records are in %s\n", v.Scenario, v.Folder)
+	}
+}
--- /dev/null
+++ b/internal/faulttest/capacity_rules.go
@@ -0,0 +1,234 @@
+package faulttest
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"time"
+
+	"switchfork/internal/fakes"
+	"switchfork/internal/faulttest/netfault"
+)
+
+const (
+	// slowStartDeviations is left to chance, in standard deviations of the number of arrivals.
+	slowStartDeviations = 3
+	// capDelay, capAllowance and capTolerance are the protocol's: a lower cap binds 150 ms later, 2 attempts and 4% over the cap pass.
+	capDelay     = 150 * time.Millisecond
+	capAllowance = 2
+	capTolerance = 0.04
+	// receivedSlack: clients write before agents read, so requests written so much earlier may count in an agent's window.
+	receivedSlack = 250 * time.Millisecond
+	// unannouncedCap applies to a build later than the rollout state names, as in the rollout's first stage.
+	unannouncedCap = 0.2
+	// uncapped is the share at which a cap no longer limits anything.
+	uncapped = 1.0
+)
+
+// countUntil counts how many of the sorted times are not later than one.
+func countUntil(times []netfault.Micros, at netfault.Micros) int {
+	n, _ := slices.BinarySearch(times, at+1)
+	return n
+}
+
+// countWithin counts how many of the sorted times lie after from and not later than to.
+func countWithin(times []netfault.Micros, from, to netfault.Micros) int {
+	return countUntil(times, to) - countUntil(times, from)
+}
+
+// checkSlowStart: no endpoint that has just started is sent, by all agents together, more than the configured multiple of its
+// capacity for the configured time. Its capacity in a window is the time of its slots, by the share of its speed that it has reached.
+func checkSlowStart(r *Records) (out []Violation) {
+	window := fakes.OverloadAfter.Microseconds()
+	arrivals := r.slowStartArrivals()
+	for endpoint, started := range r.EndpointStarts {
+		times := arrivals[endpoint]
+		slices.Sort(times)
+		for _, at := range times {
+			count := countWithin(times, at-window, at)
+			speedThen, speedNow := speedAtAge(at-window-started), speedAtAge(at-started)
+			meanSpeed := (speedThen + speedNow) / 2 // the speed rises evenly
+			capacity := meanSpeed * float64(window) * float64(r.Slots) / float64(r.ServiceTime)
+			limit := fakes.OverloadMultiple * capacity
+			if float64(count) > limit+slowStartDeviations*math.Sqrt(limit) {
+				out = append(out, Violation{ruleSlowStart, at, fmt.Sprintf("appliance %d, %.3f s old, was sent %d txns in %v; it can do %.1f, and bears %.1f",
+					endpoint, seconds(at-started), count, fakes.OverloadAfter, capacity, limit)})
+				break
+			}
+		}
+	}
+	return out
+}
+
+// speedAtAge is the share of its full speed that an endpoint has reached at an age.
+func speedAtAge(age netfault.Micros) float64 {
+	reached := float64(max(0, age)) / float64(fakes.SlowStartDuration.Microseconds())
+	return min(1, fakes.InitialCapacity+(1-fakes.InitialCapacity)*reached)
+}
+
+// slowStartArrivals are the times of the arrivals at endpoints during their slow start, by endpoint.
+func (r *Records) slowStartArrivals() map[int][]netfault.Micros {
+	period := (fakes.SlowStartDuration + fakes.OverloadAfter).Microseconds()
+	times := map[int][]netfault.Micros{}
+	for _, a := range r.Arrivals {
+		if a.Endpoint >= len(r.EndpointStarts) {
+			continue
+		}
+		started := r.EndpointStarts[a.Endpoint]
+		if started >= 0 && a.At < started+period {
+			times[a.Endpoint] = append(times[a.Endpoint], a.At)
+		}
+	}
+	return times
+}
+
+// checkExposureCap: in any window, an agent's attempts at a build that is being rolled out are at most the free ones and the cap's
+// share of the requests that it received. A lower cap binds after the grace, and the count starts anew; a released build has no cap.
+func checkExposureCap(r *Records) (out []Violation) {
+	for agent := range r.Agents {
+		received := r.receivedTimes(agent)
+		for build, attempts := range r.attemptTimes(agent) {
+			window := exposureWindow{agent: agent, build: build, attempts: attempts, received: received, caps: r.capHistory(agent, build)}
+			for _, at := range attempts {
+				if v, isViolated := window.check(at); isViolated {
+					out = append(out, v)
+				}
+			}
+		}
+	}
+	return out
+}
+
+// receivedTimes are the sorted times at which clients sent requests to an agent.
+func (r *Records) receivedTimes(agent int) (times []netfault.Micros) {
+	for _, request := range r.Requests {
+		for _, attempt := range request.Attempts {
+			if attempt.Agent == agent && attempt.SentAt >= 0 {
+				times = append(times, attempt.SentAt)
+			}
+		}
+	}
+	slices.Sort(times)
+	return times
+}
+
+// attemptTimes are the sorted times at which an agent sent requests to endpoints, by their build.
+func (r *Records) attemptTimes(agent int) map[int][]netfault.Micros {
+	times := map[int][]netfault.Micros{}
+	for i, a := range r.Arrivals {
+		if a.Agent == agent && r.SentAt[i] >= 0 {
+			times[a.Build] = append(times[a.Build], r.SentAt[i])
+		}
+	}
+	for _, t := range times {
+		slices.Sort(t)
+	}
+	return times
+}
+
+// capChange is a cap of a build, and when an agent was notified of it.
+type capChange struct {
+	at  netfault.Micros
+	cap float64
+}
+
+// capHistory are the caps of a build as an agent knew them, in the order of time.
+func (r *Records) capHistory(agent, build int) (out []capChange) {
+	newest := -1
+	for _, receipt := range r.ReceivedStages[agent] {
+		if receipt.Version < newest {
+			continue
+		}
+		newest = receipt.Version
+		limit := r.Stages[newest].capOf(build)
+		if n := len(out); n == 0 || out[n-1].cap != limit {
+			out = append(out, capChange{receipt.At, limit})
+		}
+	}
+	return out
+}
+
+// capOf is the share of requests that a build may get in a state of the rollout.
+func (s Stage) capOf(build int) float64 {
+	switch {
+	case build > s.Build:
+		return unannouncedCap
+	case build == s.Build && s.Phase != phaseLive:
+		return s.Cap
+	default:
+		return uncapped
+	}
+}
+
+// exposureWindow holds one agent's attempts at one build against the caps that it knew.
+type exposureWindow struct {
+	agent, build       int
+	attempts, received []netfault.Micros // sorted
+	caps               []capChange
+}
+
+// check looks at the window that ends with an attempt.
+func (w *exposureWindow) check(at netfault.Micros) (v Violation, isViolated bool) {
+	if w.capAt(at) >= uncapped {
+		return v, false
+	}
+	from := w.countStart(at)
+	highest := w.highestCap(from, at)
+	if highest >= uncapped {
+		return v, false
+	}
+	sent := countWithin(w.attempts, from, at)
+	received := countWithin(w.received, at-fakes.CapWindow.Microseconds()-receivedSlack.Microseconds(), at)
+	limit := float64(fakes.CapAllowance+capAllowance) + (highest+capTolerance)*float64(received)
+	if float64(sent) <= limit {
+		return v, false
+	}
+	return Violation{ruleExposureCap, at, fmt.Sprintf("agent %d sent %d txns to build %d in %.3f s, under a cap of %g, having taken %d: at most %.1f",
+		w.agent, sent, w.build, seconds(at-from), highest, received, limit)}, true
+}
+
+// capAt is the newest cap that the agent knew at a time.
+func (w *exposureWindow) capAt(at netfault.Micros) float64 {
+	limit := uncapped
+	for _, c := range w.caps {
+		if c.at > at {
+			break
+		}
+		limit = c.cap
+	}
+	return limit
+}
+
+// capGrace is how long after its notification a lower cap binds.
+func capGrace() netfault.Micros { return (fakes.DrainGrace + capDelay).Microseconds() }
+
+// countStart is where the count that ends at a time begins: a lower cap begins a new count once it binds.
+func (w *exposureWindow) countStart(at netfault.Micros) netfault.Micros {
+	from := at - fakes.CapWindow.Microseconds()
+	for i, c := range w.caps {
+		binds := c.at + capGrace()
+		if i > 0 && c.cap < w.caps[i-1].cap && binds <= at && binds > from {
+			from = binds
+		}
+	}
+	return from
+}
+
+// highestCap is the highest cap that was in force within a window, or within the grace before it.
+func (w *exposureWindow) highestCap(from, at netfault.Micros) float64 {
+	highest := w.capAt(at)
+	for i, c := range w.caps {
+		until := at
+		if i+1 < len(w.caps) {
+			next := w.caps[i+1]
+			until = next.at
+			if next.cap < c.cap {
+				until += capGrace()
+			}
+		}
+		if c.at <= at && until > from {
+			highest = max(highest, c.cap)
+		}
+	}
+	return highest
+}
--- /dev/null
+++ b/internal/faulttest/counting_listener.go
@@ -0,0 +1,102 @@
+package faulttest
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+
+	"switchfork/internal/fakes"
+	"switchfork/internal/faulttest/netfault"
+)
+
+// countedConn is a connection at a fake server that counts its bytes, so that they can be compared with what the relay counted.
+type countedConn struct {
+	net.Conn
+	agent, port   int // whose relay dialled, and from which port
+	readBytes     atomic.Int64
+	writtenBytes  atomic.Int64
+	requestStart  atomic.Int64 // bytes read before the request that is served now
+	answerStarted atomic.Bool  // the last operation was a write: what is read next begins a request
+	wasReset      atomic.Bool
+	writtenAtEOF  atomic.Int64 // bytes written when the other side closed, plus 1; what is written later may be lost
+}
+
+func (c *countedConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	if n > 0 && c.answerStarted.Swap(false) {
+		c.requestStart.Store(c.readBytes.Load())
+	}
+	c.readBytes.Add(int64(n))
+	if err != nil {
+		c.writtenAtEOF.CompareAndSwap(0, c.writtenBytes.Load()+1)
+		if !errors.Is(err, io.EOF) {
+			c.wasReset.Store(true)
+		}
+	}
+	return n, err
+}
+
+func (c *countedConn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	c.writtenBytes.Add(int64(n))
+	c.answerStarted.Store(true)
+	if err != nil {
+		c.wasReset.Store(true)
+	}
+	return n, err
+}
+
+// countingListener records the connections that it accepted.
+type countingListener struct {
+	net.Listener
+	mu    sync.Mutex
+	conns []*countedConn
+}
+
+func listen() (*countingListener, error) {
+	l, err := fakes.Listen()
+	return &countingListener{Listener: l}, err
+}
+
+func (l *countingListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	counted := &countedConn{Conn: c, agent: netfault.PartyOf(c.RemoteAddr()), port: c.RemoteAddr().(*net.TCPAddr).Port}
+	l.mu.Lock()
+	l.conns = append(l.conns, counted)
+	l.mu.Unlock()
+	return counted, nil
+}
+
+func (l *countingListener) snapshot() []*countedConn {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]*countedConn(nil), l.conns...)
+}
+
+type connContextKey struct{}
+
+// connContext is an http.Server's ConnContext that lets a handler find its connection.
+func connContext(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, connContextKey{}, c)
+}
+
+func countedConnOf(r *http.Request) *countedConn {
+	c, _ := r.Context().Value(connContextKey{}).(*countedConn)
+	return c
+}
+
+// serveHTTP serves on a listener until the server is closed.
+func serveHTTP(l net.Listener, handler http.HandlerFunc) *http.Server {
+	server := &http.Server{ConnContext: connContext, Handler: handler}
+	go func() {
+		_ = server.Serve(l) // it ends by Close; an agent that can't connect shows in the scenario
+	}()
+	return server
+}
--- a/internal/faulttest/measure.go
+++ b/internal/faulttest/measure.go
@@ -7,159 +7,245 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// This file owns what is measured of the records, and how it is held against an expectation. It does no I/O.
-
-// span is a part of a night.
-type span struct{ from, to netfault.Micros }
-
-func (s span) has(at netfault.Micros) bool { return at >= s.from && at < s.to }
-
-// chosen tells whether an agent is meant: nil means all.
-type chosen func(agent int) bool
-
-// value is a measure in a span; seen says it in words, and ok is false where there was nothing to measure.
-func (r *Records) value(m Measure, of chosen, in span) (v float64, seen string, ok bool) {
-	count := func(n int, what string) (float64, string, bool) {
-		return float64(n), fmt.Sprintf("%d %s", n, what), true
-	}
-	switch m.Name {
-	case "settled", "in-time", "declined", "failed", "offered":
-		n, all := 0, 0
-		for _, t := range r.Txns {
-			if !in.has(t.Came) || !of(t.Agent) || !t.of(m.Product) {
-				continue
-			}
-			all++
-			if t.Fate == m.Name || m.Name == "in-time" && t.InTime {
-				n++
-			}
-		}
-		if m.Name == "offered" {
-			return count(all, "txns offered")
-		}
-		if all == 0 {
-			return 0, "no txn was offered", false
-		}
-		return float64(n) / float64(all), fmt.Sprintf("%.4f (%d of %d txns)", float64(n)/float64(all), n, all), true
-	case "median", "p99":
-		var took []float64 // ms from a txn's first try to the last byte of its answer
-		for _, t := range r.Txns {
-			if in.has(t.Came) && of(t.Agent) && t.of(m.Product) && t.Fate == settled {
-				took = append(took, float64(t.Tries[len(t.Tries)-1].Ended-t.Came)/1000)
-			}
-		}
-		if len(took) == 0 {
-			return 0, "nothing was settled", false
-		}
-		slices.Sort(took)
-		at := len(took) / 2
-		if m.Name == "p99" {
-			at = len(took) * 99 / 100
-		}
-		return took[at], fmt.Sprintf("%.3f ms (of %d answers)", took[at], len(took)), true
-	case "votes":
-		n := 0
-		for _, v := range r.Votes {
-			if v.Opinion == m.Arg && in.has(v.At) && of(v.Agent) && (m.Build == 0 || m.Build == v.Build) {
-				n++
-			}
-		}
-		return count(n, "votes")
-	case "arrivals", "repeats", "busiest":
-		n, by := 0, map[int]int{}
-		for _, a := range r.Arrivals {
-			if in.has(a.At) && (a.Agent < 0 || of(a.Agent)) && m.At.has(a.Box, a.Build) && (m.Name != "repeats" || a.Dropped) {
-				n++
-				by[a.Box]++
-			}
+// timeRange is a part of a run; its end is not included.
+type timeRange struct{ from, to netfault.Micros }
+
+func (r timeRange) contains(at netfault.Micros) bool { return at >= r.from && at < r.to }
+
+// agentFilter tells whether an agent is meant.
+type agentFilter func(agent int) bool
+
+// measurement is the value of a measure. Where there was nothing to measure, hasValue is false and the description says so.
+type measurement struct {
+	value       float64
+	description string
+	hasValue    bool
+}
+
+func counted(n int, what string) measurement {
+	return measurement{float64(n), fmt.Sprintf("%d %s", n, what), true}
+}
+
+func notMeasured(why string) measurement { return measurement{description: why} }
+
+// query is a measure with the agents and the part of the run that it is taken over.
+type query struct {
+	Measure
+	records *Records
+	agents  agentFilter
+	in      timeRange
+}
+
+// evaluators measure the records. Measures without an entry ask the agents themselves, see (*runner).askAgents.
+var evaluators = map[string]func(query) measurement{
+	measureSucceeded:    func(q query) measurement { return q.requestShare(hasOutcome(outcomeSucceeded)) },
+	measureRejected:     func(q query) measurement { return q.requestShare(hasOutcome(outcomeRejected)) },
+	measureFailed:       func(q query) measurement { return q.requestShare(hasOutcome(outcomeFailed)) },
+	measureInTime:       func(q query) measurement { return q.requestShare(func(r Request) bool { return r.MetObjective }) },
+	measureOffered:      func(q query) measurement { return counted(len(q.requests()), "txns offered") },
+	measureMedian:       func(q query) measurement { return q.latencyPercentile(50) },
+	measure99Percentile: func(q query) measurement { return q.latencyPercentile(99) },
+	measureVotes:        query.votes,
+	measureArrivals:     func(q query) measurement { return counted(len(q.arrivals()), measureArrivals) },
+	measureRepeats:      query.repeats,
+	measureBusiest:      query.busiest,
+	measureCalls:        query.calls,
+	measureDatagrams:    query.datagrams,
+	measureAlive:        query.alive,
+}
+
+// measure evaluates a measure for some agents over a part of the run.
+func (r *Records) measure(m Measure, agents agentFilter, in timeRange) measurement {
+	evaluate, isKnown := evaluators[m.Name]
+	if !isKnown {
+		return notMeasured("not measured")
+	}
+	return evaluate(query{m, r, agents, in})
+}
+
+// requests are those that arrived in the range, at these agents, and of the class.
+func (q query) requests() (out []Request) {
+	for _, request := range q.records.Requests {
+		if q.in.contains(request.ArrivedAt) && q.agents(request.Agent) && request.isOfClass(q.Class) {
+			out = append(out, request)
 		}
-		if m.Name != "busiest" {
-			return count(n, m.Name)
+	}
+	return out
+}
+
+func hasOutcome(outcome string) func(Request) bool {
+	return func(r Request) bool { return r.Outcome == outcome }
+}
+
+// requestShare is the share of the requests for which a condition holds.
+func (q query) requestShare(holds func(Request) bool) measurement {
+	requests := q.requests()
+	if len(requests) == 0 {
+		return notMeasured("no txn was offered")
+	}
+	n := 0
+	for _, request := range requests {
+		if holds(request) {
+			n++
 		}
-		if n == 0 {
-			return 0, "nothing arrived", false
+	}
+	share := float64(n) / float64(len(requests))
+	return measurement{share, fmt.Sprintf("%.4f (%d of %d txns)", share, n, len(requests)), true}
+}
+
+// latencyPercentile is a percentile, in milliseconds, of the time from a request's arrival to the last byte of its answer.
+func (q query) latencyPercentile(percent int) measurement {
+	var latencies []float64
+	for _, request := range q.requests() {
+		if request.Outcome == outcomeSucceeded {
+			latencies = append(latencies, float64(request.lastAttempt().EndedAt-request.ArrivedAt)/1000)
 		}
-		most, many := 0, len(by)
-		for _, k := range by {
-			most = max(most, k)
+	}
+	if len(latencies) == 0 {
+		return notMeasured("nothing was settled")
+	}
+	slices.Sort(latencies)
+	latency := latencies[len(latencies)*percent/100]
+	return measurement{latency, fmt.Sprintf("%.3f ms (of %d answers)", latency, len(latencies)), true}
+}
+
+func (q query) votes() measurement {
+	n := 0
+	for _, v := range q.records.Votes {
+		isOfBuild := q.Build == 0 || q.Build == v.Build
+		if v.Recommendation == q.Arg && q.in.contains(v.At) && q.agents(v.Agent) && isOfBuild {
+			n++
 		}
-		if m.At != nil && len(m.At.Numbers) > 0 {
-			many = len(m.At.Numbers)
+	}
+	return counted(n, "votes")
+}
+
+// arrivals are those in the range at the endpoints; one that came through no relay counts for every agent.
+func (q query) arrivals() (out []Arrival) {
+	for _, a := range q.records.Arrivals {
+		isOfAgents := a.Agent < 0 || q.agents(a.Agent)
+		if q.in.contains(a.At) && isOfAgents && q.Endpoints.contains(a.Endpoint, a.Build) {
+			out = append(out, a)
 		}
-		v := float64(most) * float64(many) / float64(n)
-		return v, fmt.Sprintf("%.3f of the mean (%d txns at %d appliances)", v, n, many), true
-	case "calls":
-		n := 0
-		for _, c := range r.Calls[m.Arg] {
-			if in.has(c.At) && of(c.Agent) {
-				n++
-			}
+	}
+	return out
+}
+
+// repeats counts the arrivals that endpoints dropped as duplicates.
+func (q query) repeats() measurement {
+	n := 0
+	for _, a := range q.arrivals() {
+		if a.WasDeduplicated {
+			n++
 		}
-		return count(n, "calls")
-	case "datagrams":
-		n := 0
-		for i, k := range r.Datagrams {
-			if of(i) {
-				n += int(k)
-			}
+	}
+	return counted(n, measureRepeats)
+}
+
+// busiest is the number of arrivals at the busiest endpoint, in multiples of the mean.
+func (q query) busiest() measurement {
+	arrivals := q.arrivals()
+	if len(arrivals) == 0 {
+		return notMeasured("nothing arrived")
+	}
+	byEndpoint := map[int]int{}
+	most := 0
+	for _, a := range arrivals {
+		byEndpoint[a.Endpoint]++
+		most = max(most, byEndpoint[a.Endpoint])
+	}
+	endpoints := len(byEndpoint)
+	if q.Endpoints != nil && len(q.Endpoints.Numbers) > 0 {
+		endpoints = len(q.Endpoints.Numbers)
+	}
+	ratio := float64(most) * float64(endpoints) / float64(len(arrivals))
+	return measurement{ratio, fmt.Sprintf("%.3f of the mean (%d txns at %d appliances)", ratio, len(arrivals), endpoints), true}
+}
+
+func (q query) calls() measurement {
+	n := 0
+	for _, c := range q.records.Calls[q.Arg] {
+		if q.in.contains(c.At) && q.agents(c.Agent) {
+			n++
 		}
-		return count(n, "datagrams delivered")
-	case "alive":
-		n := 0
-		for i := range r.Lives {
-			if of(i) && r.life(i, in.to-1) != nil {
-				n++
-			}
+	}
+	return counted(n, "calls")
+}
+
+func (q query) datagrams() measurement {
+	n := 0
+	for agent, delivered := range q.records.Datagrams {
+		if q.agents(agent) {
+			n += int(delivered)
 		}
-		return count(n, "processes")
 	}
-	return 0, "not measured", false
+	return counted(n, "datagrams delivered")
 }
 
-// of tells whether it is a product's; every one has a first try.
-func (t *Txn) of(product string) bool { return product == "" || t.Tries[0].Product == product }
+// alive counts the processes that run at the end of the range.
+func (q query) alive() measurement {
+	n := 0
+	for agent := range q.records.Lifetimes {
+		if q.agents(agent) && q.records.lifetimeAt(agent, q.in.to-1) != nil {
+			n++
+		}
+	}
+	return counted(n, "processes")
+}
 
-func (b *Boxes) has(box, build int) bool {
-	return b == nil || (b.Build == 0 || b.Build == build) && (len(b.Numbers) == 0 || slices.Contains(b.Numbers, box))
+// contains tells whether an endpoint of a build belongs to the set; the nil set holds all.
+func (s *EndpointSet) contains(endpoint, build int) bool {
+	if s == nil {
+		return true
+	}
+	matchesBuild := s.Build == 0 || s.Build == build
+	matchesNumber := len(s.Numbers) == 0 || slices.Contains(s.Numbers, endpoint)
+	return matchesBuild && matchesNumber
 }
 
-// holds compares.
-func (c check) holds(v float64) bool {
-	switch c.op {
+func (c comparison) holds(value float64) bool {
+	switch c.operator {
 	case ">=":
-		return v >= c.value
+		return value >= c.value
 	case "<=":
-		return v <= c.value
+		return value <= c.value
 	case ">":
-		return v > c.value
+		return value > c.value
 	case "<":
-		return v < c.value
+		return value < c.value
 	default:
-		return v == c.value
+		return value == c.value
 	}
 }
 
-// against holds an expectation against the records.
-func (e Expect) against(r *Records, of chosen, in span) (ok bool, seen string) {
-	if e.Two != "" {
-		found := twoHold(r.claims(), e.Two, in)
+// evaluate holds an expectation against the records.
+func (e Expectation) evaluate(r *Records, agents agentFilter, in timeRange) (passed bool, observed string) {
+	if e.NeverHeldByTwo != "" {
+		found := findSharedClaim(r.claims(), e.NeverHeldByTwo, in)
 		return found == "", found
 	}
-	spans := []span{in}
-	if e.Each > 0 {
-		spans = nil
-		for at := in.from; at+micros(e.Each) <= in.to; at += micros(e.Each) {
-			spans = append(spans, span{at, at + micros(e.Each)})
-		}
-		if len(spans) == 0 {
-			return false, fmt.Sprintf("no span of %v between %.3f and %.3f s", e.Each, float64(in.from)/1e6, float64(in.to)/1e6)
-		}
+	ranges := e.windows(in)
+	if len(ranges) == 0 {
+		return false, fmt.Sprintf("no span of %v between %.3f and %.3f s", e.Window, seconds(in.from), seconds(in.to))
 	}
-	for _, s := range spans {
-		v, words, measured := r.value(e.what, of, s)
-		if seen = fmt.Sprintf("%s from %.3f to %.3f s", words, float64(s.from)/1e6, float64(s.to)/1e6); !measured || !e.holds(v) {
-			return false, seen
+	for _, window := range ranges {
+		measured := r.measure(e.measure, agents, window)
+		observed = fmt.Sprintf("%s from %.3f to %.3f s", measured.description, seconds(window.from), seconds(window.to))
+		if !measured.hasValue || !e.holds(measured.value) {
+			return false, observed
 		}
 	}
-	return true, seen
+	return true, observed
+}
+
+// windows are the parts of a range in each of which the expectation has to hold.
+func (e Expectation) windows(in timeRange) (out []timeRange) {
+	if e.Window <= 0 {
+		return []timeRange{in}
+	}
+	length := toMicros(e.Window)
+	for at := in.from; at+length <= in.to; at += length {
+		out = append(out, timeRange{at, at + length})
+	}
+	return out
 }
--- /dev/null
+++ b/internal/faulttest/netfault/link_test.go
@@ -0,0 +1,72 @@
+package netfault
+
+import "testing"
+
+// The share and the size of each fault, over many draws without I/O.
+func TestFaultRatesMatchConfiguration(t *testing.T) {
+	const draws = 200_000
+	lost, duplicated, delaySum := 0, 0, 0.0
+	link := NewLink(1)
+	link.SetFault(Fault{LossRate: 0.3, DuplicateRate: 0.2, Delay: 50_000, Jitter: 20_000})
+	for i := range int64(draws) {
+		now := i * 100_000 // apart by more than the jitter: none waits for the one ahead
+		switch d := link.ScheduleDatagram(now, 80); d.Copies {
+		case 0:
+			lost++
+		case 2:
+			duplicated++
+			fallthrough
+		default:
+			if delaySum += float64(d.DeliverAt - now); d.DeliverAt < now+30_000 || d.DeliverAt > now+70_000 {
+				t.Fatalf("delayed by %d us, want 30 to 70 ms", d.DeliverAt-now)
+			}
+		}
+	}
+	expectNear(t, "loss", float64(lost)/draws, 0.3, 0.02)
+	expectNear(t, "duplicates", float64(duplicated)/float64(draws-lost), 0.2, 0.02)
+	expectNear(t, "delay", delaySum/float64(draws-lost), 50_000, 0.02)
+
+	link.SetFault(Fault{ReorderRate: 0.25})
+	held, previousHeld := 0, false
+	for i := range int64(draws) {
+		d := link.ScheduleDatagram(1e12+i, 80)
+		if d.IsHeld {
+			held++
+		}
+		if d.ReleasesHeld != previousHeld {
+			t.Fatal("the datagram behind a held one releases it, and no other does")
+		}
+		previousHeld = d.IsHeld
+	}
+	expectNear(t, "reordered", float64(held)/draws, 0.25, 0.02)
+
+	link.SetFault(Fault{BytesPerSecond: 10_000})
+	at := Micros(0)
+	for range 1000 {
+		at = link.ScheduleSegment(2e12, 200, at)
+	}
+	expectNear(t, "time of 200,000 bytes", float64(at-2e12), 20e6, 0.001)
+
+	link.SetFault(Fault{LossRate: 0.5})
+	sum := 0.0
+	for i := range int64(draws) {
+		sum += float64(link.ScheduleSegment(3e12+i, 10, 0) - 3e12 - i)
+	}
+	expected, probability := 0.0, 1.0
+	for i := range maxRetransmits {
+		probability *= 0.5
+		expected += probability * float64(initialRetransmitDelay<<i)
+	}
+	expectNear(t, "a segment's delay at half lost", sum/draws, expected, 0.05)
+	for _, f := range []Fault{{Drop: true}, {Refuse: true}, {Blackhole: true}} {
+		link.SetFault(f)
+		if got := link.ScheduleDatagram(4e12, 1); got.Copies != 0 {
+			t.Errorf("%+v lets a datagram through", f)
+		}
+	}
+	link.SetFault(Fault{})
+	link.ReleaseHeld()
+	if d := link.ScheduleDatagram(5e12, 1); d != (Delivery{Copies: 1, DeliverAt: 5e12}) {
+		t.Errorf("without a fault a datagram is scheduled as %+v", d)
+	}
+}
--- /dev/null
+++ b/internal/faulttest/netfault/packet_schedule.go
@@ -0,0 +1,91 @@
+package netfault
+
+import "container/heap"
+
+// route is the sender and the receiver of a datagram.
+type route struct{ from, to int }
+
+// packet is a datagram that is due at a time.
+type packet struct {
+	Delivery
+	route
+	payload         []byte
+	sequence        int  // the order in which packets came
+	reorderTimedOut bool // set on delivery: it was held, and nothing has overtaken it in time
+}
+
+// packetSchedule orders packets by the time at which they are due, and holds those that wait to be overtaken. One goroutine uses it.
+type packetSchedule struct {
+	queue        packetQueue
+	held         map[route]packet // at most one on each route
+	lastSequence int
+}
+
+func newPacketSchedule() *packetSchedule { return &packetSchedule{held: map[route]packet{}} }
+
+func (s *packetSchedule) pending() int { return len(s.queue) }
+
+// next is when the next packet is due.
+func (s *packetSchedule) next() (at Micros, isPending bool) {
+	if len(s.queue) == 0 {
+		return 0, false
+	}
+	return s.queue[0].DeliverAt, true
+}
+
+// add schedules a packet. One that is held stays in the queue as its own timeout; one that releases a held packet goes ahead of it.
+func (s *packetSchedule) add(p packet) {
+	s.lastSequence++
+	p.sequence = s.lastSequence
+	if p.IsHeld {
+		s.held[p.route] = p
+	}
+	heap.Push(&s.queue, p)
+	if held, isHolding := s.held[p.route]; isHolding && p.ReleasesHeld {
+		delete(s.held, p.route)
+		s.lastSequence++
+		held.DeliverAt, held.sequence, held.IsHeld = p.DeliverAt, s.lastSequence, false
+		heap.Push(&s.queue, held)
+	}
+}
+
+// takeDue removes a packet that is due by a time. The timeout of a held packet that was released before is passed over.
+func (s *packetSchedule) takeDue(now Micros) (p packet, isDue bool) {
+	for len(s.queue) > 0 && s.queue[0].DeliverAt <= now {
+		p = heap.Pop(&s.queue).(packet)
+		if !p.IsHeld {
+			return p, true
+		}
+		if held, isHolding := s.held[p.route]; isHolding && held.sequence == p.sequence {
+			delete(s.held, p.route)
+			p.reorderTimedOut = true
+			return p, true
+		}
+	}
+	return packet{}, false
+}
+
+// packetQueue is a heap of packets by their time, those of one time in the order in which they came.
+type packetQueue []packet
+
+func (q packetQueue) Len() int { return len(q) }
+
+func (q packetQueue) Less(i, j int) bool {
+	if q[i].DeliverAt != q[j].DeliverAt {
+		return q[i].DeliverAt < q[j].DeliverAt
+	}
+	return q[i].sequence < q[j].sequence
+}
+
+func (q packetQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+// Push implements heap.Interface.
+func (q *packetQueue) Push(x any) { *q = append(*q, x.(packet)) }
+
+// Pop implements heap.Interface.
+func (q *packetQueue) Pop() any {
+	old := *q
+	last := old[len(old)-1]
+	*q = old[:len(old)-1]
+	return last
+}
--- a/internal/faulttest/netfault/trace.go
+++ b/internal/faulttest/netfault/trace.go
@@ -2,89 +2,105 @@
 
 import (
 	"errors"
+	"sort"
 	"sync"
 )
 
-// Pass is when so many bytes, counted from the connection's start, had come by.
-type Pass struct {
+// maxProgressEntries bounds the trace of one direction of one connection; a scenario has no use for more.
+const maxProgressEntries = 1 << 18
+
+// ErrTraceFull is a trace that ends before its connection: nothing can be said of what came later.
+var ErrTraceFull = errors.New("a connection's trace is full")
+
+// Progress is when so many bytes, counted from the connection's start, had passed.
+type Progress struct {
 	Bytes int64
 	At    Micros
 }
 
-// Trace is what a relay saw of one connection. Only its own relay writes to it.
-type Trace struct {
-	From   int    // who opened it, by the number of the relay's party
-	port   int    // of the relay on its far side: the far end sees it as the remote port; 0: there is none
-	Opened Micros // when the near side's connection came
-	mu     sync.Mutex
-	up     []Pass // came from who opened it
-	down   []Pass // went to who opened it
-	toFar  int64  // bytes delivered to the far end
-	ofFar  int64  // bytes that came from the far end
-	broken bool   // reset by either side or by the relay: the far end may not have read all
-	over   bool
-	full   bool
+// ServerSide is what a relay counted on the server's side of a connection.
+type ServerSide struct {
+	Delivered int64 // bytes written to the server
+	Received  int64 // bytes read from the server
+	HasEnded  bool
+	WasReset  bool // by either side or by the relay: the server may not have read all
 }
 
-// passesMost bounds the trace of one direction of one connection; a night has no use for more.
-const passesMost = 1 << 18
+// Trace is what a relay saw of one connection. Only its own relay writes to it; it may be read from any goroutine.
+type Trace struct {
+	Party  int    // who opened the connection
+	Opened Micros // when the client's connection came
 
-// ErrTrace is a trace that ends before its connection: nothing can be said of what came later.
-var ErrTrace = errors.New("a connection's trace is full")
+	mu         sync.Mutex
+	serverPort int // the relay's own port, which the server sees as the remote port; 0: there is none yet
+	fromClient []Progress
+	toClient   []Progress
+	serverSide ServerSide
+	isFull     bool
+}
 
-func (t *Trace) note(of *[]Pass, n int, now Micros) {
+// appendProgress records that some more bytes have passed. The direction is one of the trace's own.
+func (t *Trace) appendProgress(direction *[]Progress, bytes int, now Micros) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(*of) >= passesMost {
-		t.full = true
+	if len(*direction) >= maxProgressEntries {
+		t.isFull = true
 		return
 	}
-	last := int64(0)
-	if k := len(*of); k > 0 {
-		last = (*of)[k-1].Bytes
+	total := int64(bytes)
+	if n := len(*direction); n > 0 {
+		total += (*direction)[n-1].Bytes
 	}
-	*of = append(*of, Pass{last + int64(n), now})
+	*direction = append(*direction, Progress{total, now})
 }
 
-// when is the first time at which so many bytes had passed; -1: they never had.
-func (t *Trace) when(of *[]Pass, bytes int64) Micros {
+// firstReached is the first time at which so many bytes had passed; -1: they never had.
+func (t *Trace) firstReached(direction *[]Progress, bytes int64) Micros {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	lo, hi := 0, len(*of)
-	for lo < hi {
-		if m := (lo + hi) / 2; (*of)[m].Bytes >= bytes {
-			hi = m
-		} else {
-			lo = m + 1
-		}
-	}
-	if lo == len(*of) {
+	entries := *direction
+	i := sort.Search(len(entries), func(i int) bool { return entries[i].Bytes >= bytes })
+	if i == len(entries) {
 		return -1
 	}
-	return (*of)[lo].At
+	return entries[i].At
 }
 
-// Sent is when who opened the connection had sent so many bytes; Told is when so many had been handed to it.
-func (t *Trace) Sent(bytes int64) Micros { return t.when(&t.up, bytes) }
-func (t *Trace) Told(bytes int64) Micros { return t.when(&t.down, bytes) }
+func (t *Trace) updateServerSide(update func(*ServerSide)) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	update(&t.serverSide)
+}
+
+func (t *Trace) setServerPort(port int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.serverPort = port
+}
+
+// SentAt is when the client had sent so many bytes; -1: it never had.
+func (t *Trace) SentAt(bytes int64) Micros { return t.firstReached(&t.fromClient, bytes) }
+
+// DeliveredAt is when so many bytes had been handed to the client; -1: they never had.
+func (t *Trace) DeliveredAt(bytes int64) Micros { return t.firstReached(&t.toClient, bytes) }
 
-// Far is what the relay counted on its far side, and whether the connection is over and ended without a reset.
-func (t *Trace) Far() (delivered, came int64, over, whole bool) {
+// ServerSide is what the relay counted on the server's side so far.
+func (t *Trace) ServerSide() ServerSide {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.toFar, t.ofFar, t.over, !t.broken
+	return t.serverSide
 }
 
-// FarPort is the relay's port on its far side, as the far end sees it; 0 where the connection never got there.
-func (t *Trace) FarPort() int {
+// ServerPort is the relay's port as the server sees it; 0 where the connection never got there.
+func (t *Trace) ServerPort() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.port
+	return t.serverPort
 }
 
-// Full tells that the trace had no room for all.
-func (t *Trace) Full() bool {
+// IsFull tells that the trace had no room for all.
+func (t *Trace) IsFull() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.full
+	return t.isFull
 }
--- /dev/null
+++ b/internal/faulttest/parse_expectation.go
@@ -0,0 +1,152 @@
+package faulttest
+
+import (
+	"slices"
+	"strings"
+	"time"
+)
+
+var comparisonOperators = []string{">=", "<=", "=", ">", "<"}
+
+// minWindow is the shortest part of a run that an expectation may be held against on its own.
+const minWindow = 100 * time.Millisecond
+
+// comparison reads MEASURE[:ARG] OP VALUE of= at= build= product=.
+func (p *parser) comparison(mayAskAgents bool) (c comparison) {
+	c.measure = p.measure(mayAskAgents)
+	spec := measureSpecs[c.measure.Name]
+	p.measureOptions(&c.measure, spec)
+	c.operator = p.oneOf(comparisonOperators, ">=, <=, = , > or <", "%q compares nothing, expected >=, <=, =, > or <")
+	c.value = p.number(p.nextToken("a number"), "the value", -1e12, 1e12)
+	return c
+}
+
+// measure reads MEASURE[:ARG].
+func (p *parser) measure(mayAskAgents bool) (m Measure) {
+	token := p.nextToken("a measure")
+	m.Name, m.Arg, _ = strings.Cut(token, ":")
+	spec, isKnown := measureSpecs[m.Name]
+	switch {
+	case !isKnown:
+		p.fail("%q is no measure, expected one of settled, in-time, median, p99, declined, failed, offered, votes:, arrivals, busiest, datagrams, calls:, alive, "+
+			"repeats, and after wait leads, members, healthy, log:", token)
+	case spec.asksAgents && !mayAskAgents:
+		p.fail("%q is what agents say of themselves, expected a measure of stand-ins or relays", token)
+	case spec.hasArg != (m.Arg != ""):
+		p.fail("%q, expected votes:on, votes:back, votes:hold, votes:none, calls:discovery, calls:launcher, log:TEXT, and no word behind the others", token)
+	case m.Name == measureVotes && !slices.Contains(recommendations, m.Arg):
+		p.fail("%q is no verdict, expected on, back, hold or none", m.Arg)
+	case m.Name == measureCalls && m.Arg != serverDiscovery && m.Arg != serverRollout:
+		p.fail("%q takes no calls, expected discovery or launcher", m.Arg)
+	}
+	return m
+}
+
+// measureOptions reads what narrows a measure.
+func (p *parser) measureOptions(m *Measure, spec measureSpec) {
+	if v, isSet := p.option("of"); isSet {
+		agents := p.agentSet(v)
+		m.Agents = &agents
+		if !spec.byAgent {
+			p.fail("%s is not counted by agent, expected no of=", m.Name)
+		}
+	}
+	if v, isSet := p.option("at"); isSet {
+		endpoints := p.endpointSet(v)
+		m.Endpoints = &endpoints
+		if !spec.byEndpoint {
+			p.fail("%s is not counted by appliance, expected no at=", m.Name)
+		}
+	}
+	if v, isSet := p.option("build"); isSet {
+		m.Build = p.integer(v, "the build", 1, maxBuild)
+		if !spec.byBuild {
+			p.fail("%s is not counted by build, expected no build=", m.Name)
+		}
+	}
+	if v, isSet := p.option("product"); isSet {
+		m.Class = v
+		if !spec.byClass {
+			p.fail("%s is not counted by product, expected no product=", m.Name)
+		} else if v != classIdempotent && v != classKeyed && v != classOnce {
+			p.fail("product %q is not known, expected %s, %s or %s", v, classIdempotent, classKeyed, classOnce)
+		}
+	}
+}
+
+// timeRef reads a time, or a mark with or without an offset.
+func (p *parser) timeRef(token string) *TimeRef {
+	if token != "" && isDigit(token[0]) {
+		return &TimeRef{Offset: p.duration(token, "the time")}
+	}
+	mark, offset, hasOffset := strings.Cut(token, "+")
+	ref := TimeRef{Mark: mark}
+	if hasOffset {
+		ref.Offset = p.duration(offset, "the time")
+	}
+	if !p.markNames[mark] {
+		p.fail("%q is no time, expected one such as 2s, or a mark of this night such as cut or cut+2s", token)
+	}
+	return &ref
+}
+
+// expectation reads what stands behind expect.
+func (p *parser) expectation() (e Expectation) {
+	if !p.accept("never") {
+		e.comparison = p.comparison(false)
+		p.expectationRange(&e)
+		return e
+	}
+	if p.accept("two") {
+		e.NeverHeldByTwo = p.heldByTwo()
+		p.expectationRange(&e)
+		return e
+	}
+	p.insertZeroComparison()
+	e.comparison = p.comparison(false)
+	p.expectationRange(&e)
+	return e
+}
+
+// heldByTwo reads hold and what is held, up to the range.
+func (p *parser) heldByTwo() string {
+	if !p.accept("hold") {
+		p.fail("expected hold and what is held")
+	}
+	var held []string
+	for len(p.tokens) > 0 && p.tokens[0] != "from" && p.tokens[0] != "to" {
+		held = append(held, p.nextToken("what is held"))
+	}
+	if len(held) == 0 {
+		p.fail("the line ends, expected what is held, such as vote")
+	}
+	return strings.Join(held, " ")
+}
+
+// insertZeroComparison turns "never MEASURE" into "MEASURE = 0": the comparison stands behind the measure and its options.
+func (p *parser) insertZeroComparison() {
+	at := 1
+	for at < len(p.tokens) && strings.Contains(p.tokens[at], "=") {
+		at++
+	}
+	p.tokens = slices.Insert(slices.Clone(p.tokens), min(at, len(p.tokens)), "=", "0")
+}
+
+// expectationRange reads the part of the run that an expectation is held against.
+func (p *parser) expectationRange(e *Expectation) {
+	for len(p.tokens) > 0 && !p.lineFailed {
+		switch token := p.nextToken("a range"); token {
+		case "from":
+			e.From = p.timeRef(p.nextToken("a time"))
+		case "to":
+			e.To = p.timeRef(p.nextToken("a time"))
+		case "each":
+			e.Window = p.duration(p.nextToken("a time"), "the span")
+			if e.Window < minWindow {
+				p.fail("each span is %v, expected at least %v", e.Window, minWindow)
+			}
+		default:
+			p.fail("%q is not understood, expected from, to or each", token)
+		}
+	}
+}
--- /dev/null
+++ b/internal/faulttest/parser_test.go
@@ -0,0 +1,76 @@
+package faulttest
+
+import (
+	"errors"
+	"strings"
+	"testing"
+)
+
+// All faults of a scenario file are reported at once, each with file, line and what was expected.
+func TestParseScenarioReportsAllErrors(t *testing.T) {
+	for text, want := range map[string]string{
+		"agents 0":                                   "from 1 to 64",
+		"agents many":                                "whole number",
+		"colour red":                                 "begins no line",
+		"talk loudly":                                "expected datagrams, tcp or no",
+		"0s dance":                                   "is no step",
+		"0s load x":                                  "expected a number",
+		"0s load 5 agent:7":                          "from 0 to 2",
+		"0s load 5 posting=0.8 once=0.5":             "from 0 to 0.",
+		"0s slow 1 agents -> discovery":              "expected a time",
+		"0s slow 10ms~20ms agents -> discovery":      "spread",
+		"0s drop discovery -> launcher":              "no link joins",
+		"0s drop agents > discovery":                 "expected -> or <->",
+		"0s double 0.2 agents -> discovery":          "on datagrams between agents",
+		"0s swap 0.9 agents -> agents":               "from 0 to 0.5",
+		"0s reset 5 agents -> agents datagrams":      "on streams",
+		"0s drop agents -> launcher datagrams":       "agents at both ends",
+		"0s stop agent:lead":                         "is bound by no line",
+		"0s stop":                                    "the line ends",
+		"0s reload agents shoes":                     "expected operator, peer, discovery",
+		"0s add 3":                                   "no build is named",
+		"0s news 8 0 dreaming 0.2":                   "expected testing",
+		"0s wait settled >= 1":                       "within and a time",
+		"0s wait settled ~ 1 within 2s":              "compares nothing",
+		"0s go agents please":                        "left over",
+		"soon load 5":                                "begins no line",
+		"0soon load 5":                               "expected a time",
+		"expect leads = 1":                           "agents say of themselves",
+		"expect happiness >= 1":                      "is no measure",
+		"expect votes:maybe >= 1":                    "is no verdict",
+		"expect settled >= 0.9 from later":           "is no time",
+		"expect settled >= 0.9 each 1ms":             "at least 100ms",
+		"expect alive at=appliance:1 = 3":            "not counted by appliance",
+		"expect alive product=fee = 3":               "not counted by product",
+		"expect settled product=shoes >= 0.9":        "expected lookup, posting or fee",
+		"expect never two hold":                      "what is held",
+		"expect settled >= 0.9 of=agent:9":           "from 0 to 2",
+		"decider lease=600ms":                        "have no decider",
+		"0s fail 0.5 appliance:1..0":                 "from 1 to",
+		"0s members add agent:1 at agents":           "within and a time",
+		"0s name x who within 1s":                    "expected lead",
+		"0s start agent:0 program=other twice":       "left over",
+		"operator door on\n0s launcher shouts":       "expected silent or answers",
+		"0s trickle 0 agents -> appliances":          "from 1",
+		"0s start agent:0 program=../x":              "without a path",
+		"0s work 2 machines":                         "names no appliances",
+		"0s lose 2 agents <-> agents":                "from 0 to 1",
+		"0s mark a\nexpect settled >= 1 from a+soon": "expected a time",
+	} {
+		_, err := ParseScenario("n.txt", "# a comment\n"+text+"\nexpect settled >= 0.9\n")
+		if err == nil || !strings.Contains(err.Error(), want) || !strings.HasPrefix(err.Error(), "n.txt:") {
+			t.Errorf("%q: %v, want %q", text, err, want)
+		}
+	}
+	var parseError *ParseError
+	if _, err := ParseScenario("n.txt", "0s dance\nexpect settled >= 0.9\n"); !errors.As(err, &parseError) || parseError.File != "n.txt" || parseError.Line != 1 {
+		t.Errorf("a fault is no ParseError of its line: %v", err)
+	}
+	_, err := ParseScenario("n.txt", "agents 0\ntalk loudly\n0s dance\nexpect leads = 1\n")
+	if err == nil || strings.Count(err.Error(), "\n") != 3 || !strings.Contains(err.Error(), "n.txt:4: ") {
+		t.Errorf("four faults are reported as %v", err)
+	}
+	if _, err = ParseScenario("n.txt", "0s load 5\n"); err == nil || !strings.Contains(err.Error(), "expects nothing") {
+		t.Errorf("a scenario that expects nothing: %v", err)
+	}
+}
--- /dev/null
+++ b/internal/faulttest/process.go
@@ -0,0 +1,158 @@
+package faulttest
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"time"
+
+	"switchfork/internal/fakes"
+	"switchfork/internal/faulttest/netfault"
+)
+
+// Words of the steps that act on processes.
+const (
+	processStop    = "stop"
+	processGo      = "go"
+	processKill    = "kill"
+	processTerm    = "term"
+	processStart   = "start"
+	processRestart = "restart"
+)
+
+// shutdownTimeout is the longest that a process may take to end after SIGTERM: its longest request timeout and what a drain adds,
+// with room.
+const shutdownTimeout = 15 * time.Second
+
+// signalProcess carries out a step on one agent's process.
+func (p *runner) signalProcess(number int, step processStep) error {
+	a := p.agents[number]
+	p.mu.Lock()
+	process := a.process
+	var lifetime *ProcessLifetime
+	if n := len(a.lifetimes); n > 0 {
+		lifetime = &a.lifetimes[n-1]
+	}
+	p.mu.Unlock()
+	if process == nil {
+		if step.action != processStart {
+			return fmt.Errorf("agent %d has no process", number)
+		}
+		return p.startAgent(a, step.program)
+	}
+	switch step.action {
+	case processStop, processGo:
+		if process.HasExited() {
+			return fmt.Errorf("agent %d has no process", number)
+		}
+		if step.action == processStop {
+			return p.pause(process, lifetime)
+		}
+		return p.resume(process, lifetime)
+	case processKill:
+		p.recordEnd(lifetime)
+		process.Kill()
+		return nil
+	case processTerm:
+		p.mu.Lock()
+		lifetime.TermSentAt = p.now()
+		p.mu.Unlock()
+		return process.Terminate()
+	default:
+		return p.replaceProcess(a, process, lifetime, step)
+	}
+}
+
+func (p *runner) pause(process *fakes.Agent, lifetime *ProcessLifetime) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	lifetime.Pauses = append(lifetime.Pauses, [2]netfault.Micros{p.now(), -1})
+	return process.Pause()
+}
+
+func (p *runner) resume(process *fakes.Agent, lifetime *ProcessLifetime) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if n := len(lifetime.Pauses); n > 0 {
+		lifetime.Pauses[n-1][1] = p.now()
+	}
+	return process.Resume()
+}
+
+// replaceProcess starts an agent again. A start waits for the end of a process that was asked to end, a restart kills it.
+func (p *runner) replaceProcess(a *agent, process *fakes.Agent, lifetime *ProcessLifetime, step processStep) error {
+	if step.action == processStart {
+		select {
+		case <-process.Done():
+		case <-time.After(shutdownTimeout):
+			return fmt.Errorf("agent %d still runs %v after it was to end", a.number, shutdownTimeout)
+		}
+	}
+	if !process.HasExited() {
+		p.recordEnd(lifetime)
+		process.Kill()
+	}
+	<-process.Done()
+	if step.clearsState {
+		if err := os.RemoveAll(a.stateDir); err != nil {
+			return err
+		}
+	}
+	return p.startAgent(a, step.program)
+}
+
+// recordEnd records that a process is about to be killed: from here on it owes nothing.
+func (p *runner) recordEnd(l *ProcessLifetime) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if l.End < 0 {
+		l.End = p.now()
+	}
+}
+
+// reloadConfig rewrites an agent's files and has its process read them.
+func (p *runner) reloadConfig(number int, step reloadStep) error {
+	a := p.agents[number]
+	if err := p.rewriteFiles(a, step); err != nil {
+		return err
+	}
+	return a.process.Reload()
+}
+
+func (p *runner) rewriteFiles(a *agent, step reloadStep) error {
+	switch step.target {
+	case reloadMalformed:
+		return a.writeFile(fakes.ConfigName, `{"name":"n`)
+	case reloadPeer:
+		a.operator = append(a.operator, p.peerLine(a.number, step.peer))
+		return a.writeFile(fakes.OptionsName, a.operatorFile())
+	case reloadOperator:
+		a.setOperatorLine(step.tokens)
+		return a.writeFile(fakes.OptionsName, a.operatorFile())
+	}
+	if err := p.moveServer(a, step.target); err != nil {
+		return err
+	}
+	text, _ := p.agentConfig(a)
+	return a.writeFile(fakes.ConfigName, text)
+}
+
+// moveServer gives discovery or the rollout controller another address for one agent.
+func (p *runner) moveServer(a *agent, server string) error {
+	if server == serverRollout {
+		return p.addRelay(a.number, &p.toRollout[a.number], p.rollout.addr(), movedSeedSalt)
+	}
+	return p.addRelay(a.number, &p.toDiscovery[a.number], p.discovery.addr(), movedSeedSalt)
+}
+
+// setOperatorLine replaces the lines with the same keyword in the operator file.
+func (a *agent) setOperatorLine(tokens []string) {
+	a.operator = slices.DeleteFunc(slices.Clone(a.operator), func(line string) bool { return strings.Fields(line)[0] == tokens[0] })
+	a.operator = append(a.operator, strings.Join(tokens, " "))
+}
+
+func (a *agent) writeFile(name, text string) error {
+	return os.WriteFile(filepath.Join(a.dir, name), []byte(text), 0o600)
+}
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -14,101 +14,130 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// This file owns what is left of a night to read: each process's log, one time line of all, and the records.
-
-// keep writes all into a folder of the night's own.
-func (v *Verdict) keep(r *Rig, under string, records *Records) {
-	dir := ""
-	var err error
-	if under == "" {
-		dir, err = os.MkdirTemp("", "switchfork-trial-"+strings.TrimSuffix(v.Night, filepath.Ext(v.Night))+"-")
-	} else {
-		dir = filepath.Join(under, strings.TrimSuffix(v.Night, filepath.Ext(v.Night)))
-		err = os.MkdirAll(dir, 0o755)
-	}
+// writeFiles writes logs, time line and records into a folder of the scenario's own.
+func (v *Verdict) writeFiles(r *Rig, parent string, records *Records) {
+	dir, err := makeReportDir(parent, strings.TrimSuffix(v.Scenario, filepath.Ext(v.Scenario)))
 	if err == nil {
 		v.Folder = dir
-		err = r.write(dir, v, records)
+		err = r.writeReport(dir, v, records)
 	}
 	if err != nil {
-		v.Error = strings.TrimSpace(v.Error + " what was to be kept can't be written: " + err.Error())
+		v.addError("what was to be kept can't be written: " + err.Error())
 		v.Passed = false
 	}
 }
 
-func (r *Rig) write(dir string, v *Verdict, records *Records) error {
+// makeReportDir makes the folder in the parent, or a temporary one without a parent.
+func makeReportDir(parent, name string) (string, error) {
+	if parent == "" {
+		return os.MkdirTemp("", "switchfork-trial-"+name+"-")
+	}
+	dir := filepath.Join(parent, name)
+	return dir, os.MkdirAll(dir, 0o755)
+}
+
+func (r *Rig) writeReport(dir string, v *Verdict, records *Records) error {
 	create := func(name string) (io.WriteCloser, error) { return os.Create(filepath.Join(dir, name)) }
-	if err := r.logs(create); err != nil {
+	if err := r.writeLogs(create); err != nil {
 		return err
 	}
-	f, err := create("timeline.txt")
-	if err != nil {
+	if err := writeTimeline(create, r.timeline(records)); err != nil {
 		return err
 	}
-	w := bufio.NewWriter(f)
-	for _, m := range r.timeline(records) {
-		fmt.Fprintf(w, "%10.3f  %-10s %s\n", float64(m.At)/1e6, m.Who, m.What)
-	}
-	if err = w.Flush(); err != nil {
+	if err := writeJSON(filepath.Join(dir, "verdict.json"), v); err != nil {
 		return err
 	}
-	if err = f.Close(); err != nil {
+	return writeJSON(filepath.Join(dir, "records.json"), records)
+}
+
+func writeTimeline(create func(name string) (io.WriteCloser, error), events []Event) error {
+	file, err := create("timeline.txt")
+	if err != nil {
 		return err
 	}
-	for name, what := range map[string]any{"verdict.json": v, "records.json": records} {
-		text, err := json.MarshalIndent(what, "", " ")
-		if err == nil {
-			err = os.WriteFile(filepath.Join(dir, name), text, 0o644)
-		}
-		if err != nil {
-			return err
-		}
+	w := bufio.NewWriter(file)
+	for _, e := range events {
+		_, _ = fmt.Fprintf(w, "%10.3f  %-10s %s\n", seconds(e.At), e.Who, e.What) // Flush reports the first error
+	}
+	err = w.Flush()
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
+	}
+	return err
+}
+
+func writeJSON(path string, value any) error {
+	text, err := json.MarshalIndent(value, "", " ")
+	if err != nil {
+		return err
 	}
-	return nil
+	return os.WriteFile(path, text, 0o644)
 }
 
-// timeline is all that happened, merged: what the rig did, what agents were told, votes, what agents logged.
-func (r *Rig) timeline(records *Records) (out []Moment) {
-	r.mu.Lock()
-	out = slices.Clone(r.story)
-	r.mu.Unlock()
+// timeline is all that happened, merged: what the rig did, what agents received, votes, what agents logged. Without records it is what
+// the rig did and what agents logged.
+func (r *Rig) timeline(records *Records) []Event {
+	events := r.snapshotEvents()
 	if records != nil {
-		for i := range records.HadList {
-			for _, h := range records.HadList[i] {
-				out = append(out, Moment{h.At, "discovery", fmt.Sprintf("agent %d has list %d", i, h.Serial+1)})
-			}
-			for _, h := range records.HadNews[i] {
-				s := records.Stages[h.Serial]
-				out = append(out, Moment{h.At, "launcher", fmt.Sprintf("agent %d has the news: build %d stage %d %s cap %g", i, s.Build, s.Stage, s.Phase, s.Cap)})
-			}
+		events = append(events, records.receiptEvents()...)
+		events = append(events, records.voteEvents()...)
+		events = append(events, records.failureEvents()...)
+	}
+	events = append(events, r.logEvents()...)
+	slices.SortStableFunc(events, func(a, b Event) int { return int(a.At - b.At) })
+	return events
+}
+
+func (r *Records) receiptEvents() (out []Event) {
+	for agent := range r.ReceivedLists {
+		for _, receipt := range r.ReceivedLists[agent] {
+			out = append(out, Event{receipt.At, serverDiscovery, fmt.Sprintf("agent %d has list %d", agent, receipt.Version+1)})
 		}
-		for _, v := range records.Votes {
-			out = append(out, Moment{v.At, "launcher", fmt.Sprintf("agent %d votes %s on build %d stage %d", v.Agent, v.Opinion, v.Build, v.Stage)})
+		for _, receipt := range r.ReceivedStages[agent] {
+			s := r.Stages[receipt.Version]
+			out = append(out, Event{receipt.At, serverRollout, fmt.Sprintf("agent %d has the news: build %d stage %d %s cap %g", agent, s.Build, s.Stage, s.Phase, s.Cap)})
 		}
-		for _, t := range records.Txns {
-			if t.Fate == failed {
-				last := t.Tries[len(t.Tries)-1]
-				out = append(out, Moment{last.Ended, "client", fmt.Sprintf("%s %s of agent %d failed: status %d %s, after %d tries", last.Product, last.ID, last.Agent, last.Status, last.Err, len(t.Tries))})
-			}
+	}
+	return out
+}
+
+func (r *Records) voteEvents() (out []Event) {
+	for _, v := range r.Votes {
+		out = append(out, Event{v.At, serverRollout, fmt.Sprintf("agent %d votes %s on build %d stage %d", v.Agent, v.Recommendation, v.Build, v.Stage)})
+	}
+	return out
+}
+
+func (r *Records) failureEvents() (out []Event) {
+	for _, request := range r.Requests {
+		if request.Outcome != outcomeFailed {
+			continue
 		}
+		last := request.lastAttempt()
+		out = append(out, Event{last.EndedAt, "client", fmt.Sprintf("%s %s of agent %d failed: status %d %s, after %d tries",
+			last.Class, last.ID, last.Agent, last.Status, last.Err, len(request.Attempts))})
 	}
+	return out
+}
+
+func (r *Rig) logEvents() (out []Event) {
 	for _, a := range r.agents {
 		for _, line := range strings.Split(a.log.String(), "\n") {
-			if at, is := logTime(line); is {
-				out = append(out, Moment{netfault.Micros(at.Sub(r.began) / time.Microsecond), fmt.Sprintf("agent %d", a.number), line})
+			if at, hasTime := parseLogTime(line); hasTime {
+				out = append(out, Event{netfault.Micros(at.Sub(r.startedAt) / time.Microsecond), fmt.Sprintf("agent %d", a.number), line})
 			}
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Moment) int { return int(a.At - b.At) })
 	return out
 }
 
-// logTime reads when a line of an agent's log was written, in either of its forms.
-func logTime(line string) (time.Time, bool) {
-	_, text, is := strings.Cut(line, `"time":"`)
+// parseLogTime reads when a line of an agent's log was written, in JSON or in key=value form.
+func parseLogTime(line string) (at time.Time, hasTime bool) {
 	end := `"`
-	if !is {
-		if text, is = strings.CutPrefix(line, "time="); !is {
+	_, text, isJSON := strings.Cut(line, `"time":"`)
+	if !isJSON {
+		var isText bool
+		if text, isText = strings.CutPrefix(line, "time="); !isText {
 			return time.Time{}, false
 		}
 		end = " "
--- a/internal/faulttest/nights_test.go
+++ b/internal/faulttest/scenarios_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return nil, err
 	}
-	built = dir
+	buildDir = dir
 	now, err := fakes.BuildAgent(dir, "switchfork", "-race")
 	if err != nil {
 		return nil, err
@@ -31,51 +31,55 @@
 	return map[string]string{firstProgram: now, "other": other}, err
 })
 
-var built string
+var buildDir string
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if built != "" {
-		os.RemoveAll(built)
+	if buildDir != "" {
+		if err := os.RemoveAll(buildDir); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+		}
 	}
 	os.Exit(code)
 }
 
-func how(t *testing.T) Playing {
+func runOptions(t *testing.T) RunOptions {
 	t.Helper()
 	p, err := programs()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Playing{Programs: p}
+	return RunOptions{Programs: p}
 }
 
-// atOnce bounds how many nights are played at a time: their clients and appliances share the machine with their agents.
-var atOnce = make(chan struct{}, 4)
+// runSlots bound how many scenarios run at a time: their clients and endpoints share the machine with their agents.
+var runSlots = make(chan struct{}, 4)
 
-func play(t *testing.T, n *Night, how Playing) *Verdict {
+func runLimited(t *testing.T, n *Scenario, options RunOptions) *Verdict {
 	t.Helper()
-	atOnce <- struct{}{}
-	defer func() { <-atOnce }()
-	return Play(t.Context(), n, how)
+	runSlots <- struct{}{}
+	defer func() { <-runSlots }()
+	return Run(t.Context(), n, options)
 }
 
-// Every night that is shipped passes. SWITCHFORK_NIGHTS plays those whose names hold it, SWITCHFORK_TIMES so often.
-func TestNights(t *testing.T) {
+// Every shipped scenario passes. SWITCHFORK_NIGHTS selects those whose names contain it, SWITCHFORK_TIMES is how often each runs.
+func TestScenarios(t *testing.T) {
 	files, _ := filepath.Glob("scenarios/*.txt")
 	if len(files) == 0 {
-		t.Fatal("no nights")
+		t.Fatal("no scenarios")
 	}
 	times := 1
-	fmt.Sscan(os.Getenv("SWITCHFORK_TIMES"), &times)
-	how := how(t)
+	if n, err := strconv.Atoi(strings.TrimSpace(os.Getenv("SWITCHFORK_TIMES"))); err == nil {
+		times = n
+	}
+	options := runOptions(t)
 	for _, f := range files {
 		if !strings.Contains(f, os.Getenv("SWITCHFORK_NIGHTS")) {
 			continue
 		}
-		n, err := ReadNight(f)
+		n, err := ReadScenario(f)
 		if err == nil {
-			err = n.Playable(how)
+			err = n.CheckRunnable(options)
 		}
 		if err != nil {
 			t.Error(err)
@@ -84,7 +88,7 @@
 		for range times {
 			t.Run(strings.TrimSuffix(n.File, ".txt"), func(t *testing.T) {
 				t.Parallel()
-				if v := play(t, n, how); !v.Passed {
+				if v := runLimited(t, n, options); !v.Passed {
 					t.Errorf("%s\nlogs, time line and records are in %s", strings.Join(v.Failures(), "\n"), v.Folder)
 				}
 			})
@@ -92,9 +96,9 @@
 	}
 }
 
-// A night whose expectation is made false on purpose fails on that line, and so does one whose relays do nothing.
-func TestFalseNightsFail(t *testing.T) {
-	how := how(t)
+// A scenario whose expectation is false on purpose fails on that line, and so does one whose relays apply no faults.
+func TestFalseExpectationsFail(t *testing.T) {
+	options := runOptions(t)
 	const text = `agents 2
 appliances 3 slots=4 work=2ms
 0s load 40
@@ -116,13 +120,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			n, err := ParseNight("false", text)
+			n, err := ParseScenario("false", text)
 			if err != nil {
 				t.Fatal(err)
 			}
-			own := how
-			own.Idle, own.Keep = c.idle, t.TempDir()
-			v := play(t, n, own)
+			own := options
+			own.IdleRelays, own.Keep = c.idle, t.TempDir()
+			v := runLimited(t, n, own)
 			got := v.Failures()
 			if v.Passed || len(got) != len(c.want) {
 				t.Fatalf("passed %t, failures %q, want %q", v.Passed, got, c.want)
@@ -141,23 +145,23 @@
 	}
 }
 
-// A night that is interrupted, and one that can't be played, leave no process, listener or goroutine behind.
-func TestInterrupted(t *testing.T) {
-	how := how(t)
-	goroutines, listeners, children := left(t)
-	n, err := ParseNight("long", "agents 3\n0s load 40\n0s stop agent:1\n0s drop agents -> appliances\n60s load 0\nexpect settled >= 0\n")
+// A scenario that is interrupted, and one whose agents don't start, leave no process, listener or goroutine behind.
+func TestInterruptionLeavesNothing(t *testing.T) {
+	options := runOptions(t)
+	goroutines, listeners, children := countLeftovers(t)
+	n, err := ParseScenario("long", "agents 3\n0s load 40\n0s stop agent:1\n0s drop agents -> appliances\n60s load 0\nexpect settled >= 0\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	how.Keep = t.TempDir()
+	options.Keep = t.TempDir()
 	ctx, stop := context.WithCancel(t.Context())
-	how.Progress = func(done, _ int, _ string) {
+	options.Progress = func(done, _ int, _ string) {
 		if done == 3 {
 			stop()
 		}
 	}
-	v := Play(ctx, n, how)
-	if v.Passed || len(v.Lines) == 0 || !strings.Contains(v.Lines[0].Seen, "canceled") {
+	v := Run(ctx, n, options)
+	if v.Passed || len(v.Lines) == 0 || !strings.Contains(v.Lines[0].Observed, "canceled") {
 		t.Errorf("interrupted: %+v", v)
 	}
 	for i := range 3 {
@@ -166,12 +170,12 @@
 			t.Errorf("agent %d: its end is not in the time line", i)
 		}
 	}
-	how.Programs = map[string]string{firstProgram: "/bin/false"}
-	if v = Play(t.Context(), n, how); v.Passed || !strings.Contains(v.Error, "has ended at its start") {
+	options.Programs = map[string]string{firstProgram: "/bin/false"}
+	if v = Run(t.Context(), n, options); v.Passed || !strings.Contains(v.Error, "has ended at its start") {
 		t.Errorf("a program that ends at once: %+v", v)
 	}
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(look) { // the system takes a moment for what was closed
-		g, l, c := left(t)
+	for end := time.Now().Add(10 * time.Second); ; time.Sleep(pollInterval) { // the system takes a moment for what was closed
+		g, l, c := countLeftovers(t)
 		if g <= goroutines && l <= listeners && c <= children {
 			break
 		}
@@ -182,11 +186,11 @@
 	}
 }
 
-// Sixteen agents, 24 appliances and 400 txns a second with every way relayed are as in time as without relays, and the far ends counted what
-// the relays did; a delay that is asked for is there.
-func TestRelaysCostNothing(t *testing.T) {
-	how := how(t)
-	how.Programs = map[string]string{firstProgram: how.Programs["other"]} // without the race detector: sixteen share the test's cores
+// Sixteen agents, 24 endpoints and 400 requests a second meet the latency objective with relays on every link as they do without, and the
+// servers counted what the relays did.
+func TestRelayOverheadIsNegligible(t *testing.T) {
+	options := runOptions(t)
+	options.Programs = map[string]string{firstProgram: options.Programs["other"]} // without the race detector: sixteen share the test's cores
 	const text = `agents 16
 appliances 24 slots=4 work=20ms
 talk datagrams
@@ -198,28 +202,30 @@
 `
 	inTime := map[bool]float64{}
 	for _, direct := range []bool{true, false} {
-		n, err := ParseNight("wide", text)
+		n, err := ParseScenario("wide", text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		own := how
+		own := options
 		own.Direct, own.Keep = direct, t.TempDir()
-		v := play(t, n, own)
+		v := runLimited(t, n, own)
 		if !v.Passed {
 			t.Fatalf("direct %t: %s", direct, strings.Join(v.Failures(), "\n"))
 		}
 		share := 0.0
-		fmt.Sscanf(v.Lines[0].Seen, "%f", &share)
+		if _, err := fmt.Sscanf(v.Lines[0].Observed, "%f", &share); err != nil {
+			t.Fatalf("no share in %q: %v", v.Lines[0].Observed, err)
+		}
 		inTime[direct] = share
-		t.Logf("direct %t: %s; %s", direct, v.Lines[0].Seen, v.Lines[1].Seen)
+		t.Logf("direct %t: %s; %s", direct, v.Lines[0].Observed, v.Lines[1].Observed)
 	}
 	if math.Abs(inTime[true]-inTime[false]) > 0.005 {
 		t.Errorf("in time %.4f without relays, %.4f with them", inTime[true], inTime[false])
 	}
 }
 
-// left is what a night could leave behind: goroutines, listeners, child processes.
-func left(t *testing.T) (goroutines, listeners, children int) {
+// countLeftovers counts what a run could leave behind.
+func countLeftovers(t *testing.T) (goroutines, listeners, children int) {
 	t.Helper()
 	own := strconv.Itoa(os.Getpid())
 	tasks, err := filepath.Glob("/proc/self/task/*/children")
@@ -236,8 +242,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, line := range strings.Split(string(text), "\n") {
-			if w := strings.Fields(line); len(w) > 9 && (w[3] == "0A" || strings.HasSuffix(f, "udp")) {
+		for _, row := range strings.Split(string(text), "\n") {
+			if w := strings.Fields(row); len(w) > 9 && (w[3] == "0A" || strings.HasSuffix(f, "udp")) {
 				inodes["socket:["+w[9]+"]"] = true
 			}
 		}
