--- a/internal/faulttest/agent.go
+++ b/internal/faulttest/agent.go
@@ -23,7 +23,7 @@
 	tenant = "beqa"
 )
 
-// agent is one of the deployment's agents; it keeps its addresses over restarts. The rig's mutex guards process, lifetimes and
+// agent is one of the deployment's agents; it keeps its addresses over restarts. The deployment's mutex guards process, lifetimes and
 // initialVersions.
 type agent struct {
 	number          int
@@ -68,8 +68,8 @@
 func (a *agent) operatorFile() string { return strings.Join(a.operator, "\n") + "\n" }
 
 // operatorLines are what an agent's operator file holds at the start.
-func (r *Rig) operatorLines(a *agent) (lines []string) {
-	s := r.scenario
+func (d *deployment) operatorLines(a *agent) (lines []string) {
+	s := d.scenario
 	if !s.HasElection {
 		return append(lines, s.OperatorLines...)
 	}
@@ -79,9 +79,9 @@
 	}
 	if s.Transport == transportTCP {
 		lines = append(lines, fmt.Sprintf("decider-me %d", a.number), "decider-listen "+a.streamAddress)
-		for peer := range r.agents {
+		for peer := range d.agents {
 			if !slices.Contains(s.AbsentAtStart, peer) {
-				lines = append(lines, r.peerLine(a.number, peer))
+				lines = append(lines, d.peerLine(a.number, peer))
 			}
 		}
 	}
@@ -89,60 +89,60 @@
 }
 
 // peerLine names one agent in another's operator file.
-func (r *Rig) peerLine(agent, peer int) string {
-	address := r.agents[peer].streamAddress
-	if peer != agent && !r.withoutRelays {
-		address = r.toPeer[agent][peer].Addr()
+func (d *deployment) peerLine(agent, peer int) string {
+	address := d.agents[peer].streamAddress
+	if peer != agent && !d.withoutRelays {
+		address = d.toPeer[agent][peer].Addr()
 	}
 	return fmt.Sprintf("decider-peer %d %s", peer, address)
 }
 
 // agentConfig is the text of an agent's configuration, and the versions that it holds.
-func (r *Rig) agentConfig(a *agent) (text string, versions configuredVersions) {
+func (d *deployment) agentConfig(a *agent) (text string, versions configuredVersions) {
 	config := fakes.AgentConfig{
-		Index: a.number, Agents: r.scenario.Agents, Build: r.scenario.Build, MemoryMB: agentMemoryMB, Listen: a.listenAddress,
-		Discovery: r.currentAddress(r.toDiscovery[a.number], r.discovery.addr()),
-		Rollout:   r.currentAddress(r.toRollout[a.number], r.rollout.addr()),
+		Index: a.number, Agents: d.scenario.Agents, Build: d.scenario.Build, MemoryMB: agentMemoryMB, Listen: a.listenAddress,
+		Discovery: d.currentAddress(d.toDiscovery[a.number], d.discovery.addr()),
+		Rollout:   d.currentAddress(d.toRollout[a.number], d.rollout.addr()),
 		Tenants:   []string{tenant}, Shares: []float64{1},
 		LatencyObjective: latencyObjective, Timeout: requestTimeout, HasNonIdempotent: true,
 	}
-	versions.endpointList = r.discovery.newestVersion()
-	config.Endpoints = r.discovery.document(a.number, versions.endpointList)
-	versions.rolloutState, config.RolloutState = r.rollout.stateJSON()
-	if r.scenario.Transport == transportDatagrams {
+	versions.endpointList = d.discovery.newestVersion()
+	config.Endpoints = d.discovery.document(a.number, versions.endpointList)
+	versions.rolloutState, config.RolloutState = d.rollout.stateJSON()
+	if d.scenario.Transport == transportDatagrams {
 		config.PeerListen = a.datagramAddress
-		config.Peers, config.PeersAll = r.datagramPeers(a)
+		config.Peers, config.PeersAll = d.datagramPeers(a)
 	}
 	return config.File(), versions
 }
 
 // datagramPeers are the addresses at which an agent reaches each peer, and all at once.
-func (r *Rig) datagramPeers(a *agent) (peers []string, all string) {
-	for peer, b := range r.agents {
+func (d *deployment) datagramPeers(a *agent) (peers []string, all string) {
+	for peer, b := range d.agents {
 		address := b.datagramAddress
-		if !r.withoutRelays {
-			address = r.mesh.Address(a.number, peer)
+		if !d.withoutRelays {
+			address = d.mesh.Address(a.number, peer)
 		}
 		peers = append(peers, address)
 	}
-	if !r.withoutRelays {
-		all = r.mesh.BroadcastAddress(a.number)
+	if !d.withoutRelays {
+		all = d.mesh.BroadcastAddress(a.number)
 	}
 	return peers, all
 }
 
 // startAgents starts all agents that are there at the start, at one time.
-func (r *Rig) startAgents() error {
+func (d *deployment) startAgents() error {
 	var present []int
-	for i, a := range r.agents {
-		a.operator = r.operatorLines(a)
-		if !slices.Contains(r.scenario.AbsentAtStart, i) {
+	for i, a := range d.agents {
+		a.operator = d.operatorLines(a)
+		if !slices.Contains(d.scenario.AbsentAtStart, i) {
 			present = append(present, i)
 		}
 	}
 	failed := make(chan error, len(present))
 	for _, i := range present {
-		go func() { failed <- r.startAgent(r.agents[i], firstProgram) }()
+		go func() { failed <- d.startAgent(d.agents[i], firstProgram) }()
 	}
 	var first error
 	for range present {
@@ -154,46 +154,46 @@
 }
 
 // startAgent starts an agent's process and waits until it serves.
-func (r *Rig) startAgent(a *agent, program string) error {
-	path, isKnown := r.programs[program]
+func (d *deployment) startAgent(a *agent, program string) error {
+	path, isKnown := d.programs[program]
 	if !isKnown {
 		return fmt.Errorf("program %q is not named", program)
 	}
-	text, versions := r.agentConfig(a)
-	versions.at = r.now()
-	r.mu.Lock()
+	text, versions := d.agentConfig(a)
+	versions.at = d.now()
+	d.mu.Lock()
 	lifetime := len(a.lifetimes)
 	a.lifetimes = append(a.lifetimes, ProcessLifetime{Start: versions.at, End: -1, TermSentAt: -1})
 	a.initialVersions = append(a.initialVersions, versions)
-	r.mu.Unlock()
+	d.mu.Unlock()
 	process, err := fakes.StartAgent(path, a.dir, text, a.operatorFile(), a.listenAddress, a.log)
 	if err != nil {
 		return err
 	}
-	r.mu.Lock()
+	d.mu.Lock()
 	a.process = process
-	r.mu.Unlock()
+	d.mu.Unlock()
 	started := fmt.Sprintf("agent %d starts", a.number)
 	if program != firstProgram {
 		started += " as " + program
 	}
-	r.recordEvent("rig", "%s", started)
-	go r.recordExit(a, process, lifetime)
-	return r.awaitHealthy(a, process)
+	d.recordEvent("rig", "%s", started)
+	go d.recordExit(a, process, lifetime)
+	return d.awaitHealthy(a, process)
 }
 
 // recordExit waits for the end of a process and records it, if its end wasn't recorded before.
-func (r *Rig) recordExit(a *agent, process *fakes.Agent, lifetime int) {
+func (d *deployment) recordExit(a *agent, process *fakes.Agent, lifetime int) {
 	<-process.Done()
-	r.mu.Lock()
+	d.mu.Lock()
 	if l := &a.lifetimes[lifetime]; l.End < 0 { // not the last lifetime: another process may have started by now
-		l.End = r.now()
+		l.End = d.now()
 	}
-	r.mu.Unlock()
-	r.recordEvent("rig", "agent %d's process is over", a.number)
+	d.mu.Unlock()
+	d.recordEvent("rig", "agent %d's process is over", a.number)
 }
 
-func (r *Rig) awaitHealthy(a *agent, process *fakes.Agent) error {
+func (d *deployment) awaitHealthy(a *agent, process *fakes.Agent) error {
 	deadline := time.Now().Add(startupTimeout)
 	for {
 		switch {
@@ -205,18 +205,18 @@
 			return fmt.Errorf("agent %d does not serve %v after its start", a.number, startupTimeout)
 		}
 		select {
-		case <-r.ctx.Done():
-			return r.ctx.Err()
+		case <-d.ctx.Done():
+			return d.ctx.Err()
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
 // runningAgents are the agents whose processes run and weren't asked to end, as a front that checks their health would see them.
-func (r *Rig) runningAgents() (out []int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for i, a := range r.agents {
+func (d *deployment) runningAgents() (out []int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for i, a := range d.agents {
 		n := len(a.lifetimes)
 		if n > 0 && a.lifetimes[n-1].End < 0 && a.lifetimes[n-1].TermSentAt < 0 && a.process != nil {
 			out = append(out, i)
@@ -227,10 +227,10 @@
 
 // wasKilled tells whether an agent's newest process is over, or one that was not asked to end and lived at a time: the next may have
 // started by now.
-func (r *Rig) wasKilled(agent int, at netfault.Micros) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	lifetimes := r.agents[agent].lifetimes
+func (d *deployment) wasKilled(agent int, at netfault.Micros) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	lifetimes := d.agents[agent].lifetimes
 	n := len(lifetimes)
 	return n == 0 || lifetimes[n-1].End >= 0 || slices.ContainsFunc(lifetimes, func(l ProcessLifetime) bool {
 		return l.Start <= at && l.End >= at && l.TermSentAt < 0
@@ -238,8 +238,8 @@
 }
 
 // writeLogs writes each agent's log.
-func (r *Rig) writeLogs(create func(name string) (io.WriteCloser, error)) error {
-	for _, a := range r.agents {
+func (d *deployment) writeLogs(create func(name string) (io.WriteCloser, error)) error {
+	for _, a := range d.agents {
 		w, err := create(fmt.Sprintf("agent-%d.log", a.number))
 		if err != nil {
 			return err
--- a/internal/faulttest/endpoint_recorder.go
+++ b/internal/faulttest/endpoint_recorder.go
@@ -37,7 +37,7 @@
 
 // RequestArrived implements the observer of fakes.Endpoint.
 func (r *endpointRecorder) RequestArrived(e *fakes.Endpoint, request *http.Request) any {
-	number, _ := strconv.Atoi(strings.TrimPrefix(e.Name, endpointNamePrefix)) // the rig names endpoints by their numbers
+	number, _ := strconv.Atoi(strings.TrimPrefix(e.Name, endpointNamePrefix)) // the deployment names endpoints by their numbers
 	class, _, _ := strings.Cut(strings.TrimPrefix(request.URL.Path, "/"), "/")
 	a := &Arrival{
 		At: r.now(), Endpoint: number, Build: e.Build, Agent: noAgent, Class: class, RanAt: notRun,
--- a/internal/faulttest/matching.go
+++ b/internal/faulttest/matching.go
@@ -21,19 +21,19 @@
 }
 
 // streamRelays are all relays of streams, those that are not in use any more included.
-func (r *Rig) streamRelays() (out []streamRelay) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for agent := range r.toDiscovery {
-		out = append(out, serverRelays(r.toDiscovery[agent], agent, serverDiscovery, r.discovery.listener)...)
-		out = append(out, serverRelays(r.toRollout[agent], agent, serverRollout, r.rollout.listener)...)
-		for endpoint, s := range r.toEndpoint[agent] {
+func (d *deployment) streamRelays() (out []streamRelay) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for agent := range d.toDiscovery {
+		out = append(out, serverRelays(d.toDiscovery[agent], agent, serverDiscovery, d.discovery.listener)...)
+		out = append(out, serverRelays(d.toRollout[agent], agent, serverRollout, d.rollout.listener)...)
+		for endpoint, s := range d.toEndpoint[agent] {
 			out = append(out, streamRelay{
 				stream: s, agent: agent, targetName: endpointName(endpoint), peer: noTarget, endpoint: endpoint,
-				server: r.endpoints[endpoint].Listener().(*countingListener), isNewest: true,
+				server: d.endpoints[endpoint].Listener().(*countingListener), isNewest: true,
 			})
 		}
-		for peer, s := range r.toPeer[agent] {
+		for peer, s := range d.toPeer[agent] {
 			if s != nil {
 				out = append(out, streamRelay{
 					stream: s, agent: agent, targetName: fmt.Sprintf("agent %d", peer), peer: peer, endpoint: noTarget, isNewest: true,
@@ -53,20 +53,20 @@
 	return out
 }
 
-// serverRecords are what servers and rig have recorded so far, without what only the relays' traces tell.
-func (r *Rig) serverRecords() *Records {
+// serverRecords are what servers and deployment have recorded so far, without what only the relays' traces tell.
+func (d *deployment) serverRecords() *Records {
 	out := &Records{
-		Agents: r.scenario.Agents, End: r.now(), HasElection: r.scenario.HasElection,
-		Requests: r.clients.snapshot(), ConnsWithExtraBytes: int(r.clients.extraBytes.Load()),
-		Arrivals: r.recorder.snapshot(), Votes: r.rollout.snapshotVotes(),
-		Slots: r.scenario.Slots, ServiceTime: toMicros(r.scenario.ServiceTime),
-	}
-	out.Calls = map[string][]Call{serverDiscovery: r.discovery.snapshotCalls(), serverRollout: r.rollout.snapshotCalls()}
-	out.Datagrams = r.deliveredDatagrams()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	out.EndpointStarts = slices.Clone(r.endpointStarts)
-	for _, a := range r.agents {
+		Agents: d.scenario.Agents, End: d.now(), HasElection: d.scenario.HasElection,
+		Requests: d.clients.snapshot(), ConnsWithExtraBytes: int(d.clients.extraBytes.Load()),
+		Arrivals: d.recorder.snapshot(), Votes: d.rollout.snapshotVotes(),
+		Slots: d.scenario.Slots, ServiceTime: toMicros(d.scenario.ServiceTime),
+	}
+	out.Calls = map[string][]Call{serverDiscovery: d.discovery.snapshotCalls(), serverRollout: d.rollout.snapshotCalls()}
+	out.Datagrams = d.deliveredDatagrams()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	out.EndpointStarts = slices.Clone(d.endpointStarts)
+	for _, a := range d.agents {
 		lifetimes := slices.Clone(a.lifetimes)
 		for i := range lifetimes {
 			lifetimes[i].Pauses = slices.Clone(lifetimes[i].Pauses)
@@ -77,30 +77,30 @@
 }
 
 // deliveredDatagrams counts the datagrams that were delivered, by sender.
-func (r *Rig) deliveredDatagrams() []int64 {
-	delivered := make([]int64, len(r.agents))
-	if r.mesh == nil {
+func (d *deployment) deliveredDatagrams() []int64 {
+	delivered := make([]int64, len(d.agents))
+	if d.mesh == nil {
 		return delivered
 	}
-	for i := range r.agents {
-		for j := range r.agents {
+	for i := range d.agents {
+		for j := range d.agents {
 			if i != j {
-				delivered[i] += r.mesh.Link(i, j).Counters().Delivered
+				delivered[i] += d.mesh.Link(i, j).Counters().Delivered
 			}
 		}
 	}
 	return delivered
 }
 
-// records put together what servers, rig and relays have recorded.
-func (r *Rig) records() *Records {
-	out := r.serverRecords()
-	out.Stages = r.rollout.snapshotStages()
-	out.EndpointLists = r.discovery.snapshotVersions()
-	out.ReceivedLists, out.ReceivedStages = r.configuredReceipts()
-	traces, _ := r.matchTraces()
-	addReceipts(out.ReceivedLists, r.discovery.snapshotDeliveries(), traces)
-	addReceipts(out.ReceivedStages, r.rollout.snapshotDeliveries(), traces)
+// records put together what servers, deployment and relays have recorded.
+func (d *deployment) records() *Records {
+	out := d.serverRecords()
+	out.Stages = d.rollout.snapshotStages()
+	out.EndpointLists = d.discovery.snapshotVersions()
+	out.ReceivedLists, out.ReceivedStages = d.configuredReceipts()
+	traces, _ := d.matchTraces()
+	addReceipts(out.ReceivedLists, d.discovery.snapshotDeliveries(), traces)
+	addReceipts(out.ReceivedStages, d.rollout.snapshotDeliveries(), traces)
 	for _, a := range out.Arrivals {
 		sentAt := a.At
 		if trace := traces[a.conn]; trace != nil {
@@ -112,11 +112,11 @@
 }
 
 // configuredReceipts are the versions that agents had from their configuration, by agent.
-func (r *Rig) configuredReceipts() (lists, stages [][]Receipt) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	lists, stages = make([][]Receipt, len(r.agents)), make([][]Receipt, len(r.agents))
-	for i, a := range r.agents {
+func (d *deployment) configuredReceipts() (lists, stages [][]Receipt) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	lists, stages = make([][]Receipt, len(d.agents)), make([][]Receipt, len(d.agents))
+	for i, a := range d.agents {
 		for _, v := range a.initialVersions {
 			lists[i] = append(lists[i], Receipt{v.at, v.endpointList})
 			stages[i] = append(stages[i], Receipt{v.at, v.rolloutState})
@@ -149,8 +149,8 @@
 
 // matchTraces finds the relay's trace of each connection that a server had, and describes the traces without a connection. A port
 // may serve twice in a run: the first trace of it belongs to the first connection from it.
-func (r *Rig) matchTraces() (traces map[*countedConn]*netfault.Trace, unmatched []string) {
-	relays := slices.DeleteFunc(r.streamRelays(), func(relay streamRelay) bool { return relay.server == nil })
+func (d *deployment) matchTraces() (traces map[*countedConn]*netfault.Trace, unmatched []string) {
+	relays := slices.DeleteFunc(d.streamRelays(), func(relay streamRelay) bool { return relay.server == nil })
 	conns := connsByKey(relays)
 	traces = map[*countedConn]*netfault.Trace{}
 	for _, relay := range relays {
@@ -191,8 +191,8 @@
 }
 
 // mismatches compare what the relays counted on their server sides with what the servers counted, connection by connection.
-func (r *Rig) mismatches() []string {
-	traces, out := r.matchTraces()
+func (d *deployment) mismatches() []string {
+	traces, out := d.matchTraces()
 	for conn, trace := range traces {
 		side := trace.ServerSide()
 		if !conn.matches(side) {
--- a/internal/faulttest/records.go
+++ b/internal/faulttest/records.go
@@ -6,7 +6,7 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// Records are what the fake servers, the relays and the rig itself wrote down during a run. The JSON keys are part of the format of
+// Records are what the fake servers, the relays and the deployment itself wrote down during a run. The JSON keys are part of the format of
 // records.json.
 type Records struct {
 	Agents              int
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -15,7 +15,7 @@
 )
 
 // writeFiles writes logs, time line and records into a folder of the scenario's own.
-func (v *Verdict) writeFiles(r *Rig, parent string, records *Records) {
+func (v *Verdict) writeFiles(r *deployment, parent string, records *Records) {
 	dir, err := makeReportDir(parent, strings.TrimSuffix(v.Scenario, filepath.Ext(v.Scenario)))
 	if err == nil {
 		v.Folder = dir
@@ -36,12 +36,12 @@
 	return dir, os.MkdirAll(dir, 0o755)
 }
 
-func (r *Rig) writeReport(dir string, v *Verdict, records *Records) error {
+func (d *deployment) writeReport(dir string, v *Verdict, records *Records) error {
 	create := func(name string) (io.WriteCloser, error) { return os.Create(filepath.Join(dir, name)) }
-	if err := r.writeLogs(create); err != nil {
+	if err := d.writeLogs(create); err != nil {
 		return err
 	}
-	if err := writeTimeline(create, r.timeline(records)); err != nil {
+	if err := writeTimeline(create, d.timeline(records)); err != nil {
 		return err
 	}
 	if err := writeJSON(filepath.Join(dir, "verdict.json"), v); err != nil {
@@ -50,14 +50,14 @@
 	return writeJSON(filepath.Join(dir, "records.json"), records)
 }
 
-func writeTimeline(create func(name string) (io.WriteCloser, error), events []Event) error {
+func writeTimeline(create func(name string) (io.WriteCloser, error), events []event) error {
 	file, err := create("timeline.txt")
 	if err != nil {
 		return err
 	}
 	w := bufio.NewWriter(file)
 	for _, e := range events {
-		_, _ = fmt.Fprintf(w, "%10.3f  %-10s %s\n", seconds(e.At), e.Who, e.What) // Flush reports the first error
+		_, _ = fmt.Fprintf(w, "%10.3f  %-10s %s\n", seconds(e.at), e.source, e.text) // Flush reports the first error
 	}
 	err = w.Flush()
 	if closeErr := file.Close(); err == nil {
@@ -74,57 +74,57 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-// timeline is all that happened, merged: what the rig did, what agents received, votes, what agents logged. Without records it is what
-// the rig did and what agents logged.
-func (r *Rig) timeline(records *Records) []Event {
-	events := r.snapshotEvents()
+// timeline is all that happened, merged: what the deployment did, what agents received, votes, what agents logged. Without records it is what
+// the deployment did and what agents logged.
+func (d *deployment) timeline(records *Records) []event {
+	events := d.snapshotEvents()
 	if records != nil {
 		events = append(events, records.receiptEvents()...)
 		events = append(events, records.voteEvents()...)
 		events = append(events, records.failureEvents()...)
 	}
-	events = append(events, r.logEvents()...)
-	slices.SortStableFunc(events, func(a, b Event) int { return int(a.At - b.At) })
+	events = append(events, d.logEvents()...)
+	slices.SortStableFunc(events, func(a, b event) int { return int(a.at - b.at) })
 	return events
 }
 
-func (r *Records) receiptEvents() (out []Event) {
+func (r *Records) receiptEvents() (out []event) {
 	for agent := range r.ReceivedLists {
 		for _, receipt := range r.ReceivedLists[agent] {
-			out = append(out, Event{receipt.At, serverDiscovery, fmt.Sprintf("agent %d has list %d", agent, receipt.Version+1)})
+			out = append(out, event{receipt.At, serverDiscovery, fmt.Sprintf("agent %d has list %d", agent, receipt.Version+1)})
 		}
 		for _, receipt := range r.ReceivedStages[agent] {
 			s := r.Stages[receipt.Version]
-			out = append(out, Event{receipt.At, serverRollout, fmt.Sprintf("agent %d has the news: build %d stage %d %s cap %g", agent, s.Build, s.Stage, s.Phase, s.Cap)})
+			out = append(out, event{receipt.At, serverRollout, fmt.Sprintf("agent %d has the news: build %d stage %d %s cap %g", agent, s.Build, s.Stage, s.Phase, s.Cap)})
 		}
 	}
 	return out
 }
 
-func (r *Records) voteEvents() (out []Event) {
+func (r *Records) voteEvents() (out []event) {
 	for _, v := range r.Votes {
-		out = append(out, Event{v.At, serverRollout, fmt.Sprintf("agent %d votes %s on build %d stage %d", v.Agent, v.Recommendation, v.Build, v.Stage)})
+		out = append(out, event{v.At, serverRollout, fmt.Sprintf("agent %d votes %s on build %d stage %d", v.Agent, v.Recommendation, v.Build, v.Stage)})
 	}
 	return out
 }
 
-func (r *Records) failureEvents() (out []Event) {
+func (r *Records) failureEvents() (out []event) {
 	for _, request := range r.Requests {
 		if request.Outcome != outcomeFailed {
 			continue
 		}
 		last := request.lastAttempt()
-		out = append(out, Event{last.EndedAt, "client", fmt.Sprintf("%s %s of agent %d failed: status %d %s, after %d tries",
+		out = append(out, event{last.EndedAt, "client", fmt.Sprintf("%s %s of agent %d failed: status %d %s, after %d tries",
 			last.Class, last.ID, last.Agent, last.Status, last.Err, len(request.Attempts))})
 	}
 	return out
 }
 
-func (r *Rig) logEvents() (out []Event) {
-	for _, a := range r.agents {
+func (d *deployment) logEvents() (out []event) {
+	for _, a := range d.agents {
 		for _, line := range strings.Split(a.log.String(), "\n") {
 			if at, hasTime := parseLogTime(line); hasTime {
-				out = append(out, Event{netfault.Micros(at.Sub(r.startedAt) / time.Microsecond), fmt.Sprintf("agent %d", a.number), line})
+				out = append(out, event{netfault.Micros(at.Sub(d.startedAt) / time.Microsecond), fmt.Sprintf("agent %d", a.number), line})
 			}
 		}
 	}
--- a/internal/faulttest/rules.go
+++ b/internal/faulttest/rules.go
@@ -224,30 +224,30 @@
 	return a == recommendOn && b == recommendBack || a == recommendBack && b == recommendOn
 }
 
-// Claim is that an agent holds something exclusively over a span of time.
-type Claim struct {
-	What     string
-	Agent    int
-	From, To netfault.Micros
+// claim is that an agent holds something exclusively over a span of time.
+type claim struct {
+	what     string
+	agent    int
+	from, to netfault.Micros
 }
 
 // claims are derived from what the servers recorded: an agent holds the vote on a stage for as long as its vote stands.
-func (r *Records) claims() (out []Claim) {
+func (r *Records) claims() (out []claim) {
 	for _, v := range r.Votes {
 		if v.Recommendation != recommendNone {
-			out = append(out, Claim{"vote", v.Agent, v.At, v.At + fakes.VoteLifetime.Microseconds()})
+			out = append(out, claim{"vote", v.Agent, v.At, v.At + fakes.VoteLifetime.Microseconds()})
 		}
 	}
 	return out
 }
 
 // findSharedClaim describes two agents that hold the same thing at one time; it is empty where there are none.
-func findSharedClaim(claims []Claim, what string, in timeRange) string {
+func findSharedClaim(claims []claim, what string, in timeRange) string {
 	for i, a := range claims {
 		for _, b := range claims[i+1:] {
-			from, to := max(a.From, b.From, in.from), min(a.To, b.To, in.to)
-			if a.What == what && b.What == what && a.Agent != b.Agent && from < to {
-				return fmt.Sprintf("agents %d and %d both hold %s at %.3f s", a.Agent, b.Agent, what, seconds(from))
+			from, to := max(a.from, b.from, in.from), min(a.to, b.to, in.to)
+			if a.what == what && b.what == what && a.agent != b.agent && from < to {
+				return fmt.Sprintf("agents %d and %d both hold %s at %.3f s", a.agent, b.agent, what, seconds(from))
 			}
 		}
 	}
--- a/internal/faulttest/runner.go
+++ b/internal/faulttest/runner.go
@@ -20,9 +20,9 @@
 	startMark = "start"
 )
 
-// runner runs the steps of one scenario on its rig.
+// runner runs the steps of one scenario on its deployment.
 type runner struct {
-	*Rig
+	*deployment
 	options      RunOptions
 	agentNames   map[string]int // agents by the names that steps have bound
 	marks        map[string]netfault.Micros
@@ -44,23 +44,23 @@
 	cause := fmt.Errorf("the night is over its bound of %v", s.Timeout)
 	ctx, stop := context.WithTimeoutCause(ctx, s.Timeout+startupTimeout, cause)
 	defer stop()
-	rig, err := buildRig(ctx, s, dir, options)
+	d, err := startDeployment(ctx, s, dir, options)
 	if err != nil {
 		v.Error = fmt.Sprintf("%s: the rig does not stand: %v", s.File, err)
-		if rig.agents != nil {
-			v.writeFiles(rig, options.Keep, nil)
+		if d.agents != nil {
+			v.writeFiles(d, options.Keep, nil)
 		}
 		return v
 	}
-	p := &runner{Rig: rig, options: options, agentNames: map[string]int{}, marks: map[string]netfault.Micros{}}
+	p := &runner{deployment: d, options: options, agentNames: map[string]int{}, marks: map[string]netfault.Micros{}}
 	records := p.run(v)
 	if options.Keep != "" || !v.Passed {
-		v.writeFiles(rig, options.Keep, records)
+		v.writeFiles(d, options.Keep, records)
 	}
 	return v
 }
 
-// run runs the steps, closes the rig and fills the verdict.
+// run runs the steps, closes the deployment and fills the verdict.
 func (p *runner) run(v *Verdict) *Records {
 	p.recordEvent("rig", "all serve")
 	p.marks[startMark] = p.now()
