--- a/internal/faulttest/actions.go
+++ b/internal/faulttest/actions.go
@@ -11,32 +11,32 @@
 	"switchfork/internal/cluster/coordinator"
 )
 
-func (a loadStep) run(p *runner, s Step) error {
-	p.stopLoad()
-	ctx, stop := context.WithCancel(p.ctx)
-	p.mu.Lock()
-	p.stopClients = stop
-	p.mu.Unlock()
-	p.clients.start(ctx, p.agentNumbers(a.agents), a, p.scenario.Seed*257+int64(s.Line))
+func (a loadStep) run(r *runner, s Step) error {
+	r.stopLoad()
+	ctx, stop := context.WithCancel(r.ctx)
+	r.mu.Lock()
+	r.stopClients = stop
+	r.mu.Unlock()
+	r.clients.start(ctx, r.agentNumbers(a.agents), a, r.scenario.Seed*257+int64(s.Line))
 	return nil
 }
 
-func (a faultStep) run(p *runner, s Step) error {
-	p.injectFault(s, a)
+func (a faultStep) run(r *runner, s Step) error {
+	r.injectFault(s, a)
 	return nil
 }
 
-func (a processStep) run(p *runner, _ Step) error {
-	return forEachAgent(p.agentNumbers(a.agents), func(i int) error { return p.signalProcess(i, a) })
+func (a processStep) run(r *runner, _ Step) error {
+	return forEachAgent(r.agentNumbers(a.agents), func(i int) error { return r.signalProcess(i, a) })
 }
 
-func (a reloadStep) run(p *runner, _ Step) error {
-	return forEachAgent(p.agentNumbers(a.agents), func(i int) error { return p.reloadConfig(i, a) })
+func (a reloadStep) run(r *runner, _ Step) error {
+	return forEachAgent(r.agentNumbers(a.agents), func(i int) error { return r.reloadConfig(i, a) })
 }
 
-func (a healthStep) run(p *runner, _ Step) error {
-	endpoints := p.endpointNumbers(a.endpoints)
-	p.discovery.update(func(rows []EndpointRow) []EndpointRow {
+func (a healthStep) run(r *runner, _ Step) error {
+	endpoints := r.endpointNumbers(a.endpoints)
+	r.discovery.update(func(rows []EndpointRow) []EndpointRow {
 		for i := range rows {
 			if slices.Contains(endpoints, rows[i].Endpoint) {
 				rows[i].Health = a.health
@@ -47,42 +47,42 @@
 	return nil
 }
 
-func (a addEndpointsStep) run(p *runner, _ Step) error { return p.addEndpoints(a.count, a.build, true) }
+func (a addEndpointsStep) run(r *runner, _ Step) error { return r.addEndpoints(a.count, a.build, true) }
 
-func (a serviceTimeStep) run(p *runner, _ Step) error {
-	for _, i := range p.endpointNumbers(a.endpoints) {
-		p.endpoints[i].SetSlowdown(a.factor)
+func (a serviceTimeStep) run(r *runner, _ Step) error {
+	for _, i := range r.endpointNumbers(a.endpoints) {
+		r.endpoints[i].SetSlowdown(a.factor)
 	}
 	return nil
 }
 
-func (a errorShareStep) run(p *runner, _ Step) error {
-	for _, i := range p.endpointNumbers(a.endpoints) {
-		p.endpoints[i].SetErrorShare(a.share)
+func (a errorShareStep) run(r *runner, _ Step) error {
+	for _, i := range r.endpointNumbers(a.endpoints) {
+		r.endpoints[i].SetErrorShare(a.share)
 	}
 	return nil
 }
 
-func (a rolloutStep) run(p *runner, _ Step) error {
-	p.rollout.update(Stage{Build: a.build, Stage: a.stage, Phase: a.phase, Cap: a.cap})
+func (a rolloutStep) run(r *runner, _ Step) error {
+	r.rollout.update(Stage{Build: a.build, Stage: a.stage, Phase: a.phase, Cap: a.cap})
 	return nil
 }
 
-func (a rolloutSilenceStep) run(p *runner, _ Step) error {
-	p.rollout.setSilent(a.silent)
+func (a rolloutSilenceStep) run(r *runner, _ Step) error {
+	r.rollout.setSilent(a.silent)
 	return nil
 }
 
-func (a nameLeaderStep) run(p *runner, _ Step) error {
+func (a nameLeaderStep) run(r *runner, _ Step) error {
 	isExcluded := func(int) bool { return false }
 	if a.excluded != nil {
-		isExcluded = p.agentFilter(a.excluded)
+		isExcluded = r.agentFilter(a.excluded)
 	}
-	return p.waitFor(a.timeout, func() (bool, string) {
-		for i, agent := range p.agents {
+	return r.waitFor(a.timeout, func() (bool, string) {
+		for i, agent := range r.agents {
 			if !isExcluded(i) && agent.isLeader() {
-				p.agentNames[a.name] = i
-				p.recordEvent("night", "%s is agent %d", a.name, i)
+				r.agentNames[a.name] = i
+				r.recordEvent("night", "%s is agent %d", a.name, i)
 				return true, ""
 			}
 		}
@@ -90,10 +90,10 @@
 	})
 }
 
-func (a membershipStep) run(p *runner, _ Step) error {
-	return p.waitFor(a.timeout, func() (isAccepted bool, observed string) {
-		for _, contact := range p.agentNumbers(a.contacts) { // the one of them that leads accepts the change
-			if isAccepted, observed = p.changeMembers(a, contact); isAccepted {
+func (a membershipStep) run(r *runner, _ Step) error {
+	return r.waitFor(a.timeout, func() (isAccepted bool, observed string) {
+		for _, contact := range r.agentNumbers(a.contacts) { // the one of them that leads accepts the change
+			if isAccepted, observed = r.changeMembers(a, contact); isAccepted {
 				return true, ""
 			}
 		}
@@ -102,10 +102,10 @@
 }
 
 // changeMembers asks one agent for all changes of the step; the output is that of the last command.
-func (p *runner) changeMembers(a membershipStep, contact int) (isAccepted bool, output string) {
-	for _, member := range p.agentNumbers(a.agents) {
-		command := exec.CommandContext(p.ctx, p.programs[firstProgram], "members", a.action, strconv.Itoa(member),
-			"--admin", p.agents[contact].adminAddress)
+func (r *runner) changeMembers(a membershipStep, contact int) (isAccepted bool, output string) {
+	for _, member := range r.agentNumbers(a.agents) {
+		command := exec.CommandContext(r.ctx, r.programs[firstProgram], "members", a.action, strconv.Itoa(member),
+			"--admin", r.agents[contact].adminAddress)
 		text, err := command.CombinedOutput()
 		isAccepted, output = err == nil, strings.TrimSpace(string(text))
 		if !isAccepted {
@@ -115,25 +115,25 @@
 	return isAccepted, output
 }
 
-func (a waitStep) run(p *runner, _ Step) error {
-	agents := p.agentFilter(a.measure.Agents)
-	return p.waitFor(a.timeout, func() (bool, string) {
-		m := p.measureNow(a.measure, agents)
+func (a waitStep) run(r *runner, _ Step) error {
+	agents := r.agentFilter(a.measure.Agents)
+	return r.waitFor(a.timeout, func() (bool, string) {
+		m := r.measureNow(a.measure, agents)
 		return m.hasValue && a.holds(m.value), m.description
 	})
 }
 
-func (a checkStep) run(p *runner, _ Step) error {
-	target := CheckTarget{Program: p.programs[firstProgram], Names: p.agentNames}
-	for _, agent := range p.agents {
+func (a checkStep) run(r *runner, _ Step) error {
+	target := CheckTarget{Program: r.programs[firstProgram], Names: r.agentNames}
+	for _, agent := range r.agents {
 		target.Admin = append(target.Admin, agent.adminAddress)
 		target.State = append(target.State, agent.stateDir)
 	}
-	return p.options.Checks[a.name](target)
+	return r.options.Checks[a.name](target)
 }
 
-func (a markStep) run(p *runner, _ Step) error {
-	p.marks[a.name] = p.now()
+func (a markStep) run(r *runner, _ Step) error {
+	r.marks[a.name] = r.now()
 	return nil
 }
 
@@ -144,12 +144,12 @@
 }
 
 // measureNow is a measure from the start to now. Unlike an expectation it may ask agents about themselves.
-func (p *runner) measureNow(m Measure, agents agentFilter) measurement {
+func (r *runner) measureNow(m Measure, agents agentFilter) measurement {
 	if !measureSpecs[m.Name].asksAgents {
-		return p.serverRecords().measure(m, agents, timeRange{p.startTime(), p.now()})
+		return r.serverRecords().measure(m, agents, timeRange{r.startTime(), r.now()})
 	}
 	var asked []*agent
-	for i, a := range p.agents {
+	for i, a := range r.agents {
 		if agents(i) {
 			asked = append(asked, a)
 		}
--- a/internal/faulttest/client_load.go
+++ b/internal/faulttest/client_load.go
@@ -47,7 +47,10 @@
 }
 
 func newClientLoad(now netfault.Clock, addresses []string, runningAgents func() []int, wasKilled func(int, netfault.Micros) bool) *clientLoad {
-	c := &clientLoad{now: now, addresses: addresses, idleConns: make([][]*clientConn, len(addresses)), runningAgents: runningAgents, wasKilled: wasKilled}
+	c := &clientLoad{
+		now: now, addresses: addresses, runningAgents: runningAgents, wasKilled: wasKilled,
+		idleConns: make([][]*clientConn, len(addresses)),
+	}
 	for range addresses {
 		c.connSlots = append(c.connSlots, make(chan struct{}, maxConnsPerAgent))
 	}
--- a/internal/faulttest/deployment.go
+++ b/internal/faulttest/deployment.go
@@ -22,7 +22,7 @@
 	movedSeedSalt      = 3
 )
 
-// deployment is the deployment of a scenario: processes, fake servers, and a relay on each link between them.
+// deployment is what a scenario runs on: processes, fake servers, and a relay on each link between them.
 type deployment struct {
 	scenario      *Scenario
 	dir           string
--- a/internal/faulttest/inject.go
+++ b/internal/faulttest/inject.go
@@ -27,82 +27,82 @@
 }
 
 // faultedLinks are the directions that a step means.
-func (p *runner) faultedLinks(f faultStep) []*netfault.Link {
+func (r *runner) faultedLinks(f faultStep) []*netfault.Link {
 	set := &linkSet{known: map[*netfault.Link]bool{}}
 	healsAll := f.isHeal && f.from.Agents == nil && f.to.Agents == nil
 	if healsAll {
-		p.addAllLinks(set)
+		r.addAllLinks(set)
 		return set.links
 	}
-	p.addLinks(set, f, f.from, f.to)
+	r.addLinks(set, f, f.from, f.to)
 	if f.bidirectional {
-		p.addLinks(set, f, f.to, f.from)
+		r.addLinks(set, f, f.to, f.from)
 	}
 	return set.links
 }
 
-func (p *runner) addAllLinks(set *linkSet) {
-	for _, relay := range p.streamRelays() {
+func (r *runner) addAllLinks(set *linkSet) {
+	for _, relay := range r.streamRelays() {
 		set.add(relay.stream.Forward)
 		set.add(relay.stream.Reverse)
 	}
-	all := p.agentNumbers(AgentSet{})
-	p.addMeshLinks(set, all, all)
+	all := r.agentNumbers(AgentSet{})
+	r.addMeshLinks(set, all, all)
 }
 
 // addLinks adds the links from one party to another.
-func (p *runner) addLinks(set *linkSet, f faultStep, from, to Party) {
+func (r *runner) addLinks(set *linkSet, f faultStep, from, to Party) {
 	if f.transport != transportDatagrams {
-		p.addStreamLinks(set, from, to)
+		r.addStreamLinks(set, from, to)
 	}
 	isBetweenAgents := from.Agents != nil && to.Agents != nil
 	if isBetweenAgents && f.transport != transportTCP && !f.streamsOnly {
-		p.addMeshLinks(set, p.agentNumbers(*from.Agents), p.agentNumbers(*to.Agents))
+		r.addMeshLinks(set, r.agentNumbers(*from.Agents), r.agentNumbers(*to.Agents))
 	}
 }
 
 // addStreamLinks adds both the streams that one party opens to the other, and the way back of those that the other opens.
-func (p *runner) addStreamLinks(set *linkSet, from, to Party) {
-	for _, relay := range p.streamRelays() {
-		if from.Agents != nil && p.agentFilter(from.Agents)(relay.agent) && p.isTarget(to, relay) {
+func (r *runner) addStreamLinks(set *linkSet, from, to Party) {
+	for _, relay := range r.streamRelays() {
+		if from.Agents != nil && r.agentFilter(from.Agents)(relay.agent) && r.isTarget(to, relay) {
 			set.add(relay.stream.Forward)
 		}
-		if to.Agents != nil && p.agentFilter(to.Agents)(relay.agent) && p.isTarget(from, relay) {
+		if to.Agents != nil && r.agentFilter(to.Agents)(relay.agent) && r.isTarget(from, relay) {
 			set.add(relay.stream.Reverse)
 		}
 	}
 }
 
-func (p *runner) addMeshLinks(set *linkSet, from, to []int) {
-	if p.mesh == nil {
+func (r *runner) addMeshLinks(set *linkSet, from, to []int) {
+	if r.mesh == nil {
 		return
 	}
 	for _, i := range from {
 		for _, j := range to {
 			if i != j {
-				set.add(p.mesh.Link(i, j))
+				set.add(r.mesh.Link(i, j))
 			}
 		}
 	}
 }
 
 // isTarget tells whether a relay leads to a party.
-func (p *runner) isTarget(party Party, relay streamRelay) bool {
+func (r *runner) isTarget(party Party, relay streamRelay) bool {
 	switch {
 	case party.Agents != nil:
-		return relay.peer >= 0 && p.agentFilter(party.Agents)(relay.peer)
+		return relay.peer >= 0 && r.agentFilter(party.Agents)(relay.peer)
 	case party.Endpoints != nil:
-		return relay.endpoint >= 0 && party.Endpoints.contains(relay.endpoint, p.endpoints[relay.endpoint].Build)
+		return relay.endpoint >= 0 && party.Endpoints.contains(relay.endpoint, r.endpoints[relay.endpoint].Build)
 	default:
 		return party.Discovery && relay.targetName == serverDiscovery || party.Rollout && relay.targetName == serverRollout
 	}
 }
 
 // injectFault puts a fault on links, or heals them.
-func (p *runner) injectFault(s Step, f faultStep) {
-	links := p.faultedLinks(f)
+func (r *runner) injectFault(s Step, f faultStep) {
+	links := r.faultedLinks(f)
 	if f.isHeal {
-		p.closeFaultRecords(links)
+		r.closeFaultRecords(links)
 		for _, link := range links {
 			link.SetFault(netfault.Fault{})
 		}
@@ -110,7 +110,7 @@
 	}
 	record := &faultRecord{step: s, hitsBefore: map[*netfault.Link]int64{}}
 	for _, link := range links {
-		if p.options.IdleRelays {
+		if r.options.IdleRelays {
 			link.IgnoreFaults()
 		}
 		fault, _, _ := link.Fault()
@@ -118,12 +118,12 @@
 		record.hitsBefore[link] = link.FaultHits()
 		link.SetFault(fault)
 	}
-	p.faultRecords = append(p.faultRecords, record)
+	r.faultRecords = append(r.faultRecords, record)
 }
 
 // closeFaultRecords counts what faults have changed on links that are healed; nil means all links.
-func (p *runner) closeFaultRecords(healed []*netfault.Link) {
-	for _, record := range p.faultRecords {
+func (r *runner) closeFaultRecords(healed []*netfault.Link) {
+	for _, record := range r.faultRecords {
 		for link, before := range record.hitsBefore {
 			if healed == nil || slices.Contains(healed, link) {
 				record.hits += link.FaultHits() - before
--- a/internal/faulttest/netfault/fault.go
+++ b/internal/faulttest/netfault/fault.go
@@ -10,7 +10,7 @@
 
 // Fault is what is wrong with one direction of a link; its zero value is a link without a fault.
 type Fault struct {
-	Drop            bool    // nothing passes: datagrams are lost, a stream's bytes wait until the fault is over, as the sender would retransmit them
+	Drop            bool    // nothing passes: datagrams are lost, a stream's bytes wait for the fault's end, as if they were retransmitted then
 	Blackhole       bool    // streams: bytes are swallowed while the connection stays up; it is reset when the fault is over
 	Refuse          bool    // streams: every connection is reset, new ones at once; datagrams are lost
 	LossRate        float64 // share of datagrams that are lost, and of a stream's segments that have to be retransmitted
--- a/internal/faulttest/netfault/link.go
+++ b/internal/faulttest/netfault/link.go
@@ -157,7 +157,7 @@
 	switch {
 	case l.isHolding:
 		l.isHolding, d.ReleasesHeld = false, true
-	case l.draw(f.ReorderRate / (1 - f.ReorderRate)): // nothing is drawn for one that overtakes, so that the share of all stays ReorderRate
+	case l.draw(f.ReorderRate / (1 - f.ReorderRate)): // nothing is drawn for the one that overtakes: of all, ReorderRate are held
 		l.isHolding, d.IsHeld = true, true
 		d.DeliverAt += maxReorderWait
 		l.faultHits++
--- a/internal/faulttest/options.go
+++ b/internal/faulttest/options.go
@@ -44,7 +44,8 @@
 		}
 	}
 	if options.Agents > 0 && options.Agents < s.Agents {
-		errs = append(errs, fmt.Errorf("%s: %d agents asked for, expected at least the night's own %d: its lines name them", s.File, options.Agents, s.Agents))
+		errs = append(errs, fmt.Errorf("%s: %d agents asked for, expected at least the night's own %d: its lines name them",
+			s.File, options.Agents, s.Agents))
 	}
 	return errors.Join(errs...)
 }
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -27,20 +27,20 @@
 const shutdownTimeout = 15 * time.Second
 
 // signalProcess carries out a step on one agent's process.
-func (p *runner) signalProcess(number int, step processStep) error {
-	a := p.agents[number]
-	p.mu.Lock()
+func (r *runner) signalProcess(number int, step processStep) error {
+	a := r.agents[number]
+	r.mu.Lock()
 	process := a.process
 	var lifetime *ProcessLifetime
 	if n := len(a.lifetimes); n > 0 {
 		lifetime = &a.lifetimes[n-1]
 	}
-	p.mu.Unlock()
+	r.mu.Unlock()
 	if process == nil {
 		if step.action != processStart {
 			return fmt.Errorf("agent %d has no process", number)
 		}
-		return p.startAgent(a, step.program)
+		return r.startAgent(a, step.program)
 	}
 	switch step.action {
 	case processStop, processGo:
@@ -48,41 +48,41 @@
 			return fmt.Errorf("agent %d has no process", number)
 		}
 		if step.action == processStop {
-			return p.pause(process, lifetime)
+			return r.pause(process, lifetime)
 		}
-		return p.resume(process, lifetime)
+		return r.resume(process, lifetime)
 	case processKill:
-		p.recordEnd(lifetime)
+		r.recordEnd(lifetime)
 		process.Kill()
 		return nil
 	case processTerm:
-		p.mu.Lock()
-		lifetime.TermSentAt = p.now()
-		p.mu.Unlock()
+		r.mu.Lock()
+		lifetime.TermSentAt = r.now()
+		r.mu.Unlock()
 		return process.Terminate()
 	default:
-		return p.replaceProcess(a, process, lifetime, step)
+		return r.replaceProcess(a, process, lifetime, step)
 	}
 }
 
-func (p *runner) pause(process *fakes.Agent, lifetime *ProcessLifetime) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	lifetime.Pauses = append(lifetime.Pauses, [2]netfault.Micros{p.now(), -1})
+func (r *runner) pause(process *fakes.Agent, lifetime *ProcessLifetime) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	lifetime.Pauses = append(lifetime.Pauses, [2]netfault.Micros{r.now(), -1})
 	return process.Pause()
 }
 
-func (p *runner) resume(process *fakes.Agent, lifetime *ProcessLifetime) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (r *runner) resume(process *fakes.Agent, lifetime *ProcessLifetime) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if n := len(lifetime.Pauses); n > 0 {
-		lifetime.Pauses[n-1][1] = p.now()
+		lifetime.Pauses[n-1][1] = r.now()
 	}
 	return process.Resume()
 }
 
 // replaceProcess starts an agent again. A start waits for the end of a process that was asked to end, a restart kills it.
-func (p *runner) replaceProcess(a *agent, process *fakes.Agent, lifetime *ProcessLifetime, step processStep) error {
+func (r *runner) replaceProcess(a *agent, process *fakes.Agent, lifetime *ProcessLifetime, step processStep) error {
 	if step.action == processStart {
 		select {
 		case <-process.Done():
@@ -91,7 +91,7 @@
 		}
 	}
 	if !process.HasExited() {
-		p.recordEnd(lifetime)
+		r.recordEnd(lifetime)
 		process.Kill()
 	}
 	<-process.Done()
@@ -100,51 +100,51 @@
 			return err
 		}
 	}
-	return p.startAgent(a, step.program)
+	return r.startAgent(a, step.program)
 }
 
 // recordEnd records that a process is about to be killed: from here on it owes nothing.
-func (p *runner) recordEnd(l *ProcessLifetime) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (r *runner) recordEnd(l *ProcessLifetime) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if l.End < 0 {
-		l.End = p.now()
+		l.End = r.now()
 	}
 }
 
 // reloadConfig rewrites an agent's files and has its process read them.
-func (p *runner) reloadConfig(number int, step reloadStep) error {
-	a := p.agents[number]
-	if err := p.rewriteFiles(a, step); err != nil {
+func (r *runner) reloadConfig(number int, step reloadStep) error {
+	a := r.agents[number]
+	if err := r.rewriteFiles(a, step); err != nil {
 		return err
 	}
 	return a.process.Reload()
 }
 
-func (p *runner) rewriteFiles(a *agent, step reloadStep) error {
+func (r *runner) rewriteFiles(a *agent, step reloadStep) error {
 	switch step.target {
 	case reloadMalformed:
 		return a.writeFile(fakes.ConfigName, `{"name":"n`)
 	case reloadPeer:
-		a.operator = append(a.operator, p.peerLine(a.number, step.peer))
+		a.operator = append(a.operator, r.peerLine(a.number, step.peer))
 		return a.writeFile(fakes.OptionsName, a.operatorFile())
 	case reloadOperator:
 		a.setOperatorLine(step.tokens)
 		return a.writeFile(fakes.OptionsName, a.operatorFile())
 	}
-	if err := p.moveServer(a, step.target); err != nil {
+	if err := r.moveServer(a, step.target); err != nil {
 		return err
 	}
-	text, _ := p.agentConfig(a)
+	text, _ := r.agentConfig(a)
 	return a.writeFile(fakes.ConfigName, text)
 }
 
 // moveServer gives discovery or the rollout controller another address for one agent.
-func (p *runner) moveServer(a *agent, server string) error {
+func (r *runner) moveServer(a *agent, server string) error {
 	if server == serverRollout {
-		return p.addRelay(a.number, &p.toRollout[a.number], p.rollout.addr(), movedSeedSalt)
+		return r.addRelay(a.number, &r.toRollout[a.number], r.rollout.addr(), movedSeedSalt)
 	}
-	return p.addRelay(a.number, &p.toDiscovery[a.number], p.discovery.addr(), movedSeedSalt)
+	return r.addRelay(a.number, &r.toDiscovery[a.number], r.discovery.addr(), movedSeedSalt)
 }
 
 // setOperatorLine replaces the lines with the same keyword in the operator file.
--- a/internal/faulttest/runner.go
+++ b/internal/faulttest/runner.go
@@ -52,8 +52,8 @@
 		}
 		return v
 	}
-	p := &runner{deployment: d, options: options, agentNames: map[string]int{}, marks: map[string]netfault.Micros{}}
-	records := p.run(v)
+	r := &runner{deployment: d, options: options, agentNames: map[string]int{}, marks: map[string]netfault.Micros{}}
+	records := r.run(v)
 	if options.Keep != "" || !v.Passed {
 		v.writeFiles(d, options.Keep, records)
 	}
@@ -61,18 +61,18 @@
 }
 
 // run runs the steps, closes the deployment and fills the verdict.
-func (p *runner) run(v *Verdict) *Records {
-	p.recordEvent("rig", "all serve")
-	p.marks[startMark] = p.now()
-	err := p.runSteps()
-	p.stopLoad()
-	p.clients.wait()
-	p.closeFaultRecords(nil)
-	records := p.records()
-	p.fillVerdict(v, records, err)
-	p.close()
-	p.awaitServerReads()
-	v.Mismatches = p.mismatches()
+func (r *runner) run(v *Verdict) *Records {
+	r.recordEvent("rig", "all serve")
+	r.marks[startMark] = r.now()
+	err := r.runSteps()
+	r.stopLoad()
+	r.clients.wait()
+	r.closeFaultRecords(nil)
+	records := r.records()
+	r.fillVerdict(v, records, err)
+	r.close()
+	r.awaitServerReads()
+	v.Mismatches = r.mismatches()
 	v.Passed = v.Error == "" && len(v.Violations) == 0 && len(v.Mismatches) == 0 && !v.hasFailedLine()
 	return records
 }
@@ -87,44 +87,44 @@
 
 func (e *stepError) Unwrap() error { return e.err }
 
-func (p *runner) startTime() netfault.Micros { return p.marks[startMark] }
+func (r *runner) startTime() netfault.Micros { return r.marks[startMark] }
 
-func (p *runner) runSteps() error {
-	previousEnd := p.now()
-	for i, s := range p.scenario.Steps {
-		at := p.startTime() + toMicros(s.At)
+func (r *runner) runSteps() error {
+	previousEnd := r.now()
+	for i, s := range r.scenario.Steps {
+		at := r.startTime() + toMicros(s.At)
 		if s.AfterPrevious {
 			at = previousEnd + toMicros(s.At)
 		}
-		if p.options.Progress != nil {
-			p.options.Progress(i, len(p.scenario.Steps), s.Text)
+		if r.options.Progress != nil {
+			r.options.Progress(i, len(r.scenario.Steps), s.Text)
 		}
-		if err := p.sleepUntil(at); err != nil {
+		if err := r.sleepUntil(at); err != nil {
 			return &stepError{s, err}
 		}
-		p.recordEvent("night", "%d: %s", s.Line, s.Text)
-		if err := s.Action.run(p, s); err != nil {
+		r.recordEvent("night", "%d: %s", s.Line, s.Text)
+		if err := s.Action.run(r, s); err != nil {
 			return &stepError{s, err}
 		}
-		previousEnd = p.now()
+		previousEnd = r.now()
 	}
 	return nil
 }
 
 // sleepUntil waits for a moment, or for the end of the run's context.
-func (p *runner) sleepUntil(at netfault.Micros) error {
-	timer := time.NewTimer(time.Duration(at-p.now()) * time.Microsecond)
+func (r *runner) sleepUntil(at netfault.Micros) error {
+	timer := time.NewTimer(time.Duration(at-r.now()) * time.Microsecond)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return nil
-	case <-p.ctx.Done():
-		return context.Cause(p.ctx)
+	case <-r.ctx.Done():
+		return context.Cause(r.ctx)
 	}
 }
 
 // waitFor waits for a condition. Its error tells what was observed last.
-func (p *runner) waitFor(timeout time.Duration, condition func() (isMet bool, observed string)) error {
+func (r *runner) waitFor(timeout time.Duration, condition func() (isMet bool, observed string)) error {
 	deadline := time.Now().Add(timeout)
 	for {
 		isMet, observed := condition()
@@ -135,19 +135,19 @@
 			return fmt.Errorf("%s, for %v", observed, timeout)
 		}
 		select {
-		case <-p.ctx.Done():
-			return fmt.Errorf("%s, then %w", observed, context.Cause(p.ctx))
+		case <-r.ctx.Done():
+			return fmt.Errorf("%s, then %w", observed, context.Cause(r.ctx))
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
 // agentNumbers are the agents of a set.
-func (p *runner) agentNumbers(set AgentSet) (out []int) {
-	for i := range p.scenario.Agents {
+func (r *runner) agentNumbers(set AgentSet) (out []int) {
+	for i := range r.scenario.Agents {
 		isMember := len(set.Numbers) == 0 || slices.Contains(set.Numbers, i)
 		if set.Name != "" {
-			isMember = (i == p.agentNames[set.Name]) != set.Inverted
+			isMember = (i == r.agentNames[set.Name]) != set.Inverted
 		}
 		if isMember {
 			out = append(out, i)
@@ -157,19 +157,19 @@
 }
 
 // agentFilter tells whether an agent is in a set; the nil set holds all.
-func (p *runner) agentFilter(set *AgentSet) agentFilter {
+func (r *runner) agentFilter(set *AgentSet) agentFilter {
 	if set == nil {
 		return func(int) bool { return true }
 	}
-	members := p.agentNumbers(*set)
+	members := r.agentNumbers(*set)
 	return func(agent int) bool { return slices.Contains(members, agent) }
 }
 
 // endpointNumbers are the endpoints of a set.
-func (p *runner) endpointNumbers(set EndpointSet) (out []int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for i, endpoint := range p.endpoints {
+func (r *runner) endpointNumbers(set EndpointSet) (out []int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for i, endpoint := range r.endpoints {
 		if set.contains(i, endpoint.Build) {
 			out = append(out, i)
 		}
@@ -178,17 +178,17 @@
 }
 
 // resolveTime is the moment that an expectation refers to.
-func (p *runner) resolveTime(t TimeRef) netfault.Micros {
+func (r *runner) resolveTime(t TimeRef) netfault.Micros {
 	if t.Mark == "" {
-		return p.startTime() + toMicros(t.Offset)
+		return r.startTime() + toMicros(t.Offset)
 	}
-	return p.marks[t.Mark] + toMicros(t.Offset)
+	return r.marks[t.Mark] + toMicros(t.Offset)
 }
 
 // awaitServerReads gives the servers time to read what the relays have delivered.
-func (p *runner) awaitServerReads() {
+func (r *runner) awaitServerReads() {
 	deadline := time.Now().Add(serverReadTimeout)
-	for len(p.mismatches()) > 0 && time.Now().Before(deadline) {
+	for len(r.mismatches()) > 0 && time.Now().Before(deadline) {
 		time.Sleep(pollInterval)
 	}
 }
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -196,7 +196,7 @@
 
 // stepAction is what a step does. Each action is run by its own method, see actions.go.
 type stepAction interface {
-	run(p *runner, s Step) error
+	run(r *runner, s Step) error
 }
 
 type (
--- a/internal/faulttest/verdict.go
+++ b/internal/faulttest/verdict.go
@@ -56,39 +56,39 @@
 
 // fillVerdict holds all that was expected against the records. A fault that changed nothing fails its line: the scenario doesn't test
 // what it claims to.
-func (p *runner) fillVerdict(v *Verdict, r *Records, err error) {
-	v.Requests = len(r.Requests)
+func (r *runner) fillVerdict(v *Verdict, records *Records, err error) {
+	v.Requests = len(records.Requests)
 	var failed *stepError
 	if errors.As(err, &failed) {
 		v.Lines = append(v.Lines, LineResult{failed.step.Line, failed.step.Text, false, failed.Error()})
 	} else if err != nil {
 		v.Error = err.Error()
 	}
-	for _, record := range p.faultRecords {
+	for _, record := range r.faultRecords {
 		passed := record.hits > 0 || err != nil
 		v.Lines = append(v.Lines, LineResult{record.step.Line, record.step.Text, passed, fmt.Sprintf("it touched %d things", record.hits)})
 	}
 	if err == nil {
-		v.Lines = append(v.Lines, p.checkExpectations(r)...)
+		v.Lines = append(v.Lines, r.checkExpectations(records)...)
 	}
-	if n := p.clients.droppedRequests.Load(); n > 0 {
-		v.addError(fmt.Sprintf("%s: the clients had no place for %d txns: the load is more than they can play", p.scenario.File, n))
+	if n := r.clients.droppedRequests.Load(); n > 0 {
+		v.addError(fmt.Sprintf("%s: the clients had no place for %d txns: the load is more than they can play", r.scenario.File, n))
 	}
-	for _, violation := range CheckRules(r) {
+	for _, violation := range CheckRules(records) {
 		v.Violations = append(v.Violations, violation.String())
 	}
 }
 
-func (p *runner) checkExpectations(r *Records) (out []LineResult) {
-	for _, e := range p.scenario.Expectations {
-		in := timeRange{p.startTime(), r.End}
+func (r *runner) checkExpectations(records *Records) (out []LineResult) {
+	for _, e := range r.scenario.Expectations {
+		in := timeRange{r.startTime(), records.End}
 		if e.From != nil {
-			in.from = p.resolveTime(*e.From)
+			in.from = r.resolveTime(*e.From)
 		}
 		if e.To != nil {
-			in.to = p.resolveTime(*e.To)
+			in.to = r.resolveTime(*e.To)
 		}
-		passed, observed := e.evaluate(r, p.agentFilter(e.measure.Agents), in)
+		passed, observed := e.evaluate(records, r.agentFilter(e.measure.Agents), in)
 		out = append(out, LineResult{e.Line, e.Text, passed, observed})
 	}
 	return out
