--- a/cmd/switchfork-lab/admission_sockets.go
+++ b/cmd/switchfork-lab/admission_sockets.go
@@ -143,7 +143,7 @@
 }
 
 func (r *socketRun) countReservations(log *agentLog) {
-	for _, entry := range log.entries("door") {
+	for _, entry := range log.entries("admission") {
 		r.honored += entry.ReservationsHonored
 		r.missed += entry.ReservationsMissed
 	}
--- a/cmd/switchfork-lab/admission_test.go
+++ b/cmd/switchfork-lab/admission_test.go
@@ -37,10 +37,10 @@
 	}()
 	defer func() { stop(); <-done }()
 	// awaitEntries waits for so many more of the log's lines, and returns the last.
-	seen := len(bed.log.entries("door"))
+	seen := len(bed.log.entries("admission"))
 	awaitEntries := func(more int) logEntry {
 		for end := time.Now().Add(time.Duration(more) * 15 * time.Second); ; time.Sleep(50 * time.Millisecond) {
-			if entries := bed.log.entries("door"); len(entries) >= seen+more {
+			if entries := bed.log.entries("admission"); len(entries) >= seen+more {
 				seen = len(entries)
 				last := entries[len(entries)-1]
 				t.Logf("limit %.0f, succeeded %.0f, rejected after admission %.0f", last.ConcurrencyLimit, last.Succeeded, last.Rejected)
--- a/cmd/switchfork-lab/demo.go
+++ b/cmd/switchfork-lab/demo.go
@@ -231,7 +231,7 @@
 			totals.Rejected, totals.Failed, totals.Returned))
 	}
 	warnings := 0
-	for _, entry := range d.testbed.log.entries("appliance") {
+	for _, entry := range d.testbed.log.entries("attempt failed") {
 		if entry.AttemptResult != nil {
 			warnings++
 		}
--- a/cmd/switchfork-lab/logs_test.go
+++ b/cmd/switchfork-lab/logs_test.go
@@ -17,14 +17,14 @@
 		folder := t.TempDir()
 		for agent := range 20 {
 			at := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC).Add(time.Duration(agent) * spacing)
-			entry := fmt.Sprintf("time=%s level=INFO msg=vote build=2 stage=0 verdict=approve ending=settled ms=0\n", at.Format(time.RFC3339Nano))
+			entry := fmt.Sprintf("time=%s level=INFO msg=\"vote cast\" build=2 stage=0 verdict=approve result=succeeded elapsed_ms=0\n", at.Format(time.RFC3339Nano))
 			if err := os.WriteFile(filepath.Join(folder, fmt.Sprintf("n%d.log", agent)), []byte(entry), 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
 		var out bytes.Buffer
 		err := logs(&out, folder, 5*time.Second, 3, 16)
-		if shouldFail != (err != nil) || !strings.Contains(out.String(), "build 2 stage 0 approve: settled") {
+		if shouldFail != (err != nil) || !strings.Contains(out.String(), "build 2 stage 0 approve: succeeded") {
 			t.Errorf("%v apart: %v\n%s", spacing, err, out.String())
 		}
 	}
--- a/cmd/switchfork-lab/main.go
+++ b/cmd/switchfork-lab/main.go
@@ -21,9 +21,6 @@
 // usageError is an error in the command line.
 type usageError struct{ error }
 
-// use is the name under which the trial command makes usage errors.
-type use = usageError
-
 func main() {
 	root := &cobra.Command{
 		Use: "switchfork-lab", Short: "experiments with switchfork", SilenceUsage: true, SilenceErrors: true,
--- a/cmd/switchfork-lab/testbed.go
+++ b/cmd/switchfork-lab/testbed.go
@@ -49,12 +49,12 @@
 // logEntry is a log line with those keys that the experiments read.
 type logEntry struct {
 	Message             string  `json:"msg"`
-	AttemptResult       any     `json:"ending"`
+	AttemptResult       any     `json:"result"`
 	ConcurrencyLimit    float64 `json:"limit"`
-	Succeeded           float64 `json:"settled"`
-	Rejected            float64 `json:"declined"`
-	ReservationsHonored float64 `json:"kept"`
-	ReservationsMissed  float64 `json:"broken"`
+	Succeeded           float64 `json:"succeeded"`
+	Rejected            float64 `json:"rejected"`
+	ReservationsHonored float64 `json:"reservations_honored"`
+	ReservationsMissed  float64 `json:"reservations_missed"`
 }
 
 // entries returns the lines with a message.
--- a/cmd/switchfork-lab/trial.go
+++ b/cmd/switchfork-lab/trial.go
@@ -36,10 +36,10 @@
 		Use: "trial [flags] FILE...", Short: "play nights: several agents among stand-ins, with faults on ways and processes",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				return use{fmt.Errorf("%s wants the files of the nights", c.CommandPath())}
+				return usageError{fmt.Errorf("%s wants the files of the nights", c.CommandPath())}
 			}
 			if o.run.Agents < 0 || o.run.Agents > faulttest.MaxAgents {
-				return use{fmt.Errorf("--agents is %d, expected 1 to %d, or 0 for each night's own", o.run.Agents, faulttest.MaxAgents)}
+				return usageError{fmt.Errorf("--agents is %d, expected 1 to %d, or 0 for each night's own", o.run.Agents, faulttest.MaxAgents)}
 			}
 			return nil
 		},
@@ -61,7 +61,7 @@
 	for _, argument := range arguments {
 		name, path, hasPath := strings.Cut(argument, "=")
 		if !hasPath || name == "" || path == "" {
-			return nil, use{fmt.Errorf("--program is %q, expected NAME=PATH", argument)}
+			return nil, usageError{fmt.Errorf("--program is %q, expected NAME=PATH", argument)}
 		}
 		programs[name] = path
 	}
@@ -130,7 +130,7 @@
 		scenarios = append(scenarios, s)
 	}
 	if len(errs) > 0 {
-		return nil, nil, use{errors.Join(errs...)}
+		return nil, nil, usageError{errors.Join(errs...)}
 	}
 	return scenarios, unnamed, nil
 }
--- a/cmd/switchfork/admission.go
+++ b/cmd/switchfork/admission.go
@@ -37,7 +37,7 @@
 		retryAfter.Max = connections.MaxRetryAfter.Microseconds()
 	}
 	tenants := tenantWeights(opts, p.settings.tenants, p.settings.tenantShares)
-	slog.Info("door", "txns", limits.Requests, "kib", limits.Bytes>>10, "queues", limits.Queues, "tenants", len(tenants))
+	slog.Info("admission control configured", "max_requests", limits.Requests, "max_kib", limits.Bytes>>10, "queues", limits.Queues, "tenants", len(tenants))
 	return admission.New(classes, tenants, limits, retryAfter, opts.Coalesces, int64(p.settings.seed))
 }
 
--- a/cmd/switchfork/coordinator.go
+++ b/cmd/switchfork/coordinator.go
@@ -45,7 +45,7 @@
 ) (*coordinatorWiring, error) {
 	if !opts.Enabled {
 		if opts.AdminSocket != "" {
-			slog.Warn("admin address asked for without a decider: nothing to tell there yet")
+			slog.Warn("admin socket not opened: the coordinator is off")
 		}
 		return nil, nil
 	}
@@ -73,8 +73,8 @@
 	}
 	core.RouteVotes(wiring.coordinator.Recommend)
 	rolloutClient.Observe(wiring.coordinator.UpdateRollout)
-	slog.Info("decider", "me", replica.Index, "members", replica.Members.Count(), "lease", opts.Lease, "state", opts.StateDir != "",
-		"memory", replica.State != nil, "tcp", wiring.tcp != nil)
+	slog.Info("coordinator configured", "replica", replica.Index, "members", replica.Members.Count(), "lease", opts.Lease, "has_state_dir", opts.StateDir != "",
+		"has_stored_state", replica.State != nil, "uses_tcp", wiring.tcp != nil)
 	return wiring, nil
 }
 
@@ -82,13 +82,13 @@
 func canCoordinate(opts options.Coordinator, peers config.Peers, voting config.Voting) bool {
 	switch {
 	case voting.Rule != policy.AnyVote || voting.VotesToAdvance > 1 || voting.VotesToRollBack > 1:
-		slog.Warn("decider stays off: here several agents' votes are counted, so that one alone can't stand for all")
+		slog.Warn("coordinator disabled: the votes of several agents are counted, so that one can't vote for all")
 		return false
 	case opts.Listen == "" && peers.Listen == "":
-		slog.Warn("decider stays off: this deployment lets agents say nothing to each other, and decider-listen names no address")
+		slog.Warn("coordinator disabled: agents may not exchange messages, and decider-listen names no address")
 		return false
 	case opts.Listen == "" && (voting.Agents > election.MaxReplicas || len(peers.Addresses) > election.MaxReplicas):
-		slog.Warn("decider stays off: too many agents", "agents", voting.Agents, "most", election.MaxReplicas)
+		slog.Warn("coordinator disabled: too many agents", "agents", voting.Agents, "max_replicas", election.MaxReplicas)
 		return false
 	}
 	return true
--- a/cmd/switchfork/main.go
+++ b/cmd/switchfork/main.go
@@ -38,7 +38,7 @@
 		fmt.Fprintln(os.Stderr, "switchfork:", err, "(see switchfork help)")
 		os.Exit(exitUsage)
 	case err != nil:
-		slog.Error("ends", "err", err)
+		slog.Error("agent failed", "err", err)
 		os.Exit(exitFailure)
 	}
 }
--- a/cmd/switchfork/reload.go
+++ b/cmd/switchfork/reload.go
@@ -35,12 +35,12 @@
 func (r *reloader) reloadConfig() {
 	next, moved, unapplied, err := r.file.Reload()
 	if err != nil {
-		slog.Error("reload: the old stays in force", "err", err)
+		slog.Error("configuration not reloaded: the old stays in force", "err", err)
 		return
 	}
-	slog.Info("reload", "discovery", moved.Discovery, "platform.address", moved.Rollout)
+	slog.Info("configuration reloaded", "discovery", moved.Discovery, "platform.address", moved.Rollout)
 	if len(unapplied) > 0 {
-		slog.Warn("reload: other keys need a restart", "keys", unapplied)
+		slog.Warn("changed configuration keys need a restart", "keys", unapplied)
 	}
 	if moved.Discovery != "" {
 		r.process.discovery.Move(moved.Discovery)
@@ -58,7 +58,7 @@
 	}
 	next, err := options.Read(r.options.Path)
 	if err != nil {
-		slog.Error("operator's file: the old stays in force", "err", err)
+		slog.Error("options not reloaded: the old stays in force", "err", err)
 		return
 	}
 	setLogger(next.Log)
@@ -67,8 +67,8 @@
 		r.process.admission.SetWeights(tenantWeights(next.Admission, settings.tenants, settings.tenantShares))
 	}
 	if unapplied := r.options.ChangedKeywords(next); len(unapplied) > 0 {
-		slog.Warn("operator's file: other keywords need a restart", "keywords", unapplied)
+		slog.Warn("changed options need a restart", "keywords", unapplied)
 	}
-	slog.Info("operator's file read again", "file", next.Path)
+	slog.Info("options reloaded", "file", next.Path)
 	r.options = next
 }
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -100,7 +100,7 @@
 		return err
 	}
 	go process.newReloader().run(hangup)
-	slog.Info("serves", "agent", process.settings.identity.Name, "listen", process.settings.identity.Listen)
+	slog.Info("agent started", "agent", process.settings.identity.Name, "listen", process.settings.identity.Listen)
 	served := make(chan error, 1)
 	go func() { served <- process.proxy.Serve() }()
 	select {
@@ -109,7 +109,7 @@
 	case <-stopped.Done():
 	}
 	process.drain(ctx)
-	slog.Info("ended")
+	slog.Info("agent stopped")
 	return nil
 }
 
@@ -193,7 +193,7 @@
 		return nil, err
 	}
 	for _, name := range opts.UnknownTenants(settings.tenants) {
-		slog.Warn("operator's file names a tenant that was not told", "tenant", name)
+		slog.Warn("options name a tenant that is not configured", "tenant", name)
 	}
 	return p, nil
 }
@@ -271,7 +271,7 @@
 
 // drain lets open requests finish and passes the leadership on, in the time that is left before the process is killed.
 func (p *agentProcess) drain(ctx context.Context) {
-	slog.Info("drains")
+	slog.Info("drain started")
 	ctx, cancel := context.WithTimeout(ctx, p.drainTimeout())
 	defer cancel()
 	passLeadership := func(context.Context) {}
@@ -279,7 +279,7 @@
 		passLeadership = p.coordinator.coordinator.Leave
 	}
 	if err := drainAndPassLeadership(ctx, passLeadership, p.proxy.Drain); err != nil {
-		slog.Warn("drained with txns open", "err", err)
+		slog.Warn("drain timed out with open requests", "err", err)
 	}
 	if p.admission != nil {
 		p.admission.Close(ctx)
--- a/internal/agent/activity.go
+++ b/internal/agent/activity.go
@@ -33,9 +33,9 @@
 	}
 	dials, listCalls := a.dials.Swap(0), a.listCalls.Swap(0)
 	if a.arrived+a.attempts+a.healthChecks+a.votes > 0 || dials+listCalls > 0 {
-		slog.Info("account", "ms", elapsed.Milliseconds(), "taken", a.arrived, "settled", a.succeeded, "declined", a.rejected,
-			"voided", a.failed, "left", a.cancelledByClient, "submissions", a.attempts, "again", a.retries,
-			"called_off", a.cancelledAttempts, "probes", a.healthChecks, "votes", a.votes, "vote_full", a.votesRejected,
+		slog.Info("activity", "interval_ms", elapsed.Milliseconds(), "arrived", a.arrived, "succeeded", a.succeeded, "rejected", a.rejected,
+			"failed", a.failed, "cancelled_by_client", a.cancelledByClient, "attempts", a.attempts, "retries", a.retries,
+			"cancelled_attempts", a.cancelledAttempts, "health_checks", a.healthChecks, "votes", a.votes, "votes_rejected", a.votesRejected,
 			"dials", dials, "list_calls", listCalls)
 	}
 	a.activityCounts = activityCounts{}
--- a/internal/agent/activity_test.go
+++ b/internal/agent/activity_test.go
@@ -21,10 +21,10 @@
 		a.arrived, now = a.arrived+1, now.Add(20*time.Millisecond)
 		a.dials.Add(2)
 	}
-	if got := strings.Count(out.String(), "msg=account"); got != 3 {
+	if got := strings.Count(out.String(), "msg=activity"); got != 3 {
 		t.Errorf("%d lines in 20 s", got)
 	}
-	if !strings.Contains(out.String(), " taken=250 ") || !strings.Contains(out.String(), " dials=500 ") {
+	if !strings.Contains(out.String(), " arrived=250 ") || !strings.Contains(out.String(), " dials=500 ") {
 		t.Errorf("counted as\n%s", out.String())
 	}
 	a.log(now.Add(activityInterval))
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -34,7 +34,7 @@
 	case policy.WatchEndpoints:
 		// Nothing to do: the discovery client watches the endpoint list all the time.
 	case policy.LogMessage:
-		slog.Info("module", "says", command.Text)
+		slog.Info("policy message", "text", command.Text)
 	default:
 		panic(fmt.Sprintf("no way to carry out %T", command))
 	}
@@ -84,7 +84,7 @@
 
 // refuseAttempt reports an attempt that can't be sent as not sent; request is nil where it is not known.
 func (l *Loop) refuseAttempt(command policy.SendAttempt, request *Request) {
-	slog.Error("submission that cannot be", "txn", command.RequestID, "appliance", command.EndpointID)
+	slog.Error("attempt not possible", "request", command.RequestID, "endpoint", command.EndpointID)
 	l.AttemptFinished(upstream.AttemptFinished{
 		AttemptResult: policy.AttemptResult{
 			RequestID:  command.RequestID,
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -142,7 +142,7 @@
 func (l *Loop) handle(event policy.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			slog.Error("module panicked", "panic", p, "event", fmt.Sprintf("%T%+v", event, event), "stack", string(debug.Stack()))
+			slog.Error("policy panicked", "panic", p, "event", fmt.Sprintf("%T%+v", event, event), "stack", string(debug.Stack()))
 			panic(p)
 		}
 	}()
--- a/internal/agenttest/rig.go
+++ b/internal/agenttest/rig.go
@@ -51,7 +51,7 @@
 	for _, entry := range list.Hosts {
 		endpoint, err := entry.Endpoint([]string{Zone})
 		if err != nil {
-			ratelog.Warn("row", "list entry left out", "why", err)
+			ratelog.Warn("row", "list entry skipped", "reason", err)
 			continue
 		}
 		endpoint.ID = protocol.EndpointID(entry.Host)
--- a/internal/cluster/coordinator/admin_scenario_test.go
+++ b/internal/cluster/coordinator/admin_scenario_test.go
@@ -58,26 +58,26 @@
 		t.Fatal(err)
 	}
 	ctx := t.Context()
-	playing := faulttest.Playing{
+	playing := faulttest.RunOptions{
 		Programs: map[string]string{"": program},
 		Keep:     t.TempDir(),
-		Checks: map[string]func(faulttest.Seats) error{
-			"queried":      func(agents faulttest.Seats) error { return checkQueries(ctx, agents) },
-			"state-folder": func(agents faulttest.Seats) error { return checkStateFolder(ctx, agents) },
+		Checks: map[string]func(faulttest.CheckTarget) error{
+			"queried":      func(agents faulttest.CheckTarget) error { return checkQueries(ctx, agents) },
+			"state-folder": func(agents faulttest.CheckTarget) error { return checkStateFolder(ctx, agents) },
 			"refused":      checkMemberChangeRefused,
 			"abstains":     checkAbstains,
 		},
 	}
 	for name, text := range map[string]string{"queried": queried, "without-state-dir": withoutStateDir} {
 		t.Run(name, func(t *testing.T) {
-			scenario, err := faulttest.ParseNight(name, text)
+			scenario, err := faulttest.ParseScenario(name, text)
 			if err == nil {
-				err = scenario.Playable(playing)
+				err = scenario.CheckRunnable(playing)
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
-			if verdict := faulttest.Play(t.Context(), scenario, playing); !verdict.Passed {
+			if verdict := faulttest.Run(t.Context(), scenario, playing); !verdict.Passed {
 				timeline, err := os.ReadFile(verdict.Folder + "/timeline.txt")
 				t.Error(errors.Join(errors.New(strings.Join(verdict.Failures(), "\n")), err), string(timeline))
 			}
@@ -85,7 +85,7 @@
 	}
 }
 
-func checkQueries(ctx context.Context, agents faulttest.Seats) error {
+func checkQueries(ctx context.Context, agents faulttest.CheckTarget) error {
 	admin := agents.Admin[agents.Names[leaderName]]
 	out, err := exec.CommandContext(ctx, agents.Program, "lead", "--admin", admin).CombinedOutput()
 	if err != nil {
@@ -123,7 +123,7 @@
 	return text, errors.Join(err, response.Body.Close())
 }
 
-func checkStateFolder(ctx context.Context, agents faulttest.Seats) error {
+func checkStateFolder(ctx context.Context, agents faulttest.CheckTarget) error {
 	folder := agents.State[agents.Names[leaderName]]
 	if out, err := exec.CommandContext(ctx, agents.Program, "state", "verify", folder).CombinedOutput(); err != nil {
 		return fmt.Errorf("state verify says %s, %w", out, err)
@@ -131,7 +131,7 @@
 	return nil
 }
 
-func checkMemberChangeRefused(agents faulttest.Seats) error {
+func checkMemberChangeRefused(agents faulttest.CheckTarget) error {
 	leader := agents.Names[leaderName]
 	err := coordinator.RequestMemberChange(agents.Admin[leader], "remove", (leader+1)%3)
 	if err == nil || !strings.Contains(err.Error(), "state folder") {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-func checkAbstains(agents faulttest.Seats) error {
+func checkAbstains(agents faulttest.CheckTarget) error {
 	report, err := coordinator.QueryStatus(agents.Admin[agents.Names[leaderName]])
 	if err != nil {
 		return fmt.Errorf("asking an agent started again: %w", err)
--- a/internal/cluster/coordinator/commands.go
+++ b/internal/cluster/coordinator/commands.go
@@ -52,7 +52,7 @@
 	}
 	if err := c.store.Save(state); err != nil {
 		c.storeFailed = true
-		slog.Error("decider: the state folder can't be written; this agent takes no part any more", "err", err)
+		slog.Error("state not saved: this replica stops participating", "err", err)
 		c.replica.StopParticipating(c.now())
 		return false
 	}
@@ -63,7 +63,7 @@
 // castVote has the vote written, and reports back through the mailbox when it is resolved.
 func (c *Coordinator) castVote(command election.CastVote) {
 	record := command.Record
-	slog.Info("casts", "term", record.Term, "decision", record.Index, "build", record.Build, "stage", record.Stage,
+	slog.Info("vote decided", "term", record.Term, "index", record.Index, "build", record.Build, "stage", record.Stage,
 		"verdict", record.Verdict.String())
 	vote := policy.Vote{
 		Build:   int(record.Build),
@@ -75,7 +75,7 @@
 			c.metrics.votesCast.Inc()
 		} else {
 			c.metrics.votesRefused.Inc()
-			slog.Warn("a vote was not written: its time was over", "term", record.Term, "decision", record.Index)
+			slog.Warn("vote expired before it was written", "term", record.Term, "index", record.Index)
 		}
 		c.mailbox <- voteResolved{record}
 	})
@@ -96,7 +96,7 @@
 // stopSending sets the traffic cap of a build on trial to zero, in this agent alone.
 func (c *Coordinator) stopSending(d election.Decision) {
 	if c.selfStopped == nil {
-		slog.Warn("no decider in reach: this agent stops sending to the build by itself", "build", d.Build, "stage", d.Stage)
+		slog.Warn("no leader in reach: this agent stops sending to the build", "build", d.Build, "stage", d.Stage)
 	}
 	c.selfStopped = &d
 	c.callbacks.UpdateRollout(policy.RolloutUpdate{
--- a/internal/cluster/coordinator/mailbox.go
+++ b/internal/cluster/coordinator/mailbox.go
@@ -172,7 +172,7 @@
 	commands, err := c.replica.ChangeMembers(now, mask)
 	c.execute(commands)
 	if err == nil {
-		slog.Info("members change", "in", m.added, "out", m.removed, "members", c.replica.Status(now).Members.Mask)
+		slog.Info("members changed", "added", m.added, "removed", m.removed, "members", c.replica.Status(now).Members.Mask)
 	}
 	m.answer <- err
 }
--- a/internal/cluster/coordinator/metrics.go
+++ b/internal/cluster/coordinator/metrics.go
@@ -54,13 +54,13 @@
 	switch {
 	case status.IsLeader && status.Term != c.leaderTerm:
 		c.metrics.electionsWon.Inc()
-		slog.Info("leads", "term", status.Term, "members", status.Members.Count(), "waits_ms", status.EarlierVotesExpireIn/microsPerMilli)
+		slog.Info("leadership acquired", "term", status.Term, "members", status.Members.Count(), "earlier_votes_expire_ms", status.EarlierVotesExpireIn/microsPerMilli)
 		c.leaderTerm = status.Term
 	case !status.IsLeader && c.leaderTerm != 0:
 		if c.hasLeft {
 			c.metrics.handOvers.Inc()
 		}
-		slog.Info("leads no more", "term", c.leaderTerm, "left", c.hasLeft)
+		slog.Info("leadership lost", "term", c.leaderTerm, "handed_over", c.hasLeft)
 		c.leaderTerm = 0
 	}
 }
--- a/internal/cluster/transport/tcp.go
+++ b/internal/cluster/transport/tcp.go
@@ -221,7 +221,7 @@
 		_ = conn.SetReadDeadline(time.Now().Add(idleTimeout)) // fails only on a closed connection, as reading does then
 		message, err := readMessage(reader)
 		if errors.Is(err, errMessageSize) {
-			slog.Warn("decider's connection ended", "from", conn.RemoteAddr().String(), "err", err)
+			slog.Warn("replica connection ended", "from", conn.RemoteAddr().String(), "err", err)
 		}
 		if err != nil {
 			return
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -95,7 +95,7 @@
 		start := time.Now()
 		if w.needsFullList {
 			if err := w.fetch(ctx); err != nil {
-				ratelog.Warn("list", "list not fetched", "err", err, "after_ms", time.Since(start).Milliseconds())
+				ratelog.Warn("list", "endpoint list fetch failed", "err", err, "elapsed_ms", time.Since(start).Milliseconds())
 				w.waitBeforeRetry(ctx, err)
 				continue
 			}
@@ -105,7 +105,7 @@
 			w.backoff.Reset()
 		}
 		if ctx.Err() == nil {
-			ratelog.Warn("watch", "watch ended", "err", err, "seq", w.version, "after_ms", time.Since(start).Milliseconds())
+			ratelog.Warn("watch", "endpoint list watch ended", "err", err, "version", w.version, "elapsed_ms", time.Since(start).Milliseconds())
 			w.waitBeforeRetry(ctx, err)
 		}
 	}
@@ -177,7 +177,7 @@
 	if list.Seq <= w.version && !startsAfresh {
 		return nil
 	}
-	slog.Info("list", "seq", list.Seq, "whole", list.Whole, "entries", len(list.Hosts))
+	slog.Info("endpoint list received", "version", list.Seq, "full", list.Whole, "entries", len(list.Hosts))
 	w.deliver(list)
 	return nil
 }
--- a/internal/endtoend/connections_test.go
+++ b/internal/endtoend/connections_test.go
@@ -44,7 +44,7 @@
 			}
 		})
 	}
-	agenttest.Eventually(t, "a rejection for lack of descriptors", func() bool { return strings.Contains(agent.log.String(), "no room for another txn") })
+	agenttest.Eventually(t, "a rejection for lack of descriptors", func() bool { return strings.Contains(agent.log.String(), "too many open requests") })
 	close(release)
 	pending.Wait()
 	succeeded, rejected := got[http.StatusOK], got[http.StatusServiceUnavailable]
--- a/internal/endtoend/reload_test.go
+++ b/internal/endtoend/reload_test.go
@@ -50,7 +50,7 @@
 	silent := agenttest.Listen(t)
 	reload("reload", agent.discovery.Addr(), silent.Addr().String()) // an address that does not answer leaves the old one in force
 	agent.discovery.Publish(fakes.ListDocument(2, false, fakes.ListEntry("s-3", second.Addr(), "left", 41)))
-	agenttest.Eventually(t, "a change from the old address", func() bool { return strings.Contains(agent.log.String(), "seq=2") })
+	agenttest.Eventually(t, "a change from the old address", func() bool { return strings.Contains(agent.log.String(), "version=2") })
 	reload("reload", agent.discovery.Addr(), newDiscovery.Addr(), agent.rolloutController.Addr(), newController.Addr())
 	agenttest.Eventually(t, "the new list", func() bool { return agent.request(t, "GET", "/lookup", "").body == "2" })
 	agenttest.Eventually(t, "the update from the new controller", func() bool { return strings.Contains(agent.log.String(), "build=43") })
--- a/internal/endtoend/routing_test.go
+++ b/internal/endtoend/routing_test.go
@@ -113,7 +113,7 @@
 		t.Errorf("rejected with %+v", got)
 	}
 	agent.discovery.Publish(fakes.ListDocument(2, false, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41)))
-	agenttest.Eventually(t, "the list", func() bool { return strings.Contains(agent.log.String(), "seq=2") })
+	agenttest.Eventually(t, "the list", func() bool { return strings.Contains(agent.log.String(), "version=2") })
 	got := agent.request(t, "POST", "/posting", "", "X-Deadline-Ms", "300")
 	if got.status != http.StatusGatewayTimeout || len(endpoint.Requests()) != 1 {
 		t.Errorf("got %+v after %d attempts", got, len(endpoint.Requests()))
@@ -149,7 +149,7 @@
 		t.Errorf("got %+v", got)
 	}
 	agent.discovery.Publish(fakes.ListDocument(2, false, fakes.ListEntry("s-1", first.Addr(), "leaving", 41), fakes.ListEntry("s-2", second.Addr(), "active", 41)))
-	agenttest.Eventually(t, "the drain", func() bool { return strings.Contains(agent.log.String(), "seq=2") })
+	agenttest.Eventually(t, "the drain", func() bool { return strings.Contains(agent.log.String(), "version=2") })
 	for range 5 {
 		if got := agent.request(t, "GET", "/lookup", ""); got.body != "2" {
 			t.Errorf("after the endpoint started to drain: %+v", got)
--- a/internal/endtoend/shutdown_test.go
+++ b/internal/endtoend/shutdown_test.go
@@ -33,7 +33,7 @@
 	if err := agent.command.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	agenttest.Eventually(t, "the drain", func() bool { return strings.Contains(agent.log.String(), "drains") })
+	agenttest.Eventually(t, "the drain", func() bool { return strings.Contains(agent.log.String(), "drain started") })
 	conn := agent.dial(t)
 	defer func() { _ = conn.Close() }()
 	send(t, conn, "GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: 2\r\nX-Deadline-Ms: 2000\r\n\r\n")
--- a/internal/gossip/messenger.go
+++ b/internal/gossip/messenger.go
@@ -95,11 +95,11 @@
 func (m *Messenger) send(command policy.SendGossip) {
 	address := m.address(command.To)
 	if m.socket == nil || !address.IsValid() || len(command.Payload) > maxDatagramSize {
-		ratelog.Warn("tell", "message not sent", "to", command.To, "bytes", len(command.Payload))
+		ratelog.Warn("tell", "gossip not sent", "to", command.To, "bytes", len(command.Payload))
 		return
 	}
 	if _, err := m.socket.WriteToUDPAddrPort(command.Payload, address); err != nil {
-		ratelog.Warn("tell", "message not sent", "to", command.To, "err", err)
+		ratelog.Warn("tell", "gossip not sent", "to", command.To, "err", err)
 	}
 }
 
--- a/internal/loganalysis/print.go
+++ b/internal/loganalysis/print.go
@@ -10,8 +10,11 @@
 	"time"
 )
 
-// counterColumns are the account lines' keys in the order of the table's columns.
-var counterColumns = []string{"taken", "settled", "declined", "voided", "left", "submissions", "again", "probes", "dials", "list_calls", "votes", "vote_full"}
+// counterColumns are the activity lines' keys in the order of the table's columns.
+var counterColumns = []string{
+	"arrived", "succeeded", "rejected", "failed", "cancelled_by_client", "attempts", "retries", "health_checks", "dials", "list_calls",
+	"votes", "votes_rejected",
+}
 
 // Print writes the tables, tab-separated. Of the endpoints it shows those with the most warnings, at most maxEndpoints.
 func (r *Report) Print(w io.Writer, maxEndpoints int) error {
@@ -27,8 +30,8 @@
 
 func (r *Report) printIntervals(out *bytes.Buffer) {
 	fmt.Fprintf(out, "%d agents, rows of %v; %d lines that are none of a log\n\n", r.Agents, r.Interval, r.MalformedLines)
-	fmt.Fprintf(out, "from_s\t%s\tagents_with_news_of_the_list\tlist_calls_failed\t", strings.Join(counterColumns, "\t"))
-	fmt.Fprintf(out, "endings (a line a second, agent and appliance at most)\n")
+	fmt.Fprintf(out, "from_s\t%s\tagents_with_list_updates\tlist_calls_failed\t", strings.Join(counterColumns, "\t"))
+	fmt.Fprintf(out, "results (a line a second, agent and endpoint at most)\n")
 	indices := slices.Sorted(maps.Keys(r.intervals))
 	for _, index := range indices {
 		totals := r.intervals[index]
@@ -57,7 +60,7 @@
 		return
 	}
 	slices.SortStableFunc(names, func(a, b string) int { return sum(r.endpointWarnings[b]) - sum(r.endpointWarnings[a]) })
-	fmt.Fprintf(out, "\nappliances with the most warnings, of %d\n", len(names))
+	fmt.Fprintf(out, "\nendpoints with the most warnings, of %d\n", len(names))
 	for _, name := range names[:min(maxEndpoints, len(names))] {
 		fmt.Fprintf(out, "%s\t%s\n", name, formatCounts(r.endpointWarnings[name]))
 	}
--- a/internal/loganalysis/report.go
+++ b/internal/loganalysis/report.go
@@ -41,7 +41,7 @@
 
 // intervalTotals are the totals of one table row.
 type intervalTotals struct {
-	counters       map[string]int  // sums of the account lines' numbers
+	counters       map[string]int  // sums of the activity lines' numbers
 	attemptResults map[string]int  // warnings by attempt result
 	updatedAgents  map[string]bool // agents that logged an endpoint list update
 	failedCalls    int             // endpoint list streams and polls that failed
@@ -103,16 +103,16 @@
 func (r *Report) add(agent string, loggedAt time.Time, fields map[string]string) {
 	totals := r.intervalAt(loggedAt)
 	switch fields["msg"] {
-	case "account":
+	case "activity":
 		totals.addCounters(fields)
-	case "appliance":
-		totals.attemptResults[fields["ending"]]++
-		r.addWarning(fields["appliance"], fields["ending"])
-	case "vote":
+	case "attempt failed":
+		totals.attemptResults[fields["result"]]++
+		r.addWarning(fields["endpoint"], fields["result"])
+	case "vote cast":
 		r.addVote(loggedAt, fields)
-	case "list":
+	case "endpoint list received":
 		totals.updatedAgents[agent] = true
-	case "watch ended", "list not fetched":
+	case "endpoint list watch ended", "endpoint list fetch failed":
 		totals.failedCalls++
 	}
 }
@@ -127,10 +127,10 @@
 	return totals
 }
 
-// addCounters adds all whole numbers of an account line except ms, the time since the line before.
+// addCounters adds all whole numbers of an activity line except interval_ms, the time since the line before.
 func (t *intervalTotals) addCounters(fields map[string]string) {
 	for key, value := range fields {
-		if count, err := strconv.Atoi(value); err == nil && key != "ms" {
+		if count, err := strconv.Atoi(value); err == nil && key != "interval_ms" {
 			t.counters[key] += count
 		}
 	}
@@ -143,10 +143,10 @@
 	r.endpointWarnings[endpoint][result]++
 }
 
-// addVote counts a vote in the second in which it was cast: it is logged when its result is known, ms later.
+// addVote counts a vote in the second in which it was cast: it is logged when its result is known, elapsed_ms later.
 func (r *Report) addVote(loggedAt time.Time, fields map[string]string) {
-	r.votes[fmt.Sprintf("build %s stage %s %s: %s", fields["build"], fields["stage"], fields["verdict"], fields["ending"])]++
-	elapsedMillis, err := strconv.Atoi(fields["ms"])
+	r.votes[fmt.Sprintf("build %s stage %s %s: %s", fields["build"], fields["stage"], fields["verdict"], fields["result"])]++
+	elapsedMillis, err := strconv.Atoi(fields["elapsed_ms"])
 	if err != nil {
 		elapsedMillis = 0
 	}
--- a/internal/loganalysis/report_test.go
+++ b/internal/loganalysis/report_test.go
@@ -27,20 +27,20 @@
 }
 
 func logVote(log *slog.Logger) {
-	log.Info("vote", "build", 7, "stage", 1, "verdict", "approve", "ending", "turned away", "ms", 120)
+	log.Info("vote cast", "build", 7, "stage", 1, "verdict", "approve", "result", "not run", "elapsed_ms", 120)
 }
 
-func logAccount(log *slog.Logger) {
-	log.Info("account", "ms", 5001, "taken", 40, "settled", 30, "declined", 9, "submissions", 44, "again", 5, "list_calls", 2)
+func logActivity(log *slog.Logger) {
+	log.Info("activity", "interval_ms", 5001, "arrived", 40, "succeeded", 30, "rejected", 9, "attempts", 44, "retries", 5, "list_calls", 2)
 }
 
 func TestReportAddsUpAgents(t *testing.T) {
-	one := writeLog(t, logAccount, logVote, logVote, func(l *slog.Logger) {
-		l.Warn("appliance", "appliance", "box 1", "ending", "nothing in time", "probe", false, "after_ms", 380)
-	}, func(l *slog.Logger) { l.Info("list", "seq", 4, "whole", false, "entries", 3) })
-	two := writeLog(t, logAccount, logVote, func(l *slog.Logger) { l.Warn("watch ended", "err", "status 503") })
+	one := writeLog(t, logActivity, logVote, logVote, func(l *slog.Logger) {
+		l.Warn("attempt failed", "endpoint", "box 1", "result", "timed out", "health_check", false, "elapsed_ms", 380)
+	}, func(l *slog.Logger) { l.Info("endpoint list received", "version", 4, "full", false, "entries", 3) })
+	two := writeLog(t, logActivity, logVote, func(l *slog.Logger) { l.Warn("endpoint list watch ended", "err", "status 503") })
 	report := NewReport(5 * time.Second)
-	for name, log := range map[string]string{"a": "0.013 " + strings.ReplaceAll(one, "\n", "\n0.020 "), "b": two + "no log line\ntime=never msg=vote\n"} {
+	for name, log := range map[string]string{"a": "0.013 " + strings.ReplaceAll(one, "\n", "\n0.020 "), "b": two + "no log line\ntime=never msg=\"vote cast\"\n"} {
 		if err := report.Read(name, strings.NewReader(log)); err != nil {
 			t.Fatal(err)
 		}
@@ -56,8 +56,8 @@
 		t.Fatal(err)
 	}
 	for _, want := range []string{
-		"2 agents", "\n0\t80\t60\t18\t0\t0\t88\t10\t0\t0\t4\t0\t0\t1\t1\tnothing in time 1\n",
-		"build 7 stage 1 approve: turned away\t3\n", "box 1\tnothing in time 1\n",
+		"2 agents", "\n0\t80\t60\t18\t0\t0\t88\t10\t0\t0\t4\t0\t0\t1\t1\ttimed out 1\n",
+		"build 7 stage 1 approve: not run\t3\n", "box 1\ttimed out 1\n",
 	} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("%q is missing in\n%s", want, out.String())
@@ -69,8 +69,8 @@
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add([]byte("time=2026-01-02T03:04:05Z msg=account taken=1\n"))
-	f.Add([]byte("time=2026-01-02T03:04:05Z msg=\"vote\" ms=\n\x00=time="))
+	f.Add([]byte("time=2026-01-02T03:04:05Z msg=activity arrived=1\n"))
+	f.Add([]byte("time=2026-01-02T03:04:05Z msg=\"vote cast\" elapsed_ms=\n\x00=time="))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		report := NewReport(0)
 		_ = report.Read("x", bytes.NewReader(raw)) // any error will do, as long as nothing panics
--- a/internal/protocol/load_report.go
+++ b/internal/protocol/load_report.go
@@ -18,19 +18,19 @@
 	}
 	var figures map[string]float64
 	if err := json.Unmarshal(raw, &figures); err != nil {
-		ratelog.Warn("report", "load report that can't be read", "err", err)
+		ratelog.Warn("report", "load report not readable", "err", err)
 		return nil
 	}
 	load := make([]float32, len(fields))
 	for i, field := range fields {
 		figure, ok := figures[field]
 		if !ok {
-			ratelog.Warn("report field", "load report without a field", "field", field, "report", fmt.Sprintf("%.80q", raw))
+			ratelog.Warn("report field", "load report lacks a field", "field", field, "report", fmt.Sprintf("%.80q", raw))
 			return nil
 		}
 		isValid := figure >= 0 && figure < maxLoadFigure
 		if !isValid {
-			ratelog.Warn("report figure", "load report with a figure that can't be", "field", field, "figure", figure)
+			ratelog.Warn("report figure", "load report value out of range", "field", field, "value", figure)
 			return nil
 		}
 		load[i] = float32(figure)
--- a/internal/protocol/result.go
+++ b/internal/protocol/result.go
@@ -28,19 +28,19 @@
 	outcome policy.Outcome
 	name    string
 }{
-	Succeeded:         {policy.OK, "settled"},
-	ServerError:       {policy.ServerError, "error"},
-	ClientError:       {policy.NotAttempted, "rejected"}, // final, and the client's own fault: no sign of the endpoint's state
-	NotRun:            {policy.Rejected, "turned away"},
+	Succeeded:         {policy.OK, "succeeded"},
+	ServerError:       {policy.ServerError, "server error"},
+	ClientError:       {policy.NotAttempted, "client error"}, // final, and the client's own fault: no sign of the endpoint's state
+	NotRun:            {policy.Rejected, "not run"},
 	ConnectionRefused: {policy.ConnectFailed, "connection refused"},
-	ConnectTimeout:    {policy.ConnectFailed, "connection never came up"},
-	LostBeforeSent:    {policy.ConnectFailed, "broke before the last byte"},
-	LostAfterSent:     {policy.ConnectionLost, "broke after the last byte"},
-	TimedOut:          {policy.TimedOut, "nothing in time"},
-	Cancelled:         {policy.Cancelled, "called off"},
-	Malformed:         {policy.Malformed, "unreadable answer"},
+	ConnectTimeout:    {policy.ConnectFailed, "connect timeout"},
+	LostBeforeSent:    {policy.ConnectFailed, "lost before sent"},
+	LostAfterSent:     {policy.ConnectionLost, "lost after sent"},
+	TimedOut:          {policy.TimedOut, "timed out"},
+	Cancelled:         {policy.Cancelled, "cancelled"},
+	Malformed:         {policy.Malformed, "malformed response"},
 	NotSent:           {policy.NotAttempted, "not sent"},
-	Stale:             {policy.NotAttempted, "outdated"},
+	Stale:             {policy.NotAttempted, "stale"},
 }
 
 // Outcome is what the policy is told of the result.
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -77,7 +77,7 @@
 func rejectTransferEncoding(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	http.Error(w, "a body needs a Content-Length and no Transfer-Encoding", http.StatusLengthRequired)
-	ratelog.Warn("request411", "request turned away", "status", http.StatusLengthRequired)
+	ratelog.Warn("request411", "request rejected", "status", http.StatusLengthRequired)
 }
 
 // closeConnIfNeeded has a response end its connection during a drain, and once for each client that waits for a descriptor.
@@ -91,7 +91,7 @@
 // handleReadError is called for a client that went away, or whose body could not be read.
 func (p *Proxy) handleReadError(w http.ResponseWriter, r *http.Request, err error) {
 	if r.Context().Err() == nil {
-		ratelog.Warn("body", "request not read", "err", err)
+		ratelog.Warn("body", "request body not read", "err", err)
 	}
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(http.StatusBadRequest)
--- a/internal/proxy/replies.go
+++ b/internal/proxy/replies.go
@@ -37,7 +37,7 @@
 	if !errors.As(err, &invalid) {
 		return nil, err
 	}
-	ratelog.Warn("request"+strconv.Itoa(invalid.status), "request turned away", "status", invalid.status, "why", invalid.reason)
+	ratelog.Warn("request"+strconv.Itoa(invalid.status), "request rejected", "status", invalid.status, "reason", invalid.reason)
 	return newResponse(r, invalid.status, plainText, []byte(invalid.reason+"\n")), nil
 }
 
--- a/internal/proxy/round_trip.go
+++ b/internal/proxy/round_trip.go
@@ -23,7 +23,7 @@
 	receivedAt := time.Now().Add(-queueDelay(r))
 	defer p.openRequests.Add(-1)
 	if open, limit := p.openRequests.Add(1), min(p.maxOpenRequests, p.budget.MaxRequests()); p.gate == nil && open > int64(limit) {
-		ratelog.Warn("open", "no room for another txn", "most", limit)
+		ratelog.Warn("open", "too many open requests", "max", limit)
 		// As when the router is at its own limit: rejected before the router has it. This is overload, so nobody should be back soon.
 		return replyResponse(agent.Reply{Rejected: true, RetryAfter: p.maxRetryAfter}, r), nil
 	}
--- a/internal/rollout/client.go
+++ b/internal/rollout/client.go
@@ -133,7 +133,7 @@
 		return
 	}
 	update := received.update
-	slog.Info("news", "build", update.Build, "stage", update.Stage, "phase", update.Phase, "cap", update.Cap, "age_ms", update.Age/1000)
+	slog.Info("rollout update received", "build", update.Build, "stage", update.Stage, "phase", update.Phase, "cap", update.Cap, "age_ms", update.Age/1000)
 	c.publisher.publish(update)
 }
 
@@ -149,7 +149,7 @@
 		if ended.from.hasReceived {
 			c.backoff.Reset()
 		}
-		ratelog.Warn("news", "news stream ended", "err", ended.err)
+		ratelog.Warn("news", "rollout stream ended", "err", ended.err)
 		c.current, c.pending = c.pending, nil
 		if c.current == nil {
 			c.current = c.openStream(ctx, c.retryPause(ended.err))
--- a/internal/rollout/event_scanner.go
+++ b/internal/rollout/event_scanner.go
@@ -69,6 +69,6 @@
 		}
 		s.update = &update
 	case data != "":
-		ratelog.Warn("news kind", "news of a kind not known here", "kind", fmt.Sprintf("%.40q", eventType))
+		ratelog.Warn("news kind", "unknown rollout event", "kind", fmt.Sprintf("%.40q", eventType))
 	}
 }
--- a/internal/rollout/votes.go
+++ b/internal/rollout/votes.go
@@ -64,8 +64,8 @@
 }
 
 func logVote(vote policy.Vote, result protocol.Result, took time.Duration) {
-	slog.Info("vote", "build", vote.Build, "stage", vote.Stage, "verdict", protocol.VerdictNames[vote.Verdict], "ending", result.String(),
-		"ms", took.Milliseconds())
+	slog.Info("vote cast", "build", vote.Build, "stage", vote.Stage, "verdict", protocol.VerdictNames[vote.Verdict], "result", result.String(),
+		"elapsed_ms", took.Milliseconds())
 }
 
 // sendVote makes the call of one vote. The update is empty unless the vote has succeeded.
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -58,7 +58,7 @@
 		return
 	}
 	if !e.acquireDescriptor() {
-		ratelog.Warn("budget", "no descriptor left for a connection", "appliance", e.name)
+		ratelog.Warn("budget", "no descriptor left for a connection", "endpoint", e.name)
 		e.events.ConnectionsExhausted()
 		e.finish(exchange, protocol.NotSent, nil)
 		return
@@ -111,8 +111,8 @@
 	}
 	elapsed := time.Since(exchange.DecidedAt).Microseconds()
 	if result != protocol.Succeeded {
-		ratelog.Warn(e.name+result.String(), "appliance", "appliance", e.name, "ending", result.String(),
-			"probe", exchange.isHealthCheck, "after_ms", elapsed/1000)
+		ratelog.Warn(e.name+result.String(), "attempt failed", "endpoint", e.name, "result", result.String(),
+			"health_check", exchange.isHealthCheck, "elapsed_ms", elapsed/1000)
 	}
 	if exchange.isHealthCheck {
 		e.reportHealthCheck(result, response, elapsed)
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -66,7 +66,7 @@
 	case errors.Is(r.err, syscall.ECONNREFUSED), errors.Is(r.err, syscall.ECONNRESET):
 		e.finish(exchange, protocol.ConnectionRefused, nil)
 	case errors.Is(r.err, syscall.EMFILE), errors.Is(r.err, syscall.ENFILE), errors.Is(r.err, syscall.EADDRNOTAVAIL):
-		ratelog.Warn("dial", "could not open a connection", "appliance", e.name, "err", r.err)
+		ratelog.Warn("dial", "connection not opened", "endpoint", e.name, "err", r.err)
 		e.finish(exchange, protocol.NotSent, nil)
 	default:
 		e.finish(exchange, protocol.ConnectTimeout, nil)
