--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,7 +1,7 @@
 // Package admission is the admission control of the router. It decides which request is handed to the dispatcher and when:
 // it queues requests fairly among tenants and among each tenant's clients, learns how many may be in progress at a time,
-// rejects those that cannot be served in time or that exceed the limits, and reserves capacity for the time at which a
-// rejected client is told to come back.
+// rejects those that cannot be served in time or that exceed the limits, and reserves capacity for the end of the
+// Retry-After that a rejected client is sent.
 //
 // A Controller owns all state of the requests that wait, the requests in progress and the reservations. It does no I/O,
 // reads no clock and starts no goroutine; the same calls always produce the same commands. One goroutine, the owner of the
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -28,7 +28,7 @@
 	resultCount
 )
 
-// requestState says where a tracked request stands.
+// requestState is the state of a tracked request.
 type requestState int8
 
 const (
--- a/internal/admission/reservations.go
+++ b/internal/admission/reservations.go
@@ -9,7 +9,7 @@
 	// for errors of the estimate. A tenant that floods is then given the longest time without a reservation.
 	reservableFraction = 0.5
 	// returnGrace, beside a slot's width, is how long after its time of return a client is still on time: clients sleep at least as
-	// long as they are told, and the network takes its time.
+	// long as the Retry-After says, and the network adds its delay.
 	returnGrace = 100 * millisecond
 	// earlyTolerance is how long before its time of return a client is on time already.
 	earlyTolerance = 2 * millisecond
@@ -18,7 +18,7 @@
 	minFallbackFraction = 0.75
 )
 
-// reservation is capacity held for a rejected client at the time at which it was told to return.
+// reservation is capacity held for a rejected client at the end of the Retry-After that it was sent.
 type reservation struct {
 	retryKey  uint64
 	tenant    int
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -11,7 +11,7 @@
 	"switchfork/internal/upstream"
 )
 
-// carryOut does what the policy has ordered.
+// carryOut executes a command of the policy.
 func (l *Loop) carryOut(command policy.Command) {
 	switch command := command.(type) {
 	case policy.SetTimer:
@@ -40,7 +40,8 @@
 	}
 }
 
-// sendAttempt hands an attempt to its endpoint. One that can't be sent at all ends at once.
+// sendAttempt hands an attempt to its endpoint. It is reported as not sent where its request or endpoint is not known, or where the
+// request is answered or has an attempt in flight already.
 func (l *Loop) sendAttempt(command policy.SendAttempt) {
 	request, endpoint := l.requests[command.RequestID], l.endpoints[command.EndpointID]
 	if request == nil || request.answered || request.inFlight > 0 || endpoint == nil {
@@ -94,7 +95,7 @@
 		Result: protocol.NotSent,
 	})
 	if request != nil {
-		request.inFlight++ // the result takes it back
+		request.inFlight++ // finishAttempt decrements it with the result
 	}
 }
 
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -7,7 +7,7 @@
 	"switchfork/internal/upstream"
 )
 
-// updateEndpoints applies a change of the endpoint list before the policy is told of it: new endpoints are started, and all get their
+// updateEndpoints applies a change of the endpoint list before the policy gets it: new endpoints are started, and all get their
 // latest entry. Endpoints that have left stop by themselves once none of their attempts is in flight; one that returns is started anew.
 func (l *Loop) updateEndpoints(list EndpointList) {
 	isPresent := map[uint32]bool{}
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -37,7 +37,7 @@
 // EndpointList is a change of the endpoint list, or the whole list.
 type EndpointList struct {
 	policy.EndpointUpdate
-	Entries []protocol.ListEntry // what discovery says of each of Endpoints, in the same order
+	Entries []protocol.ListEntry // discovery's entry for each of Endpoints, in the same order
 }
 
 // Barrier is a message whose channel is closed when all messages before it have been handled.
--- a/internal/agenttest/agenttest.go
+++ b/internal/agenttest/agenttest.go
@@ -10,7 +10,7 @@
 	"switchfork/internal/protocol"
 )
 
-// Patience bounds each wait of a test. It is far longer than anything due takes, so that no verdict depends on it.
+// Patience bounds each wait of a test. It is far longer than any expected event takes, so that no test result depends on it.
 const Patience = 20 * time.Second
 
 // pollInterval is how often a wait looks at what it waits for.
--- a/internal/aimd/aimd.go
+++ b/internal/aimd/aimd.go
@@ -3,7 +3,7 @@
 // A Limit belongs to its caller and is not safe for concurrent use. Times are in whole microseconds.
 package aimd
 
-// Limit is a concurrency limit.
+// Limit is a concurrency limit with additive increase and multiplicative decrease.
 type Limit struct {
 	Value       float64
 	decreasedAt int64
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -22,7 +22,7 @@
 
 const (
 	// minReconnectDelay doubles with each Unreachable up to maxReconnectDelay. It is short, so that a service that is back is found
-	// at once: what it then tells is binding.
+	// at once: the changes that it reports bind from that moment.
 	minReconnectDelay, maxReconnectDelay Micros = 50_000, 800_000
 	// maxDoublings keeps the doubled delay from overflowing; it is beyond maxReconnectDelay already.
 	maxDoublings = 8
--- a/internal/cluster/coordinator/mailbox.go
+++ b/internal/cluster/coordinator/mailbox.go
@@ -25,10 +25,10 @@
 // localVote is the vote that this agent's release analyzer recommends.
 type localVote struct{ vote policy.Vote }
 
-// rolloutUpdate is the rollout controller's report of where a build stands.
+// rolloutUpdate is the rollout controller's report of the state of a build's rollout.
 type rolloutUpdate struct{ update policy.RolloutUpdate }
 
-// voteResolved tells that a vote was carried out, or never will be.
+// voteResolved reports that a vote was carried out, or never will be.
 type voteResolved struct{ record election.Record }
 
 // leaveRequest has this agent hand its lease over.
@@ -61,7 +61,7 @@
 // UpdateRollout takes the rollout controller's report.
 func (c *Coordinator) UpdateRollout(update policy.RolloutUpdate) { c.mailbox <- rolloutUpdate{update} }
 
-// Leave hands the lease over, if this agent holds it, and returns when the other agents have been sent word, or the context ends.
+// Leave hands the lease over, if this agent holds it, and returns when the handover has been sent to the other agents, or the context ends.
 func (c *Coordinator) Leave(ctx context.Context) {
 	done := make(chan struct{})
 	if c.enqueue(ctx, leaveRequest{done}) != nil {
--- a/internal/cluster/coordinator/status.go
+++ b/internal/cluster/coordinator/status.go
@@ -9,7 +9,7 @@
 // noDecision stands in a report whose agent knows of no decision.
 const noDecision = "none"
 
-// StatusReport is what the admin address tells about the leader, as one agent knows it.
+// StatusReport is the admin address's answer to a status query: the leader and its lease, as this agent knows them.
 type StatusReport struct {
 	Me         int    `json:"me"`
 	Leads      bool   `json:"leads"`
--- a/internal/cluster/election/acceptor.go
+++ b/internal/cluster/election/acceptor.go
@@ -1,6 +1,6 @@
 package election
 
-// acceptorState is what a replica has promised and accepted as one of those who are asked.
+// acceptorState is what a replica has promised and accepted in its role as an acceptor.
 type acceptorState struct {
 	highestPromised uint64
 	highestAccepted uint64
@@ -8,7 +8,7 @@
 	leaseHolder     int
 	leaseUntil      Micros // end of the accepted lease, by this replica's clock
 
-	highestBallotSeen uint64 // of the ballots that Nack and HandOver have told of
+	highestBallotSeen uint64 // of the ballots that Nack and HandOver messages have named
 	abstainUntil      Micros // after a restart without durable state
 	// deferredAt is when this replica last postponed its own campaign for a candidate, by that one's number; 0: never.
 	deferredAt []Micros
@@ -16,7 +16,7 @@
 
 func (r *Replica) isAbstaining() bool { return r.now < r.acceptor.abstainUntil }
 
-// rejectNonMember tells a replica that is no member that it is out. Nothing else that it sends has an effect.
+// rejectNonMember answers the Prepare of a replica that is not a member with the present members.
 func (r *Replica) rejectNonMember(from int) {
 	if !r.isAbstaining() {
 		r.send(from, r.withMembers(Message{Kind: Nack}))
--- a/internal/cluster/election/command.go
+++ b/internal/cluster/election/command.go
@@ -16,7 +16,7 @@
 	}
 	// Persist has to be on stable storage, where there is any, before a later command of the same call is carried out.
 	Persist struct{ DurableState }
-	// SelfStop tells that this replica's release analyzer asks for a rollback while no leader is known. With Stop the replica
+	// SelfStop is ordered while this replica's analyzer recommends a rollback and no leader is known. With Stop the replica
 	// stops its own requests to the build, which is the safe direction; without, the analyzer asks for something else or the
 	// rollout has moved on, and requests may go on.
 	SelfStop struct {
--- a/internal/cluster/election/doc.go
+++ b/internal/cluster/election/doc.go
@@ -4,8 +4,8 @@
 //
 // # Use
 //
-// Each process makes one [Replica] with [New], tells it of every event together with its own monotonic time in whole
-// microseconds, and carries out the returned commands in their order. A Replica judges no build, talks to nobody and reads no
+// Each process makes one [Replica] with [New], passes it every event together with its own monotonic time in whole
+// microseconds, and carries out the returned commands in their order. A Replica evaluates no build, does no I/O and reads no
 // clock. It belongs to one goroutine (package coordinator runs it in production, package simulation in simulated time): its
 // methods must not be called concurrently, and the commands of a call are valid until the next call.
 //
--- a/internal/cluster/election/members.go
+++ b/internal/cluster/election/members.go
@@ -9,7 +9,7 @@
 const MaxReplicas = 64
 
 // Members are the replicas that vote. The leader that changes them stamps them with its term; the newest that a replica has
-// heard of are in force for it at once.
+// received are in force for it at once.
 type Members struct {
 	Term    uint64
 	Version uint32
@@ -99,7 +99,7 @@
 	return r.membership.isStamped && r.hasQuorum(r.membership.committedBy)
 }
 
-// notifyRemoved tells replicas that are members no more that they are out.
+// notifyRemoved sends the new members to the replicas that have just been removed.
 func (r *Replica) notifyRemoved(previous Members) {
 	for i := range MaxReplicas {
 		if i != r.id && previous.Contains(i) && !r.members.Contains(i) {
--- a/internal/cluster/election/message.go
+++ b/internal/cluster/election/message.go
@@ -1,19 +1,19 @@
 package election
 
-// Kind of a message.
+// Kind is the type of a message.
 type Kind uint8
 
 // The kinds of messages.
 const (
 	Prepare          Kind = iota + 1 // asks for a promise of the ballot
-	Promise                          // promises the ballot, and tells the newest record that the sender knows
+	Promise                          // promises the ballot, and carries the newest record that the sender knows
 	Propose                          // asks to accept the lease of the ballot
 	Accepted                         // accepts the lease
 	Replicate                        // asks to remember the record
 	Replicated                       // acknowledges the record
-	Recommend                        // tells the verdict that the sender's release analyzer asks for
+	Recommend                        // carries the verdict that the sender's release analyzer recommends
 	HandOver                         // releases the lease and appoints the successor
-	Nack                             // tells of a higher ballot, of this one, or of newer members
+	Nack                             // rejects a ballot: names the higher one that was promised, or newer members
 	CommitMembers                    // asks to remember the members
 	MembersCommitted                 // acknowledges the members
 	kindEnd
--- a/internal/cluster/election/recommendation.go
+++ b/internal/cluster/election/recommendation.go
@@ -6,7 +6,7 @@
 	receivedAt Micros
 }
 
-// Recommend tells what the release analyzer of this replica asks for, and passes it on to the others.
+// Recommend takes the recommendation of this replica's release analyzer, and sends it to the other members.
 func (r *Replica) Recommend(now Micros, recommended Decision) []Command {
 	r.beginCall(now)
 	r.recommendations[r.id] = recommendation{recommended, now}
--- a/internal/cluster/election/replica.go
+++ b/internal/cluster/election/replica.go
@@ -16,7 +16,7 @@
 	random   *rand.Rand
 	now      Micros
 	commands []Command // of the call in progress
-	members  Members   // the newest that this replica has heard of
+	members  Members   // the newest that this replica has received
 
 	newestRecord  Record // of the vote log, by any leader
 	lastPersisted DurableState
@@ -135,7 +135,7 @@
 	return s
 }
 
-// StopParticipating ends the replica's part after its stable storage has failed: it promises and accepts nothing any more.
+// StopParticipating withdraws the replica after its stable storage has failed: it promises and accepts nothing any more.
 func (r *Replica) StopParticipating(now Micros) {
 	r.beginCall(now)
 	r.leader.leaseUntil = 0
@@ -143,7 +143,7 @@
 	r.acceptor.abstainUntil = forever
 }
 
-// UpdateRollout tells the position of the newest build. Votes name their stage, so a decision on another one is moot.
+// UpdateRollout tells the position of the newest build. Votes name their stage, so a decision on another one is dropped.
 func (r *Replica) UpdateRollout(now Micros, build, stage int32, isActive bool) []Command {
 	r.beginCall(now)
 	r.rollout = rolloutState{build: build, stage: stage, isActive: isActive}
--- a/internal/cluster/transport/tcp.go
+++ b/internal/cluster/transport/tcp.go
@@ -77,7 +77,7 @@
 	return t, nil
 }
 
-// Addr is the address of the listener.
+// Addr returns the listener's address, with the port that the system chose where the configured one was 0.
 func (t *TCP) Addr() string { return t.listener.Addr().String() }
 
 // SetPeers sets the peers' addresses by their indices. Connections to addresses that are not among them end.
@@ -179,7 +179,7 @@
 	}
 }
 
-// discard closes a connection of which nothing is expected any more, so that an error of Close tells nothing.
+// discard closes a connection that is not used any more. An error of Close has no consequence.
 func discard(conn net.Conn) { _ = conn.Close() }
 
 // closeOnHangUp notices that the peer has closed the connection, on which it never writes.
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -94,10 +94,10 @@
 // Reload reads the file again for a running agent, and checks it as at the start. If it is at fault, the returned file
 // is the one in force.
 //
-// Moved holds the addresses that have changed in the file, empty ones where they have not. It compares file with file:
+// The result moved holds the addresses that have changed in the file, empty ones where they have not. It compares file with file:
 // a GW_DISCOVERY that overrode the file at the start can't change any more, so it stays in force until the file names
-// another address than it did then. Left lists the other keys that have changed, which need a restart.
-func (f *File) Reload() (next *File, moved UpstreamAddresses, left []string, err error) {
+// another address than it did then. The result unapplied lists the other keys that have changed, which need a restart.
+func (f *File) Reload() (next *File, moved UpstreamAddresses, unapplied []string, err error) {
 	next, err = Load(f.getenv)
 	if err != nil {
 		return f, moved, nil, err
@@ -111,10 +111,10 @@
 	if next.addresses.Rollout != f.addresses.Rollout {
 		moved.Rollout = next.addresses.Rollout
 	}
-	left = append(left, changedKeys(f.Settings, next.Settings)...)
-	left = append(left, changedKeys(f.Deployment, next.Deployment)...)
-	slices.Sort(left)
-	return next, moved, left, nil
+	unapplied = append(unapplied, changedKeys(f.Settings, next.Settings)...)
+	unapplied = append(unapplied, changedKeys(f.Deployment, next.Deployment)...)
+	slices.Sort(unapplied)
+	return next, moved, unapplied, nil
 }
 
 // changedKeys returns the full keys that need a restart and that differ, or that only one of the two has.
--- a/internal/options/options.go
+++ b/internal/options/options.go
@@ -37,7 +37,7 @@
 	Coalesces       bool // identical requests in flight share one answer
 }
 
-// Coordinator is how agents elect the one whose votes stand for all.
+// Coordinator holds the settings of the election of the one agent that casts the votes for all.
 type Coordinator struct {
 	Enabled     bool
 	Index       int            // -1: as the platform numbers the agents
--- a/internal/policy/analysis.go
+++ b/internal/policy/analysis.go
@@ -146,7 +146,7 @@
 // evidenceRatio adds up the evidence of the build's endpoints, on failures and lateness apart, each bounded:
 // a bad build fails, or is late, on most alike. None is saved up past the threshold: it may turn bad late.
 func (a *releaseAnalyzer) evidenceRatio() float64 {
-	// Where earlier builds fail too, endpoints that fail are no sign of the build.
+	// Where earlier builds fail too, failing endpoints are no evidence against the build.
 	earlierFailing := a.endpoints.isEarlierBuildFailing(a.build, ejectErrorRate)
 	seen := collectEvidence(a.endpoints.withEvidence(a.build, earlierFailing), holdThreshold)
 	isLarge := len(seen.failure) > largeBuildSize
@@ -227,7 +227,7 @@
 	elapsed, capacity, slowdown := a.updateRates()
 	isWhole := capacity >= wholeFleetShare*a.baselineCapacity
 	weight := a.canaryTrafficShare
-	if a.isEvaluator { // it hears enough to compare medians
+	if a.isEvaluator { // it gets enough outcomes to compare medians
 		slowdown /= max(a.baselineMedian, 1e-9)
 	} else if a.usesReports() {
 		slowdown, a.canaryTrafficShare = a.reportedSlowdown, a.reportedCanaryShare
--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -158,7 +158,7 @@
 		IsRetry   bool   // the client says that it has tried before
 		ArrivedAt Micros // when it came, where it waited before it got here; 0: now
 	}
-	// ResponseStarted tells that a streamed answer has started.
+	// ResponseStarted reports that a streamed response has started.
 	ResponseStarted struct{ RequestID uint64 }
 	// AttemptResult is the outcome of one attempt.
 	AttemptResult struct {
@@ -169,7 +169,7 @@
 		RequestDone bool // the request has its final answer
 		Load        []float32
 	}
-	// RequestCancelled tells that the client has gone.
+	// RequestCancelled reports that the client has disconnected.
 	RequestCancelled struct{ RequestID uint64 }
 	// TimerFired is the timer that a SetTimer asked for.
 	TimerFired struct{ Token uint64 }
--- a/internal/policy/clients.go
+++ b/internal/policy/clients.go
@@ -2,21 +2,21 @@
 
 import "switchfork/internal/stats"
 
-// rejectedClient is one rejection.
+// rejectedClient is a client that was rejected and has not come back yet.
 type rejectedClient struct {
 	rejectedAt Micros
 	acceptedAt Micros // when the client first sent the request
 	clientHash uint64
 }
 
-// rejectedClients tells which clients come back after a rejection, and how many do.
+// rejectedClients tracks which clients come back after a rejection, and how many do.
 type rejectedClients struct {
 	byHash     map[uint64]rejectedClient
 	queue      []rejectedClient // in order of time
 	returnRate float64          // moving mean of those who come back
 }
 
-// reject enters a rejection.
+// reject records that a client was rejected.
 func (c *rejectedClients) reject(now, acceptedAt Micros, clientHash uint64) {
 	client := rejectedClient{now, acceptedAt, clientHash}
 	c.byHash[clientHash] = client
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// update keeps the records by the list, and tells each endpoint of its own row.
+// update adds and removes records as the list says, and sends each endpoint its own entry.
 func (s *endpointSet) update(list EndpointUpdate) {
 	for _, e := range s.all {
 		e.inList = e.inList && !list.Full
--- a/internal/policy/eventloop.go
+++ b/internal/policy/eventloop.go
@@ -48,14 +48,14 @@
 		verdict            Verdict
 		receivedAt         Micros
 	}
-	// attemptSent tells of an attempt by this agent or by a peer.
+	// attemptSent reports an attempt by this agent or by a peer.
 	attemptSent struct {
 		endpoint *endpointRecord
 		fromPeer bool
 	}
-	// requestRejected tells of a request that this agent or a peer gave up.
+	// requestRejected reports a request that this agent or a peer rejected or failed.
 	requestRejected struct{ fromPeer bool }
-	// attemptStarted tells an endpoint of an attempt by this agent.
+	// attemptStarted reports an attempt by this agent to its endpoint.
 	attemptStarted struct {
 		cost             float64
 		latencyObjective Micros
--- a/internal/policy/gossip.go
+++ b/internal/policy/gossip.go
@@ -87,8 +87,8 @@
 	return len(digest) == digestBytes && digest[index]&bit != 0
 }
 
-// joinPanel: where there are more agents than seats, and they may tell each other, a few evaluate the outcomes of all. Each
-// alone sees too little, and of hundreds the one with the worst luck would decide.
+// joinPanel selects the evaluators, where gossip is allowed and there are more agents than panelSize. A single agent sees too
+// few outcomes, and among hundreds the one with the most extreme sample would decide.
 func (a *releaseAnalyzer) joinPanel(instance Instance) {
 	if instance.Agents <= panelSize {
 		return
@@ -122,7 +122,7 @@
 	return NoVote, false
 }
 
-// announceVerdict tells all agents this evaluator's verdict: at once where it is new, and from time to time.
+// announceVerdict broadcasts this evaluator's verdict: at once where it is new, and once a verdictInterval.
 func (a *releaseAnalyzer) announceVerdict(verdict Verdict) {
 	isDue := (verdict != NoVote || a.phase == Evaluating) && a.now >= a.verdictSentAt+verdictInterval
 	if verdict != a.announcedVerdict || isDue {
@@ -131,7 +131,7 @@
 	}
 }
 
-// sendDigest tells all agents which endpoints are overloaded, and takes the digest over itself.
+// sendDigest broadcasts which endpoints are overloaded, and applies the digest to this agent too.
 func (a *releaseAnalyzer) sendDigest(isOverloaded func(*endpointRecord) bool) {
 	digest := make([]byte, digestBytes)
 	for _, e := range a.endpoints.all {
--- a/internal/policy/routing.go
+++ b/internal/policy/routing.go
@@ -11,17 +11,17 @@
 	// idleTickInterval, for votes and ejected endpoints, is longer: many agents have little traffic.
 	busyTickInterval, idleTickInterval = 10 * millisecond, 50 * millisecond
 	// trafficSalt and ringSalt are the same on all agents, but differ from each other: with one salt the keys
-	// that go to the canary would crowd one arc of the ring.
+	// that go to the canary would crowd one segment of the ring.
 	trafficSalt, ringSalt = 0x51ce, 0x2176
-	// pointsPerEndpoint: at 64 the arcs vary by an eighth, and by the paper's formula more buys little.
+	// pointsPerEndpoint: at 64 the segments vary by an eighth, and by the paper's formula more buys little.
 	pointsPerEndpoint = 64
 	// reportWeight: some ten reports, as each counts few requests; fleetReportWeight: a hundred of all.
 	// minUtilization: three of one half busy. maxCapacityRatio bounds what reports can make of an endpoint.
 	reportWeight, fleetReportWeight, minUtilization, maxCapacityRatio = 0.1, 0.01, 0.15, 3
-	// crossZoneFactor: at a cost of 0.1 another zone's arcs shrink to a fifth. meanCostWeight: the last fifty;
+	// crossZoneFactor: at a cost of 0.1 another zone's segments shrink to a fifth. meanCostWeight: the last fifty;
 	// before them the mean is initialCostShare of the longest latency objective.
 	crossZoneFactor, meanCostWeight, initialCostShare = 40, 0.02, 0.25
-	// hotKeyShare of an endpoint is the most that one key should fill, as its arc carries other keys too.
+	// hotKeyShare of an endpoint is the most that one key should fill, as its segment carries other keys too.
 	// capUtilization of the exposure cap is used on purpose; the rest leaves retries room in the count.
 	hotKeyShare, capUtilization = 0.3, 0.8
 	// loadBound: the usual figure for consistent hashing with bounded loads. lastResort puts an endpoint behind
@@ -151,7 +151,7 @@
 	d.giveUp(req)
 }
 
-// pickEndpoint walks the ring of one rank to the nearest candidate; capacity scales the arcs.
+// pickEndpoint walks the ring of one rank to the nearest candidate; capacity scales the segments.
 func (d *dispatcher) pickEndpoint(req *request, rank int) *endpointRecord {
 	if !d.mayStartAttempt(req) || !d.anyZoneOpen() || !d.endpoints.hasRoom() {
 		return nil
@@ -183,7 +183,7 @@
 func (d *dispatcher) ringDistance(req *request, e *endpointRecord, among candidateSet) float64 {
 	distance := e.ringDistance(req.ringPosition) / e.capacity()
 	if d.usesColdSlots(e) {
-		distance = 0 // its slot is short, and the next key on its arc may come too late
+		distance = 0 // its slot is short, and the next key in its segment may come too late
 	} else if e.Zone != d.instance.Zone {
 		distance *= 1 + crossZoneFactor*d.crossZoneCost
 	}
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -5,7 +5,7 @@
 const (
 	// coldMargin of the configured overload multiple is used; the rest is for what the cost estimates miss.
 	// coldLoad is what slots give a cold endpoint: what a busy fleet carries, well inside any multiple.
-	// coldSlotShare: with slots a cold endpoint gets less than its arc, and warm ones would get the rest.
+	// coldSlotShare: with slots a cold endpoint gets less than its segment, and warm ones would get the rest.
 	coldMargin, coldLoad, coldSlotShare = 0.8, 0.6, 0.3
 )
 
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -71,7 +71,7 @@
 	reportedRate        float64 // moving mean, while warm
 	reportedUtilization float64 // moving mean, while warm
 	totalInFlight       float64 // requests of all agents, as far as is known
-	isChecking          bool    // a health check is out
+	isChecking          bool    // a health check is in progress
 }
 
 type recentAttempt struct {
@@ -79,12 +79,12 @@
 	cost   float64
 }
 
-// endpointPoller keeps the watch on the endpoint list where it has to be asked for.
+// endpointPoller asks for the endpoint list where discovery has to be asked, again after each failed call.
 type endpointPoller struct {
 	mailbox
 	*runtime
 	isEnabled     bool
-	pollAt        Micros // -1: a call is out, or the watch stands
+	pollAt        Micros // -1: a call is in progress, or the watch is open
 	failuresInRow int
 }
 
--- a/internal/policy/voting.go
+++ b/internal/policy/voting.go
@@ -90,7 +90,7 @@
 	if a.isLastStage() {
 		return watches && a.slowdownTime >= slowdownHolds || a.onTimeShare < onTimeDrop
 	}
-	// An evaluator hears all, and that they slow with the build's share: no need to wait how long it lasts.
+	// An evaluator gets all outcomes, and sees them slow with the build's share: it need not wait.
 	isSlow := a.isEvaluator && (a.slowdownRatio >= slowdownFactor || a.isFarLessOnTime())
 	isSlow = isSlow || watches && a.slowdownTime >= slowdownPauses
 	return isSlow && a.canaryTrafficShare >= pauseCanaryShare
--- a/internal/proxy/buffers.go
+++ b/internal/proxy/buffers.go
@@ -8,7 +8,7 @@
 // bufferPool lends httputil.ReverseProxy its copy buffers. A new buffer for each response took a tenth of the agent's processor time.
 type bufferPool struct{ pool sync.Pool }
 
-// Get returns a buffer that nobody else uses.
+// Get returns a buffer from the pool, or a new one where the pool is empty.
 func (b *bufferPool) Get() []byte {
 	if buffer, ok := b.pool.Get().(*[copyBufferSize]byte); ok {
 		return buffer[:]
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// Write writes to the client.
+// Write writes to the client, and records it: Close then half closes the connection first.
 func (c *clientConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	c.hasWritten = true
--- a/internal/proxy/conn_state.go
+++ b/internal/proxy/conn_state.go
@@ -6,7 +6,7 @@
 	"switchfork/internal/tcpconn"
 )
 
-// connState is where a client's connection stands. docs/design.md has a drawing of the transitions.
+// connState is the state of a client's connection. docs/design.md has a drawing of the transitions.
 type connState int
 
 const (
@@ -127,7 +127,7 @@
 }
 
 // retire ends a connection that carries no request, and reports whether it did. A connection with unread bytes is left alone. Bytes that
-// come after that look cross the close: they stay unread, so that the client knows that it may send them again.
+// arrive after that check stay unread and are answered by a reset, from which the client knows that it may send them again.
 func (c *clientConn) retire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// newHandler answers health checks and what no request may look like, and hands all else on.
+// newHandler answers health checks, rejects requests with a Transfer-Encoding, and passes all others to next.
 func (p *Proxy) newHandler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if p.isDraining.Load() {
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// handleEvent writes the commands with which the router answers an event. If the router panics, one record that says
-// so stands in their place, and the other instances go on.
+// handleEvent writes the commands with which the router answers an event. If the router panics, one record that reports
+// the panic takes their place, and the other instances go on.
 func handleEvent(router policy.Router, now policy.Micros, event policy.Event, instance int, w *writer) {
 	start := len(w.buf)
 	defer func() {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -79,7 +79,7 @@
 	switch {
 	case exchange.isFinished:
 	case exchange.connection == nil:
-		// Nothing has been written, and the dial is still within its own timeout: no sign of the endpoint's state.
+		// Nothing has been written, and the dial is still within its own timeout: no evidence about the endpoint's health.
 		e.finish(exchange, protocol.NotSent, nil)
 	default:
 		e.finish(exchange, protocol.TimedOut, nil)
@@ -134,7 +134,7 @@
 }
 
 // suspectsIdleConnections tells whether a result says that the process or the path to it is or was gone. Idle connections may then be
-// dead without a sign, and each would cost an attempt that may have run. Closing them costs a handshake each where only the one
+// dead unnoticed, and each would cost an attempt that may have run. Closing them costs a handshake each where only the one
 // connection had ended.
 func suspectsIdleConnections(exchange *httpExchange, result protocol.Result) bool {
 	switch result {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -112,8 +112,8 @@
 	}()
 }
 
-// writeFinished handles the end of a write. A request of which not all was written has not run. On a connection that had been idle, the
-// endpoint's close has crossed the request, which says nothing about its state: another connection is tried.
+// writeFinished handles the end of a write. A request that was not written completely has not run. Where a reused connection fails, the
+// endpoint may have closed it while the request was being written: that is no evidence about its health, and another connection is tried.
 func (e *Endpoint) writeFinished(r writeResult) {
 	exchange := r.exchange
 	switch {
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// update applies the list's latest entry. The idle connections of a process that was replaced are closed: what would be written to them
-// would end as a reset.
+// update applies the list's latest entry. The idle connections of a process that was replaced are closed: a request
+// written to one of them would be reset.
 func (e *Endpoint) update(entry protocol.ListEntry) {
 	latest := process{address: entry.Dial, bornMs: entry.BornMs, build: entry.Build}
 	isReplaced := latest != e.process
