--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -255,7 +255,7 @@
 			return err
 		}
 	}
-	go p.loop.Serve(ctx, p.pool, p.rollout.Vote, p.gossip.Post)
+	go p.loop.Serve(ctx, p.pool, p.rollout.Vote, p.gossip.SendCommand)
 	p.loop.Flush(ctx) // no request before the configured endpoint list and rollout update
 	go p.discovery.Serve(ctx)
 	go p.rollout.Serve(ctx)
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -133,7 +133,7 @@
 	before := runtime.NumGoroutine()
 	r.PublishOne(server.Addr())
 	replies := make(chan agent.Reply)
-	go func() { replies <- r.Send(t, 1, agenttest.Posting, agenttest.Patience) }()
+	go func() { replies <- r.Send(t, 1, agenttest.KeyedRequest, agenttest.WaitTimeout) }()
 	agenttest.Eventually(t, "the attempt", func() bool { return len(server.Requests()) == 1 })
 	for i := range 300 {
 		host := agenttest.Entry("127.0.0.1:1")
--- a/internal/agenttest/agenttest.go
+++ b/internal/agenttest/agenttest.go
@@ -10,8 +10,8 @@
 	"switchfork/internal/protocol"
 )
 
-// Patience bounds each wait of a test. It is far longer than any expected event takes, so that no test result depends on it.
-const Patience = 20 * time.Second
+// WaitTimeout bounds each wait of a test. It is far longer than any expected event takes, so that no test result depends on it.
+const WaitTimeout = 20 * time.Second
 
 // pollInterval is how often a wait looks at what it waits for.
 const pollInterval = 2 * time.Millisecond
@@ -19,14 +19,14 @@
 // Zone is the one zone of the lists that the tests publish.
 const Zone = "suva"
 
-// Posting is an encoded request with an idempotency key.
-var Posting = protocol.EncodeRequest(http.MethodPost, "/posting?sid=1", "service.internal",
+// KeyedRequest is an encoded request with an idempotency key.
+var KeyedRequest = protocol.EncodeRequest(http.MethodPost, "/posting?sid=1", "service.internal",
 	http.Header{"Idempotency-Key": {"k"}}, []byte("body"))
 
 // Eventually waits until isDone returns true, and fails the test where it does not within Patience. what names it in the failure.
 func Eventually(t *testing.T, what string, isDone func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !isDone(); time.Sleep(pollInterval) {
+	for end := time.Now().Add(WaitTimeout); !isDone(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			t.Fatalf("%s did not come", what)
 		}
--- a/internal/agenttest/rig.go
+++ b/internal/agenttest/rig.go
@@ -93,13 +93,13 @@
 		}
 		return nil
 	})
-	request := agent.NewRequest(encoded, time.Now().Add(Patience), nil)
+	request := agent.NewRequest(encoded, time.Now().Add(WaitTimeout), nil)
 	r.Loop.Admit(policy.RequestArrived{ID: id}, request)
 	select {
 	case reply := <-request.Replies():
 		r.Loop.Flush(r.Context) // the router gets the result after the client
 		return reply
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		t.Fatal("no final reply")
 		return agent.Reply{}
 	}
--- a/internal/agenttest/servers.go
+++ b/internal/agenttest/servers.go
@@ -49,7 +49,7 @@
 				return
 			}
 			raw := make([]byte, maxCapture)
-			_ = conn.SetReadDeadline(time.Now().Add(Patience)) // fails only on a closed connection, which Read reports
+			_ = conn.SetReadDeadline(time.Now().Add(WaitTimeout)) // fails only on a closed connection, which Read reports
 			n, _ := conn.Read(raw)                             // what came before an error is what counts
 			captured <- string(raw[:n])
 			_ = conn.Close() // it is not used any more
@@ -59,7 +59,7 @@
 		select {
 		case text := <-captured:
 			return strings.ReplaceAll(text, listener.Addr().String(), "HOST:PORT")
-		case <-time.After(Patience):
+		case <-time.After(WaitTimeout):
 			t.Fatal("nothing was written")
 			return ""
 		}
--- a/internal/endtoend/client_input_test.go
+++ b/internal/endtoend/client_input_test.go
@@ -49,7 +49,7 @@
 	conn := a.dial(t)
 	defer func() { _ = conn.Close() }()
 	_, _ = io.WriteString(conn, text) // fails where the agent has closed the connection before all was sent
-	_ = conn.SetReadDeadline(time.Now().Add(agenttest.Patience))
+	_ = conn.SetReadDeadline(time.Now().Add(agenttest.WaitTimeout))
 	got, err := io.ReadAll(conn)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%.60q: neither closed nor answered, got %q", text, got)
--- a/internal/endtoend/connections_test.go
+++ b/internal/endtoend/connections_test.go
@@ -67,7 +67,7 @@
 		connected := time.Now()
 		pending.Go(func() {
 			defer func() { _ = conn.Close() }()
-			_ = conn.SetReadDeadline(connected.Add(agenttest.Patience))
+			_ = conn.SetReadDeadline(connected.Add(agenttest.WaitTimeout))
 			if _, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) || time.Since(connected) > 3*time.Second {
 				t.Errorf("kept for %v, %v", time.Since(connected), err)
 			}
@@ -101,7 +101,7 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	_ = first.SetReadDeadline(start.Add(agenttest.Patience))
+	_ = first.SetReadDeadline(start.Add(agenttest.WaitTimeout))
 	if _, err := io.ReadAll(first); err != nil || time.Since(start) > proxy.IdleTimeout/2 {
 		t.Errorf("the first connection ended after %v, %v", time.Since(start), err)
 	}
--- a/internal/endtoend/invalid_config_test.go
+++ b/internal/endtoend/invalid_config_test.go
@@ -29,7 +29,7 @@
 			if log := agent.log.String(); err == nil || !strings.Contains(log, test.want) || strings.Count(log, "\n") != 1 {
 				t.Errorf("%s: %v, log %q", test.to, err, log)
 			}
-		case <-time.After(agenttest.Patience):
+		case <-time.After(agenttest.WaitTimeout):
 			t.Errorf("%s: started", test.to)
 		}
 	}
@@ -58,7 +58,7 @@
 				if logged := strings.TrimSpace(agent.log.String()); err == nil || !strings.Contains(logged, test.want) || strings.Contains(logged, "\n") {
 					t.Errorf("ended with %v and %q, want one line with %s", err, logged, test.want)
 				}
-			case <-time.After(agenttest.Patience):
+			case <-time.After(agenttest.WaitTimeout):
 				t.Error("started")
 			}
 		})
--- a/internal/endtoend/shutdown_test.go
+++ b/internal/endtoend/shutdown_test.go
@@ -49,7 +49,7 @@
 		if err != nil {
 			t.Errorf("exited with %v", err)
 		}
-	case <-time.After(agenttest.Patience):
+	case <-time.After(agenttest.WaitTimeout):
 		t.Error("did not exit")
 	}
 }
@@ -80,7 +80,7 @@
 		if took := time.Since(start); err != nil || took > 10*time.Second {
 			t.Errorf("exited after %v with %v", took, err)
 		}
-	case <-time.After(agenttest.Patience):
+	case <-time.After(agenttest.WaitTimeout):
 		t.Error("did not exit")
 	}
 }
--- a/internal/gossip/messenger.go
+++ b/internal/gossip/messenger.go
@@ -68,11 +68,11 @@
 
 // Send sends a payload to an agent by its index.
 func (m *Messenger) Send(to int, payload []byte) {
-	m.Post(policy.SendGossip{To: to, Payload: payload})
+	m.SendCommand(policy.SendGossip{To: to, Payload: payload})
 }
 
-// Post carries a command of the router out.
-func (m *Messenger) Post(command policy.SendGossip) { m.mailbox.Put(command) }
+// SendCommand carries a command of the router out.
+func (m *Messenger) SendCommand(command policy.SendGossip) { m.mailbox.Put(command) }
 
 // Serve sends what the mailbox holds, and hands on what comes, until the context ends.
 func (m *Messenger) Serve(ctx context.Context) {
--- a/internal/gossip/messenger_test.go
+++ b/internal/gossip/messenger_test.go
@@ -23,9 +23,9 @@
 		t.Fatal(err)
 	}
 	go messenger.Serve(r.Context)
-	messenger.Post(policy.SendGossip{To: 1, Payload: []byte("hello")})
+	messenger.SendCommand(policy.SendGossip{To: 1, Payload: []byte("hello")})
 	buffer := make([]byte, 300)
-	if err := peer.SetReadDeadline(time.Now().Add(agenttest.Patience)); err != nil {
+	if err := peer.SetReadDeadline(time.Now().Add(agenttest.WaitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	n, from, err := peer.ReadFrom(buffer)
--- a/internal/policy/exposure.go
+++ b/internal/policy/exposure.go
@@ -9,7 +9,7 @@
 	case build > s.build: // not announced yet: as in the first stage
 		return s.plan.Caps[0], 0, true
 	case build == s.build && s.phase != Released:
-		return s.cap, s.stage, true
+		return s.trafficCap, s.stage, true
 	}
 	return 1, len(s.plan.Caps), false
 }
--- a/internal/policy/routing.go
+++ b/internal/policy/routing.go
@@ -18,7 +18,7 @@
 	// reportWeight: some ten reports, as each counts few requests; fleetReportWeight: a hundred of all.
 	// minUtilization: three of one half busy. maxCapacityRatio bounds what reports can make of an endpoint.
 	reportWeight, fleetReportWeight, minUtilization, maxCapacityRatio = 0.1, 0.01, 0.15, 3
-	// crossZoneFactor: at a cost of 0.1 another zone's segments shrink to a fifth. meanCostWeight: the last fifty;
+	// crossZoneFactor: at a cost of 0.1 other zones' segments shrink to 1/5. meanCostWeight: the last fifty;
 	// before them the mean is initialCostShare of the longest latency objective.
 	crossZoneFactor, meanCostWeight, initialCostShare = 40, 0.02, 0.25
 	// hotKeyShare of an endpoint is the most that one key should fill, as its segment carries other keys too.
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -93,7 +93,7 @@
 	plan         RolloutPlan
 	build, stage int
 	phase        Phase
-	cap          float64
+	trafficCap          float64
 	rolledBack   map[int]bool // by build
 }
 
@@ -103,7 +103,7 @@
 		return false
 	}
 	changed := update.Build != s.build || update.Stage != s.stage || update.Phase != s.phase
-	s.build, s.stage, s.phase, s.cap = update.Build, update.Stage, update.Phase, update.Cap
+	s.build, s.stage, s.phase, s.trafficCap = update.Build, update.Stage, update.Phase, update.Cap
 	s.rolledBack[update.Build] = update.Phase == RollingBack || update.Phase == RolledBack
 	return changed
 }
--- a/internal/proxy/admission_gate_test.go
+++ b/internal/proxy/admission_gate_test.go
@@ -32,7 +32,7 @@
 
 // arrive sends a request to the gate and returns the channel of its reply.
 func (g *testAdmission) arrive(id, key uint64) <-chan agent.Reply {
-	request := agent.NewRequest(agenttest.Posting, time.Now().Add(agenttest.Patience), nil)
+	request := agent.NewRequest(agenttest.KeyedRequest, time.Now().Add(agenttest.WaitTimeout), nil)
 	deadline := g.gate.clock.At(request.Deadline)
 	g.gate.mailbox.Put(requestArrival{
 		arrival: admission.Arrival{ID: id, Client: id, Key: key, Deadline: deadline, Bytes: 100},
@@ -101,7 +101,7 @@
 			if r.Rejected || r.Response != nil {
 				t.Errorf("the %s request was answered %+v, want a failure", name, r)
 			}
-		case <-time.After(agenttest.Patience):
+		case <-time.After(agenttest.WaitTimeout):
 			t.Errorf("the %s request was not answered", name)
 		}
 	}
@@ -132,7 +132,7 @@
 			if !r.Rejected {
 				t.Errorf("request %d was answered %+v", id, r)
 			}
-		case <-time.After(agenttest.Patience):
+		case <-time.After(agenttest.WaitTimeout):
 			t.Errorf("request %d was not answered", id)
 		}
 	}
--- a/internal/proxy/client_conn_test.go
+++ b/internal/proxy/client_conn_test.go
@@ -66,7 +66,7 @@
 	client.expectResponse(http.StatusServiceUnavailable, true)
 	client.expectEOF()
 	_ = client.Close()
-	server.assertReleased(t, server.startDrain(t, agenttest.Patience))
+	server.assertReleased(t, server.startDrain(t, agenttest.WaitTimeout))
 }
 
 // A client's disconnection is detected whether or not it sent something before its response.
@@ -82,7 +82,7 @@
 		_ = client.Close()
 		agenttest.Eventually(t, fmt.Sprintf("the disconnection of a client that sent %d bytes early", len(early)),
 			func() bool { return len(agenttest.Events[policy.RequestCancelled](server.Router)) == 1 })
-		server.assertReleased(t, server.startDrain(t, agenttest.Patience))
+		server.assertReleased(t, server.startDrain(t, agenttest.WaitTimeout))
 	}
 }
 
--- a/internal/proxy/client_listener_test.go
+++ b/internal/proxy/client_listener_test.go
@@ -12,7 +12,7 @@
 
 // A client that has its last response and does not close keeps its descriptor only until another client needs it.
 func TestLingeringConnMakesRoom(t *testing.T) {
-	server := newLingeringServer(t, 2, false, 10*agenttest.Patience) // clients get one
+	server := newLingeringServer(t, 2, false, 10*agenttest.WaitTimeout) // clients get one
 	stays := server.dial(t)
 	stays.send("GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: stays\r\nConnection: close\r\n\r\n")
 	stays.expectResponse(http.StatusServiceUnavailable, true)
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -28,7 +28,7 @@
 		rest = append(rest, raw[9:])
 		server.waitForState(t, client, stateReading)
 	}
-	done := server.startDrain(t, agenttest.Patience)
+	done := server.startDrain(t, agenttest.WaitTimeout)
 	quiet.expectEOF()
 	server.waitForListener(t, "closing when empty", func(l *clientListener) bool { return l.closesWhenEmpty })
 	for i, client := range []*testClient{kept, fresh} {
@@ -46,7 +46,7 @@
 	first := server.dial(t)
 	first.send(rawRequest("lookup"))
 	server.waitForState(t, first, stateAwaiting)
-	done := server.startDrain(t, agenttest.Patience)
+	done := server.startDrain(t, agenttest.WaitTimeout)
 	server.waitForListener(t, "closing when empty", func(l *clientListener) bool { return l.closesWhenEmpty })
 	late := server.dial(t)
 	late.send(rawRequest("lookup"))
@@ -98,7 +98,7 @@
 		if err != nil && !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("the drain ended with %v", err)
 		}
-	case <-time.After(agenttest.Patience):
+	case <-time.After(agenttest.WaitTimeout):
 		t.Fatal("the drain does not end")
 	}
 	agenttest.Eventually(t, "the cancellation", func() bool { return len(agenttest.Events[policy.RequestCancelled](server.Router)) == 1 })
--- a/internal/proxy/random_clients_test.go
+++ b/internal/proxy/random_clients_test.go
@@ -122,7 +122,7 @@
 // startDrain does as Drain, without the wait for late arrivals. The channel reports the end.
 func (r *randomClients) startDrain() chan error {
 	proxy := r.server.proxy
-	proxy.drainDeadline = time.Now().Add(agenttest.Patience)
+	proxy.drainDeadline = time.Now().Add(agenttest.WaitTimeout)
 	proxy.isDraining.Store(true)
 	proxy.listener.startDrain()
 	proxy.listener.closeWhenEmpty()
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -53,9 +53,9 @@
 	server.proxy = New(Config{
 		Loop: server.Loop,
 		Classes: []RequestClass{
-			{Name: "lookup", Idempotency: policy.Idempotent, Timeout: agenttest.Patience},
-			{Name: "posting", Idempotency: policy.Keyed, Timeout: agenttest.Patience},
-			{Name: "_health", Idempotency: policy.Idempotent, Timeout: agenttest.Patience},
+			{Name: "lookup", Idempotency: policy.Idempotent, Timeout: agenttest.WaitTimeout},
+			{Name: "posting", Idempotency: policy.Keyed, Timeout: agenttest.WaitTimeout},
+			{Name: "_health", Idempotency: policy.Idempotent, Timeout: agenttest.WaitTimeout},
 		},
 		MaxOpenRequests: 1000,
 		Budget:          server.budget,
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() }) // closed twice where the test has closed it
-	_ = c.SetDeadline(time.Now().Add(agenttest.Patience))
+	_ = c.SetDeadline(time.Now().Add(agenttest.WaitTimeout))
 	return &testClient{c, t, bufio.NewReader(c)}
 }
 
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -18,19 +18,19 @@
 	write := func(what, text string) { fmt.Fprintf(&out, "== %s\n%q\n", what, text) }
 	loop := agent.NewLoop(&agenttest.Router{}, agent.NewClock())
 	address, first := agenttest.Capture(t)
-	client := NewClient(loop, address, time.Second, agenttest.Patience, 1)
+	client := NewClient(loop, address, time.Second, agenttest.WaitTimeout, 1)
 	stream := client.openStream(t.Context(), 0)
 	write("news", first())
 	stream.cancel()
 
 	address, first = agenttest.Capture(t)
-	client = NewClient(loop, address, time.Second, agenttest.Patience, 1)
+	client = NewClient(loop, address, time.Second, agenttest.WaitTimeout, 1)
 	for v := policy.NoVote; v <= policy.RollBack; v++ {
 		sendVote(t.Context(), client.httpClient, client.apiURL, policy.Vote{Build: 42, Stage: 3, Verdict: v})
 		write(fmt.Sprintf("vote %d", v), first())
 	}
 	client.castTimedVote(t.Context(), client.apiURL, TimedVote{
-		Vote: policy.Vote{Build: 43, Stage: 1, Verdict: policy.RollBack}, WriteBefore: time.Now().Add(agenttest.Patience), Resolved: func(bool) {},
+		Vote: policy.Vote{Build: 43, Stage: 1, Verdict: policy.RollBack}, WriteBefore: time.Now().Add(agenttest.WaitTimeout), Resolved: func(bool) {},
 	})
 	write("dated vote", first())
 	golden.Check(t, "requests.golden", out.String())
--- a/internal/rollout/votes_test.go
+++ b/internal/rollout/votes_test.go
@@ -33,7 +33,7 @@
 		return fakes.Respond(fakes.OKResponse(voteReply("0", "0.1", "10")))(c, nth)
 	})
 	r := newRig(t, stream.Addr())
-	r.client.voteTimeout = agenttest.Patience
+	r.client.voteTimeout = agenttest.WaitTimeout
 	go r.client.Serve(r.Context)
 	r.awaitUpdates(t, "the canary stage", 1)
 	go r.client.castVote(r.Context, apiURL(votes.Addr()), policy.Vote{Build: 42, Verdict: policy.Advance})
@@ -114,7 +114,7 @@
 	for name, client := range map[string]*http.Client{
 		"vote": streamclient.NewHTTPClient(dialTimeout, nil), "timed vote": newTimedHTTPClient(dialTimeout),
 	} {
-		ctx, cancel := context.WithTimeout(withWriteDeadline(t.Context(), time.Now().Add(agenttest.Patience)), 200*time.Millisecond)
+		ctx, cancel := context.WithTimeout(withWriteDeadline(t.Context(), time.Now().Add(agenttest.WaitTimeout)), 200*time.Millisecond)
 		url := apiURL(listener.Addr().String())
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader("image=1"))
 		if err != nil {
--- a/internal/upstream/endpoint_test.go
+++ b/internal/upstream/endpoint_test.go
@@ -49,7 +49,7 @@
 		}
 		return nil
 	})
-	request := agent.NewRequest(encoded, time.Now().Add(agenttest.Patience), nil)
+	request := agent.NewRequest(encoded, time.Now().Add(agenttest.WaitTimeout), nil)
 	r.Loop.Admit(policy.RequestArrived{ID: id}, request)
 	return request.Replies()
 }
@@ -59,7 +59,7 @@
 	t.Helper()
 	select {
 	case <-replies:
-	case <-time.After(agenttest.Patience / 2):
+	case <-time.After(agenttest.WaitTimeout / 2):
 		t.Fatal("its attempt still waits for the connection")
 	}
 	r.Loop.Flush(r.Context)
@@ -83,11 +83,11 @@
 		t.Run(name, func(t *testing.T) {
 			server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 			other := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
-			r := agenttest.NewRig(t, agenttest.Patience)
+			r := agenttest.NewRig(t, agenttest.WaitTimeout)
 			dialing, release := holdDials(t, r)
 			before.Dial = server.Addr()
 			r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{before}})
-			replies := sendRequest(r, 1, agenttest.Posting, policy.SendAttempt{})
+			replies := sendRequest(r, 1, agenttest.KeyedRequest, policy.SendAttempt{})
 			<-dialing
 			now := before
 			change(&now, other.Addr())
@@ -98,7 +98,7 @@
 			next := before
 			next.Dial, next.BornMs, next.Build = other.Addr(), 7, 3
 			r.Publish(protocol.List{Seq: 3, Hosts: []protocol.ListEntry{next}})
-			if got := <-sendRequest(r, 2, agenttest.Posting, policy.SendAttempt{}); got.Response == nil {
+			if got := <-sendRequest(r, 2, agenttest.KeyedRequest, policy.SendAttempt{}); got.Response == nil {
 				t.Fatalf("the next request ended as %+v", got)
 			}
 			if first, second := len(server.Requests()), len(other.Requests()); first != 0 || second != 1 {
@@ -112,17 +112,17 @@
 // message is handled late.
 func TestRetryIsNotWrittenAfterWriteBefore(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
-	r := agenttest.NewRig(t, agenttest.Patience)
+	r := agenttest.NewRig(t, agenttest.WaitTimeout)
 	dialing, release := holdDials(t, r)
 	r.PublishOne(server.Addr())
-	replies := sendRequest(r, 1, agenttest.Posting, policy.SendAttempt{WriteBefore: r.Loop.Clock().At(time.Now().Add(30 * time.Millisecond))})
+	replies := sendRequest(r, 1, agenttest.KeyedRequest, policy.SendAttempt{WriteBefore: r.Loop.Clock().At(time.Now().Add(30 * time.Millisecond))})
 	<-dialing
 	wantNotAttempted(t, r, replies)
 	release()
-	if got := <-sendRequest(r, 2, agenttest.Posting, policy.SendAttempt{WriteBefore: r.Loop.Clock().At(time.Now().Add(agenttest.Patience))}); got.Response == nil {
+	if got := <-sendRequest(r, 2, agenttest.KeyedRequest, policy.SendAttempt{WriteBefore: r.Loop.Clock().At(time.Now().Add(agenttest.WaitTimeout))}); got.Response == nil {
 		t.Fatalf("one that is in time ended as %+v", got)
 	}
-	if got := <-sendRequest(r, 3, agenttest.Posting, policy.SendAttempt{WriteBefore: r.Loop.Clock().Now() - 1}); got.Response != nil {
+	if got := <-sendRequest(r, 3, agenttest.KeyedRequest, policy.SendAttempt{WriteBefore: r.Loop.Clock().Now() - 1}); got.Response != nil {
 		t.Error("one that is too late succeeded")
 	}
 	if n := len(server.Requests()); n != 1 {
@@ -139,9 +139,9 @@
 		return fakes.Respond(fakes.OKResponse("first"))(own, nth)
 	})
 	r := agenttest.NewRig(t, time.Second)
-	r.Pool.SetSettleTime(agenttest.Patience)
+	r.Pool.SetSettleTime(agenttest.WaitTimeout)
 	r.PublishOne(server.Addr())
-	if got := <-sendRequest(r, 1, agenttest.Posting, policy.SendAttempt{}); string(got.Response.Body) != "first" {
+	if got := <-sendRequest(r, 1, agenttest.KeyedRequest, policy.SendAttempt{}); string(got.Response.Body) != "first" {
 		t.Fatalf("the first got %q", got.Response.Body)
 	}
 	server.SetHandler(func(own net.Conn, nth int) bool {
@@ -150,7 +150,7 @@
 		}
 		return fakes.Respond(fakes.OKResponse("second"))(own, nth)
 	})
-	if got := <-sendRequest(r, 2, agenttest.Posting, policy.SendAttempt{}); got.Response == nil || string(got.Response.Body) != "second" {
+	if got := <-sendRequest(r, 2, agenttest.KeyedRequest, policy.SendAttempt{}); got.Response == nil || string(got.Response.Body) != "second" {
 		t.Fatalf("the second got %+v", got)
 	}
 }
@@ -159,11 +159,11 @@
 func TestSettlingConnectionReleasesDescriptor(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, time.Second)
-	r.Pool.SetSettleTime(agenttest.Patience)
+	r.Pool.SetSettleTime(agenttest.WaitTimeout)
 	r.Pool.SetBudget(connlimit.NewBudget(1))
 	r.PublishOne(server.Addr())
 	for id := range uint64(3) {
-		if got := <-sendRequest(r, id+1, agenttest.Posting, policy.SendAttempt{}); got.Response == nil {
+		if got := <-sendRequest(r, id+1, agenttest.KeyedRequest, policy.SendAttempt{}); got.Response == nil {
 			t.Fatalf("request %d ended as %+v", id+1, got)
 		}
 	}
@@ -176,7 +176,7 @@
 func TestHealthCheckWhileListChanges(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("{}")))
 	other := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("{}")))
-	r := agenttest.NewRig(t, agenttest.Patience)
+	r := agenttest.NewRig(t, agenttest.WaitTimeout)
 	dialing, release := holdDials(t, r)
 	entry := agenttest.Entry(server.Addr())
 	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{entry}})
@@ -222,7 +222,7 @@
 			})
 			r := agenttest.NewRig(t, time.Second)
 			r.PublishOne(server.Addr())
-			<-sendRequest(r, 1, agenttest.Posting, policy.SendAttempt{})
+			<-sendRequest(r, 1, agenttest.KeyedRequest, policy.SendAttempt{})
 			r.Loop.Flush(context.Background())
 			if results := agenttest.Events[policy.AttemptResult](r.Router); len(results) != 1 || results[0].Outcome != test.want {
 				t.Errorf("ended as %+v, want %v", results, test.want)
@@ -239,7 +239,7 @@
 	r.Pool.SetIdleTimeout(0) // no sweep
 	r.PublishOne(server.Addr())
 	for id := range uint64(2) {
-		if got := <-sendRequest(r, id+1, agenttest.Posting, policy.SendAttempt{}); got.Response == nil {
+		if got := <-sendRequest(r, id+1, agenttest.KeyedRequest, policy.SendAttempt{}); got.Response == nil {
 			t.Fatalf("request %d ended as %+v", id+1, got)
 		}
 	}
@@ -247,7 +247,7 @@
 	const idle = 20 * time.Millisecond
 	r.Pool.SetIdleTimeout(idle)
 	time.Sleep(idle) // the time that has to be over; more does not matter
-	if got := <-sendRequest(r, 3, agenttest.Posting, policy.SendAttempt{}); got.Response == nil {
+	if got := <-sendRequest(r, 3, agenttest.KeyedRequest, policy.SendAttempt{}); got.Response == nil {
 		t.Fatalf("the third ended as %+v", got)
 	}
 	if requests := server.Requests(); len(requests) != 3 || requests[1].Conn != 1 || requests[2].Conn != 2 {
--- a/internal/upstream/results_test.go
+++ b/internal/upstream/results_test.go
@@ -55,7 +55,7 @@
 			server := agenttest.NewScriptedServer(t, test.respond)
 			r := agenttest.NewRig(t, time.Second)
 			r.PublishOne(server.Addr())
-			got := r.Send(t, 1, agenttest.Posting, 400*time.Millisecond)
+			got := r.Send(t, 1, agenttest.KeyedRequest, 400*time.Millisecond)
 			results := agenttest.Events[policy.AttemptResult](r.Router)
 			if len(results) != 1 || results[0].Outcome != test.want || results[0].RequestDone != (test.want == policy.OK || test.want == policy.NotAttempted) {
 				t.Errorf("ended as %+v, want outcome %d", results, test.want)
@@ -89,7 +89,7 @@
 	}{"refused": {time.Second, closed.Addr().String()}, "never came up": {1, agenttest.Listen(t).Addr().String()}} {
 		r := agenttest.NewRig(t, test.dial)
 		r.PublishOne(test.addr)
-		r.Send(t, 1, agenttest.Posting, time.Second)
+		r.Send(t, 1, agenttest.KeyedRequest, time.Second)
 		if results := agenttest.Events[policy.AttemptResult](r.Router); len(results) != 1 || results[0].Outcome != policy.ConnectFailed {
 			t.Errorf("%s: ended as %+v", name, results)
 		}
@@ -102,9 +102,9 @@
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, time.Second)
 	r.PublishOne(server.Addr())
-	r.Send(t, 1, agenttest.Posting, time.Second)
+	r.Send(t, 1, agenttest.KeyedRequest, time.Second)
 	server.SetHandler(fakes.CloseUnanswered)
-	r.Send(t, 2, agenttest.Posting, time.Second)
+	r.Send(t, 2, agenttest.KeyedRequest, time.Second)
 	results, requests := agenttest.Events[policy.AttemptResult](r.Router), server.Requests()
 	if len(requests) != 2 || requests[1].Conn != 1 || results[1].Outcome != policy.ConnectionLost {
 		t.Fatalf("ended as %+v after requests %+v", results, requests)
@@ -112,10 +112,10 @@
 	server.SetHandler(func(conn net.Conn, nth int) bool {
 		return fakes.Respond(fakes.OKResponse("done")+fakes.OKResponse("not asked for"))(conn, nth)
 	})
-	r.Send(t, 3, agenttest.Posting, time.Second)
+	r.Send(t, 3, agenttest.KeyedRequest, time.Second)
 	agenttest.Eventually(t, "the end of a connection with an unrequested response", func() bool { return server.Closed() == 2 })
 	server.SetHandler(fakes.Respond(fakes.OKResponse("done")))
-	if got := r.Send(t, 4, agenttest.Posting, time.Second); got.Response == nil || len(server.Requests()) != 4 || server.Requests()[3].Conn != 3 {
+	if got := r.Send(t, 4, agenttest.KeyedRequest, time.Second); got.Response == nil || len(server.Requests()) != 4 || server.Requests()[3].Conn != 3 {
 		t.Errorf("got %+v after requests %+v", got, server.Requests())
 	}
 }
@@ -137,7 +137,7 @@
 			return err == nil
 		})
 		for id := uint64(1); id <= 50; id++ {
-			got := r.Send(t, id, agenttest.Posting, time.Second)
+			got := r.Send(t, id, agenttest.KeyedRequest, time.Second)
 			if got.Response == nil || string(got.Response.Body) != fmt.Sprint(id) {
 				t.Fatalf("request %d got %+v", id, got)
 			}
@@ -154,11 +154,11 @@
 	entry := agenttest.Entry(before.Addr())
 	entry.Build = 1
 	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{entry}})
-	r.Send(t, 1, agenttest.Posting, time.Second)
+	r.Send(t, 1, agenttest.KeyedRequest, time.Second)
 	entry.Dial, entry.Build = after.Addr(), 2
 	r.Publish(protocol.List{Seq: 2, Hosts: []protocol.ListEntry{entry}})
 	agenttest.Eventually(t, "the end of the old connection", func() bool { return before.Closed() == 1 })
-	r.Send(t, 2, agenttest.Posting, time.Second)
+	r.Send(t, 2, agenttest.KeyedRequest, time.Second)
 	lists := agenttest.Events[policy.EndpointUpdate](r.Router)
 	first, second := lists[0].Endpoints[0], lists[1].Endpoints[0]
 	if len(before.Requests()) != 1 || len(after.Requests()) != 1 || first.ID != second.ID || second.Build != 2 {
@@ -183,7 +183,7 @@
 		}
 		return nil
 	})
-	r.Loop.Admit(policy.RequestArrived{ID: 7}, agent.NewRequest(agenttest.Posting, time.Now().Add(agenttest.Patience), nil))
+	r.Loop.Admit(policy.RequestArrived{ID: 7}, agent.NewRequest(agenttest.KeyedRequest, time.Now().Add(agenttest.WaitTimeout), nil))
 	agenttest.Eventually(t, "the attempt", func() bool { return len(server.Requests()) == 1 })
 	server.SetHandler(fakes.Respond("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"queue\":3}"))
 	r.Loop.Post(policy.RequestCancelled{RequestID: 7})
@@ -206,7 +206,7 @@
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, 100*time.Millisecond)
 	r.PublishOne(server.Addr())
-	if got := r.Send(t, 1, agenttest.Posting, time.Second); got.Response == nil {
+	if got := r.Send(t, 1, agenttest.KeyedRequest, time.Second); got.Response == nil {
 		t.Fatalf("a fresh one got %+v", got)
 	}
 	r.Loop.Flush(r.Context)
@@ -216,7 +216,7 @@
 	defer endpoint.Remove()
 	now := time.Now()
 	for id, age := range map[uint64]time.Duration{2: 0, 3: time.Second} {
-		endpoint.Send(upstream.Attempt{RequestID: id, Encoded: agenttest.Posting, DecidedAt: now.Add(-age), Deadline: now.Add(agenttest.Patience)})
+		endpoint.Send(upstream.Attempt{RequestID: id, Encoded: agenttest.KeyedRequest, DecidedAt: now.Add(-age), Deadline: now.Add(agenttest.WaitTimeout)})
 		agenttest.Eventually(t, "its result", func() bool {
 			for _, e := range agenttest.Events[policy.AttemptResult](r.Router) {
 				if e.RequestID == id {
@@ -246,10 +246,10 @@
 	})
 	var both sync.WaitGroup
 	for id := range uint64(2) {
-		both.Go(func() { r.Send(t, id+1, agenttest.Posting, agenttest.Patience) })
+		both.Go(func() { r.Send(t, id+1, agenttest.KeyedRequest, agenttest.WaitTimeout) })
 	}
 	both.Wait()
 	server.SetHandler(fakes.CloseUnanswered)
-	r.Send(t, 3, agenttest.Posting, time.Second)
+	r.Send(t, 3, agenttest.KeyedRequest, time.Second)
 	agenttest.Eventually(t, "the end of both connections", func() bool { return server.Closed() == 2 })
 }
