--- a/internal/agenttest/servers.go
+++ b/internal/agenttest/servers.go
@@ -50,7 +50,7 @@
 			}
 			raw := make([]byte, maxCapture)
 			_ = conn.SetReadDeadline(time.Now().Add(WaitTimeout)) // fails only on a closed connection, which Read reports
-			n, _ := conn.Read(raw)                             // what came before an error is what counts
+			n, _ := conn.Read(raw)                                // what came before an error is what counts
 			captured <- string(raw[:n])
 			_ = conn.Close() // it is not used any more
 		}
--- a/internal/discovery/endpoint_list_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -27,3 +27,22 @@
 		t.Errorf("%d records are kept", n)
 	}
 }
+
+// Each endpoint of an update has its own list entry beside it, in the order of the hosts' names and without those that can't be read.
+func TestUpdatePairsEndpointsWithEntries(t *testing.T) {
+	publisher := newRig(t, "127.0.0.1:1").client.publisher
+	update := publisher.endpointUpdate(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{
+		{Host: "c", Dial: "127.0.0.1:3", Site: agenttest.Zone, Health: "active", Build: 3},
+		{Host: "b", Dial: "127.0.0.1:2", Site: agenttest.Zone, Health: "unheard of", Build: 2},
+		{Host: "a", Dial: "127.0.0.1:1", Site: agenttest.Zone, Health: "leaving", Build: 1},
+	}})
+	if len(update.Endpoints) != 2 || len(update.Entries) != 2 {
+		t.Fatalf("%d endpoints with %d entries, want 2 of each", len(update.Endpoints), len(update.Entries))
+	}
+	for i, host := range []string{"a", "c"} {
+		endpoint, entry := update.Endpoints[i], update.Entries[i]
+		if entry.Host != host || endpoint.ID != protocol.EndpointID(host) || endpoint.Build != entry.Build {
+			t.Errorf("endpoint %+v stands beside entry %+v, want host %s", endpoint, entry, host)
+		}
+	}
+}
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -93,7 +93,7 @@
 	plan         RolloutPlan
 	build, stage int
 	phase        Phase
-	trafficCap          float64
+	trafficCap   float64
 	rolledBack   map[int]bool // by build
 }
 
--- a/internal/upstream/results_test.go
+++ b/internal/upstream/results_test.go
@@ -215,8 +215,15 @@
 	endpoint.Update(entry)
 	defer endpoint.Remove()
 	now := time.Now()
-	for id, age := range map[uint64]time.Duration{2: 0, 3: time.Second} {
-		endpoint.Send(upstream.Attempt{RequestID: id, Encoded: agenttest.KeyedRequest, DecidedAt: now.Add(-age), Deadline: now.Add(agenttest.WaitTimeout)})
+	// The first attempt leaves a connection that the outdated one would be written to.
+	for _, attempt := range []struct {
+		id  uint64
+		age time.Duration
+	}{{2, 0}, {3, time.Second}} {
+		id := attempt.id
+		endpoint.Send(upstream.Attempt{
+			RequestID: id, Encoded: agenttest.KeyedRequest, DecidedAt: now.Add(-attempt.age), Deadline: now.Add(agenttest.WaitTimeout),
+		})
 		agenttest.Eventually(t, "its result", func() bool {
 			for _, e := range agenttest.Events[policy.AttemptResult](r.Router) {
 				if e.RequestID == id {
