--- a/cmd/switchfork-lab/election.go
+++ b/cmd/switchfork-lab/election.go
@@ -18,7 +18,7 @@
 // guardsByName are the safety guards that the experiment may switch off.
 var guardsByName = map[string]election.DisabledGuards{
 	"":        {},
-	"lease":   {LeaseExpiry: true},
+	"lease":   {LeaseTimeout: true},
 	"record":  {QuorumBeforeCast: true},
 	"wait":    {WaitForEarlierVotes: true},
 	"prevote": {Prevote: true},
--- a/cmd/switchfork/admission.go
+++ b/cmd/switchfork/admission.go
@@ -15,7 +15,7 @@
 // enableAdmission puts the admission control that the operator asks for in front of the event loop.
 func (p *agentProcess) enableAdmission() {
 	opts := p.options.Admission
-	p.admission = proxy.NewAdmissionGate(p.newAdmissionController(opts), p.clock, p.loop)
+	p.admission = proxy.NewAdmissionLoop(p.newAdmissionController(opts), p.clock, p.loop)
 	p.proxy.UseAdmission(p.admission, proxy.ClientKey{Header: opts.Header, Connection: opts.Client == clientIsConnection})
 }
 
--- a/cmd/switchfork/coordinator.go
+++ b/cmd/switchfork/coordinator.go
@@ -81,7 +81,7 @@
 // canCoordinate tells whether this deployment lets one agent vote for all, and logs what is against it.
 func canCoordinate(opts options.Coordinator, peers config.Peers, voting config.Voting) bool {
 	switch {
-	case voting.Rule != policy.AnyVote || voting.VotesToAdvance > 1 || voting.VotesToRollBack > 1:
+	case voting.Rule != policy.AnyVote || voting.VotesToAdvance > 1 || voting.VotesToRollback > 1:
 		slog.Warn("coordinator disabled: the votes of several agents are counted, so that one can't vote for all")
 		return false
 	case opts.Listen == "" && peers.Listen == "":
@@ -113,7 +113,7 @@
 			ClockDrift:     clockDrift,
 			MaxVoteDelay:   voting.CallTimeout + voteProcessingTime.Microseconds(),
 			VoteLifetime:   voting.VoteLifetime,
-			RollBackQuorum: rollbackQuorum,
+			RollbackQuorum: rollbackQuorum,
 		},
 	}, nil
 }
--- a/cmd/switchfork/coordinator_test.go
+++ b/cmd/switchfork/coordinator_test.go
@@ -12,7 +12,7 @@
 
 // A coordinator casts for all only where one vote counts, agents can talk to each other, and they are not too many.
 func TestCanCoordinate(t *testing.T) {
-	anyVote := config.Voting{Rule: policy.AnyVote, Agents: 3, VotesToAdvance: 1, VotesToRollBack: 1}
+	anyVote := config.Voting{Rule: policy.AnyVote, Agents: 3, VotesToAdvance: 1, VotesToRollback: 1}
 	withVoting := func(change func(*config.Voting)) config.Voting {
 		changed := anyVote
 		change(&changed)
@@ -30,7 +30,7 @@
 		"TCP":                      {opts: overTCP, voting: anyVote, want: true},
 		"no way to talk":           {voting: anyVote},
 		"votes to advance counted": {peers: gossip, voting: withVoting(func(v *config.Voting) { v.VotesToAdvance = 2 })},
-		"roll-back votes counted":  {peers: gossip, voting: withVoting(func(v *config.Voting) { v.VotesToRollBack = 2 })},
+		"roll-back votes counted":  {peers: gossip, voting: withVoting(func(v *config.Voting) { v.VotesToRollback = 2 })},
 		"another rule":             {peers: gossip, voting: withVoting(func(v *config.Voting) { v.Rule++ })},
 		"too many agents":          {peers: gossip, voting: withVoting(func(v *config.Voting) { v.Agents = election.MaxReplicas + 1 })},
 		"too many addresses": {
@@ -49,7 +49,7 @@
 func TestReplicaConfig(t *testing.T) {
 	voting := config.Voting{Index: 2, Agents: 3, CallTimeout: 1000, VoteLifetime: 2000}
 	replica, err := replicaConfig(options.Coordinator{Index: -1, Lease: time.Second, Group: "a"}, voting, 5)
-	want := election.Settings{Lease: 1e6, ClockDrift: 0.005, MaxVoteDelay: 501000, VoteLifetime: 2000, RollBackQuorum: 1}
+	want := election.Settings{Lease: 1e6, ClockDrift: 0.005, MaxVoteDelay: 501000, VoteLifetime: 2000, RollbackQuorum: 1}
 	if err != nil || replica.Index != 2 || replica.Members != election.InitialMembers(3) || replica.Settings != want {
 		t.Errorf("of the deployment: %+v, %v", replica, err)
 	}
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -74,7 +74,7 @@
 	rollout     *rollout.Client
 	gossip      *gossip.Messenger
 	proxy       *proxy.Proxy
-	admission   *proxy.AdmissionGate // nil: admission control is off
+	admission   *proxy.AdmissionLoop // nil: admission control is off
 	coordinator *coordinatorWiring   // nil: this agent's votes stand for itself alone
 }
 
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -54,7 +54,7 @@
 		if _, ok := event.(policy.GossipReceived); !ok {
 			return nil
 		}
-		r.Loop.Post(policy.HealthCheckResult{})
+		r.Loop.Enqueue(policy.HealthCheckResult{})
 		publish()
 		return []policy.Command{policy.SetTimer{At: r.Loop.Clock().Now() - 1e6}} // as if that time had passed
 	})
@@ -76,7 +76,7 @@
 	stallOnGossip(r, func() {
 		time.AfterFunc(time.Millisecond, func() { r.Publish(protocol.List{Seq: 1, Whole: true}) })
 	})
-	r.Loop.Post(policy.GossipReceived{})
+	r.Loop.Enqueue(policy.GossipReceived{})
 	wantListBeforeOthers(t, r)
 }
 
@@ -103,7 +103,7 @@
 			go func() { _, _ = io.Copy(io.Discard, near) }() // ends with the connection
 		})
 	})
-	r.Loop.Post(policy.GossipReceived{})
+	r.Loop.Enqueue(policy.GossipReceived{})
 	wantListBeforeOthers(t, r)
 	agenttest.Eventually(t, "a reader that has caught up", func() bool { return !r.Loop.UnreadInput().HasUnread() })
 }
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -51,8 +51,8 @@
 func (EndpointList) isMessage()         {}
 func (Barrier) isMessage()              {}
 
-// Post hands an event to the policy.
-func (l *Loop) Post(event policy.Event) { l.mailbox.Put(policyEvent{event}) }
+// Enqueue hands an event to the policy.
+func (l *Loop) Enqueue(event policy.Event) { l.mailbox.Put(policyEvent{event}) }
 
 // Admit hands a request to the policy and keeps it until it is answered and none of its attempts is in flight.
 func (l *Loop) Admit(event policy.RequestArrived, request *Request) {
--- a/internal/cluster/coordinator/commands.go
+++ b/internal/cluster/coordinator/commands.go
@@ -14,13 +14,13 @@
 		policy.NoVote:   election.NoVote,
 		policy.Advance:  election.Advance,
 		policy.Hold:     election.Hold,
-		policy.RollBack: election.RollBack,
+		policy.Rollback: election.Rollback,
 	}
 	policyVerdicts = map[election.Verdict]policy.Verdict{
 		election.NoVote:   policy.NoVote,
 		election.Advance:  policy.Advance,
 		election.Hold:     policy.Hold,
-		election.RollBack: policy.RollBack,
+		election.Rollback: policy.Rollback,
 	}
 )
 
--- a/internal/cluster/coordinator/commands_test.go
+++ b/internal/cluster/coordinator/commands_test.go
@@ -76,7 +76,7 @@
 	c, _ := newTestCoordinator(nil, Callbacks{UpdateRollout: func(u policy.RolloutUpdate) { updates = append(updates, u) }})
 	update := policy.RolloutUpdate{Build: 4, Stage: 1, Phase: policy.Evaluating, IsVoteReply: true, Cap: 0.5, Age: 9}
 	stopped := policy.RolloutUpdate{Build: 4, Stage: 1, Phase: policy.Evaluating, Age: 9}
-	decision := election.Decision{Build: 4, Stage: 1, Verdict: election.RollBack}
+	decision := election.Decision{Build: 4, Stage: 1, Verdict: election.Rollback}
 	rolloutUpdate{update}.handle(c)
 	if len(updates) != 0 {
 		t.Errorf("before the stop the policy is told %+v", updates)
--- a/internal/cluster/election/acceptor.go
+++ b/internal/cluster/election/acceptor.go
@@ -8,7 +8,7 @@
 	leaseHolder     int
 	leaseUntil      Micros // end of the accepted lease, by this replica's clock
 
-	highestBallotSeen uint64 // of the ballots that Nack and HandOver messages have named
+	highestBallotSeen uint64 // of the ballots that Nack and TransferLease messages have named
 	abstainUntil      Micros // after a restart without durable state
 	// deferredAt is when this replica last postponed its own campaign for a candidate, by that one's number; 0: never.
 	deferredAt []Micros
@@ -39,11 +39,11 @@
 		r.sendNack(from)
 		return
 	}
-	if r.isLeaseHeldByOther(from, m.ReleasedUpTo) || !r.canPromise(from, m.Ballot) {
+	if r.isLeaseHeldByOther(from, m.ReleasedBallot) || !r.canPromise(from, m.Ballot) {
 		return
 	}
 	r.acceptor.highestPromised = m.Ballot
-	r.acceptor.highestReleased = max(r.acceptor.highestReleased, m.ReleasedUpTo)
+	r.acceptor.highestReleased = max(r.acceptor.highestReleased, m.ReleasedBallot)
 	if isRemote {
 		r.deferCampaign(from)
 	}
@@ -92,7 +92,7 @@
 	r.acceptor.highestAccepted = m.Ballot
 	r.acceptor.leaseHolder = from
 	r.acceptor.leaseUntil = r.now + r.settings.Lease
-	if from != r.id && r.leader.leaseUntil > 0 && !r.disabled.LeaseExpiry {
+	if from != r.id && r.leader.leaseUntil > 0 && !r.disabled.LeaseTimeout {
 		r.leader.leaseUntil = 0
 	}
 	r.reply(from, r.withMembers(Message{Kind: Accepted, Ballot: m.Ballot, Record: r.newestRecord}))
@@ -108,8 +108,8 @@
 	r.send(from, Message{Kind: Replicated, Ballot: m.Ballot, Record: m.Record})
 }
 
-// handleHandOver releases the lease of a leader that leaves, and makes way for its successor.
-func (r *Replica) handleHandOver(from int, m Message) {
+// handleTransferLease releases the lease of a leader that leaves, and makes way for its successor.
+func (r *Replica) handleTransferLease(from int, m Message) {
 	// A renewal that others have promised already would otherwise make them reject this replica's next ballot.
 	r.acceptor.highestBallotSeen = max(r.acceptor.highestBallotSeen, m.Ballot)
 	if r.acceptor.leaseHolder != from || r.acceptor.highestAccepted > m.Ballot || r.isAbstaining() {
@@ -117,7 +117,7 @@
 	}
 	r.acceptor.leaseUntil = r.now
 	r.acceptor.highestReleased = max(r.acceptor.highestReleased, m.Ballot)
-	successorBallot := m.ReleasedUpTo
+	successorBallot := m.ReleasedBallot
 	switch successor := ballotOwner(successorBallot); {
 	case successorBallot <= r.acceptor.highestPromised:
 		// Another ballot has come in between: the successor has to be elected.
@@ -125,7 +125,7 @@
 	case successor != r.id:
 		// The successor goes first: two candidates at once hinder each other.
 		r.candidate.nextCampaignAt = r.now + r.campaignJitter()
-		r.handle(successor, r.withMembers(Message{Kind: Prepare, Ballot: successorBallot, ReleasedUpTo: m.Ballot}))
+		r.handle(successor, r.withMembers(Message{Kind: Prepare, Ballot: successorBallot, ReleasedBallot: m.Ballot}))
 	case !r.isLeaving && r.members.Contains(r.id):
 		r.startBallot(successorBallot)
 		// The message carries the promise of the replica that leaves.
--- a/internal/cluster/election/candidate.go
+++ b/internal/cluster/election/candidate.go
@@ -67,12 +67,12 @@
 		nextCampaignAt: r.now + r.campaignJitter(),
 	}
 	r.sendBallot()
-	r.handle(r.id, r.withMembers(Message{Kind: Prepare, Ballot: ballot, ReleasedUpTo: r.acceptor.highestReleased}))
+	r.handle(r.id, r.withMembers(Message{Kind: Prepare, Ballot: ballot, ReleasedBallot: r.acceptor.highestReleased}))
 }
 
 // sendBallot sends the Prepare or the Propose of the present ballot to all other members.
 func (r *Replica) sendBallot() {
-	m := Message{Kind: Prepare, Ballot: r.candidate.ballot, ReleasedUpTo: r.acceptor.highestReleased}
+	m := Message{Kind: Prepare, Ballot: r.candidate.ballot, ReleasedBallot: r.acceptor.highestReleased}
 	if r.candidate.hasProposed {
 		m = Message{Kind: Propose, Ballot: r.candidate.ballot}
 	}
--- a/internal/cluster/election/cluster_test.go
+++ b/internal/cluster/election/cluster_test.go
@@ -7,7 +7,7 @@
 	second        = 1000 * ms
 )
 
-var testSettings = Settings{Lease: 2 * second, ClockDrift: 0.005, MaxVoteDelay: 800 * ms, VoteLifetime: 3 * second, RollBackQuorum: 1}
+var testSettings = Settings{Lease: 2 * second, ClockDrift: 0.005, MaxVoteDelay: 800 * ms, VoteLifetime: 3 * second, RollbackQuorum: 1}
 
 const (
 	clusterSize = 3
@@ -104,7 +104,7 @@
 	}
 	c.isPartitioned[oldLeader] = true
 	partitionedAt := c.now
-	c.recommendByAll(RollBack)
+	c.recommendByAll(Rollback)
 	votesBefore := len(c.votes[oldLeader])
 	c.runUntil(c.now + 4*second)
 	newLeader := c.leader()
@@ -115,10 +115,10 @@
 		t.Errorf("the partitioned leader cast %+v", c.votes[oldLeader][votesBefore:])
 	}
 	for c.now < partitionedAt+12*second && len(c.votes[newLeader]) == 0 {
-		c.recommendByAll(RollBack)
+		c.recommendByAll(Rollback)
 		c.runUntil(c.now + tickInterval)
 	}
-	if len(c.votes[newLeader]) == 0 || c.votes[newLeader][0].Verdict != RollBack {
+	if len(c.votes[newLeader]) == 0 || c.votes[newLeader][0].Verdict != Rollback {
 		t.Fatalf("the new leader cast %+v, want a rollback", c.votes[newLeader])
 	}
 	if c.now < partitionedAt+testSettings.VoteLifetime+testSettings.MaxVoteDelay {
@@ -160,9 +160,9 @@
 	c := newCluster(false)
 	c.runUntil(electionDone)
 	leader := c.leader()
-	c.recommend(leader, RollBack)
+	c.recommend(leader, Rollback)
 	startedAt := c.now
-	for verdict := Advance; c.now < startedAt+testSettings.VoteLifetime; verdict = Advance + RollBack - verdict {
+	for verdict := Advance; c.now < startedAt+testSettings.VoteLifetime; verdict = Advance + Rollback - verdict {
 		c.recommend(leader, verdict)
 		c.runUntil(c.now + 100*ms)
 	}
@@ -171,11 +171,11 @@
 		t.Fatalf("%d votes in a vote's lifetime, want 1 to 3", len(votes))
 	}
 	for _, vote := range votes {
-		if vote.Verdict != RollBack {
+		if vote.Verdict != Rollback {
 			t.Errorf("cast %+v during the lifetime of a rollback", vote)
 		}
 	}
-	for c.now < startedAt+3*testSettings.VoteLifetime && c.lastVerdict(leader) == RollBack {
+	for c.now < startedAt+3*testSettings.VoteLifetime && c.lastVerdict(leader) == Rollback {
 		c.recommend(leader, Advance)
 		c.runUntil(c.now + 100*ms)
 	}
@@ -188,18 +188,18 @@
 func TestRollbackRecommendationBlocksAdvance(t *testing.T) {
 	c := newCluster(false)
 	for _, replica := range c.replicas {
-		replica.settings.RollBackQuorum = 2
+		replica.settings.RollbackQuorum = 2
 	}
 	c.runUntil(electionDone)
 	leader := c.leader()
-	c.recommend((leader+1)%clusterSize, RollBack)
+	c.recommend((leader+1)%clusterSize, Rollback)
 	c.recommend(leader, Advance)
 	if len(c.votes[leader]) != 0 {
 		t.Errorf("cast %+v against a recommendation to roll back", c.votes[leader])
 	}
-	c.recommend((leader+2)%clusterSize, RollBack)
+	c.recommend((leader+2)%clusterSize, Rollback)
 	c.runUntil(c.now + 100*ms)
-	if got := c.lastVerdict(leader); got != RollBack {
+	if got := c.lastVerdict(leader); got != Rollback {
 		t.Errorf("with two of two recommendations to roll back, the last verdict cast is %v", got)
 	}
 }
--- a/internal/cluster/election/decision.go
+++ b/internal/cluster/election/decision.go
@@ -8,7 +8,7 @@
 	NoVote Verdict = iota
 	Advance
 	Hold
-	RollBack
+	Rollback
 )
 
 func (v Verdict) String() string { return [...]string{"none", "on", "hold", "back"}[v] }
--- a/internal/cluster/election/golden_test.go
+++ b/internal/cluster/election/golden_test.go
@@ -169,7 +169,7 @@
 		{},
 		{},
 		{},
-		{LeaseExpiry: true},
+		{LeaseTimeout: true},
 		{QuorumBeforeCast: true},
 		{WaitForEarlierVotes: true},
 		{Prevote: true},
--- a/internal/cluster/election/leader.go
+++ b/internal/cluster/election/leader.go
@@ -16,7 +16,7 @@
 
 // expireLeadership ends a leadership whose lease is over.
 func (r *Replica) expireLeadership() {
-	if r.leader.leaseUntil > 0 && r.now >= r.leader.leaseUntil && !r.disabled.LeaseExpiry {
+	if r.leader.leaseUntil > 0 && r.now >= r.leader.leaseUntil && !r.disabled.LeaseTimeout {
 		r.leader.leaseUntil = 0
 		r.votes.pending = Record{}
 	}
@@ -42,5 +42,5 @@
 	a.highestPromised = nextBallot(max(a.highestPromised, r.candidate.ballot, a.highestBallotSeen), successor)
 	a.highestReleased = max(a.highestReleased, r.candidate.ballot)
 	a.leaseUntil = r.now
-	r.broadcast(r.withMembers(Message{Kind: HandOver, Ballot: r.candidate.ballot, ReleasedUpTo: a.highestPromised, Record: r.newestRecord}))
+	r.broadcast(r.withMembers(Message{Kind: TransferLease, Ballot: r.candidate.ballot, ReleasedBallot: a.highestPromised, Record: r.newestRecord}))
 }
--- a/internal/cluster/election/members.go
+++ b/internal/cluster/election/members.go
@@ -153,7 +153,7 @@
 	r.members = members
 	r.candidate.abandon()
 	r.membership.isStamped = false
-	if r.leader.leaseUntil > 0 && !r.disabled.LeaseExpiry && members.Term != r.leader.term {
+	if r.leader.leaseUntil > 0 && !r.disabled.LeaseTimeout && members.Term != r.leader.term {
 		r.leader.leaseUntil = 0
 	}
 }
--- a/internal/cluster/election/message.go
+++ b/internal/cluster/election/message.go
@@ -12,7 +12,7 @@
 	Replicate                        // asks to remember the record
 	Replicated                       // acknowledges the record
 	Recommend                        // carries the verdict that the sender's release analyzer recommends
-	HandOver                         // releases the lease and appoints the successor
+	TransferLease                    // releases the lease and appoints the successor
 	Nack                             // rejects a ballot: names the higher one that was promised, or newer members
 	CommitMembers                    // asks to remember the members
 	MembersCommitted                 // acknowledges the members
@@ -26,10 +26,10 @@
 type Message struct {
 	Kind   Kind
 	Ballot uint64
-	// ReleasedUpTo, of a Prepare, is the ballot up to which leases were given up by their holders; of a HandOver, the ballot that
+	// ReleasedBallot, of a Prepare, is the ballot up to which leases were given up by their holders; of a TransferLease, the ballot that
 	// the leaving leader has promised to its successor.
-	ReleasedUpTo   uint64
-	Record         Record   // of a Promise, Accepted, Replicate, Replicated, HandOver or CommitMembers
+	ReleasedBallot uint64
+	Record         Record   // of a Promise, Accepted, Replicate, Replicated, TransferLease or CommitMembers
 	Recommendation Decision // of a Recommend
 	Members        Members  // that the sender knows; of all kinds but Recommend, Replicate and Replicated
 }
--- a/internal/cluster/election/recommendation.go
+++ b/internal/cluster/election/recommendation.go
@@ -25,8 +25,8 @@
 	own := r.recommendations[r.id]
 	isOnStage := own.Build == r.rollout.build && own.Stage == r.rollout.stage
 	switch {
-	case rollbacks >= max(1, r.settings.RollBackQuorum):
-		return RollBack
+	case rollbacks >= max(1, r.settings.RollbackQuorum):
+		return Rollback
 	case !isOnStage, rollbacks > 0 && own.Verdict == Advance:
 		return NoVote
 	}
@@ -49,7 +49,7 @@
 
 // rollbackOfStage is the decision to roll the present stage back.
 func (r *Replica) rollbackOfStage() Decision {
-	return Decision{Build: r.rollout.build, Stage: r.rollout.stage, Verdict: RollBack}
+	return Decision{Build: r.rollout.build, Stage: r.rollout.stage, Verdict: Rollback}
 }
 
 // updateSelfStop decides what this replica may do without a leader. A leader that appears does not lift the stop: it will roll
--- a/internal/cluster/election/replica.go
+++ b/internal/cluster/election/replica.go
@@ -52,7 +52,7 @@
 		r.restore(*durableState)
 	}
 	r.lastPersisted = r.durableState()
-	if isFresh && !disabled.LeaseExpiry {
+	if isFresh && !disabled.LeaseTimeout {
 		// A leader that this replica has accepted may cast for one more lease, and its votes count for the window after; what
 		// this replica knew of it is lost.
 		r.acceptor.abstainUntil = now + settings.driftUpperBound(settings.Lease+settings.MaxVoteDelay+settings.VoteLifetime)
@@ -90,7 +90,7 @@
 
 // IsLeader reports whether this replica may cast votes now.
 func (r *Replica) IsLeader(now Micros) bool {
-	return now < r.leader.leaseUntil || r.disabled.LeaseExpiry && r.leader.leaseUntil > 0
+	return now < r.leader.leaseUntil || r.disabled.LeaseTimeout && r.leader.leaseUntil > 0
 }
 
 // Term returns the ballot by which this replica got its leadership, 0 without one.
@@ -203,8 +203,8 @@
 		r.handleReplicated(from, m)
 	case Recommend:
 		r.handleRecommend(from, m)
-	case HandOver:
-		r.handleHandOver(from, m)
+	case TransferLease:
+		r.handleTransferLease(from, m)
 	case Nack:
 		r.handleNack(m)
 	case CommitMembers:
@@ -217,7 +217,7 @@
 // beginCall starts a call at a time. A gap of half a lease between two calls counts as a lost leadership: what happened during
 // it is not known yet.
 func (r *Replica) beginCall(now Micros) {
-	if now-r.now > r.settings.Lease/2 && !r.disabled.LeaseExpiry {
+	if now-r.now > r.settings.Lease/2 && !r.disabled.LeaseTimeout {
 		r.leader.leaseUntil = 0
 	}
 	r.now = max(r.now, now)
--- a/internal/cluster/election/selfstop_test.go
+++ b/internal/cluster/election/selfstop_test.go
@@ -18,7 +18,7 @@
 // the analyzer asks for something else. While another replica leads it leaves that to the leader.
 func TestSelfStopWithoutLeader(t *testing.T) {
 	replica := New(0, InitialMembers(clusterSize), nil, testSettings, DisabledGuards{}, false, second, 1)
-	rollback := Decision{Build: 8, Stage: 1, Verdict: RollBack}
+	rollback := Decision{Build: 8, Stage: 1, Verdict: Rollback}
 	var stops []SelfStop
 	stops = append(stops, selfStops(replica.UpdateRollout(second, rollback.Build, rollback.Stage, true))...)
 	stops = append(stops, selfStops(replica.Recommend(second, Decision{Build: 8, Stage: 1, Verdict: Advance}))...)
@@ -38,7 +38,7 @@
 		if replica.IsLeader(c.now) {
 			continue
 		}
-		for _, stop := range selfStops(replica.Recommend(c.now, Decision{Build: 1, Stage: 0, Verdict: RollBack})) {
+		for _, stop := range selfStops(replica.Recommend(c.now, Decision{Build: 1, Stage: 0, Verdict: Rollback})) {
 			t.Errorf("replica %d commands %+v while another leads", i, stop)
 		}
 	}
--- a/internal/cluster/election/settings.go
+++ b/internal/cluster/election/settings.go
@@ -9,13 +9,13 @@
 	ClockDrift     float64 // bounds how much faster or slower any clock runs, as a fraction
 	MaxVoteDelay   Micros  // a vote that was written takes effect within this time, or never
 	VoteLifetime   Micros  // how long a vote counts after it took effect
-	RollBackQuorum int     // how many replicas have to recommend a rollback
+	RollbackQuorum int     // how many replicas have to recommend a rollback
 }
 
 // DisabledGuards switches safety guards off, so that a checker can be seen to find what they prevent.
 type DisabledGuards struct {
-	// LeaseExpiry: a leader stops casting when its lease is over or when it may have paused, as another may lead by then.
-	LeaseExpiry bool
+	// LeaseTimeout: a leader stops casting when its lease is over or when it may have paused, as another may lead by then.
+	LeaseTimeout bool
 	// QuorumBeforeCast: a vote is cast only after a quorum knows its record, so that the next leader knows it.
 	QuorumBeforeCast bool
 	// WaitForEarlierVotes: a contrary vote waits until earlier ones can't count any more.
--- a/internal/cluster/election/votelog.go
+++ b/internal/cluster/election/votelog.go
@@ -109,7 +109,7 @@
 func (r *Replica) castPending() {
 	writeBefore := r.leader.leaseUntil - r.settings.driftUpperBound(r.settings.retryInterval())
 	isReplicated := r.hasQuorum(r.votes.replicatedTo) || r.disabled.QuorumBeforeCast
-	isInTime := r.now < writeBefore || r.disabled.LeaseExpiry
+	isInTime := r.now < writeBefore || r.disabled.LeaseTimeout
 	if !isReplicated || !isInTime {
 		return
 	}
@@ -147,7 +147,7 @@
 	switch {
 	case !r.votes.hasCastOn(wanted) || last.Verdict == wanted.Verdict:
 		return false
-	case last.Verdict == RollBack && wanted.Verdict == Advance:
+	case last.Verdict == Rollback && wanted.Verdict == Advance:
 		// Evidence may alternate, votes may not: a build that was to be rolled back advances only when that vote's lifetime is
 		// over, if at all.
 		return r.now < r.votes.lastCastAt+r.settings.effectWindow()
--- a/internal/cluster/storage/golden_test.go
+++ b/internal/cluster/storage/golden_test.go
@@ -14,7 +14,7 @@
 // goldenState is what the file of testdata holds; an earlier version of the program wrote it.
 var goldenState = election.DurableState{
 	Promised: 0x0b02, Accepted: 0x0a01, Released: 0x0901, LeaseHolder: 2,
-	Newest:  election.Record{Term: 0x0a01, Index: 7, Decision: election.Decision{Build: 42, Stage: 3, Verdict: election.RollBack}, Prior: election.Advance},
+	Newest:  election.Record{Term: 0x0a01, Index: 7, Decision: election.Decision{Build: 42, Stage: 3, Verdict: election.Rollback}, Prior: election.Advance},
 	Members: election.Members{Term: 0x0801, Version: 4, Mask: 0b10111},
 }
 
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -29,7 +29,7 @@
 	From           uint8
 	Kind           election.Kind
 	Ballot         uint64
-	ReleasedUpTo   uint64
+	ReleasedBallot uint64
 	Record         election.Record
 	Recommendation election.Decision
 	Members        election.Members
@@ -56,7 +56,7 @@
 		From:           uint8(from),
 		Kind:           m.Kind,
 		Ballot:         m.Ballot,
-		ReleasedUpTo:   m.ReleasedUpTo,
+		ReleasedBallot: m.ReleasedBallot,
 		Record:         m.Record,
 		Recommendation: m.Recommendation,
 		Members:        m.Members,
@@ -100,16 +100,16 @@
 func (f frame) isValid() bool {
 	return f.From < election.MaxReplicas &&
 		f.Kind.IsValid() &&
-		f.Record.Verdict <= election.RollBack &&
-		f.Record.Prior <= election.RollBack &&
-		f.Recommendation.Verdict <= election.RollBack
+		f.Record.Verdict <= election.Rollback &&
+		f.Record.Prior <= election.Rollback &&
+		f.Recommendation.Verdict <= election.Rollback
 }
 
 func (f frame) message() election.Message {
 	return election.Message{
 		Kind:           f.Kind,
 		Ballot:         f.Ballot,
-		ReleasedUpTo:   f.ReleasedUpTo,
+		ReleasedBallot: f.ReleasedBallot,
 		Record:         f.Record,
 		Recommendation: f.Recommendation,
 		Members:        f.Members,
--- a/internal/cluster/transport/frame_test.go
+++ b/internal/cluster/transport/frame_test.go
@@ -14,9 +14,9 @@
 	verdict := func(label string) election.Verdict { return election.Verdict(rapid.IntRange(0, 3).Draw(t, label)) }
 	number := rapid.Int32()
 	return election.Message{
-		Kind:         election.Kind(rapid.IntRange(int(election.Prepare), int(election.MembersCommitted)).Draw(t, "kind")),
-		Ballot:       rapid.Uint64().Draw(t, "ballot"),
-		ReleasedUpTo: rapid.Uint64().Draw(t, "released up to"),
+		Kind:           election.Kind(rapid.IntRange(int(election.Prepare), int(election.MembersCommitted)).Draw(t, "kind")),
+		Ballot:         rapid.Uint64().Draw(t, "ballot"),
+		ReleasedBallot: rapid.Uint64().Draw(t, "released up to"),
 		Record: election.Record{
 			Term:     rapid.Uint64().Draw(t, "term"),
 			Index:    rapid.Uint32().Draw(t, "index"),
@@ -64,7 +64,7 @@
 
 // Any bytes are decoded without a panic, and what is accepted encodes to the same bytes.
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(7, 2, election.Message{Kind: election.HandOver, Ballot: 513, ReleasedUpTo: 770}))
+	f.Add(Encode(7, 2, election.Message{Kind: election.TransferLease, Ballot: 513, ReleasedBallot: 770}))
 	f.Add([]byte{0xa7, 0xc0, 0xd1, 0x5f})
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -52,7 +52,7 @@
 	keyVotingRule        = "FamilyInfo.VoteMode"
 	keyVoteLifetime      = "FamilyInfo.VoteStandsMs"
 	keyVotesToAdvance    = "FamilyInfo.VotesToGo"
-	keyVotesToRollBack   = "FamilyInfo.NoesNeeded"
+	keyVotesToRollback   = "FamilyInfo.NoesNeeded"
 	keyCallTimeout       = "FamilyInfo.CallTimeoutMs"
 	keyCallsPerSecond    = "FamilyInfo.ApiRate"
 	keyMetricsInterval   = "FamilyInfo.TallyEveryMs"
--- a/internal/config/voting.go
+++ b/internal/config/voting.go
@@ -10,7 +10,7 @@
 	Index, Agents             int
 	Rule                      policy.VotingRule
 	VotesToAdvance            int
-	VotesToRollBack           int
+	VotesToRollback           int
 	CallTimeout, VoteLifetime policy.Micros
 }
 
@@ -20,7 +20,7 @@
 		Index:           s.integer(keyAgentIndex),
 		Agents:          s.integer(keyAgentCount),
 		VotesToAdvance:  s.integer(keyVotesToAdvance),
-		VotesToRollBack: s.integer(keyVotesToRollBack),
+		VotesToRollback: s.integer(keyVotesToRollback),
 		CallTimeout:     s.micros(keyCallTimeout),
 		VoteLifetime:    s.micros(keyVoteLifetime),
 		Rule:            s.votingRule(),
@@ -41,7 +41,7 @@
 		CallTimeout:     s.micros(keyCallTimeout),
 		CallsPerSecond:  s.float(keyCallsPerSecond),
 		VotesToAdvance:  s.integer(keyVotesToAdvance),
-		VotesToRollBack: s.integer(keyVotesToRollBack),
+		VotesToRollback: s.integer(keyVotesToRollback),
 		Rule:            s.votingRule(),
 		MetricsInterval: s.metricsInterval(),
 	}
--- a/internal/faulttest/netfault/relayed_conn.go
+++ b/internal/faulttest/netfault/relayed_conn.go
@@ -231,14 +231,9 @@
 	var pending *segment
 	for {
 		fault, version, changed := d.link.Fault()
-		if fault.Refuse || state.swallowedBytes && !fault.Blackhole {
-			d.link.recordFaultHit()
-			d.conn.reset()
+		if !d.survives(fault, version, &state) {
 			return
 		}
-		if version != state.faultVersion {
-			state.faultVersion, state.bytesUntilReset = version, fault.ResetAfterBytes
-		}
 		incoming := d.segments
 		var due <-chan time.Time
 		switch {
@@ -272,6 +267,20 @@
 	}
 }
 
+// survives resets the connection where a fault refuses it or bytes were swallowed by one that is over, and returns false then. It takes
+// over the byte count of a new fault.
+func (d *direction) survives(fault Fault, version int, state *writerState) bool {
+	if fault.Refuse || state.swallowedBytes && !fault.Blackhole {
+		d.link.recordFaultHit()
+		d.conn.reset()
+		return false
+	}
+	if version != state.faultVersion {
+		state.faultVersion, state.bytesUntilReset = version, fault.ResetAfterBytes
+	}
+	return true
+}
+
 // deliver writes one segment; false ends the direction.
 func (d *direction) deliver(s segment, fault Fault, state *writerState) bool {
 	if fault.Blackhole {
--- a/internal/gossip/messenger.go
+++ b/internal/gossip/messenger.go
@@ -131,6 +131,6 @@
 		if m.interceptor != nil && m.interceptor(slices.Clone(buffer[:size])) {
 			continue
 		}
-		m.loop.Post(policy.GossipReceived{From: from, Payload: slices.Clone(buffer[:size])})
+		m.loop.Enqueue(policy.GossipReceived{From: from, Payload: slices.Clone(buffer[:size])})
 	}
 }
--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -84,7 +84,7 @@
 	CallTimeout     Micros // longest wait for the answer to a vote
 	CallsPerSecond  float64
 	VotesToAdvance  int    // votes that advance a stage
-	VotesToRollBack int    // votes that roll a build back
+	VotesToRollback int    // votes that roll a build back
 	MetricsInterval Micros // how often the rollout controller reports what it counted over all agents; 0: never
 }
 
@@ -252,7 +252,7 @@
 	NoVote Verdict = iota
 	Advance
 	Hold
-	RollBack
+	Rollback
 )
 
 // Command is one of the command types below, from SendAttempt to LogMessage. Only this package can add another.
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -28,9 +28,9 @@
 	cell := RequestClass{Idempotency: Keyed, DedupScope: DedupCell, DedupWindow: 800 * millisecond, LatencyObjective: 250 * millisecond, Timeout: 1000 * millisecond, PriorityWeight: 2}
 	caps := []float64{0.05, 0.3, 1}
 	all := []RequestClass{idempotent, keyed, zoned, nonIdempotent, cell}
-	votes := VotingRules{Rule: AnyVote, VoteLifetime: 4 * second, CallTimeout: 800 * millisecond, CallsPerSecond: 20, VotesToAdvance: 1, VotesToRollBack: 1}
+	votes := VotingRules{Rule: AnyVote, VoteLifetime: 4 * second, CallTimeout: 800 * millisecond, CallsPerSecond: 20, VotesToAdvance: 1, VotesToRollback: 1}
 	share, timed := votes, votes
-	share.Rule, share.VotesToAdvance, share.VotesToRollBack, share.MetricsInterval = VoteShare, 4, 3, 1*second
+	share.Rule, share.VotesToAdvance, share.VotesToRollback, share.MetricsInterval = VoteShare, 4, 3, 1*second
 	timed.Rule = TimedStages
 	window := ExposureLimit{Window: 4 * second, Allowance: 3}
 	byClass := ExposureLimit{Window: 2 * second, Allowance: 1, PerClass: true}
@@ -351,7 +351,7 @@
 		fmt.Fprintf(&out, "line %d: %x\n", i, appendOutcome(nil, outcome))
 	}
 	a := &releaseAnalyzer{rolloutState: rolloutState{build: 300, stage: 4}}
-	for verdict := NoVote; verdict <= RollBack; verdict++ {
+	for verdict := NoVote; verdict <= Rollback; verdict++ {
 		fmt.Fprintf(&out, "word %d: %x\n", verdict, a.encodeVerdict(verdict))
 	}
 	for _, id := range []uint32{0, 1, 77, 0xffffffff} {
--- a/internal/policy/gossip.go
+++ b/internal/policy/gossip.go
@@ -107,10 +107,10 @@
 
 // panelVerdict is what a majority of the evaluators hold of this stage, as far as their messages are recent.
 func (a *releaseAnalyzer) panelVerdict() (Verdict, bool) {
-	var votes [RollBack + 1]int
+	var votes [Rollback + 1]int
 	for _, peer := range a.peerVerdicts {
-		isOfStage := peer.build == a.build && (peer.stage == a.stage || peer.verdict == RollBack)
-		if isOfStage && peer.verdict <= RollBack && a.now-peer.receivedAt < verdictLifetime {
+		isOfStage := peer.build == a.build && (peer.stage == a.stage || peer.verdict == Rollback)
+		if isOfStage && peer.verdict <= Rollback && a.now-peer.receivedAt < verdictLifetime {
 			votes[max(0, peer.verdict)]++
 		}
 	}
--- a/internal/policy/scenario_events_test.go
+++ b/internal/policy/scenario_events_test.go
@@ -155,7 +155,7 @@
 		s.handle(GossipReceived{From: s.agentIndex(words[0]), Payload: payload})
 	case "word": // EVALUATOR BUILD STAGE VERDICT: a verdict; a number past the panel is another agent
 		from := s.agentIndex(words[0])
-		verdict := map[string]Verdict{"none": NoVote, "on": Advance, "back": RollBack, "9": 9}[words[3]]
+		verdict := map[string]Verdict{"none": NoVote, "on": Advance, "back": Rollback, "9": 9}[words[3]]
 		build, stage := byte(s.number(words[1])), byte(s.number(words[2]))
 		payload := []byte{build, 0, 0, 0, stage, byte(verdict), verdictRecord, 0, 0, 0}
 		s.handle(GossipReceived{From: from, Payload: payload})
--- a/internal/policy/scenario_test.go
+++ b/internal/policy/scenario_test.go
@@ -165,7 +165,7 @@
 		VotingRules{
 			Rule: votingRules[given["ballot"]], VoteLifetime: s.duration(given, "stands", 4000),
 			MetricsInterval: s.duration(given, "tally", 0), CallsPerSecond: s.option(given, "calls", 0),
-			VotesToAdvance: s.count(given, "togo", 0), VotesToRollBack: s.count(given, "togoback", 1),
+			VotesToAdvance: s.count(given, "togo", 0), VotesToRollback: s.count(given, "togoback", 1),
 		},
 		ExposureLimit{
 			Window: s.duration(given, "window", 4000), Allowance: s.option(given, "free", 3), PerClass: given["byproduct"] != "",
--- a/internal/policy/voting.go
+++ b/internal/policy/voting.go
@@ -48,15 +48,15 @@
 	})
 }
 
-// rollBackThreshold is higher for one of many who decide alone, and lower where many must agree.
-func (a *releaseAnalyzer) rollBackThreshold() float64 {
+// rollbackThreshold is higher for one of many who decide alone, and lower where many must agree.
+func (a *releaseAnalyzer) rollbackThreshold() float64 {
 	switch {
 	case a.isEvaluator:
 		return decisionThreshold // its verdict decides for all
 	case a.evaluators != nil, a.usesReports():
 		return decisionThreshold + math.Log(float64(a.agentCount))
 	}
-	return max(holdThreshold, decisionThreshold-math.Log(float64(max(1, a.votingRules.VotesToRollBack))))
+	return max(holdThreshold, decisionThreshold-math.Log(float64(max(1, a.votingRules.VotesToRollback))))
 }
 
 // evidenceVerdict is the verdict without regard to the time.
@@ -65,8 +65,8 @@
 	switch {
 	case a.build == 0 || a.rolledBack[a.build]:
 		return NoVote
-	case a.mustRollBack(ratio):
-		return RollBack
+	case a.mustRollback(ratio):
+		return Rollback
 	case a.phase != Evaluating:
 		return NoVote
 	case isTimed && ratio > holdThreshold:
@@ -78,11 +78,11 @@
 	return Advance
 }
 
-func (a *releaseAnalyzer) mustRollBack(ratio float64) bool {
-	minCount := minOutcomes / max(1, a.votingRules.VotesToRollBack)
+func (a *releaseAnalyzer) mustRollback(ratio float64) bool {
+	minCount := minOutcomes / max(1, a.votingRules.VotesToRollback)
 	isSlowdown := !a.isEstablished() && a.decidesItself() && a.slowdownTime >= slowdownRollsBack
 	isReported := a.usesReports() && a.reportedRatio >= decisionThreshold && ratio >= holdThreshold
-	return a.outcomeCount >= minCount && ratio >= a.rollBackThreshold() || isReported || isSlowdown
+	return a.outcomeCount >= minCount && ratio >= a.rollbackThreshold() || isReported || isSlowdown
 }
 
 func (a *releaseAnalyzer) isPausedBySlowdown() bool {
@@ -103,7 +103,7 @@
 	panelVerdict, hasPanelVerdict := a.panelVerdict()
 	if a.isEvaluator {
 		a.announceVerdict(verdict)
-	} else if hasPanelVerdict && verdict != RollBack {
+	} else if hasPanelVerdict && verdict != Rollback {
 		verdict = panelVerdict
 	}
 	if verdict != Advance {
--- a/internal/protocol/vote.go
+++ b/internal/protocol/vote.go
@@ -14,7 +14,7 @@
 	policy.NoVote:   "clear",
 	policy.Advance:  "approve",
 	policy.Hold:     "wait",
-	policy.RollBack: "reject",
+	policy.Rollback: "reject",
 }
 
 // The rollout controller's error codes.
--- a/internal/proxy/admission_gate.go
+++ b/internal/proxy/admission_loop.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// summaryInterval is how often the log gets a summary of the admission gate, while there is anything to report.
+	// summaryInterval is how often the log gets a summary of the admission loop, while there is anything to report.
 	summaryInterval = 10 * time.Second
-	// idleTimerInterval is what the gate's timer is set to while the controller has set none.
+	// idleTimerInterval is what the admission loop's timer is set to while the controller has set none.
 	idleTimerInterval = time.Hour
 )
 
-// AdmissionGate drives an admission controller: it holds requests back until the controller admits them to the event loop, rejects
+// AdmissionLoop drives an admission controller: it holds requests back until the controller admits them to the event loop, rejects
 // them, or has them answered with the reply of the request that they repeat.
 //
 // The goroutine that runs Serve owns all its state. The other methods may be called by any goroutine.
-type AdmissionGate struct {
+type AdmissionLoop struct {
 	controller *admission.Controller
 	clock      agent.Clock
 	loop       *agent.Loop
@@ -31,9 +31,9 @@
 	lastLogged AdmissionStatus
 }
 
-// NewAdmissionGate makes a gate before an event loop.
-func NewAdmissionGate(controller *admission.Controller, clock agent.Clock, loop *agent.Loop) *AdmissionGate {
-	return &AdmissionGate{
+// NewAdmissionLoop makes an admission loop in front of an event loop.
+func NewAdmissionLoop(controller *admission.Controller, clock agent.Clock, loop *agent.Loop) *AdmissionLoop {
+	return &AdmissionLoop{
 		controller: controller,
 		clock:      clock,
 		loop:       loop,
@@ -44,7 +44,7 @@
 }
 
 // Serve handles messages and timers until the context ends.
-func (g *AdmissionGate) Serve(ctx context.Context) {
+func (g *AdmissionLoop) Serve(ctx context.Context) {
 	timer := time.NewTimer(idleTimerInterval)
 	summaries := time.NewTicker(summaryInterval)
 	defer summaries.Stop()
@@ -70,7 +70,7 @@
 }
 
 // untilNextTimer returns how long the controller may be left alone while no message comes.
-func (g *AdmissionGate) untilNextTimer() time.Duration {
+func (g *AdmissionLoop) untilNextTimer() time.Duration {
 	next := g.controller.NextTimer()
 	if next <= 0 {
 		return idleTimerInterval
@@ -78,7 +78,7 @@
 	return max(0, time.Duration(next-g.clock.Now())*time.Microsecond)
 }
 
-func (g *AdmissionGate) handle(message admissionMessage) {
+func (g *AdmissionLoop) handle(message admissionMessage) {
 	now := g.clock.Now()
 	switch m := message.(type) {
 	case requestArrival:
@@ -104,9 +104,9 @@
 }
 
 // cancel takes a request back. The event loop reports an admitted one as finished when nothing of it is in flight any more.
-func (g *AdmissionGate) cancel(now policy.Micros, id uint64) {
+func (g *AdmissionLoop) cancel(now policy.Micros, id uint64) {
 	if g.inProgress[id] {
-		g.loop.Post(policy.RequestCancelled{RequestID: id})
+		g.loop.Enqueue(policy.RequestCancelled{RequestID: id})
 		return
 	}
 	g.remove(id)
@@ -114,7 +114,7 @@
 }
 
 // execute carries the controller's commands out.
-func (g *AdmissionGate) execute(commands []admission.Command) {
+func (g *AdmissionLoop) execute(commands []admission.Command) {
 	for _, command := range commands {
 		switch command.Kind {
 		case admission.Admit:
@@ -132,7 +132,7 @@
 }
 
 // admit hands a request to the event loop, which reports back its first attempt and its end.
-func (g *AdmissionGate) admit(id uint64) {
+func (g *AdmissionLoop) admit(id uint64) {
 	admitted := g.waiting[id]
 	delete(g.waiting, id)
 	g.inProgress[id] = true
@@ -148,7 +148,7 @@
 }
 
 // remove takes a request off those that wait, and reports whether it was one of them.
-func (g *AdmissionGate) remove(id uint64) (removed requestArrival, ok bool) {
+func (g *AdmissionLoop) remove(id uint64) (removed requestArrival, ok bool) {
 	removed, ok = g.waiting[id]
 	if !ok {
 		return removed, false
@@ -160,8 +160,8 @@
 	return removed, true
 }
 
-// Status returns the gate's status, or an empty one where the context ends first.
-func (g *AdmissionGate) Status(ctx context.Context) (status AdmissionStatus) {
+// Status returns the admission loop's status, or an empty one where the context ends first.
+func (g *AdmissionLoop) Status(ctx context.Context) (status AdmissionStatus) {
 	reply := make(chan AdmissionStatus, 1)
 	g.mailbox.Put(statusQuery{reply})
 	select {
@@ -172,12 +172,12 @@
 }
 
 // SetWeights puts other weights of the tenants in force.
-func (g *AdmissionGate) SetWeights(tenants []admission.Tenant) {
+func (g *AdmissionLoop) SetWeights(tenants []admission.Tenant) {
 	g.mailbox.Put(weightsUpdate{tenants})
 }
 
 // Close writes the last summary to the log.
-func (g *AdmissionGate) Close(ctx context.Context) {
+func (g *AdmissionLoop) Close(ctx context.Context) {
 	done := make(chan struct{})
 	g.mailbox.Put(summaryRequest{done})
 	select {
--- a/internal/proxy/admission_gate_test.go
+++ b/internal/proxy/admission_loop_test.go
@@ -11,13 +11,13 @@
 	"switchfork/internal/policy"
 )
 
-// testAdmission is an event loop behind an admission gate, with a router that the test scripts.
+// testAdmission is an event loop behind an admission loop, with a router that the test scripts.
 type testAdmission struct {
 	*agenttest.Rig
-	gate *AdmissionGate
+	loop *AdmissionLoop
 }
 
-// newTestAdmission starts a gate with so much capacity for one class and one tenant.
+// newTestAdmission starts an admission loop with so much capacity for one class and one tenant.
 func newTestAdmission(t *testing.T, limits admission.Limits, coalesces bool) *testAdmission {
 	t.Helper()
 	rig := agenttest.NewRig(t, time.Second)
@@ -25,16 +25,16 @@
 	classes := []admission.RequestClass{{LatencyObjective: 10_000_000, Timeout: 20_000_000, PriorityWeight: 1, Keyed: true}}
 	tenants := []admission.Tenant{{Weight: 1}}
 	controller := admission.New(classes, tenants, limits, admission.RetryAfterLimits{Max: 500_000}, coalesces, 1)
-	admissionRig := &testAdmission{rig, NewAdmissionGate(controller, clock, rig.Loop)}
-	go admissionRig.gate.Serve(rig.Context)
+	admissionRig := &testAdmission{rig, NewAdmissionLoop(controller, clock, rig.Loop)}
+	go admissionRig.loop.Serve(rig.Context)
 	return admissionRig
 }
 
-// arrive sends a request to the gate and returns the channel of its reply.
+// arrive sends a request to the admission loop and returns the channel of its reply.
 func (g *testAdmission) arrive(id, key uint64) <-chan agent.Reply {
 	request := agent.NewRequest(agenttest.KeyedRequest, time.Now().Add(agenttest.WaitTimeout), nil)
-	deadline := g.gate.clock.At(request.Deadline)
-	g.gate.mailbox.Put(requestArrival{
+	deadline := g.loop.clock.At(request.Deadline)
+	g.loop.mailbox.Put(requestArrival{
 		arrival: admission.Arrival{ID: id, Client: id, Key: key, Deadline: deadline, Bytes: 100},
 		event:   policy.RequestArrived{ID: id, Key: key, Deadline: deadline},
 		request: request,
@@ -42,8 +42,8 @@
 	return request.Replies()
 }
 
-// status asks the gate for its status.
-func (g *testAdmission) status() AdmissionStatus { return g.gate.Status(context.Background()) }
+// status asks the admission loop for its status.
+func (g *testAdmission) status() AdmissionStatus { return g.loop.Status(context.Background()) }
 
 // admitted returns how many requests the router has got.
 func (g *testAdmission) admitted() int { return len(agenttest.Events[policy.RequestArrived](g.Router)) }
@@ -65,13 +65,13 @@
 	if status := rig.status(); status.Rejoined != 2 || status.Waiting != 1 {
 		t.Fatalf("status after the second retry: %+v", status)
 	}
-	rig.gate.mailbox.Put(requestCancelled{1}) // the first client disconnects: its request is finished when the router has got the event
+	rig.loop.mailbox.Put(requestCancelled{1}) // the first client disconnects: its request is finished when the router has got the event
 	agenttest.Eventually(t, "the retry", func() bool { return rig.admitted() == 2 })
 	if got := agenttest.Events[policy.RequestArrived](rig.Router)[1].ID; got != 3 {
 		t.Errorf("request %d was admitted after the first one, want the last retry", got)
 	}
-	rig.gate.mailbox.Put(requestCancelled{3})
-	agenttest.Eventually(t, "an empty gate", func() bool { status := rig.status(); return status.InProgress+status.Waiting == 0 })
+	rig.loop.mailbox.Put(requestCancelled{3})
+	agenttest.Eventually(t, "an empty admission loop", func() bool { status := rig.status(); return status.InProgress+status.Waiting == 0 })
 	if len(third) != 0 {
 		t.Error("a cancelled request was answered")
 	}
@@ -94,7 +94,7 @@
 		}
 		return nil
 	})
-	rig.Loop.Post(policy.HealthCheckResult{})
+	rig.Loop.Enqueue(policy.HealthCheckResult{})
 	for name, ch := range map[string]<-chan agent.Reply{"first": first, "retry": second} {
 		select {
 		case r := <-ch:
@@ -121,11 +121,11 @@
 	for id := uint64(33); id <= 38; id++ {
 		replies[id] = rig.arrive(id, id)
 	}
-	rig.gate.mailbox.Put(requestCancelled{33})
+	rig.loop.mailbox.Put(requestCancelled{33})
 	if status := rig.status(); status.InProgress != 32 || status.Waiting != 5 {
 		t.Fatalf("status after the cancellation: %+v", status)
 	}
-	rig.gate.mailbox.Put(drainStarted{time.Now()})
+	rig.loop.mailbox.Put(drainStarted{time.Now()})
 	for id := uint64(34); id <= 38; id++ {
 		select {
 		case r := <-replies[id]:
--- a/internal/proxy/admission_messages.go
+++ b/internal/proxy/admission_messages.go
@@ -8,7 +8,7 @@
 	"switchfork/internal/policy"
 )
 
-// admissionMessage is a message in the mailbox of an AdmissionGate.
+// admissionMessage is a message in the mailbox of an AdmissionLoop.
 type admissionMessage interface{ isAdmissionMessage() }
 
 // requestArrival asks for a request to be admitted.
@@ -36,7 +36,7 @@
 // weightsUpdate puts other weights of the tenants in force.
 type weightsUpdate struct{ tenants []admission.Tenant }
 
-// statusQuery asks for the gate's status.
+// statusQuery asks for the admission loop's status.
 type statusQuery struct{ reply chan<- AdmissionStatus }
 
 // summaryRequest asks for a summary in the log; done is closed when it is written.
--- a/internal/proxy/admission_summary.go
+++ b/internal/proxy/admission_summary.go
@@ -6,19 +6,19 @@
 	"switchfork/internal/admission"
 )
 
-// AdmissionStatus is what an admission gate holds and has done.
+// AdmissionStatus is what an admission loop holds and has done.
 type AdmissionStatus struct {
 	admission.Status
 	admission.Counters
 }
 
 // status returns the controller's state. Only the goroutine that runs Serve may call it.
-func (g *AdmissionGate) status() AdmissionStatus {
+func (g *AdmissionLoop) status() AdmissionStatus {
 	return AdmissionStatus{g.controller.Status(), g.controller.Counters}
 }
 
 // logSummary writes a summary to the log if anything has happened since the last one.
-func (g *AdmissionGate) logSummary() {
+func (g *AdmissionLoop) logSummary() {
 	now := g.status()
 	if now.Arrived != g.lastLogged.Arrived || now.Waiting > 0 {
 		writeSummary(now, g.lastLogged)
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -25,8 +25,8 @@
 	}
 	p.isDraining.Store(true)
 	p.listener.startDrain()
-	if p.gate != nil {
-		p.gate.mailbox.Put(drainStarted{p.drainDeadline})
+	if p.admission != nil {
+		p.admission.mailbox.Put(drainStarted{p.drainDeadline})
 	}
 	deadlineTimer := time.NewTimer(time.Until(p.drainDeadline))
 	defer deadlineTimer.Stop()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -23,7 +23,7 @@
 	Classes []RequestClass // a class's id is its index
 	Tenants []string       // a tenant's id is its index
 
-	// MaxOpenRequests is the number of requests that may be open where no admission gate decides.
+	// MaxOpenRequests is the number of requests that may be open where no admission loop decides.
 	MaxOpenRequests int
 	// MaxRetryAfter is the longest Retry-After that clients follow, 0 where they are not sent any.
 	MaxRetryAfter time.Duration
@@ -47,7 +47,7 @@
 	budget          *connlimit.Budget
 	server          *http.Server
 	listener        *clientListener
-	gate            *AdmissionGate // nil: every request goes to the event loop at once
+	admission       *AdmissionLoop // nil: every request goes to the event loop at once
 	clientKey       ClientKey
 
 	isDraining    atomic.Bool
@@ -78,9 +78,9 @@
 	Connection bool
 }
 
-// UseAdmission has a gate decide when requests go to the event loop. It has to be called before Serve.
-func (p *Proxy) UseAdmission(gate *AdmissionGate, clientKey ClientKey) {
-	p.gate = gate
+// UseAdmission has an admission loop decide when requests go to the event loop. It has to be called before Serve.
+func (p *Proxy) UseAdmission(admission *AdmissionLoop, clientKey ClientKey) {
+	p.admission = admission
 	p.clientKey = clientKey
 }
 
--- a/internal/proxy/round_trip.go
+++ b/internal/proxy/round_trip.go
@@ -22,7 +22,7 @@
 	}
 	receivedAt := time.Now().Add(-queueDelay(r))
 	defer p.openRequests.Add(-1)
-	if open, limit := p.openRequests.Add(1), min(p.maxOpenRequests, p.budget.MaxRequests()); p.gate == nil && open > int64(limit) {
+	if open, limit := p.openRequests.Add(1), min(p.maxOpenRequests, p.budget.MaxRequests()); p.admission == nil && open > int64(limit) {
 		ratelog.Warn("open", "too many open requests", "max", limit)
 		// As when the router is at its own limit: rejected before the router has it. This is overload, so nobody should be back soon.
 		return replyResponse(agent.Reply{Rejected: true, RetryAfter: p.maxRetryAfter}, r), nil
@@ -92,7 +92,7 @@
 	return request
 }
 
-// forward hands a request to the admission gate, or to the event loop where there is none. It returns what cancels the request.
+// forward hands a request to the admission loop, or to the event loop where there is none. It returns what cancels the request.
 func (p *Proxy) forward(r *http.Request, received *receivedRequest, request *agent.Request, receivedAt time.Time) (cancel func()) {
 	event := policy.RequestArrived{
 		ID:       p.lastRequestID.Add(1),
@@ -103,12 +103,12 @@
 		CostHint: received.costHint,
 		IsRetry:  received.isRetry,
 	}
-	if p.gate == nil {
+	if p.admission == nil {
 		p.loop.Admit(event, request)
-		return func() { p.loop.Post(policy.RequestCancelled{RequestID: event.ID}) }
+		return func() { p.loop.Enqueue(policy.RequestCancelled{RequestID: event.ID}) }
 	}
 	event.ArrivedAt = p.loop.Clock().At(receivedAt)
-	p.gate.mailbox.Put(requestArrival{
+	p.admission.mailbox.Put(requestArrival{
 		arrival: admission.Arrival{
 			ID:       event.ID,
 			Tenant:   event.Tenant,
@@ -123,7 +123,7 @@
 		event:   event,
 		request: request,
 	})
-	return func() { p.gate.mailbox.Put(requestCancelled{event.ID}) }
+	return func() { p.admission.mailbox.Put(requestCancelled{event.ID}) }
 }
 
 // clientID tells the clients of a tenant apart.
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -71,7 +71,7 @@
 }
 
 // rejectAll has the router reject all requests that it holds.
-func (s *testServer) rejectAll() { s.Loop.Post(policy.GossipReceived{}) }
+func (s *testServer) rejectAll() { s.Loop.Enqueue(policy.GossipReceived{}) }
 
 // waitForRequests waits until the router has so many requests.
 func (s *testServer) waitForRequests(t *testing.T, n int) {
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -25,12 +25,12 @@
 
 	address, first = agenttest.Capture(t)
 	client = NewClient(loop, address, time.Second, agenttest.WaitTimeout, 1)
-	for v := policy.NoVote; v <= policy.RollBack; v++ {
+	for v := policy.NoVote; v <= policy.Rollback; v++ {
 		sendVote(t.Context(), client.httpClient, client.apiURL, policy.Vote{Build: 42, Stage: 3, Verdict: v})
 		write(fmt.Sprintf("vote %d", v), first())
 	}
 	client.castTimedVote(t.Context(), client.apiURL, TimedVote{
-		Vote: policy.Vote{Build: 43, Stage: 1, Verdict: policy.RollBack}, WriteBefore: time.Now().Add(agenttest.WaitTimeout), Resolved: func(bool) {},
+		Vote: policy.Vote{Build: 43, Stage: 1, Verdict: policy.Rollback}, WriteBefore: time.Now().Add(agenttest.WaitTimeout), Resolved: func(bool) {},
 	})
 	write("dated vote", first())
 	golden.Check(t, "requests.golden", out.String())
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -24,7 +24,7 @@
 		policy.CheckHealth{EndpointID: 0x61626364},
 		policy.SendGossip{To: 0x71727374, Payload: []byte("sheet")},
 		policy.WatchEndpoints{},
-		policy.Vote{Build: 0x8182, Stage: 5, Verdict: policy.RollBack},
+		policy.Vote{Build: 0x8182, Stage: 5, Verdict: policy.Rollback},
 		policy.LogMessage{Text: "says"},
 	}
 }
--- a/internal/simulation/admission_endpoints.go
+++ b/internal/simulation/admission_endpoints.go
@@ -40,7 +40,7 @@
 		policy.Instance{Agents: 1, Seed: r.scenario.Seed},
 		[]policy.RequestClass{class},
 		policy.RolloutPlan{Caps: []float64{1}},
-		policy.VotingRules{Rule: policy.TimedStages, VoteLifetime: 4 * second, VotesToRollBack: 1},
+		policy.VotingRules{Rule: policy.TimedStages, VoteLifetime: 4 * second, VotesToRollback: 1},
 		policy.ExposureLimit{Window: 4 * second, Allowance: 3},
 		policy.SlowStart{InitialCapacity: 0.3, Duration: 5 * second, OverloadMultiple: 2, OverloadAfter: 1500 * ms},
 		policy.RetryLimits{MaxAttempts: 3, MaxRetryAfter: maxRetryAfter},
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -40,7 +40,7 @@
 	ClockDrift:     0.005,
 	MaxVoteDelay:   800 * ms,
 	VoteLifetime:   3 * second,
-	RollBackQuorum: 1,
+	RollbackQuorum: 1,
 }
 
 // ElectionLease returns the lease of all schedules.
@@ -274,7 +274,7 @@
 			return
 		}
 		r.runAgent(i, func(a *electionAgent) {
-			isTooLate := r.clock(a) >= vote.WriteBefore && !r.DisabledGuards.LeaseExpiry
+			isTooLate := r.clock(a) >= vote.WriteBefore && !r.DisabledGuards.LeaseTimeout
 			if !isTooLate {
 				r.carryOut(i, epoch, vote.Record, castAt)
 			}
--- a/internal/simulation/election_checker.go
+++ b/internal/simulation/election_checker.go
@@ -26,7 +26,7 @@
 	}
 	r.newestVote = effectiveVote{agent: i, record: record, until: r.now}
 	r.votes = append(r.votes, effectiveVote{agent: i, record: record, until: r.now + electionSettings.VoteLifetime})
-	if record.Verdict == election.RollBack && r.badSince > 0 && r.result.RollbackAfter < 0 {
+	if record.Verdict == election.Rollback && r.badSince > 0 && r.result.RollbackAfter < 0 {
 		r.result.RollbackAfter = r.now - r.badSince
 	}
 }
--- a/internal/simulation/election_faults.go
+++ b/internal/simulation/election_faults.go
@@ -57,9 +57,9 @@
 // recommendations alternate.
 func (r *electionRun) recommendRepeatedly(i int, verdict election.Verdict) {
 	if r.badSince > 0 {
-		verdict = election.RollBack
+		verdict = election.Rollback
 	} else if !r.LeaderFaultOnly && r.random.Float64() < alternatingRate {
-		verdicts := []election.Verdict{election.Advance, election.RollBack, election.Hold}
+		verdicts := []election.Verdict{election.Advance, election.Rollback, election.Hold}
 		verdict = verdicts[r.random.Intn(len(verdicts))]
 	}
 	r.recommend(i, verdict)
--- a/internal/simulation/election_test.go
+++ b/internal/simulation/election_test.go
@@ -20,7 +20,7 @@
 	if n := violated(election.DisabledGuards{}); n > 0 {
 		t.Errorf("%d of 150 schedules have violations", n)
 	}
-	for name, off := range map[string]election.DisabledGuards{"lease": {LeaseExpiry: true}, "wait": {WaitForEarlierVotes: true}, "record": {QuorumBeforeCast: true}} {
+	for name, off := range map[string]election.DisabledGuards{"lease": {LeaseTimeout: true}, "wait": {WaitForEarlierVotes: true}, "record": {QuorumBeforeCast: true}} {
 		if violated(off) == 0 {
 			t.Errorf("without %s nothing is found", name)
 		}
--- a/internal/upstream/endpoint_test.go
+++ b/internal/upstream/endpoint_test.go
@@ -187,7 +187,7 @@
 		}
 		return nil
 	})
-	r.Loop.Post(policy.GossipReceived{})
+	r.Loop.Enqueue(policy.GossipReceived{})
 	<-dialing
 	entry.Dial, entry.BornMs = other.Addr(), 7
 	r.Publish(protocol.List{Seq: 2, Hosts: []protocol.ListEntry{entry}})
--- a/internal/upstream/results_test.go
+++ b/internal/upstream/results_test.go
@@ -186,8 +186,8 @@
 	r.Loop.Admit(policy.RequestArrived{ID: 7}, agent.NewRequest(agenttest.KeyedRequest, time.Now().Add(agenttest.WaitTimeout), nil))
 	agenttest.Eventually(t, "the attempt", func() bool { return len(server.Requests()) == 1 })
 	server.SetHandler(fakes.Respond("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"queue\":3}"))
-	r.Loop.Post(policy.RequestCancelled{RequestID: 7})
-	r.Loop.Post(policy.RequestCancelled{RequestID: 7}) // reported once
+	r.Loop.Enqueue(policy.RequestCancelled{RequestID: 7})
+	r.Loop.Enqueue(policy.RequestCancelled{RequestID: 7}) // reported once
 	agenttest.Eventually(t, "the health check's result", func() bool { return len(agenttest.Events[policy.HealthCheckResult](r.Router)) == 1 })
 	if p := agenttest.Events[policy.HealthCheckResult](r.Router)[0]; p.Outcome != policy.OK || len(p.Load) != 1 || p.Load[0] != 3 {
 		t.Errorf("checked as %+v", p)
