--- a/internal/faulttest/netfault/stream_test.go
+++ b/internal/faulttest/netfault/stream_test.go
@@ -1,6 +1,7 @@
 package netfault
 
 import (
+	"context"
 	"errors"
 	"io"
 	"net"
@@ -211,14 +212,24 @@
 	expectNear(t, "a second's bytes, ms", float64(time.Since(began).Milliseconds()), 1000, 0.1)
 }
 
-// A relay that ends takes along all that it started, also connections that are in use.
+// A relay that ends takes along all that it started, also connections that are in use, held by a fault or not up yet.
 func TestCloseEndsAllGoroutines(t *testing.T) {
 	before := runtime.NumGoroutine()
 	listener := newRecordingListener(t)
 	stream := newTestStream(t, listener)
 	mesh, _ := newTestMesh(t, newTestClock())
+	held := dial(t, stream)
 	stream.Forward.SetFault(Fault{Drop: true})
-	dial(t, stream)
+	write(t, held, "held")
+	// While the direction drops everything a connection comes up or not, as it began before the listener was blocked or after.
+	ctx, cancel := context.WithCancel(t.Context())
+	pending := make(chan struct{})
+	go func() {
+		defer close(pending)
+		if c, err := new(net.Dialer).DialContext(ctx, "tcp", stream.Addr()); err == nil {
+			_ = c.Close() // nothing was sent on it
+		}
+	}()
 	stream.Reverse.SetFault(Fault{Delay: 1e9})
 	stream.Forward.SetFault(Fault{})
 	client := dial(t, stream)
@@ -228,5 +239,7 @@
 	stream.Close()
 	mesh.Close()
 	must(t, listener.Close())
+	cancel()
+	<-pending
 	eventually(t, "as few goroutines as before", func() bool { return runtime.NumGoroutine() <= before })
 }
