--- a/cmd/switchfork-lab/trial.go
+++ b/cmd/switchfork-lab/faulttest.go
@@ -22,16 +22,16 @@
 // progressBarWidth is in characters.
 const progressBarWidth = 20
 
-// trialOptions are the flags of the trial command.
-type trialOptions struct {
+// faultTestOptions are the flags of the trial command.
+type faultTestOptions struct {
 	run          faulttest.RunOptions
 	namedProgram []string // NAME=PATH
 	agentPath    string   // empty: the agent is built
 }
 
-// trialCommand runs fault scenarios: several real agents, with faults between them.
-func trialCommand() *cobra.Command {
-	var o trialOptions
+// faultTestCommand runs fault scenarios: several real agents, with faults between them.
+func faultTestCommand() *cobra.Command {
+	var o faultTestOptions
 	c := &cobra.Command{
 		Use: "trial [flags] FILE...", Short: "play nights: several agents among stand-ins, with faults on ways and processes",
 		Args: func(c *cobra.Command, args []string) error {
@@ -43,7 +43,7 @@
 			}
 			return nil
 		},
-		RunE: func(c *cobra.Command, args []string) error { return runTrials(c.OutOrStdout(), args, o) },
+		RunE: func(c *cobra.Command, args []string) error { return runFaultTests(c.OutOrStdout(), args, o) },
 	}
 	c.Flags().Int64Var(&o.run.Seed, "seed", 0, "of loads and faults; 0: each night's own")
 	c.Flags().StringVar(&o.run.Keep, "keep", "", "a folder for every night's logs, time line and records; without it they are kept where a night fails")
@@ -68,8 +68,8 @@
 	return programs, nil
 }
 
-// runTrials runs the scenarios one after the other and prints a verdict for each, a line of JSON.
-func runTrials(out io.Writer, files []string, o trialOptions) (err error) {
+// runFaultTests runs the scenarios one after the other and prints a verdict for each, a line of JSON.
+func runFaultTests(out io.Writer, files []string, o faultTestOptions) (err error) {
 	if o.run.Programs, err = parsePrograms(o.namedProgram); err != nil {
 		return err
 	}
@@ -136,7 +136,7 @@
 }
 
 // buildPrograms sets the paths of the agent and of the programs that no flag names.
-func buildPrograms(dir string, o trialOptions, unnamed []string) (err error) {
+func buildPrograms(dir string, o faultTestOptions, unnamed []string) (err error) {
 	programs := o.run.Programs
 	if programs[""], err = agentProgram(dir, o.agentPath); err != nil {
 		return err
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -114,7 +114,7 @@
 		HealthChecks: s.boolean(keyHealthChecks),
 		Cancellation: s.boolean(keyCancellation),
 		Gossip:       s.boolean(keyGossip),
-		EndpointPolling: enum(s, keyDiscoveryMode, map[string]bool{
+		PollsEndpoints: enum(s, keyDiscoveryMode, map[string]bool{
 			discoverySubscribe: true,
 			discoveryAutomatic: false,
 		}),
--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -113,7 +113,7 @@
 
 // Capabilities are what the deployment permits an agent to do.
 type Capabilities struct {
-	HealthChecks, Cancellation, Gossip, EndpointPolling bool
+	HealthChecks, Cancellation, Gossip, PollsEndpoints bool
 }
 
 // LoadReportFormat tells the place of a figure in a load report, from 1 on; 0 where it is not reported.
--- a/internal/policy/eventloop.go
+++ b/internal/policy/eventloop.go
@@ -133,7 +133,7 @@
 		cost := float64(class.LatencyObjective) * initialCostShare
 		r.dispatcher.meanCost = max(r.dispatcher.meanCost, cost)
 	}
-	r.poller = &endpointPoller{runtime: r.runtime, isEnabled: capabilities.EndpointPolling}
+	r.poller = &endpointPoller{runtime: r.runtime, isEnabled: capabilities.PollsEndpoints}
 	r.components = []component{r.endpoints, r.analyzer, r.dispatcher, r.poller}
 	return r
 }
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -37,9 +37,9 @@
 	return []goldenDeployment{
 		{"alone", all, Instance{Agents: 1, HasWeights: true}, RolloutPlan{Caps: caps, GuardedStages: 1}, votes, window, Capabilities{HealthChecks: true}},
 		{"three", all, Instance{Index: 1, Agents: 3, Zone: 1, KeyAffinity: true, HasWeights: true}, RolloutPlan{Caps: caps, KeysNeverGoBack: true}, votes, byClass, Capabilities{Gossip: true}},
-		{"evaluator", all, Instance{Agents: 40, KeyAffinity: true, LoadReport: LoadReportFormat{Utilization: 1, Rate: 2, InFlight: 3}}, RolloutPlan{Caps: caps, GuardedStages: 2, ReplacesInPlace: true}, votes, window, Capabilities{HealthChecks: true, Gossip: true, EndpointPolling: true}},
+		{"evaluator", all, Instance{Agents: 40, KeyAffinity: true, LoadReport: LoadReportFormat{Utilization: 1, Rate: 2, InFlight: 3}}, RolloutPlan{Caps: caps, GuardedStages: 2, ReplacesInPlace: true}, votes, window, Capabilities{HealthChecks: true, Gossip: true, PollsEndpoints: true}},
 		{"observer", all, Instance{Agents: 40, LoadReport: LoadReportFormat{Utilization: 1, Rate: 2, InFlight: 3}}, RolloutPlan{Caps: caps, KeysNeverGoBack: true}, votes, window, Capabilities{HealthChecks: true, Gossip: true}},
-		{"counted", all, Instance{Index: 7, Agents: 60, HasWeights: true}, RolloutPlan{Caps: caps}, share, window, Capabilities{EndpointPolling: true}},
+		{"counted", all, Instance{Index: 7, Agents: 60, HasWeights: true}, RolloutPlan{Caps: caps}, share, window, Capabilities{PollsEndpoints: true}},
 		{"timed", []RequestClass{idempotent, keyed}, Instance{Index: 2, Agents: 5, HasWeights: true}, RolloutPlan{Caps: caps}, timed, window, Capabilities{Gossip: true, HealthChecks: true}},
 		{"large", []RequestClass{idempotent, nonIdempotent}, Instance{Index: 2, Agents: 12, HasWeights: true}, RolloutPlan{Caps: []float64{0.2, 1}}, votes, window, Capabilities{HealthChecks: true}},
 	}
--- a/internal/policy/scenario_test.go
+++ b/internal/policy/scenario_test.go
@@ -175,7 +175,7 @@
 			OverloadMultiple: s.option(given, "multiple", 2), OverloadAfter: s.duration(given, "after", 1500),
 		},
 		RetryLimits{MaxAttempts: s.count(given, "max", 3)},
-		Capabilities{EndpointPolling: given["ask"] != "", HealthChecks: given["probe"] != "", Gossip: given["tell"] != ""},
+		Capabilities{PollsEndpoints: given["ask"] != "", HealthChecks: given["probe"] != "", Gossip: given["tell"] != ""},
 		CostWeights{},
 	)
 }
