--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -10,21 +10,24 @@
 	instance := s.instance(seed)
 	s.checkContradictions()
 	s.checkInstance(instance)
-	classes := s.policyClasses()
-	plan := s.rolloutPlan()
-	voting := s.votingRules()
-	exposureLimit := s.exposureLimit()
-	slowStart := s.slowStart()
-	limits := s.retryLimits()
-	capabilities := s.capabilities()
-	costs := s.costWeights()
-	if voting.CallsPerSecond <= 0 {
-		s.recordError(keyCallsPerSecond, "is %v, no rate of calls a second", voting.CallsPerSecond)
+	router := policy.Config{
+		Instance:      instance,
+		Classes:       s.policyClasses(),
+		RolloutPlan:   s.rolloutPlan(),
+		VotingRules:   s.votingRules(),
+		ExposureLimit: s.exposureLimit(),
+		SlowStart:     s.slowStart(),
+		RetryLimits:   s.retryLimits(),
+		Capabilities:  s.capabilities(),
+		CostWeights:   s.costWeights(),
+	}
+	if callRate := router.VotingRules.CallsPerSecond; callRate <= 0 {
+		s.recordError(keyCallsPerSecond, "is %v, no rate of calls a second", callRate)
 	}
 	if s.err != nil {
 		return nil, s.err
 	}
-	return policy.New(instance, classes, plan, voting, exposureLimit, slowStart, limits, capabilities, costs), nil
+	return policy.New(router), nil
 }
 
 func (s *Settings) instance(seed uint64) policy.Instance {
--- a/internal/policy/eventloop.go
+++ b/internal/policy/eventloop.go
@@ -97,43 +97,40 @@
 func (r *runtime) randomBelow(limit Micros) Micros { return r.random.Int63n(limit) }
 
 // New returns the router of one agent.
-func New(
-	instance Instance, classes []RequestClass, plan RolloutPlan, votingRules VotingRules, exposureLimit ExposureLimit,
-	slowStart SlowStart, retryLimits RetryLimits, capabilities Capabilities, costs CostWeights,
-) Router {
-	r := &router{runtime: &runtime{random: rand.New(rand.NewSource(instance.Seed)), startedAt: -1}}
+func New(config Config) Router {
+	r := &router{runtime: &runtime{random: rand.New(rand.NewSource(config.Instance.Seed)), startedAt: -1}}
 	r.endpoints = &endpointSet{
 		runtime: r.runtime, byID: map[uint32]*endpointRecord{},
-		healthChecks: capabilities.HealthChecks, slowStart: slowStart, hasWeights: instance.HasWeights,
+		healthChecks: config.Capabilities.HealthChecks, slowStart: config.SlowStart, hasWeights: config.Instance.HasWeights,
 		pointsPerEndpoint: pointsPerEndpoint, ringSalt: ringSalt, warmConcurrency: 1,
-		minLimitPerCore: 1 / float64(instance.Agents), // one open attempt of all agents together
+		minLimitPerCore: 1 / float64(config.Instance.Agents), // one open attempt of all agents together
 	}
 	r.analyzer = &releaseAnalyzer{
-		runtime: r.runtime, rolloutState: newRolloutState(plan), endpoints: r.endpoints,
-		votingRules: votingRules, classes: classes, agentCount: instance.Agents, index: instance.Index,
-		reportState: reportState{baselineTotals: make([]classTotals, len(classes))},
+		runtime: r.runtime, rolloutState: newRolloutState(config.RolloutPlan), endpoints: r.endpoints,
+		votingRules: config.VotingRules, classes: config.Classes, agentCount: config.Instance.Agents, index: config.Instance.Index,
+		reportState: reportState{baselineTotals: make([]classTotals, len(config.Classes))},
 		trafficRates: trafficRates{
 			onTimeShare: 1, baselineOnTimeShare: 1,
-			baselineLatency: make([]float64, len(classes)), baselineAnswers: make([]float64, len(classes)),
+			baselineLatency: make([]float64, len(config.Classes)), baselineAnswers: make([]float64, len(config.Classes)),
 		},
 	}
-	if capabilities.Gossip {
-		r.analyzer.joinPanel(instance)
+	if config.Capabilities.Gossip {
+		r.analyzer.joinPanel(config.Instance)
 	}
 	r.dispatcher = &dispatcher{
-		runtime: r.runtime, rolloutState: newRolloutState(plan), endpoints: r.endpoints, analyzer: r.analyzer,
-		instance: instance, classes: classes, retryLimits: retryLimits, slowStart: slowStart,
-		exposureLimit: exposureLimit, crossZoneCost: costs.CrossZone,
+		runtime: r.runtime, rolloutState: newRolloutState(config.RolloutPlan), endpoints: r.endpoints, analyzer: r.analyzer,
+		instance: config.Instance, classes: config.Classes, retryLimits: config.RetryLimits, slowStart: config.SlowStart,
+		exposureLimit: config.ExposureLimit, crossZoneCost: config.CostWeights.CrossZone,
 		requests: map[uint64]*request{}, keyBuilds: map[uint64]int{}, keys: keyUsages{recent: map[uint64]keyUsage{}},
 		clients:      rejectedClients{byHash: map[uint64]rejectedClient{}, returnRate: initialReturnRate},
 		tenantErrors: tenantErrorRates{map[int]float64{}},
 	}
-	for _, class := range classes {
+	for _, class := range config.Classes {
 		r.dispatcher.exposureWindows = append(r.dispatcher.exposureWindows, &exposure.Window{})
 		cost := float64(class.LatencyObjective) * initialCostShare
 		r.dispatcher.meanCost = max(r.dispatcher.meanCost, cost)
 	}
-	r.poller = &endpointPoller{runtime: r.runtime, isEnabled: capabilities.PollsEndpoints}
+	r.poller = &endpointPoller{runtime: r.runtime, isEnabled: config.Capabilities.PollsEndpoints}
 	r.components = []component{r.endpoints, r.analyzer, r.dispatcher, r.poller}
 	return r
 }
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -92,11 +92,19 @@
 	for id := range endpointCount {
 		s.endpointIDs = append(s.endpointIDs, uint32(101+id*7))
 	}
-	s.router = New(
-		instance, deployment.classes, deployment.plan, deployment.votingRules, deployment.exposureLimit,
-		SlowStart{InitialCapacity: 0.3, Duration: 3 * second, OverloadMultiple: 2, OverloadAfter: 500 * millisecond},
-		RetryLimits{MaxAttempts: 3, MaxRetryAfter: 2 * second}, deployment.capabilities, CostWeights{CrossZone: 0.05},
-	)
+	s.router = New(Config{
+		Instance:      instance,
+		Classes:       deployment.classes,
+		RolloutPlan:   deployment.plan,
+		VotingRules:   deployment.votingRules,
+		ExposureLimit: deployment.exposureLimit,
+		SlowStart: SlowStart{
+			InitialCapacity: 0.3, Duration: 3 * second, OverloadMultiple: 2, OverloadAfter: 500 * millisecond,
+		},
+		RetryLimits:  RetryLimits{MaxAttempts: 3, MaxRetryAfter: 2 * second},
+		Capabilities: deployment.capabilities,
+		CostWeights:  CostWeights{CrossZone: 0.05},
+	})
 	return s
 }
 
--- a/internal/policy/scenario_test.go
+++ b/internal/policy/scenario_test.go
@@ -152,32 +152,31 @@
 	}
 	votingRules := map[string]VotingRule{"": AnyVote, "share": VoteShare, "timer": TimedStages}
 	loadReports := map[string]LoadReportFormat{"1": {Utilization: 1, Rate: 2}, "": {InFlight: s.count(given, "holds", 0)}}
-	s.router = New(
-		Instance{
+	s.router = New(Config{
+		Instance: Instance{
 			Index: s.count(given, "me", 0), Agents: s.count(given, "agents", 1), Seed: 7,
 			KeyAffinity: given["warmkeys"] != "", HasWeights: given["unsized"] == "", LoadReport: loadReports[given["reports"]],
 		},
-		s.classes,
-		RolloutPlan{
+		Classes: s.classes,
+		RolloutPlan: RolloutPlan{
 			Caps: caps, GuardedStages: s.count(given, "guarded", 0),
 			KeysNeverGoBack: given["oneway"] != "", ReplacesInPlace: given["inplace"] != "",
 		},
-		VotingRules{
+		VotingRules: VotingRules{
 			Rule: votingRules[given["ballot"]], VoteLifetime: s.duration(given, "stands", 4000),
 			MetricsInterval: s.duration(given, "tally", 0), CallsPerSecond: s.option(given, "calls", 0),
 			VotesToAdvance: s.count(given, "togo", 0), VotesToRollback: s.count(given, "togoback", 1),
 		},
-		ExposureLimit{
+		ExposureLimit: ExposureLimit{
 			Window: s.duration(given, "window", 4000), Allowance: s.option(given, "free", 3), PerClass: given["byproduct"] != "",
 		},
-		SlowStart{
+		SlowStart: SlowStart{
 			InitialCapacity: s.option(given, "from", 0.3), Duration: s.duration(given, "warm", 5000),
 			OverloadMultiple: s.option(given, "multiple", 2), OverloadAfter: s.duration(given, "after", 1500),
 		},
-		RetryLimits{MaxAttempts: s.count(given, "max", 3)},
-		Capabilities{PollsEndpoints: given["ask"] != "", HealthChecks: given["probe"] != "", Gossip: given["tell"] != ""},
-		CostWeights{},
-	)
+		RetryLimits:  RetryLimits{MaxAttempts: s.count(given, "max", 3)},
+		Capabilities: Capabilities{PollsEndpoints: given["ask"] != "", HealthChecks: given["probe"] != "", Gossip: given["tell"] != ""},
+	})
 }
 
 // agentIndex is the index of an evaluator. A number past the panel is another agent's index.
--- a/internal/policy/state_test.go
+++ b/internal/policy/state_test.go
@@ -4,12 +4,13 @@
 
 // Keys that are always new and endpoints that come and go leave nothing behind.
 func TestStateStaysBounded(t *testing.T) {
-	r := New(
-		Instance{Agents: 3, Seed: 7, KeyAffinity: true},
-		[]RequestClass{{LatencyObjective: second, Timeout: 3 * second, PriorityWeight: 1}},
-		RolloutPlan{Caps: []float64{1}}, VotingRules{}, ExposureLimit{Window: second}, SlowStart{},
-		RetryLimits{MaxAttempts: 3}, Capabilities{}, CostWeights{},
-	).(*router)
+	r := New(Config{
+		Instance:      Instance{Agents: 3, Seed: 7, KeyAffinity: true},
+		Classes:       []RequestClass{{LatencyObjective: second, Timeout: 3 * second, PriorityWeight: 1}},
+		RolloutPlan:   RolloutPlan{Caps: []float64{1}},
+		ExposureLimit: ExposureLimit{Window: second},
+		RetryLimits:   RetryLimits{MaxAttempts: 3},
+	}).(*router)
 	most := 0
 	for id := range uint64(20000) {
 		now := Micros(id) * millisecond
--- a/internal/simulation/admission_endpoints.go
+++ b/internal/simulation/admission_endpoints.go
@@ -36,17 +36,18 @@
 		Timeout:          r.scenario.timeout(),
 		PriorityWeight:   1,
 	}
-	r.router = policy.New(
-		policy.Instance{Agents: 1, Seed: r.scenario.Seed},
-		[]policy.RequestClass{class},
-		policy.RolloutPlan{Caps: []float64{1}},
-		policy.VotingRules{Rule: policy.TimedStages, VoteLifetime: 4 * second, VotesToRollback: 1},
-		policy.ExposureLimit{Window: 4 * second, Allowance: 3},
-		policy.SlowStart{InitialCapacity: 0.3, Duration: 5 * second, OverloadMultiple: 2, OverloadAfter: 1500 * ms},
-		policy.RetryLimits{MaxAttempts: 3, MaxRetryAfter: maxRetryAfter},
-		policy.Capabilities{HealthChecks: true},
-		policy.CostWeights{},
-	)
+	r.router = policy.New(policy.Config{
+		Instance:      policy.Instance{Agents: 1, Seed: r.scenario.Seed},
+		Classes:       []policy.RequestClass{class},
+		RolloutPlan:   policy.RolloutPlan{Caps: []float64{1}},
+		VotingRules:   policy.VotingRules{Rule: policy.TimedStages, VoteLifetime: 4 * second, VotesToRollback: 1},
+		ExposureLimit: policy.ExposureLimit{Window: 4 * second, Allowance: 3},
+		SlowStart: policy.SlowStart{
+			InitialCapacity: 0.3, Duration: 5 * second, OverloadMultiple: 2, OverloadAfter: 1500 * ms,
+		},
+		RetryLimits:  policy.RetryLimits{MaxAttempts: 3, MaxRetryAfter: maxRetryAfter},
+		Capabilities: policy.Capabilities{HealthChecks: true},
+	})
 	update := policy.EndpointUpdate{Full: true}
 	for i := range r.scenario.Endpoints {
 		id := uint32(i + 1)
