--- a/internal/policy/analyzer.go
+++ b/internal/policy/analyzer.go
@@ -1,10 +1,49 @@
 package policy
 
-import (
-	"slices"
+// releaseAnalyzer compares the canary build with the baseline and votes. It takes the messages and passes each on to the parts
+// that learn from it; what they decide stands with them. The router calls it with gossip, rollout updates, reports and ticks,
+// the dispatcher with what became of attempts and requests.
+type releaseAnalyzer struct {
+	mailbox
+	*runtime
+	endpoints  *endpointSet
+	codec      *gossipCodec
+	release    *releaseState
+	evaluators *evaluatorGroup
+	sharing    *outcomeSharing
+	digest     *overloadDigest
+	verdicts   *verdictExchange
+	evidence   *buildEvidence
+	slowdown   *slowdownDetector
+	reports    *controllerReports
+	voter      *voter
+}
 
-	"switchfork/internal/stats"
-)
+func newReleaseAnalyzer(shared *runtime, endpoints *endpointSet, config Config) *releaseAnalyzer {
+	release := &releaseState{runtime: shared, rolloutState: newRolloutState(config.RolloutPlan)}
+	evaluators := newEvaluatorGroup(shared, config)
+	evidence := &buildEvidence{release: release, endpoints: endpoints, evaluators: evaluators}
+	reports := newControllerReports(release, endpoints, evaluators, config)
+	slowdown := newSlowdownDetector(release, endpoints, evaluators, reports, len(config.Classes))
+	verdicts := newVerdictExchange(release, evaluators)
+	return &releaseAnalyzer{
+		runtime:    shared,
+		endpoints:  endpoints,
+		codec:      &gossipCodec{runtime: shared, endpoints: endpoints, classes: config.Classes},
+		release:    release,
+		evaluators: evaluators,
+		sharing:    &outcomeSharing{runtime: shared, evaluators: evaluators},
+		digest:     &overloadDigest{runtime: shared, evaluators: evaluators, endpoints: endpoints},
+		verdicts:   verdicts,
+		evidence:   evidence,
+		slowdown:   slowdown,
+		reports:    reports,
+		voter: &voter{
+			releaseState: release, endpoints: endpoints, evaluators: evaluators, verdicts: verdicts, evidence: evidence,
+			slowdown: slowdown, reports: reports, rules: config.VotingRules,
+		},
+	}
+}
 
 func (a *releaseAnalyzer) receive(msg message) {
 	switch msg := msg.(type) {
@@ -13,34 +52,18 @@
 	case RolloutUpdate:
 		a.receiveUpdate(msg)
 	case attemptOutcome:
-		a.finishedAttempts++
-		if msg.fromPeer {
-			msg.endpoint.enqueue(msg) // for what it has in flight
-		} else if !msg.isClientError {
-			a.shareOutcome(msg)
-		}
-		a.recordOutcome(msg)
+		a.receiveOutcome(msg)
 	case peerVerdict:
-		if panelIndex := a.panelIndexOf(msg.from); panelIndex >= 0 {
-			a.peerVerdicts[panelIndex] = msg
-		}
+		a.verdicts.receive(msg)
 	case attemptSent:
-		msg.endpoint.enqueue(msg)
-		if !msg.fromPeer && a.sharesInFlight {
-			sent := AttemptResult{EndpointID: msg.endpoint.ID, Outcome: sentRecord}
-			a.shareOutcome(attemptOutcome{AttemptResult: sent, endpoint: msg.endpoint})
-		}
+		a.receiveAttempt(msg)
 	case requestRejected:
-		if !msg.fromPeer {
-			rejected := AttemptResult{Outcome: rejectedRecord}
-			a.shareOutcome(attemptOutcome{AttemptResult: rejected, endpoint: &endpointRecord{}})
-		}
-		a.recordOnTime(false)
+		a.receiveRejection(msg)
 	case MetricsReport:
-		a.receiveReport(msg)
+		a.reports.receive(msg)
 	case ErrorReport:
 		if e := a.endpoints.byID[msg.EndpointID]; e != nil {
-			a.addFailureEvidence(e, true)
+			a.evidence.addFailure(e, true)
 		}
 	case tick:
 		a.receiveTick()
@@ -48,63 +71,91 @@
 }
 
 func (a *releaseAnalyzer) receiveTick() {
-	if len(a.outcomeBatch) > 0 && a.now >= a.batchStartedAt+batchInterval {
-		a.sendBatch()
-	}
-	a.broadcastDigest()
-	if len(a.pendingReports) > 0 {
-		a.evaluateReports()
-	}
-	a.updateSlowdown()
-	a.castVote()
-}
-
-// castVote sends the current verdict, if a vote is due.
-func (a *releaseAnalyzer) castVote() {
-	verdict := a.currentVerdict()
-	if verdict != a.wantedVote {
-		a.wantedVote, a.wantedSince = verdict, a.now
-	}
-	if a.isVoteDue(verdict) {
-		a.lastVote, a.lastVoteAt = verdict, a.now
-		a.emit(Vote{Build: a.build, Stage: a.stage, Verdict: verdict})
+	a.sharing.sendIfDue()
+	a.digest.announceIfDue()
+	if a.reports.arePending() {
+		a.slowdown.arrivalRate = a.reports.evaluate(&a.slowdown.latencies)
 	}
+	a.slowdown.update()
+	a.voter.vote()
 }
 
 func (a *releaseAnalyzer) receiveGossip(gossip GossipReceived) {
-	if len(gossip.Payload) == digestBytes && slices.Contains(a.evaluators, gossip.From) {
-		a.endpoints.overloadDigest, a.endpoints.digestReceivedAt = gossip.Payload, a.now
+	if len(gossip.Payload) == digestBytes && a.evaluators.isEvaluator(gossip.From) {
+		a.endpoints.overloadDigest = gossip.Payload
+		a.endpoints.digestReceivedAt = a.now
 		return
 	}
-	for _, msg := range a.decodeRecords(gossip.From, gossip.Payload) {
+	for _, msg := range a.codec.decode(gossip) {
 		a.enqueue(msg)
 	}
 }
 
-func (a *releaseAnalyzer) receiveUpdate(update RolloutUpdate) {
-	if update.IsVoteReply && update.Outcome != OK {
-		a.delayVote(update.Outcome)
+func (a *releaseAnalyzer) receiveOutcome(outcome attemptOutcome) {
+	a.slowdown.recordFinishedAttempt()
+	switch {
+	case outcome.fromPeer:
+		outcome.endpoint.enqueue(outcome) // for what it has in flight
+	case !outcome.isClientError && outcome.class >= 0:
+		a.sharing.add(outcomeRecord(outcome))
 	}
-	keepsEvidence := update.Build == a.build && (update.Stage == a.stage || a.usesReports())
-	if !a.apply(update) {
+	a.recordOutcome(outcome)
+}
+
+// recordOutcome passes on what an outcome says of its build. A timeout says that something is overloaded, not what, and is no
+// evidence of failure.
+func (a *releaseAnalyzer) recordOutcome(outcome attemptOutcome) {
+	isOK := outcome.Outcome == OK
+	isError := outcome.Outcome == ServerError
+	if (isOK || isError) && !outcome.isClientError {
+		a.evidence.addFailure(outcome.endpoint, isError)
+	}
+	isTimed := isOK || outcome.Outcome == TimedOut
+	if !isTimed || outcome.class < 0 {
 		return
 	}
-	a.lastVote = NoVote
-	for _, e := range a.endpoints.all {
-		e.enqueue(evidence{reset: !keepsEvidence}) // a release keeps the evidence of its last stage
+	isOnTime := isOK && outcome.Elapsed <= outcome.latencyObjective
+	a.slowdown.recordLatency(outcome.class, outcome.Elapsed)
+	a.slowdown.recordOnTime(isOnTime)
+	if a.isLatenessEvidence(outcome.endpoint) {
+		a.evidence.addLateness(outcome.endpoint, !isOnTime)
+	}
+	a.slowdown.recordBuild(outcome.endpoint.Build)
+}
+
+// isLatenessEvidence reports whether lateness at an endpoint tells of its build: a slow build still answers, but late. Only
+// while the baseline has most of the traffic, and at endpoints that are warm.
+func (a *releaseAnalyzer) isLatenessEvidence(e *endpointRecord) bool {
+	return a.evaluators.decidesItself() && a.slowdown.canaryShare < maxLatenessCanaryShare && !e.isWarmingUp()
+}
+
+func (a *releaseAnalyzer) receiveAttempt(attempt attemptSent) {
+	attempt.endpoint.enqueue(attempt)
+	if !attempt.fromPeer && a.evaluators.sharesInFlight {
+		a.sharing.add(attemptRecord(attempt.endpoint.Endpoint))
 	}
-	a.outcomeCount *= stats.Count(keepsEvidence)
-	a.buildFailureRatio *= stats.Indicator(keepsEvidence)
-	if update.Build != a.reportedBuild {
-		a.reportedRatio, a.reportedBuild = 0, update.Build
+}
+
+func (a *releaseAnalyzer) receiveRejection(rejection requestRejected) {
+	if !rejection.fromPeer {
+		a.sharing.add(rejectionRecord())
 	}
-	a.stageStartedAt = max(a.now-update.Age, a.startedAt)
+	a.slowdown.recordOnTime(false)
 }
 
-func (a *releaseAnalyzer) receiveReport(report MetricsReport) {
-	a.hasReports = a.votingRules.MetricsInterval > 0
-	isKnown := report.Class < len(a.classes) && report.Build <= a.build && !a.rolledBack[report.Build]
-	if a.usesReports() && report.Requests > 0 && isKnown {
-		a.pendingReports = append(a.pendingReports, report)
+func (a *releaseAnalyzer) receiveUpdate(update RolloutUpdate) {
+	if update.IsVoteReply && update.Outcome != OK {
+		a.voter.delay(update.Outcome)
+	}
+	isSameStage := update.Stage == a.release.stage || a.reports.areUsed()
+	keepsEvidence := update.Build == a.release.build && isSameStage
+	if !a.release.apply(update) {
+		return
+	}
+	a.voter.lastVote = NoVote
+	if !keepsEvidence {
+		a.evidence.reset()
 	}
+	a.reports.startBuild(update.Build)
+	a.release.stageStartedAt = max(a.now-update.Age, a.startedAt)
 }
--- /dev/null
+++ b/internal/policy/dispatcher.go
@@ -0,0 +1,278 @@
+package policy
+
+import (
+	"cmp"
+	"sort"
+)
+
+const (
+	busyTickInterval = 10 * millisecond // with pending requests; well inside the shortest latency objective and grace
+	idleTickInterval = 50 * millisecond // for votes and ejected endpoints
+)
+
+// trafficSalt differs from ringSalt: with one salt the keys that go to the canary would crowd one segment of the ring. It is the
+// same on all agents.
+const trafficSalt = 0x51ce
+
+// dispatcher takes a request from its arrival to its final answer. It decides in which order pending requests are tried, which
+// of the builds is tried first, and what follows from an attempt's result; what it asks for that stands in the parts that it
+// holds. The router calls it with requests, results, rollout updates and ticks.
+type dispatcher struct {
+	mailbox
+	*runtime
+	endpoints      *endpointSet
+	analyzer       *releaseAnalyzer
+	classes        []RequestClass
+	loadReport     LoadReportFormat
+	requests       requestTable
+	pending        []*request // that no endpoint may take now
+	rollout        *rolloutState
+	builds         *buildSelector
+	exposure       *exposureGuard
+	selector       *endpointSelector
+	placement      *keyPlacement
+	rules          *attemptRules
+	retries        *retryPolicy
+	zones          *zoneLimits
+	traffic        *trafficEstimate
+	clients        *rejectedClients
+	tenants        *tenantErrorRates
+	maxClientDelay Micros // the longest time that a rejected client is waited for
+}
+
+func newDispatcher(
+	shared *runtime, endpoints *endpointSet, analyzer *releaseAnalyzer, config Config,
+) *dispatcher {
+	rollout := newRolloutState(config.RolloutPlan)
+	requests := requestTable{}
+	traffic := newTrafficEstimate(config.Classes)
+	clients := newRejectedClients()
+	tenants := newTenantErrorRates()
+	exposure := newExposureGuard(shared, rollout, config)
+	budget := &slowStartBudget{
+		endpoints: endpoints, traffic: traffic, limits: config.SlowStart, agents: config.Instance.Agents,
+	}
+	builds := &buildSelector{rollout: rollout, endpoints: endpoints, budget: budget}
+	slowStart := &slowStartRule{
+		runtime: shared, endpoints: endpoints, traffic: traffic, builds: builds, budget: budget,
+		limits: config.SlowStart, agentIndex: config.Instance.Index, agents: config.Instance.Agents,
+	}
+	rules := &attemptRules{
+		runtime: shared, requests: requests, classes: config.Classes, exposure: exposure, slowStart: slowStart,
+		maxAttempts: config.RetryLimits.MaxAttempts,
+	}
+	zones := &zoneLimits{endpoints: endpoints, agents: config.Instance.Agents}
+	return &dispatcher{
+		runtime:    shared,
+		endpoints:  endpoints,
+		analyzer:   analyzer,
+		classes:    config.Classes,
+		loadReport: config.Instance.LoadReport,
+		requests:   requests,
+		rollout:    rollout,
+		builds:     builds,
+		exposure:   exposure,
+		selector: &endpointSelector{
+			endpoints: endpoints, builds: builds, rules: rules, budget: budget, zones: zones,
+			ownZone: config.Instance.Zone, crossZoneCost: config.CostWeights.CrossZone,
+		},
+		placement: newKeyPlacement(shared, traffic, config.Instance),
+		rules:     rules,
+		retries: &retryPolicy{
+			runtime: shared, endpoints: endpoints, rules: rules, clients: clients, tenants: tenants,
+			classes: config.Classes, limits: config.RetryLimits, agents: config.Instance.Agents,
+		},
+		zones:          zones,
+		traffic:        traffic,
+		clients:        clients,
+		tenants:        tenants,
+		maxClientDelay: config.RetryLimits.MaxRetryAfter + returnGrace,
+	}
+}
+
+func (d *dispatcher) receive(msg message) {
+	switch msg := msg.(type) {
+	case RequestArrived:
+		d.accept(msg)
+	case AttemptResult:
+		d.finishAttempt(msg)
+	case RequestCancelled:
+		if req := d.requests[msg.RequestID]; req != nil {
+			d.requests.close(req)
+		}
+	case RolloutUpdate:
+		d.rollout.apply(msg) // a lower cap binds at once, and what was sent before still counts: never too much
+	case tick:
+		d.clients.expire(d.now - d.maxClientDelay)
+		d.retryPending()
+	case *request:
+		d.routeRequest(msg)
+	}
+}
+
+func (d *dispatcher) accept(arrived RequestArrived) {
+	req := &request{RequestArrived: arrived, acceptedAt: cmp.Or(arrived.ArrivedAt, d.now)}
+	hash := cmp.Or(arrived.Key, arrived.ID)
+	req.trafficFraction = unitInterval(mix64(hash ^ trafficSalt))
+	req.clientHash = mix64(mix64(hash+uint64(arrived.Class)) + uint64(arrived.Tenant))
+	if req.CostHint > 0 {
+		d.traffic.recordCost(req.CostHint)
+	}
+	// To a client that returns after a rejection the request is the same one, so its time runs from the first try.
+	req.acceptedAt = d.clients.returned(req.clientHash, req.acceptedAt)
+	d.traffic.recordArrival(req.acceptedAt)
+	req.ringPosition = d.placement.ringPosition(req)
+	d.requests[arrived.ID] = req
+	d.exposure.recordRequest(arrived.Class)
+	d.routeRequest(req)
+}
+
+// retryPending sends itself one message for each pending request, by priority weight: endpoints process their messages in
+// between, or all requests would go to one endpoint.
+func (d *dispatcher) retryPending() {
+	priority := func(i int) float64 { return d.classes[d.pending[i].Class].PriorityWeight }
+	sort.SliceStable(d.pending, func(i, j int) bool { return priority(i) > priority(j) })
+	for _, req := range d.pending {
+		d.enqueue(req)
+	}
+	d.pending = nil
+}
+
+func (d *dispatcher) tickInterval() Micros {
+	if len(d.pending) > 0 {
+		return busyTickInterval
+	}
+	return idleTickInterval
+}
+
+// routeRequest sends a request to an endpoint, or keeps it pending, or gives it up.
+func (d *dispatcher) routeRequest(req *request) {
+	if !d.requests.isOpen(req) || req.attemptAt != nil {
+		return
+	}
+	if d.retries.isTooLate(req) {
+		d.giveUp(req)
+		return
+	}
+	d.builds.updateShare()
+	for _, rank := range d.builds.ranksFor(req) {
+		e := d.selector.pick(req, rank)
+		if e != nil && !d.retries.hasTooManyErrors(req) {
+			d.sendAttempt(req, e)
+			return
+		}
+	}
+	if !d.retries.mustGiveUp(req) {
+		d.pending = append(d.pending, req)
+		return
+	}
+	d.retries.recordOverload()
+	d.giveUp(req)
+}
+
+// sendAttempt sends the request to an endpoint, if the rules allow it.
+func (d *dispatcher) sendAttempt(req *request, e *endpointRecord) {
+	if !d.rules.mayAttempt(req, e) {
+		return
+	}
+	req.attemptAt = e
+	req.sentAt = d.now
+	req.attempts++
+	d.exposure.recordAttempt(req.Class, e.Build)
+	d.zones.get(e.Zone).inFlight++
+	e.enqueue(attemptStarted{d.traffic.expectedCost(req), d.classes[req.Class].LatencyObjective})
+	d.analyzer.enqueue(attemptSent{endpoint: e})
+	d.emit(SendAttempt{
+		RequestID: req.ID, EndpointID: e.ID, Timeout: d.retries.attemptTimeout(req), WriteBefore: req.dedupUntil,
+	})
+}
+
+// finishAttempt updates the records by an attempt's result, and routes the request again if it has no final answer.
+func (d *dispatcher) finishAttempt(result AttemptResult) {
+	e := d.endpoints.byID[result.EndpointID]
+	if e == nil {
+		return
+	}
+	req := d.requestOf(result, e)
+	d.recordOutcome(d.newOutcome(result, e, req))
+	if req == nil {
+		return
+	}
+	if result.Outcome == OK && req.CostHint == 0 {
+		d.traffic.recordCost(result.Elapsed)
+	}
+	if result.RequestDone {
+		delete(d.requests, result.RequestID)
+		return
+	}
+	if result.Outcome == ServerError {
+		req.serverErrors++
+	}
+	if mayHaveRun(result.Outcome) {
+		req.markMayHaveRun(e, &d.classes[req.Class])
+	}
+	req.attemptAt = nil
+	req.triedEndpoints = append(req.triedEndpoints, e)
+	d.enqueue(req)
+}
+
+// requestOf returns the request of an attempt's result, or nil where it was over before. A good answer binds the request's key
+// to the endpoint's build, also after the request was closed.
+func (d *dispatcher) requestOf(result AttemptResult, e *endpointRecord) *request {
+	req := d.requests[result.RequestID]
+	if req == nil {
+		return nil
+	}
+	if result.Outcome == OK {
+		d.exposure.bindKey(req.Key, e.Build)
+	}
+	if req.isClosed {
+		delete(d.requests, result.RequestID)
+		return nil
+	}
+	return req
+}
+
+// newOutcome returns a result with what endpoints and analyzer need of its request, which may be nil.
+func (d *dispatcher) newOutcome(result AttemptResult, e *endpointRecord, req *request) attemptOutcome {
+	outcome := attemptOutcome{
+		AttemptResult:    result,
+		endpoint:         e,
+		class:            -1,
+		reportedInFlight: d.loadReport.reportedInFlight(result.Load),
+		onCanary:         d.rollout.isCapped(e.Build),
+	}
+	if req != nil {
+		outcome.class = req.Class
+		outcome.latencyObjective = d.classes[req.Class].LatencyObjective
+		outcome.isClientError = d.tenants.classify(req.Tenant, result.Outcome, outcome.onCanary)
+	}
+	return outcome
+}
+
+// recordOutcome passes an outcome on to all that learn from it.
+func (d *dispatcher) recordOutcome(outcome attemptOutcome) {
+	e := outcome.endpoint
+	e.enqueue(outcome)
+	e.recordLoad(outcome.Load, d.loadReport)
+	d.endpoints.updateWarmConcurrency(d.traffic.meanCost)
+	d.analyzer.enqueue(outcome)
+	d.zones.get(e.Zone).inFlight--
+	d.zones.update(e.Zone, outcome)
+}
+
+// giveUp gives the final answer of a request that did not succeed.
+func (d *dispatcher) giveUp(req *request) {
+	d.requests.close(req)
+	d.analyzer.enqueue(requestRejected{})
+	d.clients.reject(rejectedClient{rejectedAt: d.now, acceptedAt: req.acceptedAt, clientHash: req.clientHash})
+	d.emit(d.retries.finalAnswer(req))
+}
+
+// reportedInFlight returns the requests in flight of a load report, below 0 where it does not hold them.
+func (f LoadReportFormat) reportedInFlight(load []float32) float64 {
+	if f.InFlight <= 0 || f.InFlight > len(load) {
+		return -1
+	}
+	return float64(load[f.InFlight-1])
+}
--- /dev/null
+++ b/internal/policy/endpoint_record.go
@@ -0,0 +1,132 @@
+package policy
+
+import (
+	"switchfork/internal/aimd"
+	"switchfork/internal/ramp"
+)
+
+// endpointRecord is what is known of one endpoint, and the actor that keeps it.
+type endpointRecord struct {
+	mailbox
+	*runtime
+	Endpoint
+	endpointHealth
+	endpoints      *endpointSet
+	inList         bool
+	isQueued       bool // in the runtime's pendingEndpoints
+	ringPoints     []uint64
+	healthChecks   bool // an ejected endpoint comes back by a health check
+	slowStart      SlowStart
+	inFlight       int             // this agent's attempts without a result
+	recentAttempts []recentAttempt // this agent's attempts within OverloadAfter
+}
+
+// endpointHealth is what is known of one process. A new process under the same id starts afresh.
+type endpointHealth struct {
+	evidence       endpointEvidence
+	limit          aimd.Limit // of this agent's attempts in flight
+	errorRate      float64    // moving mean
+	waitingSince   Micros     // no answer since then, with attempts in flight
+	lastObjective  Micros     // latency objective of the last attempt
+	silentOutcomes int        // outcomes in a row that were no answer
+	lastAnswerAt   Micros
+	rejectingUntil Micros // it rejected an attempt and is given time
+	ejectedUntil   Micros // 0: not ejected
+	load           loadAverage
+	totalInFlight  float64 // requests of all agents, as far as is known
+	isChecking     bool    // a health check is in progress
+}
+
+// recentAttempt is an attempt that an endpoint may still be at work on.
+type recentAttempt struct {
+	sentAt Micros
+	cost   float64 // µs of work
+}
+
+// enqueue also queues the endpoint for the loop, so that emptying the mailboxes does not cost a look at each endpoint.
+func (e *endpointRecord) enqueue(msg message) {
+	e.mailbox.enqueue(msg)
+	if !e.isQueued {
+		e.isQueued = true
+		e.pendingEndpoints = append(e.pendingEndpoints, e)
+	}
+}
+
+func (e *endpointRecord) receive(msg message) {
+	switch msg := msg.(type) {
+	case Endpoint:
+		e.updateEntry(msg)
+	case attemptStarted:
+		e.startAttempt(msg)
+	case attemptSent:
+		e.totalInFlight++
+	case attemptOutcome:
+		e.finishAttempt(msg)
+	case failureStep:
+		e.evidence.addFailureStep(msg)
+	case latenessStep:
+		e.evidence.addLatenessStep(msg)
+	case evidenceReset:
+		e.evidence = endpointEvidence{}
+	case tick:
+		e.forgetOldAttempts()
+		e.startHealthCheck()
+	case HealthCheckResult:
+		e.finishHealthCheck(msg.Outcome)
+	}
+}
+
+// updateEntry takes over the endpoint's entry in the list.
+func (e *endpointRecord) updateEntry(entry Endpoint) {
+	isNewProcess := entry.Started != e.Started || entry.Build != e.Build || e.limit.Value == 0
+	if isNewProcess || entry.State == Gone {
+		e.endpointHealth = endpointHealth{limit: aimd.Limit{Value: initialConcurrencyLimit}}
+		e.recentAttempts = nil
+	}
+	e.Endpoint = entry
+}
+
+func (e *endpointRecord) startAttempt(attempt attemptStarted) {
+	e.lastObjective = attempt.latencyObjective
+	if e.inFlight == 0 {
+		e.waitingSince = e.now
+	}
+	e.inFlight++
+	e.recentAttempts = append(e.recentAttempts, recentAttempt{e.now, attempt.cost})
+}
+
+func (e *endpointRecord) finishAttempt(outcome attemptOutcome) {
+	e.updateTotalInFlight(outcome.reportedInFlight)
+	if outcome.fromPeer {
+		return
+	}
+	e.inFlight = max(0, e.inFlight-1)
+	e.waitingSince = e.now
+	e.updateHealth(outcome)
+}
+
+func (e *endpointRecord) forgetOldAttempts() {
+	for len(e.recentAttempts) > 0 && e.recentAttempts[0].sentAt <= e.now-e.slowStart.OverloadAfter {
+		e.recentAttempts = e.recentAttempts[1:]
+	}
+}
+
+func (e *endpointRecord) isReady() bool { return e.State == Ready }
+
+func (e *endpointRecord) isEjected() bool { return e.now < e.ejectedUntil }
+
+// hasUnfinishedWork reports whether a result is still to come, or a message waits.
+func (e *endpointRecord) hasUnfinishedWork() bool { return e.inFlight > 0 || e.isQueued }
+
+// warmUp is the configured growth of a starting endpoint's capacity.
+func (s SlowStart) warmUp() ramp.Linear {
+	return ramp.Linear{Initial: s.InitialCapacity, Duration: s.Duration}
+}
+
+// read returns the figures of a load report, and whether it has them.
+func (f LoadReportFormat) read(load []float32) (utilization, rate float64, isReported bool) {
+	if f.Utilization == 0 || f.Rate == 0 || len(load) < max(f.Utilization, f.Rate) {
+		return 0, 0, false
+	}
+	return float64(load[f.Utilization-1]), float64(load[f.Rate-1]), true
+}
--- a/internal/policy/exposure.go
+++ b/internal/policy/exposure.go
@@ -1,37 +1,119 @@
 package policy
 
-// windowMargin: two ticks more than the configured window, so that the rounding of its ends does not matter.
-const windowMargin = 2 * busyTickInterval
+import "switchfork/internal/exposure"
 
-// capOf is the exposure cap and stage that apply to a build, where any do.
-func (s *rolloutState) capOf(build int) (buildCap float64, stage int, isCapped bool) {
+const (
+	// windowMargin is added to the configured window, so that the rounding of its ends does not matter.
+	windowMargin = 2 * busyTickInterval
+	// capRounding is subtracted from a cap as its part: the announced cap has seven digits.
+	capRounding = 1e-6
+)
+
+// buildLimit is what binds the attempts at a build.
+type buildLimit struct {
+	share    float64 // of the requests
+	stage    int
+	isCapped bool // false: any share may go there, and share and stage say nothing
+}
+
+// limitOf is the limit of a build. One that was not announced yet is bound as in the first stage.
+func (s *rolloutState) limitOf(build int) buildLimit {
 	switch {
-	case build > s.build: // not announced yet: as in the first stage
-		return s.plan.Caps[0], 0, true
+	case build > s.build:
+		return buildLimit{share: s.plan.Caps[0], stage: 0, isCapped: true}
 	case build == s.build && s.phase != Released:
-		return s.trafficCap, s.stage, true
+		return buildLimit{share: s.trafficCap, stage: s.stage, isCapped: true}
 	}
-	return 1, len(s.plan.Caps), false
+	return buildLimit{}
 }
 
-// isWithinCap holds the cap over every window that begins within the last one, whatever comes later.
-func (d *dispatcher) isWithinCap(class, build int, buildCap float64) bool {
-	if buildCap < 1 {
-		buildCap *= 1 - 1e-6 // the announced cap has seven digits; a whole one is exact
+// isCapped reports whether the exposure of a build is limited.
+func (s *rolloutState) isCapped(build int) bool { return s.limitOf(build).isCapped }
+
+// exposureGuard decides whether a request may go to a build (rule 5): by the exposure cap over the window, the guarded stages,
+// and the build to which its key is bound. The rules ask it for each attempt; the dispatcher records requests and attempts.
+type exposureGuard struct {
+	*runtime
+	rollout   *rolloutState
+	classes   []RequestClass
+	limit     ExposureLimit
+	windows   []*exposure.Window // by class, or a single one
+	keyBuilds map[uint64]int     // the latest build that answered a key, where keys never go back
+}
+
+func newExposureGuard(shared *runtime, rollout *rolloutState, config Config) *exposureGuard {
+	guard := &exposureGuard{
+		runtime:   shared,
+		rollout:   rollout,
+		classes:   config.Classes,
+		limit:     config.ExposureLimit,
+		keyBuilds: map[uint64]int{},
 	}
-	return d.windowOf(class).Fits(build, buildCap, d.exposureLimit.Allowance)
+	for range config.Classes {
+		guard.windows = append(guard.windows, &exposure.Window{})
+	}
+	return guard
 }
 
-// mayUseBuild is rule 5: the exposure cap, the guarded stages, and that keys go back to no earlier build.
-func (d *dispatcher) mayUseBuild(req *request, build int) bool {
-	if buildCap, stage, isCapped := d.capOf(build); isCapped {
-		if stage < d.plan.GuardedStages && d.classes[req.Class].Idempotency != Idempotent {
+// mayUse reports whether one more attempt of the request may go to a build.
+func (g *exposureGuard) mayUse(req *request, build int) bool {
+	if limit := g.rollout.limitOf(build); limit.isCapped {
+		isGuarded := limit.stage < g.rollout.plan.GuardedStages
+		if isGuarded && g.classes[req.Class].Idempotency != Idempotent {
 			return false
 		}
-		if !d.isWithinCap(req.Class, build, buildCap) {
+		if !g.isWithinCap(req.Class, build, limit.share) {
 			return false
 		}
 	}
-	keyBuild := d.keyBuilds[req.Key]
-	return req.Key == 0 || build >= keyBuild || d.rolledBack[keyBuild]
+	return g.fitsKey(req.Key, build)
+}
+
+// fitsKey reports whether a key may go to a build: to no earlier one than answered it, unless that was rolled back.
+func (g *exposureGuard) fitsKey(key uint64, build int) bool {
+	if key == 0 {
+		return true
+	}
+	bound := g.keyBuilds[key]
+	return build >= bound || g.rollout.rolledBack[bound]
+}
+
+// bindKey records that a build answered a key, 0 for none.
+func (g *exposureGuard) bindKey(key uint64, build int) {
+	if key == 0 || !g.rollout.plan.KeysNeverGoBack {
+		return
+	}
+	if build > g.keyBuilds[key] {
+		g.keyBuilds[key] = build
+	}
+}
+
+// isWithinCap holds the cap over every window that begins within the last one, whatever comes later.
+func (g *exposureGuard) isWithinCap(class, build int, share float64) bool {
+	if share < 1 { // a whole one is exact
+		share *= 1 - capRounding
+	}
+	return g.windowOf(class).Fits(build, share, g.limit.Allowance)
+}
+
+func (g *exposureGuard) recordRequest(class int) {
+	g.windowOf(class).RecordRequest(g.now, g.windowStart())
 }
+
+// recordAttempt counts an attempt, where the build's exposure is limited.
+func (g *exposureGuard) recordAttempt(class, build int) {
+	if g.rollout.isCapped(build) {
+		g.windowOf(class).RecordAttempt(g.now, g.windowStart(), build)
+	}
+}
+
+// windowOf is the exposure count that applies to a class.
+func (g *exposureGuard) windowOf(class int) *exposure.Window {
+	if g.limit.PerClass {
+		return g.windows[class]
+	}
+	return g.windows[0]
+}
+
+// windowStart is the time from which on the exposure counts.
+func (g *exposureGuard) windowStart() Micros { return g.now - g.limit.Window - windowMargin }
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -71,9 +71,9 @@
 	instance.Seed = seed
 	switch deployment.name {
 	case "evaluator":
-		instance.Index = selectAgents(instance.Agents, panelSize, ringSalt)[0]
+		instance.Index = selectAgents(instance.Agents, evaluatorCount)[0]
 	case "observer":
-		instance.Index = selectAgents(instance.Agents, instance.Agents, ringSalt)[panelSize]
+		instance.Index = selectAgents(instance.Agents, instance.Agents)[evaluatorCount]
 	}
 	s := &goldenStream{
 		random:     rand.New(rand.NewSource(seed)),
@@ -203,24 +203,24 @@
 
 func (s *goldenStream) appendRandomRecord(payload []byte) []byte {
 	endpoint := s.endpoints[s.endpointIDs[s.random.Intn(len(s.endpointIDs))]]
-	outcome := attemptOutcome{
-		AttemptResult: AttemptResult{
-			EndpointID: endpoint.ID, Outcome: Outcome(s.random.Intn(9)), Elapsed: s.randomBelow(400 * millisecond),
-		},
-		endpoint: &endpointRecord{Endpoint: endpoint}, class: s.random.Intn(len(s.deployment.classes)),
-		reportedInFlight: float64(s.random.Intn(6)) - 1,
+	record := gossipRecord{
+		endpointID: endpoint.ID,
+		build:      endpoint.Build,
+		kind:       recordKind(s.random.Intn(9)),
+		elapsed:    s.randomBelow(400 * millisecond),
+		class:      s.random.Intn(len(s.deployment.classes)),
+		inFlight:   float64(s.random.Intn(6)) - 1,
 	}
 	switch s.random.Intn(10) {
 	case 0:
-		outcome.Outcome = rejectedRecord
+		record.kind = rejectionKind
 	case 1:
-		outcome.Outcome = sentRecord
+		record.kind = attemptKind
 	case 2:
-		a := &releaseAnalyzer{rolloutState: rolloutState{build: s.build, stage: s.stage}}
-		payload = append(payload, a.encodeVerdict(Verdict(s.random.Intn(4)))...)
+		payload = append(payload, encodeVerdict(s.build, s.stage, Verdict(s.random.Intn(4)))...)
 		return append(payload, make([]byte, (recordBytes-len(payload)%recordBytes)%recordBytes)...)
 	}
-	return appendOutcome(payload, outcome)
+	return record.appendTo(payload)
 }
 
 func (s *goldenStream) randomOutcome() Outcome {
@@ -342,25 +342,23 @@
 
 // What agents write to each other stays as it was, byte by byte.
 func TestGoldenGossip(t *testing.T) {
-	endpointWithBuild := func(build int) *endpointRecord { return &endpointRecord{Endpoint: Endpoint{Build: build}} }
 	var out strings.Builder
-	for i, outcome := range []attemptOutcome{
-		{
+	for i, record := range []gossipRecord{
+		outcomeRecord(attemptOutcome{
 			AttemptResult: AttemptResult{EndpointID: 0xa1b2c3d4, Outcome: OK, Elapsed: 123456},
-			endpoint:      endpointWithBuild(7), class: 2, reportedInFlight: 3,
-		},
-		{
+			endpoint:      &endpointRecord{Endpoint: Endpoint{Build: 7}}, class: 2, reportedInFlight: 3,
+		}),
+		outcomeRecord(attemptOutcome{
 			AttemptResult: AttemptResult{EndpointID: 5, Outcome: Malformed, Elapsed: 99 * second},
-			endpoint:      endpointWithBuild(258), class: 0, reportedInFlight: -1,
-		},
-		{AttemptResult: AttemptResult{Outcome: rejectedRecord}, endpoint: &endpointRecord{}},
-		{AttemptResult: AttemptResult{EndpointID: 77, Outcome: sentRecord}, endpoint: &endpointRecord{Endpoint: Endpoint{ID: 77}}},
+			endpoint:      &endpointRecord{Endpoint: Endpoint{Build: 258}}, class: 0, reportedInFlight: -1,
+		}),
+		rejectionRecord(),
+		attemptRecord(Endpoint{ID: 77}),
 	} {
-		fmt.Fprintf(&out, "line %d: %x\n", i, appendOutcome(nil, outcome))
+		fmt.Fprintf(&out, "line %d: %x\n", i, record.appendTo(nil))
 	}
-	a := &releaseAnalyzer{rolloutState: rolloutState{build: 300, stage: 4}}
 	for verdict := NoVote; verdict <= Rollback; verdict++ {
-		fmt.Fprintf(&out, "word %d: %x\n", verdict, a.encodeVerdict(verdict))
+		fmt.Fprintf(&out, "word %d: %x\n", verdict, encodeVerdict(300, 4, verdict))
 	}
 	for _, id := range []uint32{0, 1, 77, 0xffffffff} {
 		index, bit := digestBit(id)
--- /dev/null
+++ b/internal/policy/poller.go
@@ -0,0 +1,42 @@
+package policy
+
+const (
+	pollRetryDelay   = 400 * millisecond // doubles with each failure in a row
+	maxPollDoublings = 3
+)
+
+// endpointPoller decides when the endpoint list is asked for, where discovery has to be polled: at the start, and again after
+// each failed call, with exponential backoff and jitter. The router calls it with endpoint updates and ticks.
+type endpointPoller struct {
+	mailbox
+	*runtime
+	isEnabled     bool
+	pollAt        Micros // -1: a call is in progress, or the watch is open
+	failuresInRow int
+}
+
+func (p *endpointPoller) receive(msg message) {
+	switch msg := msg.(type) {
+	case EndpointUpdate:
+		if msg.Failed {
+			p.scheduleRetry()
+		} else {
+			p.failuresInRow = 0
+		}
+	case tick:
+		p.pollIfDue()
+	}
+}
+
+func (p *endpointPoller) pollIfDue() {
+	if p.isEnabled && p.pollAt >= 0 && p.now >= p.pollAt {
+		p.pollAt = -1
+		p.emit(WatchEndpoints{})
+	}
+}
+
+func (p *endpointPoller) scheduleRetry() {
+	delay := pollRetryDelay << min(p.failuresInRow, maxPollDoublings)
+	p.failuresInRow++
+	p.pollAt = p.now + delay + p.randomBelow(delay)
+}
--- a/internal/policy/ring.go
+++ b/internal/policy/ring.go
@@ -41,11 +41,11 @@
 }
 
 // selectAgents draws some of the agents' indices, the same on every agent.
-func selectAgents(agents, count int, salt uint64) []int {
+func selectAgents(agents, count int) []int {
 	all := make([]int, agents)
 	for i := range all {
 		all[i] = i
 	}
-	slices.SortFunc(all, func(a, b int) int { return cmp.Compare(mix64(uint64(a)^salt), mix64(uint64(b)^salt)) })
+	slices.SortFunc(all, func(a, b int) int { return cmp.Compare(mix64(uint64(a)^ringSalt), mix64(uint64(b)^ringSalt)) })
 	return all[:count]
 }
--- /dev/null
+++ b/internal/policy/router.go
@@ -0,0 +1,102 @@
+package policy
+
+import "math/rand"
+
+const (
+	millisecond Micros = 1000
+	second             = 1000 * millisecond
+)
+
+// router is the Router of one agent: its components, and the loop that empties their mailboxes.
+type router struct {
+	*runtime
+	endpoints  *endpointSet
+	dispatcher *dispatcher
+	analyzer   *releaseAnalyzer
+	poller     *endpointPoller
+	components []component
+	timerAt    Micros // the timer that was asked for last
+}
+
+// runtime is what all components share: the time, the source of randomness and the commands to carry out.
+type runtime struct {
+	now              Micros
+	startedAt        Micros // -1: no event yet
+	random           *rand.Rand
+	commands         []Command
+	pendingEndpoints []*endpointRecord // those with messages to process
+}
+
+func (r *runtime) emit(command Command) { r.commands = append(r.commands, command) }
+
+// randomBelow returns a random duration below the limit.
+func (r *runtime) randomBelow(limit Micros) Micros { return r.random.Int63n(limit) }
+
+// New returns the router of one agent.
+func New(config Config) Router {
+	shared := &runtime{random: rand.New(rand.NewSource(config.Instance.Seed)), startedAt: -1}
+	endpoints := newEndpointSet(shared, config)
+	analyzer := newReleaseAnalyzer(shared, endpoints, config)
+	dispatcher := newDispatcher(shared, endpoints, analyzer, config)
+	poller := &endpointPoller{runtime: shared, isEnabled: config.Capabilities.PollsEndpoints}
+	return &router{
+		runtime:    shared,
+		endpoints:  endpoints,
+		analyzer:   analyzer,
+		dispatcher: dispatcher,
+		poller:     poller,
+		components: []component{endpoints, analyzer, dispatcher, poller},
+	}
+}
+
+// Handle passes an event to the components, empties the mailboxes, and sees to it that a timer is asked for.
+func (r *router) Handle(now Micros, event Event) []Command {
+	r.now, r.commands = now, nil
+	isTick := r.isTickDue(event)
+	for _, c := range r.components {
+		c.enqueue(event) // each takes what concerns it
+		if isTick {
+			c.enqueue(tick{})
+		}
+	}
+	for r.processNext() {
+	}
+	nextTick := now + r.dispatcher.tickInterval()
+	if isTick || nextTick < r.timerAt {
+		r.timerAt = nextTick
+		r.emit(SetTimer{At: nextTick})
+	}
+	return r.commands
+}
+
+// isTickDue reports whether the event brings a tick: the first event does, then each timer that is not early.
+func (r *router) isTickDue(event Event) bool {
+	if r.startedAt < 0 {
+		r.startedAt = r.now
+		return true
+	}
+	_, isTimer := event.(TimerFired)
+	return isTimer && r.now >= r.timerAt
+}
+
+// processNext processes one message and reports whether there was one. Endpoints come first, so that no choice reads a record
+// with messages waiting.
+func (r *router) processNext() bool {
+	for len(r.pendingEndpoints) > 0 {
+		e := r.pendingEndpoints[0]
+		if msg := e.dequeue(); msg != nil {
+			e.receive(msg)
+			return true
+		}
+		e.isQueued = false
+		r.pendingEndpoints = r.pendingEndpoints[1:]
+	}
+	r.pendingEndpoints = nil
+	for _, c := range r.components {
+		if msg := c.dequeue(); msg != nil {
+			c.receive(msg)
+			return true
+		}
+	}
+	return false
+}
--- a/internal/policy/scenario_events_test.go
+++ b/internal/policy/scenario_events_test.go
@@ -7,10 +7,12 @@
 	"strings"
 )
 
-// outcomesByName are the outcomes in the notation.
-var outcomesByName = map[string]Outcome{
-	"ok": OK, "error": ServerError, "full": Rejected, "timeout": TimedOut, "noconnect": ConnectFailed,
-	"broken": ConnectionLost, "cancelled": Cancelled, "moot": NotAttempted, "spoilt": Malformed,
+// outcomeNamed is an outcome by its word in the notation.
+func outcomeNamed(word string) Outcome {
+	return map[string]Outcome{
+		"ok": OK, "error": ServerError, "full": Rejected, "timeout": TimedOut, "noconnect": ConnectFailed,
+		"broken": ConnectionLost, "cancelled": Cancelled, "moot": NotAttempted, "spoilt": Malformed,
+	}[word]
 }
 
 // playEvent plays an event line, without its time.
@@ -28,11 +30,11 @@
 			s.requestArrives(uint64(id), parseOptions(words[2:]))
 		}
 	case "end":
-		s.attemptsEnd(words[0], outcomesByName[words[1]], s.duration(parseOptions(words[2:]), "took", 50))
+		s.attemptsEnd(words[0], outcomeNamed(words[1]), s.duration(parseOptions(words[2:]), "took", 50))
 	case "abandon":
 		s.handle(RequestCancelled{RequestID: uint64(s.number(words[0]))})
 	case "probed":
-		s.handle(HealthCheckResult{EndpointID: uint32(s.number(words[0])), Outcome: outcomesByName[words[1]]})
+		s.handle(HealthCheckResult{EndpointID: uint32(s.number(words[0])), Outcome: outcomeNamed(words[1])})
 	case "heard", "went", "digest", "word":
 		s.receiveGossip(kind, words)
 	case "tally": // BUILD CLASS REQUESTS FAILURES took=
@@ -94,7 +96,7 @@
 		Build: int(s.number(words[0])), Stage: int(s.number(words[1])), Cap: s.number(words[3]), Phase: phases[words[2]],
 	}
 	if len(words) > 4 {
-		update.IsVoteReply, update.Outcome = true, outcomesByName[words[4]]
+		update.IsVoteReply, update.Outcome = true, outcomeNamed(words[4])
 	}
 	s.handle(update)
 }
@@ -135,36 +137,32 @@
 	switch kind {
 	case "heard": // ENDPOINT OUTCOME TIMES took=: results of a peer
 		id := uint32(s.number(words[0]))
-		s.receiveRecords(s.number(words[2]), attemptOutcome{
-			AttemptResult: AttemptResult{
-				EndpointID: id, Outcome: outcomesByName[words[1]], Elapsed: s.duration(parseOptions(words), "took", 50),
-			},
-			endpoint: &endpointRecord{Endpoint: Endpoint{Build: s.builds[id]}},
+		s.receiveRecords(s.number(words[2]), gossipRecord{
+			kind:       recordKind(outcomeNamed(words[1])),
+			endpointID: id,
+			build:      s.builds[id],
+			elapsed:    s.duration(parseOptions(words), "took", 50),
 		})
 	case "went": // ENDPOINT TIMES: attempts of a peer
-		s.receiveRecords(s.number(words[1]), attemptOutcome{
-			AttemptResult: AttemptResult{EndpointID: uint32(s.number(words[0])), Outcome: sentRecord},
-			endpoint:      &endpointRecord{},
-		})
+		s.receiveRecords(s.number(words[1]), attemptRecord(Endpoint{ID: uint32(s.number(words[0]))}))
 	case "digest": // EVALUATOR ID,ID..: the endpoints that an evaluator calls overloaded
 		payload := make([]byte, digestBytes)
 		for _, id := range strings.Split(words[1], ",") {
-			index, bit := digestBit(uint32(s.number(id)))
-			payload[index] |= bit
+			setDigestBit(payload, uint32(s.number(id)))
 		}
 		s.handle(GossipReceived{From: s.agentIndex(words[0]), Payload: payload})
-	case "word": // EVALUATOR BUILD STAGE VERDICT: a verdict; a number past the panel is another agent
+	case "word": // EVALUATOR BUILD STAGE VERDICT: a verdict; a number past the evaluators is another agent
 		from := s.agentIndex(words[0])
 		verdict := map[string]Verdict{"none": NoVote, "on": Advance, "back": Rollback, "9": 9}[words[3]]
 		build, stage := byte(s.number(words[1])), byte(s.number(words[2]))
-		payload := []byte{build, 0, 0, 0, stage, byte(verdict), verdictRecord, 0, 0, 0}
+		payload := []byte{build, 0, 0, 0, stage, byte(verdict), byte(verdictKind), 0, 0, 0}
 		s.handle(GossipReceived{From: from, Payload: payload})
 	}
 }
 
-func (s *scenario) receiveRecords(count float64, record attemptOutcome) {
+func (s *scenario) receiveRecords(count float64, record gossipRecord) {
 	for ; count > 0; count-- {
-		s.handle(GossipReceived{From: 1, Payload: appendOutcome(nil, record)})
+		s.handle(GossipReceived{From: 1, Payload: record.appendTo(nil)})
 	}
 }
 
--- a/internal/policy/scenario_test.go
+++ b/internal/policy/scenario_test.go
@@ -179,10 +179,10 @@
 	})
 }
 
-// agentIndex is the index of an evaluator. A number past the panel is another agent's index.
+// agentIndex is the index of an evaluator. A number past the evaluators is another agent's index.
 func (s *scenario) agentIndex(token string) int {
 	number := int(s.number(token))
-	evaluators := selectAgents(s.count(s.settings, "agents", 1), panelSize, ringSalt)
+	evaluators := selectAgents(s.count(s.settings, "agents", 1), evaluatorCount)
 	if number < len(evaluators) {
 		return evaluators[number]
 	}
--- a/internal/policy/state_test.go
+++ b/internal/policy/state_test.go
@@ -28,7 +28,7 @@
 		}
 		r.Handle(now, TimerFired{})
 		if id > 10000 {
-			keys := len(r.dispatcher.keys.recent) + len(r.dispatcher.keys.previous)
+			keys := len(r.dispatcher.placement.usages.recent) + len(r.dispatcher.placement.usages.previous)
 			endpoints := len(r.endpoints.all) + len(r.endpoints.byID)
 			most = max(most, keys+endpoints+len(r.dispatcher.requests))
 		}
