--- a/internal/policy/scenario_events_test.go
+++ b/internal/policy/scenario_events_test.go
@@ -10,8 +10,8 @@
 // outcomeNamed is an outcome by its word in the notation.
 func outcomeNamed(word string) Outcome {
 	return map[string]Outcome{
-		"ok": OK, "error": ServerError, "full": Rejected, "timeout": TimedOut, "noconnect": ConnectFailed,
-		"broken": ConnectionLost, "cancelled": Cancelled, "moot": NotAttempted, "spoilt": Malformed,
+		"ok": OK, "error": ServerError, "rejected": Rejected, "timeout": TimedOut, "connect-failed": ConnectFailed,
+		"connection-lost": ConnectionLost, "cancelled": Cancelled, "not-attempted": NotAttempted, "malformed": Malformed,
 	}[word]
 }
 
@@ -19,34 +19,34 @@
 func (s *scenario) playEvent(kind string, words []string) {
 	switch kind {
 	case "wait":
-	case "list":
+	case "endpoints":
 		s.updateEndpoints(words[0], words[1:])
-	case "stage":
+	case "rollout":
 		s.updateRollout(words)
-	case "txn":
+	case "request":
 		s.requestArrives(uint64(s.number(words[0])), parseOptions(words[1:]))
-	case "txns":
+	case "requests":
 		for id := s.number(words[0]); id <= s.number(words[1]); id++ {
 			s.requestArrives(uint64(id), parseOptions(words[2:]))
 		}
-	case "end":
-		s.attemptsEnd(words[0], outcomeNamed(words[1]), s.duration(parseOptions(words[2:]), "took", 50))
-	case "abandon":
+	case "result":
+		s.attemptsEnd(words[0], outcomeNamed(words[1]), s.duration(parseOptions(words[2:]), "elapsed", 50))
+	case "cancel":
 		s.handle(RequestCancelled{RequestID: uint64(s.number(words[0]))})
-	case "probed":
+	case "health-check":
 		s.handle(HealthCheckResult{EndpointID: uint32(s.number(words[0])), Outcome: outcomeNamed(words[1])})
-	case "heard", "went", "digest", "word":
+	case "gossip-outcome", "gossip-attempt", "gossip-digest", "gossip-verdict":
 		s.receiveGossip(kind, words)
-	case "tally": // BUILD CLASS REQUESTS FAILURES took=
+	case "metrics-report": // BUILD CLASS REQUESTS FAILURES elapsed=
 		s.handle(MetricsReport{
 			Build: int(s.number(words[0])), Class: int(s.number(words[1])), Requests: int(s.number(words[2])),
-			Failures: int(s.number(words[3])), MeanLatency: s.duration(parseOptions(words[4:]), "took", 0), Age: second,
+			Failures: int(s.number(words[3])), MeanLatency: s.duration(parseOptions(words[4:]), "elapsed", 0), Age: second,
 		})
-	case "flag": // ID TIMES
+	case "error-report": // ID TIMES
 		for count := s.number(words[1]); count > 0; count-- {
 			s.handle(ErrorReport{EndpointID: uint32(s.number(words[0]))})
 		}
-	case "run":
+	case "traffic":
 		s.runTraffic(parseOptions(words))
 	default:
 		s.test.Fatalf("%s: no event %q", s.position, kind)
@@ -91,7 +91,7 @@
 
 // updateRollout plays BUILD STAGE PHASE CAP, then an outcome if it answers a vote.
 func (s *scenario) updateRollout(words []string) {
-	phases := map[string]Phase{"trial": Evaluating, "back": RollingBack, "released": Released, "withdrawn": RolledBack}
+	phases := map[string]Phase{"evaluating": Evaluating, "rolling-back": RollingBack, "released": Released, "rolled-back": RolledBack}
 	update := RolloutUpdate{
 		Build: int(s.number(words[0])), Stage: int(s.number(words[1])), Cap: s.number(words[3]), Phase: phases[words[2]],
 	}
@@ -102,11 +102,11 @@
 }
 
 func (s *scenario) requestArrives(id uint64, given options) {
-	class := s.count(given, "product", 0)
+	class := s.count(given, "class", 0)
 	timeout := float64(s.classes[class].Timeout / millisecond)
 	s.handle(RequestArrived{
-		ID: id, Class: class, Tenant: s.count(given, "customer", 0), Key: uint64(s.option(given, "key", 0)),
-		CostHint: s.duration(given, "work", 0), Deadline: s.now + s.duration(given, "for", timeout),
+		ID: id, Class: class, Tenant: s.count(given, "tenant", 0), Key: uint64(s.option(given, "key", 0)),
+		CostHint: s.duration(given, "cost", 0), Deadline: s.now + s.duration(given, "deadline", timeout),
 	})
 }
 
@@ -135,25 +135,25 @@
 // receiveGossip plays what peers tell.
 func (s *scenario) receiveGossip(kind string, words []string) {
 	switch kind {
-	case "heard": // ENDPOINT OUTCOME TIMES took=: results of a peer
+	case "gossip-outcome": // ENDPOINT OUTCOME TIMES elapsed=: results of a peer
 		id := uint32(s.number(words[0]))
 		s.receiveRecords(s.number(words[2]), gossipRecord{
 			kind:       recordKind(outcomeNamed(words[1])),
 			endpointID: id,
 			build:      s.builds[id],
-			elapsed:    s.duration(parseOptions(words), "took", 50),
+			elapsed:    s.duration(parseOptions(words), "elapsed", 50),
 		})
-	case "went": // ENDPOINT TIMES: attempts of a peer
+	case "gossip-attempt": // ENDPOINT TIMES: attempts of a peer
 		s.receiveRecords(s.number(words[1]), attemptRecord(Endpoint{ID: uint32(s.number(words[0]))}))
-	case "digest": // EVALUATOR ID,ID..: the endpoints that an evaluator calls overloaded
+	case "gossip-digest": // EVALUATOR ID,ID..: the endpoints that an evaluator calls overloaded
 		payload := make([]byte, digestBytes)
 		for _, id := range strings.Split(words[1], ",") {
 			setDigestBit(payload, uint32(s.number(id)))
 		}
 		s.handle(GossipReceived{From: s.agentIndex(words[0]), Payload: payload})
-	case "word": // EVALUATOR BUILD STAGE VERDICT: a verdict; a number past the evaluators is another agent
+	case "gossip-verdict": // EVALUATOR BUILD STAGE VERDICT: a verdict; a number past the evaluators is another agent
 		from := s.agentIndex(words[0])
-		verdict := map[string]Verdict{"none": NoVote, "on": Advance, "back": Rollback, "9": 9}[words[3]]
+		verdict := map[string]Verdict{"none": NoVote, "advance": Advance, "rollback": Rollback, "9": 9}[words[3]]
 		build, stage := byte(s.number(words[1])), byte(s.number(words[2]))
 		payload := []byte{build, 0, 0, 0, stage, byte(verdict), byte(verdictKind), 0, 0, 0}
 		s.handle(GossipReceived{From: from, Payload: payload})
@@ -166,18 +166,19 @@
 	}
 }
 
-// runTraffic plays requests that are answered at once: until=ms every=ms fail=build failat=id slow=build slowat=id,id errs=every
-// keys=count customers=count failfor=customer took=ms rates=id:rate,.. busy=.
+// runTraffic plays requests that are answered at once: until=ms every=ms failing-build=build failing-endpoint=id
+// slow-build=build slow-endpoints=id,id error-every=count keys=count tenants=count failing-tenant=tenant elapsed=ms
+// rates=id:rate,.. utilization=.
 func (s *scenario) runTraffic(given options) {
 	eventStart := len(s.commands)
-	errorEvery, keys := s.count(given, "errs", 0), s.count(given, "keys", 0)
-	tenants := s.count(given, "customers", 1)
+	errorEvery, keys := s.count(given, "error-every", 0), s.count(given, "keys", 0)
+	tenants := s.count(given, "tenants", 1)
 	end, interval := s.duration(given, "until", 0), s.duration(given, "every", 20)
 	for id, i := uint64(1e6)+uint64(s.now), 1; s.now < end; id, i = id+1, i+1 {
 		if keys > 0 {
 			given["key"] = strconv.Itoa(1 + i%keys)
 		}
-		given["customer"] = strconv.Itoa(i % tenants)
+		given["tenant"] = strconv.Itoa(i % tenants)
 		s.requestArrives(id, given)
 		s.answerAttempts(id, given, errorEvery > 0 && i%errorEvery == 0)
 		s.advanceTo(s.now + interval)
@@ -187,11 +188,11 @@
 
 // answerAttempts answers the attempts of a request until there are no more.
 func (s *scenario) answerAttempts(requestID uint64, given options, failsOnce bool) {
-	failingBuild, failingEndpoint := s.count(given, "fail", -1), uint32(s.option(given, "failat", 0))
-	failsForTenant := s.count(given, "customer", 0) == s.count(given, "failfor", -1)
-	slowBuild, slowEndpoints := s.count(given, "slow", -1), strings.Split(given["slowat"], ",")
+	failingBuild, failingEndpoint := s.count(given, "failing-build", -1), uint32(s.option(given, "failing-endpoint", 0))
+	failsForTenant := s.count(given, "tenant", 0) == s.count(given, "failing-tenant", -1)
+	slowBuild, slowEndpoints := s.count(given, "slow-build", -1), strings.Split(given["slow-endpoints"], ",")
 	for id, isInFlight := s.endpointOf[requestID]; isInFlight; id, isInFlight = s.endpointOf[requestID] {
-		outcome, elapsed := OK, s.duration(given, "took", 20)
+		outcome, elapsed := OK, s.duration(given, "elapsed", 20)
 		if s.builds[id] == failingBuild || id == failingEndpoint || failsForTenant || failsOnce {
 			outcome, failsOnce = ServerError, false
 		}
@@ -208,7 +209,7 @@
 	for _, rate := range strings.Split(given["rates"], ",") {
 		endpoint, served, isRate := strings.Cut(rate, ":")
 		if isRate && id == uint32(s.number(endpoint)) {
-			load = []float32{float32(s.option(given, "busy", 0)), float32(s.number(served))}
+			load = []float32{float32(s.option(given, "utilization", 0)), float32(s.number(served))}
 		}
 	}
 	return load
--- a/internal/policy/scenario_test.go
+++ b/internal/policy/scenario_test.go
@@ -36,6 +36,7 @@
 // scenario plays the lines of one file.
 type scenario struct {
 	test       *testing.T
+	notation   notation
 	position   string // file and line
 	settings   options
 	classes    []RequestClass
@@ -71,13 +72,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scenario{test: t, settings: options{}, builds: map[uint32]int{}, endpointOf: map[uint64]uint32{}}
+	s := &scenario{test: t, notation: oldNotation(), settings: options{}, builds: map[uint32]int{}, endpointOf: map[uint64]uint32{}}
 	lines := bufio.NewScanner(strings.NewReader(string(content)))
 	for number := 1; lines.Scan(); number++ {
 		s.position = fmt.Sprintf("%s:%d", filepath.Base(file), number)
 		statement, _, _ := strings.Cut(lines.Text(), "#")
 		if words := strings.Fields(statement); len(words) > 0 {
-			s.play(words)
+			s.play(s.notation.presentLine(words))
 		}
 	}
 	if err := lines.Err(); err != nil {
@@ -90,7 +91,7 @@
 	switch words[0] {
 	case "agent":
 		s.settings = parseOptions(words[1:])
-	case "product":
+	case "class":
 		s.classes = append(s.classes, s.requestClass(words[1], parseOptions(words[2:])))
 	case ">":
 		s.expect(words[1:])
@@ -128,15 +129,15 @@
 }
 
 func (s *scenario) requestClass(kind string, given options) RequestClass {
-	kinds := map[string]Idempotency{"inquiry": Idempotent, "referenced": Keyed, "once": NonIdempotent}
+	kinds := map[string]Idempotency{"idempotent": Idempotent, "keyed": Keyed, "non-idempotent": NonIdempotent}
 	scopes := map[string]DedupScope{"": DedupAll, "zone": DedupZone, "cell": DedupCell}
 	return RequestClass{
 		Idempotency:      kinds[kind],
-		DedupScope:       scopes[given["group"]],
-		DedupWindow:      s.duration(given, "memory", 0),
-		LatencyObjective: s.duration(given, "sla", 1000),
-		Timeout:          s.duration(given, "expiry", 3000),
-		PriorityWeight:   s.option(given, "revenue", 1),
+		DedupScope:       scopes[given["dedup-scope"]],
+		DedupWindow:      s.duration(given, "dedup-window", 0),
+		LatencyObjective: s.duration(given, "objective", 1000),
+		Timeout:          s.duration(given, "timeout", 3000),
+		PriorityWeight:   s.option(given, "priority", 1),
 	}
 }
 
@@ -147,35 +148,35 @@
 	for _, token := range strings.Split(given["caps"], ",") {
 		caps = append(caps, s.number(token))
 	}
-	if evaluator, isEvaluator := strings.CutPrefix(given["me"], "BENCH"); isEvaluator {
-		given["me"] = strconv.Itoa(s.agentIndex(evaluator))
+	if evaluator, isEvaluator := strings.CutPrefix(given["index"], "EVALUATOR"); isEvaluator {
+		given["index"] = strconv.Itoa(s.agentIndex(evaluator))
 	}
 	votingRules := map[string]VotingRule{"": AnyVote, "share": VoteShare, "timer": TimedStages}
-	loadReports := map[string]LoadReportFormat{"1": {Utilization: 1, Rate: 2}, "": {InFlight: s.count(given, "holds", 0)}}
+	loadReports := map[string]LoadReportFormat{"1": {Utilization: 1, Rate: 2}, "": {InFlight: s.count(given, "in-flight-field", 0)}}
 	s.router = New(Config{
 		Instance: Instance{
-			Index: s.count(given, "me", 0), Agents: s.count(given, "agents", 1), Seed: 7,
-			KeyAffinity: given["warmkeys"] != "", HasWeights: given["unsized"] == "", LoadReport: loadReports[given["reports"]],
+			Index: s.count(given, "index", 0), Agents: s.count(given, "agents", 1), Seed: 7,
+			KeyAffinity: given["key-affinity"] != "", HasWeights: given["no-weights"] == "", LoadReport: loadReports[given["load-reports"]],
 		},
 		Classes: s.classes,
 		RolloutPlan: RolloutPlan{
-			Caps: caps, GuardedStages: s.count(given, "guarded", 0),
-			KeysNeverGoBack: given["oneway"] != "", ReplacesInPlace: given["inplace"] != "",
+			Caps: caps, GuardedStages: s.count(given, "guarded-stages", 0),
+			KeysNeverGoBack: given["keys-never-go-back"] != "", ReplacesInPlace: given["replaces-in-place"] != "",
 		},
 		VotingRules: VotingRules{
-			Rule: votingRules[given["ballot"]], VoteLifetime: s.duration(given, "stands", 4000),
-			MetricsInterval: s.duration(given, "tally", 0), CallsPerSecond: s.option(given, "calls", 0),
-			VotesToAdvance: s.count(given, "togo", 0), VotesToRollback: s.count(given, "togoback", 1),
+			Rule: votingRules[given["voting-rule"]], VoteLifetime: s.duration(given, "vote-lifetime", 4000),
+			MetricsInterval: s.duration(given, "metrics-interval", 0), CallsPerSecond: s.option(given, "calls-per-second", 0),
+			VotesToAdvance: s.count(given, "votes-to-advance", 0), VotesToRollback: s.count(given, "votes-to-rollback", 1),
 		},
 		ExposureLimit: ExposureLimit{
-			Window: s.duration(given, "window", 4000), Allowance: s.option(given, "free", 3), PerClass: given["byproduct"] != "",
+			Window: s.duration(given, "window", 4000), Allowance: s.option(given, "allowance", 3), PerClass: given["per-class"] != "",
 		},
 		SlowStart: SlowStart{
-			InitialCapacity: s.option(given, "from", 0.3), Duration: s.duration(given, "warm", 5000),
-			OverloadMultiple: s.option(given, "multiple", 2), OverloadAfter: s.duration(given, "after", 1500),
+			InitialCapacity: s.option(given, "initial-capacity", 0.3), Duration: s.duration(given, "warm-up", 5000),
+			OverloadMultiple: s.option(given, "overload-multiple", 2), OverloadAfter: s.duration(given, "overload-after", 1500),
 		},
-		RetryLimits:  RetryLimits{MaxAttempts: s.count(given, "max", 3)},
-		Capabilities: Capabilities{PollsEndpoints: given["ask"] != "", HealthChecks: given["probe"] != "", Gossip: given["tell"] != ""},
+		RetryLimits:  RetryLimits{MaxAttempts: s.count(given, "max-attempts", 3)},
+		Capabilities: Capabilities{PollsEndpoints: given["polls"] != "", HealthChecks: given["health-checks"] != "", Gossip: given["gossip"] != ""},
 	})
 }
 
@@ -219,27 +220,27 @@
 func (s *scenario) describe(command Command) (token string, figures map[string]float64) {
 	switch c := command.(type) {
 	case SendAttempt:
-		return "submit", map[string]float64{
+		return "attempt", map[string]float64{
 			"id": float64(c.RequestID), "to": float64(c.EndpointID),
-			"build": float64(s.builds[c.EndpointID]), "before": float64(c.WriteBefore / millisecond),
+			"build": float64(s.builds[c.EndpointID]), "write-before": float64(c.WriteBefore / millisecond),
 		}
 	case CancelAttempt:
-		return "calloff", map[string]float64{"id": float64(c.RequestID)}
+		return "cancel", map[string]float64{"id": float64(c.RequestID)}
 	case Reject:
-		return "decline", map[string]float64{"id": float64(c.RequestID)}
+		return "reject", map[string]float64{"id": float64(c.RequestID)}
 	case Fail:
-		return "void", map[string]float64{"id": float64(c.RequestID)}
+		return "fail", map[string]float64{"id": float64(c.RequestID)}
 	case CheckHealth:
-		return "probe", map[string]float64{"to": float64(c.EndpointID)}
+		return "check-health", map[string]float64{"to": float64(c.EndpointID)}
 	case SendGossip:
-		return "tell", nil
+		return "gossip", nil
 	case WatchEndpoints:
 		return "watch", nil
 	case Vote:
-		kind := []string{"-none", "-on", "-hold", "-back"}[c.Verdict]
+		kind := []string{"-none", "-advance", "-hold", "-rollback"}[c.Verdict]
 		return "vote" + kind, map[string]float64{"build": float64(c.Build), "stage": float64(c.Stage)}
 	case LogMessage:
-		return "say", nil
+		return "log", nil
 	}
 	s.test.Fatalf("%s: no word for %T", s.position, command)
 	return "", nil
