--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -5,7 +5,7 @@
 // before the next event. A Router does no I/O, reads no clock and starts no goroutine: the same events give the same commands.
 // It owns all its state and is not safe for concurrent use; one goroutine calls it, in the order in which things happen.
 //
-// docs/architecture.md says which file decides what. router.go connects the parts and holds no decision; wire.go encodes gossip.
+// docs/architecture.md says which file decides what. router.go connects the parts and holds no decision; gossip_codec.go encodes gossip.
 package policy
 
 // Micros is a time or a duration in whole microseconds.
