--- a/internal/admission/queues.go
+++ b/internal/admission/queues.go
@@ -1,6 +1,10 @@
 package admission
 
-import "slices"
+import (
+	"slices"
+
+	"switchfork/internal/hashing"
+)
 
 // tenantState is the record of one tenant: a flow among the tenants, and a fixed number of queues over which its clients are
 // spread.
@@ -45,13 +49,13 @@
 func (c *Controller) chooseQueue(request *trackedRequest) *clientQueue {
 	queues := request.tenant.queues
 	var leastLoaded *clientQueue
-	hash := mix(c.hashSeed ^ request.Client)
+	hash := hashing.Mix64(c.hashSeed ^ request.Client)
 	for range shardSize {
 		queue := &queues[hash%uint64(len(queues))]
 		if leastLoaded == nil || queue.cost < leastLoaded.cost {
 			leastLoaded = queue
 		}
-		hash = mix(hash)
+		hash = hashing.Mix64(hash)
 	}
 	if leastLoaded.priorities == nil {
 		leastLoaded.priorities = make([]requestList, c.priorityCount)
--- a/internal/admission/retries.go
+++ b/internal/admission/retries.go
@@ -1,17 +1,19 @@
 package admission
 
+import "switchfork/internal/hashing"
+
 // retryKeyOf returns the key that all attempts of one request have in common: of the idempotency key where the class has
 // one, else of the object that the request concerns together with the client. A request without either is never found
 // by its retry key; the key then only identifies the client's reservation.
 func (c *Controller) retryKeyOf(arrival *Arrival) uint64 {
-	hash := mix(c.hashSeed ^ uint64(arrival.Tenant)<<32 ^ uint64(arrival.Class))
+	hash := hashing.Mix64(c.hashSeed ^ uint64(arrival.Tenant)<<32 ^ uint64(arrival.Class))
 	switch {
 	case arrival.Key != 0 && c.classes[arrival.Class].Keyed:
-		return mix(hash ^ arrival.Key)
+		return hashing.Mix64(hash ^ arrival.Key)
 	case arrival.Key != 0:
-		return mix(mix(hash^arrival.Key) + arrival.Client)
+		return hashing.Mix64(hashing.Mix64(hash^arrival.Key) + arrival.Client)
 	}
-	return mix(mix(hash) + arrival.Client)
+	return hashing.Mix64(hashing.Mix64(hash) + arrival.Client)
 }
 
 // registerRetryKey makes a request known to its later attempts. One without a key cannot be told from its client's other
@@ -91,11 +93,3 @@
 	c.enqueue(follower)
 	c.registerRetryKey(follower)
 }
-
-// mix spreads a number over 64 bits (the finalizer of SplitMix64).
-func mix(x uint64) uint64 {
-	x += 0x9e3779b97f4a7c15
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return x ^ x>>31
-}
