--- a/cmd/switchfork-lab/admission.go
+++ b/cmd/switchfork-lab/admission.go
@@ -260,13 +260,13 @@
 		timeout   = 2_000_000
 		objective = 800_000
 	)
-	controller := admission.New(
-		[]admission.RequestClass{{LatencyObjective: objective, Timeout: timeout, PriorityWeight: 1}},
-		[]admission.Tenant{{Weight: 1}},
-		admission.Limits{Requests: 1000, Bytes: 1 << 30, Queues: 64},
-		admission.RetryAfterLimits{Max: timeout},
-		false, 1,
-	)
+	controller := admission.New(admission.Config{
+		Classes:    []admission.RequestClass{{LatencyObjective: objective, Timeout: timeout, PriorityWeight: 1}},
+		Tenants:    []admission.Tenant{{Weight: 1}},
+		Limits:     admission.Limits{Requests: 1000, Bytes: 1 << 30, Queues: 64},
+		RetryAfter: admission.RetryAfterLimits{Max: timeout},
+		Seed:       1,
+	})
 	var admitted []uint64
 	execute := func(commands []admission.Command) {
 		for _, command := range commands {
--- a/cmd/switchfork/admission.go
+++ b/cmd/switchfork/admission.go
@@ -38,7 +38,14 @@
 	}
 	tenants := tenantWeights(opts, p.settings.tenants, p.settings.tenantShares)
 	slog.Info("admission control configured", "max_requests", limits.Requests, "max_kib", limits.Bytes>>10, "queues", limits.Queues, "tenants", len(tenants))
-	return admission.New(classes, tenants, limits, retryAfter, opts.Coalesces, int64(p.settings.seed))
+	return admission.New(admission.Config{
+		Classes:         classes,
+		Tenants:         tenants,
+		Limits:          limits,
+		RetryAfter:      retryAfter,
+		CoalesceRetries: opts.Coalesces,
+		Seed:            int64(p.settings.seed),
+	})
 }
 
 // admissionLimits are what fits into the agent's memory and connections, or less where the operator wants less.
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -8,6 +8,19 @@
 	second             = 1000 * millisecond
 )
 
+// Config is what a Controller is created with. None of it but the tenants' weights changes later.
+type Config struct {
+	Classes    []RequestClass // an Arrival names its class by the index here
+	Tenants    []Tenant       // an Arrival names its tenant by the index here; all others count as one more tenant
+	Limits     Limits
+	RetryAfter RetryAfterLimits
+	// CoalesceRetries gives a retry that arrives while an earlier attempt is in progress that attempt's answer, instead of
+	// letting it wait for the attempt's end.
+	CoalesceRetries bool
+	// Seed makes the random draws repeatable, and the clients' queues unknown to them.
+	Seed int64
+}
+
 // RequestClass describes one kind of request.
 type RequestClass struct {
 	LatencyObjective Micros
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -59,18 +59,17 @@
 	minTenantWeight = 1e-6
 )
 
-// New creates a controller. Tenants are known by their index in tenants; all others count as one more. With
-// coalescesRetries, a retry that arrives while an earlier attempt is in progress gets that attempt's answer instead of
-// waiting for its end.
-func New(classes []RequestClass, tenants []Tenant, limits Limits, retryAfter RetryAfterLimits, coalescesRetries bool, seed int64) *Controller {
+// New creates a controller. Limits below one count as one, and so do tenants' weights that are not positive as a very small one.
+func New(config Config) *Controller {
+	classes, tenants, limits := config.Classes, config.Tenants, config.Limits
 	limits.Requests = max(1, limits.Requests)
 	limits.Queues = max(1, limits.Queues)
 	c := &Controller{
 		classes:          classes,
 		limits:           limits,
-		retryAfter:       retryAfter,
-		coalescesRetries: coalescesRetries,
-		random:           rand.New(rand.NewSource(seed)),
+		retryAfter:       config.RetryAfter,
+		coalescesRetries: config.CoalesceRetries,
+		random:           rand.New(rand.NewSource(config.Seed)),
 		requests:         map[uint64]*trackedRequest{},
 		byRetryKey:       map[uint64]*trackedRequest{},
 		backloggedSince:  -1,
@@ -88,7 +87,7 @@
 		c.tenants = append(c.tenants, newTenantState(max(tenant.Weight, minTenantWeight), limits.Queues))
 	}
 	c.tenants = append(c.tenants, newTenantState(unknownTenantsWeight, limits.Queues))
-	c.reservations = newReservationTable(limits.Requests, len(c.tenants), retryAfter.Max)
+	c.reservations = newReservationTable(limits.Requests, len(c.tenants), config.RetryAfter.Max)
 	return c
 }
 
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -34,7 +34,14 @@
 		tenants = append(tenants, Tenant{weight})
 	}
 	return &testController{
-		Controller:   New(testClasses, tenants, limits, RetryAfterLimits{Max: 2 * second}, coalescesRetries, 7),
+		Controller:   New(Config{
+			Classes:         testClasses,
+			Tenants:         tenants,
+			Limits:          limits,
+			RetryAfter:      RetryAfterLimits{Max: 2 * second},
+			CoalesceRetries: coalescesRetries,
+			Seed:            7,
+		}),
 		finalAnswers: map[uint64]int{},
 		unanswered:   map[uint64]bool{},
 		inProgress:   map[uint64]bool{},
@@ -295,7 +302,12 @@
 func BenchmarkAdmitAndFinish(b *testing.B) {
 	for _, queues := range []int{10, 10000} {
 		b.Run(fmt.Sprint(queues), func(b *testing.B) {
-			c := New(testClasses, []Tenant{{0.5}, {0.5}}, Limits{Requests: 100000, Bytes: 1 << 40, Queues: queues}, RetryAfterLimits{}, false, 7)
+			c := New(Config{
+				Classes: testClasses,
+				Tenants: []Tenant{{0.5}, {0.5}},
+				Limits:  Limits{Requests: 100000, Bytes: 1 << 40, Queues: queues},
+				Seed:    7,
+			})
 			c.concurrency = concurrencyLimit{current: 1, ceiling: 1, roundStart: math.MaxInt64 / 2}
 			c.classes = []RequestClass{{LatencyObjective: math.MaxInt64 / 4, Timeout: math.MaxInt64 / 4, PriorityWeight: 1}}
 			now, id, admitted := Micros(1), uint64(0), uint64(1)
--- a/internal/proxy/admission_loop_test.go
+++ b/internal/proxy/admission_loop_test.go
@@ -24,7 +24,14 @@
 	clock := agent.NewClock()
 	classes := []admission.RequestClass{{LatencyObjective: 10_000_000, Timeout: 20_000_000, PriorityWeight: 1, Keyed: true}}
 	tenants := []admission.Tenant{{Weight: 1}}
-	controller := admission.New(classes, tenants, limits, admission.RetryAfterLimits{Max: 500_000}, coalesces, 1)
+	controller := admission.New(admission.Config{
+		Classes:         classes,
+		Tenants:         tenants,
+		Limits:          limits,
+		RetryAfter:      admission.RetryAfterLimits{Max: 500_000},
+		CoalesceRetries: coalesces,
+		Seed:            1,
+	})
 	admissionRig := &testAdmission{rig, NewAdmissionLoop(controller, clock, rig.Loop)}
 	go admissionRig.loop.Serve(rig.Context)
 	return admissionRig
--- a/internal/simulation/admission_policies.go
+++ b/internal/simulation/admission_policies.go
@@ -63,7 +63,13 @@
 	if admissionPolicy == TokenBucket {
 		a.allows = newTokenBuckets(scenario).take
 	}
-	a.Controller = admission.New(classes, tenants, limits, retryAfter, false, scenario.Seed)
+	a.Controller = admission.New(admission.Config{
+		Classes:    classes,
+		Tenants:    tenants,
+		Limits:     limits,
+		RetryAfter: retryAfter,
+		Seed:       scenario.Seed,
+	})
 	return a
 }
 
