--- /dev/null
+++ b/internal/admission/admit.go
@@ -0,0 +1,139 @@
+package admission
+
+// track creates the record of an arrival.
+func (c *Controller) track(arrival Arrival) *trackedRequest {
+	unknownTenant := c.waiting.queues.unknownTenant()
+	if arrival.Tenant < 0 || arrival.Tenant > unknownTenant {
+		arrival.Tenant = unknownTenant
+	}
+	request := c.requests.add(arrival)
+	request.retryKey = c.retries.keyOf(&arrival)
+	request.cost = c.costs.estimate(&arrival)
+	request.firstArrival = c.now
+	request.waitDeadline = min(request.firstArrival+c.costs.maxWait(arrival.Class), arrival.Deadline)
+	if c.drainDeadline > 0 {
+		request.waitDeadline = min(request.waitDeadline, max(c.drainDeadline, c.now))
+	}
+	return request
+}
+
+// discard forgets a request that does not wait, and its retry key.
+func (c *Controller) discard(request *trackedRequest) {
+	c.retries.unregister(request)
+	c.requests.release(request)
+}
+
+// claimReservation ends an arriving request's reservation, if it has one, and returns whether the client has returned on time.
+func (c *Controller) claimReservation(request *trackedRequest) bool {
+	switch c.reservations.claim(c.now, request.retryKey) {
+	case claimedOnTime:
+		return true
+	case claimedEarly:
+		c.Counters.EarlyRetries++
+	case claimedLate:
+		c.Counters.ReservationsUnclaimed++
+	case notReserved:
+	}
+	return false
+}
+
+// admitReserved admits a queued request that arrived at its reserved time ahead of those that wait, where the headroom of the
+// concurrency limit allows it; its tenant pays as for any other. It returns whether the request was admitted.
+func (c *Controller) admitReserved(request *trackedRequest) bool {
+	if !c.concurrency.hasReservedCapacity() {
+		c.Counters.ReservationsMissed++
+		return false
+	}
+	c.Counters.ReservationsHonored++
+	c.waiting.takeAhead(request)
+	c.admit(request)
+	return true
+}
+
+// admitOrWait admits as many requests as the concurrency limit allows, and rejects the given one if it is not among them and
+// would not be admitted in time.
+func (c *Controller) admitOrWait(request *trackedRequest) {
+	c.admitWaiting()
+	if request.state != stateWaiting {
+		return
+	}
+	admission := c.now + c.estimatedWait(request)
+	exceedsDrain := c.drainDeadline > 0 && admission > c.drainDeadline
+	if admission > request.waitDeadline || exceedsDrain {
+		c.reject(request, TooLate)
+	}
+}
+
+// admitWaiting admits waiting requests in fair order up to the concurrency limit.
+func (c *Controller) admitWaiting() {
+	for c.concurrency.hasCapacity() {
+		request := c.waiting.next()
+		if request == nil {
+			return
+		}
+		c.admit(request)
+	}
+}
+
+// admit hands a request that does not wait any more to the dispatcher.
+func (c *Controller) admit(request *trackedRequest) {
+	request.state = stateInProgress
+	request.admittedAt = c.now
+	c.Counters.Admitted++
+	c.rates.recordAdmission(c.now, request.cost)
+	c.concurrency.recordAdmission(c.now)
+	c.emit(Command{Kind: Admit, ID: request.ID})
+}
+
+// reject answers a waiting request with a rejection, with a Retry-After where a later attempt may do better.
+func (c *Controller) reject(request *trackedRequest, reason Reason) {
+	c.waiting.remove(request)
+	retryAfter := Micros(0)
+	if reason == TooLate || reason == NoCapacity {
+		retryAfter = c.retryAfter(request)
+	}
+	c.emit(Command{Kind: Reject, ID: request.ID, RetryAfter: retryAfter, Reason: reason})
+	c.discard(request)
+}
+
+// retryAfter returns the Retry-After time for a rejected request, and reserves capacity for its return. A process that is
+// draining will not be there then, so it reserves nothing.
+func (c *Controller) retryAfter(request *trackedRequest) Micros {
+	if c.drainDeadline > 0 {
+		return c.reservations.unreservedRetryAfter()
+	}
+	waitingCost := c.waiting.queues.tenants[request.Tenant].waitingCost
+	retryAfter, isReserved := c.reservations.reserve(c.now, request, c.tenantRate(request.Tenant), waitingCost)
+	if isReserved {
+		c.Counters.Reserved++
+	}
+	return retryAfter
+}
+
+// enforceLimits rejects waiting requests until the limits hold. Requests in progress are never evicted.
+func (c *Controller) enforceLimits() {
+	for c.exceedsLimits() {
+		candidate := c.waiting.evictionCandidate()
+		if candidate == nil {
+			return
+		}
+		c.reject(candidate, NoCapacity)
+	}
+}
+
+func (c *Controller) exceedsLimits() bool {
+	openCount := c.waiting.count + c.concurrency.inProgress
+	return openCount > c.limits.Requests || c.requests.bodyBytes > c.limits.Bytes
+}
+
+// estimatedWait returns how long a queued request will wait: the time that the cost ahead of it takes at its tenant's rate,
+// less what is reserved for others.
+func (c *Controller) estimatedWait(request *trackedRequest) Micros {
+	costAhead := c.waiting.queues.costAhead(request)
+	return c.reservations.timeToServe(c.now, request.Tenant, costAhead, c.tenantRate(request.Tenant))
+}
+
+// tenantRate returns the cost a microsecond that a tenant gets while all tenants that have requests waiting get their share.
+func (c *Controller) tenantRate(tenant int) float64 {
+	return c.waiting.queues.shareOfRate(tenant, c.rates.rate(c.now, c.costs.meanResponseTime))
+}
--- /dev/null
+++ b/internal/admission/client_queue.go
@@ -0,0 +1,77 @@
+package admission
+
+// clientQueue is one queue of a tenant, a flow among the tenant's queues. It serves its requests by priority, and those of one
+// priority in the order of their arrival. fairQueues owns it.
+type clientQueue struct {
+	flow       fairFlow[*clientQueue]
+	priorities []requestList // served in this order; nil until the queue is first used
+	length     int
+	cost       float64
+}
+
+// init makes a queue ready for its first request.
+func (q *clientQueue) init(priorityCount int) {
+	q.priorities = make([]requestList, priorityCount)
+	q.flow.owner = q
+	q.flow.heapIndex = -1
+}
+
+// append puts a request behind those of its priority.
+func (q *clientQueue) append(request *trackedRequest) {
+	q.priorities[request.queuePlace.priority].append(request)
+	q.length++
+	q.cost += request.cost
+}
+
+// remove takes a request out of the queue.
+func (q *clientQueue) remove(request *trackedRequest) {
+	q.priorities[request.queuePlace.priority].remove(request)
+	q.length--
+	q.cost -= request.cost
+	if q.length == 0 {
+		q.cost = 0 // rounding errors must not add up
+	}
+}
+
+// first returns the request that the queue serves next; nil: it is empty.
+func (q *clientQueue) first() *trackedRequest {
+	for i := range q.priorities {
+		if request := q.priorities[i].head; request != nil {
+			return request
+		}
+	}
+	return nil
+}
+
+// last returns the request that the queue would serve last; nil: it is empty.
+func (q *clientQueue) last() *trackedRequest {
+	for i := len(q.priorities) - 1; i >= 0; i-- {
+		if request := q.priorities[i].tail; request != nil {
+			return request
+		}
+	}
+	return nil
+}
+
+// costThrough returns the cost of the requests that the queue serves before a request, and of the request itself.
+func (q *clientQueue) costThrough(request *trackedRequest) float64 {
+	if q.isKnownLast(request) {
+		return q.cost
+	}
+	cost := 0.0
+	for i := range request.queuePlace.priority {
+		for other := q.priorities[i].head; other != nil; other = other.queuePlace.next {
+			cost += other.cost
+		}
+	}
+	for other := request; other != nil; other = other.queuePlace.previous {
+		cost += other.cost
+	}
+	return cost
+}
+
+// isKnownLast returns whether a request is known, without a search, to be the last one that the queue serves.
+func (q *clientQueue) isKnownLast(request *trackedRequest) bool {
+	priority := request.queuePlace.priority
+	return priority+1 == len(q.priorities) && q.priorities[priority].tail == request
+}
--- a/internal/admission/command.go
+++ b/internal/admission/command.go
@@ -6,7 +6,7 @@
 const (
 	// Admit hands the request to the dispatcher.
 	Admit CommandKind = iota
-	// Reject answers the client with RetryAfter as the time to come back after.
+	// Reject answers the client with RetryAfter as the time after which it may try again.
 	Reject
 	// Coalesce gives the request the same answer as the request in progress that LeaderID names.
 	Coalesce
@@ -30,7 +30,7 @@
 )
 
 func (r Reason) String() string {
-	return [...]string{"none", "too late", "no room", "replaced", "draining"}[r]
+	return [...]string{"none", "too late", "no capacity", "replaced", "draining"}[r]
 }
 
 // Command tells the caller what to do with one request.
--- a/internal/admission/concurrency_limit_test.go
+++ b/internal/admission/concurrency_limit_test.go
@@ -9,7 +9,7 @@
 func TestConcurrencyLimitTracksCapacity(t *testing.T) {
 	for _, responseTime := range []Micros{20 * millisecond, 100 * millisecond} {
 		c := newTestController([]float64{1}, Limits{Requests: 4000, Bytes: 1 << 30, Queues: 8}, false)
-		c.classes = []RequestClass{{LatencyObjective: 2 * second, Timeout: 5 * second, PriorityWeight: 1}}
+		c.costs.classes = []RequestClass{{LatencyObjective: 2 * second, Timeout: 5 * second, PriorityWeight: 1}}
 		slots := 50
 		type job struct {
 			id uint64
@@ -57,3 +57,46 @@
 		}
 	}
 }
+
+// A limit that is reached doubles each round in slow start, until a sign that it is too high ends that; from then on it grows
+// slowly.
+func TestConcurrencyLimitLeavesSlowStart(t *testing.T) {
+	limit := newConcurrencyLimit(1000)
+	now := Micros(0)
+	fill := func() {
+		for limit.hasCapacity() {
+			limit.recordAdmission(now)
+			limit.recordSent(now)
+		}
+	}
+	closeRound := func(result Result) {
+		fill()
+		now += roundInterval
+		limit.recordFinished(now, result, true)
+	}
+	closeRound(Succeeded)
+	if limit.current != 2*initialConcurrencyLimit {
+		t.Errorf("after a round in slow start the limit is %v, want it doubled", limit.current)
+	}
+	closeRound(Rejected)
+	decreased := limit.current
+	if limit.inSlowStart || decreased > 2*initialConcurrencyLimit*(1-maxDecreaseFraction)+1 {
+		t.Errorf("after a round of rejections the limit is %v, in slow start: %t", decreased, limit.inSlowStart)
+	}
+	closeRound(Succeeded)
+	if want := decreased * (1 + increaseFraction); limit.current != want {
+		t.Errorf("after slow start the limit grows from %v to %v, want %v", decreased, limit.current, want)
+	}
+}
+
+// A limit that is not reached does not grow, and a request that was rejected without having been sent does not lower it.
+func TestConcurrencyLimitNeedsEvidence(t *testing.T) {
+	limit := newConcurrencyLimit(1000)
+	for now := Micros(0); now < 10*second; now += roundInterval {
+		limit.recordAdmission(now)
+		limit.recordFinished(now, Rejected, false)
+	}
+	if limit.current != initialConcurrencyLimit || !limit.inSlowStart {
+		t.Errorf("the limit is %v, in slow start: %t; want the initial one", limit.current, limit.inSlowStart)
+	}
+}
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -8,7 +8,7 @@
 	second             = 1000 * millisecond
 )
 
-// Config is what a Controller is created with. None of it but the tenants' weights changes later.
+// Config is what a Controller is created with. Only the tenants' weights may change later, by SetWeights.
 type Config struct {
 	Classes    []RequestClass // an Arrival names its class by the index here
 	Tenants    []Tenant       // an Arrival names its tenant by the index here; all others count as one more tenant
@@ -32,28 +32,29 @@
 // Tenant is one customer of the service and its share of the whole.
 type Tenant struct{ Weight float64 }
 
-// Limits bounds what may be held at a time, waiting and in progress together.
+// Limits bounds the requests that are open at a time, waiting and in progress together.
 type Limits struct {
 	Requests int
-	Bytes    int64
-	Queues   int // per tenant; its clients are spread over them
+	Bytes    int64 // of their bodies
+	Queues   int   // per tenant; its clients are spread over them
 }
 
 const (
-	// budgetDivisor gives admission a quarter of the process's memory budget, and request bodies half of that.
+	// budgetDivisor gives admission control a quarter of the process's memory budget.
 	budgetDivisor = 4
-	// bytesPerRequest is what one request holds beside its body, garbage included. Measured on loopback: a process with 730
-	// connections held 50 MB more than an idle one.
+	// bodyDivisor gives request bodies half of admission control's memory.
+	bodyDivisor = 2
+	// bytesPerRequest is what one request takes beside its body: its connection and garbage included.
 	bytesPerRequest = 64 << 10
 )
 
 // LimitsFor derives the limits from the process's memory budget, the number of upstream slots and the number of queues
 // for each tenant.
 func LimitsFor(budgetMB, upstreamSlots, queues int) Limits {
-	budgetBytes := int64(budgetMB) << 20
+	admissionBytes := int64(budgetMB) << 20 / budgetDivisor
 	return Limits{
-		Requests: max(1, min(upstreamSlots, int(budgetBytes/budgetDivisor/bytesPerRequest))),
-		Bytes:    budgetBytes / budgetDivisor / 2,
+		Requests: max(1, min(upstreamSlots, int(admissionBytes/bytesPerRequest))),
+		Bytes:    admissionBytes / bodyDivisor,
 		Queues:   queues,
 	}
 }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -22,10 +22,22 @@
 	admitted     []uint64 // in order of admission
 }
 
-// testClasses are an unkeyed class and a keyed one of a higher priority.
-var testClasses = []RequestClass{
-	{LatencyObjective: second, Timeout: 3 * second, PriorityWeight: 1},
-	{LatencyObjective: second, Timeout: 3 * second, PriorityWeight: 5, Keyed: true},
+// The classes that testClasses returns.
+const (
+	unkeyedClass = iota
+	keyedClass
+	testClassCount
+)
+
+// testTimeout is the timeout of all test classes.
+const testTimeout = 3 * second
+
+// testClasses returns an unkeyed class and a keyed one of a higher priority.
+func testClasses() []RequestClass {
+	return []RequestClass{
+		unkeyedClass: {LatencyObjective: second, Timeout: testTimeout, PriorityWeight: 1},
+		keyedClass:   {LatencyObjective: second, Timeout: testTimeout, PriorityWeight: 5, Keyed: true},
+	}
 }
 
 func newTestController(weights []float64, limits Limits, coalescesRetries bool) *testController {
@@ -34,8 +46,8 @@
 		tenants = append(tenants, Tenant{weight})
 	}
 	return &testController{
-		Controller:   New(Config{
-			Classes:         testClasses,
+		Controller: New(Config{
+			Classes:         testClasses(),
 			Tenants:         tenants,
 			Limits:          limits,
 			RetryAfter:      RetryAfterLimits{Max: 2 * second},
@@ -82,7 +94,7 @@
 func (c *testController) arrive(arrival Arrival) {
 	c.unanswered[arrival.ID] = true
 	if arrival.Deadline == 0 {
-		arrival.Deadline = c.now + testClasses[arrival.Class].Timeout
+		arrival.Deadline = c.now + testTimeout
 	}
 	c.apply(c.Arrive(c.now, arrival))
 }
@@ -127,7 +139,7 @@
 		ID:       id,
 		Tenant:   rapid.IntRange(-1, 4).Draw(t, "tenant"),
 		Client:   rapid.Uint64Range(1, 9).Draw(t, "client"),
-		Class:    rapid.IntRange(0, 1).Draw(t, "class"),
+		Class:    rapid.IntRange(0, testClassCount-1).Draw(t, "class"),
 		Key:      rapid.Uint64Range(0, 12).Draw(t, "key"),
 		IsRetry:  rapid.Bool().Draw(t, "isRetry"),
 		CostHint: rapid.Int64Range(0, 50*millisecond).Draw(t, "cost"),
@@ -172,9 +184,9 @@
 		c.finish(id, Succeeded)
 	}
 	status := c.Status()
-	if status.Waiting+status.InProgress > 0 || status.Bytes != 0 || len(c.unanswered)+len(c.requests)+len(c.byRetryKey) > 0 {
+	if status.Waiting+status.InProgress > 0 || status.Bytes != 0 || len(c.unanswered)+len(c.requests.byID)+len(c.retries.byKey) > 0 {
 		t.Fatalf("left at the end: %+v, %d unanswered, %d requests, %d retry keys",
-			status, len(c.unanswered), len(c.requests), len(c.byRetryKey))
+			status, len(c.unanswered), len(c.requests.byID), len(c.retries.byKey))
 	}
 	for id, count := range c.finalAnswers {
 		if count != 1 {
@@ -197,7 +209,7 @@
 			default:
 				arrival := drawArrival(t, id, c.now)
 				c.arrive(arrival)
-				if testClasses[arrival.Class].Keyed && arrival.Key > 0 {
+				if arrival.Class == keyedClass && arrival.Key > 0 {
 					idempotencyKeys[id] = arrival.Key<<8 | uint64(arrival.Tenant&7)
 				}
 			case 5, 6, 7:
@@ -236,15 +248,15 @@
 
 // fixLimit fixes the concurrency limit and the mean response time.
 func fixLimit(c *testController, ceiling float64) {
-	c.concurrency = concurrencyLimit{current: ceiling, ceiling: ceiling, roundStart: math.MaxInt64 / 2}
-	c.meanResponseTime = 20000
+	c.concurrency = concurrencyLimit{current: ceiling, ceiling: ceiling, round: limitRound{start: math.MaxInt64 / 2}}
+	c.costs.meanResponseTime = 20000
 }
 
 // A request that cannot be admitted in time is rejected on arrival, and one that was queued on a wrong estimate at its deadline.
 func TestRequestThatCannotMeetItsDeadlineIsRejectedOnArrival(t *testing.T) {
 	c := newTestController([]float64{1}, Limits{Requests: 500, Bytes: 1 << 20, Queues: 8}, false)
 	fixLimit(c, 1)
-	c.meanResponseTime = float64(100 * millisecond)
+	c.costs.meanResponseTime = float64(100 * millisecond)
 	for id := uint64(1); id <= 100; id++ {
 		c.arrive(Arrival{ID: id, Client: id, CostHint: 100 * millisecond})
 	}
@@ -290,7 +302,7 @@
 				break
 			}
 		}
-		peak = max(peak, len(c.requests)+len(c.byRetryKey)+len(c.reservations.byRetryKey)+len(c.reservations.free))
+		peak = max(peak, len(c.requests.byID)+len(c.retries.byKey)+len(c.reservations.byRetryKey)+len(c.reservations.free))
 		clear(c.rejected)
 	}
 	if peak > 500 {
@@ -303,13 +315,13 @@
 	for _, queues := range []int{10, 10000} {
 		b.Run(fmt.Sprint(queues), func(b *testing.B) {
 			c := New(Config{
-				Classes: testClasses,
+				Classes: testClasses(),
 				Tenants: []Tenant{{0.5}, {0.5}},
 				Limits:  Limits{Requests: 100000, Bytes: 1 << 40, Queues: queues},
 				Seed:    7,
 			})
-			c.concurrency = concurrencyLimit{current: 1, ceiling: 1, roundStart: math.MaxInt64 / 2}
-			c.classes = []RequestClass{{LatencyObjective: math.MaxInt64 / 4, Timeout: math.MaxInt64 / 4, PriorityWeight: 1}}
+			c.concurrency = concurrencyLimit{current: 1, ceiling: 1, round: limitRound{start: math.MaxInt64 / 2}}
+			c.costs.classes = []RequestClass{{LatencyObjective: math.MaxInt64 / 4, Timeout: math.MaxInt64 / 4, PriorityWeight: 1}}
 			now, id, admitted := Micros(1), uint64(0), uint64(1)
 			arrive := func() {
 				id++
--- a/internal/admission/queues_test.go
+++ b/internal/admission/fair_queues_test.go
@@ -14,19 +14,18 @@
 		weights := []float64{rapid.Float64Range(0.1, 1).Draw(t, "w0"), rapid.Float64Range(0.1, 1).Draw(t, "w1")}
 		c := newTestController(weights, Limits{Requests: 4000, Bytes: 1 << 30, Queues: 8}, false)
 		c.concurrency.current, c.concurrency.inSlowStart = 1, false
-		c.meanResponseTime = float64(millisecond)
+		c.costs.meanResponseTime = float64(millisecond)
 		costs, largest, id := map[uint64]float64{}, [2]float64{}, uint64(0)
 		feed := func(tenant int) {
-			for c.tenants[tenant].waitingCount < 30 {
+			for c.waiting.queues.tenants[tenant].waitingCount < 30 {
 				id++
 				cost := rapid.Int64Range(20*millisecond, 60*millisecond).Draw(t, "cost")
 				costs[id], largest[tenant] = float64(cost)/weights[tenant], max(largest[tenant], float64(cost)/weights[tenant])
 				c.arrive(Arrival{ID: id, Tenant: tenant, Client: id % uint64(3+20*tenant), CostHint: cost, Deadline: c.now + 1000*second})
 			}
 		}
-		c.classes[0].LatencyObjective = 1000 * second
-		defer func() { testClasses[0].LatencyObjective = second }()
-		c.meanCosts[0] = float64(40 * millisecond)
+		c.costs.classes[unkeyedClass].LatencyObjective = 1000 * second
+		c.costs.meanCosts[unkeyedClass] = float64(40 * millisecond)
 		served, tenantOf := [2]float64{}, map[uint64]int{}
 		for range 150 {
 			for tenant := range 2 {
@@ -69,14 +68,14 @@
 func TestNoisyClientIsIsolated(t *testing.T) {
 	c := newTestController([]float64{1}, Limits{Requests: 2000, Bytes: 1 << 30, Queues: 64}, false)
 	fixLimit(c, 4)
-	c.classes = []RequestClass{{LatencyObjective: 1000 * second, Timeout: 1000 * second, PriorityWeight: 1}}
+	c.costs.classes = []RequestClass{{LatencyObjective: 1000 * second, Timeout: 1000 * second, PriorityWeight: 1}}
 	for id := uint64(1); id <= 400; id++ {
 		c.arrive(Arrival{ID: id, Client: 1, CostHint: 20 * millisecond, Deadline: 1000 * second})
 	}
 	affected := 0
 	for client := uint64(2); client < 102; client++ {
 		c.arrive(Arrival{ID: 1000 + client, Client: client, CostHint: 20 * millisecond, Deadline: 1000 * second})
-		if queue := c.requests[1000+client].queue; queue.length > 20 {
+		if queue := c.requests.get(1000 + client).queuePlace.queue; queue.length > 20 {
 			affected++
 		}
 	}
--- a/internal/admission/fair_scheduler.go
+++ b/internal/admission/fair_scheduler.go
@@ -9,7 +9,7 @@
 }
 
 // fairScheduler orders flows by start-time fair queueing (SFQ). A flow's start tag is the later of the virtual time and its own
-// last finish tag, so that an idle flow saves up nothing. The flow with the lowest start tag is served next and is charged
+// last finish tag, so that an idle flow gains no credit. The flow with the lowest start tag is served next and is charged
 // its request's cost over its weight.
 //
 // The flows that have a request stand in a d-ary heap that holds their start tags. With ten thousand flows, a binary heap of
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -27,16 +27,16 @@
 func newGoldenStream(limits Limits, coalescesRetries bool, seed int64) *goldenStream {
 	return &goldenStream{
 		controller: New(Config{
-			Classes:         testClasses,
+			Classes:         testClasses(),
 			Tenants:         []Tenant{{0.5}, {0.3}, {0.2}},
 			Limits:          limits,
 			RetryAfter:      RetryAfterLimits{Max: 2 * second},
 			CoalesceRetries: coalescesRetries,
 			Seed:            seed,
 		}),
-		random:     rand.New(rand.NewSource(seed)),
-		digest:     golden.NewDigest(Command{}, Status{}, Counters{}, TenantStatus{}, Micros(0)),
-		now:        1000 * second,
+		random: rand.New(rand.NewSource(seed)),
+		digest: golden.NewDigest(Command{}, Status{}, Counters{}, TenantStatus{}, Micros(0)),
+		now:    1000 * second,
 	}
 }
 
--- /dev/null
+++ b/internal/admission/request_list.go
@@ -0,0 +1,52 @@
+package admission
+
+// requestList holds the requests of one queue and priority in the order of their arrival, linked by their queue places.
+type requestList struct {
+	head *trackedRequest
+	tail *trackedRequest
+}
+
+// append puts a request at the end of the list.
+func (l *requestList) append(request *trackedRequest) {
+	request.queuePlace.previous = l.tail
+	request.queuePlace.next = nil
+	l.link(request)
+}
+
+// remove takes a request out of the list.
+func (l *requestList) remove(request *trackedRequest) {
+	place := &request.queuePlace
+	if place.previous != nil {
+		place.previous.queuePlace.next = place.next
+	} else {
+		l.head = place.next
+	}
+	if place.next != nil {
+		place.next.queuePlace.previous = place.previous
+	} else {
+		l.tail = place.previous
+	}
+	place.previous = nil
+	place.next = nil
+}
+
+// replace puts a request into the place of another one.
+func (l *requestList) replace(old, request *trackedRequest) {
+	request.queuePlace.previous = old.queuePlace.previous
+	request.queuePlace.next = old.queuePlace.next
+	l.link(request)
+}
+
+// link makes a request's neighbours, or the ends of the list, point to it.
+func (l *requestList) link(request *trackedRequest) {
+	if previous := request.queuePlace.previous; previous != nil {
+		previous.queuePlace.next = request
+	} else {
+		l.head = request
+	}
+	if next := request.queuePlace.next; next != nil {
+		next.queuePlace.previous = request
+	} else {
+		l.tail = request
+	}
+}
--- a/internal/admission/reservations.go
+++ b/internal/admission/reservations.go
@@ -1,10 +1,11 @@
 package admission
 
-import "container/heap"
+import (
+	"container/heap"
+	"math/rand"
+)
 
 const (
-	// calendarSlots divide the longest Retry-After time. A calendar has one slot more, since the current one has partly passed.
-	calendarSlots = 32
 	// reservableFraction of what its tenant's rate allows in a slot may be reserved: the rest is for the requests that wait and
 	// for errors of the estimate. A tenant that floods is then given the longest time without a reservation.
 	reservableFraction = 0.5
@@ -18,7 +19,7 @@
 	minFallbackFraction = 0.75
 )
 
-// reservation is capacity held for a rejected client at the end of the Retry-After that it was sent.
+// reservation is capacity reserved for a rejected client at the end of the Retry-After that it was sent.
 type reservation struct {
 	retryKey  uint64
 	tenant    int
@@ -28,55 +29,63 @@
 	heapIndex int
 }
 
-// calendar is the reserved cost of one tenant by slot, as a ring.
-type calendar [calendarSlots + 1]float64
-
-func (c *calendar) at(slot int64) *float64 { return &c[slot%int64(len(c))] }
-
-// reservationTable holds all reservations. The time ahead of each tenant is a calendar of equal slots, each of which takes the
-// cost that the tenant's rate allows to be admitted meanwhile. A client that returns on time is admitted ahead of the
-// requests that wait. A reservation ends honored, missed for want of capacity, or unclaimed.
+// reservationTable decides the Retry-After of rejected requests and whether a client has returned on time: from the rate and the
+// waiting cost of the request's tenant and from what is reserved already. The time ahead of each tenant is a calendar of equal
+// slots, each of which takes the cost that the tenant's rate allows to be admitted meanwhile. A client that returns on time is
+// admitted ahead of the requests that wait. A reservation ends honored, missed for want of capacity, or unclaimed.
+//
+// The controller calls it for each rejection and each arrival; wait estimates take from it what is reserved for others.
 type reservationTable struct {
-	slotWidth     Micros // 0: clients are given no time to return
-	capacity      int    // reservations at a time
+	maxRetryAfter Micros // 0: clients are sent no Retry-After
+	slotWidth     Micros
+	capacity      int // reservations at a time
+	random        *rand.Rand
+	calendars     []calendar // by tenant
 	byRetryKey    map[uint64]*reservation
 	byReturnTime  reservationHeap
 	free          []*reservation // records to reuse
-	calendars     []calendar     // by tenant
-	clearedBefore []int64        // by tenant: the calendar's slots before this one are cleared
 }
 
-func newReservationTable(capacity, tenants int, maxRetryAfter Micros) reservationTable {
-	table := reservationTable{
+// claimResult says what an arriving request has reserved.
+type claimResult int
+
+const (
+	// notReserved means that no capacity is reserved for the request.
+	notReserved claimResult = iota
+	// claimedEarly means that the client has returned before its time, which ends its reservation.
+	claimedEarly
+	// claimedOnTime means that the request may be admitted ahead of those that wait.
+	claimedOnTime
+	// claimedLate means that the client has returned after its time, which ends its reservation.
+	claimedLate
+)
+
+func newReservationTable(capacity, tenants int, maxRetryAfter Micros, random *rand.Rand) reservationTable {
+	return reservationTable{
+		maxRetryAfter: max(maxRetryAfter, 0),
+		slotWidth:     max(maxRetryAfter/calendarSlots, 1),
 		capacity:      capacity,
-		byRetryKey:    map[uint64]*reservation{},
+		random:        random,
 		calendars:     make([]calendar, tenants),
-		clearedBefore: make([]int64, tenants),
-	}
-	if maxRetryAfter > 0 {
-		table.slotWidth = max(maxRetryAfter/calendarSlots, 1)
+		byRetryKey:    map[uint64]*reservation{},
 	}
-	return table
 }
 
 func (t *reservationTable) count() int { return len(t.byRetryKey) }
 
-// reserve returns the Retry-After time for a request that is rejected, and holds capacity for its return where a slot has some
-// left. It returns 0 where clients are given no time.
-func (t *reservationTable) reserve(c *Controller, request *trackedRequest) Micros {
-	if t.slotWidth == 0 {
-		return 0
-	}
-	fallback := c.retryAfter.Max - Micros(c.random.Float64()*(1-minFallbackFraction)*float64(c.retryAfter.Max))
-	if c.drainDeadline > 0 || t.count() >= t.capacity {
-		return fallback
+// reserve returns the Retry-After time for a request that is rejected, and reserves capacity for its return where a slot has
+// some left, at the rate and behind the waiting cost of its tenant. It returns 0 where clients are sent no time.
+func (t *reservationTable) reserve(now Micros, request *trackedRequest, rate, waitingCost float64) (retryAfter Micros, isReserved bool) {
+	unreserved := t.unreservedRetryAfter() // drawn for each rejection: the draws don't depend on what is reserved
+	if t.maxRetryAfter == 0 || t.count() >= t.capacity {
+		return unreserved, false
 	}
 	if previous := t.byRetryKey[request.retryKey]; previous != nil {
 		t.remove(previous)
 	}
-	slot, found := t.findSlot(c, request)
+	slot, found := t.findSlot(now, request, rate, waitingCost)
 	if !found {
-		return fallback
+		return unreserved, false
 	}
 	granted := t.newRecord()
 	*granted = reservation{
@@ -84,22 +93,29 @@
 		tenant:   request.Tenant,
 		cost:     request.cost,
 		slot:     slot,
-		returnAt: slot*t.slotWidth + Micros(c.random.Float64()*float64(t.slotWidth)),
+		returnAt: slot*t.slotWidth + Micros(t.random.Float64()*float64(t.slotWidth)),
 	}
 	*t.calendars[request.Tenant].at(slot) += request.cost
 	t.byRetryKey[request.retryKey] = granted
 	heap.Push(&t.byReturnTime, granted)
-	c.Counters.Reserved++
-	return max(1, granted.returnAt-c.now)
+	return max(1, granted.returnAt-now), true
 }
 
-// findSlot returns the first slot with capacity left for a request, after the time that its tenant's waiting requests take.
-func (t *reservationTable) findSlot(c *Controller, request *trackedRequest) (slot int64, found bool) {
-	rate := c.tenantRate(request.tenant)
-	calendar := t.currentCalendar(request.Tenant, c.now)
-	backlog := Micros(min(request.tenant.waitingCost*(1-reservableFraction)/rate, float64(c.retryAfter.Max)))
-	firstSlot := (c.now + backlog) / t.slotWidth
-	currentSlot, lastSlot := c.now/t.slotWidth, (c.now+c.retryAfter.Max)/t.slotWidth
+// unreservedRetryAfter returns the Retry-After time for a request for which nothing is reserved.
+func (t *reservationTable) unreservedRetryAfter() Micros {
+	if t.maxRetryAfter == 0 {
+		return 0
+	}
+	return t.maxRetryAfter - Micros(t.random.Float64()*(1-minFallbackFraction)*float64(t.maxRetryAfter))
+}
+
+// findSlot returns the first slot with capacity left for a request, after the time that its tenant's waiting cost takes.
+func (t *reservationTable) findSlot(now Micros, request *trackedRequest, rate, waitingCost float64) (slot int64, found bool) {
+	calendar := t.currentCalendar(request.Tenant, now)
+	backlog := Micros(min(waitingCost*(1-reservableFraction)/rate, float64(t.maxRetryAfter)))
+	firstSlot := (now + backlog) / t.slotWidth
+	currentSlot := now / t.slotWidth
+	lastSlot := (now + t.maxRetryAfter) / t.slotWidth
 	reserved := 0.0
 	for slot := currentSlot + 1; slot < lastSlot; slot++ {
 		reserved += *calendar.at(slot)
@@ -111,78 +127,67 @@
 	return 0, false
 }
 
-// timeToServe returns how long a tenant needs for a cost beside what is reserved for others.
-func (t *reservationTable) timeToServe(c *Controller, tenant int, cost float64) Micros {
-	rate := c.tenantRate(c.tenants[tenant])
-	if t.slotWidth == 0 || t.count() == 0 {
+// timeToServe returns how long a tenant needs for a cost at its rate, beside what is reserved.
+func (t *reservationTable) timeToServe(now Micros, tenant int, cost, rate float64) Micros {
+	if t.count() == 0 {
 		return Micros(cost / rate)
 	}
-	calendar := t.currentCalendar(tenant, c.now)
-	currentSlot, from := c.now/t.slotWidth, c.now
+	calendar := t.currentCalendar(tenant, now)
+	currentSlot := now / t.slotWidth
+	from := now
 	for slot := currentSlot; slot <= currentSlot+calendarSlots; slot++ {
 		end := (slot + 1) * t.slotWidth
 		unreserved := max(0, rate*float64(end-from)-*calendar.at(slot))
 		if unreserved >= cost {
-			return from - c.now + Micros(cost/unreserved*float64(end-from))
+			return from - now + Micros(cost/unreserved*float64(end-from))
 		}
 		cost -= unreserved
 		from = end
 	}
-	return c.retryAfter.Max + Micros(cost/rate)
+	return t.maxRetryAfter + Micros(cost/rate)
 }
 
 // outstandingCost returns the cost reserved for a tenant in the current slot and later ones.
-func (t *reservationTable) outstandingCost(tenant int, now Micros) (total float64) {
-	if t.slotWidth == 0 {
-		return 0
-	}
-	for _, cost := range t.currentCalendar(tenant, now) {
-		total += cost
-	}
-	return total
+func (t *reservationTable) outstandingCost(tenant int, now Micros) float64 {
+	return t.currentCalendar(tenant, now).total()
 }
 
 // currentCalendar returns a tenant's calendar after it has cleared the slots that have passed.
 func (t *reservationTable) currentCalendar(tenant int, now Micros) *calendar {
-	calendar, currentSlot := &t.calendars[tenant], now/t.slotWidth
-	for slot := max(t.clearedBefore[tenant], currentSlot-calendarSlots-1); slot < currentSlot; slot++ {
-		*calendar.at(slot) = 0
-	}
-	t.clearedBefore[tenant] = max(t.clearedBefore[tenant], currentSlot)
+	calendar := &t.calendars[tenant]
+	calendar.advance(now / t.slotWidth)
 	return calendar
 }
 
-// claim ends the reservation of an arriving request, if it has one, and returns whether the client returned on time. A client
-// that returns early frees the reserved cost.
-func (t *reservationTable) claim(c *Controller, request *trackedRequest) (isOnTime bool) {
-	held := t.byRetryKey[request.retryKey]
-	if held == nil {
-		return false
+// claim ends the reservation of an arriving request, if it has one. A client that returns early frees the reserved cost.
+func (t *reservationTable) claim(now Micros, retryKey uint64) claimResult {
+	claimed := t.byRetryKey[retryKey]
+	if claimed == nil {
+		return notReserved
 	}
-	defer t.remove(held)
+	t.remove(claimed)
 	switch {
-	case c.now < held.returnAt-earlyTolerance:
-		c.Counters.EarlyRetries++
-		t.releaseCost(held)
-		return false
-	case c.now > t.deadline(held):
-		c.Counters.ReservationsUnclaimed++
-		return false
+	case now < claimed.returnAt-earlyTolerance:
+		t.calendars[claimed.tenant].release(claimed.slot, claimed.cost)
+		return claimedEarly
+	case now > t.deadline(claimed):
+		return claimedLate
 	}
-	return true
+	return claimedOnTime
 }
 
-// expire ends the reservations that were not claimed in time.
-func (t *reservationTable) expire(c *Controller) {
-	for len(t.byReturnTime) > 0 && t.deadline(t.byReturnTime[0]) < c.now {
-		c.Counters.ReservationsUnclaimed++
+// expire ends the reservations that were not claimed in time and returns how many.
+func (t *reservationTable) expire(now Micros) (expiredCount int) {
+	for len(t.byReturnTime) > 0 && t.deadline(t.byReturnTime[0]) < now {
 		t.remove(t.byReturnTime[0])
+		expiredCount++
 	}
+	return expiredCount
 }
 
 // deadline returns the last moment at which a reservation can be claimed.
-func (t *reservationTable) deadline(held *reservation) Micros {
-	return held.returnAt + t.slotWidth + returnGrace
+func (t *reservationTable) deadline(r *reservation) Micros {
+	return r.returnAt + t.slotWidth + returnGrace
 }
 
 // nextDeadline returns when the first reservation will have expired; 0: there is none.
@@ -193,14 +198,7 @@
 	return t.deadline(t.byReturnTime[0]) + 1
 }
 
-// releaseCost gives back the cost of a reservation whose slot has not been cleared yet.
-func (t *reservationTable) releaseCost(held *reservation) {
-	if held.slot >= t.clearedBefore[held.tenant] {
-		reserved := t.calendars[held.tenant].at(held.slot)
-		*reserved = max(0, *reserved-held.cost)
-	}
-}
-
+// remove ends a reservation. Its fields stay as they are until another reservation is made.
 func (t *reservationTable) remove(ended *reservation) {
 	heap.Remove(&t.byReturnTime, ended.heapIndex)
 	delete(t.byRetryKey, ended.retryKey)
--- a/internal/admission/reservations_test.go
+++ b/internal/admission/reservations_test.go
@@ -45,7 +45,7 @@
 				id++
 				client.arrival.ID = id
 				client.arrival.Deadline = 0
-				hasReservation := c.reservations.byRetryKey[c.retryKeyOf(&client.arrival)] != nil
+				hasReservation := c.reservations.byRetryKey[c.retries.keyOf(&client.arrival)] != nil
 				arrive(client.arrival)
 				if hasReservation {
 					returned++
@@ -62,3 +62,68 @@
 		t.Errorf("%d of %d clients that returned on time were admitted at once; %+v", honored, returned, c.Counters)
 	}
 }
+
+// A reservation is claimed once: on time, early, which frees its capacity, or late.
+func TestReservationIsClaimedByTimeOfReturn(t *testing.T) {
+	const retryKey = 5
+	request := &trackedRequest{cost: 1000, retryKey: retryKey}
+	for _, test := range []struct {
+		name     string
+		returnAt func(*reservation) Micros
+		want     claimResult
+		cost     float64 // reserved after the claim
+	}{
+		{"early", func(r *reservation) Micros { return r.returnAt - earlyTolerance - 1 }, claimedEarly, 0},
+		{"hardly early", func(r *reservation) Micros { return r.returnAt - earlyTolerance }, claimedOnTime, 1000},
+		{"at the end of the grace", func(r *reservation) Micros { return r.returnAt + 2*second/calendarSlots + returnGrace }, claimedOnTime, 1000},
+		{"late", func(r *reservation) Micros { return r.returnAt + 2*second/calendarSlots + returnGrace + 1 }, claimedLate, 1000},
+	} {
+		table := newReservationTable(10, 1, 2*second, rand.New(rand.NewSource(1)))
+		now := 50 * second
+		retryAfter, isReserved := table.reserve(now, request, 1, 0)
+		granted := table.byRetryKey[retryKey]
+		if !isReserved || granted == nil || now+retryAfter != granted.returnAt {
+			t.Fatalf("%s: the client is sent %d, its reservation is %+v", test.name, retryAfter, granted)
+		}
+		reserved := &table.calendars[0]
+		if got := table.claim(test.returnAt(granted), retryKey); got != test.want || reserved.total() != test.cost {
+			t.Errorf("%s: the claim is %d and leaves a cost of %v, want %d and %v", test.name, got, reserved.total(), test.want, test.cost)
+		}
+		if got := table.claim(now, retryKey); got != notReserved || table.count() != 0 {
+			t.Errorf("%s: the second claim is %d, want none", test.name, got)
+		}
+	}
+}
+
+// Without capacity a client is sent a time near the longest, and nothing is reserved; without a maximum it is sent none.
+func TestRetryAfterWithoutReservation(t *testing.T) {
+	request := &trackedRequest{cost: 1000}
+	full := newReservationTable(0, 1, 2*second, rand.New(rand.NewSource(1)))
+	for range 1000 {
+		retryAfter, isReserved := full.reserve(0, request, 1, 0)
+		if isReserved || retryAfter < 1500*millisecond || retryAfter > 2*second {
+			t.Fatalf("a full table sends %d, reserved: %t; want 1.5 to 2 s and nothing reserved", retryAfter, isReserved)
+		}
+	}
+	none := newReservationTable(10, 1, 0, rand.New(rand.NewSource(1)))
+	if retryAfter, isReserved := none.reserve(0, request, 1, 0); isReserved || retryAfter != 0 {
+		t.Errorf("without a maximum %d is sent, reserved: %t; want neither", retryAfter, isReserved)
+	}
+}
+
+// What is reserved for others takes time away from those that wait.
+func TestTimeToServePassesOverReservedTime(t *testing.T) {
+	const rate = 2.0
+	table := newReservationTable(10, 1, 2*second, rand.New(rand.NewSource(1)))
+	cost := float64(200 * millisecond)
+	if got := table.timeToServe(0, 0, cost, rate); got != 100*millisecond {
+		t.Errorf("without reservations it takes %d, want 100 ms", got)
+	}
+	reservedCost := float64(50 * millisecond)
+	if _, isReserved := table.reserve(0, &trackedRequest{cost: reservedCost}, rate, 0); !isReserved {
+		t.Fatal("nothing is reserved")
+	}
+	if got := table.timeToServe(0, 0, cost, rate); got < 120*millisecond || got > 130*millisecond {
+		t.Errorf("beside a reservation of 50 ms of work it takes %d, want about 125 ms", got)
+	}
+}
--- a/internal/admission/retries_test.go
+++ b/internal/admission/retries_test.go
@@ -19,7 +19,7 @@
 		if command := c.rejected[2]; command.Reason != Replaced {
 			t.Fatalf("the earlier attempt got %+v, want a rejection as replaced", command)
 		}
-		if retry := c.requests[4]; retry.firstArrival != 0 || retry.waitDeadline != 500*millisecond {
+		if retry := c.requests.get(4); retry.firstArrival != 0 || retry.waitDeadline != 500*millisecond {
 			t.Errorf("the retry did not take over the times: first arrival %d, wait deadline %d", retry.firstArrival, retry.waitDeadline)
 		}
 		c.arrive(Arrival{ID: 5, Client: 1, Class: 1, Key: 5}) // its earlier attempt is in progress
@@ -30,7 +30,7 @@
 		switch {
 		case coalescesRetries && c.finalAnswers[5] != 1:
 			t.Error("the retry did not get its earlier attempt's answer")
-		case !coalescesRetries && (c.finalAnswers[5] != 0 || c.requests[5] == nil):
+		case !coalescesRetries && (c.finalAnswers[5] != 0 || c.requests.get(5) == nil):
 			t.Error("the retry is not queued after its earlier attempt has finished")
 		}
 		for range 3 {
--- a/internal/admission/status.go
+++ b/internal/admission/status.go
@@ -23,17 +23,17 @@
 	InProgress   int
 	Reservations int
 	Limit        float64 // the concurrency limit
-	Bytes        int64
+	Bytes        int64   // of the bodies of the requests that wait or are in progress
 }
 
 // Status returns a snapshot of the controller.
 func (c *Controller) Status() Status {
 	return Status{
-		Waiting:      c.waitingCount,
-		InProgress:   c.inProgressCount,
+		Waiting:      c.waiting.count,
+		InProgress:   c.concurrency.inProgress,
 		Reservations: c.reservations.count(),
 		Limit:        c.concurrency.current,
-		Bytes:        c.heldBytes,
+		Bytes:        c.requests.bodyBytes,
 	}
 }
 
@@ -47,11 +47,11 @@
 
 // Tenant returns a snapshot of the tenant with the given index.
 func (c *Controller) Tenant(tenant int) TenantStatus {
-	state := c.tenants[tenant]
+	queues := c.waiting.queues.tenants[tenant]
 	return TenantStatus{
-		Waiting:      state.waitingCount,
-		Cost:         state.waitingCost,
-		AdmittedCost: state.admittedCost,
+		Waiting:      queues.waitingCount,
+		Cost:         queues.waitingCost,
+		AdmittedCost: queues.admittedCost,
 		ReservedCost: c.reservations.outstandingCost(tenant, c.now),
 	}
 }
--- a/internal/admission/timing_wheel.go
+++ b/internal/admission/timing_wheel.go
@@ -8,36 +8,48 @@
 	timingWheelSlots = 1024
 )
 
-// timingWheel holds the waiting requests by their wait deadlines in a list for each tick, so that adding and removing cost the
-// same however many requests wait. A request expires up to two ticks before its deadline and never after it.
+// timingWheel decides when a waiting request has waited for too long: it holds the waiting requests by their wait deadlines in a
+// list for each tick, so that adding and removing cost the same however many requests wait. A request expires up to two ticks
+// before its deadline and never after it. waitingRequests adds and removes requests; the controller lets them expire.
 type timingWheel struct {
 	slots         [timingWheelSlots]*trackedRequest
 	processedTick int64 // the last tick whose requests have expired
 	count         int
 }
 
+// wheelPlace is where a timingWheel holds a request.
+type wheelPlace struct {
+	tick     int64           // at which the request expires
+	previous *trackedRequest // in the list of its slot, as next
+	next     *trackedRequest
+}
+
+// add puts a request in by its wait deadline.
 func (w *timingWheel) add(request *trackedRequest) {
-	request.deadlineTick = max(request.waitDeadline/tickInterval-1, w.processedTick+1)
-	head := &w.slots[request.deadlineTick%timingWheelSlots]
-	request.slotPrevious, request.slotNext = nil, *head
-	if request.slotNext != nil {
-		request.slotNext.slotPrevious = request
+	place := &request.wheelPlace
+	place.tick = max(request.waitDeadline/tickInterval-1, w.processedTick+1)
+	head := &w.slots[place.tick%timingWheelSlots]
+	place.previous = nil
+	place.next = *head
+	if place.next != nil {
+		place.next.wheelPlace.previous = request
 	}
 	*head = request
 	w.count++
 }
 
+// remove takes out a request, which has to be in the wheel.
 func (w *timingWheel) remove(request *trackedRequest) {
-	if request.slotPrevious != nil {
-		request.slotPrevious.slotNext = request.slotNext
+	place := &request.wheelPlace
+	if place.previous != nil {
+		place.previous.wheelPlace.next = place.next
 	} else {
-		w.slots[request.deadlineTick%timingWheelSlots] = request.slotNext
+		w.slots[place.tick%timingWheelSlots] = place.next
 	}
-	if request.slotNext != nil {
-		request.slotNext.slotPrevious = request.slotPrevious
+	if place.next != nil {
+		place.next.wheelPlace.previous = place.previous
 	}
-	request.slotPrevious, request.slotNext = nil, nil
-	request.deadlineTick = -1
+	*place = wheelPlace{}
 	w.count--
 }
 
@@ -55,8 +67,8 @@
 
 func (w *timingWheel) expireSlot(slot, currentTick int64, handle func(*trackedRequest)) {
 	for request := w.slots[slot]; request != nil; {
-		next := request.slotNext
-		if request.deadlineTick <= currentTick {
+		next := request.wheelPlace.next
+		if request.wheelPlace.tick <= currentTick {
 			handle(request)
 		}
 		request = next
@@ -67,9 +79,17 @@
 func (w *timingWheel) forEach(handle func(*trackedRequest)) {
 	for i := range w.slots {
 		for request := w.slots[i]; request != nil; {
-			next := request.slotNext
+			next := request.wheelPlace.next
 			handle(request)
 			request = next
 		}
 	}
 }
+
+// nextTick returns when expire has to be called again; 0: no request is in the wheel.
+func (w *timingWheel) nextTick(now Micros) Micros {
+	if w.count == 0 {
+		return 0
+	}
+	return now + tickInterval - now%tickInterval
+}
