--- a/internal/policy/dispatcher.go
+++ b/internal/policy/dispatcher.go
@@ -3,6 +3,8 @@
 import (
 	"cmp"
 	"sort"
+
+	"switchfork/internal/hashing"
 )
 
 const (
@@ -113,8 +115,8 @@
 func (d *dispatcher) accept(arrived RequestArrived) {
 	req := &request{RequestArrived: arrived, acceptedAt: cmp.Or(arrived.ArrivedAt, d.now)}
 	hash := cmp.Or(arrived.Key, arrived.ID)
-	req.trafficFraction = unitInterval(mix64(hash ^ trafficSalt))
-	req.clientHash = mix64(mix64(hash+uint64(arrived.Class)) + uint64(arrived.Tenant))
+	req.trafficFraction = unitInterval(hashing.Mix64(hash ^ trafficSalt))
+	req.clientHash = hashing.Mix64(hashing.Mix64(hash+uint64(arrived.Class)) + uint64(arrived.Tenant))
 	if req.CostHint > 0 {
 		d.traffic.recordCost(req.CostHint)
 	}
--- a/internal/policy/gossip_codec.go
+++ b/internal/policy/gossip_codec.go
@@ -3,6 +3,8 @@
 import (
 	"encoding/binary"
 	"math"
+
+	"switchfork/internal/hashing"
 )
 
 // recordKind is the outcome of an attempt, or one of the kinds below.
@@ -145,7 +147,7 @@
 
 // digestBit returns the place of an endpoint's bit in a digest.
 func digestBit(id uint32) (index int, bit byte) {
-	place := mix64(uint64(id)) % (8 * digestBytes)
+	place := hashing.Mix64(uint64(id)) % (8 * digestBytes)
 	return int(place / 8), 1 << (place % 8)
 }
 
--- a/internal/policy/key_placement.go
+++ b/internal/policy/key_placement.go
@@ -1,6 +1,10 @@
 package policy
 
-import "math"
+import (
+	"math"
+
+	"switchfork/internal/hashing"
+)
 
 const (
 	// ringSalt is the same on all agents.
@@ -33,9 +37,9 @@
 
 func (p *keyPlacement) ringPosition(req *request) uint64 {
 	if p.keyAffinity && req.Key != 0 {
-		return mix64(mix64(req.Key^ringSalt) - 1 - p.replicaOf(req.Key)) // never an endpoint's own point
+		return hashing.Mix64(hashing.Mix64(req.Key^ringSalt) - 1 - p.replicaOf(req.Key)) // never an endpoint's own point
 	}
-	return mix64(req.ID ^ ringSalt)
+	return hashing.Mix64(req.ID ^ ringSalt)
 }
 
 // replicaOf is which of its key's places a request takes, from 0 on. A key gets a place for each request in the time in which
--- a/internal/policy/ring.go
+++ b/internal/policy/ring.go
@@ -5,15 +5,9 @@
 	"math"
 	"slices"
 	"sort"
-)
 
-// mix64 spreads a number over 64 bits (the finalizer of splitmix64).
-func mix64(x uint64) uint64 {
-	x += 0x9e3779b97f4a7c15
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return x ^ x>>31
-}
+	"switchfork/internal/hashing"
+)
 
 // unitInterval maps a hash to a number from 0 up to 1.
 func unitInterval(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
@@ -22,7 +16,7 @@
 func endpointPoints(id uint32, count int, salt uint64) []uint64 {
 	points := make([]uint64, count)
 	for i := range points {
-		points[i] = mix64(mix64(uint64(id)^salt) + uint64(i))
+		points[i] = hashing.Mix64(hashing.Mix64(uint64(id)^salt) + uint64(i))
 	}
 	slices.Sort(points)
 	return points
@@ -36,7 +30,7 @@
 
 // slotPhase spreads the agents' slots at an endpoint evenly over the interval from 0 to 1 (golden ratio sequence).
 func slotPhase(agent int, endpointID uint32) float64 {
-	_, phase := math.Modf(float64(agent)*math.Phi + float64(mix64(uint64(endpointID))>>40)/(1<<24))
+	_, phase := math.Modf(float64(agent)*math.Phi + float64(hashing.Mix64(uint64(endpointID))>>40)/(1<<24))
 	return phase
 }
 
@@ -46,6 +40,8 @@
 	for i := range all {
 		all[i] = i
 	}
-	slices.SortFunc(all, func(a, b int) int { return cmp.Compare(mix64(uint64(a)^ringSalt), mix64(uint64(b)^ringSalt)) })
+	slices.SortFunc(all, func(a, b int) int {
+		return cmp.Compare(hashing.Mix64(uint64(a)^ringSalt), hashing.Mix64(uint64(b)^ringSalt))
+	})
 	return all[:count]
 }
--- a/internal/policy/voter.go
+++ b/internal/policy/voter.go
@@ -1,6 +1,10 @@
 package policy
 
-import "math"
+import (
+	"math"
+
+	"switchfork/internal/hashing"
+)
 
 const (
 	advanceAfter    = 3 * second  // of a stage, with good evidence
@@ -88,7 +92,7 @@
 	if v.evaluators.decidesItself() {
 		return 0
 	}
-	hash := mix64(uint64(v.evaluators.agentIndex) ^ uint64(v.build+v.stage)<<20)
+	hash := hashing.Mix64(uint64(v.evaluators.agentIndex) ^ uint64(v.build+v.stage)<<20)
 	return Micros(unitInterval(hash) * float64(v.period()))
 }
 
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -20,14 +20,6 @@
 	return 0
 }
 
-// Count returns 1 where the condition holds and 0 where it does not.
-func Count(condition bool) int {
-	if condition {
-		return 1
-	}
-	return 0
-}
-
 // Median returns the middle sample, of an even number the upper one. Samples may not be empty and are not changed.
 func Median(samples []float64) float64 {
 	sorted := slices.Clone(samples)
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -8,8 +8,8 @@
 	}
 }
 
-func TestIndicatorAndCount(t *testing.T) {
-	if Indicator(true) != 1 || Indicator(false) != 0 || Count(true) != 1 || Count(false) != 0 {
+func TestIndicator(t *testing.T) {
+	if Indicator(true) != 1 || Indicator(false) != 0 {
 		t.Error("an indicator is 1 for true and 0 for false")
 	}
 }
