--- a/internal/cluster/coordinator/coordinator.go
+++ b/internal/cluster/coordinator/coordinator.go
@@ -88,9 +88,15 @@
 		frames:        make(chan []byte, mailboxCapacity),
 		metrics:       newReplicaMetrics(),
 	}
-	mustAbstain := config.State == nil
-	c.replica = election.New(config.Index, config.Members, config.State, config.Settings, election.DisabledGuards{}, mustAbstain,
-		c.now(), config.Seed)
+	c.replica = election.New(election.Config{
+		ID:       config.Index,
+		Members:  config.Members,
+		State:    config.State,
+		Settings: config.Settings,
+		IsFresh:  config.State == nil, // the agent may have run before
+		Now:      c.now(),
+		Seed:     config.Seed,
+	})
 	return c
 }
 
--- a/internal/cluster/election/cluster_test.go
+++ b/internal/cluster/election/cluster_test.go
@@ -29,7 +29,14 @@
 func newCluster(isFresh bool) *cluster {
 	c := &cluster{isPartitioned: map[int]bool{}, votes: map[int][]CastVote{}, now: second}
 	for i := range clusterSize {
-		replica := New(i, InitialMembers(clusterSize), nil, testSettings, DisabledGuards{}, isFresh, c.now, int64(i+1))
+		replica := New(Config{
+			ID:       i,
+			Members:  InitialMembers(clusterSize),
+			Settings: testSettings,
+			IsFresh:  isFresh,
+			Now:      c.now,
+			Seed:     int64(i + 1),
+		})
 		c.replicas = append(c.replicas, replica)
 		c.execute(i, replica.UpdateRollout(c.now, 1, 0, true))
 	}
--- a/internal/cluster/election/golden_test.go
+++ b/internal/cluster/election/golden_test.go
@@ -50,7 +50,16 @@
 func (s *faultScenario) startReplica(i int) {
 	s.lastSeed++
 	isFresh := s.persisted[i] == nil && s.now > second
-	s.replicas[i] = New(i, InitialMembers(s.initialMembers), s.persisted[i], testSettings, s.disabled, isFresh, s.now, s.lastSeed)
+	s.replicas[i] = New(Config{
+		ID:             i,
+		Members:        InitialMembers(s.initialMembers),
+		State:          s.persisted[i],
+		Settings:       testSettings,
+		DisabledGuards: s.disabled,
+		IsFresh:        isFresh,
+		Now:            s.now,
+		Seed:           s.lastSeed,
+	})
 	s.execute(i, s.replicas[i].UpdateRollout(s.now, 1, 0, true))
 }
 
--- a/internal/cluster/election/model_test.go
+++ b/internal/cluster/election/model_test.go
@@ -64,7 +64,14 @@
 		members = Members{}
 	}
 	c.lastSeed++
-	c.replicas[i] = New(i, members, c.persisted[i], testSettings, DisabledGuards{}, false, c.now, c.lastSeed)
+	c.replicas[i] = New(Config{
+		ID:       i,
+		Members:  members,
+		State:    c.persisted[i],
+		Settings: testSettings,
+		Now:      c.now,
+		Seed:     c.lastSeed,
+	})
 	c.isPaused[i] = false
 	c.execute(i, c.replicas[i].UpdateRollout(c.now, 1, 0, true))
 }
--- a/internal/cluster/election/replica.go
+++ b/internal/cluster/election/replica.go
@@ -39,25 +39,29 @@
 	isActive     bool // the build is under evaluation
 }
 
-// New makes a replica at a time. durableState is what it last persisted, nil without any. A replica without its state is
-// fresh, unless none of the replicas has ever run: a fresh one abstains until nothing can count any more that it may have
-// answered for.
-func New(id int, members Members, durableState *DurableState, settings Settings, disabled DisabledGuards, isFresh bool, now Micros, seed int64) *Replica {
+// New makes a replica.
+func New(config Config) *Replica {
+	settings := config.Settings
 	r := &Replica{
-		id: id, members: members, settings: settings, disabled: disabled, random: rand.New(rand.NewSource(seed)), now: now,
+		id:              config.ID,
+		members:         config.Members,
+		settings:        settings,
+		disabled:        config.DisabledGuards,
+		random:          rand.New(rand.NewSource(config.Seed)),
+		now:             config.Now,
 		recommendations: make([]recommendation, MaxReplicas),
 		acceptor:        acceptorState{leaseHolder: noReplica, deferredAt: make([]Micros, MaxReplicas)},
 	}
-	if durableState != nil {
-		r.restore(*durableState)
+	if config.State != nil {
+		r.restore(*config.State)
 	}
 	r.lastPersisted = r.durableState()
-	if isFresh && !disabled.LeaseTimeout {
+	if config.IsFresh && !r.disabled.LeaseTimeout {
 		// A leader that this replica has accepted may cast for one more lease, and its votes count for the window after; what
 		// this replica knew of it is lost.
-		r.acceptor.abstainUntil = now + settings.driftUpperBound(settings.Lease+settings.MaxVoteDelay+settings.VoteLifetime)
+		r.acceptor.abstainUntil = r.now + settings.driftUpperBound(settings.Lease+settings.MaxVoteDelay+settings.VoteLifetime)
 	}
-	r.candidate.nextCampaignAt = now + r.campaignJitter()
+	r.candidate.nextCampaignAt = r.now + r.campaignJitter()
 	return r
 }
 
--- a/internal/cluster/election/settings.go
+++ b/internal/cluster/election/settings.go
@@ -12,6 +12,20 @@
 	RollbackQuorum int     // how many replicas have to recommend a rollback
 }
 
+// Config describes one replica at its start.
+type Config struct {
+	ID             int           // the replica's number, below MaxReplicas
+	Members        Members       // in force unless State holds newer ones
+	State          *DurableState // that the replica last persisted; nil: none
+	Settings       Settings
+	DisabledGuards DisabledGuards
+	// IsFresh: the replica has no state although it may have run before. It abstains until nothing can count any more that it
+	// may have answered for.
+	IsFresh bool
+	Now     Micros // by the replica's own clock
+	Seed    int64  // of the random delays before campaigns
+}
+
 // DisabledGuards switches safety guards off, so that a checker can be seen to find what they prevent.
 type DisabledGuards struct {
 	// LeaseTimeout: a leader stops casting when its lease is over or when it may have paused, as another may lead by then.
--- a/internal/cluster/election/storage_failure_test.go
+++ b/internal/cluster/election/storage_failure_test.go
@@ -8,7 +8,7 @@
 // a CastVote. After a restart such a replica could answer the same vote differently, which is what the election promises never to do.
 func TestFailedStorageVoidsBallot(t *testing.T) {
 	const peer = 1
-	replica := New(0, InitialMembers(clusterSize), nil, testSettings, DisabledGuards{}, false, second, 1)
+	replica := New(Config{Members: InitialMembers(clusterSize), Settings: testSettings, Now: second, Seed: 1})
 	replica.UpdateRollout(second, 1, 0, true)
 	now := second
 	for ; replica.candidate.ballot == 0; now += tickInterval {
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -188,7 +188,16 @@
 		isFresh = false
 	}
 	seed := r.Seed*31 + int64(i) + int64(a.epoch)*7919
-	a.replica = election.New(i, members, state, electionSettings, r.DisabledGuards, isFresh, r.clock(a), seed)
+	a.replica = election.New(election.Config{
+		ID:             i,
+		Members:        members,
+		State:          state,
+		Settings:       electionSettings,
+		DisabledGuards: r.DisabledGuards,
+		IsFresh:        isFresh,
+		Now:            r.clock(a),
+		Seed:           seed,
+	})
 	r.execute(i, a.replica.UpdateRollout(r.clock(a), r.build, r.stage, true))
 	r.execute(i, a.replica.Recommend(r.clock(a), a.recommendation))
 	r.scheduleTick(i, a.epoch)
