--- a/internal/cluster/election/acceptor.go
+++ b/internal/cluster/election/acceptor.go
@@ -1,134 +1,129 @@
 package election
 
-// acceptorState is what a replica has promised and accepted in its role as an acceptor.
-type acceptorState struct {
+// noReplica stands for a replica's number where there is none.
+const noReplica = -1
+
+// forever is later than any time.
+const forever Micros = 1 << 62
+
+// acceptor is the replica in Paxos's role of that name: it decides which ballots are promised and which leases are accepted, from
+// the ballots that it has seen and the lease that it has accepted. [Replica] asks it for each Prepare, Propose, Replicate,
+// CommitMembers and TransferLease message, its own included, and persists what it holds before any answer leaves.
+type acceptor struct {
+	settings Settings
+	// ignoresLease: the guard DisabledGuards.Prevote is off.
+	ignoresLease bool
+
 	highestPromised uint64
 	highestAccepted uint64
 	highestReleased uint64 // leases up to this ballot were given up by their holders
-	leaseHolder     int
+	leaseHolder     int    // whose lease was accepted; noReplica: nobody's
 	leaseUntil      Micros // end of the accepted lease, by this replica's clock
-
-	highestBallotSeen uint64 // of the ballots that Nack and TransferLease messages have named
-	abstainUntil      Micros // after a restart without durable state
-	// deferredAt is when this replica last postponed its own campaign for a candidate, by that one's number; 0: never.
-	deferredAt []Micros
+	abstainUntil    Micros // before then nothing is promised or accepted
 }
 
-func (r *Replica) isAbstaining() bool { return r.now < r.acceptor.abstainUntil }
-
-// rejectNonMember answers the Prepare of a replica that is not a member with the present members.
-func (r *Replica) rejectNonMember(from int) {
-	if !r.isAbstaining() {
-		r.send(from, r.withMembers(Message{Kind: Nack}))
+func newAcceptor(config Config) acceptor {
+	return acceptor{
+		settings:     config.Settings,
+		ignoresLease: config.DisabledGuards.Prevote,
+		leaseHolder:  noReplica,
 	}
 }
 
-// handlePrepare promises a ballot, unless another's lease is in force or a higher ballot is promised.
-func (r *Replica) handlePrepare(from int, m Message) {
-	if r.isAbstaining() {
-		return
-	}
-	isRemote := from != r.id
-	if isRemote && m.Ballot < r.acceptor.highestPromised {
-		// Without the answer, a replica that has campaigned alone would never take part again: its ballots are higher than the
-		// leader's, so it rejects those.
-		r.sendNack(from)
-	}
-	if isRemote && r.members.isNewerThan(m.Members) {
-		// A quorum of older members may have no replica in common with a quorum of these.
-		r.sendNack(from)
-		return
+// restore takes over what the replica persisted before it was started again. How much of the accepted lease is left is not known
+// any more: it counts as new.
+func (a *acceptor) restore(state DurableState, now Micros) {
+	a.highestPromised = state.Promised
+	a.highestAccepted = state.Accepted
+	a.highestReleased = state.Released
+	a.leaseHolder = int(state.LeaseHolder)
+	if a.highestAccepted > a.highestReleased {
+		a.leaseUntil = now + a.settings.driftUpperBound(a.settings.Lease)
 	}
-	if r.isLeaseHeldByOther(from, m.ReleasedBallot) || !r.canPromise(from, m.Ballot) {
-		return
-	}
-	r.acceptor.highestPromised = m.Ballot
-	r.acceptor.highestReleased = max(r.acceptor.highestReleased, m.ReleasedBallot)
-	if isRemote {
-		r.deferCampaign(from)
-	}
-	r.reply(from, r.withMembers(Message{Kind: Promise, Ballot: m.Ballot, Record: r.newestRecord}))
 }
 
-func (r *Replica) sendNack(to int) {
-	r.send(to, r.withMembers(Message{Kind: Nack, Ballot: r.acceptor.highestPromised}))
-}
+// abstain makes the acceptor promise and accept nothing until a time.
+func (a *acceptor) abstain(until Micros) { a.abstainUntil = until }
 
-// isLeaseHeldByOther reports whether a lease of another replica than the candidate is in force here. While it is, nobody else
-// is promised anything, so that a partitioned replica that comes back can't disturb the leader.
-func (r *Replica) isLeaseHeldByOther(candidate int, released uint64) bool {
-	if r.disabled.Prevote {
+func (a *acceptor) isAbstaining(now Micros) bool { return now < a.abstainUntil }
+
+// isLeaseInForce reports whether a lease that was accepted, by whomever, still runs.
+func (a *acceptor) isLeaseInForce(now Micros) bool { return now < a.leaseUntil }
+
+// isOvertaken reports whether a higher ballot than this one is promised.
+func (a *acceptor) isOvertaken(ballot uint64) bool { return ballot < a.highestPromised }
+
+// promise promises a candidate its ballot, unless another's lease is in force or a higher ballot is promised. released is the
+// ballot up to which the candidate knows leases to be given up.
+func (a *acceptor) promise(now Micros, candidate int, ballot, released uint64) bool {
+	isBlocked := a.isLeasedToOther(now, candidate) && a.highestAccepted > released
+	if a.isAbstaining(now) || isBlocked || !a.canPromise(candidate, ballot) {
 		return false
 	}
-	return r.now < r.acceptor.leaseUntil && r.acceptor.leaseHolder != candidate && r.acceptor.highestAccepted > released
+	a.highestPromised = ballot
+	a.highestReleased = max(a.highestReleased, released)
+	return true
+}
+
+// isLeasedToOther reports whether a lease of another replica than the candidate is in force here. While it is, nobody else
+// is promised anything, so that a partitioned replica that comes back can't disturb the leader.
+func (a *acceptor) isLeasedToOther(now Micros, candidate int) bool {
+	return !a.ignoresLease && a.isLeaseInForce(now) && a.leaseHolder != candidate
 }
 
 // canPromise reports whether a ballot is higher than the one that was promised, or is the same, sent again by its owner.
-func (r *Replica) canPromise(candidate int, ballot uint64) bool {
-	if ballot > r.acceptor.highestPromised {
+func (a *acceptor) canPromise(candidate int, ballot uint64) bool {
+	if ballot > a.highestPromised {
 		return true
 	}
-	isResent := ballot == r.acceptor.highestPromised && ballotOwner(ballot) == candidate
-	return isResent && ballot > r.acceptor.highestAccepted
+	isResent := ballot == a.highestPromised && ballotOwner(ballot) == candidate
+	return isResent && ballot > a.highestAccepted
 }
 
-// deferCampaign postpones this replica's own campaign for as long as the candidate's ballot may last. It does so once in an
-// interval only: a candidate whose ballots never come through must not hold it off for good.
-func (r *Replica) deferCampaign(candidate int) {
-	last := r.acceptor.deferredAt[candidate]
-	if last != 0 && r.now < last+r.settings.deferralInterval() {
-		return
+// accept accepts the lease of a ballot, unless a higher ballot is promised or the lease was released since.
+func (a *acceptor) accept(now Micros, holder int, ballot uint64) bool {
+	if a.isAbstaining(now) || a.isOvertaken(ballot) || ballot <= a.highestReleased {
+		return false
 	}
-	r.acceptor.deferredAt[candidate] = r.now
-	r.candidate.nextCampaignAt = max(r.candidate.nextCampaignAt, r.now+r.settings.ballotTimeout()+r.campaignJitter())
+	a.highestPromised = ballot
+	a.highestAccepted = ballot
+	a.leaseHolder = holder
+	a.leaseUntil = now + a.settings.Lease
+	return true
 }
 
-// handlePropose accepts a lease, unless a higher ballot is promised or the lease was released since.
-func (r *Replica) handlePropose(from int, m Message) {
-	if r.isAbstaining() || m.Ballot < r.acceptor.highestPromised || m.Ballot <= r.acceptor.highestReleased || r.members.isNewerThan(m.Members) {
-		return
-	}
-	r.acceptor.highestPromised = m.Ballot
-	r.acceptor.highestAccepted = m.Ballot
-	r.acceptor.leaseHolder = from
-	r.acceptor.leaseUntil = r.now + r.settings.Lease
-	if from != r.id && r.leader.leaseUntil > 0 && !r.disabled.LeaseTimeout {
-		r.leader.leaseUntil = 0
+// acknowledgesRecord reports whether a record of a leader with this ballot may be acknowledged. It promises the ballot, so that no
+// older leader's record is acknowledged afterwards.
+func (a *acceptor) acknowledgesRecord(now Micros, ballot uint64) bool {
+	if !a.acknowledgesMembers(now, ballot) {
+		return false
 	}
-	r.reply(from, r.withMembers(Message{Kind: Accepted, Ballot: m.Ballot, Record: r.newestRecord}))
+	a.highestPromised = ballot
+	return true
 }
 
-// handleReplicate acknowledges a record that handle has taken into the log. It promises the ballot, so that no older leader's
-// record is acknowledged afterwards.
-func (r *Replica) handleReplicate(from int, m Message) {
-	if r.isAbstaining() || m.Ballot < r.acceptor.highestPromised {
-		return
-	}
-	r.acceptor.highestPromised = m.Ballot
-	r.send(from, Message{Kind: Replicated, Ballot: m.Ballot, Record: m.Record})
+// acknowledgesMembers reports whether members that a leader with this ballot has stamped may be acknowledged.
+func (a *acceptor) acknowledgesMembers(now Micros, ballot uint64) bool {
+	return !a.isAbstaining(now) && !a.isOvertaken(ballot)
 }
 
-// handleTransferLease releases the lease of a leader that leaves, and makes way for its successor.
-func (r *Replica) handleTransferLease(from int, m Message) {
-	// A renewal that others have promised already would otherwise make them reject this replica's next ballot.
-	r.acceptor.highestBallotSeen = max(r.acceptor.highestBallotSeen, m.Ballot)
-	if r.acceptor.leaseHolder != from || r.acceptor.highestAccepted > m.Ballot || r.isAbstaining() {
-		return
-	}
-	r.acceptor.leaseUntil = r.now
-	r.acceptor.highestReleased = max(r.acceptor.highestReleased, m.Ballot)
-	successorBallot := m.ReleasedBallot
-	switch successor := ballotOwner(successorBallot); {
-	case successorBallot <= r.acceptor.highestPromised:
-		// Another ballot has come in between: the successor has to be elected.
-		r.candidate.nextCampaignAt = r.now + r.campaignJitter()
-	case successor != r.id:
-		// The successor goes first: two candidates at once hinder each other.
-		r.candidate.nextCampaignAt = r.now + r.campaignJitter()
-		r.handle(successor, r.withMembers(Message{Kind: Prepare, Ballot: successorBallot, ReleasedBallot: m.Ballot}))
-	case !r.isLeaving && r.members.Contains(r.id):
-		r.startBallot(successorBallot)
-		// The message carries the promise of the replica that leaves.
-		r.handle(from, Message{Kind: Promise, Ballot: successorBallot, Record: m.Record, Members: m.Members})
+// releaseLease ends the accepted lease, whose holder gives it up; ballot is the one by which the holder got it. It reports whether
+// that was the lease that is accepted here.
+func (a *acceptor) releaseLease(now Micros, holder int, ballot uint64) bool {
+	if a.leaseHolder != holder || a.highestAccepted > ballot || a.isAbstaining(now) {
+		return false
 	}
+	a.endLease(now, ballot)
+	return true
+}
+
+// transferLease gives up the lease that this replica itself holds, and promises the successor's ballot.
+func (a *acceptor) transferLease(now Micros, ballot, successorBallot uint64) {
+	a.highestPromised = successorBallot
+	a.endLease(now, ballot)
+}
+
+func (a *acceptor) endLease(now Micros, ballot uint64) {
+	a.leaseUntil = now
+	a.highestReleased = max(a.highestReleased, ballot)
 }
--- a/internal/cluster/election/candidate.go
+++ b/internal/cluster/election/candidate.go
@@ -1,122 +1,106 @@
 package election
 
-// candidateState is the ballot by which a replica asks for a lease, or for its renewal.
-type candidateState struct {
+// candidate is the replica as the one that asks for a lease, or for its renewal: its present ballot and who has answered it. It
+// decides when the ballot is proposed, whether it has won, and whether it is worth sending again. [Replica] starts a ballot when
+// a campaign is due and passes on each Promise, Accepted and Nack.
+type candidate struct {
+	settings Settings
+	// renewsStart: the guard DisabledGuards.LeaseFromStart is off.
+	renewsStart bool
+
 	ballot      uint64
 	members     Members // that were in force when the ballot was started
 	startedAt   Micros  // the lease counts from here, however often the ballot is sent
 	sentAt      Micros
-	promises    replicaSet // nil: the ballot is void
+	promises    replicaSet
 	acceptances replicaSet
+	isOpen      bool // answers count: the ballot was started and is not void
 	hasProposed bool
 	hasWon      bool
 
-	nextCampaignAt Micros
+	highestSeen uint64 // of the ballots that Nack and TransferLease messages have named
 }
 
-// isPending reports whether the ballot was started and has neither won nor become void.
-func (c *candidateState) isPending() bool { return c.promises != nil && !c.hasWon }
-
-// abandon makes the ballot void: answers to it have no effect any more.
-func (c *candidateState) abandon() { c.promises, c.acceptances = nil, nil }
-
-// campaignJitter returns a random delay of up to a third of a lease, which keeps replicas from campaigning at the same time.
-func (r *Replica) campaignJitter() Micros {
-	return r.settings.Lease/minJitterParts + r.random.Int63n(max(1, r.settings.Lease/maxJitterParts))
+func newCandidate(config Config) candidate {
+	return candidate{settings: config.Settings, renewsStart: config.DisabledGuards.LeaseFromStart}
 }
 
-// shouldCampaign reports whether a lease has to be renewed now, or may be asked for.
-func (r *Replica) shouldCampaign() bool {
-	isLeading := r.leader.leaseUntil > 0
-	switch {
-	case r.isAbstaining(), r.isLeaving, !r.members.Contains(r.id) && !isLeading:
-		return false
-	case isLeading:
-		return r.now >= r.candidate.startedAt+r.settings.renewalInterval()
-	case r.now < r.candidate.nextCampaignAt:
-		return false
+// start begins a ballot in place of the one before.
+func (c *candidate) start(ballot uint64, members Members, now Micros) {
+	*c = candidate{
+		settings:    c.settings,
+		renewsStart: c.renewsStart,
+		ballot:      ballot,
+		members:     members,
+		startedAt:   now,
+		isOpen:      true,
+		highestSeen: c.highestSeen,
 	}
-	return r.now >= r.acceptor.leaseUntil || r.acceptor.leaseHolder == r.id || r.disabled.Prevote
 }
 
-// campaign starts a ballot, also to renew a lease. A ballot that may still come through is sent again instead: where a message
-// takes a tenth of a lease, a ballot lasts longer than the pause between two renewals, and replicas would overtake their own
-// ballots, and each other's, before any came through.
-func (r *Replica) campaign() {
-	if !r.canBallotWin() {
-		highest := max(r.acceptor.highestPromised, r.acceptor.highestAccepted, r.candidate.ballot, r.acceptor.highestBallotSeen)
-		r.startBallot(nextBallot(highest, r.id))
-		return
-	}
-	r.candidate.nextCampaignAt = r.now + r.campaignJitter()
-	if r.now >= r.candidate.sentAt+r.settings.ballotResendInterval() {
-		r.sendBallot()
-	}
+// abandon makes the ballot void: answers to it have no effect any more.
+func (c *candidate) abandon() { c.isOpen = false }
+
+// observe remembers a ballot of which another replica has told.
+func (c *candidate) observe(ballot uint64) { c.highestSeen = max(c.highestSeen, ballot) }
+
+// canWin reports whether the ballot may still bring a useful lease among the members; promised is the highest ballot that this
+// replica has promised.
+func (c *candidate) canWin(now Micros, members Members, promised uint64) bool {
+	isPending := c.isOpen && !c.hasWon
+	isOvertaken := max(promised, c.highestSeen) > c.ballot
+	isTimedOut := now >= c.startedAt+c.settings.ballotTimeout()
+	return isPending && c.members == members && !isOvertaken && !isTimedOut
 }
 
-// canBallotWin reports whether the present ballot may still bring a useful lease.
-func (r *Replica) canBallotWin() bool {
-	isOvertaken := max(r.acceptor.highestPromised, r.acceptor.highestBallotSeen) > r.candidate.ballot
-	isTimedOut := r.now >= r.candidate.startedAt+r.settings.ballotTimeout()
-	return r.candidate.isPending() && r.candidate.members == r.members && !isOvertaken && !isTimedOut
+func (c *candidate) isResendDue(now Micros) bool {
+	return now >= c.sentAt+c.settings.ballotResendInterval()
 }
 
-func (r *Replica) startBallot(ballot uint64) {
-	r.candidate = candidateState{
-		ballot: ballot, members: r.members, startedAt: r.now, promises: replicaSet{}, acceptances: replicaSet{},
-		nextCampaignAt: r.now + r.campaignJitter(),
-	}
-	r.sendBallot()
-	r.handle(r.id, r.withMembers(Message{Kind: Prepare, Ballot: ballot, ReleasedBallot: r.acceptor.highestReleased}))
+func (c *candidate) isRenewalDue(now Micros) bool {
+	return now >= c.startedAt+c.settings.renewalInterval()
 }
 
-// sendBallot sends the Prepare or the Propose of the present ballot to all other members.
-func (r *Replica) sendBallot() {
-	m := Message{Kind: Prepare, Ballot: r.candidate.ballot, ReleasedBallot: r.acceptor.highestReleased}
-	if r.candidate.hasProposed {
-		m = Message{Kind: Propose, Ballot: r.candidate.ballot}
+// messageToSend returns the Prepare or the Propose of the ballot, which is sent to all members now.
+func (c *candidate) messageToSend(now Micros, released uint64) Message {
+	c.sentAt = now
+	if c.renewsStart {
+		c.startedAt = now
 	}
-	r.candidate.sentAt = r.now
-	if r.disabled.LeaseFromStart {
-		r.candidate.startedAt = r.now
+	if c.hasProposed {
+		return Message{Kind: Propose, Ballot: c.ballot}
 	}
-	r.broadcast(r.withMembers(m))
+	return Message{Kind: Prepare, Ballot: c.ballot, ReleasedBallot: released}
 }
 
-// handlePromise counts a promise, and proposes the lease once a quorum has promised.
-func (r *Replica) handlePromise(from int, m Message) {
-	if m.Ballot != r.candidate.ballot || r.candidate.promises == nil {
-		return
+// addPromise counts a promise, and reports whether the lease has to be proposed now, as a quorum has promised.
+func (c *candidate) addPromise(from int, ballot uint64, members Members) bool {
+	if ballot != c.ballot || !c.isOpen {
+		return false
 	}
-	r.candidate.promises.add(from)
-	if r.candidate.hasProposed || !r.hasQuorum(r.candidate.promises) {
-		return
+	c.promises = c.promises.with(from)
+	if c.hasProposed || !c.promises.isQuorumOf(members) {
+		return false
 	}
-	r.candidate.hasProposed = true
-	r.sendBallot()
-	r.handle(r.id, r.withMembers(Message{Kind: Propose, Ballot: r.candidate.ballot}))
+	c.hasProposed = true
+	return true
 }
 
-// handleAccepted counts an acceptance, and takes the lease once a quorum has accepted.
-func (r *Replica) handleAccepted(from int, m Message) {
-	if m.Ballot != r.candidate.ballot || r.candidate.acceptances == nil {
-		return
-	}
-	r.candidate.acceptances.add(from)
-	leaseUntil := r.candidate.startedAt + r.settings.driftLowerBound(r.settings.Lease)
-	if !r.hasQuorum(r.candidate.acceptances) || r.now >= leaseUntil {
-		return
+// addAcceptance counts an acceptance, and reports whether the ballot has won a lease that still runs.
+func (c *candidate) addAcceptance(now Micros, from int, ballot uint64, members Members) bool {
+	if ballot != c.ballot || !c.isOpen {
+		return false
 	}
-	if !r.IsLeader(r.now) {
-		// Also after a leadership of its own that has lapsed: another replica may have led in between.
-		r.startTerm()
+	c.acceptances = c.acceptances.with(from)
+	if !c.acceptances.isQuorumOf(members) || now >= c.leaseEnd() {
+		return false
 	}
-	r.candidate.hasWon = true
-	r.leader.leaseUntil = leaseUntil
-	r.leader.leaseMembers = r.candidate.members
+	c.hasWon = true
+	return true
 }
 
-// handleNack remembers the higher ballot; newer members were taken over by handle.
-func (r *Replica) handleNack(m Message) {
-	r.acceptor.highestBallotSeen = max(r.acceptor.highestBallotSeen, m.Ballot)
+// leaseEnd is when the lease of the ballot is over. It is counted from before anybody was asked, and shortened by the clocks' drift:
+// whoever accepts holds the lease for longer.
+func (c *candidate) leaseEnd() Micros {
+	return c.startedAt + c.settings.driftLowerBound(c.settings.Lease)
 }
--- a/internal/cluster/election/cluster_test.go
+++ b/internal/cluster/election/cluster_test.go
@@ -7,7 +7,15 @@
 	second        = 1000 * ms
 )
 
-var testSettings = Settings{Lease: 2 * second, ClockDrift: 0.005, MaxVoteDelay: 800 * ms, VoteLifetime: 3 * second, RollbackQuorum: 1}
+func testSettings() Settings {
+	return Settings{
+		Lease:          2 * second,
+		ClockDrift:     0.005,
+		MaxVoteDelay:   800 * ms,
+		VoteLifetime:   3 * second,
+		RollbackQuorum: 1,
+	}
+}
 
 const (
 	clusterSize = 3
@@ -26,13 +34,15 @@
 	now           Micros
 }
 
-func newCluster(isFresh bool) *cluster {
+func newCluster(isFresh bool) *cluster { return newClusterWith(testSettings(), isFresh) }
+
+func newClusterWith(settings Settings, isFresh bool) *cluster {
 	c := &cluster{isPartitioned: map[int]bool{}, votes: map[int][]CastVote{}, now: second}
 	for i := range clusterSize {
 		replica := New(Config{
 			ID:       i,
 			Members:  InitialMembers(clusterSize),
-			Settings: testSettings,
+			Settings: settings,
 			IsFresh:  isFresh,
 			Now:      c.now,
 			Seed:     int64(i + 1),
@@ -128,7 +138,7 @@
 	if len(c.votes[newLeader]) == 0 || c.votes[newLeader][0].Verdict != Rollback {
 		t.Fatalf("the new leader cast %+v, want a rollback", c.votes[newLeader])
 	}
-	if c.now < partitionedAt+testSettings.VoteLifetime+testSettings.MaxVoteDelay {
+	if c.now < partitionedAt+testSettings().VoteLifetime+testSettings().MaxVoteDelay {
 		t.Errorf("contrary vote after %d us, when the first one may still count", c.now-partitionedAt)
 	}
 }
@@ -136,7 +146,7 @@
 // After a restart without durable state a replica answers nothing until nothing can count that it may have answered for.
 func TestFreshReplicasAbstain(t *testing.T) {
 	c := newCluster(true)
-	c.runUntil(second + testSettings.Lease + testSettings.MaxVoteDelay + testSettings.VoteLifetime)
+	c.runUntil(second + testSettings().Lease + testSettings().MaxVoteDelay + testSettings().VoteLifetime)
 	if leader := c.leader(); leader >= 0 {
 		t.Errorf("replica %d leads by the promises of fresh replicas", leader)
 	}
@@ -169,7 +179,7 @@
 	leader := c.leader()
 	c.recommend(leader, Rollback)
 	startedAt := c.now
-	for verdict := Advance; c.now < startedAt+testSettings.VoteLifetime; verdict = Advance + Rollback - verdict {
+	for verdict := Advance; c.now < startedAt+testSettings().VoteLifetime; verdict = Advance + Rollback - verdict {
 		c.recommend(leader, verdict)
 		c.runUntil(c.now + 100*ms)
 	}
@@ -182,7 +192,7 @@
 			t.Errorf("cast %+v during the lifetime of a rollback", vote)
 		}
 	}
-	for c.now < startedAt+3*testSettings.VoteLifetime && c.lastVerdict(leader) == Rollback {
+	for c.now < startedAt+3*testSettings().VoteLifetime && c.lastVerdict(leader) == Rollback {
 		c.recommend(leader, Advance)
 		c.runUntil(c.now + 100*ms)
 	}
@@ -193,10 +203,9 @@
 
 // A recommendation to roll back from any replica prevents an advance, also where a rollback needs more of them.
 func TestRollbackRecommendationBlocksAdvance(t *testing.T) {
-	c := newCluster(false)
-	for _, replica := range c.replicas {
-		replica.settings.RollbackQuorum = 2
-	}
+	settings := testSettings()
+	settings.RollbackQuorum = 2
+	c := newClusterWith(settings, false)
 	c.runUntil(electionDone)
 	leader := c.leader()
 	c.recommend((leader+1)%clusterSize, Rollback)
--- a/internal/cluster/election/golden_test.go
+++ b/internal/cluster/election/golden_test.go
@@ -54,7 +54,7 @@
 		ID:             i,
 		Members:        InitialMembers(s.initialMembers),
 		State:          s.persisted[i],
-		Settings:       testSettings,
+		Settings:       testSettings(),
 		DisabledGuards: s.disabled,
 		IsFresh:        isFresh,
 		Now:            s.now,
--- /dev/null
+++ b/internal/cluster/election/handlers.go
@@ -0,0 +1,164 @@
+package election
+
+// handle processes a message from another replica, or from this one itself.
+func (e *leaderElection) handle(from int, m Message) {
+	if m.Kind == Prepare && !e.membership.current.Contains(from) && !m.Members.isNewerThan(e.membership.current) {
+		e.rejectNonMember(from)
+		return
+	}
+	e.votes.log.learn(m.Record)
+	e.adoptMembers(m.Members)
+	switch m.Kind {
+	case Prepare:
+		e.handlePrepare(from, m)
+	case Promise:
+		e.handlePromise(from, m)
+	case Propose:
+		e.handlePropose(from, m)
+	case Accepted:
+		e.handleAccepted(from, m)
+	case Replicate:
+		e.handleReplicate(from, m)
+	case Replicated:
+		e.votes.log.acknowledge(from, m.Record)
+	case Recommend:
+		e.votes.recommendations.put(from, m.Recommendation, e.now)
+	case TransferLease:
+		e.handleTransferLease(from, m)
+	case Nack:
+		e.candidate.observe(m.Ballot)
+	case CommitMembers:
+		e.handleCommitMembers(from, m)
+	case MembersCommitted:
+		e.membership.acknowledge(from, m.Members)
+	}
+}
+
+// rejectNonMember answers the Prepare of a replica that is not a member with the present members.
+func (e *leaderElection) rejectNonMember(from int) {
+	if !e.acceptor.isAbstaining(e.now) {
+		e.out.send(from, e.membership.attach(Message{Kind: Nack}))
+	}
+}
+
+// adoptMembers takes newer members over. A ballot that was started among others is void, and so is a lease that another leader's
+// change of the members has overtaken.
+func (e *leaderElection) adoptMembers(members Members) {
+	if !e.membership.adopt(members) {
+		return
+	}
+	e.candidate.abandon()
+	if members.Term != e.lease.term {
+		e.lease.revoke()
+	}
+}
+
+// handlePrepare answers a candidate with a promise, or with what stands against its ballot.
+func (e *leaderElection) handlePrepare(from int, m Message) {
+	if e.acceptor.isAbstaining(e.now) {
+		return
+	}
+	isRemote := from != e.id
+	if isRemote && e.acceptor.isOvertaken(m.Ballot) {
+		// Without the answer, a replica that has campaigned alone would never take part again: its ballots are higher than the
+		// leader's, so it rejects those.
+		e.sendNack(from)
+	}
+	if isRemote && e.membership.current.isNewerThan(m.Members) {
+		// A quorum of older members may have no replica in common with a quorum of these.
+		e.sendNack(from)
+		return
+	}
+	if !e.acceptor.promise(e.now, from, m.Ballot, m.ReleasedBallot) {
+		return
+	}
+	if isRemote {
+		e.campaigns.deferTo(from, e.now)
+	}
+	e.reply(from, Message{Kind: Promise, Ballot: m.Ballot, Record: e.votes.log.newest})
+}
+
+func (e *leaderElection) sendNack(to int) {
+	e.out.send(to, e.membership.attach(Message{Kind: Nack, Ballot: e.acceptor.highestPromised}))
+}
+
+// reply sends an answer with the members, or handles it at once where this replica has asked itself.
+func (e *leaderElection) reply(to int, m Message) {
+	m = e.membership.attach(m)
+	if to == e.id {
+		e.handle(e.id, m)
+		return
+	}
+	e.out.send(to, m)
+}
+
+// handlePromise proposes the lease once a quorum has promised.
+func (e *leaderElection) handlePromise(from int, m Message) {
+	if !e.candidate.addPromise(from, m.Ballot, e.membership.current) {
+		return
+	}
+	e.sendBallot()
+	e.handle(e.id, e.membership.attach(Message{Kind: Propose, Ballot: e.candidate.ballot}))
+}
+
+// handlePropose accepts a candidate's lease, unless it was got among older members. A lease of this replica's own is over then.
+func (e *leaderElection) handlePropose(from int, m Message) {
+	if e.membership.current.isNewerThan(m.Members) || !e.acceptor.accept(e.now, from, m.Ballot) {
+		return
+	}
+	if from != e.id {
+		e.lease.revoke()
+	}
+	e.reply(from, Message{Kind: Accepted, Ballot: m.Ballot, Record: e.votes.log.newest})
+}
+
+// handleAccepted takes the lease once a quorum has accepted it.
+func (e *leaderElection) handleAccepted(from int, m Message) {
+	if !e.candidate.addAcceptance(e.now, from, m.Ballot, e.membership.current) {
+		return
+	}
+	if !e.lease.isValid(e.now) {
+		// Also after a leadership of its own that has lapsed: another replica may have led in between.
+		e.lease.startTerm(e.candidate.ballot)
+		e.membership.startTerm()
+		e.votes.startTerm(e.now)
+	}
+	e.lease.grant(e.candidate.leaseEnd(), e.candidate.members)
+}
+
+// handleReplicate acknowledges a record that handle has taken into the log.
+func (e *leaderElection) handleReplicate(from int, m Message) {
+	if e.acceptor.acknowledgesRecord(e.now, m.Ballot) {
+		e.out.send(from, Message{Kind: Replicated, Ballot: m.Ballot, Record: m.Record})
+	}
+}
+
+// handleCommitMembers acknowledges members that handle has taken over.
+func (e *leaderElection) handleCommitMembers(from int, m Message) {
+	if m.Members == e.membership.current && e.acceptor.acknowledgesMembers(e.now, m.Ballot) {
+		e.out.send(from, e.membership.attach(Message{Kind: MembersCommitted, Ballot: m.Ballot}))
+	}
+}
+
+// handleTransferLease releases the lease of a leader that leaves, and makes way for its successor.
+func (e *leaderElection) handleTransferLease(from int, m Message) {
+	// A renewal that others have promised already would otherwise make them reject this replica's next ballot.
+	e.candidate.observe(m.Ballot)
+	if !e.acceptor.releaseLease(e.now, from, m.Ballot) {
+		return
+	}
+	successorBallot := m.ReleasedBallot
+	switch successor := ballotOwner(successorBallot); {
+	case successorBallot <= e.acceptor.highestPromised:
+		// Another ballot has come in between: the successor has to be elected.
+		e.campaigns.reset(e.now)
+	case successor != e.id:
+		// The successor goes first: two candidates at once hinder each other.
+		e.campaigns.reset(e.now)
+		e.handle(successor, e.membership.attach(Message{Kind: Prepare, Ballot: successorBallot, ReleasedBallot: m.Ballot}))
+	case !e.isLeaving && e.membership.current.Contains(e.id):
+		e.startBallot(successorBallot)
+		// The message carries the promise of the replica that leaves.
+		e.handle(from, Message{Kind: Promise, Ballot: successorBallot, Record: m.Record, Members: m.Members})
+	}
+}
--- a/internal/cluster/election/message.go
+++ b/internal/cluster/election/message.go
@@ -16,11 +16,10 @@
 	Nack                             // rejects a ballot: names the higher one that was promised, or newer members
 	CommitMembers                    // asks to remember the members
 	MembersCommitted                 // acknowledges the members
-	kindEnd
 )
 
 // IsValid reports whether k is one of the kinds.
-func (k Kind) IsValid() bool { return k >= Prepare && k < kindEnd }
+func (k Kind) IsValid() bool { return k >= Prepare && k <= MembersCommitted }
 
 // Message from one replica to another. Every field is small, so that a message fits into a datagram many times over.
 type Message struct {
--- a/internal/cluster/election/model_test.go
+++ b/internal/cluster/election/model_test.go
@@ -68,7 +68,7 @@
 		ID:       i,
 		Members:  members,
 		State:    c.persisted[i],
-		Settings: testSettings,
+		Settings: testSettings(),
 		Now:      c.now,
 		Seed:     c.lastSeed,
 	})
@@ -98,10 +98,10 @@
 		panic("a vote of a replica that has persisted nothing")
 	}
 	c.votes = append(c.votes, observedVote{caster, vote, c.now})
-	members := c.replicas[caster].members
+	members := c.replicas[caster].election.membership.current
 	knownBy := 0
 	for i, replica := range c.replicas {
-		if members.Contains(i) && !vote.isNewerThan(replica.newestRecord) {
+		if members.Contains(i) && !vote.isNewerThan(replica.votes.log.newest) {
 			knownBy++
 		}
 	}
@@ -125,7 +125,7 @@
 	for _, earlier := range c.votes {
 		last := c.votes[len(c.votes)-1]
 		isContrary := earlier.replica != last.replica && earlier.isSameStage(last.Decision) && earlier.Verdict != last.Verdict
-		if isContrary && last.at < earlier.at+testSettings.MaxVoteDelay+testSettings.VoteLifetime {
+		if isContrary && last.at < earlier.at+testSettings().MaxVoteDelay+testSettings().VoteLifetime {
 			t.Fatalf("%+v counts beside %+v", last, earlier)
 		}
 	}
@@ -202,8 +202,8 @@
 		if c.isPaused[i] || !replica.IsLeader(c.now) {
 			continue
 		}
-		changed := anyReplica.Draw(t, "member")
-		commands, err := replica.ChangeMembers(c.now, replica.members.Mask^1<<changed)
+		changed := anyReplica().Draw(t, "member")
+		commands, err := replica.ChangeMembers(c.now, replica.election.membership.current.Mask^1<<changed)
 		c.execute(i, commands)
 		if err == nil {
 			c.memberChanges++
@@ -217,7 +217,7 @@
 	}
 }
 
-var anyReplica = rapid.IntRange(0, modelReplicas-1)
+func anyReplica() *rapid.Generator[int] { return rapid.IntRange(0, modelReplicas-1) }
 
 // actions are what may happen to a cluster. After each of them the invariants are checked.
 func (c *modelCluster) actions() map[string]func(*rapid.T) {
@@ -227,13 +227,13 @@
 		"deliver":     func(t *rapid.T) { c.deliverAny(t, rapid.IntRange(1, 10).Draw(t, "count")) },
 		"drop":        c.dropOldest,
 		"recommend": func(t *rapid.T) {
-			c.recommend(anyReplica.Draw(t, "replica"), Verdict(rapid.IntRange(0, 3).Draw(t, "verdict")))
+			c.recommend(anyReplica().Draw(t, "replica"), Verdict(rapid.IntRange(0, 3).Draw(t, "verdict")))
 		},
-		"pause":        func(t *rapid.T) { c.isPaused[anyReplica.Draw(t, "replica")] = true },
-		"resume":       func(t *rapid.T) { c.isPaused[anyReplica.Draw(t, "replica")] = false },
-		"restart":      func(t *rapid.T) { c.restart(anyReplica.Draw(t, "replica")) },
+		"pause":        func(t *rapid.T) { c.isPaused[anyReplica().Draw(t, "replica")] = true },
+		"resume":       func(t *rapid.T) { c.isPaused[anyReplica().Draw(t, "replica")] = false },
+		"restart":      func(t *rapid.T) { c.restart(anyReplica().Draw(t, "replica")) },
 		"changeMember": c.changeMember,
-		"leave":        func(t *rapid.T) { c.leave(anyReplica.Draw(t, "replica")) },
+		"leave":        func(t *rapid.T) { c.leave(anyReplica().Draw(t, "replica")) },
 		"":             c.checkInvariants,
 	}
 }
--- a/internal/cluster/election/replica.go
+++ b/internal/cluster/election/replica.go
@@ -1,170 +1,89 @@
 package election
 
-import "math/rand"
-
-// noReplica stands for a replica's number where there is none.
-const noReplica = -1
-
-// forever is later than any time.
-const forever Micros = 1 << 62
-
-// Replica is one member's part of the protocol. It is not safe for concurrent use.
+// Replica is one member's part of the protocol: it begins and ends each call, and passes events on to leaderElection, which decides who
+// leads, to voteCaster, which decides on the votes, and to selfStop. It is not safe for concurrent use.
 type Replica struct {
-	id       int
-	settings Settings
-	disabled DisabledGuards
-	random   *rand.Rand
-	now      Micros
-	commands []Command // of the call in progress
-	members  Members   // the newest that this replica has received
-
-	newestRecord  Record // of the vote log, by any leader
+	out           outbox
+	election      leaderElection
+	votes         voteCaster
+	selfStop      selfStop
 	lastPersisted DurableState
-
-	acceptor   acceptorState
-	candidate  candidateState
-	leader     leaderState
-	votes      voteState
-	membership membershipState
-
-	rollout         rolloutState
-	recommendations []recommendation // by replica
-	selfStopped     Decision         // for which this replica has stopped its own requests; the zero value: for none
-	isLeaving       bool
-}
-
-// rolloutState is the position of the newest build.
-type rolloutState struct {
-	build, stage int32
-	isActive     bool // the build is under evaluation
 }
 
 // New makes a replica.
 func New(config Config) *Replica {
-	settings := config.Settings
 	r := &Replica{
-		id:              config.ID,
-		members:         config.Members,
-		settings:        settings,
-		disabled:        config.DisabledGuards,
-		random:          rand.New(rand.NewSource(config.Seed)),
-		now:             config.Now,
-		recommendations: make([]recommendation, MaxReplicas),
-		acceptor:        acceptorState{leaseHolder: noReplica, deferredAt: make([]Micros, MaxReplicas)},
-	}
-	if config.State != nil {
-		r.restore(*config.State)
+		out:   outbox{self: config.ID},
+		votes: newVoteCaster(config),
 	}
+	r.election = newLeaderElection(config, &r.votes, &r.out)
 	r.lastPersisted = r.durableState()
-	if config.IsFresh && !r.disabled.LeaseTimeout {
-		// A leader that this replica has accepted may cast for one more lease, and its votes count for the window after; what
-		// this replica knew of it is lost.
-		r.acceptor.abstainUntil = r.now + settings.driftUpperBound(settings.Lease+settings.MaxVoteDelay+settings.VoteLifetime)
-	}
-	r.candidate.nextCampaignAt = r.now + r.campaignJitter()
 	return r
 }
 
-func (r *Replica) restore(state DurableState) {
-	a := &r.acceptor
-	a.highestPromised = state.Promised
-	a.highestAccepted = state.Accepted
-	a.highestReleased = state.Released
-	a.leaseHolder = int(state.LeaseHolder)
-	r.newestRecord = state.Newest
-	if state.Members.isNewerThan(r.members) {
-		r.members = state.Members
-	}
-	if a.highestAccepted > a.highestReleased {
-		// How much of the lease is left is not known any more: it counts as new.
-		a.leaseUntil = r.now + r.settings.driftUpperBound(r.settings.Lease)
-	}
-}
-
 func (r *Replica) durableState() DurableState {
+	accepted := &r.election.acceptor
 	return DurableState{
-		Promised:    r.acceptor.highestPromised,
-		Accepted:    r.acceptor.highestAccepted,
-		Released:    r.acceptor.highestReleased,
-		LeaseHolder: int32(r.acceptor.leaseHolder),
-		Newest:      r.newestRecord,
-		Members:     r.members,
+		Promised:    accepted.highestPromised,
+		Accepted:    accepted.highestAccepted,
+		Released:    accepted.highestReleased,
+		LeaseHolder: int32(accepted.leaseHolder),
+		Newest:      r.votes.log.newest,
+		Members:     r.election.membership.current,
 	}
 }
 
 // IsLeader reports whether this replica may cast votes now.
-func (r *Replica) IsLeader(now Micros) bool {
-	return now < r.leader.leaseUntil || r.disabled.LeaseTimeout && r.leader.leaseUntil > 0
-}
-
-// Term returns the ballot by which this replica got its leadership, 0 without one.
-func (r *Replica) Term() uint64 {
-	if r.leader.leaseUntil == 0 {
-		return 0
-	}
-	return r.leader.term
-}
-
-// Status is the state that operators ask for.
-type Status struct {
-	IsLeader             bool
-	LeaseRemaining       Micros
-	Term                 uint64
-	Newest               Record
-	HasUnresolvedVote    bool
-	LeaseHolder          int // whose lease this replica has accepted; -1: nobody's
-	Members              Members
-	AbstainsFor          Micros // how much longer
-	EarlierVotesExpireIn Micros // how much longer votes of an earlier leader may count
-}
+func (r *Replica) IsLeader(now Micros) bool { return r.election.lease.isValid(now) }
 
 // Status returns the state at a time.
 func (r *Replica) Status(now Micros) Status {
 	s := Status{
 		IsLeader:          r.IsLeader(now),
-		LeaseRemaining:    max(0, r.leader.leaseUntil-now),
-		Term:              r.Term(),
-		Newest:            r.newestRecord,
-		HasUnresolvedVote: r.votes.hasUnresolved(),
+		LeaseRemaining:    r.election.lease.remaining(now),
+		Term:              r.election.lease.currentTerm(),
+		Newest:            r.votes.log.newest,
+		HasUnresolvedVote: r.votes.hasUnresolvedVote(),
 		LeaseHolder:       noReplica,
-		Members:           r.members,
-		AbstainsFor:       max(0, r.acceptor.abstainUntil-now),
+		Members:           r.election.membership.current,
+		AbstainsFor:       max(0, r.election.acceptor.abstainUntil-now),
 	}
-	if now < r.acceptor.leaseUntil || s.IsLeader {
-		s.LeaseHolder = r.acceptor.leaseHolder
+	if s.IsLeader || r.election.acceptor.isLeaseInForce(now) {
+		s.LeaseHolder = r.election.acceptor.leaseHolder
 	}
-	if s.IsLeader && r.votes.predecessor.Term != 0 {
-		s.EarlierVotesExpireIn = max(0, r.votes.predecessorUntil-now)
+	if s.IsLeader {
+		s.EarlierVotesExpireIn = r.votes.history.earlierVotesExpireIn(now)
 	}
 	return s
 }
 
-// StopParticipating withdraws the replica after its stable storage has failed: it promises and accepts nothing any more. Its own ballot is
-// void, too: an acceptance that is on its way would make it leader, and it would cast votes of which it keeps no record.
+// StopParticipating withdraws the replica after its stable storage has failed: it promises and accepts nothing any more. Its own
+// ballot is void, too: an acceptance that is on its way would make it leader, and it would cast votes of which it keeps no record.
 func (r *Replica) StopParticipating(now Micros) {
 	r.beginCall(now)
-	r.leader.leaseUntil = 0
-	r.candidate.abandon()
-	r.votes.pending = Record{}
-	r.acceptor.abstainUntil = forever
+	r.election.withdraw()
+	r.votes.log.discardPending()
 }
 
-// UpdateRollout tells the position of the newest build. Votes name their stage, so a decision on another one is dropped.
+// UpdateRollout tells the position of the newest build.
 func (r *Replica) UpdateRollout(now Micros, build, stage int32, isActive bool) []Command {
 	r.beginCall(now)
-	r.rollout = rolloutState{build: build, stage: stage, isActive: isActive}
-	if r.votes.pending.Build != build || r.votes.pending.Stage != stage {
-		r.votes.pending = Record{}
-	}
+	r.votes.updateRollout(rolloutPosition{build: build, stage: stage, isActive: isActive})
+	return r.advance()
+}
+
+// Recommend takes the recommendation of this replica's release analyzer, and sends it to the other members.
+func (r *Replica) Recommend(now Micros, recommended Decision) []Command {
+	r.beginCall(now)
+	r.votes.recommendations.put(r.election.id, recommended, now)
+	r.out.broadcast(r.election.membership.current, Message{Kind: Recommend, Recommendation: recommended})
 	return r.advance()
 }
 
 // ResolveVote tells that the rollout controller has answered the vote of a record: it took effect, or never will.
 func (r *Replica) ResolveVote(now Micros, record Record) []Command {
 	r.beginCall(now)
-	if record == r.votes.lastCast {
-		r.votes.lastCastResolved = true
-	}
+	r.votes.history.resolve(record)
 	return r.advance()
 }
 
@@ -175,108 +94,80 @@
 }
 
 // NextTick returns when to call Tick, unless another call comes first.
-func (r *Replica) NextTick() Micros { return r.now + max(1, r.settings.retryInterval()) }
+func (r *Replica) NextTick() Micros {
+	return r.election.now + max(1, r.election.settings.retryInterval())
+}
 
 // Receive takes a message from another replica.
 func (r *Replica) Receive(now Micros, from int, m Message) []Command {
 	r.beginCall(now)
-	if from >= 0 && from < MaxReplicas && from != r.id {
-		r.handle(from, m)
+	if from >= 0 && from < MaxReplicas && from != r.election.id {
+		r.election.handle(from, m)
 	}
 	return r.advance()
 }
 
-// handle processes a message from another replica, or from this one itself.
-func (r *Replica) handle(from int, m Message) {
-	if m.Kind == Prepare && !r.members.Contains(from) && !m.Members.isNewerThan(r.members) {
-		r.rejectNonMember(from)
-		return
+// ChangeMembers puts other members in force, one more or one fewer. Only the leader can, and only when the change before is
+// known to a quorum.
+func (r *Replica) ChangeMembers(now Micros, mask uint64) ([]Command, error) {
+	r.beginCall(now)
+	if !r.IsLeader(now) {
+		return nil, ErrNotLeader
 	}
-	r.learnRecord(m.Record)
-	r.adoptMembers(m.Members)
-	switch m.Kind {
-	case Prepare:
-		r.handlePrepare(from, m)
-	case Promise:
-		r.handlePromise(from, m)
-	case Propose:
-		r.handlePropose(from, m)
-	case Accepted:
-		r.handleAccepted(from, m)
-	case Replicate:
-		r.handleReplicate(from, m)
-	case Replicated:
-		r.handleReplicated(from, m)
-	case Recommend:
-		r.handleRecommend(from, m)
-	case TransferLease:
-		r.handleTransferLease(from, m)
-	case Nack:
-		r.handleNack(m)
-	case CommitMembers:
-		r.handleCommitMembers(from, m)
-	case MembersCommitted:
-		r.handleMembersCommitted(from, m)
+	if err := r.election.changeMembers(mask); err != nil {
+		return nil, err
 	}
+	return r.advance(), nil
 }
 
-// beginCall starts a call at a time. A gap of half a lease between two calls counts as a lost leadership: what happened during
-// it is not known yet.
+// Leave hands the leadership over for good: this replica casts nothing any more and never campaigns again, but still answers
+// others. The next member in turn gets this replica's promise with the message that releases the lease, and the others'
+// promises as soon as they receive it.
+func (r *Replica) Leave(now Micros) []Command {
+	r.beginCall(now)
+	r.election.leave(now)
+	return r.endCall()
+}
+
+// beginCall starts a call at a time.
 func (r *Replica) beginCall(now Micros) {
-	if now-r.now > r.settings.Lease/2 && !r.disabled.LeaseTimeout {
-		r.leader.leaseUntil = 0
-	}
-	r.now = max(r.now, now)
-	r.commands = r.commands[:0]
+	r.election.setTime(now)
+	r.out.reset()
 }
 
 // advance does whatever is due at the present time, and ends the call.
 func (r *Replica) advance() []Command {
-	r.expireLeadership()
-	if r.shouldCampaign() {
-		r.campaign()
+	now := r.election.now
+	if r.election.lease.expire(now) {
+		r.votes.log.discardPending()
 	}
-	if r.IsLeader(r.now) {
-		r.advanceMembers()
-		r.advanceVote()
+	if r.election.shouldCampaign() {
+		r.election.campaign()
 	}
-	r.updateSelfStop()
-	return r.flushCommands()
-}
-
-// flushCommands ends the call. Changed durable state is persisted before any command that depends on it.
-func (r *Replica) flushCommands() []Command {
-	if state := r.durableState(); state != r.lastPersisted {
-		r.lastPersisted = state
-		r.commands = append([]Command{Persist{state}}, r.commands...)
+	if r.IsLeader(now) {
+		r.election.advanceMembers()
+		r.votes.advance(now, r.leadership(), &r.out)
 	}
-	return r.commands
-}
-
-func (r *Replica) send(to int, m Message) {
-	r.commands = append(r.commands, SendMessage{To: to, Message: m})
-}
-
-// broadcast sends a message to all other members.
-func (r *Replica) broadcast(m Message) {
-	for i := range MaxReplicas {
-		if i != r.id && r.members.Contains(i) {
-			r.send(i, m)
-		}
+	isLeaderKnown := r.IsLeader(now) || r.election.acceptor.isLeaseInForce(now)
+	if command, ok := r.selfStop.update(r.votes.recommendations.own(), r.votes.wantsRollback(), isLeaderKnown); ok {
+		r.out.add(command)
 	}
+	return r.endCall()
 }
 
-// reply sends an answer, or handles it at once where this replica has asked itself.
-func (r *Replica) reply(to int, m Message) {
-	if to == r.id {
-		r.handle(r.id, m)
-		return
+func (r *Replica) leadership() leadership {
+	return leadership{
+		lease:   &r.election.lease,
+		ballot:  r.election.candidate.ballot,
+		members: r.election.membership.current,
 	}
-	r.send(to, m)
 }
 
-// withMembers adds the members that this replica knows to a message.
-func (r *Replica) withMembers(m Message) Message {
-	m.Members = r.members
-	return m
+// endCall returns the commands of the call. Changed durable state is persisted before any command that depends on it.
+func (r *Replica) endCall() []Command {
+	if state := r.durableState(); state != r.lastPersisted {
+		r.lastPersisted = state
+		r.out.addFirst(Persist{state})
+	}
+	return r.out.commands
 }
--- a/internal/cluster/election/selfstop_test.go
+++ b/internal/cluster/election/selfstop_test.go
@@ -17,7 +17,7 @@
 // Without a leader, a replica whose release analyzer asks for a rollback stops its own requests to the build, and resumes when
 // the analyzer asks for something else. While another replica leads it leaves that to the leader.
 func TestSelfStopWithoutLeader(t *testing.T) {
-	replica := New(Config{Members: InitialMembers(clusterSize), Settings: testSettings, Now: second, Seed: 1})
+	replica := New(Config{Members: InitialMembers(clusterSize), Settings: testSettings(), Now: second, Seed: 1})
 	rollback := Decision{Build: 8, Stage: 1, Verdict: Rollback}
 	var stops []SelfStop
 	stops = append(stops, selfStops(replica.UpdateRollout(second, rollback.Build, rollback.Stage, true))...)
--- a/internal/cluster/election/settings.go
+++ b/internal/cluster/election/settings.go
@@ -51,6 +51,8 @@
 	// deferralIntervalLeases bounds how often a replica postpones its own campaign for another candidate, in leases, so that a
 	// candidate whose ballots never come through can't hold it off for good.
 	deferralIntervalLeases = 2
+	// callGapsPerLease: a gap between two calls of more than half a lease counts as a pause of the process.
+	callGapsPerLease = 2
 	// retriesPerLease is how often an unanswered message is sent again, and how often a replica wants a tick.
 	retriesPerLease = 15
 	// maxJitterParts and minJitterParts of a lease bound the random delay before a campaign.
@@ -80,6 +82,8 @@
 
 func (s Settings) deferralInterval() Micros { return deferralIntervalLeases * s.Lease }
 
+func (s Settings) maxCallGap() Micros { return s.Lease / callGapsPerLease }
+
 func (s Settings) retryInterval() Micros { return s.Lease / retriesPerLease }
 
 func (s Settings) recommendationLifetime() Micros { return recommendationLeases * s.Lease }
@@ -88,6 +92,12 @@
 	return Micros(recastLifetimeFraction * float64(s.VoteLifetime))
 }
 
+// memoryLossWindow returns how long a replica that has lost its state abstains: a leader that it has accepted may cast for one more
+// lease, and its votes count for the window after.
+func (s Settings) memoryLossWindow() Micros {
+	return s.driftUpperBound(s.Lease + s.MaxVoteDelay + s.VoteLifetime)
+}
+
 // effectDelay returns how long a vote that was cast may still take effect.
 func (s Settings) effectDelay() Micros { return s.driftUpperBound(s.MaxVoteDelay) }
 
--- a/internal/cluster/election/storage_failure_test.go
+++ b/internal/cluster/election/storage_failure_test.go
@@ -8,15 +8,15 @@
 // a CastVote. After a restart such a replica could answer the same vote differently, which is what the election promises never to do.
 func TestFailedStorageVoidsBallot(t *testing.T) {
 	const peer = 1
-	replica := New(Config{Members: InitialMembers(clusterSize), Settings: testSettings, Now: second, Seed: 1})
+	replica := New(Config{Members: InitialMembers(clusterSize), Settings: testSettings(), Now: second, Seed: 1})
 	replica.UpdateRollout(second, 1, 0, true)
 	now := second
-	for ; replica.candidate.ballot == 0; now += tickInterval {
+	for ; replica.election.candidate.ballot == 0; now += tickInterval {
 		replica.Tick(now)
 	}
-	ballot := replica.candidate.ballot
-	replica.Receive(now, peer, Message{Kind: Promise, Ballot: ballot, Members: replica.members})
-	if !replica.candidate.hasProposed {
+	ballot := replica.election.candidate.ballot
+	replica.Receive(now, peer, Message{Kind: Promise, Ballot: ballot, Members: replica.election.membership.current})
+	if !replica.election.candidate.hasProposed {
 		t.Fatal("the ballot has not been proposed")
 	}
 	replica.StopParticipating(now)
@@ -28,12 +28,12 @@
 			}
 		}
 	}
-	collect(replica.Receive(now+ms, peer, Message{Kind: Accepted, Ballot: ballot, Members: replica.members}))
+	collect(replica.Receive(now+ms, peer, Message{Kind: Accepted, Ballot: ballot, Members: replica.election.membership.current}))
 	if replica.IsLeader(now + ms) {
 		t.Error("leads by a ballot from before its storage failed")
 	}
 	collect(replica.Recommend(now+ms, Decision{Build: 1, Stage: 0, Verdict: Rollback}))
-	record := replica.newestRecord
+	record := replica.votes.log.newest
 	collect(replica.Receive(now+2*ms, peer, Message{Kind: Replicated, Ballot: ballot, Record: record}))
 	if len(casts) > 0 {
 		t.Errorf("cast %+v without a stored record", casts)
--- a/internal/cluster/election/votelog.go
+++ b/internal/cluster/election/votelog.go
@@ -1,156 +1,46 @@
 package election
 
-// voteState is what a leader replicates and casts.
-type voteState struct {
-	pending      Record     // replicated to some, not to a quorum yet; the zero value: none
-	replicatedTo replicaSet // who has acknowledged the pending record
+// voteLog is the replicated log of decisions, of which a replica keeps the newest record. It decides whether a leader's own record is
+// known to a quorum, from the acknowledgements. [voteCaster] appends to it; [Replica] passes on the records of all messages.
+type voteLog struct {
+	settings Settings
+
+	newest       Record     // by any leader
+	pending      Record     // of this replica as the leader, not cast yet; the zero value: none
+	replicatedTo replicaSet // who knows the pending record
 	sentAt       Micros     // when the pending record was last sent
 	lastIndex    uint32
-
-	lastCast         Record // of the present term; the zero value: none
-	lastCastAt       Micros
-	lastCastResolved bool // the rollout controller has answered
-
-	prior      Verdict // the last verdict cast that differs from lastCast's
-	priorUntil Micros  // until then it may count
-
-	predecessor      Record // the newest record of earlier leaders when the term began
-	predecessorUntil Micros // until then something that an earlier leader has cast may count
-}
-
-func (v *voteState) startTerm(predecessor Record, predecessorUntil Micros) {
-	v.predecessor, v.predecessorUntil = predecessor, predecessorUntil
-	v.pending = Record{}
-	v.lastCast, v.lastCastResolved = Record{}, false
-	v.priorUntil = 0
-}
-
-func (v *voteState) hasUnresolved() bool {
-	return v.pending.Term != 0 || v.lastCast.Term != 0 && !v.lastCastResolved
 }
 
-// hasCastOn reports whether a vote was cast in this term on the stage of a decision.
-func (v *voteState) hasCastOn(d Decision) bool {
-	return v.lastCast.Term != 0 && v.lastCast.isSameStage(d)
-}
-
-// contraryVerdict returns the verdict other than the decision's that was cast in this term on its stage and may still count.
-func (v *voteState) contraryVerdict(d Decision, now Micros) Verdict {
-	switch {
-	case !v.hasCastOn(d):
-		return NoVote
-	case v.lastCast.Verdict != d.Verdict:
-		return v.lastCast.Verdict
-	case now < v.priorUntil:
-		return v.prior
+// learn remembers a record if it is the newest.
+func (l *voteLog) learn(record Record) {
+	if record.isNewerThan(l.newest) {
+		l.newest = record
 	}
-	return NoVote
 }
 
-// learnRecord remembers a record if it is the newest.
-func (r *Replica) learnRecord(record Record) {
-	if record.isNewerThan(r.newestRecord) {
-		r.newestRecord = record
-	}
+// append makes a record that a quorum has to know before it is cast.
+func (l *voteLog) append(leader int, record Record) {
+	l.lastIndex++
+	record.Index = l.lastIndex
+	l.pending = record
+	l.replicatedTo = newReplicaSet(leader)
+	l.learn(record)
 }
 
-// advanceVote replicates what the recommendations ask for, and casts it once a quorum knows it.
-func (r *Replica) advanceVote() {
-	if !r.rollout.isActive {
-		return
-	}
-	wanted := Decision{Build: r.rollout.build, Stage: r.rollout.stage, Verdict: r.recommendedVerdict()}
-	if r.votes.pending.Term != r.leader.term || r.votes.pending.Decision != wanted {
-		r.votes.pending = Record{} // what was only replicated was never cast
-	}
-	isPending := r.votes.pending.Term != 0
-	switch {
-	case wanted.Verdict == NoVote:
-		return
-	case r.votes.lastCast.Decision == wanted && r.now-r.votes.lastCastAt < r.settings.recastInterval():
-		return
-	case !isPending && !r.canStartVote(wanted):
-		return
-	case !isPending:
-		r.startVote(wanted)
-	case r.now-r.votes.sentAt >= r.settings.retryInterval():
-		r.sendPending()
-	}
-	r.castPending()
-}
+func (l *voteLog) hasPending() bool { return l.pending.Term != 0 }
 
-// startVote appends a decision to the log.
-func (r *Replica) startVote(wanted Decision) {
-	r.votes.lastIndex++
-	r.votes.pending = Record{
-		Term:     r.leader.term,
-		Index:    r.votes.lastIndex,
-		Decision: wanted,
-		Prior:    r.votes.contraryVerdict(wanted, r.now),
-	}
-	r.votes.replicatedTo = newReplicaSet(r.id)
-	r.learnRecord(r.votes.pending)
-	r.sendPending()
-}
-
-func (r *Replica) sendPending() {
-	r.votes.sentAt = r.now
-	r.broadcast(Message{Kind: Replicate, Ballot: r.candidate.ballot, Record: r.votes.pending})
-}
-
-// handleReplicated counts an acknowledgement of the pending record.
-func (r *Replica) handleReplicated(from int, m Message) {
-	if m.Record == r.votes.pending && r.votes.replicatedTo != nil {
-		r.votes.replicatedTo.add(from)
-	}
-}
-
-// castPending casts the pending vote if a quorum knows it and the lease lasts long enough for it to be written.
-func (r *Replica) castPending() {
-	writeBefore := r.leader.leaseUntil - r.settings.driftUpperBound(r.settings.retryInterval())
-	isReplicated := r.hasQuorum(r.votes.replicatedTo) || r.disabled.QuorumBeforeCast
-	isInTime := r.now < writeBefore || r.disabled.LeaseTimeout
-	if !isReplicated || !isInTime {
-		return
-	}
-	v := &r.votes
-	if v.lastCast.Term != 0 && v.lastCast.Verdict != v.pending.Verdict {
-		v.prior = v.lastCast.Verdict
-		v.priorUntil = v.lastCastAt + r.settings.effectWindow()
-	}
-	v.lastCast, v.lastCastAt, v.lastCastResolved = v.pending, r.now, false
-	v.pending = Record{}
-	r.commands = append(r.commands, CastVote{Record: v.lastCast, WriteBefore: writeBefore})
-}
+// discardPending gives the pending record up. What was only replicated was never cast.
+func (l *voteLog) discardPending() { l.pending = Record{} }
 
-// canStartVote reports whether nothing contrary to a decision may count.
-func (r *Replica) canStartVote(wanted Decision) bool {
-	if r.disabled.WaitForEarlierVotes {
-		return true
+// acknowledge counts a replica that knows a record, if it is the pending one.
+func (l *voteLog) acknowledge(from int, record Record) {
+	if record == l.pending {
+		l.replicatedTo = l.replicatedTo.with(from)
 	}
-	return !r.mustWaitForPredecessor(wanted) && !r.mustWaitForOwnVote(wanted)
 }
 
-// mustWaitForPredecessor reports whether a contrary vote of an earlier leader may still take effect or be in force, unless it
-// was on another stage.
-func (r *Replica) mustWaitForPredecessor(wanted Decision) bool {
-	earlier := r.votes.predecessor
-	if earlier.Term == 0 || r.now >= r.votes.predecessorUntil || !earlier.isSameStage(wanted) {
-		return false
-	}
-	return earlier.Verdict != wanted.Verdict || earlier.Prior != NoVote && earlier.Prior != wanted.Verdict
-}
+func (l *voteLog) isReplicated(members Members) bool { return l.replicatedTo.isQuorumOf(members) }
 
-// mustWaitForOwnVote reports whether the last vote of this term is contrary and neither answered nor too old to take effect.
-func (r *Replica) mustWaitForOwnVote(wanted Decision) bool {
-	last := r.votes.lastCast
-	switch {
-	case !r.votes.hasCastOn(wanted) || last.Verdict == wanted.Verdict:
-		return false
-	case last.Verdict == Rollback && wanted.Verdict == Advance:
-		// Evidence may alternate, votes may not: a build that was to be rolled back advances only when that vote's lifetime is
-		// over, if at all.
-		return r.now < r.votes.lastCastAt+r.settings.effectWindow()
-	}
-	return !r.votes.lastCastResolved && r.now < r.votes.lastCastAt+r.settings.effectDelay()
-}
+// isSendDue reports whether the pending record has to be sent again.
+func (l *voteLog) isSendDue(now Micros) bool { return now-l.sentAt >= l.settings.retryInterval() }
