--- a/internal/cluster/election/doc.go
+++ b/internal/cluster/election/doc.go
@@ -9,6 +9,17 @@
 // clock. It belongs to one goroutine (package coordinator runs it in production, package simulation in simulated time): its
 // methods must not be called concurrently, and the commands of a call are valid until the next call.
 //
+// # Parts
+//
+// Replica begins and ends each call. It passes events on to parts that hold their own state and decide from it alone:
+//
+//   - leaderElection (leader_election.go, handlers.go) handles the messages of Paxos, with membership (who is a member, whether a
+//     quorum knows it), acceptor (what is promised and accepted here), campaignTimer (when to ask for the leadership), candidate
+//     (how this replica's own ballot stands) and lease (whether this replica leads).
+//   - voteCaster decides which vote a leader casts and when, with recommendations (what the release analyzers ask for), voteLog
+//     (what is known to a quorum) and voteHistory (what was cast and may still count).
+//   - selfStop decides what this replica does while no leader is known.
+//
 // # Protocol
 //
 // A replica that wants to lead sends Prepare with a new ballot. A replica that has accepted another's lease which still runs
