--- a/cmd/switchfork/admin.go
+++ b/cmd/switchfork/admin.go
@@ -54,18 +54,18 @@
 }
 
 func (a *adminCommands) printReport(report coordinator.StatusReport) {
-	a.printf("agent %d: ", report.Me)
+	a.printf("agent %d: ", report.Replica)
 	switch {
-	case report.Leads:
-		a.printf("leads, term %d, lease left %d ms\n", report.Term, report.LeftMS)
-	case report.Owner >= 0:
-		a.printf("agent %d leads\n", report.Owner)
+	case report.IsLeader:
+		a.printf("leads, term %d, lease left %d ms\n", report.Term, report.LeaseRemainingMS)
+	case report.LeaseHolder >= 0:
+		a.printf("agent %d leads\n", report.LeaseHolder)
 	default:
 		a.printf("knows of nobody who leads\n")
 	}
-	a.printf("newest decision: %s\n", report.Newest)
+	a.printf("newest decision: %s\n", report.NewestDecision)
 	a.printf("unresolved: %t; an earlier lead's may count for %d ms; abstains for %d ms\n",
-		report.Unresolved, report.WaitsMS, report.AbstainsMS)
+		report.HasUnresolvedVote, report.EarlierVotesExpireInMS, report.AbstainsForMS)
 	a.printf("members: %v\n", report.Members)
 }
 
@@ -104,7 +104,7 @@
 			if err != nil || agent < 0 || agent >= election.MaxReplicas {
 				return usageError{fmt.Errorf("%q is no agent, expected a number from 0 to %d", args[0], election.MaxReplicas-1)}
 			}
-			return coordinator.RequestMemberChange(a.socket, change, agent)
+			return coordinator.RequestMemberChange(a.socket, coordinator.MemberChange{Kind: coordinator.MemberChangeKind(change), Agent: agent})
 		},
 	})
 }
--- a/internal/cluster/coordinator/admin_client.go
+++ b/internal/cluster/coordinator/admin_client.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -28,36 +29,40 @@
 
 func (e *MemberChangeError) Error() string { return e.Reason }
 
-// QueryStatus asks the agent whose admin address is given for its status.
-func QueryStatus(path string) (report StatusReport, err error) {
+// QueryStatus asks the agent whose admin address is given for its status. An agent that can't tell is a *StatusCodeError.
+func QueryStatus(path string) (StatusReport, error) {
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, adminHost+statusPath, http.NoBody)
 	if err != nil {
-		return report, err
+		return StatusReport{}, fmt.Errorf("asking the agent at %s for its status: %w", path, err)
 	}
 	response, err := adminClient(path).Do(request)
 	if err != nil {
-		return report, err
+		return StatusReport{}, fmt.Errorf("asking the agent at %s for its status: %w", path, err)
 	}
 	defer closeBody(response)
 	if response.StatusCode != http.StatusOK {
-		return report, &StatusCodeError{response.Status}
+		return StatusReport{}, &StatusCodeError{response.Status}
 	}
-	return report, json.NewDecoder(response.Body).Decode(&report)
+	var report StatusReport
+	if err = json.NewDecoder(response.Body).Decode(&report); err != nil {
+		return StatusReport{}, fmt.Errorf("reading the status of the agent at %s, expected JSON: %w", path, err)
+	}
+	return report, nil
 }
 
-// RequestMemberChange asks the agent whose admin address is given, which has to be the leader, to add or remove another; change is
-// "add" or "remove".
-func RequestMemberChange(path, change string, agent int) error {
-	form := url.Values{agentParameter: {strconv.Itoa(agent)}}
-	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, adminHost+memberPath+change,
-		strings.NewReader(form.Encode()))
+// RequestMemberChange asks the agent whose admin address is given, which has to be the leader, to add or remove a member. A refusal is
+// a *MemberChangeError.
+func RequestMemberChange(path string, change MemberChange) error {
+	form := url.Values{agentParameter: {strconv.Itoa(change.Agent)}}
+	resource := adminHost + memberPath + string(change.Kind)
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, resource, strings.NewReader(form.Encode()))
 	if err != nil {
-		return err
+		return fmt.Errorf("asking the agent at %s for a change of members: %w", path, err)
 	}
 	request.Header.Set("Content-Type", "application/x-www-form-urlencoded")
 	response, err := adminClient(path).Do(request)
 	if err != nil {
-		return err
+		return fmt.Errorf("asking the agent at %s for a change of members: %w", path, err)
 	}
 	defer closeBody(response)
 	if response.StatusCode == http.StatusOK {
--- a/internal/cluster/coordinator/admin_scenario_test.go
+++ b/internal/cluster/coordinator/admin_scenario_test.go
@@ -133,7 +133,10 @@
 
 func checkMemberChangeRefused(agents faulttest.CheckTarget) error {
 	leader := agents.Names[leaderName]
-	err := coordinator.RequestMemberChange(agents.Admin[leader], "remove", (leader+1)%3)
+	err := coordinator.RequestMemberChange(agents.Admin[leader], coordinator.MemberChange{
+		Kind:  coordinator.RemoveMember,
+		Agent: (leader + 1) % 3,
+	})
 	if err == nil || !strings.Contains(err.Error(), "state folder") {
 		return fmt.Errorf("a change of members without state folders is answered with %q", fmt.Sprint(err))
 	}
@@ -152,7 +155,7 @@
 	if err != nil {
 		return fmt.Errorf("asking an agent started again: %w", err)
 	}
-	if report.AbstainsMS <= 0 {
+	if report.AbstainsForMS <= 0 {
 		return fmt.Errorf("an agent started again without stored state reports %+v", report)
 	}
 	return nil
--- a/internal/cluster/coordinator/admin_server.go
+++ b/internal/cluster/coordinator/admin_server.go
@@ -27,19 +27,17 @@
 
 // Resources of the admin address.
 const (
-	statusPath       = "/lead"
-	memberPath       = "/members/" // followed by the change: add or remove
-	addMemberPath    = memberPath + "add"
-	removeMemberPath = memberPath + "remove"
-	metricsPath      = "/metrics"
-	agentParameter   = "agent"
+	statusPath     = "/lead"
+	memberPath     = "/members/" // followed by the MemberChangeKind
+	metricsPath    = "/metrics"
+	agentParameter = "agent"
 )
 
 // AdminAddressInUseError tells that another process serves the admin address.
 type AdminAddressInUseError struct{ Path string }
 
 func (e *AdminAddressInUseError) Error() string {
-	return fmt.Sprintf("admin address %s is another process's", e.Path)
+	return fmt.Sprintf("opening the admin socket %s: another process serves it", e.Path)
 }
 
 // ServeAdmin begins to serve the admin address, a Unix socket, and returns; it is served until the context ends. A socket that an
@@ -50,17 +48,16 @@
 		return err
 	}
 	server := &http.Server{
-		Handler:           c.adminHandler(),
+		Handler:           (&adminServer{c}).handler(),
 		ReadHeaderTimeout: adminTimeout,
 		IdleTimeout:       adminTimeout,
 	}
+	context.AfterFunc(ctx, func() {
+		_ = server.Close() // the agent ends
+	})
 	go func() {
 		_ = server.Serve(listener) // without its admin address an agent serves on
 	}()
-	go func() {
-		<-ctx.Done()
-		_ = server.Close() // the agent ends
-	}()
 	return nil
 }
 
@@ -74,7 +71,7 @@
 	}
 	listener, err := listenPrivately(ctx, path)
 	if err != nil {
-		return nil, fmt.Errorf("admin address: %w", err)
+		return nil, fmt.Errorf("opening the admin socket %s: %w", path, err)
 	}
 	return listener, nil
 }
@@ -130,55 +127,57 @@
 	return true
 }
 
-func (c *Coordinator) adminHandler() http.Handler {
+// adminServer answers the requests at the admin address. It has no state of its own.
+type adminServer struct{ coordinator *Coordinator }
+
+func (s *adminServer) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+statusPath, c.handleStatus)
-	mux.HandleFunc("POST "+addMemberPath, c.handleAddMember)
-	mux.HandleFunc("POST "+removeMemberPath, c.handleRemoveMember)
-	mux.HandleFunc("GET "+metricsPath, c.handleMetrics)
+	mux.HandleFunc("GET "+statusPath, s.handleStatus)
+	mux.HandleFunc("GET "+metricsPath, s.handleMetrics)
+	for _, kind := range []MemberChangeKind{AddMember, RemoveMember} {
+		mux.HandleFunc("POST "+memberPath+string(kind), func(w http.ResponseWriter, r *http.Request) {
+			s.handleMemberChange(w, r, kind)
+		})
+	}
 	return mux
 }
 
-func (c *Coordinator) handleStatus(w http.ResponseWriter, r *http.Request) {
-	status, err := c.Status(r.Context())
+func (s *adminServer) handleStatus(w http.ResponseWriter, r *http.Request) {
+	status, err := s.coordinator.Status(r.Context())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(NewStatusReport(c.index, status)) // fails only if the client has gone
+	_ = json.NewEncoder(w).Encode(NewStatusReport(s.coordinator.index, status)) // fails only if the client has gone
 }
 
-func (c *Coordinator) handleMetrics(w http.ResponseWriter, _ *http.Request) {
-	c.metrics.set.WritePrometheus(w)
+func (s *adminServer) handleMetrics(w http.ResponseWriter, _ *http.Request) {
+	s.coordinator.Metrics().WritePrometheus(w)
 }
 
-func (c *Coordinator) handleAddMember(w http.ResponseWriter, r *http.Request) {
-	if agent, ok := agentOf(w, r); ok {
-		answerChange(w, c.ChangeMembers(r.Context(), agent, noAgent))
+func (s *adminServer) handleMemberChange(w http.ResponseWriter, r *http.Request, kind MemberChangeKind) {
+	agent, err := parseAgent(r.FormValue(agentParameter))
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	if err = s.coordinator.ChangeMembers(r.Context(), MemberChange{kind, agent}); err != nil {
+		http.Error(w, err.Error(), http.StatusConflict)
 	}
 }
 
-func (c *Coordinator) handleRemoveMember(w http.ResponseWriter, r *http.Request) {
-	if agent, ok := agentOf(w, r); ok {
-		answerChange(w, c.ChangeMembers(r.Context(), noAgent, agent))
-	}
+// InvalidAgentError tells that a request names no agent.
+type InvalidAgentError struct{ Value string }
+
+func (e *InvalidAgentError) Error() string {
+	return fmt.Sprintf("agent is %q, expected a number from 0 to %d", e.Value, election.MaxReplicas-1)
 }
 
-// agentOf reads the agent that a request names, or answers the request with what is wrong.
-func agentOf(w http.ResponseWriter, r *http.Request) (agent int, ok bool) {
-	value := r.FormValue(agentParameter)
+func parseAgent(value string) (int, error) {
 	agent, err := strconv.Atoi(value)
 	if err != nil || agent < 0 || agent >= election.MaxReplicas {
-		reason := fmt.Sprintf("agent is %q, expected a number from 0 to %d", value, election.MaxReplicas-1)
-		http.Error(w, reason, http.StatusBadRequest)
-		return 0, false
-	}
-	return agent, true
-}
-
-func answerChange(w http.ResponseWriter, err error) {
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusConflict)
+		return 0, &InvalidAgentError{value}
 	}
+	return agent, nil
 }
--- a/internal/cluster/coordinator/admin_test.go
+++ b/internal/cluster/coordinator/admin_test.go
@@ -37,10 +37,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if report.AbstainsMS <= 0 {
+	if report.AbstainsForMS <= 0 {
 		t.Errorf("without stored state it does not abstain: %+v", report)
 	}
-	report.AbstainsMS = 1
+	report.AbstainsForMS = 1
 	text, err := json.Marshal(report)
 	const want = `{"me":0,"leads":false,"owner":-1,"term":0,"left_ms":0,"unresolved":false,"waits_ms":0,"abstains_ms":1,"newest":"none","members":[0,1,2]}`
 	if err != nil || string(text) != want {
@@ -51,10 +51,11 @@
 		64: "agent is \"64\", expected a number from 0 to 63\n",
 		-1: "agent is \"-1\", expected a number from 0 to 63\n",
 	} {
-		for _, change := range []string{"add", "remove"} {
+		for _, kind := range []coordinator.MemberChangeKind{"add", "remove"} {
 			var refused *coordinator.MemberChangeError
-			if err := coordinator.RequestMemberChange(path, change, agent); !errors.As(err, &refused) || refused.Reason != reason {
-				t.Errorf("%s %d gives %v, want %q", change, agent, err, reason)
+			err := coordinator.RequestMemberChange(path, coordinator.MemberChange{Kind: kind, Agent: agent})
+			if !errors.As(err, &refused) || refused.Reason != reason {
+				t.Errorf("%s %d gives %v, want %q", kind, agent, err, reason)
 			}
 		}
 	}
--- a/internal/cluster/coordinator/blocking_test.go
+++ b/internal/cluster/coordinator/blocking_test.go
@@ -30,7 +30,7 @@
 	var resolve func(written bool)
 	c, _ := newTestCoordinator(nil, Callbacks{CastVote: func(_ policy.Vote, _ time.Time, resolved func(bool)) { resolve = resolved }})
 	c.execute([]election.Command{election.CastVote{}})
-	for range mailboxCapacity {
+	for range frameQueueCapacity {
 		c.Receive(nil)
 	}
 	for name, call := range map[string]func(){
--- a/internal/cluster/coordinator/commands_test.go
+++ b/internal/cluster/coordinator/commands_test.go
@@ -60,7 +60,7 @@
 	if !slices.Equal(sent.receivers, []int{1, 2, 3}) {
 		t.Errorf("sent to %v after a save that failed", sent.receivers)
 	}
-	if status := c.replica.Status(c.now()); status.AbstainsFor < 1<<61 {
+	if status := c.replica.Status(c.clock.now()); status.AbstainsFor < 1<<61 {
 		t.Errorf("the replica still takes part: %+v", status)
 	}
 	store.err = nil
@@ -136,8 +136,8 @@
 		election.CastVote{Record: record, WriteBefore: 2e6 + 1},
 	})
 	want := policy.Vote{Build: 4, Stage: 1, Verdict: policy.Hold}
-	if !slices.Equal(cast, []policy.Vote{want, want}) || !deadline.Equal(c.startedAt.Add(2*time.Second)) {
-		t.Errorf("cast %+v before %v after the start", cast, deadline.Sub(c.startedAt))
+	if !slices.Equal(cast, []policy.Vote{want, want}) || !deadline.Equal(c.clock.startedAt.Add(2*time.Second)) {
+		t.Errorf("cast %+v before %v after the start", cast, deadline.Sub(c.clock.startedAt))
 	}
 	if written, refused := c.metrics.votesCast.Get(), c.metrics.votesRefused.Get(); written != 1 || refused != 1 {
 		t.Errorf("counted %d written, %d refused", written, refused)
@@ -159,7 +159,7 @@
 		t.Errorf("%d dropped, %d received", dropped, received)
 	}
 	c.receive(transport.Encode(testGroup, 1, message))
-	for range mailboxCapacity + 2 {
+	for range frameQueueCapacity + 2 {
 		c.Receive(nil)
 	}
 	if dropped, received := c.metrics.messagesDropped.Get(), c.metrics.messagesReceived.Get(); dropped != 5 || received != 1 {
--- a/internal/cluster/coordinator/coordinator.go
+++ b/internal/cluster/coordinator/coordinator.go
@@ -46,82 +46,74 @@
 	Seed     int64
 }
 
-// mailboxCapacity bounds the frames of other agents that wait; beyond it they are dropped.
-const mailboxCapacity = 1024
+// frameQueueCapacity bounds the frames of other agents that wait; beyond it they are dropped.
+const frameQueueCapacity = 1024
 
 // Coordinator drives one replica.
 type Coordinator struct {
-	group         uint64
-	index         int
-	leaseDuration time.Duration
-	transport     Transport
-	store         Store // nil: this agent has no state folder
-	callbacks     Callbacks
-	startedAt     time.Time
-	mailbox       *mailbox.Mailbox[message] // what this agent's own parts say: they must not wait, and say little
-	frames        chan []byte               // of other agents
-	metrics       *replicaMetrics
+	group     uint64
+	index     int
+	transport Transport
+	castVote  func(vote policy.Vote, writeBefore time.Time, resolved func(written bool))
+	clock     clock
+	mailbox   *mailbox.Mailbox[message] // what this agent's own parts say: they must not wait, and say little
+	frames    chan []byte               // of other agents
+	metrics   *replicaMetrics
 
 	// Owned by the goroutine of Serve.
 	replica        *election.Replica
-	recommendation election.Decision
-	recommendedAt  time.Time // when the replica last got the recommendation
-	rollout        policy.RolloutUpdate
-	hasRollout     bool               // an update was received
-	selfStopped    *election.Decision // the build to which this agent has stopped sending by itself; nil: none
-	leaderTerm     uint64             // the term in which this agent leads; 0: it does not
-	storeFailed    bool
-	hasLeft        bool // Leave was called
+	state          stateWriter
+	recommendation repeatedRecommendation
+	trafficStop    trafficStop
+	leadership     leadershipObserver
 }
 
-// New makes a coordinator. A replica without stored state abstains at first, because the agent may have run before.
+// New makes a coordinator; store is nil where this agent has no state folder. A replica without stored state abstains at first,
+// because the agent may have run before.
 func New(config Config, transport Transport, store Store, callbacks Callbacks) *Coordinator {
-	c := &Coordinator{
-		group:         config.Group,
-		index:         config.Index,
-		leaseDuration: time.Duration(config.Settings.Lease) * time.Microsecond,
-		transport:     transport,
-		store:         store,
-		callbacks:     callbacks,
-		startedAt:     time.Now(),
-		mailbox:       mailbox.New[message](),
-		frames:        make(chan []byte, mailboxCapacity),
-		metrics:       newReplicaMetrics(),
+	replicaClock := startClock()
+	exported := newReplicaMetrics()
+	leaseDuration := time.Duration(config.Settings.Lease) * time.Microsecond
+	return &Coordinator{
+		group:     config.Group,
+		index:     config.Index,
+		transport: transport,
+		castVote:  callbacks.CastVote,
+		clock:     replicaClock,
+		mailbox:   mailbox.New[message](),
+		frames:    make(chan []byte, frameQueueCapacity),
+		metrics:   exported,
+		replica: election.New(election.Config{
+			ID:       config.Index,
+			Members:  config.Members,
+			State:    config.State,
+			Settings: config.Settings,
+			IsFresh:  config.State == nil, // the agent may have run before
+			Now:      replicaClock.now(),
+			Seed:     config.Seed,
+		}),
+		state:          stateWriter{store: store, syncs: exported.stateSyncs},
+		recommendation: repeatedRecommendation{interval: leaseDuration / recommendationsPerLease},
+		trafficStop:    trafficStop{updatePolicy: callbacks.UpdateRollout},
+		leadership:     leadershipObserver{metrics: exported},
 	}
-	c.replica = election.New(election.Config{
-		ID:       config.Index,
-		Members:  config.Members,
-		State:    config.State,
-		Settings: config.Settings,
-		IsFresh:  config.State == nil, // the agent may have run before
-		Now:      c.now(),
-		Seed:     config.Seed,
-	})
-	return c
 }
 
 // Metrics returns the set with the coordinator's metrics.
 func (c *Coordinator) Metrics() *metrics.Set { return c.metrics.set }
 
-// now is the replica's monotonic time. It begins at 1, because the replica reads 0 as never.
-func (c *Coordinator) now() election.Micros { return time.Since(c.startedAt).Microseconds() + 1 }
-
-// wallTime converts the replica's time, as now returns it.
-func (c *Coordinator) wallTime(at election.Micros) time.Time {
-	return c.startedAt.Add(time.Duration(at-1) * time.Microsecond)
-}
-
 // Serve handles timer, mailbox and frames until the context ends, and then closes the store.
 func (c *Coordinator) Serve(ctx context.Context) {
+	defer c.state.close()
 	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			c.closeStore()
 			return
 		case <-timer.C:
 			c.tick()
-			timer.Reset(time.Duration(c.replica.NextTick()-c.now()) * time.Microsecond)
+			timer.Reset(c.clock.until(c.replica.NextTick()))
 		case <-c.mailbox.Ready():
 			for _, received := range c.mailbox.Take(nil) {
 				received.handle(c)
@@ -129,27 +121,20 @@
 		case frame := <-c.frames:
 			c.receive(frame)
 		}
-		c.recordLeadership()
+		c.leadership.observe(c.replica.Status(c.clock.now()))
 	}
 }
 
-// tick runs what is due. The recommendation is repeated twice a lease, since other agents' replicas let an old one expire.
+// tick runs what is due.
 func (c *Coordinator) tick() {
-	c.execute(c.replica.Tick(c.now()))
-	if c.recommendation != (election.Decision{}) && time.Since(c.recommendedAt) >= c.leaseDuration/2 {
-		c.recommend(c.recommendation)
+	c.execute(c.replica.Tick(c.clock.now()))
+	if c.recommendation.isDue() {
+		c.recommend(c.recommendation.decision)
 	}
 }
 
 // recommend gives the replica what this agent's release analyzer asks for.
 func (c *Coordinator) recommend(decision election.Decision) {
-	c.recommendation = decision
-	c.recommendedAt = time.Now()
-	c.execute(c.replica.Recommend(c.now(), decision))
-}
-
-func (c *Coordinator) closeStore() {
-	if c.store != nil {
-		_ = c.store.Close() // every Save was synced, nothing can be lost any more
-	}
+	c.recommendation.set(decision)
+	c.execute(c.replica.Recommend(c.clock.now(), decision))
 }
--- a/internal/cluster/coordinator/metrics.go
+++ b/internal/cluster/coordinator/metrics.go
@@ -1,16 +1,14 @@
 package coordinator
 
 import (
-	"log/slog"
 	"sync/atomic"
 
 	"github.com/VictoriaMetrics/metrics"
 )
 
 const (
-	metricsPrefix   = "switchfork_decider_"
-	microsPerSecond = 1e6
-	microsPerMilli  = 1000
+	metricsPrefix = "switchfork_decider_"
+	leaseGauge       = "lease_seconds"
 )
 
 // replicaMetrics are what the admin address exports. They may be read and changed from any goroutine.
@@ -30,37 +28,23 @@
 }
 
 func newReplicaMetrics() *replicaMetrics {
-	set := metrics.NewSet()
-	counter := func(name string) *metrics.Counter { return set.NewCounter(metricsPrefix + name) }
-	m := &replicaMetrics{
-		set:              set,
-		electionsWon:     counter("terms_total"),
-		handOvers:        counter("hand_overs_total"),
-		votesCast:        counter("casts_total"),
-		votesRefused:     counter("casts_refused_total"),
-		messagesReceived: counter("messages_in_total"),
-		messagesSent:     counter("messages_out_total"),
-		messagesDropped:  counter("messages_dropped_total"),
-		stateSyncs:       counter("syncs_total"),
-	}
-	set.NewGauge(metricsPrefix+"lease_seconds", func() float64 { return float64(m.leaseRemaining.Load()) / microsPerSecond })
+	m := &replicaMetrics{set: metrics.NewSet()}
+	m.electionsWon = m.newCounter("terms_total")
+	m.handOvers = m.newCounter("hand_overs_total")
+	m.votesCast = m.newCounter("casts_total")
+	m.votesRefused = m.newCounter("casts_refused_total")
+	m.messagesReceived = m.newCounter("messages_in_total")
+	m.messagesSent = m.newCounter("messages_out_total")
+	m.messagesDropped = m.newCounter("messages_dropped_total")
+	m.stateSyncs = m.newCounter("syncs_total")
+	m.set.NewGauge(metricsPrefix+leaseGauge, m.leaseSeconds)
 	return m
 }
 
-// recordLeadership exports the remaining lease, and logs and counts when this agent begins or ceases to lead.
-func (c *Coordinator) recordLeadership() {
-	status := c.replica.Status(c.now())
-	c.metrics.leaseRemaining.Store(status.LeaseRemaining)
-	switch {
-	case status.IsLeader && status.Term != c.leaderTerm:
-		c.metrics.electionsWon.Inc()
-		slog.Info("leadership acquired", "term", status.Term, "members", status.Members.Count(), "earlier_votes_expire_ms", status.EarlierVotesExpireIn/microsPerMilli)
-		c.leaderTerm = status.Term
-	case !status.IsLeader && c.leaderTerm != 0:
-		if c.hasLeft {
-			c.metrics.handOvers.Inc()
-		}
-		slog.Info("leadership lost", "term", c.leaderTerm, "handed_over", c.hasLeft)
-		c.leaderTerm = 0
-	}
+func (m *replicaMetrics) newCounter(name string) *metrics.Counter {
+	return m.set.NewCounter(metricsPrefix + name)
+}
+
+func (m *replicaMetrics) leaseSeconds() float64 {
+	return float64(m.leaseRemaining.Load()) / microsPerSecond
 }
--- a/internal/faulttest/actions.go
+++ b/internal/faulttest/actions.go
@@ -149,7 +149,7 @@
 // isLeader asks the agent at its admin address.
 func (a *agent) isLeader() bool {
 	status, err := coordinator.QueryStatus(a.adminAddress)
-	return err == nil && status.Leads
+	return err == nil && status.IsLeader
 }
 
 // measureNow is a measure from the start to now. Unlike an expectation it may ask agents about themselves.
