--- a/internal/cluster/coordinator/admin_scenario_test.go
+++ b/internal/cluster/coordinator/admin_scenario_test.go
@@ -98,8 +98,10 @@
 	if err != nil {
 		return fmt.Errorf("reading metrics: %w", err)
 	}
-	if !bytes.Contains(text, []byte("switchfork_decider_terms_total 1")) {
-		return fmt.Errorf("metrics are %s", text)
+	for _, metric := range []string{"switchfork_election_terms_total 1", "switchfork_decider_terms_total 1"} {
+		if !bytes.Contains(text, []byte(metric)) {
+			return fmt.Errorf("metrics are %s, expected %s", text, metric)
+		}
 	}
 	return nil
 }
--- a/internal/cluster/coordinator/metrics.go
+++ b/internal/cluster/coordinator/metrics.go
@@ -1,19 +1,24 @@
 package coordinator
 
 import (
+	"fmt"
+	"io"
 	"sync/atomic"
 
 	"github.com/VictoriaMetrics/metrics"
 )
 
 const (
-	metricsPrefix = "switchfork_decider_"
+	metricsPrefix = "switchfork_election_"
+	// deprecatedPrefix begins the earlier names of the same metrics.
+	deprecatedPrefix = "switchfork_decider_"
 	leaseGauge       = "lease_seconds"
 )
 
 // replicaMetrics are what the admin address exports. They may be read and changed from any goroutine.
 type replicaMetrics struct {
-	set *metrics.Set
+	set      *metrics.Set
+	counters []namedCounter // all of them
 
 	electionsWon     *metrics.Counter // terms in which this agent has led
 	handOvers        *metrics.Counter // leases handed over at the agent's end
@@ -27,6 +32,12 @@
 	leaseRemaining atomic.Int64 // microseconds
 }
 
+// namedCounter is a counter with its name after the prefix.
+type namedCounter struct {
+	name    string
+	counter *metrics.Counter
+}
+
 func newReplicaMetrics() *replicaMetrics {
 	m := &replicaMetrics{set: metrics.NewSet()}
 	m.electionsWon = m.newCounter("terms_total")
@@ -38,13 +49,32 @@
 	m.messagesDropped = m.newCounter("messages_dropped_total")
 	m.stateSyncs = m.newCounter("syncs_total")
 	m.set.NewGauge(metricsPrefix+leaseGauge, m.leaseSeconds)
+	m.set.RegisterMetricsWriter(m.writeDeprecated)
 	return m
 }
 
 func (m *replicaMetrics) newCounter(name string) *metrics.Counter {
-	return m.set.NewCounter(metricsPrefix + name)
+	counter := m.set.NewCounter(metricsPrefix + name)
+	m.counters = append(m.counters, namedCounter{name, counter})
+	return counter
 }
 
 func (m *replicaMetrics) leaseSeconds() float64 {
 	return float64(m.leaseRemaining.Load()) / microsPerSecond
 }
+
+// writeDeprecated exports every metric by its earlier name, too, for the dashboards that still read it.
+func (m *replicaMetrics) writeDeprecated(w io.Writer) {
+	for _, named := range m.counters {
+		writeDeprecation(w, named.name, "counter")
+		metrics.WriteCounterUint64(w, deprecatedPrefix+named.name, named.counter.Get())
+	}
+	writeDeprecation(w, leaseGauge, "gauge")
+	metrics.WriteGaugeFloat64(w, deprecatedPrefix+leaseGauge, m.leaseSeconds())
+}
+
+// writeDeprecation writes the metadata of a metric's earlier name. A write that fails has lost its reader.
+func writeDeprecation(w io.Writer, name, kind string) {
+	earlier := deprecatedPrefix + name
+	_, _ = fmt.Fprintf(w, "# HELP %s Deprecated: use %s.\n# TYPE %s %s\n", earlier, metricsPrefix+name, earlier, kind)
+}
--- /dev/null
+++ b/internal/cluster/coordinator/metrics_test.go
@@ -0,0 +1,46 @@
+package coordinator
+
+import (
+	"strings"
+	"testing"
+)
+
+// Every metric is exported by its name and, for dashboards that were made before, by its earlier one, whose help line calls it deprecated.
+// Both give the same value.
+func TestDeprecatedMetricNames(t *testing.T) {
+	m := newReplicaMetrics()
+	m.votesCast.Add(3)
+	m.leaseRemaining.Store(1_500_000)
+	var out strings.Builder
+	m.set.WritePrometheus(&out)
+	lines := strings.Split(out.String(), "\n")
+	metrics := map[string]string{
+		"terms_total":            "0",
+		"hand_overs_total":       "0",
+		"casts_total":            "3",
+		"casts_refused_total":    "0",
+		"messages_in_total":      "0",
+		"messages_out_total":     "0",
+		"messages_dropped_total": "0",
+		"syncs_total":            "0",
+		"lease_seconds":          "1.5",
+	}
+	count := map[string]int{}
+	for _, line := range lines {
+		count[line]++
+	}
+	for name, value := range metrics {
+		for _, want := range []string{
+			"switchfork_election_" + name + " " + value,
+			"switchfork_decider_" + name + " " + value,
+			"# HELP switchfork_decider_" + name + " Deprecated: use switchfork_election_" + name + ".",
+		} {
+			if count[want] != 1 {
+				t.Errorf("%d lines are %q, want 1", count[want], want)
+			}
+		}
+	}
+	if got, want := strings.Count(out.String(), "\nswitchfork_")+1, 2*len(metrics); got != want {
+		t.Errorf("%d metrics, want %d:\n%s", got, want, out.String())
+	}
+}
