--- a/internal/cluster/coordinator/metrics.go
+++ b/internal/cluster/coordinator/metrics.go
@@ -1,21 +1,24 @@
 package coordinator
 
 import (
-	"log/slog"
+	"fmt"
+	"io"
 	"sync/atomic"
 
 	"github.com/VictoriaMetrics/metrics"
 )
 
 const (
-	metricsPrefix   = "switchfork_decider_"
-	microsPerSecond = 1e6
-	microsPerMilli  = 1000
+	metricsPrefix = "switchfork_election_"
+	// deprecatedPrefix begins the earlier names of the same metrics.
+	deprecatedPrefix = "switchfork_decider_"
+	leaseGauge       = "lease_seconds"
 )
 
 // replicaMetrics are what the admin address exports. They may be read and changed from any goroutine.
 type replicaMetrics struct {
-	set *metrics.Set
+	set      *metrics.Set
+	counters []namedCounter // all of them
 
 	electionsWon     *metrics.Counter // terms in which this agent has led
 	handOvers        *metrics.Counter // leases handed over at the agent's end
@@ -29,38 +32,49 @@
 	leaseRemaining atomic.Int64 // microseconds
 }
 
+// namedCounter is a counter with its name after the prefix.
+type namedCounter struct {
+	name    string
+	counter *metrics.Counter
+}
+
 func newReplicaMetrics() *replicaMetrics {
-	set := metrics.NewSet()
-	counter := func(name string) *metrics.Counter { return set.NewCounter(metricsPrefix + name) }
-	m := &replicaMetrics{
-		set:              set,
-		electionsWon:     counter("terms_total"),
-		handOvers:        counter("hand_overs_total"),
-		votesCast:        counter("casts_total"),
-		votesRefused:     counter("casts_refused_total"),
-		messagesReceived: counter("messages_in_total"),
-		messagesSent:     counter("messages_out_total"),
-		messagesDropped:  counter("messages_dropped_total"),
-		stateSyncs:       counter("syncs_total"),
-	}
-	set.NewGauge(metricsPrefix+"lease_seconds", func() float64 { return float64(m.leaseRemaining.Load()) / microsPerSecond })
+	m := &replicaMetrics{set: metrics.NewSet()}
+	m.electionsWon = m.newCounter("terms_total")
+	m.handOvers = m.newCounter("hand_overs_total")
+	m.votesCast = m.newCounter("casts_total")
+	m.votesRefused = m.newCounter("casts_refused_total")
+	m.messagesReceived = m.newCounter("messages_in_total")
+	m.messagesSent = m.newCounter("messages_out_total")
+	m.messagesDropped = m.newCounter("messages_dropped_total")
+	m.stateSyncs = m.newCounter("syncs_total")
+	m.set.NewGauge(metricsPrefix+leaseGauge, m.leaseSeconds)
+	m.set.RegisterMetricsWriter(m.writeDeprecated)
 	return m
 }
 
-// recordLeadership exports the remaining lease, and logs and counts when this agent begins or ceases to lead.
-func (c *Coordinator) recordLeadership() {
-	status := c.replica.Status(c.now())
-	c.metrics.leaseRemaining.Store(status.LeaseRemaining)
-	switch {
-	case status.IsLeader && status.Term != c.leaderTerm:
-		c.metrics.electionsWon.Inc()
-		slog.Info("leadership acquired", "term", status.Term, "members", status.Members.Count(), "earlier_votes_expire_ms", status.EarlierVotesExpireIn/microsPerMilli)
-		c.leaderTerm = status.Term
-	case !status.IsLeader && c.leaderTerm != 0:
-		if c.hasLeft {
-			c.metrics.handOvers.Inc()
-		}
-		slog.Info("leadership lost", "term", c.leaderTerm, "handed_over", c.hasLeft)
-		c.leaderTerm = 0
+func (m *replicaMetrics) newCounter(name string) *metrics.Counter {
+	counter := m.set.NewCounter(metricsPrefix + name)
+	m.counters = append(m.counters, namedCounter{name, counter})
+	return counter
+}
+
+func (m *replicaMetrics) leaseSeconds() float64 {
+	return float64(m.leaseRemaining.Load()) / microsPerSecond
+}
+
+// writeDeprecated exports every metric by its earlier name, too, for the dashboards that still read it.
+func (m *replicaMetrics) writeDeprecated(w io.Writer) {
+	for _, named := range m.counters {
+		writeDeprecation(w, named.name, "counter")
+		metrics.WriteCounterUint64(w, deprecatedPrefix+named.name, named.counter.Get())
 	}
+	writeDeprecation(w, leaseGauge, "gauge")
+	metrics.WriteGaugeFloat64(w, deprecatedPrefix+leaseGauge, m.leaseSeconds())
+}
+
+// writeDeprecation writes the metadata of a metric's earlier name. A write that fails has lost its reader.
+func writeDeprecation(w io.Writer, name, kind string) {
+	earlier := deprecatedPrefix + name
+	_, _ = fmt.Fprintf(w, "# HELP %s Deprecated: use %s.\n# TYPE %s %s\n", earlier, metricsPrefix+name, earlier, kind)
 }
