--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -26,16 +26,16 @@
 	path := filepath.Join("testdata", name)
 	if os.Getenv(updateVariable) != "" {
 		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
+			t.Fatalf("making the directory of golden files: %v", err)
 		}
 		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
+			t.Fatalf("updating a golden file: %v", err)
 		}
 		return
 	}
 	want, err := os.ReadFile(path)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the golden file (%s=1 writes it): %v", updateVariable, err)
 	}
 	if string(want) != got {
 		t.Errorf("%s differs\ngot:\n%s\nwant:\n%s", path, got, want)
@@ -77,32 +77,37 @@
 }
 
 func (d *Digest) write(v reflect.Value) {
-	switch v.Kind() {
-	case reflect.Bool:
-		if v.Bool() {
-			d.number(1)
-		} else {
-			d.number(0)
-		}
-	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+	kind := v.Kind()
+	switch {
+	case kind == reflect.Bool:
+		d.bool(v.Bool())
+	case v.CanInt():
 		d.number(uint64(v.Int()))
-	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+	case v.CanUint():
 		d.number(v.Uint())
-	case reflect.Float32, reflect.Float64:
+	case v.CanFloat():
 		d.number(math.Float64bits(v.Float()))
-	case reflect.String:
+	case kind == reflect.String:
 		d.number(uint64(v.Len()))
 		d.sum.Write([]byte(v.String()))
-	case reflect.Slice, reflect.Array:
+	case kind == reflect.Slice || kind == reflect.Array:
 		d.number(uint64(v.Len()))
 		for i := range v.Len() {
 			d.write(v.Index(i))
 		}
-	case reflect.Struct:
+	case kind == reflect.Struct:
 		for i := range v.NumField() {
 			d.write(v.Field(i))
 		}
 	default:
-		panic("golden: no digest of a " + v.Kind().String())
+		panic("golden: no digest of a value of kind " + kind.String())
+	}
+}
+
+func (d *Digest) bool(value bool) {
+	if value {
+		d.number(1)
+	} else {
+		d.number(0)
 	}
 }
