--- a/internal/agent/activity.go
+++ b/internal/agent/activity.go
@@ -11,15 +11,26 @@
 
 // activityCounts are the counters that only the loop's goroutine touches.
 type activityCounts struct {
-	arrived, succeeded, rejected, failed, cancelledByClient                  int
-	attempts, retries, healthChecks, votes, votesRejected, cancelledAttempts int
+	arrived           int
+	succeeded         int
+	rejected          int
+	failed            int
+	cancelledByClient int
+
+	attempts          int
+	retries           int
+	cancelledAttempts int
+	healthChecks      int
+	votes             int
+	votesRejected     int
 }
 
 // activity counts what the agent has done since its last line in the log.
 type activity struct {
 	activityCounts
-	dials, listCalls atomic.Int64 // counted by other goroutines than the loop's
-	since            time.Time
+	dials     atomic.Int64 // counted by other goroutines than the loop's, as listCalls
+	listCalls atomic.Int64
+	since     time.Time
 }
 
 // log writes a line when one is due, and none where nothing was done.
@@ -31,8 +42,9 @@
 	if elapsed < activityInterval {
 		return
 	}
-	dials, listCalls := a.dials.Swap(0), a.listCalls.Swap(0)
-	if a.arrived+a.attempts+a.healthChecks+a.votes > 0 || dials+listCalls > 0 {
+	dials := a.dials.Swap(0)
+	listCalls := a.listCalls.Swap(0)
+	if a.hasActivity() || dials+listCalls > 0 {
 		slog.Info("activity", "interval_ms", elapsed.Milliseconds(), "arrived", a.arrived, "succeeded", a.succeeded, "rejected", a.rejected,
 			"failed", a.failed, "cancelled_by_client", a.cancelledByClient, "attempts", a.attempts, "retries", a.retries,
 			"cancelled_attempts", a.cancelledAttempts, "health_checks", a.healthChecks, "votes", a.votes, "votes_rejected", a.votesRejected,
@@ -41,3 +53,8 @@
 	a.activityCounts = activityCounts{}
 	a.since = now
 }
+
+// hasActivity tells whether there is anything to log.
+func (c *activityCounts) hasActivity() bool {
+	return c.arrived+c.attempts+c.healthChecks+c.votes > 0
+}
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -5,47 +5,62 @@
 	"log/slog"
 	"time"
 
-	"switchfork/internal/admission"
 	"switchfork/internal/policy"
 	"switchfork/internal/protocol"
 	"switchfork/internal/upstream"
 )
 
-// carryOut executes a command of the policy.
-func (l *Loop) carryOut(command policy.Command) {
+// commandExecutor carries out the policy's commands. It decides nothing, and it never waits: attempts, votes and gossip messages are
+// handed on to others. The loop's goroutine calls it with each command that the policy returns.
+type commandExecutor struct {
+	clock     Clock
+	timers    *timerQueue
+	requests  *requestTable
+	endpoints *endpointSet
+	activity  *activity
+
+	// reportAttempt takes the result of an attempt that can't be sent. It must not call the policy.
+	reportAttempt func(upstream.AttemptFinished)
+	castVote      func(policy.Vote)
+	sendGossip    func(policy.SendGossip)
+}
+
+// execute carries out a command that the policy gave at decidedAt.
+func (e *commandExecutor) execute(command policy.Command, decidedAt time.Time) {
 	switch command := command.(type) {
 	case policy.SetTimer:
-		l.setTimer(command)
+		e.timers.set(command)
 	case policy.SendAttempt:
-		l.sendAttempt(command)
+		e.sendAttempt(command, decidedAt)
 	case policy.CancelAttempt:
-		l.cancelAttempt(command)
+		e.cancelAttempt(command)
 	case policy.Reject:
-		l.replyTo(command.RequestID, Reply{Rejected: true, RetryAfter: command.RetryAfter})
+		e.requests.reply(command.RequestID, Reply{Rejected: true, RetryAfter: command.RetryAfter})
 	case policy.Fail:
-		l.replyTo(command.RequestID, Reply{})
+		e.requests.reply(command.RequestID, Reply{})
 	case policy.CheckHealth:
-		l.checkHealth(command)
+		e.checkHealth(command)
 	case policy.Vote:
-		l.activity.votes++
-		l.castVote(command)
+		e.activity.votes++
+		e.castVote(command)
 	case policy.SendGossip:
-		l.sendGossip(command)
+		e.sendGossip(command)
 	case policy.WatchEndpoints:
 		// Nothing to do: the discovery client watches the endpoint list all the time.
 	case policy.LogMessage:
 		slog.Info("policy message", "text", command.Text)
 	default:
-		panic(fmt.Sprintf("no way to carry out %T", command))
+		panic(fmt.Sprintf("agent: no handling of a command of type %T", command))
 	}
 }
 
 // sendAttempt hands an attempt to its endpoint. It is reported as not sent where its request or endpoint is not known, or where the
 // request is answered or has an attempt in flight already.
-func (l *Loop) sendAttempt(command policy.SendAttempt) {
-	request, endpoint := l.requests[command.RequestID], l.endpoints[command.EndpointID]
+func (e *commandExecutor) sendAttempt(command policy.SendAttempt, decidedAt time.Time) {
+	request := e.requests.get(command.RequestID)
+	endpoint := e.endpoints.get(command.EndpointID)
 	if request == nil || request.answered || request.inFlight > 0 || endpoint == nil {
-		l.refuseAttempt(command, request)
+		e.refuseAttempt(command, request)
 		return
 	}
 	if request.OnFirstAttempt != nil {
@@ -54,19 +69,19 @@
 	}
 	request.attempts++
 	if request.attempts > 1 {
-		l.activity.retries++
+		e.activity.retries++
 	}
-	l.activity.attempts++
+	e.activity.attempts++
 	request.inFlight++
 	request.endpoint = endpoint
 	attempt := upstream.Attempt{
 		RequestID: command.RequestID,
 		Encoded:   request.Encoded,
-		DecidedAt: l.handledAt,
-		Deadline:  attemptDeadline(request.Deadline, l.handledAt, command.Timeout),
+		DecidedAt: decidedAt,
+		Deadline:  attemptDeadline(request.Deadline, decidedAt, command.Timeout),
 	}
 	if command.WriteBefore != 0 {
-		attempt.WriteBefore = l.clock.Time(command.WriteBefore)
+		attempt.WriteBefore = e.clock.Time(command.WriteBefore)
 	}
 	endpoint.Send(attempt)
 }
@@ -84,9 +99,9 @@
 }
 
 // refuseAttempt reports an attempt that can't be sent as not sent; request is nil where it is not known.
-func (l *Loop) refuseAttempt(command policy.SendAttempt, request *Request) {
+func (e *commandExecutor) refuseAttempt(command policy.SendAttempt, request *Request) {
 	slog.Error("attempt not possible", "request", command.RequestID, "endpoint", command.EndpointID)
-	l.AttemptFinished(upstream.AttemptFinished{
+	e.reportAttempt(upstream.AttemptFinished{
 		AttemptResult: policy.AttemptResult{
 			RequestID:  command.RequestID,
 			EndpointID: command.EndpointID,
@@ -95,43 +110,26 @@
 		Result: protocol.NotSent,
 	})
 	if request != nil {
-		request.inFlight++ // finishAttempt decrements it with the result
+		request.inFlight++ // requestTable.finishAttempt decrements it with the result
 	}
 }
 
 // cancelAttempt cancels the attempt of a request that is in flight.
-func (l *Loop) cancelAttempt(command policy.CancelAttempt) {
-	request := l.requests[command.RequestID]
+func (e *commandExecutor) cancelAttempt(command policy.CancelAttempt) {
+	request := e.requests.get(command.RequestID)
 	if request == nil || request.inFlight == 0 {
 		return
 	}
-	l.activity.cancelledAttempts++
+	e.activity.cancelledAttempts++
 	request.endpoint.Cancel(command.RequestID)
 }
 
 // checkHealth starts a health check of an endpoint that is still listed.
-func (l *Loop) checkHealth(command policy.CheckHealth) {
-	endpoint := l.endpoints[command.EndpointID]
+func (e *commandExecutor) checkHealth(command policy.CheckHealth) {
+	endpoint := e.endpoints.get(command.EndpointID)
 	if endpoint == nil {
 		return
 	}
-	l.activity.healthChecks++
+	e.activity.healthChecks++
 	endpoint.CheckHealth()
 }
-
-// replyTo answers a request that has no answer yet with the policy's own reply.
-func (l *Loop) replyTo(id uint64, reply Reply) {
-	request := l.requests[id]
-	if request == nil || request.answered {
-		return
-	}
-	if reply.Rejected {
-		request.result = admission.Rejected
-		l.activity.rejected++
-	} else {
-		request.result = admission.Failed
-		l.activity.failed++
-	}
-	request.Deliver(reply)
-	l.finishRequest(id, request)
-}
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -4,43 +4,73 @@
 	"slices"
 
 	"switchfork/internal/policy"
+	"switchfork/internal/protocol"
 	"switchfork/internal/upstream"
 )
 
-// updateEndpoints applies a change of the endpoint list before the policy gets it: new endpoints are started, and all get their
-// latest entry. Endpoints that have left stop by themselves once none of their attempts is in flight; one that returns is started anew.
-func (l *Loop) updateEndpoints(list EndpointList) {
+// endpointSet holds the endpoints of the endpoint list in force: it starts those that are new and removes those that have left.
+// The loop's goroutine owns it.
+type endpointSet struct {
+	pool   *upstream.Pool  // where endpoints are made; set before the first update
+	events upstream.Events // what endpoints report to
+	byID   map[uint32]*upstream.Endpoint
+	order  []*upstream.Endpoint // in the order in which they were added
+}
+
+func newEndpointSet(events upstream.Events) endpointSet {
+	return endpointSet{events: events, byID: map[uint32]*upstream.Endpoint{}}
+}
+
+// get returns an endpoint; nil: it is not listed.
+func (s *endpointSet) get(id uint32) *upstream.Endpoint { return s.byID[id] }
+
+// update applies a change of the endpoint list: new endpoints are started, and all get their latest entry. Endpoints that have left
+// stop by themselves once none of their attempts is in flight; one that returns is started anew.
+func (s *endpointSet) update(list EndpointList) {
 	isPresent := map[uint32]bool{}
 	for i, row := range list.Endpoints {
-		endpoint := l.endpoints[row.ID]
 		if row.State == policy.Gone {
-			l.removeEndpoint(endpoint)
+			s.remove(row.ID)
 			continue
 		}
 		isPresent[row.ID] = true
-		if endpoint == nil {
-			endpoint = l.newEndpoint(row.ID, list.Entries[i])
-			l.endpoints[row.ID] = endpoint
-			l.endpointOrder = append(l.endpointOrder, endpoint)
-		}
-		endpoint.Update(list.Entries[i])
+		s.updateEndpoint(row.ID, list.Entries[i])
+	}
+	if !list.Full {
+		return
 	}
-	if list.Full {
-		for _, endpoint := range slices.Clone(l.endpointOrder) {
-			if !isPresent[endpoint.ID()] {
-				l.removeEndpoint(endpoint)
-			}
+	for _, endpoint := range slices.Clone(s.order) {
+		if !isPresent[endpoint.ID()] {
+			s.remove(endpoint.ID())
 		}
 	}
-	l.handle(list.EndpointUpdate)
 }
 
-// removeEndpoint forgets an endpoint; nil, one that is not known, is ignored.
-func (l *Loop) removeEndpoint(endpoint *upstream.Endpoint) {
+// updateEndpoint gives an endpoint its latest entry, and starts it where it is new.
+func (s *endpointSet) updateEndpoint(id uint32, entry protocol.ListEntry) {
+	endpoint := s.byID[id]
+	if endpoint == nil {
+		endpoint = s.pool.NewEndpoint(id, entry, s.events)
+		s.byID[id] = endpoint
+		s.order = append(s.order, endpoint)
+	}
+	endpoint.Update(entry)
+}
+
+// remove forgets an endpoint; one that is not known is ignored.
+func (s *endpointSet) remove(id uint32) {
+	endpoint := s.byID[id]
 	if endpoint == nil {
 		return
 	}
 	endpoint.Remove()
-	delete(l.endpoints, endpoint.ID())
-	l.endpointOrder = slices.DeleteFunc(l.endpointOrder, func(other *upstream.Endpoint) bool { return other == endpoint })
+	delete(s.byID, id)
+	s.order = slices.DeleteFunc(s.order, func(other *upstream.Endpoint) bool { return other == endpoint })
+}
+
+// trimIdle lets all endpoints close the connections that they do not need.
+func (s *endpointSet) trimIdle() {
+	for _, endpoint := range s.order {
+		endpoint.TrimIdle()
+	}
 }
--- a/internal/agent/export_test.go
+++ b/internal/agent/export_test.go
@@ -9,4 +9,4 @@
 func (l *Loop) Handle(event policy.Event) { l.handle(event) }
 
 // EndpointRecords is the number of records that are kept of endpoints. The loop has to be idle.
-func (l *Loop) EndpointRecords() int { return len(l.endpoints) + len(l.endpointOrder) }
+func (l *Loop) EndpointRecords() int { return len(l.endpoints.byID) + len(l.endpoints.order) }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -14,14 +14,10 @@
 	"fmt"
 	"log/slog"
 	"runtime/debug"
-	"slices"
-	"sort"
-	"sync"
 	"time"
 
 	"switchfork/internal/mailbox"
 	"switchfork/internal/policy"
-	"switchfork/internal/protocol"
 	"switchfork/internal/tcpconn"
 	"switchfork/internal/upstream"
 )
@@ -29,7 +25,8 @@
 // idleWait is how long the loop waits for a message before the policy has set its first timer.
 const idleWait = time.Hour
 
-// Loop calls the policy with one event after the other and carries out its commands.
+// Loop calls the policy with one event after the other and carries out its commands. What waits is in its two mailboxes (messages.go)
+// and timers (timers.go); what is open, in its tables of requests and endpoints (request_table.go, endpoints.go).
 type Loop struct {
 	router    policy.Router
 	clock     Clock
@@ -37,38 +34,37 @@
 
 	mailbox *mailbox.Mailbox[message]
 	urgent  *mailbox.Mailbox[message] // handled ahead of all that waits in mailbox
+	timers  timerQueue
+	stalls  stallGuard
 
-	timers    []policy.SetTimer // sorted by time
-	handledAt time.Time         // when the policy was last called
-
-	unread          *tcpconn.UnreadGauge // the connections on which the endpoint list and rollout updates arrive
-	readersMutex    sync.Mutex
-	readers         []func(Barrier) // the goroutines that read from those connections; guarded by readersMutex
-	lateTimerWaited policy.Micros   // the time of the late timer for which the readers were last waited for
-
-	requests      map[uint64]*Request
-	endpoints     map[uint32]*upstream.Endpoint
-	endpointOrder []*upstream.Endpoint // in the order in which they were added
-	newEndpoint   func(uint32, protocol.ListEntry) *upstream.Endpoint
-
-	castVote   func(policy.Vote)
-	voteSink   func(policy.Vote) // replaces castVote; nil: not replaced
-	sendGossip func(policy.SendGossip)
+	requests  requestTable
+	endpoints endpointSet
+	executor  commandExecutor
+	voteSink  func(policy.Vote) // replaces the receiver of votes that Serve is given; nil: not replaced
 
 	activity activity
 }
 
 // NewLoop makes the event loop of a policy. Messages wait in its mailboxes until Serve is called.
 func NewLoop(router policy.Router, clock Clock) *Loop {
-	return &Loop{
-		router:    router,
-		clock:     clock,
-		mailbox:   mailbox.New[message](),
-		urgent:    mailbox.New[message](),
-		unread:    tcpconn.NewUnreadGauge(),
-		requests:  map[uint64]*Request{},
-		endpoints: map[uint32]*upstream.Endpoint{},
+	l := &Loop{
+		router:  router,
+		clock:   clock,
+		mailbox: mailbox.New[message](),
+		urgent:  mailbox.New[message](),
+		stalls:  newStallGuard(),
+	}
+	l.endpoints = newEndpointSet(l)
+	l.requests = newRequestTable(&l.activity)
+	l.executor = commandExecutor{
+		clock:         clock,
+		timers:        &l.timers,
+		requests:      &l.requests,
+		endpoints:     &l.endpoints,
+		activity:      &l.activity,
+		reportAttempt: l.AttemptFinished,
 	}
+	return l
 }
 
 // RouteVotes replaces the receiver of the policy's votes that Serve is given. It must be called before Serve.
@@ -78,22 +74,28 @@
 func (l *Loop) Clock() Clock { return l.clock }
 
 // UnreadInput is the gauge of the connections on which the endpoint list and rollout updates arrive.
-func (l *Loop) UnreadInput() *tcpconn.UnreadGauge { return l.unread }
+func (l *Loop) UnreadInput() *tcpconn.UnreadGauge { return l.stalls.unread }
+
+// AddReader adds a goroutine that hands on the endpoint list or rollout updates. After a stall, flush is called with a barrier that the
+// reader has to answer once it has handed on all that it had read.
+func (l *Loop) AddReader(flush func(Barrier)) { l.stalls.addReader(flush) }
 
 // Serve runs the loop until ctx ends. Endpoints are made in pool; vote and gossip carry the policy's votes and gossip messages on and
 // must not wait.
 func (l *Loop) Serve(ctx context.Context, pool *upstream.Pool, vote func(policy.Vote), gossip func(policy.SendGossip)) {
-	l.newEndpoint = func(id uint32, entry protocol.ListEntry) *upstream.Endpoint { return pool.NewEndpoint(id, entry, l) }
-	l.castVote, l.sendGossip = vote, gossip
+	l.endpoints.pool = pool
+	l.executor.castVote = vote
 	if l.voteSink != nil {
-		l.castVote = l.voteSink
+		l.executor.castVote = l.voteSink
 	}
+	l.executor.sendGossip = gossip
 	l.handleConfigured()
 	timer := time.NewTimer(idleWait)
+	defer timer.Stop()
 	var messages []message
 	for {
-		if len(l.timers) > 0 {
-			timer.Reset(time.Duration(l.timers[0].At-l.clock.Now()) * time.Microsecond)
+		if at, found := l.timers.next(); found {
+			timer.Reset(time.Duration(at-l.clock.Now()) * time.Microsecond)
 		}
 		select {
 		case <-ctx.Done():
@@ -122,22 +124,27 @@
 	l.frozenNow = 0
 }
 
+// handleUrgent handles endpoint list changes and rollout updates ahead of everything else. If the process has stalled, it first lets
+// their readers catch up.
+func (l *Loop) handleUrgent() {
+	l.stalls.waitAfterStall(&l.timers, l.clock)
+	for _, message := range l.urgent.Take(nil) {
+		l.dispatch(message)
+	}
+}
+
 // fireTimers gives the policy the timers that have expired. Those that expire meanwhile wait for the next turn of the loop.
 func (l *Loop) fireTimers() {
 	now := l.clock.Now()
-	for len(l.timers) > 0 && l.timers[0].At <= now {
-		token := l.timers[0].Token
-		l.timers = slices.Delete(l.timers, 0, 1)
-		l.handle(policy.TimerFired{Token: token})
+	for {
+		timer, found := l.timers.popExpired(now)
+		if !found {
+			return
+		}
+		l.handle(policy.TimerFired{Token: timer.Token})
 	}
 }
 
-// setTimer inserts a timer by its time, behind those of the same time: they fire in the order in which they were set.
-func (l *Loop) setTimer(timer policy.SetTimer) {
-	at := sort.Search(len(l.timers), func(i int) bool { return l.timers[i].At > timer.At })
-	l.timers = slices.Insert(l.timers, at, timer)
-}
-
 // handle is the only place that calls the policy. A panic there ends the process: a policy in an unknown state could break any of its
 // guarantees.
 func (l *Loop) handle(event policy.Event) {
@@ -152,8 +159,8 @@
 		now = l.clock.Now()
 	}
 	// Read before the call: the commands are as old as what the policy knew when it gave them.
-	l.handledAt = time.Now()
+	decidedAt := time.Now()
 	for _, command := range l.router.Handle(now, event) {
-		l.carryOut(command)
+		l.executor.execute(command, decidedAt)
 	}
 }
--- a/internal/agent/stall.go
+++ b/internal/agent/stall.go
@@ -2,60 +2,70 @@
 
 import (
 	"slices"
+	"sync"
 	"time"
 
+	"switchfork/internal/policy"
+	"switchfork/internal/tcpconn"
 	"switchfork/internal/upstream"
 )
 
-// After a stall, the readers of the endpoint list and of rollout updates get readerGrace before requests are handled, and up to
-// maxReaderWait while input that has arrived is not handed on yet: behind hundreds of requests on a full core a short grace was not
-// enough (scenario still-over-drain, 4 of 20 plays). It guards against all that stops an agent (a frozen machine, a starved core); it
-// costs a little where the core is merely full.
 const (
-	readerGrace   = 20 * time.Millisecond
+	// readerGrace is how long the readers of the endpoint list and of rollout updates get after a stall before requests are handled.
+	readerGrace = 20 * time.Millisecond
+	// maxReaderWait bounds the wait for readers while input that has arrived is not handed on yet: behind hundreds of requests on a
+	// full core, readerGrace alone is too short.
 	maxReaderWait = 500 * time.Millisecond
-
+	// unreadPollInterval is how often the unread input is looked at meanwhile.
 	unreadPollInterval = time.Millisecond
 )
 
-// AddReader adds a goroutine that hands on the endpoint list or rollout updates. After a stall, flush is called with a barrier that the
-// reader has to answer once it has handed on all that it had read.
-func (l *Loop) AddReader(flush func(Barrier)) {
-	l.readersMutex.Lock()
-	defer l.readersMutex.Unlock()
-	l.readers = append(l.readers, flush)
+// stallGuard notices that the process has stood still, by a timer that is late by more than a stall's time, and then waits until changes
+// of the endpoint list and rollout updates that arrived meanwhile have been handed on: requests must not be routed by what was true
+// before the stall. It guards against all that stops an agent, such as a frozen machine or a starved core, and costs a little where
+// the core is merely full.
+//
+// Readers may be added by any goroutine; the other methods are for the loop's goroutine.
+type stallGuard struct {
+	unread *tcpconn.UnreadGauge // the connections on which the endpoint list and rollout updates arrive
+
+	mutex   sync.Mutex
+	readers []func(Barrier) // the goroutines that read from those connections; guarded by mutex
+
+	lateTimer policy.Micros // the time of the late timer for which the readers were last waited for
 }
 
-// handleUrgent handles endpoint list changes and rollout updates ahead of everything else. If the process has stalled, it first lets
-// their readers catch up.
-func (l *Loop) handleUrgent() {
-	if l.hasStalled() {
-		l.lateTimerWaited = l.timers[0].At
-		l.waitForReaders()
-	}
-	for _, message := range l.urgent.Take(nil) {
-		l.dispatch(message)
-	}
+func newStallGuard() stallGuard { return stallGuard{unread: tcpconn.NewUnreadGauge()} }
+
+// addReader adds a goroutine that hands on the endpoint list or rollout updates.
+func (g *stallGuard) addReader(flush func(Barrier)) {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	g.readers = append(g.readers, flush)
 }
 
-// hasStalled tells whether the next timer is late by more than a stall's time. The readers are waited for once for each late timer.
-func (l *Loop) hasStalled() bool {
-	if len(l.timers) == 0 || l.timers[0].At == l.lateTimerWaited {
-		return false
+// waitAfterStall waits for the readers where the next timer is late by more than a stall's time, once for each late timer.
+func (g *stallGuard) waitAfterStall(timers *timerQueue, clock Clock) {
+	at, found := timers.next()
+	if !found || at == g.lateTimer {
+		return
+	}
+	if clock.Now()-at > upstream.StallThreshold.Microseconds() {
+		g.lateTimer = at
+		g.waitForReaders()
 	}
-	return l.clock.Now()-l.timers[0].At > upstream.StallThreshold.Microseconds()
 }
 
 // waitForReaders waits until all input that had arrived is in the mailbox, at most about maxReaderWait.
-func (l *Loop) waitForReaders() {
+func (g *stallGuard) waitForReaders() {
 	time.Sleep(readerGrace)
 	end := time.Now().Add(maxReaderWait)
-	for l.unread.HasUnread() && time.Now().Before(end) {
+	for g.unread.HasUnread() && time.Now().Before(end) {
 		time.Sleep(unreadPollInterval)
 	}
-	l.readersMutex.Lock()
-	readers := slices.Clone(l.readers)
-	l.readersMutex.Unlock()
+	g.mutex.Lock()
+	readers := slices.Clone(g.readers)
+	g.mutex.Unlock()
 	for _, flush := range readers {
 		done := make(chan struct{})
 		flush(Barrier{done})
--- a/internal/agent/timers_test.go
+++ b/internal/agent/timers_test.go
@@ -10,15 +10,40 @@
 // Timers with equal times fire in the order in which they were set. What happened: each was inserted before those of the same time, so
 // that they fired in reverse. The policy sets timers without a token, which can't be told apart; one with tokens would act out of order.
 func TestEqualTimersKeepTheirOrder(t *testing.T) {
-	loop := NewLoop(nil, NewClock())
+	var timers timerQueue
 	for token, at := range []policy.Micros{20, 10, 20, 10, 20, 5} {
-		loop.setTimer(policy.SetTimer{At: at, Token: uint64(token)})
+		timers.set(policy.SetTimer{At: at, Token: uint64(token)})
 	}
 	var order []uint64
-	for _, timer := range loop.timers {
+	for _, timer := range timers {
 		order = append(order, timer.Token)
 	}
 	if want := []uint64{5, 1, 3, 0, 2, 4}; !slices.Equal(order, want) {
 		t.Errorf("fire in the order %v, want %v", order, want)
 	}
 }
+
+// A timer is taken out once it has expired, and not before.
+func TestExpiredTimersAreTakenOut(t *testing.T) {
+	var timers timerQueue
+	if at, found := timers.next(); found {
+		t.Errorf("an empty queue has a timer at %d", at)
+	}
+	for token, at := range []policy.Micros{30, 10, 20} {
+		timers.set(policy.SetTimer{At: at, Token: uint64(token)})
+	}
+	if at, found := timers.next(); !found || at != 10 {
+		t.Errorf("the next timer is at %d, found: %t; want 10", at, found)
+	}
+	var fired []uint64
+	for {
+		timer, found := timers.popExpired(20)
+		if !found {
+			break
+		}
+		fired = append(fired, timer.Token)
+	}
+	if want := []uint64{1, 2}; !slices.Equal(fired, want) || len(timers) != 1 {
+		t.Errorf("at 20 the timers %v have expired and %d are left, want %v and one", fired, len(timers), want)
+	}
+}
