--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -20,26 +20,34 @@
 	Overloaded
 )
 
+const millisecond Micros = 1000
+
+// The delay after Unreachable.
 const (
 	// minReconnectDelay doubles with each Unreachable up to maxReconnectDelay. It is short, so that a service that is back is found
 	// at once: the changes that it reports bind from that moment.
-	minReconnectDelay, maxReconnectDelay Micros = 50_000, 800_000
+	minReconnectDelay = 50 * millisecond
+	maxReconnectDelay = 800 * millisecond
 	// maxDoublings keeps the doubled delay from overflowing; it is beyond maxReconnectDelay already.
 	maxDoublings = 8
+)
 
-	// jitterMultiplier is the usual figure of decorrelated jitter: the next delay is drawn from between the minimum and three
-	// times the last delay.
+// The delay after Overloaded.
+const (
+	// jitterMultiplier of the last delay is the longest next one, as is usual for decorrelated jitter.
 	jitterMultiplier = 3
-	// defaultMinOverloadDelay and defaultMaxOverloadDelay bound the delay after Overloaded for a caller without a deadline.
-	defaultMinOverloadDelay, defaultMaxOverloadDelay Micros = 400_000, 3_200_000
+	// defaultMinOverloadDelay is the shortest delay for a caller without a deadline.
+	defaultMinOverloadDelay = 400 * millisecond
+	// defaultMaxOverloadDelay is the longest delay for a caller without a deadline.
+	defaultMaxOverloadDelay = 3200 * millisecond
 	// minDelayDivisor of the longest delay is the shortest one for a caller with a deadline. A call that timed out may still be
 	// worked on by the service, so that an earlier retry only fills its queue with calls that nobody waits for.
 	minDelayDivisor = 4
-
-	// startSpacing spreads the first calls of agents that start together, by about the time that one call costs a small service.
-	startSpacing Micros = 60_000
 )
 
+// startSpacing spreads the first calls of agents that start together, by about the time that one call costs a small service.
+const startSpacing = 60 * millisecond
+
 // Backoff computes the delays of one caller.
 type Backoff struct {
 	random            *rand.Rand
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -6,8 +6,6 @@
 	"testing"
 )
 
-const millisecond = 1000
-
 // event is a call that reaches the simulated service, or the timeout of one.
 type event struct {
 	at        Micros
--- a/internal/hashring/ring.go
+++ b/internal/hashring/ring.go
@@ -33,11 +33,14 @@
 const (
 	// targetBucketSize is the mean number of points in a bucket after a resize: few enough for one or two cache lines.
 	targetBucketSize = 4
-	// maxMeanBucketSize and minMeanBucketSize are the means beyond which the number of buckets grows and shrinks.
-	maxMeanBucketSize, minMeanBucketSize = 8, 1
-	// minBuckets is a power of two.
+	// maxMeanBucketSize is the mean number of points in a bucket above which the number of buckets grows.
+	maxMeanBucketSize = 8
+	// minMeanBucketSize is the mean number of points in a bucket below which the number of buckets shrinks.
+	minMeanBucketSize = 1
+	// minBuckets is a power of two, as any number of buckets.
 	minBuckets = 16
-	hashBits   = 64
+	// hashBits is the width of a point's hash.
+	hashBits = 64
 )
 
 // New returns a ring without points.
