--- a/internal/simulation/timeline.go
+++ b/internal/simulation/timeline.go
@@ -6,11 +6,10 @@
 const (
 	ms     = int64(1000)
 	second = 1000 * ms
+	// never is later than any event.
+	never = int64(1) << 60
 )
 
-// never is later than any event.
-const never = int64(1) << 60
-
 // timeline is simulated time and what is scheduled in it.
 type timeline struct {
 	now      int64
@@ -26,11 +25,8 @@
 
 // runUntil runs all events up to and including those at the end, also events that are scheduled meanwhile.
 func (t *timeline) runUntil(end int64) {
-	for len(t.events) > 0 {
+	for len(t.events) > 0 && t.events[0].at <= end {
 		next := t.pop()
-		if next.at > end {
-			return
-		}
 		t.now = next.at
 		next.do()
 	}
