--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"fmt"
 	"math/rand"
 	"slices"
 
@@ -49,46 +50,33 @@
 const (
 	// settlingTime after the faults: a bad build is rolled back within a few leases and a vote's lifetime.
 	settlingTime = 20 * second
-	// spareAgents may be let in, in schedules in which members change.
+	// spareAgents may become members, in schedules in which members change.
 	spareAgents = 2
 	// ticksPerLease of an agent.
 	ticksPerLease = 15
-	// defaultDelay bounds how long a message takes without faults, and how long an agent needs to write a vote.
-	defaultDelay = 2 * ms
 	// maxEffectDelay of a vote at the rollout controller, without faults.
 	maxEffectDelay = 40 * ms
 	// maxViolations are kept of a schedule.
 	maxViolations = 5
 
-	memberChangeRate = 0.3 // of the schedules with faults
-	diskRate         = 0.5 // of the agents where members don't change
-	lateVoteRate     = 0.2
-	lostAnswerRate   = 0.1
+	// memberChangeRate of the schedules with faults have changes of members.
+	memberChangeRate = 0.3
+	// diskRate of the agents have a disk, where members don't change.
+	diskRate = 0.5
+	// lateVoteRate of the votes are carried out late.
+	lateVoteRate = 0.2
+	// lostAnswerRate of the votes' answers are lost.
+	lostAnswerRate = 0.1
 )
 
-const noAgent = -1
-
-// electionAgent is an agent's process.
-type electionAgent struct {
-	replica        *election.Replica
-	clockRate      float64
-	isDown         bool
-	pausedUntil    int64
-	deferred       []func() // what came in during the pause
-	epoch          int      // counts the starts
-	recommendation election.Decision
-	hasDisk        bool // its durable state survives a restart
-	persisted      *election.DurableState
-}
-
-// effectiveVote is a vote that the rollout controller has carried out.
-type effectiveVote struct {
-	agent  int
-	record election.Record
-	until  int64 // it counts until then
+// addViolation keeps a violation of the rules, unless there are enough.
+func (r *ElectionResult) addViolation(format string, arguments ...any) {
+	if len(r.Violations) < maxViolations {
+		r.Violations = append(r.Violations, fmt.Sprintf(format, arguments...))
+	}
 }
 
-// electionRun is the state of a schedule that is being played.
+// electionRun is the state of a schedule that is being played. It connects the agents with the network and the rollout controller.
 type electionRun struct {
 	ElectionSchedule
 	timeline
@@ -97,41 +85,30 @@
 
 	agents         []*electionAgent
 	changesMembers bool // each agent then has a disk: without one it would forget the members
-
-	isCut    [][]bool // from, to
-	lossRate float64
-	maxDelay int64
-
-	build, stage           int32
-	controllerStalledUntil int64
-	votes                  []effectiveVote
-	newestVote             effectiveVote // until is when it took effect
-	badSince               int64         // 0: the build is good
-
-	leader       int // the last that led
-	gapStartedAt int64
+	network        *electionNetwork
+	controller     *rolloutController
+	leadership     *leadershipObserver
 }
 
 // PlayElection plays a schedule.
 func PlayElection(schedule ElectionSchedule) *ElectionResult {
+	result := &ElectionResult{RollbackAfter: -1}
 	r := &electionRun{
 		ElectionSchedule: schedule,
-		result:           &ElectionResult{RollbackAfter: -1},
+		result:           result,
 		random:           rand.New(rand.NewSource(schedule.Seed)),
-		maxDelay:         defaultDelay,
-		build:            1,
-		leader:           noAgent,
+		controller:       &rolloutController{result: result, build: 1},
+		leadership:       &leadershipObserver{result: result, leader: noAgent},
 	}
 	r.makeAgents()
+	r.network = newElectionNetwork(&r.timeline, r.random, len(r.agents), schedule.MessageDelay)
 	for i := range r.agents {
 		r.start(i, false)
 	}
-	r.scheduleEvents()
+	newElectionScript(r).scheduleAll()
 	r.play()
-	if r.gapStartedAt > 0 {
-		r.result.Gaps = append(r.result.Gaps, r.now-r.gapStartedAt)
-	}
-	return r.result
+	r.leadership.endGap(r.now)
+	return result
 }
 
 func (r *electionRun) makeAgents() {
@@ -141,9 +118,7 @@
 		count += spareAgents
 	}
 	r.agents = make([]*electionAgent, count)
-	r.isCut = make([][]bool, count)
 	for i := range r.agents {
-		r.isCut[i] = make([]bool, count)
 		r.agents[i] = &electionAgent{
 			clockRate: 1 + (r.random.Float64()*2-1)*electionSettings.ClockDrift,
 			hasDisk:   r.changesMembers || r.random.Float64() < diskRate,
@@ -157,53 +132,54 @@
 	for len(r.events) > 0 {
 		next := r.pop()
 		isDone := r.LeaderFaultOnly || r.result.RollbackAfter >= 0
-		if next.at > end+settlingTime || next.at > end && isDone {
+		isOver := next.at > end && isDone
+		if isOver || next.at > end+settlingTime {
 			return
 		}
 		r.now = next.at
 		next.do()
-		r.observeLeader()
+		r.leadership.observe(r.now, r.runningLeaders())
+	}
+}
+
+// runningLeaders returns the agents that lead, but those that are paused.
+func (r *electionRun) runningLeaders() (leaders []int) {
+	for i, a := range r.agents {
+		if a.isRunning(r.now) && a.isLeader(r.now) {
+			leaders = append(leaders, i)
+		}
 	}
+	return leaders
 }
 
 func (r *electionRun) end() int64 { return int64(r.Seconds) * second }
 
 // clock returns an agent's own time.
-func (r *electionRun) clock(a *electionAgent) int64 { return int64(float64(r.now)*a.clockRate) + 1 }
+func (r *electionRun) clock(a *electionAgent) int64 { return a.clock(r.now) }
 
 // start starts an agent's process, also again. It has its durable state if that was persisted on a disk.
 func (r *electionRun) start(i int, isFresh bool) {
 	a := r.agents[i]
-	a.epoch++
-	a.isDown = false
-	a.deferred = nil
-	a.pausedUntil = 0
+	a.reset()
 	members := election.InitialMembers(r.Agents)
 	if i >= r.Agents {
-		members = election.Members{} // it has to be let in first
+		members = election.Members{} // it has to be added first
 	}
-	var state *election.DurableState
-	if a.hasDisk && a.persisted != nil {
-		state = a.persisted
+	state := a.restoredState()
+	if state != nil {
 		isFresh = false
 	}
 	seed := r.Seed*31 + int64(i) + int64(a.epoch)*7919
 	a.replica = election.New(i, members, state, electionSettings, r.DisabledGuards, isFresh, r.clock(a), seed)
-	r.execute(i, a.replica.UpdateRollout(r.clock(a), r.build, r.stage, true))
+	r.execute(i, a.replica.UpdateRollout(r.clock(a), r.controller.build, r.controller.stage, true))
 	r.execute(i, a.replica.Recommend(r.clock(a), a.recommendation))
 	r.scheduleTick(i, a.epoch)
 }
 
 // runAgent lets an agent act, or defers that while the agent is paused.
-func (r *electionRun) runAgent(i int, do func(a *electionAgent)) {
+func (r *electionRun) runAgent(i int, act func(a *electionAgent)) {
 	a := r.agents[i]
-	switch {
-	case a.isDown:
-	case r.now < a.pausedUntil:
-		a.deferred = append(a.deferred, func() { do(a) })
-	default:
-		do(a)
-	}
+	a.run(r.now, func() { act(a) })
 }
 
 func (r *electionRun) scheduleTick(i, epoch int) {
@@ -217,6 +193,7 @@
 	})
 }
 
+// execute carries out a replica's commands.
 func (r *electionRun) execute(i int, commands []election.Command) {
 	for _, command := range slices.Clone(commands) {
 		switch command := command.(type) {
@@ -232,30 +209,13 @@
 	}
 }
 
-// sendMessage delivers a message after a delay, at times twice, or loses it.
+// sendMessage hands a message to the network. It does not reach a process that was started after it was sent.
 func (r *electionRun) sendMessage(from int, command election.SendMessage) {
 	if r.now <= r.end() {
 		r.result.Messages++
 	}
-	copies := 1
-	if r.random.Float64() < r.lossRate/4 {
-		copies = 2
-	}
-	for range copies {
-		if r.random.Float64() < r.lossRate || r.isCut[from][command.To] {
-			continue
-		}
-		r.deliver(from, command)
-	}
-}
-
-func (r *electionRun) deliver(from int, command election.SendMessage) {
 	epoch := r.agents[command.To].epoch
-	delay := 1 + r.random.Int63n(r.maxDelay)
-	if r.MessageDelay > 0 {
-		delay += r.MessageDelay*2/3 + r.random.Int63n(r.MessageDelay*2/3)
-	}
-	r.schedule(r.now+delay, func() {
+	r.network.send(from, command.To, func() {
 		if r.agents[command.To].epoch != epoch {
 			return
 		}
@@ -276,22 +236,23 @@
 		r.runAgent(i, func(a *electionAgent) {
 			isTooLate := r.clock(a) >= vote.WriteBefore && !r.DisabledGuards.LeaseTimeout
 			if !isTooLate {
-				r.carryOut(i, epoch, vote.Record, castAt)
+				r.carryOut(i, vote.Record, castAt)
 			}
 		})
 	})
 }
 
 // carryOut lets a written vote take effect after a delay, and answers the agent unless the answer is lost.
-func (r *electionRun) carryOut(i, epoch int, record election.Record, castAt int64) {
+func (r *electionRun) carryOut(i int, record election.Record, castAt int64) {
+	epoch := r.agents[i].epoch
 	delay := r.random.Int63n(maxEffectDelay) + 1
 	if r.random.Float64() < lateVoteRate && !r.LeaderFaultOnly {
 		delay = r.random.Int63n(electionSettings.MaxVoteDelay - ms)
 	}
 	isAnswerLost := !r.LeaderFaultOnly && r.random.Float64() < lostAnswerRate
-	stalledUntil := min(r.controllerStalledUntil, r.now+electionSettings.MaxVoteDelay-ms)
+	stalledUntil := min(r.controller.stalledUntil, r.now+electionSettings.MaxVoteDelay-ms)
 	r.schedule(max(r.now+delay, stalledUntil), func() {
-		r.checkVote(i, record, castAt)
+		r.controller.carryOut(r.now, i, record, castAt)
 		if isAnswerLost {
 			return
 		}
@@ -302,3 +263,13 @@
 		})
 	})
 }
+
+// leaderOrAny returns the agent that leads now, or else a random one.
+func (r *electionRun) leaderOrAny() int {
+	for i, a := range r.agents {
+		if a.isLeader(r.now) {
+			return i
+		}
+	}
+	return r.random.Intn(r.Agents)
+}
--- /dev/null
+++ b/internal/simulation/election_controller.go
@@ -0,0 +1,71 @@
+package simulation
+
+import (
+	"slices"
+
+	"switchfork/internal/cluster/election"
+)
+
+// rolloutController models the rollout controller that the agents vote at. It carries out each vote on the stage that it is at,
+// and checks that no vote is contrary to another agent's; it trusts no agent.
+type rolloutController struct {
+	result *ElectionResult
+
+	build        int32
+	stage        int32
+	isBad        bool // the build is, since badSince
+	badSince     int64
+	stalledUntil int64
+	votes        []effectiveVote
+	newestVote   effectiveVote // until is when it took effect
+}
+
+// effectiveVote is a vote that the rollout controller has carried out.
+type effectiveVote struct {
+	agent  int
+	record election.Record
+	until  int64 // it counts until then
+}
+
+// nextStage moves the rollout on; votes on the stage before are moot.
+func (c *rolloutController) nextStage() {
+	c.stage++
+	c.votes = nil
+}
+
+// markBad makes the build a bad one, which is to be rolled back.
+func (c *rolloutController) markBad(now int64) {
+	c.isBad = true
+	c.badSince = now
+}
+
+// carryOut takes a vote into effect. It must not be contrary to another agent's that counts, nor advance the build when it was cast
+// before another agent's contrary vote took effect.
+func (c *rolloutController) carryOut(now int64, agent int, record election.Record, castAt int64) {
+	if record.Build != c.build || record.Stage != c.stage {
+		return // moot
+	}
+	c.result.EffectiveVotes++
+	c.votes = slices.DeleteFunc(c.votes, func(v effectiveVote) bool { return v.until <= now || v.agent == agent })
+	for _, other := range c.votes {
+		if isContrary(other.record, record) {
+			c.result.addViolation("at %d us agent %d's vote %v is in effect together with agent %d's contrary vote %v",
+				now, agent, record, other.agent, other.record)
+		}
+	}
+	newest := c.newestVote
+	isOutdated := newest.agent != agent && castAt < newest.until
+	if isOutdated && record.Verdict == election.Advance && isContrary(newest.record, record) {
+		c.result.addViolation("at %d us deposed leader %d's vote %v is carried out after %v", now, agent, record, newest.record)
+	}
+	c.newestVote = effectiveVote{agent: agent, record: record, until: now}
+	c.votes = append(c.votes, effectiveVote{agent: agent, record: record, until: now + electionSettings.VoteLifetime})
+	if record.Verdict == election.Rollback && c.isBad && c.result.RollbackAfter < 0 {
+		c.result.RollbackAfter = now - c.badSince
+	}
+}
+
+// isContrary reports whether two records decide differently on the same stage.
+func isContrary(a, b election.Record) bool {
+	return a.Build == b.Build && a.Stage == b.Stage && a.Verdict != b.Verdict
+}
--- /dev/null
+++ b/internal/simulation/election_network.go
@@ -0,0 +1,86 @@
+package simulation
+
+import "math/rand"
+
+const (
+	// defaultDelay bounds how long a message takes without faults, and how long an agent needs to write a vote.
+	defaultDelay = 2 * ms
+	// duplicateDivisor of the loss rate is the rate at which messages arrive twice.
+	duplicateDivisor = 4
+)
+
+// electionNetwork models the network between agents: it loses, duplicates and delays messages, and may be partitioned.
+type electionNetwork struct {
+	timeline     *timeline
+	random       *rand.Rand
+	messageDelay int64 // each message takes this long, and up to a third more or less, beside maxDelay
+
+	isCut    [][]bool // from, to
+	lossRate float64
+	maxDelay int64
+}
+
+func newElectionNetwork(t *timeline, random *rand.Rand, agents int, messageDelay int64) *electionNetwork {
+	n := &electionNetwork{
+		timeline:     t,
+		random:       random,
+		messageDelay: messageDelay,
+		isCut:        make([][]bool, agents),
+		maxDelay:     defaultDelay,
+	}
+	for from := range n.isCut {
+		n.isCut[from] = make([]bool, agents)
+	}
+	return n
+}
+
+// send delivers a message after a delay, at times twice, or loses it.
+func (n *electionNetwork) send(from, to int, deliver func()) {
+	copies := 1
+	if n.random.Float64() < n.lossRate/duplicateDivisor {
+		copies = 2
+	}
+	for range copies {
+		isLost := n.random.Float64() < n.lossRate
+		if isLost || n.isCut[from][to] {
+			continue
+		}
+		n.timeline.schedule(n.timeline.now+n.drawDelay(), deliver)
+	}
+}
+
+func (n *electionNetwork) drawDelay() int64 {
+	delay := 1 + n.random.Int63n(n.maxDelay)
+	if n.messageDelay > 0 {
+		delay += n.messageDelay*2/3 + n.random.Int63n(n.messageDelay*2/3)
+	}
+	return delay
+}
+
+// loseMessages loses a random part of the messages for a time.
+func (n *electionNetwork) loseMessages(span int64) {
+	n.lossRate = n.random.Float64() * maxLossRate
+	n.timeline.schedule(n.timeline.now+span, func() { n.lossRate = 0 })
+}
+
+// delayMessages lets messages take longer for a time.
+func (n *electionNetwork) delayMessages(span int64) {
+	n.maxDelay = 1 + n.random.Int63n(maxFaultDelay)
+	n.timeline.schedule(n.timeline.now+span, func() { n.maxDelay = defaultDelay })
+}
+
+// partition cuts connections for a time. The end of any partition heals all connections.
+func (n *electionNetwork) partition(span int64, isApart func(from, to int) bool) {
+	for from := range n.isCut {
+		for to := range n.isCut[from] {
+			if isApart(from, to) {
+				n.isCut[from][to] = true
+			}
+		}
+	}
+	n.timeline.schedule(n.timeline.now+span, func() {
+		for from := range n.isCut {
+			clear(n.isCut[from])
+		}
+	})
+}
