--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -30,14 +30,13 @@
 	SlowFactor float64
 }
 
-// The latency objective and timeout of the one request class, as multiples of its mean work: a request has time for some queueing.
 const (
+	// objectiveWorks is the latency objective of the one request class as a multiple of its mean work: a request has time for some
+	// queueing.
 	objectiveWorks = 20
-	timeoutWorks   = 60
-)
-
-const (
-	// maxRetryAfter bounds the waits that clients are asked for.
+	// timeoutWorks is its timeout, likewise.
+	timeoutWorks = 60
+	// maxRetryAfter bounds the Retry-After times that clients are sent.
 	maxRetryAfter = 2 * second
 	// maxClientRetries of a rejected request.
 	maxClientRetries = 3
@@ -58,9 +57,9 @@
 	InTime    int // succeeded within the latency objective
 	GivenUp   int // failed, or rejected too often
 	Succeeded int // within the scenario's duration
-	Tries     int // requests including the clients' retries
+	Attempts  int // requests including the clients' retries
 	Rejected  int
-	Latency   *hdrhistogram.Histogram // of the last try, in microseconds
+	Latency   *hdrhistogram.Histogram // of the last attempt, in microseconds
 }
 
 // AdmissionResult is the outcome of an admission scenario.
@@ -68,7 +67,7 @@
 	Tenants           []TenantResult
 	AdmittedCost      []float64 // by tenant
 	Counters          admission.Counters
-	RetryAfterRatios  []float64 // of rejected requests: the wait that they were asked for, divided by the one that was needed
+	RetryAfterRatios  []float64 // of rejected requests: the Retry-After that they were sent, divided by the wait that was needed
 	ConcurrencyLimits []float64 // once a second
 }
 
@@ -89,8 +88,7 @@
 	lastRequestID uint64
 }
 
-// waitingClient is one that was rejected with a wait. The wait was needed up to the time at which the tenant's admitted cost
-// reaches targetCost.
+// waitingClient is one that was rejected with a Retry-After. It needed to wait until the tenant's admitted cost reaches targetCost.
 type waitingClient struct {
 	targetCost float64
 	retryAfter float64
@@ -141,7 +139,7 @@
 		Tenant:   r.admitter.queueTenant(request.tenant),
 		Client:   request.client,
 		Key:      request.key,
-		IsRetry:  request.tries > 1,
+		IsRetry:  request.attempts > 1,
 		Deadline: request.deadline,
 		Bytes:    requestBytes,
 	}))
@@ -159,6 +157,8 @@
 			r.sendToRouter(policy.RequestArrived{ID: command.ID, Deadline: request.deadline, ArrivedAt: request.arrivedAt})
 		case admission.Reject:
 			r.executeReject(request, command)
+		case admission.Coalesce:
+			panic("simulation: a retry was coalesced, which no scenario turns on")
 		}
 	}
 	r.measureNeededWaits()
--- a/internal/simulation/admission_clients.go
+++ b/internal/simulation/admission_clients.go
@@ -12,24 +12,25 @@
 	clientsPerTenant = 20
 	// firstUniqueClient numbers the clients of a noisy tenant that come once, after its other clients.
 	firstUniqueClient = 1000
-	// tenantKeyShift and tenantClientShift separate the tenants' idempotency keys and client numbers.
-	tenantKeyShift    = 40
+	// tenantKeyShift separates the tenants' idempotency keys.
+	tenantKeyShift = 40
+	// tenantClientShift separates the tenants' client numbers.
 	tenantClientShift = 32
 	// firstOneOffClient is above all other clients' numbers and keys.
 	firstOneOffClient = 1 << 50
-	// maxRetryJitter is added to the wait that a rejected client was asked for.
+	// maxRetryJitter is added to the Retry-After that a rejected client was sent.
 	maxRetryJitter = 3 * ms
 	// requestBytes is the size of each request.
 	requestBytes = 400
 )
 
-// clientRequest is a client's request through all its tries. Each try has an id, an arrival time and a deadline of its own.
+// clientRequest is a client's request through all its attempts. Each attempt has an id, an arrival time and a deadline of its own.
 type clientRequest struct {
-	tenant int
-	client uint64
-	key    uint64
-	work   int64
-	tries  int
+	tenant   int
+	client   uint64
+	key      uint64
+	work     int64 // in microseconds
+	attempts int
 
 	id        uint64
 	arrivedAt int64
@@ -95,13 +96,13 @@
 // offer sends a new request.
 func (r *admissionRun) offer(request *clientRequest) {
 	r.result.Tenants[request.tenant].Offered++
-	r.try(request)
+	r.startAttempt(request)
 }
 
-// try sends a request, for the first time or again.
-func (r *admissionRun) try(request *clientRequest) {
-	request.tries++
-	r.result.Tenants[request.tenant].Tries++
+// startAttempt sends a request, for the first time or again.
+func (r *admissionRun) startAttempt(request *clientRequest) {
+	request.attempts++
+	r.result.Tenants[request.tenant].Attempts++
 	r.lastRequestID++
 	request.id = r.lastRequestID
 	request.arrivedAt = r.now
@@ -112,20 +113,20 @@
 	r.admit(request)
 }
 
-// rejectRequest answers a try with a rejection. The client tries again after the wait, or gives up where it has none.
+// rejectRequest answers an attempt with a rejection. The client retries after Retry-After, or gives up where it was sent none.
 func (r *admissionRun) rejectRequest(request *clientRequest, retryAfter int64) {
 	tenant := &r.result.Tenants[request.tenant]
 	tenant.Rejected++
 	delete(r.pending, request.id)
-	if request.tries > maxClientRetries || retryAfter == 0 {
+	if request.attempts > maxClientRetries || retryAfter == 0 {
 		tenant.GivenUp++
 		return
 	}
 	jitter := int64(r.random.Float64() * float64(maxRetryJitter))
-	r.schedule(r.now+retryAfter+jitter, func() { r.try(request) })
+	r.schedule(r.now+retryAfter+jitter, func() { r.startAttempt(request) })
 }
 
-// finishRequest answers a try that was admitted.
+// finishRequest answers an attempt that was admitted.
 func (r *admissionRun) finishRequest(request *clientRequest, result admission.Result) {
 	if request.isDone {
 		return
@@ -138,7 +139,7 @@
 		r.recordSuccess(request)
 	case admission.Rejected:
 		r.rejectRequest(request, maxRetryAfter)
-	default:
+	case admission.Failed, admission.ClientGone:
 		r.result.Tenants[request.tenant].GivenUp++
 	}
 	r.schedule(r.now, func() { r.executeAdmission(r.admitter.Finish(r.now, id, result)) })
--- a/internal/simulation/admission_policies.go
+++ b/internal/simulation/admission_policies.go
@@ -9,26 +9,26 @@
 const (
 	// FairQueues is the admission controller as the agent has it.
 	FairQueues AdmissionPolicy = "fair queues"
-	// FairQueuesNoReservations asks every rejected client for the same wait and reserves nothing for its return.
-	FairQueuesNoReservations AdmissionPolicy = "fair queues, no calendar"
+	// FairQueuesNoReservations sends every rejected client the same Retry-After and reserves nothing for its return.
+	FairQueuesNoReservations AdmissionPolicy = "fair queues, no reservations"
 	// FIFO serves all tenants from one queue.
 	FIFO AdmissionPolicy = "first in, first out"
 	// TokenBucket limits each tenant to its share of the capacity, before one queue.
-	TokenBucket AdmissionPolicy = "token bucket a tenant"
+	TokenBucket AdmissionPolicy = "token bucket per tenant"
 )
 
-// Limits of the admission controller.
+// The limits of the admission controller.
 const (
-	maxAdmittedRequests = 1000
-	maxAdmittedBytes    = 1 << 30
-	admissionQueues     = 64
+	maxOpenRequests = 1000
+	maxOpenBytes    = 1 << 30
+	queuesPerTenant = 64
 )
 
 // admitter is an admission controller set up for a policy.
 type admitter struct {
 	*admission.Controller
 	queueTenant     func(tenant int) int // the controller's number of a tenant
-	fixedRetryAfter int64                // replaces the controller's waits; 0: its own count
+	fixedRetryAfter int64                // replaces the controller's Retry-After; 0: its own counts
 	allows          func(now int64, tenant int) bool
 }
 
@@ -38,7 +38,7 @@
 		Timeout:          scenario.timeout(),
 		PriorityWeight:   1,
 	}}
-	limits := admission.Limits{Requests: maxAdmittedRequests, Bytes: maxAdmittedBytes, Queues: admissionQueues}
+	limits := admission.Limits{Requests: maxOpenRequests, Bytes: maxOpenBytes, Queues: queuesPerTenant}
 	retryAfter := admission.RetryAfterLimits{Max: maxRetryAfter}
 	var tenants []admission.Tenant
 	for _, share := range scenario.TenantShares {
@@ -49,6 +49,7 @@
 		allows:      func(int64, int) bool { return true },
 	}
 	switch admissionPolicy {
+	case FairQueues:
 	case FairQueuesNoReservations:
 		retryAfter.Max = 0
 		a.fixedRetryAfter = maxRetryAfter
