--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -212,8 +212,14 @@
 func (p *agentProcess) newDiscoveryClient() *discovery.Client {
 	connections := p.settings.connections
 	agents := p.file.Deployment.Voting().Agents
-	return discovery.NewClient(p.loop, p.settings.identity.Discovery, p.settings.zones, connections.DialTimeout, connections.PollWithin,
-		agents, int64(p.settings.seed))
+	return discovery.NewClient(p.loop, discovery.Config{
+		Address:     p.settings.identity.Discovery,
+		Zones:       p.settings.zones,
+		DialTimeout: connections.DialTimeout,
+		PollWithin:  connections.PollWithin,
+		AgentCount:  agents,
+		Seed:        int64(p.settings.seed),
+	})
 }
 
 func (p *agentProcess) newRolloutClient() *rollout.Client {
@@ -244,7 +250,7 @@
 
 // start starts the agent's parts, which run until ctx ends, and opens its address to clients.
 func (p *agentProcess) start(ctx context.Context) error {
-	if err := p.discovery.Known(p.file.Endpoints); err != nil {
+	if err := p.discovery.PublishInitial(p.file.Endpoints); err != nil {
 		return err
 	}
 	if err := p.rollout.Known(p.file.Rollout); err != nil {
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -25,9 +25,11 @@
 func TestConfiguredStateHasOneTime(t *testing.T) {
 	router := &agenttest.Router{}
 	loop := agent.NewLoop(router, agent.NewClock())
-	discoveryClient := discovery.NewClient(loop, "127.0.0.1:1", []string{agenttest.Zone}, time.Second, 0, 1, 1)
+	discoveryClient := discovery.NewClient(loop, discovery.Config{
+		Address: "127.0.0.1:1", Zones: []string{agenttest.Zone}, DialTimeout: time.Second, AgentCount: 1, Seed: 1,
+	})
 	rolloutClient := rollout.NewClient(loop, "127.0.0.1:1", time.Second, time.Second, 1)
-	if err := discoveryClient.Known([]byte(fakes.ListDocument(4, false, fakes.ListEntry(agenttest.Host, "127.0.0.1:1", "active", 41)))); err != nil {
+	if err := discoveryClient.PublishInitial([]byte(fakes.ListDocument(4, false, fakes.ListEntry(agenttest.Host, "127.0.0.1:1", "active", 41)))); err != nil {
 		t.Fatal(err)
 	}
 	if err := rolloutClient.Known([]byte(`{"image":41,"ring":2,"progress":"live","ceiling":1,"lag_ms":0}`)); err != nil {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -12,6 +12,16 @@
 	"switchfork/internal/streamclient"
 )
 
+// Config is what a Client needs to know of its agent and of discovery.
+type Config struct {
+	Address     string        // of discovery, host:port
+	Zones       []string      // the configured zones; an entry in any other one is skipped. Empty: every zone is taken
+	DialTimeout time.Duration // within which a connection has to come up
+	PollWithin  time.Duration // the configured time in which an agent without a watch should call; 0: not configured
+	AgentCount  int           // the number of agents that call
+	Seed        int64         // of the random delays before calls
+}
+
 // Client keeps the event loop's endpoint list in step with discovery's.
 type Client struct {
 	loop      *agent.Loop
@@ -22,37 +32,34 @@
 	current   *watcher // whose lists are published
 	// successor is a watcher beside a current one that is silent; nil where there is none. See successor.go.
 	successor *watcher
-	// pending watches the address that is to take the current one's place; nil while there is no move.
+	// pending watches the address that is to take the current one's place; nil while there is no move. See move.go.
 	pending *watcher
 	// pendingList is what the pending watcher has received. It is published when that watcher becomes the current one.
 	pendingList protocol.List
 }
 
-// NewClient returns a client of the discovery at an address. A connection has to come up within dialTimeout. pollWithin is the configured
-// time in which an agent without a watch should ask, 0 where none is configured; agentCount is the number of agents that do so.
-func NewClient(
-	loop *agent.Loop, address string, zones []string, dialTimeout, pollWithin time.Duration, agentCount int, seed int64,
-) *Client {
+// NewClient returns a client that gives its endpoint updates to the event loop. It makes no call before Serve.
+func NewClient(loop *agent.Loop, config Config) *Client {
 	c := &Client{
 		loop:      loop,
 		mailbox:   mailbox.New[message](),
-		publisher: newListPublisher(loop, zones),
-		address:   address,
+		publisher: newListPublisher(loop, config.Zones),
+		address:   config.Address,
 	}
 	c.watching = watchConfig{
-		httpClient: streamclient.NewHTTPClient(dialTimeout, loop.UnreadInput()),
+		httpClient: streamclient.NewHTTPClient(config.DialTimeout, loop.UnreadInput()),
 		countCall:  loop.CountListCall,
 		report:     c.mailbox.Put,
-		pollWithin: pollWithin,
-		agentCount: agentCount,
-		seed:       seed,
+		pollWithin: config.PollWithin,
+		agentCount: config.AgentCount,
+		seed:       config.Seed,
 	}
-	c.current = newWatcher(c.watching, address)
+	c.current = newWatcher(c.watching, config.Address)
 	return c
 }
 
-// Known publishes the list that the agent was configured with; raw is empty where there is none. It has to be called before Serve.
-func (c *Client) Known(raw json.RawMessage) error {
+// PublishInitial publishes the list that the agent was configured with; raw is empty where there is none. It has to be called before Serve.
+func (c *Client) PublishInitial(raw json.RawMessage) error {
 	if len(raw) == 0 {
 		c.current.needsFullList = true
 		return nil
@@ -67,15 +74,6 @@
 	return nil
 }
 
-// Move goes to another address. The watch at the old one goes on until the new one has received the whole list, so that no change is
-// lost between the two; once it ends it is not opened again.
-//
-// The new discovery may be behind: a whole list that is a moment old may lack a drain that the old discovery has reported, and publishing
-// it would revoke the drain. The list is therefore held back until the new watch has brought it to the version in force, or until a
-// heartbeat shows that there is nothing newer, as at a discovery with version numbers of its own. That takes one heartbeat interval at
-// most.
-func (c *Client) Move(address string) { c.mailbox.Put(addressChanged{address}) }
-
 // Serve handles the mailbox until the context ends.
 func (c *Client) Serve(ctx context.Context) {
 	c.loop.AddReader(func(barrier agent.Barrier) { c.mailbox.Put(barrierReceived{barrier}) })
@@ -98,10 +96,7 @@
 	case listReceived:
 		c.handleList(received)
 	case heartbeatReceived:
-		c.handleLine(received.from)
-		if received.from == c.pending {
-			c.promotePending()
-		}
+		c.handleHeartbeat(received.from)
 	case watchSilent:
 		c.handleSilence(ctx, received.from)
 	case watcherEnded:
@@ -116,7 +111,7 @@
 // handleList publishes a list of the current watcher, and collects those of the pending one until they are as new as what is in force.
 // Lists of watchers that have been replaced are dropped.
 func (c *Client) handleList(received listReceived) {
-	c.handleLine(received.from)
+	c.resolveSuccessor(received.from)
 	switch received.from {
 	case c.pending:
 		c.pendingList = c.pendingList.Merge(received.list)
@@ -128,24 +123,10 @@
 	}
 }
 
-// openPending starts a watcher at another address. The current watch is left to end by itself.
-func (c *Client) openPending(ctx context.Context, address string) {
-	c.dropSuccessor()
-	c.current.retire()
-	if c.pending != nil {
-		c.pending.cancel()
+// handleHeartbeat puts the pending watcher in force: a heartbeat shows that its discovery has nothing newer than what it has sent.
+func (c *Client) handleHeartbeat(from *watcher) {
+	c.resolveSuccessor(from)
+	if from == c.pending {
+		c.promotePending()
 	}
-	c.address = address
-	c.pending = newWatcher(c.watching, address)
-	c.pendingList = protocol.List{}
-	c.pending.needsFullList = true
-	c.pending.start(ctx)
-}
-
-// promotePending puts the pending watcher in the current one's place and publishes what it has received.
-func (c *Client) promotePending() {
-	c.current.cancel()
-	c.current, c.pending = c.pending, nil
-	c.publisher.publish(c.pendingList)
-	c.pendingList = protocol.List{}
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -16,7 +16,7 @@
 func newMovingRig(t *testing.T, heartbeat time.Duration) (r *rig, previous, next *fakes.StreamServer) {
 	t.Helper()
 	previous = agenttest.NewStreamServer(t, "\n", time.Hour, func(string) string { return "" })
-	olderList := fakes.ListDocument(7, true, firstHost("active", 1), secondHost("active", 1))
+	olderList := fakes.ListDocument(7, true, firstHost("active", 1), secondHost("active"))
 	next = agenttest.NewStreamServer(t, "\n", heartbeat, onlyFullList(olderList))
 	r = newRig(t, previous.Addr())
 	r.serveKnown(t, fakes.ListDocument(5, true, firstHost("active", 1)))
--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -39,7 +39,7 @@
 	for _, entry := range list.Hosts {
 		endpoint, err := entry.Endpoint(p.zones)
 		if err != nil {
-			ratelog.Warn("row", "list entry skipped", "reason", err)
+			ratelog.Warn("list entry", "list entry skipped", "reason", err)
 			continue
 		}
 		endpoint.ID = p.numbers.assign(entry.Host)
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -17,13 +17,13 @@
 	write := func(what, text string) { fmt.Fprintf(&out, "== %s\n%q\n", what, text) }
 	address, first := agenttest.Capture(t)
 	loop := agent.NewLoop(&agenttest.Router{}, agent.NewClock())
-	client := NewClient(loop, address, nil, time.Second, 0, 1, 1)
+	client := NewClient(loop, Config{Address: address, DialTimeout: time.Second, AgentCount: 1, Seed: 1})
 	client.current.needsFullList = true
 	client.current.start(t.Context())
 	write("list call", first())
 	client.current.cancel()
 
-	client = NewClient(loop, address, nil, time.Second, 0, 1, 1)
+	client = NewClient(loop, Config{Address: address, DialTimeout: time.Second, AgentCount: 1, Seed: 1})
 	client.current.version = 77
 	client.current.start(t.Context())
 	write("watch", first())
--- a/internal/discovery/rig_test.go
+++ b/internal/discovery/rig_test.go
@@ -23,14 +23,16 @@
 func newRig(t *testing.T, discovery string) *rig {
 	t.Helper()
 	r := &rig{Rig: agenttest.NewRig(t, time.Second)}
-	r.client = NewClient(r.Loop, discovery, []string{agenttest.Zone}, time.Second, 0, 1, 1)
+	r.client = NewClient(r.Loop, Config{
+		Address: discovery, Zones: []string{agenttest.Zone}, DialTimeout: time.Second, AgentCount: 1, Seed: 1,
+	})
 	return r
 }
 
 // serveKnown configures the client with a list and runs it until the end of the test.
 func (r *rig) serveKnown(t *testing.T, list string) {
 	t.Helper()
-	if err := r.client.Known([]byte(list)); err != nil {
+	if err := r.client.PublishInitial([]byte(list)); err != nil {
 		t.Fatal(err)
 	}
 	go r.client.Serve(r.Context)
@@ -97,9 +99,9 @@
 	return fakes.ListEntry("box", "127.0.0.1:1", health, build)
 }
 
-// secondHost is the list entry of the host "box2".
-func secondHost(health string, build int) string {
-	return fakes.ListEntry("box2", "127.0.0.1:2", health, build)
+// secondHost is the list entry of the host "box2", which has build 1.
+func secondHost(health string) string {
+	return fakes.ListEntry("box2", "127.0.0.1:2", health, 1)
 }
 
 // indented is a list over several lines.
--- a/internal/discovery/successor.go
+++ b/internal/discovery/successor.go
@@ -18,7 +18,7 @@
 	if isLeaving || from != c.current && from != c.successor {
 		return
 	}
-	ratelog.Warn("silent", "endpoint list watch is silent, another one is opened beside it", "version", c.publisher.version)
+	ratelog.Warn("silent watch", "endpoint list watch fell silent, opened another one beside it", "version", c.publisher.version)
 	c.openSuccessor(ctx)
 }
 
@@ -34,10 +34,10 @@
 	c.successor.start(ctx)
 }
 
-// handleLine ends the rivalry of two watchers at the first line of either. A line of the successor proves its watch: it has been sent all
+// resolveSuccessor decides between the current watcher and its successor at the first line of either. A line of the successor proves its watch: it has been sent all
 // changes after the version in force when it was opened, so that nothing of the silent one is needed any more. A line of the current one
 // shows that it was slow and not broken, and that nothing was missed.
-func (c *Client) handleLine(from *watcher) {
+func (c *Client) resolveSuccessor(from *watcher) {
 	switch {
 	case c.successor == nil:
 	case from == c.successor:
@@ -68,7 +68,7 @@
 	case from != c.current || c.pending != nil:
 	case c.successor != nil:
 		c.promoteSuccessor()
-	default: // it spoke once more and ended before it was resumed
+	default: // it had a line once more, and ended before it was resumed
 		c.openSuccessor(ctx)
 		c.promoteSuccessor()
 	}
--- a/internal/discovery/successor_test.go
+++ b/internal/discovery/successor_test.go
@@ -42,7 +42,7 @@
 	agenttest.Eventually(t, "the drain", r.hasDrainingEndpoint)
 	agenttest.Eventually(t, "the first watch's end", func() bool { return server.Closed() == 1 })
 	first.report(listReceived{from: first, list: readList(t, fakes.ListDocument(6, false, firstHost("active", 1)))})
-	server.Publish(fakes.ListDocument(8, false, secondHost("active", 1)))
+	server.Publish(fakes.ListDocument(8, false, secondHost("active")))
 	r.awaitHosts(t, 2, 1)
 	if !r.hasDrainingEndpoint() {
 		t.Error("an older list of the silent watch revoked the drain")
@@ -87,6 +87,6 @@
 	if n := server.CallsContaining(""); n != 2 {
 		t.Errorf("calls of the old address: %q", server.Targets())
 	}
-	next.Publish(fakes.ListDocument(7, false, secondHost("active", 1)))
+	next.Publish(fakes.ListDocument(7, false, secondHost("active")))
 	agenttest.Eventually(t, "the first watch's end", func() bool { return server.Closed() == 2 })
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -48,7 +48,14 @@
 	}))
 	defer overloaded.Close()
 	loop := agent.NewLoop(&agenttest.Router{}, agent.NewClock())
-	client := NewClient(loop, overloaded.Listener.Addr().String(), []string{agenttest.Zone}, time.Second, 8*time.Second, 1, 1)
+	client := NewClient(loop, Config{
+		Address:     overloaded.Listener.Addr().String(),
+		Zones:       []string{agenttest.Zone},
+		DialTimeout: time.Second,
+		PollWithin:  8 * time.Second,
+		AgentCount:  1,
+		Seed:        1,
+	})
 	go client.Serve(t.Context())
 	time.Sleep(1200 * time.Millisecond) // the next call is due 2 to 6 s after the first
 	if n := calls.Load(); n != 1 {
@@ -58,7 +65,7 @@
 
 // A list may come over several lines, whether it is whole or of changes.
 func TestListsOverSeveralLines(t *testing.T) {
-	fullList := indented(t, fakes.ListDocument(5, true, firstHost("active", 1), secondHost("active", 1)))
+	fullList := indented(t, fakes.ListDocument(5, true, firstHost("active", 1), secondHost("active")))
 	server := agenttest.NewStreamServer(t, "\n", 50*time.Millisecond, onlyFullList(fullList))
 	r := newRig(t, server.Addr())
 	r.serveKnown(t, "")
@@ -66,7 +73,7 @@
 	agenttest.Eventually(t, "the watch", func() bool { return server.Open() == 1 })
 	server.Publish(indented(t, fakes.ListDocument(6, false, firstHost("active", 2))))
 	r.awaitHosts(t, 2, 2)
-	server.Publish(fakes.ListDocument(7, false, firstHost("active", 3)) + indented(t, fakes.ListDocument(8, false, secondHost("left", 1))))
+	server.Publish(fakes.ListDocument(7, false, firstHost("active", 3)) + indented(t, fakes.ListDocument(8, false, secondHost("left"))))
 	r.awaitHosts(t, 1, 3)
 	if n := server.CallsContaining(""); n != 2 {
 		t.Errorf("calls: %q", server.Targets())
@@ -110,7 +117,7 @@
 	drainingList := fakes.ListDocument(6, false, firstHost("leaving", 1))
 	server := agenttest.NewStreamServer(t, "\n", time.Hour, func(string) string { return "\n" })
 	r := newRig(t, server.Addr())
-	if err := r.client.Known([]byte(fakes.ListDocument(5, true, firstHost("active", 1)))); err != nil {
+	if err := r.client.PublishInitial([]byte(fakes.ListDocument(5, true, firstHost("active", 1)))); err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
