--- /dev/null
+++ b/internal/streamclient/http_client.go
@@ -0,0 +1,29 @@
+package streamclient
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"time"
+
+	"switchfork/internal/protocol"
+	"switchfork/internal/tcpconn"
+)
+
+// NewHTTPClient returns a client for streams, and for calls so rare that a connection for each avoids stale ones. It follows no redirects
+// and bounds the size of a response's head. A connection has to come up within dialTimeout; unless unread is nil, it keeps count of the
+// connections while they are open.
+func NewHTTPClient(dialTimeout time.Duration, unread *tcpconn.UnreadGauge) *http.Client {
+	dialer := &net.Dialer{Timeout: dialTimeout}
+	return &http.Client{
+		Transport: &http.Transport{
+			DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
+				return tcpconn.Dial(ctx, dialer, address, unread)
+			},
+			DisableKeepAlives:      true,
+			DisableCompression:     true,
+			MaxResponseHeaderBytes: protocol.HeadLimit,
+		},
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	}
+}
