--- a/cmd/switchfork/coordinator.go
+++ b/cmd/switchfork/coordinator.go
@@ -159,7 +159,7 @@
 	return coordinator.Callbacks{
 		UpdateRollout: core.UpdateRollout,
 		CastVote: func(vote policy.Vote, writeBefore time.Time, resolved func(written bool)) {
-			rolloutClient.CastBefore(rollout.TimedVote{Vote: vote, WriteBefore: writeBefore, Resolved: resolved})
+			rolloutClient.VoteBefore(rollout.TimedVote{Vote: vote, WriteBefore: writeBefore, Resolved: resolved})
 		},
 	}
 }
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -224,7 +224,12 @@
 
 func (p *agentProcess) newRolloutClient() *rollout.Client {
 	connections := p.settings.connections
-	return rollout.NewClient(p.loop, p.settings.identity.Rollout, connections.DialTimeout, connections.CallTimeout, int64(p.settings.seed))
+	return rollout.NewClient(p.loop, rollout.Config{
+		Address:     p.settings.identity.Rollout,
+		DialTimeout: connections.DialTimeout,
+		VoteTimeout: connections.CallTimeout,
+		Seed:        int64(p.settings.seed),
+	})
 }
 
 func (p *agentProcess) newProxy() *proxy.Proxy {
@@ -253,7 +258,7 @@
 	if err := p.discovery.PublishInitial(p.file.Endpoints); err != nil {
 		return err
 	}
-	if err := p.rollout.Known(p.file.Rollout); err != nil {
+	if err := p.rollout.PublishInitial(p.file.Rollout); err != nil {
 		return err
 	}
 	if p.coordinator != nil {
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -28,11 +28,11 @@
 	discoveryClient := discovery.NewClient(loop, discovery.Config{
 		Address: "127.0.0.1:1", Zones: []string{agenttest.Zone}, DialTimeout: time.Second, AgentCount: 1, Seed: 1,
 	})
-	rolloutClient := rollout.NewClient(loop, "127.0.0.1:1", time.Second, time.Second, 1)
+	rolloutClient := rollout.NewClient(loop, rollout.Config{Address: "127.0.0.1:1", DialTimeout: time.Second, VoteTimeout: time.Second, Seed: 1})
 	if err := discoveryClient.PublishInitial([]byte(fakes.ListDocument(4, false, fakes.ListEntry(agenttest.Host, "127.0.0.1:1", "active", 41)))); err != nil {
 		t.Fatal(err)
 	}
-	if err := rolloutClient.Known([]byte(`{"image":41,"ring":2,"progress":"live","ceiling":1,"lag_ms":0}`)); err != nil {
+	if err := rolloutClient.PublishInitial([]byte(`{"image":41,"ring":2,"progress":"live","ceiling":1,"lag_ms":0}`)); err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/rollout/event_scanner.go
+++ b/internal/rollout/event_scanner.go
@@ -48,7 +48,7 @@
 			s.data = value
 		case field == "id", field == "retry": // not used
 		default:
-			s.err = fmt.Errorf("not a line of an event stream: %.40q", line)
+			s.err = fmt.Errorf("got the line %.40q, want an event's field or a comment", line)
 			return false
 		}
 	}
@@ -64,11 +64,11 @@
 	case eventType == rolloutEvent:
 		update, err := protocol.ReadRolloutForm(data)
 		if err != nil {
-			s.err = fmt.Errorf("news that can't be read: %w", err)
+			s.err = fmt.Errorf("unreadable rollout event: %w", err)
 			return
 		}
 		s.update = &update
 	case data != "":
-		ratelog.Warn("news kind", "unknown rollout event", "kind", fmt.Sprintf("%.40q", eventType))
+		ratelog.Warn("event type", "rollout event of unknown type skipped", "event_type", fmt.Sprintf("%.40q", eventType))
 	}
 }
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -18,13 +18,13 @@
 	write := func(what, text string) { fmt.Fprintf(&out, "== %s\n%q\n", what, text) }
 	loop := agent.NewLoop(&agenttest.Router{}, agent.NewClock())
 	address, first := agenttest.Capture(t)
-	client := NewClient(loop, address, time.Second, agenttest.WaitTimeout, 1)
+	client := NewClient(loop, Config{Address: address, DialTimeout: time.Second, VoteTimeout: agenttest.WaitTimeout, Seed: 1})
 	stream := client.openStream(t.Context(), 0)
 	write("news", first())
 	stream.cancel()
 
 	address, first = agenttest.Capture(t)
-	client = NewClient(loop, address, time.Second, agenttest.WaitTimeout, 1)
+	client = NewClient(loop, Config{Address: address, DialTimeout: time.Second, VoteTimeout: agenttest.WaitTimeout, Seed: 1})
 	for v := policy.NoVote; v <= policy.Rollback; v++ {
 		sendVote(t.Context(), client.httpClient, client.apiURL, policy.Vote{Build: 42, Stage: 3, Verdict: v})
 		write(fmt.Sprintf("vote %d", v), first())
--- a/internal/rollout/rig_test.go
+++ b/internal/rollout/rig_test.go
@@ -17,7 +17,7 @@
 func newRig(t *testing.T, controller string) *rig {
 	t.Helper()
 	r := &rig{Rig: agenttest.NewRig(t, time.Second)}
-	r.client = NewClient(r.Loop, controller, time.Second, 300*time.Millisecond, 1)
+	r.client = NewClient(r.Loop, Config{Address: controller, DialTimeout: time.Second, VoteTimeout: 300 * time.Millisecond, Seed: 1})
 	return r
 }
 
--- a/internal/rollout/stream.go
+++ b/internal/rollout/stream.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net/http"
 	"time"
 
@@ -9,6 +10,15 @@
 	"switchfork/internal/streamclient"
 )
 
+const (
+	// streamPath is the event stream below the API's URL.
+	streamPath = "bulletin"
+	// heartbeatInterval is the protocol's interval of heartbeats on the stream.
+	heartbeatInterval = time.Second
+	// maxMissedHeartbeats is after how many intervals without a line a stream counts as silent and is replaced.
+	maxMissedHeartbeats = 3
+)
+
 // stream is one connection that brings updates. What it reads is reported to the client, whose goroutine owns lastLineAt and hasReceived.
 type stream struct {
 	cancel      context.CancelFunc
@@ -19,15 +29,15 @@
 	hasReceived bool      // an update or a heartbeat
 }
 
-// openStream starts a stream in a goroutine, after a pause. The last message that it reports is streamEnded.
+// openStream starts a stream in a goroutine, after a delay. The last message that it reports is streamEnded.
 func openStream(
-	ctx context.Context, httpClient *http.Client, apiURL string, pause backoff.Micros, report func(message),
+	ctx context.Context, httpClient *http.Client, apiURL string, delay backoff.Micros, report func(message),
 ) *stream {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &stream{cancel: cancel, httpClient: httpClient, apiURL: apiURL, report: report, lastLineAt: time.Now()}
 	go func() {
-		if pause > 0 {
-			streamclient.Sleep(ctx, pause)
+		if delay > 0 {
+			streamclient.Sleep(ctx, delay)
 		}
 		report(streamEnded{from: s, err: s.read(ctx)})
 	}()
@@ -48,17 +58,18 @@
 // and a new one brings the present state at once.
 func (s *stream) read(ctx context.Context) error {
 	defer s.cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, s.apiURL+"bulletin", nil)
+	url := s.apiURL + streamPath
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return err
+		return fmt.Errorf("making a request for the rollout stream: %w", err)
 	}
 	response, err := s.httpClient.Do(request)
 	if err != nil {
-		return err
+		return err // it names the method and the URL
 	}
 	defer func() { _ = response.Body.Close() }() // only read from: closing it can lose nothing
 	if response.StatusCode != http.StatusOK {
-		return streamclient.StatusError(response.StatusCode)
+		return fmt.Errorf("opening %s: %w", url, streamclient.StatusError(response.StatusCode))
 	}
 	events := newEventScanner(response.Body)
 	for events.scan() {
@@ -68,5 +79,8 @@
 			s.report(updateReceived{from: s, update: *events.update})
 		}
 	}
-	return events.err
+	if events.err != nil {
+		return fmt.Errorf("reading %s: %w", url, events.err)
+	}
+	return nil
 }
--- a/internal/rollout/votes.go
+++ b/internal/rollout/votes.go
@@ -2,13 +2,10 @@
 
 import (
 	"context"
-	"errors"
 	"io"
 	"log/slog"
-	"net"
 	"net/http"
 	"strings"
-	"syscall"
 	"time"
 
 	"switchfork/internal/policy"
@@ -20,7 +17,7 @@
 	policy.Vote
 	WriteBefore time.Time
 	// Resolved is called once it is known that the vote has been carried out or never will be; wrote is false where nothing of it was written,
-	// because its time had passed or no connection came up. It is not called for a vote of which nothing is known.
+	// because its time had passed or no connection came up. It is not called for a vote that may yet be carried out.
 	Resolved func(wrote bool)
 }
 
@@ -54,28 +51,9 @@
 	}
 }
 
-// wasWritten tells whether a resolved vote can have reached the controller: without a connection nobody has it, and counted as cast it
-// would hide from operators that the controller is out of reach.
-func wasWritten(result protocol.Result) bool {
-	switch result {
-	case protocol.NotSent, protocol.ConnectionRefused, protocol.ConnectTimeout:
-		return false
-	}
-	return true
-}
-
-// isResolved tells whether a vote with this result has been carried out or never will be. After any other result it may yet be.
-func isResolved(result protocol.Result) bool {
-	switch result {
-	case protocol.Succeeded, protocol.NotRun, protocol.Stale, protocol.ConnectionRefused, protocol.ConnectTimeout, protocol.NotSent:
-		return true
-	}
-	return false
-}
-
-func logVote(vote policy.Vote, result protocol.Result, took time.Duration) {
+func logVote(vote policy.Vote, result protocol.Result, elapsed time.Duration) {
 	slog.Info("vote cast", "build", vote.Build, "stage", vote.Stage, "verdict", protocol.VerdictNames[vote.Verdict], "result", result.String(),
-		"elapsed_ms", took.Milliseconds())
+		"elapsed_ms", elapsed.Milliseconds())
 }
 
 // sendVote makes the call of one vote. The update is empty unless the vote has succeeded.
@@ -96,17 +74,3 @@
 	}
 	return protocol.ReadVoteReply(response.StatusCode, raw)
 }
-
-// resultOfError is the result of a call without a response.
-func resultOfError(err error) protocol.Result {
-	var operation *net.OpError
-	switch {
-	case errors.Is(err, errWriteDeadlinePassed):
-		return protocol.NotSent
-	case errors.Is(err, syscall.ECONNREFUSED):
-		return protocol.ConnectionRefused
-	case errors.As(err, &operation) && operation.Op == "dial":
-		return protocol.ConnectTimeout
-	}
-	return protocol.TimedOut // the vote may count
-}
