--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -180,7 +180,7 @@
 	p.pool = p.newPool()
 	p.discovery = p.newDiscoveryClient()
 	p.rollout = p.newRolloutClient()
-	p.gossip, err = gossip.NewMessenger(p.loop, settings.peers.Listen, settings.peers.Addresses, settings.peers.Broadcast)
+	p.gossip, err = gossip.NewMessenger(p.loop, gossip.Config{Listen: settings.peers.Listen, Peers: settings.peers.Addresses, Broadcast: settings.peers.Broadcast})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/gossip/messenger.go
+++ b/internal/gossip/messenger.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxDatagramSize is the protocol's bound on a message.
-	maxDatagramSize = 256
+	// maxDatagramBytes is the protocol's bound on a message.
+	maxDatagramBytes = 256
 	// broadcastIndex is the peer index, as 32 bits, of a message to all agents.
 	broadcastIndex = math.MaxUint32
 )
@@ -31,28 +31,23 @@
 	interceptor func([]byte) bool // nil: none
 }
 
-// NewMessenger returns a messenger that listens on an address. peers are the agents' addresses by their indices, and broadcast is the
-// address that reaches all of them; it may be empty.
-func NewMessenger(loop *agent.Loop, listen string, peers []string, broadcast string) (*Messenger, error) {
+// Config has the agents' addresses, host:port each.
+type Config struct {
+	Listen    string   // this agent's own; empty: it exchanges no messages
+	Peers     []string // by the agents' indices
+	Broadcast string   // reaches all agents; may be empty
+}
+
+// NewMessenger returns a messenger, with its socket open.
+func NewMessenger(loop *agent.Loop, config Config) (*Messenger, error) {
 	m := &Messenger{loop: loop, mailbox: mailbox.New[policy.SendGossip]()}
-	if listen == "" {
+	if config.Listen == "" {
 		return m, nil
 	}
-	for _, peer := range peers {
-		address, err := netip.ParseAddrPort(peer)
-		if err != nil {
-			return nil, fmt.Errorf("setting config.peers: %w", err)
-		}
-		m.peers = append(m.peers, address)
-	}
-	if broadcast != "" {
-		address, err := netip.ParseAddrPort(broadcast)
-		if err != nil {
-			return nil, fmt.Errorf("setting config.peers_all: %w", err)
-		}
-		m.broadcast = address
+	if err := m.parsePeers(config); err != nil {
+		return nil, err
 	}
-	own, err := netip.ParseAddrPort(listen)
+	own, err := netip.ParseAddrPort(config.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("setting config.peer_listen: %w", err)
 	}
@@ -62,6 +57,26 @@
 	return m, nil
 }
 
+// parsePeers sets the addresses that messages go to.
+func (m *Messenger) parsePeers(config Config) error {
+	for _, peer := range config.Peers {
+		address, err := netip.ParseAddrPort(peer)
+		if err != nil {
+			return fmt.Errorf("setting config.peers: %w", err)
+		}
+		m.peers = append(m.peers, address)
+	}
+	if config.Broadcast == "" {
+		return nil
+	}
+	address, err := netip.ParseAddrPort(config.Broadcast)
+	if err != nil {
+		return fmt.Errorf("setting config.peers_all: %w", err)
+	}
+	m.broadcast = address
+	return nil
+}
+
 // Intercept has interceptor look at each datagram before the router does; those for which it returns true are its own. It has to be called
 // before Serve.
 func (m *Messenger) Intercept(interceptor func([]byte) bool) { m.interceptor = interceptor }
@@ -94,12 +109,13 @@
 
 func (m *Messenger) send(command policy.SendGossip) {
 	address := m.address(command.To)
-	if m.socket == nil || !address.IsValid() || len(command.Payload) > maxDatagramSize {
-		ratelog.Warn("tell", "gossip not sent", "to", command.To, "bytes", len(command.Payload))
+	canSend := m.socket != nil && address.IsValid() && len(command.Payload) <= maxDatagramBytes
+	if !canSend {
+		ratelog.Warn("gossip", "gossip not sent", "to", command.To, "bytes", len(command.Payload))
 		return
 	}
 	if _, err := m.socket.WriteToUDPAddrPort(command.Payload, address); err != nil {
-		ratelog.Warn("tell", "gossip not sent", "to", command.To, "err", err)
+		ratelog.Warn("gossip", "gossip not sent", "to", command.To, "err", err)
 	}
 }
 
@@ -117,18 +133,19 @@
 // receive hands datagrams on until the socket is closed. Senders are told apart by their addresses; what does not come from an agent, or is
 // too long, is dropped.
 func (m *Messenger) receive() {
-	buffer := make([]byte, maxDatagramSize+1) // one byte more, to detect a datagram that is too long
+	buffer := make([]byte, maxDatagramBytes+1) // one byte more, to detect a datagram that is too long
 	for {
 		size, sender, err := m.socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return // the socket is closed: reading datagrams has no other error
 		}
 		from := slices.Index(m.peers, netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port()))
-		if from < 0 || size > maxDatagramSize {
+		if from < 0 || size > maxDatagramBytes {
 			ratelog.Warn("datagram", "datagram dropped", "from", sender.String(), "bytes", size)
 			continue
 		}
-		if m.interceptor != nil && m.interceptor(slices.Clone(buffer[:size])) {
+		isIntercepted := m.interceptor != nil && m.interceptor(slices.Clone(buffer[:size]))
+		if isIntercepted {
 			continue
 		}
 		m.loop.Enqueue(policy.GossipReceived{From: from, Payload: slices.Clone(buffer[:size])})
--- a/internal/gossip/messenger_test.go
+++ b/internal/gossip/messenger_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	r := agenttest.NewRig(t, time.Second)
-	messenger, err := NewMessenger(r.Loop, ownAddress, []string{ownAddress, peer.LocalAddr().String()}, "")
+	messenger, err := NewMessenger(r.Loop, Config{Listen: ownAddress, Peers: []string{ownAddress, peer.LocalAddr().String()}})
 	if err != nil {
 		t.Fatal(err)
 	}
