--- a/internal/endtoend/kept_connections_test.go
+++ b/internal/endtoend/kept_connections_test.go
@@ -67,7 +67,7 @@
 		}
 	}()
 	for {
-		if conn != nil && !tcpconn.IsQuiet(conn) {
+		if conn != nil && !tcpconn.IsOpenWithoutInput(conn) {
 			_ = conn.Close()
 			conn = nil
 		}
--- a/internal/proxy/client_conn_test.go
+++ b/internal/proxy/client_conn_test.go
@@ -38,8 +38,8 @@
 	conn := server.serverConn(t, reading)
 	conn.mu.Lock()
 	reading.send(raw[:1])
-	agenttest.Eventually(t, "the byte", func() bool { return !tcpconn.IsQuiet(conn.TCPConn) })
-	free := conn.state == stateIdle && tcpconn.IsQuiet(conn.TCPConn)
+	agenttest.Eventually(t, "the byte", func() bool { return !tcpconn.IsOpenWithoutInput(conn.TCPConn) })
+	free := conn.state == stateIdle && tcpconn.IsOpenWithoutInput(conn.TCPConn)
 	conn.stateDeadline = time.Now().Add(-time.Second)
 	conn.mu.Unlock()
 	conn.stateDeadlinePassed()
@@ -60,7 +60,7 @@
 	conn := server.serverConn(t, client)
 	client.send(strings.Repeat("x", 32<<10)) // far more than is read ahead
 	waitForConn(t, "more than is read ahead", conn, func() bool {
-		return len(conn.readAhead) >= readAheadLimit-1 && !tcpconn.IsQuiet(conn.TCPConn)
+		return len(conn.readAhead) >= readAheadLimit-1 && !tcpconn.IsOpenWithoutInput(conn.TCPConn)
 	})
 	server.rejectAll()
 	client.expectResponse(http.StatusServiceUnavailable, true)
--- a/internal/proxy/conn_state.go
+++ b/internal/proxy/conn_state.go
@@ -142,7 +142,7 @@
 
 // retireLocked is retire for callers that hold the lock.
 func (c *clientConn) retireLocked() bool {
-	if c.state != stateNew && c.state != stateIdle || !tcpconn.HalfCloseIfQuiet(c.raw) {
+	if c.state != stateNew && c.state != stateIdle || !tcpconn.HalfCloseIfNoInput(c.raw) {
 		return false
 	}
 	c.setState(stateRetired)
--- a/internal/tcpconn/reset_conn.go
+++ b/internal/tcpconn/reset_conn.go
@@ -1,5 +1,3 @@
-// Package tcpconn opens TCP connections that do not go on sending after they have been given up, and tells what has arrived on a
-// connection without reading it.
 package tcpconn
 
 import (
--- a/internal/tcpconn/unread_gauge.go
+++ b/internal/tcpconn/unread_gauge.go
@@ -17,7 +17,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for conn := range g.open {
-		if !conn.isReading.Load() || !IsQuiet(conn) {
+		if !conn.isReading.Load() || !IsOpenWithoutInput(conn) {
 			return true
 		}
 	}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -29,9 +29,9 @@
 	readNext  chan struct{} // each token lets the reader take one response; closed with the connection
 }
 
-// isQuiet tells whether nothing has arrived on an idle connection: neither its end nor anything after the last response, which would be
+// hasNothingUnread tells whether nothing has arrived on an idle connection: neither its end nor anything after the last response, which would be
 // taken for the response to the next request.
-func (conn *connection) isQuiet() bool { return tcpconn.IsQuiet(conn.Conn) }
+func (conn *connection) hasNothingUnread() bool { return tcpconn.IsOpenWithoutInput(conn.Conn) }
 
 // isCurrent tells whether a connection leads to the process that the list has.
 func (e *Endpoint) isCurrent(conn *connection) bool { return !e.isRemoved && conn.process == e.process }
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -25,7 +25,7 @@
 		case conn.idleSince.After(settleCutoff): // it may still bring a second response
 		case e.isExpired(conn):
 			e.closeConnection(conn) // the sweep is late: the process has stalled
-		case conn.isQuiet():
+		case conn.hasNothingUnread():
 			e.forgetIdle(conn)
 			return conn
 		default:
