--- /dev/null
+++ b/internal/upstream/dial.go
@@ -0,0 +1,73 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"syscall"
+
+	"switchfork/internal/protocol"
+	"switchfork/internal/ratelog"
+	"switchfork/internal/tcpconn"
+)
+
+// dial opens a connection for an exchange, in a goroutine that goes on as the connection's reader. A descriptor has been acquired.
+func (w *worker) dial(exchange *httpExchange) {
+	w.inFlight.dials++
+	w.events.DialStarted()
+	target := w.process
+	go func() {
+		raw, err := tcpconn.Dial(context.Background(), &w.pool.dialer, target.address, nil)
+		if err != nil {
+			w.pool.config.Budget.ReleaseUpstream()
+			w.mailbox.Put(dialResult{exchange: exchange, err: err})
+			return
+		}
+		conn := &connection{Conn: raw, process: target, readNext: make(chan struct{}, 1)}
+		w.mailbox.Put(dialResult{exchange: exchange, connection: conn})
+		conn.read(w.pool.config.LoadReportFields, w.mailbox.Put)
+	}()
+}
+
+func (w *worker) dialFinished(r dialResult) {
+	w.inFlight.dials--
+	exchange := r.exchange
+	if r.err == nil {
+		w.connected(r.connection, exchange)
+		return
+	}
+	if exchange.isFinished {
+		return
+	}
+	result := dialErrorResult(r.err)
+	if result == protocol.NotSent {
+		ratelog.Warn("dial", "connection not opened", "endpoint", w.name, "err", r.err)
+	}
+	w.finish(exchange, result, nil)
+}
+
+// dialErrorResult tells an endpoint that refuses from one that does not answer, and both from an agent that can open no connection.
+func dialErrorResult(err error) protocol.Result {
+	switch {
+	case errors.Is(err, syscall.ECONNREFUSED), errors.Is(err, syscall.ECONNRESET):
+		return protocol.ConnectionRefused
+	case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE), errors.Is(err, syscall.EADDRNOTAVAIL):
+		return protocol.NotSent
+	default:
+		return protocol.ConnectTimeout
+	}
+}
+
+// connected uses a new connection. One to a process that has been replaced or removed meanwhile is closed.
+func (w *worker) connected(conn *connection, exchange *httpExchange) {
+	switch {
+	case !w.isCurrent(conn):
+		w.idle.close(conn)
+		if !exchange.isFinished {
+			w.finish(exchange, protocol.NotSent, nil)
+		}
+	case exchange.isFinished:
+		w.makeIdle(conn) // the next exchange finds it ready
+	default:
+		w.write(conn, exchange)
+	}
+}
--- a/internal/upstream/health_check.go
+++ b/internal/upstream/health_check.go
@@ -15,36 +15,36 @@
 )
 
 // startHealthCheck sends a health check, which has a dial's time for its response.
-func (e *Endpoint) startHealthCheck() {
-	e.pending++
+func (w *worker) startHealthCheck() {
+	w.inFlight.healthChecks++
 	now := time.Now()
-	e.start(&httpExchange{
+	w.start(&httpExchange{
 		isHealthCheck: true,
 		Attempt: Attempt{
 			DecidedAt: now,
-			Deadline:  now.Add(e.pool.dialer.Timeout),
-			Encoded:   e.healthCheckRequest(),
+			Deadline:  now.Add(w.pool.dialer.Timeout),
+			Encoded:   w.healthCheckRequest(),
 		},
 	})
 }
 
 // healthCheckRequest asks for the load report where endpoints have one.
-func (e *Endpoint) healthCheckRequest() *protocol.EncodedRequest {
+func (w *worker) healthCheckRequest() *protocol.EncodedRequest {
 	target := pingTarget
-	if len(e.pool.config.LoadReportFields) > 0 {
+	if len(w.pool.config.LoadReportFields) > 0 {
 		target = loadReportTarget
 	}
-	return protocol.EncodeRequest(http.MethodGet, target, e.process.address, nil, nil)
+	return protocol.EncodeRequest(http.MethodGet, target, w.process.address, nil, nil)
 }
 
-func (e *Endpoint) reportHealthCheck(result protocol.Result, response *protocol.Response, elapsed policy.Micros) {
-	e.pending--
-	check := policy.HealthCheckResult{EndpointID: e.id, Outcome: result.Outcome(), Elapsed: elapsed}
+func (w *worker) reportHealthCheck(result protocol.Result, response *protocol.Response, elapsed policy.Micros) {
+	w.inFlight.healthChecks--
+	check := policy.HealthCheckResult{EndpointID: w.id, Outcome: result.Outcome(), Elapsed: elapsed}
 	if response != nil {
 		check.Load = response.Load
 		if check.Load == nil {
-			check.Load = protocol.ParseLoadReport(response.Body, e.pool.config.LoadReportFields)
+			check.Load = protocol.ParseLoadReport(response.Body, w.pool.config.LoadReportFields)
 		}
 	}
-	e.events.HealthChecked(check)
+	w.events.HealthChecked(check)
 }
--- a/internal/upstream/messages.go
+++ b/internal/upstream/messages.go
@@ -2,7 +2,7 @@
 
 import "switchfork/internal/protocol"
 
-// message is what an endpoint's mailbox holds.
+// message is what an endpoint's mailbox holds. Its worker handles messages in the order in which they were put.
 type message interface{ isMessage() }
 
 type (
@@ -62,24 +62,3 @@
 func (dialResult) isMessage()         {}
 func (writeResult) isMessage()        {}
 func (readResult) isMessage()         {}
-
-// ID is the endpoint's number in the list.
-func (e *Endpoint) ID() uint32 { return e.id }
-
-// Update applies the latest list entry of the endpoint.
-func (e *Endpoint) Update(entry protocol.ListEntry) { e.mailbox.Put(listUpdate{entry}) }
-
-// Remove stops the endpoint once none of its attempts is in flight.
-func (e *Endpoint) Remove() { e.mailbox.Put(removalRequest{}) }
-
-// Send starts an attempt.
-func (e *Endpoint) Send(attempt Attempt) { e.mailbox.Put(attemptRequest{attempt}) }
-
-// Cancel ends an attempt that is in flight.
-func (e *Endpoint) Cancel(requestID uint64) { e.mailbox.Put(cancelRequest{requestID}) }
-
-// CheckHealth starts a health check.
-func (e *Endpoint) CheckHealth() { e.mailbox.Put(healthCheckRequest{}) }
-
-// TrimIdle closes connections that present traffic does not need.
-func (e *Endpoint) TrimIdle() { e.mailbox.Put(trimRequest{}) }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,8 +1,9 @@
 // Package upstream sends attempts and health checks to endpoints over pooled HTTP/1.1 connections.
 //
-// Each Endpoint is one goroutine with a mailbox. It owns the endpoint's state: the latest list entry, the attempts that have not ended
-// and the idle connections. Dials, long writes and reads run in goroutines of their own, which report to the mailbox. The methods of
-// Endpoint may be called by any goroutine and do not block; results go to Events.
+// Each Endpoint has one goroutine, its worker, with a mailbox. The worker owns the endpoint's state: the latest list entry, the attempts
+// that have not ended and the idle connections. Dials, long writes and reads run in goroutines of their own, which report to the mailbox;
+// so list updates, attempts and results are handled in the order in which they came. The methods of Endpoint may be called by any goroutine
+// and do not block; results go to Events.
 //
 // An attempt is never sent twice by this package: where a request may have reached the endpoint, it ends, and the caller decides
 // whether to retry. Only a request of which the last byte can't have left is written again, on another connection.
@@ -19,8 +20,8 @@
 )
 
 // DefaultSettleTime is the usual Config.SettleTime. A second response to the previous request may still be on its way when a connection
-// becomes idle, by the protocol for some milliseconds (2 to 5 were seen, join+mass, seeds 1 to 3), and the next request on it would get
-// that response's body. This is several times as long. It costs one connection more where one would be reused at once.
+// becomes idle, by the protocol for some milliseconds, and the next request on it would get that response's body. This is several times as
+// long. It costs one connection more where one would be reused at once.
 const DefaultSettleTime = 20 * time.Millisecond
 
 // StallThreshold is how late a timer has to be to say that the process stood still. What the endpoint list and the rollout controller
@@ -50,16 +51,9 @@
 
 // NewEndpoint starts the goroutine of one endpoint, which reports the results of its attempts to events.
 func (p *Pool) NewEndpoint(id uint32, entry protocol.ListEntry, events Events) *Endpoint {
-	e := &Endpoint{
-		pool:     p,
-		events:   events,
-		id:       id,
-		name:     entry.Host,
-		mailbox:  mailbox.New[message](),
-		attempts: map[uint64]*httpExchange{},
-	}
-	go e.serve()
-	return e
+	endpoint := &Endpoint{id: id, mailbox: mailbox.New[message]()}
+	go newWorker(p, endpoint, entry.Host, events).serve()
+	return endpoint
 }
 
 // Events receives the results of attempts and health checks. Its methods are called by the endpoints' goroutines and must not wait.
--- a/internal/upstream/response_reader.go
+++ b/internal/upstream/response_reader.go
@@ -16,7 +16,7 @@
 // deadline. One that comes slowly, byte by byte, has its attempt's time.
 const maxResponseGap = 300 * time.Millisecond
 
-const readBufferSize = 4 << 10
+const readBufferBytes = 4 << 10
 
 // Headers of responses that the protocol defines.
 const (
@@ -26,7 +26,7 @@
 	notRun = "1"
 )
 
-var errNoLength = errors.New("only the connection's end says that the response is complete")
+var errNoLength = errors.New("response has neither a length nor a transfer encoding")
 
 // responseReader reads the responses of one connection. Nothing that an endpoint sends takes more memory or time than a response may.
 type responseReader struct {
@@ -39,7 +39,7 @@
 func newResponseReader(conn net.Conn) *responseReader {
 	r := &responseReader{conn: conn}
 	r.limit.R = r
-	r.buffered = bufio.NewReaderSize(&r.limit, readBufferSize)
+	r.buffered = bufio.NewReaderSize(&r.limit, readBufferBytes)
 	return r
 }
 
--- /dev/null
+++ b/internal/upstream/transfer.go
@@ -0,0 +1,93 @@
+package upstream
+
+import (
+	"errors"
+	"io"
+	"net"
+	"os"
+	"time"
+
+	"switchfork/internal/protocol"
+)
+
+// maxInlineWriteBytes is the longest request that the worker's goroutine writes itself: it fits into the send buffer of a connection that
+// has nothing else outstanding, so that the write does not block. A longer one gets a goroutine.
+const maxInlineWriteBytes = 8 << 10
+
+// write sends an exchange's request on a connection.
+func (w *worker) write(conn *connection, exchange *httpExchange) {
+	request := exchange.Encoded.Bytes(time.Until(exchange.Deadline))
+	conn.readNext <- struct{}{} // a response that comes before the last byte is written is read too
+	conn.exchange = exchange
+	exchange.connection, exchange.isWritten, exchange.lostResult = conn, false, protocol.Succeeded
+	if exchange.isOutdated(w.pool.dialer.Timeout) {
+		w.finish(exchange, protocol.NotSent, nil)
+		return
+	}
+	if len(request) <= maxInlineWriteBytes {
+		_, err := conn.Write(request)
+		w.writeFinished(writeResult{exchange, conn, err})
+		return
+	}
+	go func() {
+		// Both fail only on a closed connection, which Write and the reader report.
+		_ = conn.SetWriteDeadline(exchange.writeDeadline())
+		_, err := conn.Write(request)
+		_ = conn.SetWriteDeadline(time.Time{})
+		w.mailbox.Put(writeResult{exchange, conn, err})
+	}()
+}
+
+// writeFinished handles the end of a write. A request that was not written completely has not run. Where a reused connection fails, the
+// endpoint may have closed it while the request was being written: that is no evidence about its health, and another connection is tried.
+func (w *worker) writeFinished(r writeResult) {
+	exchange := r.exchange
+	switch {
+	case exchange.isFinished:
+	case r.err != nil:
+		w.writeFailed(r)
+	case exchange.lostResult != protocol.Succeeded:
+		w.finish(exchange, exchange.lostResult, nil)
+	default:
+		exchange.isWritten = true
+	}
+}
+
+func (w *worker) writeFailed(r writeResult) {
+	exchange := r.exchange
+	w.idle.close(r.connection)
+	exchange.connection = nil
+	if r.connection.wasUsed {
+		w.start(exchange)
+		return
+	}
+	w.finish(exchange, protocol.LostBeforeSent, nil)
+}
+
+func (w *worker) readFinished(r readResult) {
+	conn, exchange := r.connection, r.connection.exchange
+	if conn.isClosed || exchange == nil {
+		return
+	}
+	switch {
+	case r.err == nil:
+		w.finish(exchange, exchange.resultOf(r.response), r.response)
+	case exchange.isWritten:
+		w.finish(exchange, readErrorResult(r.err), nil)
+	default:
+		exchange.lostResult = readErrorResult(r.err)
+		w.idle.close(conn) // the result of the write is still to come
+	}
+}
+
+// readErrorResult tells a connection's end from a response that can't be read.
+func readErrorResult(err error) protocol.Result {
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		return protocol.Malformed // a response has begun, and then no more of it came
+	}
+	var opError *net.OpError
+	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &opError) {
+		return protocol.LostAfterSent
+	}
+	return protocol.Malformed
+}
