--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -75,9 +75,10 @@
 // has both, net/http follows the chunks and drops the length, and what another reader takes for the rest of the body would pass as the
 // next request; so nothing behind it is read.
 func rejectTransferEncoding(w http.ResponseWriter) {
+	invalid := &requestError{status: http.StatusLengthRequired, reason: "a body needs a Content-Length and no Transfer-Encoding"}
 	w.Header().Set("Connection", "close")
-	http.Error(w, "a body needs a Content-Length and no Transfer-Encoding", http.StatusLengthRequired)
-	ratelog.Warn("request411", "request rejected", "status", http.StatusLengthRequired)
+	http.Error(w, invalid.reason, invalid.status)
+	invalid.log()
 }
 
 // closeConnIfNeeded has a response end its connection during a drain, while descriptors for endpoints run short, and once for each client
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -38,7 +38,7 @@
 // Proxy serves clients.
 type Proxy struct {
 	loop            *agent.Loop
-	reader          *requestReader
+	decoder         *requestDecoder
 	lastRequestID   atomic.Uint64
 	openRequests    atomic.Int64
 	requestIDs      *requestIDSet
@@ -59,7 +59,7 @@
 func New(config Config) *Proxy {
 	p := &Proxy{
 		loop:            config.Loop,
-		reader:          &requestReader{config.Classes, config.Tenants},
+		decoder:         &requestDecoder{classes: config.Classes, tenants: config.Tenants},
 		requestIDs:      newRequestIDSet(),
 		maxOpenRequests: config.MaxOpenRequests,
 		maxRetryAfter:   config.MaxRetryAfter.Microseconds(),
@@ -84,7 +84,7 @@
 	p.clientKey = clientKey
 }
 
-// Listen opens the listener for clients; the health endpoint answers as soon as Serve runs.
+// Listen opens the listener for clients; the health endpoint answers as soon as Serve runs. Its error names the address.
 func (p *Proxy) Listen(address string) error {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
 	if err != nil {
--- a/internal/proxy/replies.go
+++ b/internal/proxy/replies.go
@@ -30,6 +30,11 @@
 // Error returns the reason, which is also the body of the response.
 func (e *requestError) Error() string { return e.reason }
 
+// log writes a warning, at most one a second for each status.
+func (e *requestError) log() {
+	ratelog.Warn("request"+strconv.Itoa(e.status), "request rejected", "status", e.status, "reason", e.reason)
+}
+
 // errorResponse answers a request that could not be read: with the status of a requestError, and not at all after any other error, which
 // means that the client went away or took too long.
 func errorResponse(r *http.Request, err error) (*http.Response, error) {
@@ -37,7 +42,7 @@
 	if !errors.As(err, &invalid) {
 		return nil, err
 	}
-	ratelog.Warn("request"+strconv.Itoa(invalid.status), "request rejected", "status", invalid.status, "reason", invalid.reason)
+	invalid.log()
 	return newResponse(r, invalid.status, plainText, []byte(invalid.reason+"\n")), nil
 }
 
--- a/internal/proxy/request_reader.go
+++ b/internal/proxy/request_decoder.go
@@ -2,11 +2,9 @@
 
 import (
 	"fmt"
-	"math"
 	"net/http"
 	"net/url"
 	"slices"
-	"strconv"
 	"strings"
 	"time"
 
@@ -14,26 +12,6 @@
 	"switchfork/internal/protocol"
 )
 
-// Headers of the protocol with clients.
-const (
-	requestIDHeader      = "X-Request-Id"
-	classHeader          = "X-Class"
-	deadlineHeader       = "X-Deadline-Ms"
-	idempotencyKeyHeader = "Idempotency-Key"
-	tenantHeader         = "X-Tenant"
-	costHintHeader       = "X-Cost-Hint"
-	retryHeader          = "X-Retry"
-)
-
-// maxCostHint bounds the cost hints that are believed, in microseconds.
-const maxCostHint = 1e9
-
-// sessionKeyDigits is the length of a session key that is written as a 64-bit hexadecimal number.
-const sessionKeyDigits = 16
-
-// singleHeaders are the headers of which a second would leave open which one an endpoint goes by.
-var singleHeaders = []string{requestIDHeader, classHeader, deadlineHeader, idempotencyKeyHeader}
-
 // RequestClass is a class of requests as the configuration has it.
 type RequestClass struct {
 	Name        string // the first segment of the path
@@ -52,14 +30,14 @@
 	isRetry  bool
 }
 
-// requestReader decodes clients' requests.
-type requestReader struct {
+// requestDecoder decodes clients' requests. It has no state beyond its configuration.
+type requestDecoder struct {
 	classes []RequestClass
 	tenants []string
 }
 
-// read decodes a request. Its errors are of type *requestError.
-func (d *requestReader) read(r *http.Request, target string) (*clientRequest, error) {
+// decode decodes a request. Its errors are of type *requestError.
+func (d *requestDecoder) decode(r *http.Request, target string) (*clientRequest, error) {
 	path, query, _ := strings.Cut(target, "?")
 	if err := checkSingleHeaders(r.Header); err != nil {
 		return nil, err
@@ -88,20 +66,11 @@
 }
 
 func badRequest(format string, args ...any) error {
-	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
-}
-
-func checkSingleHeaders(header http.Header) error {
-	for _, name := range singleHeaders {
-		if len(header[name]) > 1 {
-			return badRequest("more than one %s", name)
-		}
-	}
-	return nil
+	return &requestError{status: http.StatusBadRequest, reason: fmt.Sprintf(format, args...)}
 }
 
 // classOf finds the class that a path's first segment names.
-func (d *requestReader) classOf(path string) (int, error) {
+func (d *requestDecoder) classOf(path string) (int, error) {
 	segment, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	if class := d.indexOfClass(segment); class >= 0 {
 		return class, nil
@@ -113,10 +82,10 @@
 		}
 		segment = decoded
 	}
-	return 0, &requestError{http.StatusNotFound, fmt.Sprintf("no product %.40q", segment)}
+	return 0, &requestError{status: http.StatusNotFound, reason: fmt.Sprintf("no product %.40q", segment)}
 }
 
-func (d *requestReader) indexOfClass(name string) int {
+func (d *requestDecoder) indexOfClass(name string) int {
 	return slices.IndexFunc(d.classes, func(class RequestClass) bool { return class.Name == name })
 }
 
@@ -126,7 +95,10 @@
 		return badRequest("X-Class is %.40q under the path of %s", name, c.Name)
 	}
 	if r.Method != c.method() {
-		return &requestError{http.StatusMethodNotAllowed, fmt.Sprintf("%.20q is not the method of %s", r.Method, c.Name)}
+		return &requestError{
+			status: http.StatusMethodNotAllowed,
+			reason: fmt.Sprintf("%.20q is not the method of %s", r.Method, c.Name),
+		}
 	}
 	if c.Idempotency == policy.Keyed && r.Header.Get(idempotencyKeyHeader) == "" {
 		return badRequest("no Idempotency-Key")
@@ -156,52 +128,10 @@
 	return 0
 }
 
-// timeoutOf returns how long a client waits: by its header, or else as long as its class says.
-func timeoutOf(header http.Header, classTimeout time.Duration) (time.Duration, error) {
-	timeout := classTimeout
-	if text := header.Get(deadlineHeader); text != "" {
-		milliseconds, err := strconv.ParseInt(text, 10, 64)
-		if err != nil || milliseconds > math.MaxInt32 {
-			return 0, badRequest("X-Deadline-Ms is %.20q", text)
-		}
-		timeout = time.Duration(milliseconds) * time.Millisecond
-	}
-	if timeout <= 0 {
-		return 0, &requestError{http.StatusGatewayTimeout, "its time is over"}
-	}
-	return timeout, nil
-}
-
 // tenantOf returns the tenant's id. All tenants that are not configured share one.
-func (d *requestReader) tenantOf(header http.Header) int {
+func (d *requestDecoder) tenantOf(header http.Header) int {
 	if tenant := slices.Index(d.tenants, header.Get(tenantHeader)); tenant >= 0 {
 		return tenant
 	}
 	return len(d.tenants)
 }
-
-// costHintOf returns the client's estimate of the work, 0 where it has none that can be believed.
-func costHintOf(header http.Header) policy.Micros {
-	hint, err := strconv.ParseFloat(header.Get(costHintHeader), 64)
-	if err != nil || !(hint > 0 && hint < maxCostHint) {
-		return 0
-	}
-	return policy.Micros(hint)
-}
-
-// sessionKey returns the 64 bits of the query's sid, or a hash of what else it holds; 0 where there is none.
-func sessionKey(query string) uint64 {
-	for query != "" {
-		var pair string
-		pair, query, _ = strings.Cut(query, "&")
-		sid, ok := strings.CutPrefix(pair, "sid=")
-		if !ok || sid == "" {
-			continue
-		}
-		if key, err := strconv.ParseUint(sid, 16, 64); err == nil && len(sid) == sessionKeyDigits && key != 0 {
-			return key
-		}
-		return protocol.Hash64(sid)
-	}
-	return 0
-}
--- /dev/null
+++ b/internal/proxy/request_headers.go
@@ -0,0 +1,86 @@
+package proxy
+
+import (
+	"math"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"switchfork/internal/policy"
+	"switchfork/internal/protocol"
+)
+
+// Headers of the protocol with clients.
+const (
+	requestIDHeader      = "X-Request-Id"
+	classHeader          = "X-Class"
+	deadlineHeader       = "X-Deadline-Ms"
+	idempotencyKeyHeader = "Idempotency-Key"
+	tenantHeader         = "X-Tenant"
+	costHintHeader       = "X-Cost-Hint"
+	retryHeader          = "X-Retry"
+)
+
+// maxCostHintMicros bounds the cost hints that are believed.
+const maxCostHintMicros = 1e9
+
+// sessionKeyDigits is the length of a session key that is written as a 64-bit hexadecimal number.
+const sessionKeyDigits = 16
+
+// singleHeaders are the headers of which a second would leave open which one an endpoint goes by.
+var singleHeaders = []string{requestIDHeader, classHeader, deadlineHeader, idempotencyKeyHeader}
+
+func checkSingleHeaders(header http.Header) error {
+	for _, name := range singleHeaders {
+		if len(header[name]) > 1 {
+			return badRequest("more than one %s", name)
+		}
+	}
+	return nil
+}
+
+// timeoutOf returns how long a client waits: by its header, or else as long as its class says.
+func timeoutOf(header http.Header, classTimeout time.Duration) (time.Duration, error) {
+	timeout := classTimeout
+	if text := header.Get(deadlineHeader); text != "" {
+		milliseconds, err := strconv.ParseInt(text, 10, 64)
+		if err != nil || milliseconds > math.MaxInt32 {
+			return 0, badRequest("X-Deadline-Ms is %.20q", text)
+		}
+		timeout = time.Duration(milliseconds) * time.Millisecond
+	}
+	if timeout <= 0 {
+		return 0, &requestError{status: http.StatusGatewayTimeout, reason: "its time is over"}
+	}
+	return timeout, nil
+}
+
+// costHintOf returns the client's estimate of the work, 0 where it has none that can be believed.
+func costHintOf(header http.Header) policy.Micros {
+	hint, err := strconv.ParseFloat(header.Get(costHintHeader), 64)
+	isCredible := err == nil && hint > 0 && hint < maxCostHintMicros
+	if !isCredible {
+		return 0
+	}
+	return policy.Micros(hint)
+}
+
+// sessionKey returns the 64 bits of the query's sid, or a hash of what else it holds; 0 where there is none.
+func sessionKey(query string) uint64 {
+	for query != "" {
+		var pair string
+		pair, query, _ = strings.Cut(query, "&")
+		sid, ok := strings.CutPrefix(pair, "sid=")
+		if !ok || sid == "" {
+			continue
+		}
+		key, err := strconv.ParseUint(sid, 16, 64)
+		isSessionKey := err == nil && len(sid) == sessionKeyDigits && key != 0
+		if isSessionKey {
+			return key
+		}
+		return protocol.Hash64(sid)
+	}
+	return 0
+}
--- a/internal/proxy/round_trip.go
+++ b/internal/proxy/round_trip.go
@@ -22,14 +22,13 @@
 	}
 	receivedAt := time.Now().Add(-queueDelay(r))
 	defer p.openRequests.Add(-1)
-	if open, limit := p.openRequests.Add(1), min(p.maxOpenRequests, p.budget.MaxRequests()); p.admission == nil && open > int64(limit) {
-		ratelog.Warn("open", "too many open requests", "max", limit)
+	if p.exceedsOpenRequests(p.openRequests.Add(1)) {
 		// As when the router is at its own limit: rejected before the router has it. This is overload, so nobody should be back soon.
 		return replyResponse(agent.Reply{Rejected: true, RetryAfter: p.maxRetryAfter}, r), nil
 	}
 	requestID := r.Header.Get(requestIDHeader)
 	if !p.requestIDs.reserve(requestID) {
-		return errorResponse(r, &requestError{http.StatusConflict, "X-Request-Id is that of an open txn"})
+		return errorResponse(r, &requestError{status: http.StatusConflict, reason: "X-Request-Id is that of an open txn"})
 	}
 	request := p.newRequest(r, received, receivedAt, func() { p.requestIDs.release(requestID) })
 	cancel := p.forward(r, received, request, receivedAt)
@@ -46,6 +45,16 @@
 	}
 }
 
+// exceedsOpenRequests tells whether so many open requests are too many. An admission loop bounds them itself.
+func (p *Proxy) exceedsOpenRequests(open int64) bool {
+	limit := min(p.maxOpenRequests, p.budget.MaxRequests())
+	if p.admission != nil || open <= int64(limit) {
+		return false
+	}
+	ratelog.Warn("open requests", "too many open requests", "max", limit)
+	return true
+}
+
 // receivedRequest is a client's request that has been read whole.
 type receivedRequest struct {
 	*clientRequest
@@ -59,13 +68,13 @@
 	if !strings.HasPrefix(target, "/") {
 		target = r.URL.RequestURI()
 	}
-	decoded, err := p.reader.read(r, target)
+	decoded, err := p.decoder.decode(r, target)
 	if err != nil {
 		return nil, err
 	}
 	body, err := protocol.ReadBody(r.Body, r.ContentLength)
 	if errors.Is(err, protocol.ErrBodyTooLong) {
-		return nil, &requestError{http.StatusRequestEntityTooLarge, err.Error()}
+		return nil, &requestError{status: http.StatusRequestEntityTooLarge, reason: err.Error()}
 	}
 	if err != nil {
 		return nil, err
