--- a/internal/proxy/admission_loop.go
+++ b/internal/proxy/admission_loop.go
@@ -20,7 +20,8 @@
 // AdmissionLoop drives an admission controller: it holds requests back until the controller admits them to the event loop, rejects
 // them, or has them answered with the reply of the request that they repeat.
 //
-// The goroutine that runs Serve owns all its state. The other methods may be called by any goroutine.
+// The goroutine that runs Serve owns all its state. The other methods may be called by any goroutine. Its mailbox keeps the order in which
+// requests arrive, which is the order in which the controller sees them, and a request's arrival before its cancellation.
 type AdmissionLoop struct {
 	controller *admission.Controller
 	clock      agent.Clock
@@ -44,116 +45,116 @@
 }
 
 // Serve handles messages and timers until the context ends.
-func (g *AdmissionLoop) Serve(ctx context.Context) {
+func (l *AdmissionLoop) Serve(ctx context.Context) {
 	timer := time.NewTimer(idleTimerInterval)
 	summaries := time.NewTicker(summaryInterval)
 	defer summaries.Stop()
 	var messages []admissionMessage
 	for {
-		timer.Reset(g.untilNextTimer())
+		timer.Reset(l.untilNextTimer())
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-g.mailbox.Ready():
+		case <-l.mailbox.Ready():
 		case <-summaries.C:
-			g.logSummary()
+			l.logSummary()
 		}
-		messages = g.mailbox.Take(messages)
+		messages = l.mailbox.Take(messages)
 		for _, message := range messages {
-			g.handle(message)
+			l.handle(message)
 		}
-		if next := g.controller.NextTimer(); next > 0 && next <= g.clock.Now() {
-			g.execute(g.controller.TimerFired(g.clock.Now()))
+		if next := l.controller.NextTimer(); next > 0 && next <= l.clock.Now() {
+			l.execute(l.controller.TimerFired(l.clock.Now()))
 		}
 	}
 }
 
 // untilNextTimer returns how long the controller may be left alone while no message comes.
-func (g *AdmissionLoop) untilNextTimer() time.Duration {
-	next := g.controller.NextTimer()
+func (l *AdmissionLoop) untilNextTimer() time.Duration {
+	next := l.controller.NextTimer()
 	if next <= 0 {
 		return idleTimerInterval
 	}
-	return max(0, time.Duration(next-g.clock.Now())*time.Microsecond)
+	return max(0, time.Duration(next-l.clock.Now())*time.Microsecond)
 }
 
-func (g *AdmissionLoop) handle(message admissionMessage) {
-	now := g.clock.Now()
+func (l *AdmissionLoop) handle(message admissionMessage) {
+	now := l.clock.Now()
 	switch m := message.(type) {
 	case requestArrival:
-		g.waiting[m.arrival.ID] = m
-		g.execute(g.controller.Arrive(now, m.arrival))
+		l.waiting[m.arrival.ID] = m
+		l.execute(l.controller.Arrive(now, m.arrival))
 	case attemptSent:
-		g.execute(g.controller.AttemptSent(now, m.id))
+		l.execute(l.controller.AttemptSent(now, m.id))
 	case requestFinished:
-		delete(g.inProgress, m.id)
-		g.execute(g.controller.Finish(now, m.id, m.result))
+		delete(l.inProgress, m.id)
+		l.execute(l.controller.Finish(now, m.id, m.result))
 	case requestCancelled:
-		g.cancel(now, m.id)
+		l.cancel(now, m.id)
 	case drainStarted:
-		g.execute(g.controller.Drain(now, g.clock.At(m.deadline)))
+		l.execute(l.controller.Drain(now, l.clock.At(m.deadline)))
 	case weightsUpdate:
-		g.controller.SetWeights(m.tenants)
+		l.controller.SetWeights(m.tenants)
 	case summaryRequest:
-		g.logSummary()
+		l.logSummary()
 		close(m.done)
 	case statusQuery:
-		m.reply <- g.status()
+		m.reply <- l.status()
 	}
 }
 
 // cancel takes a request back. The event loop reports an admitted one as finished when nothing of it is in flight any more.
-func (g *AdmissionLoop) cancel(now policy.Micros, id uint64) {
-	if g.inProgress[id] {
-		g.loop.Enqueue(policy.RequestCancelled{RequestID: id})
+func (l *AdmissionLoop) cancel(now policy.Micros, id uint64) {
+	if l.inProgress[id] {
+		l.loop.Enqueue(policy.RequestCancelled{RequestID: id})
 		return
 	}
-	g.remove(id)
-	g.execute(g.controller.Abandon(now, id))
+	l.remove(id)
+	l.execute(l.controller.Abandon(now, id))
 }
 
 // execute carries the controller's commands out.
-func (g *AdmissionLoop) execute(commands []admission.Command) {
+func (l *AdmissionLoop) execute(commands []admission.Command) {
 	for _, command := range commands {
 		switch command.Kind {
 		case admission.Admit:
-			g.admit(command.ID)
+			l.admit(command.ID)
 		case admission.Reject:
-			if rejected, ok := g.remove(command.ID); ok {
+			if rejected, ok := l.remove(command.ID); ok {
 				rejected.request.Deliver(agent.Reply{Rejected: true, RetryAfter: command.RetryAfter})
 			}
 		case admission.Coalesce:
-			if retry, ok := g.remove(command.ID); ok {
-				g.loop.Coalesce(command.LeaderID, retry.request)
+			if retry, ok := l.remove(command.ID); ok {
+				l.loop.Coalesce(command.LeaderID, retry.request)
 			}
 		}
 	}
 }
 
 // admit hands a request to the event loop, which reports back its first attempt and its end.
-func (g *AdmissionLoop) admit(id uint64) {
-	admitted := g.waiting[id]
-	delete(g.waiting, id)
-	g.inProgress[id] = true
+func (l *AdmissionLoop) admit(id uint64) {
+	admitted := l.waiting[id]
+	delete(l.waiting, id)
+	l.inProgress[id] = true
 	request, onDone := admitted.request, admitted.request.OnDone
-	request.OnFirstAttempt = func() { g.mailbox.Put(attemptSent{id}) }
+	request.OnFirstAttempt = func() { l.mailbox.Put(attemptSent{id}) }
 	request.OnDone = func() {
 		if onDone != nil {
 			onDone()
 		}
-		g.mailbox.Put(requestFinished{id, request.Result()})
+		l.mailbox.Put(requestFinished{id, request.Result()})
 	}
-	g.loop.Admit(admitted.event, request)
+	l.loop.Admit(admitted.event, request)
 }
 
 // remove takes a request off those that wait, and reports whether it was one of them.
-func (g *AdmissionLoop) remove(id uint64) (removed requestArrival, ok bool) {
-	removed, ok = g.waiting[id]
+func (l *AdmissionLoop) remove(id uint64) (removed requestArrival, ok bool) {
+	removed, ok = l.waiting[id]
 	if !ok {
 		return removed, false
 	}
-	delete(g.waiting, id)
+	delete(l.waiting, id)
 	if removed.request.OnDone != nil {
 		removed.request.OnDone()
 	}
@@ -161,9 +162,9 @@
 }
 
 // Status returns the admission loop's status, or an empty one where the context ends first.
-func (g *AdmissionLoop) Status(ctx context.Context) (status AdmissionStatus) {
+func (l *AdmissionLoop) Status(ctx context.Context) (status AdmissionStatus) {
 	reply := make(chan AdmissionStatus, 1)
-	g.mailbox.Put(statusQuery{reply})
+	l.mailbox.Put(statusQuery{reply})
 	select {
 	case status = <-reply:
 	case <-ctx.Done():
@@ -172,14 +173,14 @@
 }
 
 // SetWeights puts other weights of the tenants in force.
-func (g *AdmissionLoop) SetWeights(tenants []admission.Tenant) {
-	g.mailbox.Put(weightsUpdate{tenants})
+func (l *AdmissionLoop) SetWeights(tenants []admission.Tenant) {
+	l.mailbox.Put(weightsUpdate{tenants})
 }
 
 // Close writes the last summary to the log.
-func (g *AdmissionLoop) Close(ctx context.Context) {
+func (l *AdmissionLoop) Close(ctx context.Context) {
 	done := make(chan struct{})
-	g.mailbox.Put(summaryRequest{done})
+	l.mailbox.Put(summaryRequest{done})
 	select {
 	case <-done:
 	case <-ctx.Done():
--- a/internal/proxy/admission_summary.go
+++ b/internal/proxy/admission_summary.go
@@ -13,17 +13,17 @@
 }
 
 // status returns the controller's state. Only the goroutine that runs Serve may call it.
-func (g *AdmissionLoop) status() AdmissionStatus {
-	return AdmissionStatus{g.controller.Status(), g.controller.Counters}
+func (l *AdmissionLoop) status() AdmissionStatus {
+	return AdmissionStatus{l.controller.Status(), l.controller.Counters}
 }
 
 // logSummary writes a summary to the log if anything has happened since the last one.
-func (g *AdmissionLoop) logSummary() {
-	now := g.status()
-	if now.Arrived != g.lastLogged.Arrived || now.Waiting > 0 {
-		writeSummary(now, g.lastLogged)
+func (l *AdmissionLoop) logSummary() {
+	now := l.status()
+	if now.Arrived != l.lastLogged.Arrived || now.Waiting > 0 {
+		writeSummary(now, l.lastLogged)
 	}
-	g.lastLogged = now
+	l.lastLogged = now
 }
 
 // writeSummary logs gauges as they are, and counters as their increase since the last summary.
--- a/internal/proxy/buffers.go
+++ b/internal/proxy/buffers.go
@@ -2,19 +2,19 @@
 
 import "sync"
 
-// copyBufferSize is the size of a copy buffer; most response bodies fit.
-const copyBufferSize = 4 << 10
+// copyBufferBytes is the size of a copy buffer; most response bodies fit.
+const copyBufferBytes = 4 << 10
 
-// bufferPool lends httputil.ReverseProxy its copy buffers. A new buffer for each response took a tenth of the agent's processor time.
+// bufferPool lends httputil.ReverseProxy its copy buffers. A new buffer for each response would cost much of the agent's processor time.
 type bufferPool struct{ pool sync.Pool }
 
 // Get returns a buffer from the pool, or a new one where the pool is empty.
 func (b *bufferPool) Get() []byte {
-	if buffer, ok := b.pool.Get().(*[copyBufferSize]byte); ok {
+	if buffer, ok := b.pool.Get().(*[copyBufferBytes]byte); ok {
 		return buffer[:]
 	}
-	return make([]byte, copyBufferSize)
+	return make([]byte, copyBufferBytes)
 }
 
 // Put takes a buffer back.
-func (b *bufferPool) Put(buffer []byte) { b.pool.Put((*[copyBufferSize]byte)(buffer)) }
+func (b *bufferPool) Put(buffer []byte) { b.pool.Put((*[copyBufferBytes]byte)(buffer)) }
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -19,12 +19,12 @@
 	// that is closed with bytes unread is reset by the system, and the reset may overtake the response. http.Server waits as long after
 	// its response to a head that is too long.
 	defaultLingerTimeout = 500 * time.Millisecond
-	// readAheadLimit bounds what is kept of bytes that come before the response to the last request.
-	readAheadLimit = 4 << 10
-	// readAheadChunk is how much of them is read at a time.
-	readAheadChunk = 256
-	// discardChunk is how much is read at a time of what nobody waits for.
-	discardChunk = 1 << 10
+	// readAheadLimitBytes bounds what is kept of bytes that come before the response to the last request.
+	readAheadLimitBytes = 4 << 10
+	// readAheadChunkBytes is how much of them is read at a time.
+	readAheadChunkBytes = 256
+	// discardChunkBytes is how much is read at a time of what nobody waits for.
+	discardChunkBytes = 1 << 10
 )
 
 // clientConn is a client's connection. Whether it carries a request is known in the moment of the read: bytes are taken from the system
@@ -84,7 +84,7 @@
 			return 0, true, io.EOF
 		case c.timedOut:
 			return 0, true, os.ErrDeadlineExceeded
-		case len(c.readAhead) > 0 && (!keepsBytes || len(c.readAhead) >= readAheadLimit):
+		case len(c.readAhead) > 0 && (!keepsBytes || len(c.readAhead) >= readAheadLimitBytes):
 			n = copy(b, c.readAhead)
 			c.readAhead = c.readAhead[n:]
 			c.startReading()
@@ -92,7 +92,7 @@
 		}
 		buffer := b
 		if keepsBytes {
-			buffer = make([]byte, readAheadChunk)
+			buffer = make([]byte, readAheadChunkBytes)
 		}
 		n, err = unix.Read(fd, buffer)
 		switch {
@@ -141,7 +141,8 @@
 		c.stateTimer.Stop()
 	}
 	c.stateDeadline = time.Time{}
-	c.isLingering = (c.hasWritten || c.isHalfClosed) && !c.isLingering
+	mayCross := c.hasWritten || c.isHalfClosed // a response may be unread, or a request on its way
+	c.isLingering = mayCross && !c.isLingering
 	wasRetired := c.isHalfClosed
 	c.setState(stateRetired)
 	isLingering := c.isLingering
@@ -149,7 +150,7 @@
 	if isLingering && (wasRetired || c.CloseWrite() == nil) {
 		c.setReadDeadline(time.Now().Add(c.listener.lingerTimeout))
 		if dropped := c.discardUntilClosed(); wasRetired && dropped > 0 {
-			ratelog.Warn("crossed", "a request crossed the end of an unused connection and was not read", "bytes", dropped)
+			ratelog.Warn("unread request", "a request crossed the end of an unused connection and was not read", "bytes", dropped)
 		}
 	}
 	return c.TCPConn.Close()
@@ -158,7 +159,7 @@
 // discardUntilClosed reads and drops what the client sends until it closes its side, or until the read deadline. It returns how many bytes
 // came.
 func (c *clientConn) discardUntilClosed() (dropped int) {
-	buffer := make([]byte, discardChunk)
+	buffer := make([]byte, discardChunkBytes)
 	for {
 		n, err := c.TCPConn.Read(buffer)
 		dropped += n
--- a/internal/proxy/client_conn_test.go
+++ b/internal/proxy/client_conn_test.go
@@ -18,7 +18,7 @@
 // Neither a shortage of descriptors nor the limit of idle connections nor a timeout ends a connection of which a byte has been read or
 // waits to be read. A connection that carries nothing is ended instead.
 func TestRetireSparesStartedRequest(t *testing.T) {
-	server := newTestServer(t, 64, false)
+	server := newTestServer(t, false)
 	reading, silent := server.dial(t), server.dial(t)
 	raw := rawRequest("lookup")
 	reading.send(raw[:5])
@@ -52,7 +52,7 @@
 
 // A connection's last response is not overtaken by a reset, though the client goes on sending behind its request.
 func TestLastResponseIsNotReset(t *testing.T) {
-	server := newTestServer(t, 64, true)
+	server := newTestServer(t, true)
 	client := server.dial(t)
 	client.send("GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: last\r\nConnection: close\r\n\r\n")
 	server.waitForState(t, client, stateAwaiting)
@@ -60,7 +60,7 @@
 	conn := server.serverConn(t, client)
 	client.send(strings.Repeat("x", 32<<10)) // far more than is read ahead
 	waitForConn(t, "more than is read ahead", conn, func() bool {
-		return len(conn.readAhead) >= readAheadLimit-1 && !tcpconn.IsOpenWithoutInput(conn.TCPConn)
+		return len(conn.readAhead) >= readAheadLimitBytes-1 && !tcpconn.IsOpenWithoutInput(conn.TCPConn)
 	})
 	server.rejectAll()
 	client.expectResponse(http.StatusServiceUnavailable, true)
@@ -72,7 +72,7 @@
 // A client's disconnection is detected whether or not it sent something before its response.
 func TestDisconnectAfterEarlyBytes(t *testing.T) {
 	for _, early := range []string{"", "G", strings.Repeat("x", 300)} {
-		server := newTestServer(t, 64, true)
+		server := newTestServer(t, true)
 		client := server.dial(t)
 		client.send(rawRequest("lookup"))
 		server.waitForState(t, client, stateAwaiting)
@@ -88,7 +88,7 @@
 
 // Bytes that come before a response are the start of the next request.
 func TestEarlyBytesStartNextRequest(t *testing.T) {
-	server := newTestServer(t, 64, true)
+	server := newTestServer(t, true)
 	client := server.dial(t)
 	client.send(rawRequest("lookup"))
 	server.waitForState(t, client, stateAwaiting)
@@ -136,7 +136,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := newTestServer(t, 64, false)
+			server := newTestServer(t, false)
 			listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -189,7 +189,7 @@
 
 // A client that sends requests and reads no response keeps its descriptor little longer than its deadline.
 func TestUnreadResponses(t *testing.T) {
-	server := newTestServer(t, 64, false)
+	server := newTestServer(t, false)
 	client := server.dial(t)
 	if err := client.Conn.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
 		t.Fatal(err)
--- a/internal/proxy/client_listener_test.go
+++ b/internal/proxy/client_listener_test.go
@@ -25,7 +25,7 @@
 
 // A listener that is shut down ends Serve without an error.
 func TestListenerShutdown(t *testing.T) {
-	server := newTestServer(t, 64, false)
+	server := newTestServer(t, false)
 	server.proxy.listener.shutdown()
 	if err := <-server.served; err != nil {
 		t.Errorf("serving ended with %v", err)
--- a/internal/proxy/conn_eviction.go
+++ b/internal/proxy/conn_eviction.go
@@ -42,7 +42,7 @@
 	if freed == 0 && waited >= responseWait {
 		retired = l.retireLongestIdle(min(waiting, 1+len(l.idleSince)/idleBatchParts), now)
 	}
-	ratelog.Warn("door", "no descriptor left for a client", "open", len(l.conns), "idle", len(l.idleSince),
+	ratelog.Warn("client descriptor", "no descriptor left for a client", "open", len(l.conns), "idle", len(l.idleSince),
 		"silent", freed, "retired", retired, "waiting", waiting)
 }
 
@@ -58,13 +58,13 @@
 	return isLingering || isSilent && c.retire()
 }
 
-// retireLongestIdle retires at most so many of the connections that have been idle longest, and returns how many. The lock is held.
-func (l *clientListener) retireLongestIdle(most int, now time.Time) (retired int) {
+// retireLongestIdle retires at most limit of the connections that have been idle longest, and returns how many. The lock is held.
+func (l *clientListener) retireLongestIdle(limit int, now time.Time) (retired int) {
 	idle := slices.SortedFunc(maps.Keys(l.idleSince), func(a, b *clientConn) int {
 		return l.idleSince[a].Compare(l.idleSince[b])
 	})
 	for _, c := range idle {
-		if retired == most || now.Sub(l.idleSince[c]) < minIdleTime {
+		if retired == limit || now.Sub(l.idleSince[c]) < minIdleTime {
 			break
 		}
 		delete(l.idleSince, c)
--- a/internal/proxy/conn_state.go
+++ b/internal/proxy/conn_state.go
@@ -49,7 +49,7 @@
 
 // startReading notes that bytes of a request have been read. The lock is held.
 func (c *clientConn) startReading() {
-	if c.state == stateNew || c.state == stateIdle {
+	if c.isUnused() {
 		c.startRequest()
 		c.setStateDeadline(c.requestStart.Add(headTimeout))
 	}
@@ -116,24 +116,26 @@
 		c.timedOut = true
 		c.setReadDeadline(pastDeadline)
 	}
-	isUnused := !isStale && (c.state == stateNew || c.state == stateIdle)
-	if isUnused && !c.retireLocked() { // its reader is about to find a byte
+	if !isStale && c.isUnused() && !c.retireLocked() { // its reader is about to find a byte
 		c.setStateDeadline(time.Now().Add(headTimeout))
 	}
 }
 
+// isUnused reports whether a connection carries no request. The lock is held.
+func (c *clientConn) isUnused() bool { return c.state == stateNew || c.state == stateIdle }
+
 // isUnusedFor reports whether a connection has carried no request for some time.
 func (c *clientConn) isUnusedFor(minIdle time.Duration, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return (c.state == stateNew || c.state == stateIdle) && now.Sub(c.stateSince) >= minIdle
+	return c.isUnused() && now.Sub(c.stateSince) >= minIdle
 }
 
 // retire ends a connection that carries no request, and reports whether it did. A connection with unread bytes is left alone.
 //
 // The client has to learn of the end at once: in whatever time passes between the look for unread bytes and the end, it finds the
-// connection open and sends a request that nobody reads. When the reader closed the connection some milliseconds after the look, one
-// restart with 280 clients reset 10 to 19 requests.
+// connection open and sends a request that nobody reads. So the look and the end are one step, and are not left to the reader, which would
+// come milliseconds later.
 func (c *clientConn) retire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -142,7 +144,7 @@
 
 // retireLocked is retire for callers that hold the lock.
 func (c *clientConn) retireLocked() bool {
-	if c.state != stateNew && c.state != stateIdle || !tcpconn.HalfCloseIfNoInput(c.raw) {
+	if !c.isUnused() || !tcpconn.HalfCloseIfNoInput(c.raw) {
 		return false
 	}
 	c.setState(stateRetired)
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -16,7 +16,7 @@
 // A request of which half the head was read when the drain starts is answered whenever its rest comes, on a kept connection as on a new
 // one. A connection on which nobody speaks ends by itself, without a reset.
 func TestDrainAnswersPartialHead(t *testing.T) {
-	server := newTestServer(t, 64, false)
+	server := newTestServer(t, false)
 	kept, fresh, quiet := server.dial(t), server.dial(t), server.dial(t)
 	for _, client := range []*testClient{kept, quiet} {
 		client.send(rawRequest("lookup"))
@@ -45,7 +45,7 @@
 
 // A client that connects before the listener closes is served: a connection in the system's queue would be reset.
 func TestDrainAcceptsLateConnections(t *testing.T) {
-	server := newTestServer(t, 64, true)
+	server := newTestServer(t, true)
 	first := server.dial(t)
 	first.send(rawRequest("lookup"))
 	server.waitForState(t, first, stateAwaiting)
@@ -66,7 +66,7 @@
 // A response may be written as one that keeps its connection just as the drain starts. The client's next request on it is answered as on
 // every kept connection, and its response ends the connection; where no request comes, the connection ends by itself within the drain.
 func TestDrainStartsDuringResponse(t *testing.T) {
-	server := newTestServer(t, 64, false)
+	server := newTestServer(t, false)
 	speaks, quiet := server.dial(t), server.dial(t)
 	for _, client := range []*testClient{speaks, quiet} {
 		client.send(rawRequest("lookup"))
@@ -96,7 +96,7 @@
 // Where the drain's time is shorter than the idle timeout, a connection without a request is ended before the process is, so that its client
 // finds an end and not a reset.
 func TestDrainEndsIdleConnectionsInTime(t *testing.T) {
-	server := newTestServer(t, 64, false)
+	server := newTestServer(t, false)
 	client := server.dial(t)
 	client.send(rawRequest("lookup"))
 	client.expectResponse(http.StatusServiceUnavailable, false)
@@ -111,7 +111,7 @@
 // Clients that go on connecting do not keep the listener open to the end of the drain: it closes when open requests are answered, early
 // enough for what has arrived to be answered as well.
 func TestDrainClosesListenerBeforeItsEnd(t *testing.T) {
-	server := newTestServer(t, 64, false)
+	server := newTestServer(t, false)
 	stays := server.dial(t)
 	stays.send(rawRequest("lookup")[:9]) // half a head: it stays connected
 	server.waitForState(t, stays, stateReading)
@@ -141,7 +141,7 @@
 
 // A request that crosses the end of an idle connection is dropped with the connection, and its client reads an end, not a reset.
 func TestRequestCrossesTheEnd(t *testing.T) {
-	server := newTestServer(t, 64, false)
+	server := newTestServer(t, false)
 	client := server.dial(t)
 	client.send(rawRequest("lookup"))
 	client.expectResponse(http.StatusServiceUnavailable, false)
@@ -160,7 +160,7 @@
 
 // Requests that are open at the deadline of a drain are answered then, and the drain ends in time.
 func TestDrainDeadline(t *testing.T) {
-	server := newTestServer(t, 64, true)
+	server := newTestServer(t, true)
 	client := server.dial(t)
 	client.send(rawRequest("lookup"))
 	server.waitForState(t, client, stateAwaiting)
--- a/internal/proxy/error_log.go
+++ b/internal/proxy/error_log.go
@@ -14,6 +14,6 @@
 
 // Write logs one line.
 func (errorLogWriter) Write(text []byte) (int, error) {
-	ratelog.Warn("server", "http server error", "text", strings.TrimSpace(string(text)))
+	ratelog.Warn("http server", "http server error", "text", strings.TrimSpace(string(text)))
 	return len(text), nil
 }
--- a/internal/proxy/handler_test.go
+++ b/internal/proxy/handler_test.go
@@ -10,7 +10,7 @@
 
 // A request class may be named like the path of the health endpoint.
 func TestClassNamedLikeHealthPath(t *testing.T) {
-	server := newTestServer(t, 64, false)
+	server := newTestServer(t, false)
 	client := server.dial(t)
 	client.send(rawRequest("_health?sid=1"))
 	client.expectResponse(http.StatusServiceUnavailable, false)
--- a/internal/proxy/random_clients_test.go
+++ b/internal/proxy/random_clients_test.go
@@ -182,7 +182,7 @@
 // gets as many responses as it sent requests, and all descriptors and request ids are released.
 func TestRandomClientSequences(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		clients := &randomClients{server: newTestServer(t, 64, true)}
+		clients := &randomClients{server: newTestServer(t, true)}
 		for range rapid.IntRange(1, maxRandomSteps).Draw(rt, "steps") {
 			if len(clients.open) < maxRandomClients && rapid.Bool().Draw(rt, "connects") {
 				clients.connect(t)
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -26,13 +26,16 @@
 	served chan error
 }
 
-// newTestServer starts a proxy with so many descriptors. With holdsRequests, requests stay open until rejectAll.
-func newTestServer(t *testing.T, descriptors int, holdsRequests bool) *testServer {
+// testDescriptors is the number of descriptors of a newTestServer.
+const testDescriptors = 64
+
+// newTestServer starts a proxy. With holdsRequests, requests stay open until rejectAll.
+func newTestServer(t *testing.T, holdsRequests bool) *testServer {
 	t.Helper()
-	return newLingeringServer(t, descriptors, holdsRequests, defaultLingerTimeout)
+	return newLingeringServer(t, testDescriptors, holdsRequests, defaultLingerTimeout)
 }
 
-// newLingeringServer starts a proxy whose connections stay half open for so long after their last response.
+// newLingeringServer starts a proxy with so many descriptors, whose connections stay half open for so long after their last response.
 func newLingeringServer(t *testing.T, descriptors int, holdsRequests bool, lingerTimeout time.Duration) *testServer {
 	t.Helper()
 	server := &testServer{Rig: agenttest.NewRig(t, time.Second), budget: connlimit.NewBudget(descriptors), served: make(chan error, 1)}
