--- a/internal/config/agent.go
+++ b/internal/config/agent.go
@@ -21,18 +21,25 @@
 )
 
 // Identity is the agent's name and the addresses that it serves on and connects to.
-type Identity struct{ Name, Listen, Discovery, Rollout string }
+type Identity struct {
+	Name      string
+	Listen    string // the address for clients
+	Discovery string
+	Rollout   string // the rollout controller
+}
 
 // ResourceLimits are the resources that the agent may use.
 type ResourceLimits struct {
-	Cores             float64
-	MemoryMB, Sockets int
+	Cores    float64
+	MemoryMB int
+	Sockets  int
 }
 
 // Peers is how agents reach each other; Listen is empty where they may not.
 type Peers struct {
-	Listen, Broadcast string
-	Addresses         []string
+	Listen    string
+	Broadcast string   // the address that reaches all agents; empty where there is none
+	Addresses []string // by the agents' indices
 }
 
 // Identity reads the agent's name and addresses.
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -57,7 +57,7 @@
 }
 
 func (s *Settings) idempotency(class int) policy.Idempotency {
-	return enum(s, classKey(class, classKeyIdempotency), map[string]policy.Idempotency{
+	return enum(s.keyValues, classKey(class, classKeyIdempotency), map[string]policy.Idempotency{
 		"read_like":       policy.Idempotent,
 		"idempotency_key": policy.Keyed,
 		"non_idempotent":  policy.NonIdempotent,
@@ -79,7 +79,7 @@
 func (s *Settings) policyClass(index int) policy.RequestClass {
 	class := policy.RequestClass{Idempotency: s.idempotency(index)}
 	if class.Idempotency == policy.Keyed {
-		class.DedupScope = enum(s, classKey(index, classKeyDedupScope), map[string]policy.DedupScope{
+		class.DedupScope = enum(s.keyValues, classKey(index, classKeyDedupScope), map[string]policy.DedupScope{
 			"all":  policy.DedupAll,
 			"zone": policy.DedupZone,
 			"cell": policy.DedupCell,
--- a/internal/config/connections.go
+++ b/internal/config/connections.go
@@ -13,12 +13,14 @@
 
 // Connections are the limits of an agent's connections to endpoints and to the rollout controller.
 type Connections struct {
-	DialTimeout, IdleTimeout, CallTimeout time.Duration
-	PollWithin                            time.Duration // the agent asks for the endpoint list at least this often; 0: it need not ask
-	MaxOpenRequests                       int           // requests that the agent may have open at a time
-	MaxRetryAfter                         time.Duration // the longest Retry-After that clients honor; 0: they honor none
-	HealthChecks                          bool
-	LoadReportFields                      []string // the fields of a load report, none where there are no reports
+	DialTimeout      time.Duration // within which a connection has to come up
+	IdleTimeout      time.Duration // after which an endpoint may close an idle connection
+	CallTimeout      time.Duration // of a call to the rollout controller
+	PollWithin       time.Duration // the agent asks for the endpoint list at least this often; 0: it need not ask
+	MaxOpenRequests  int           // requests that the agent may have open at a time
+	MaxRetryAfter    time.Duration // the longest Retry-After that clients honor; 0: they honor none
+	HealthChecks     bool
+	LoadReportFields []string // the fields of a load report, none where there are no reports
 }
 
 // Connections reads the limits of connections.
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -6,4 +6,5 @@
 	Reason string // a clause that goes on from the key: "is missing", "is 0; ..."
 }
 
+// Error names the setting and what is wrong with it.
 func (e *Error) Error() string { return "setting " + e.Key + " " + e.Reason }
--- a/internal/config/loadreport.go
+++ b/internal/config/load_report.go
@@ -4,23 +4,23 @@
 
 // Words for how load reports come. The simulator's files and the operators' ones use different words for the same.
 const (
-	loadReportsInline    = "inline"
-	loadReportsAnswers   = "answers"
-	loadReportsOnProbe   = "on_probe"
-	loadReportsWithProbe = "probe"
-	loadReportsOff       = "off"
-	loadReportsNone      = "none"
+	loadReportsInline          = "inline"
+	loadReportsAnswers         = "answers"
+	loadReportsOnHealthCheck   = "on_probe"
+	loadReportsWithHealthCheck = "probe"
+	loadReportsOff             = "off"
+	loadReportsNone            = "none"
 )
 
 // hasLoadReports reports whether answers carry load reports; an absent key means that they don't.
 func (s *Settings) hasLoadReports() bool {
-	return s.isSet(keyLoadReportMode) && enum(s, keyLoadReportMode, map[string]bool{
-		loadReportsInline:    true,
-		loadReportsAnswers:   true,
-		loadReportsOnProbe:   false,
-		loadReportsWithProbe: false,
-		loadReportsOff:       false,
-		loadReportsNone:      false,
+	return s.isSet(keyLoadReportMode) && enum(s.keyValues, keyLoadReportMode, map[string]bool{
+		loadReportsInline:          true,
+		loadReportsAnswers:         true,
+		loadReportsOnHealthCheck:   false,
+		loadReportsWithHealthCheck: false,
+		loadReportsOff:             false,
+		loadReportsNone:            false,
 	})
 }
 
@@ -47,7 +47,7 @@
 
 // hasWeights reports whether the endpoint list gives endpoints' weights. It does where the key is absent.
 func (s *Settings) hasWeights() bool {
-	return !s.isSet(keyWeights) || enum(s, keyWeights, map[string]bool{
+	return !s.isSet(keyWeights) || enum(s.keyValues, keyWeights, map[string]bool{
 		"off":     false,
 		"none":    false,
 		"nominal": true,
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -52,7 +52,7 @@
 // the configurations of two deployments.
 func (s *Settings) checkContradictions() {
 	mode := s.values[keyLoadReportMode]
-	needsHealthChecks := mode == loadReportsOnProbe || mode == loadReportsWithProbe
+	needsHealthChecks := mode == loadReportsOnHealthCheck || mode == loadReportsWithHealthCheck
 	if needsHealthChecks && s.isSet(keyHealthChecks) && !s.boolean(keyHealthChecks) {
 		s.recordError(keyLoadReportMode, "is %q, but %s%s is false: no report would come; expected inline or off",
 			mode, s.prefix, keyHealthChecks)
@@ -68,63 +68,3 @@
 			s.values[keyVotesToAdvance], s.prefix, keyVotingRule)
 	}
 }
-
-func (s *Settings) rolloutPlan() policy.RolloutPlan {
-	return policy.RolloutPlan{
-		Caps:            s.figureList(keyStageCaps),
-		Shares:          s.figureList(keyStageShares),
-		GuardedStages:   s.integer(keyGuardedStages),
-		KeysNeverGoBack: s.boolean(keyKeysNeverGoBack),
-		ReplacesInPlace: enum(s, keyReplacement, map[string]bool{"in_place": true, "beside": false}),
-	}
-}
-
-func (s *Settings) exposureLimit() policy.ExposureLimit {
-	return policy.ExposureLimit{
-		Window:    s.micros(keyExposureWindow),
-		Allowance: s.figure(keyExposureAllowance),
-		PerClass:  enum(s, keyExposureScope, map[string]bool{"class": true, "all": false}),
-	}
-}
-
-func (s *Settings) slowStart() policy.SlowStart {
-	return policy.SlowStart{
-		InitialCapacity:  s.figure(keyInitialCapacity),
-		Duration:         s.micros(keySlowStartDuration),
-		OverloadMultiple: s.figure(keyOverloadMultiple),
-		OverloadAfter:    s.micros(keyOverloadAfter),
-	}
-}
-
-func (s *Settings) retryLimits() policy.RetryLimits {
-	limits := policy.RetryLimits{
-		DrainGrace:  s.micros(keyDrainGrace),
-		AnswerGrace: s.micros(keyAnswerGrace),
-		MaxAttempts: s.integer(keyMaxAttempts),
-	}
-	if s.boolean(keyRetryAfter) {
-		limits.MaxRetryAfter = s.micros(keyMaxRetryAfter)
-	}
-	return limits
-}
-
-func (s *Settings) capabilities() policy.Capabilities {
-	return policy.Capabilities{
-		HealthChecks: s.boolean(keyHealthChecks),
-		Cancellation: s.boolean(keyCancellation),
-		Gossip:       s.boolean(keyGossip),
-		PollsEndpoints: enum(s, keyDiscoveryMode, map[string]bool{
-			discoverySubscribe: true,
-			discoveryAutomatic: false,
-		}),
-	}
-}
-
-func (s *Settings) costWeights() policy.CostWeights {
-	return policy.CostWeights{
-		CrossZone:   s.figureOrDefault(keyCrossZoneCost, 0),
-		Waste:       s.figureOrDefault(keyWasteCost, 0),
-		HealthCheck: s.figureOrDefault(keyHealthCheckCost, 0),
-		Gossip:      s.figureOrDefault(keyGossipCost, 0),
-	}
-}
--- a/internal/config/voting.go
+++ b/internal/config/voting.go
@@ -7,11 +7,13 @@
 
 // Voting is how votes on a rollout are counted, and by how many agents they are cast.
 type Voting struct {
-	Index, Agents             int
-	Rule                      policy.VotingRule
-	VotesToAdvance            int
-	VotesToRollback           int
-	CallTimeout, VoteLifetime policy.Micros
+	Index           int // this agent's own
+	Agents          int
+	Rule            policy.VotingRule
+	VotesToAdvance  int
+	VotesToRollback int
+	CallTimeout     policy.Micros
+	VoteLifetime    policy.Micros
 }
 
 // Voting reads the rules of votes. Their faults are reported by NewRouter, which reads the same keys.
@@ -28,7 +30,7 @@
 }
 
 func (s *Settings) votingRule() policy.VotingRule {
-	return enum(s, keyVotingRule, map[string]policy.VotingRule{
+	return enum(s.keyValues, keyVotingRule, map[string]policy.VotingRule{
 		"any":       policy.AnyVote,
 		"share":     policy.VoteShare,
 		votingTimer: policy.TimedStages,
