--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -2,15 +2,15 @@
 
 import "switchfork/internal/policy"
 
-// endpointEntryLength is the length of one endpoint in a list.
-const endpointEntryLength = 25
+// endpointEntryBytes is the length of one endpoint in a list.
+const endpointEntryBytes = 25
 
 // endpointLists are the lists that a batch sends ahead of the updates that name them, by their number.
 type endpointLists map[int][]policy.Endpoint
 
 // decodeEvent reads an event's fields, those after the instance's number. The fields stand in the protocol's order,
 // which the decoders below have to keep.
-func decodeEvent(kind recordKind, r *reader, lists endpointLists) (policy.Event, error) {
+func decodeEvent(kind eventKind, r *reader, lists endpointLists) (policy.Event, error) {
 	var event policy.Event
 	switch kind {
 	case kindEndpointUpdate:
@@ -40,6 +40,7 @@
 		}
 	case kindErrorReport:
 		event = policy.ErrorReport{Class: r.u16(), Age: r.micros("LatenessMs"), EndpointID: r.u32()}
+	case kindInstanceStarted, kindInstanceStopped, kindEndpointList: // the host handles these itself
 	}
 	return event, r.err
 }
@@ -49,7 +50,8 @@
 	r.u64() // not used by the policy
 	number := r.u8()
 	endpoints, isKnown := lists[number]
-	if kind > updateFailed || (kind != updateFailed && !isKnown) {
+	isComplete := kind == updateFailed || kind < updateFailed && isKnown
+	if !isComplete {
 		r.fail("endpoint update of kind %d names list %d", kind, number)
 	}
 	if kind == updateFailed {
@@ -113,7 +115,7 @@
 func decodeEndpointList(r *reader) (number int, endpoints []policy.Endpoint, err error) {
 	number = r.u8()
 	count := int(r.u32())
-	if count*endpointEntryLength > len(r.buf) {
+	if count*endpointEntryBytes > len(r.buf) {
 		r.fail("%d list entries do not fit in %d bytes", count, len(r.buf))
 	}
 	if r.err != nil {
--- a/internal/simprotocol/frame.go
+++ b/internal/simprotocol/frame.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	frameHeaderLength = 4       // the frame's length, itself included
-	minFrameLength    = 16      // the header, the number of records and the clock
-	maxFrameLength    = 1 << 30 // a length above this is a broken frame, not a batch
+	frameHeaderBytes = 4       // the frame's length, itself included
+	minFrameBytes    = 16      // the header, the number of records and the clock
+	maxFrameBytes    = 1 << 30 // a length above this is a broken frame, not a batch
 )
 
 var byteOrder = binary.LittleEndian
@@ -20,7 +20,7 @@
 
 // readFrame returns the body of the next frame, after its length.
 func readFrame(in io.Reader) ([]byte, error) {
-	var header [frameHeaderLength]byte
+	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
 		if errors.Is(err, io.EOF) {
 			return nil, errEndOfInput
@@ -28,10 +28,10 @@
 		return nil, fmt.Errorf("batch header cut short: %w", err)
 	}
 	length := byteOrder.Uint32(header[:])
-	if length < minFrameLength || length > maxFrameLength {
-		return nil, fmt.Errorf("batch length %d is not between %d and %d", length, minFrameLength, maxFrameLength)
+	if length < minFrameBytes || length > maxFrameBytes {
+		return nil, fmt.Errorf("batch length %d is not between %d and %d", length, minFrameBytes, maxFrameBytes)
 	}
-	body := make([]byte, length-frameHeaderLength)
+	body := make([]byte, length-frameHeaderBytes)
 	if _, err := io.ReadFull(in, body); err != nil {
 		return nil, fmt.Errorf("batch of %d bytes cut short: %w", length, err)
 	}
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -31,20 +31,21 @@
 
 // formatValues prints an event without the names of its type and fields.
 func formatValues(v reflect.Value) string {
-	switch v.Kind() {
-	case reflect.Struct:
+	if v.Kind() == reflect.Struct {
 		var parts []string
 		for i := range v.NumField() {
 			parts = append(parts, formatValues(v.Field(i)))
 		}
 		return "{" + strings.Join(parts, " ") + "}"
-	case reflect.Slice:
+	}
+	if v.Kind() == reflect.Slice {
 		var parts []string
 		for i := range v.Len() {
 			parts = append(parts, formatValues(v.Index(i)))
 		}
 		return "[" + strings.Join(parts, " ") + "]"
-	case reflect.String:
+	}
+	if v.Kind() == reflect.String {
 		return v.String()
 	}
 	if v.CanInt() {
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	readBufferSize  = 1 << 16
-	maxPanicMessage = 2000 // bytes of a panic's message that are reported
+	readBufferBytes      = 1 << 16
+	maxPanicMessageBytes = 2000 // of a panic's message that is reported
 )
 
 // Host runs the instances of one process. They share nothing but the connection to the simulator.
@@ -28,7 +28,7 @@
 
 // Serve answers batches until the input ends.
 func (h *Host) Serve(in io.Reader, out io.Writer) error {
-	input := bufio.NewReaderSize(in, readBufferSize)
+	input := bufio.NewReaderSize(in, readBufferBytes)
 	output := bufio.NewWriter(out)
 	for {
 		body, err := readFrame(input)
@@ -64,7 +64,7 @@
 		if r.err != nil {
 			break
 		}
-		if err := h.handleRecord(now, recordKind(kind), record, w); err != nil {
+		if err := h.handleRecord(now, eventKind(kind), record, w); err != nil {
 			return nil, err
 		}
 	}
@@ -77,7 +77,7 @@
 	return w.frame(), nil
 }
 
-func (h *Host) handleRecord(now policy.Micros, kind recordKind, r *reader, w *writer) error {
+func (h *Host) handleRecord(now policy.Micros, kind eventKind, r *reader, w *writer) error {
 	if kind > lastKnownKind {
 		return nil // an event of a later version of the protocol
 	}
@@ -88,10 +88,10 @@
 	if r.err != nil {
 		return r.err
 	}
-	switch kind {
-	case kindInstanceStarted:
+	if kind == kindInstanceStarted {
 		return h.startInstance(instance, r)
-	case kindInstanceStopped:
+	}
+	if kind == kindInstanceStopped {
 		delete(h.routers, instance)
 		return nil
 	}
@@ -137,7 +137,7 @@
 	defer func() {
 		if cause := recover(); cause != nil {
 			message := []byte(fmt.Sprint(cause))
-			message = message[:min(len(message), maxPanicMessage)]
+			message = message[:min(len(message), maxPanicMessageBytes)]
 			w.buf = w.buf[:start]
 			w.record(kindPanicked, instance, func() { w.bytes(message) })
 		}
--- a/internal/simprotocol/kinds.go
+++ b/internal/simprotocol/kinds.go
@@ -2,42 +2,45 @@
 
 import "switchfork/internal/policy"
 
-// recordKind is the first byte of a record. Events and commands are numbered apart.
-type recordKind byte
+// eventKind is the first byte of a record that the simulator sends.
+type eventKind byte
 
-// Kinds of records that the simulator sends.
+// commandKind is the first byte of a record that answers one. Commands are numbered apart from events.
+type commandKind byte
+
+// The kinds of events.
 const (
-	kindInstanceStarted   recordKind = 0
-	kindEndpointUpdate    recordKind = 1
-	kindRequestArrived    recordKind = 2
-	kindResponseStarted   recordKind = 3
-	kindAttemptResult     recordKind = 4
-	kindRequestCancelled  recordKind = 5
-	kindTimerFired        recordKind = 6
-	kindHealthCheckResult recordKind = 7
-	kindGossipReceived    recordKind = 8
-	kindInstanceStopped   recordKind = 9
-	kindRolloutUpdate     recordKind = 10
-	kindMetricsReport     recordKind = 11
-	kindErrorReport       recordKind = 12
-	kindEndpointList      recordKind = 13
+	kindInstanceStarted   eventKind = 0
+	kindEndpointUpdate    eventKind = 1
+	kindRequestArrived    eventKind = 2
+	kindResponseStarted   eventKind = 3
+	kindAttemptResult     eventKind = 4
+	kindRequestCancelled  eventKind = 5
+	kindTimerFired        eventKind = 6
+	kindHealthCheckResult eventKind = 7
+	kindGossipReceived    eventKind = 8
+	kindInstanceStopped   eventKind = 9
+	kindRolloutUpdate     eventKind = 10
+	kindMetricsReport     eventKind = 11
+	kindErrorReport       eventKind = 12
+	kindEndpointList      eventKind = 13
 
 	lastKnownKind = kindEndpointList
 )
 
-// Kinds of records that answer them. Numbers that are missing are not used here.
+// The kinds of commands. Numbers that are missing are not used here.
 const (
-	kindReject         recordKind = 0
-	kindLogMessage     recordKind = 1
-	kindCheckHealth    recordKind = 2
-	kindSetTimer       recordKind = 3
-	kindSendGossip     recordKind = 4
-	kindPanicked       recordKind = 5
-	kindCancelAttempt  recordKind = 7
-	kindVote           recordKind = 8
-	kindSendAttempt    recordKind = 10
-	kindWatchEndpoints recordKind = 11
-	kindFail           recordKind = 12
+	kindReject         commandKind = 0
+	kindLogMessage     commandKind = 1
+	kindCheckHealth    commandKind = 2
+	kindSetTimer       commandKind = 3
+	kindSendGossip     commandKind = 4
+	kindPanicked       commandKind = 5
+	kindCancelAttempt  commandKind = 7
+	kindVote           commandKind = 8
+	kindSendAttempt    commandKind = 10
+	kindWatchEndpoints commandKind = 11
+	kindFail           commandKind = 12
 )
 
 // Kinds of endpoint updates. The lists of the two full kinds replace all that the instance knew.
--- a/internal/simprotocol/reader.go
+++ b/internal/simprotocol/reader.go
@@ -10,7 +10,7 @@
 const (
 	microsPerMilli = 1000
 	maxMillis      = 1e12 // about 31 years
-	maxFieldLength = 8    // of a field of fixed length
+	maxFieldBytes  = 8    // of a field of fixed length
 	kindUnknown    = -1   // of a position before a record's kind
 )
 
@@ -47,7 +47,7 @@
 		r.fail("needs %d more bytes, has %d", length, len(r.buf))
 	}
 	if r.err != nil {
-		return make([]byte, maxFieldLength)
+		return make([]byte, maxFieldBytes)
 	}
 	field := r.buf[:length]
 	r.buf = r.buf[length:]
--- a/internal/simprotocol/writer.go
+++ b/internal/simprotocol/writer.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	recordLengthSize   = 4
-	initialReplyLength = 256
+	recordLengthBytes = 4
+	initialReplyBytes = 256
 )
 
 // writer encodes a frame of records.
@@ -16,7 +16,7 @@
 
 // newFrameWriter leaves room for the frame's length, which frame fills in.
 func newFrameWriter() *writer {
-	return &writer{buf: make([]byte, frameHeaderLength, initialReplyLength)}
+	return &writer{buf: make([]byte, frameHeaderBytes, initialReplyBytes)}
 }
 
 func (w *writer) frame() []byte {
@@ -25,12 +25,12 @@
 }
 
 // record writes one record of an instance. Its length is filled in when its fields are written.
-func (w *writer) record(kind recordKind, instance int, writeFields func()) {
+func (w *writer) record(kind commandKind, instance int, writeFields func()) {
 	w.buf = append(w.buf, byte(kind), 0, 0, 0, 0)
 	start := len(w.buf)
 	w.u16(instance)
 	writeFields()
-	byteOrder.PutUint32(w.buf[start-recordLengthSize:], uint32(len(w.buf)-start))
+	byteOrder.PutUint32(w.buf[start-recordLengthBytes:], uint32(len(w.buf)-start))
 }
 
 func (w *writer) u8(v int)     { w.buf = append(w.buf, byte(v)) }
