--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -76,7 +76,7 @@
 func TestEndpointListFirstAfterStall(t *testing.T) {
 	r := agenttest.NewRig(t, time.Second)
 	stallOnGossip(r, func() {
-		time.AfterFunc(time.Millisecond, func() { r.Publish(protocol.List{Seq: 1, Whole: true}) })
+		time.AfterFunc(time.Millisecond, func() { r.Publish(protocol.List{Version: 1, IsFull: true}) })
 	})
 	r.Loop.Enqueue(policy.GossipReceived{})
 	wantListBeforeOthers(t, r)
@@ -101,7 +101,7 @@
 	}
 	stallOnGossip(r, func() {
 		time.AfterFunc(8*agent.ReaderGrace, func() { // by then the grace period is long over
-			r.Publish(protocol.List{Seq: 1, Whole: true})
+			r.Publish(protocol.List{Version: 1, IsFull: true})
 			go func() { _, _ = io.Copy(io.Discard, near) }() // ends with the connection
 		})
 	})
@@ -140,12 +140,12 @@
 	for i := range 300 {
 		host := agenttest.Entry("127.0.0.1:1")
 		host.Host = fmt.Sprint("h", i)
-		r.Publish(protocol.List{Seq: 2, Hosts: []protocol.ListEntry{host, {Host: agenttest.Host, Health: "left"}}})
+		r.Publish(protocol.List{Version: 2, Entries: []protocol.ListEntry{host, {Host: agenttest.Host, Health: "left"}}})
 		if host.Health = "left"; i%2 == 0 {
-			r.Publish(protocol.List{Seq: 3, Hosts: []protocol.ListEntry{host}})
+			r.Publish(protocol.List{Version: 3, Entries: []protocol.ListEntry{host}})
 		}
 	}
-	r.Publish(protocol.List{Seq: 4, Whole: true})
+	r.Publish(protocol.List{Version: 4, IsFull: true})
 	close(release)
 	if reply := <-replies; reply.Response == nil {
 		t.Errorf("the request in flight got %+v", reply)
--- a/internal/agenttest/rig.go
+++ b/internal/agenttest/rig.go
@@ -46,9 +46,9 @@
 
 // Publish hands a list to the loop as the discovery client does.
 func (r *Rig) Publish(list protocol.List) {
-	slices.SortStableFunc(list.Hosts, func(a, b protocol.ListEntry) int { return strings.Compare(a.Host, b.Host) })
-	update := agent.EndpointList{EndpointUpdate: policy.EndpointUpdate{Full: list.Whole}}
-	for _, entry := range list.Hosts {
+	slices.SortStableFunc(list.Entries, func(a, b protocol.ListEntry) int { return strings.Compare(a.Host, b.Host) })
+	update := agent.EndpointList{EndpointUpdate: policy.EndpointUpdate{Full: list.IsFull}}
+	for _, entry := range list.Entries {
 		endpoint, err := entry.Endpoint([]string{Zone})
 		if err != nil {
 			ratelog.Warn("row", "list entry skipped", "reason", err)
@@ -66,12 +66,12 @@
 
 // Entry is the list entry of Host at an address, which takes new attempts.
 func Entry(address string) protocol.ListEntry {
-	return protocol.ListEntry{Host: Host, Dial: address, Site: Zone, Health: "active"}
+	return protocol.ListEntry{Host: Host, Address: address, Zone: Zone, Health: "active"}
 }
 
 // PublishOne hands a list with the one endpoint Host to the loop.
 func (r *Rig) PublishOne(address string) {
-	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{Entry(address)}})
+	r.Publish(protocol.List{Version: 1, IsFull: true, Entries: []protocol.ListEntry{Entry(address)}})
 }
 
 // Send admits a request, has the policy send one attempt of it to the endpoint Host and returns the final reply. A request whose attempt
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -68,8 +68,8 @@
 	if err != nil {
 		return fmt.Errorf("setting config.known: %w", err)
 	}
-	list.Whole = true
-	c.current.version = list.Seq
+	list.IsFull = true
+	c.current.version = list.Version
 	c.publisher.publish(list)
 	return nil
 }
@@ -115,7 +115,7 @@
 	switch received.from {
 	case c.pending:
 		c.pendingList = c.pendingList.Merge(received.list)
-		if c.pendingList.Seq >= c.publisher.version {
+		if c.pendingList.Version >= c.publisher.version {
 			c.promotePending()
 		}
 	case c.current:
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -27,7 +27,7 @@
 	return r, previous, next
 }
 
-// A discovery that is behind does not revoke a drain: its whole list is held back until its watch has brought it to the version in force.
+// A discovery that is behind does not revoke a drain: its full list is held back until its watch has brought it to the version in force.
 func TestMoveToOlderList(t *testing.T) {
 	r, previous, next := newMovingRig(t, time.Hour)
 	agenttest.Eventually(t, "the next watch", func() bool { return next.CallsContaining("index=7") == 1 && next.Open() == 1 })
--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -22,9 +22,9 @@
 	return &listPublisher{loop: loop, zones: zones, numbers: newEndpointNumbers()}
 }
 
-// publish puts a list in force, whole or of changes.
+// publish puts a list in force, full or of changes.
 func (p *listPublisher) publish(list protocol.List) {
-	p.version = list.Seq
+	p.version = list.Version
 	update := p.endpointUpdate(list)
 	if len(update.Endpoints) > 0 || update.Full {
 		p.loop.UpdateEndpoints(update)
@@ -34,9 +34,9 @@
 
 // endpointUpdate converts a list, in the order of its hosts' names. Entries that can't be read are left out.
 func (p *listPublisher) endpointUpdate(list protocol.List) agent.EndpointList {
-	slices.SortStableFunc(list.Hosts, func(a, b protocol.ListEntry) int { return strings.Compare(a.Host, b.Host) })
-	update := agent.EndpointList{EndpointUpdate: policy.EndpointUpdate{Full: list.Whole}}
-	for _, entry := range list.Hosts {
+	slices.SortStableFunc(list.Entries, func(a, b protocol.ListEntry) int { return strings.Compare(a.Host, b.Host) })
+	update := agent.EndpointList{EndpointUpdate: policy.EndpointUpdate{Full: list.IsFull}}
+	for _, entry := range list.Entries {
 		endpoint, err := entry.Endpoint(p.zones)
 		if err != nil {
 			ratelog.Warn("list entry", "list entry skipped", "reason", err)
--- a/internal/discovery/endpoint_list_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -12,17 +12,17 @@
 func TestGoneHostsReleaseTheirNumbers(t *testing.T) {
 	publisher := newRig(t, "127.0.0.1:1").client.publisher
 	entry := func(host, health string) protocol.ListEntry {
-		return protocol.ListEntry{Host: host, Dial: "127.0.0.1:1", Site: agenttest.Zone, Health: health}
+		return protocol.ListEntry{Host: host, Address: "127.0.0.1:1", Zone: agenttest.Zone, Health: health}
 	}
-	publisher.publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{entry("box", "active")}})
+	publisher.publish(protocol.List{Version: 1, IsFull: true, Entries: []protocol.ListEntry{entry("box", "active")}})
 	for i := range 300 {
 		host := fmt.Sprint("h", i)
-		publisher.publish(protocol.List{Seq: 2, Hosts: []protocol.ListEntry{entry(host, "active"), {Host: "box", Health: "left"}}})
+		publisher.publish(protocol.List{Version: 2, Entries: []protocol.ListEntry{entry(host, "active"), {Host: "box", Health: "left"}}})
 		if i%2 == 0 {
-			publisher.publish(protocol.List{Seq: 3, Hosts: []protocol.ListEntry{entry(host, "left")}})
+			publisher.publish(protocol.List{Version: 3, Entries: []protocol.ListEntry{entry(host, "left")}})
 		}
 	}
-	publisher.publish(protocol.List{Seq: 4, Whole: true})
+	publisher.publish(protocol.List{Version: 4, IsFull: true})
 	if n := len(publisher.numbers.numberOfHost) + len(publisher.numbers.hostOfNumber); n != 0 {
 		t.Errorf("%d records are kept", n)
 	}
@@ -31,10 +31,10 @@
 // Each endpoint of an update has its own list entry beside it, in the order of the hosts' names and without those that can't be read.
 func TestUpdatePairsEndpointsWithEntries(t *testing.T) {
 	publisher := newRig(t, "127.0.0.1:1").client.publisher
-	update := publisher.endpointUpdate(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{
-		{Host: "c", Dial: "127.0.0.1:3", Site: agenttest.Zone, Health: "active", Build: 3},
-		{Host: "b", Dial: "127.0.0.1:2", Site: agenttest.Zone, Health: "unheard of", Build: 2},
-		{Host: "a", Dial: "127.0.0.1:1", Site: agenttest.Zone, Health: "leaving", Build: 1},
+	update := publisher.endpointUpdate(protocol.List{Version: 1, IsFull: true, Entries: []protocol.ListEntry{
+		{Host: "c", Address: "127.0.0.1:3", Zone: agenttest.Zone, Health: "active", Build: 3},
+		{Host: "b", Address: "127.0.0.1:2", Zone: agenttest.Zone, Health: "unheard of", Build: 2},
+		{Host: "a", Address: "127.0.0.1:1", Zone: agenttest.Zone, Health: "leaving", Build: 1},
 	}})
 	if len(update.Endpoints) != 2 || len(update.Entries) != 2 {
 		t.Fatalf("%d endpoints with %d entries, want 2 of each", len(update.Endpoints), len(update.Entries))
--- a/internal/discovery/list_calls.go
+++ b/internal/discovery/list_calls.go
@@ -24,7 +24,7 @@
 	// heartbeatTimeout is after how long without a line a call ends. It is longer than silenceTimeout, so that a discovery that is merely
 	// slow is not cut off in the middle of a list.
 	heartbeatTimeout = 3 * heartbeatInterval
-	// maxListBytes has room for the whole list of a large fleet, on one line or over many.
+	// maxListBytes has room for the full list of a large fleet, on one line or over many.
 	maxListBytes = 4 << 20
 	// initialBufferBytes is enough for most lists of changes.
 	initialBufferBytes = 16 << 10
@@ -37,11 +37,11 @@
 
 // deliver records a list's version and reports the list to the client.
 func (w *watcher) deliver(list protocol.List) {
-	w.version, w.needsFullList = list.Seq, false
+	w.version, w.needsFullList = list.Version, false
 	w.report(listReceived{from: w, list: list})
 }
 
-// fetch asks for the whole list, once.
+// fetch asks for the full list, once.
 func (w *watcher) fetch(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
@@ -53,7 +53,7 @@
 		if err != nil {
 			return fmt.Errorf("decoding the full endpoint list: %w", err)
 		}
-		if !list.Whole {
+		if !list.IsFull {
 			return errNotFullList
 		}
 		w.deliver(list)
@@ -95,18 +95,18 @@
 		w.needsFullList = true
 		return fmt.Errorf("decoding a list of the watch from version %d: %w", w.version, err)
 	}
-	// A watch may start with a whole list, which counts whatever its version is.
-	startsAfresh := isFirst && list.Whole
-	if list.Seq <= w.version && !startsAfresh {
+	// A watch may start with a full list, which counts whatever its version is.
+	startsAfresh := isFirst && list.IsFull
+	if list.Version <= w.version && !startsAfresh {
 		return nil
 	}
-	slog.Info("endpoint list received", "version", list.Seq, "full", list.Whole, "entries", len(list.Hosts))
+	slog.Info("endpoint list received", "version", list.Version, "full", list.IsFull, "entries", len(list.Entries))
 	w.deliver(list)
 	return nil
 }
 
 // readLists calls discovery and hands each list of the response to handle, and each heartbeat as an empty one, until the response ends or
-// handle fails. After a list that is cut off or too long, the whole list is to be fetched.
+// handle fails. After a list that is cut off or too long, the full list is to be fetched.
 func (w *watcher) readLists(ctx context.Context, url string, handle func(raw []byte) error) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/discovery/message.go
+++ b/internal/discovery/message.go
@@ -8,7 +8,7 @@
 // message is what a client's mailbox holds.
 type message interface{ isMessage() }
 
-// listReceived is a list, whole or of changes, that a watcher has read.
+// listReceived is a list, full or of changes, that a watcher has read.
 type listReceived struct {
 	from *watcher
 	list protocol.List
--- a/internal/discovery/move.go
+++ b/internal/discovery/move.go
@@ -6,10 +6,10 @@
 	"switchfork/internal/protocol"
 )
 
-// Move goes to another address. The watch at the old one goes on until the new one has received the whole list, so that no change is
+// Move goes to another address. The watch at the old one goes on until the new one has received the full list, so that no change is
 // lost between the two; once it ends it is not opened again.
 //
-// The new discovery may be behind: a whole list that is a moment old may lack a drain that the old discovery has reported, and publishing
+// The new discovery may be behind: a full list that is a moment old may lack a drain that the old discovery has reported, and publishing
 // it would revoke the drain. The list is therefore held back until the new watch has brought it to the version in force, or until a
 // heartbeat shows that there is nothing newer, as at a discovery with version numbers of its own. That takes one heartbeat interval at
 // most.
--- a/internal/discovery/rig_test.go
+++ b/internal/discovery/rig_test.go
@@ -114,7 +114,7 @@
 	return out.String() + "\n"
 }
 
-// onlyFullList answers a call for the whole list, and opens a watch without a line.
+// onlyFullList answers a call for the full list, and opens a watch without a line.
 func onlyFullList(list string) func(target string) string {
 	return func(target string) string {
 		if strings.Contains(target, "stream") {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -30,7 +30,7 @@
 	watchConfig
 	listURL       string
 	version       uint64 // of the last list received
-	needsFullList bool   // the whole list has to be fetched before the next watch
+	needsFullList bool   // the full list has to be fetched before the next watch
 	startDelay    backoff.Micros
 	backoff       *backoff.Backoff
 	cancel        context.CancelFunc
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -15,7 +15,7 @@
 )
 
 // A watch that ends is resumed from the last version. Versions may be skipped, a list that is not newer is dropped, and after a line that
-// can't be read the whole list is fetched.
+// can't be read the full list is fetched.
 func TestWatchResumesFromLastVersion(t *testing.T) {
 	server := agenttest.NewStreamServer(t, "\n", 50*time.Millisecond, func(target string) string {
 		if !strings.Contains(target, "stream") {
@@ -32,11 +32,11 @@
 	agenttest.Eventually(t, "the next watch", func() bool { return server.CallsContaining("stream=1&index=20") == 1 })
 	agenttest.Eventually(t, "its stream", func() bool { return server.Open() == 1 })
 	server.Publish("{\"seq\":21,\"hosts\":[" + "\n")
-	agenttest.Eventually(t, "the whole list", func() bool { return len(r.builds()) == 4 })
+	agenttest.Eventually(t, "the full list", func() bool { return len(r.builds()) == 4 })
 	if got := r.builds(); got[1] != 3 || got[2] != 4 || got[3] != 9 {
 		t.Errorf("builds published: %v", got)
 	}
-	agenttest.Eventually(t, "the watch from the whole list on", func() bool { return server.CallsContaining("index=30") > 0 })
+	agenttest.Eventually(t, "the watch from the full list on", func() bool { return server.CallsContaining("index=30") > 0 })
 }
 
 // A discovery that reports overload is called again within the configured time, not at once: all agents call alike.
@@ -63,7 +63,7 @@
 	}
 }
 
-// A list may come over several lines, whether it is whole or of changes.
+// A list may come over several lines, whether it is full or of changes.
 func TestListsOverSeveralLines(t *testing.T) {
 	fullList := indented(t, fakes.ListDocument(5, true, firstHost("active", 1), secondHost("active")))
 	server := agenttest.NewStreamServer(t, "\n", 50*time.Millisecond, onlyFullList(fullList))
@@ -80,7 +80,7 @@
 	}
 }
 
-// A list that lacks its end is detected by the next heartbeat or the next list, and the whole list is fetched.
+// A list that lacks its end is detected by the next heartbeat or the next list, and the full list is fetched.
 func TestTruncatedListIsFetchedAgain(t *testing.T) {
 	truncated, _, found := strings.Cut(indented(t, fakes.ListDocument(6, false, firstHost("leaving", 7))), `"health"`)
 	if !found {
--- a/internal/protocol/limits.go
+++ b/internal/protocol/limits.go
@@ -5,14 +5,14 @@
 	"io"
 )
 
-// BodyLimit is the longest body that the protocol allows.
+// BodyLimit is the longest body that the protocol allows, in bytes.
 const BodyLimit = 64 << 10
 
-// HeadLimit is the longest head of a request or response. It holds any head of the protocol many times over; hundreds of endless ones
+// HeadLimit is the longest head of a request or response, in bytes. It holds any head of the protocol many times over; hundreds of endless ones
 // have to fit into the smallest memory limit.
 const HeadLimit = 8 << 10
 
-// ErrBodyTooLong says that a body is longer than BodyLimit, or a list longer than its reader allows.
+// ErrBodyTooLong says that a body is longer than BodyLimit. Its text is the body of the response to such a request.
 var ErrBodyTooLong = errors.New("body is over 64 KiB")
 
 // ReadBody reads a whole body, or returns ErrBodyTooLong. The length is the announced one; -1 where it is not known.
--- a/internal/protocol/list_reader.go
+++ b/internal/protocol/list_reader.go
@@ -1,9 +1,16 @@
 package protocol
 
-import "errors"
+import (
+	"errors"
+	"fmt"
+)
 
-// ErrListCutOff says that a list ended before its brackets were closed.
-var ErrListCutOff = errors.New("a list that ends in its middle")
+var (
+	// ErrListCutOff says that a list ended before its brackets were closed.
+	ErrListCutOff = errors.New("list ended before its brackets were closed")
+	// ErrListTooLong says that a list is longer than its reader allows.
+	ErrListTooLong = errors.New("list is over the limit")
+)
 
 // ListReader puts together lists that may be indented over several lines. A list is complete when its brackets are closed; a JSON string
 // never goes on in the next line.
@@ -18,12 +25,12 @@
 	if len(line) == 0 {
 		return nil, r.End()
 	}
-	if len(r.document) > 0 && isWholeList(line) {
+	if len(r.document) > 0 && isCompleteList(line) {
 		return nil, ErrListCutOff // the list before lacks its end
 	}
 	endsInString := r.countBrackets(line)
 	if len(r.document)+len(line) > limit {
-		return nil, ErrBodyTooLong
+		return nil, fmt.Errorf("%w of %d bytes", ErrListTooLong, limit)
 	}
 	r.document = append(r.document, line...)
 	if r.depth > 0 && !endsInString {
@@ -41,10 +48,10 @@
 	return nil
 }
 
-// isWholeList tells whether a line is a list of its own.
-func isWholeList(line []byte) bool {
+// isCompleteList tells whether a line is a list of its own.
+func isCompleteList(line []byte) bool {
 	list, err := ReadList(line)
-	return err == nil && list.Seq > 0
+	return err == nil && list.Version > 0
 }
 
 // countBrackets counts a line's brackets outside of strings, and tells whether the line ends within a string.
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -11,8 +11,8 @@
 // headerDeadline has the milliseconds for which the agent will wait for the response.
 const headerDeadline = "X-Deadline-Ms"
 
-// deadlineLength is room for the deadline's header, and the empty line after it.
-const deadlineLength = 32
+// deadlineBytes is room for the deadline's header, and the empty line after it.
+const deadlineBytes = 32
 
 // HopHeaders are those of a client's request that are not forwarded: they are written anew for each attempt, or have no meaning on an
 // endpoint's connection.
@@ -31,7 +31,7 @@
 
 // Bytes is the whole request, with the time for which the agent will wait for the response.
 func (r *EncodedRequest) Bytes(wait time.Duration) []byte {
-	out := make([]byte, 0, len(r.Head)+len(r.Body)+deadlineLength)
+	out := make([]byte, 0, len(r.Head)+len(r.Body)+deadlineBytes)
 	out = append(out, r.Head...)
 	out = append(out, headerDeadline+": "...)
 	out = strconv.AppendInt(out, max(1, wait.Milliseconds()), 10)
--- a/internal/protocol/rollout.go
+++ b/internal/protocol/rollout.go
@@ -10,19 +10,19 @@
 	"switchfork/internal/policy"
 )
 
-// maxLagMs bounds the age of a rollout update, in milliseconds.
-const maxLagMs = 1e12
+// maxAgeMs bounds the age of a rollout update, in milliseconds.
+const maxAgeMs = 1e12
 
 // rolloutStatus is the state of the newest build's rollout, in any of the three forms that the rollout controller writes.
 type rolloutStatus struct {
-	Image    int     `json:"image" xml:"image"`
-	Ring     int     `json:"ring" xml:"ring"`
-	Progress string  `json:"progress" xml:"progress"`
-	Ceiling  float64 `json:"ceiling" xml:"ceiling"`
-	LagMs    float64 `json:"lag_ms" xml:"lag_ms"`
+	Build int     `json:"image" xml:"image"`
+	Stage int     `json:"ring" xml:"ring"`
+	Phase string  `json:"progress" xml:"progress"`
+	Cap   float64 `json:"ceiling" xml:"ceiling"`
+	AgeMs float64 `json:"lag_ms" xml:"lag_ms"`
 }
 
-// phases has the policy's phase for each progress that the rollout controller knows.
+// phases has the policy's phase for each phase that the rollout controller knows.
 var phases = map[string]policy.Phase{
 	"testing":   policy.Evaluating,
 	"recalling": policy.RollingBack,
@@ -30,24 +30,31 @@
 	"recalled":  policy.RolledBack,
 }
 
+// String has the rollout controller's names of the fields, by which an operator finds them.
+func (s rolloutStatus) String() string {
+	return fmt.Sprintf("{Image:%d Ring:%d Progress:%s Ceiling:%v LagMs:%v}", s.Build, s.Stage, s.Phase, s.Cap, s.AgeMs)
+}
+
 // update converts a status to the policy's form.
 func (s rolloutStatus) update() (policy.RolloutUpdate, error) {
-	phase, isKnown := phases[s.Progress]
-	hasValidCeiling := s.Ceiling >= 0 && s.Ceiling <= 1
-	hasValidLag := s.LagMs >= 0 && s.LagMs < maxLagMs
-	if !isKnown || s.Image < 0 || s.Ring < 0 || !hasValidCeiling || !hasValidLag {
-		return policy.RolloutUpdate{}, fmt.Errorf("rollout status out of range: %+v", s)
+	phase, isKnown := phases[s.Phase]
+	hasValidBuild := s.Build >= 0 && s.Stage >= 0
+	hasValidCap := s.Cap >= 0 && s.Cap <= 1
+	hasValidAge := s.AgeMs >= 0 && s.AgeMs < maxAgeMs
+	isValid := isKnown && hasValidBuild && hasValidCap && hasValidAge
+	if !isValid {
+		return policy.RolloutUpdate{}, fmt.Errorf("rollout status out of range: %v", s)
 	}
 	return policy.RolloutUpdate{
-		Build: s.Image,
-		Stage: s.Ring,
+		Build: s.Build,
+		Stage: s.Stage,
 		Phase: phase,
-		Cap:   s.Ceiling,
-		Age:   policy.Micros(s.LagMs * microsPerMilli),
+		Cap:   s.Cap,
+		Age:   policy.Micros(s.AgeMs * microsPerMilli),
 	}, nil
 }
 
-// ReadRolloutJSON reads a rollout update in JSON.
+// ReadRolloutJSON reads a rollout update in JSON. Its errors of malformed JSON are those of encoding/json: callers say where it came from.
 func ReadRolloutJSON(raw []byte) (policy.RolloutUpdate, error) {
 	var status rolloutStatus
 	if err := json.Unmarshal(raw, &status); err != nil {
@@ -60,16 +67,27 @@
 func ReadRolloutForm(data string) (policy.RolloutUpdate, error) {
 	form, err := url.ParseQuery(data)
 	if err != nil {
-		return policy.RolloutUpdate{}, err
+		return policy.RolloutUpdate{}, fmt.Errorf("parsing a rollout form: %w", err)
 	}
-	status := rolloutStatus{Progress: form.Get("progress")}
+	status := rolloutStatus{Phase: form.Get("progress")}
 	var errs [4]error
-	status.Image, errs[0] = strconv.Atoi(form.Get("image"))
-	status.Ring, errs[1] = strconv.Atoi(form.Get("ring"))
-	status.Ceiling, errs[2] = strconv.ParseFloat(form.Get("ceiling"), 64)
-	status.LagMs, errs[3] = strconv.ParseFloat(form.Get("lag_ms"), 64)
+	status.Build, errs[0] = parseField(form, "image", strconv.Atoi)
+	status.Stage, errs[1] = parseField(form, "ring", strconv.Atoi)
+	status.Cap, errs[2] = parseField(form, "ceiling", parseFloat)
+	status.AgeMs, errs[3] = parseField(form, "lag_ms", parseFloat)
 	if err := errors.Join(errs[:]...); err != nil {
 		return policy.RolloutUpdate{}, err
 	}
 	return status.update()
 }
+
+// parseField parses one field of a form. Its error names the field.
+func parseField[T any](form url.Values, name string, parse func(string) (T, error)) (T, error) {
+	value, err := parse(form.Get(name))
+	if err != nil {
+		return value, fmt.Errorf("rollout form field %s: %w", name, err)
+	}
+	return value, nil
+}
+
+func parseFloat(text string) (float64, error) { return strconv.ParseFloat(text, 64) }
--- a/internal/protocol/vote.go
+++ b/internal/protocol/vote.go
@@ -9,8 +9,8 @@
 	"switchfork/internal/policy"
 )
 
-// VerdictNames are the rollout controller's names of the policy's verdicts.
-var VerdictNames = []string{
+// verdictNames are the rollout controller's names of the policy's verdicts.
+var verdictNames = []string{
 	policy.NoVote:   "clear",
 	policy.Advance:  "approve",
 	policy.Hold:     "wait",
@@ -35,9 +35,12 @@
 	NestedCode string `xml:"Error>Code"`
 }
 
+// VerdictName is the rollout controller's name of a verdict.
+func VerdictName(verdict policy.Verdict) string { return verdictNames[verdict] }
+
 // EncodeVote is the body of a call that casts a vote.
 func EncodeVote(vote policy.Vote) string {
-	return fmt.Sprintf("Action=RecordOpinion&image=%d&ring=%d&opinion=%s", vote.Build, vote.Stage, VerdictNames[vote.Verdict])
+	return fmt.Sprintf("Action=RecordOpinion&image=%d&ring=%d&opinion=%s", vote.Build, vote.Stage, VerdictName(vote.Verdict))
 }
 
 // ReadVoteReply tells how a vote ended and, if it counts, the state of the rollout. A reply that can't be read is TimedOut: the vote may
--- a/internal/rollout/votes.go
+++ b/internal/rollout/votes.go
@@ -52,7 +52,7 @@
 }
 
 func logVote(vote policy.Vote, result protocol.Result, elapsed time.Duration) {
-	slog.Info("vote cast", "build", vote.Build, "stage", vote.Stage, "verdict", protocol.VerdictNames[vote.Verdict], "result", result.String(),
+	slog.Info("vote cast", "build", vote.Build, "stage", vote.Stage, "verdict", protocol.VerdictName(vote.Verdict), "result", result.String(),
 		"elapsed_ms", elapsed.Milliseconds())
 }
 
--- a/internal/upstream/endpoint_test.go
+++ b/internal/upstream/endpoint_test.go
@@ -72,32 +72,32 @@
 // be draining, may have been removed, or may be another.
 func TestListChangesDuringDial(t *testing.T) {
 	before := agenttest.Entry("")
-	before.BornMs, before.Build = 5, 1
+	before.StartedAtMs, before.Build = 5, 1
 	for name, change := range map[string]func(e *protocol.ListEntry, other string){
 		"draining":    func(e *protocol.ListEntry, _ string) { e.Health = "leaving" },
 		"removed":     func(e *protocol.ListEntry, _ string) { e.Health = "left" },
 		"other build": func(e *protocol.ListEntry, _ string) { e.Build = 2 },
-		"restarted":   func(e *protocol.ListEntry, _ string) { e.BornMs = 6 },
-		"moved":       func(e *protocol.ListEntry, other string) { e.Dial = other },
+		"restarted":   func(e *protocol.ListEntry, _ string) { e.StartedAtMs = 6 },
+		"moved":       func(e *protocol.ListEntry, other string) { e.Address = other },
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 			other := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 			r := agenttest.NewRig(t, agenttest.WaitTimeout)
 			dialing, release := holdDials(t, r)
-			before.Dial = server.Addr()
-			r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{before}})
+			before.Address = server.Addr()
+			r.Publish(protocol.List{Version: 1, IsFull: true, Entries: []protocol.ListEntry{before}})
 			replies := sendRequest(r, 1, agenttest.KeyedRequest, policy.SendAttempt{})
 			<-dialing
 			now := before
 			change(&now, other.Addr())
-			r.Publish(protocol.List{Seq: 2, Hosts: []protocol.ListEntry{now}})
+			r.Publish(protocol.List{Version: 2, Entries: []protocol.ListEntry{now}})
 			wantNotAttempted(t, r, replies)
 			release()
 			// A connection that comes up now carries nothing: the next request is the first that either server receives.
 			next := before
-			next.Dial, next.BornMs, next.Build = other.Addr(), 7, 3
-			r.Publish(protocol.List{Seq: 3, Hosts: []protocol.ListEntry{next}})
+			next.Address, next.StartedAtMs, next.Build = other.Addr(), 7, 3
+			r.Publish(protocol.List{Version: 3, Entries: []protocol.ListEntry{next}})
 			if got := <-sendRequest(r, 2, agenttest.KeyedRequest, policy.SendAttempt{}); got.Response == nil {
 				t.Fatalf("the next request ended as %+v", got)
 			}
@@ -179,7 +179,7 @@
 	r := agenttest.NewRig(t, agenttest.WaitTimeout)
 	dialing, release := holdDials(t, r)
 	entry := agenttest.Entry(server.Addr())
-	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{entry}})
+	r.Publish(protocol.List{Version: 1, IsFull: true, Entries: []protocol.ListEntry{entry}})
 	id := protocol.EndpointID(agenttest.Host)
 	r.Respond(func(event policy.Event) []policy.Command {
 		if _, ok := event.(policy.GossipReceived); ok {
@@ -189,8 +189,8 @@
 	})
 	r.Loop.Enqueue(policy.GossipReceived{})
 	<-dialing
-	entry.Dial, entry.BornMs = other.Addr(), 7
-	r.Publish(protocol.List{Seq: 2, Hosts: []protocol.ListEntry{entry}})
+	entry.Address, entry.StartedAtMs = other.Addr(), 7
+	r.Publish(protocol.List{Version: 2, Entries: []protocol.ListEntry{entry}})
 	agenttest.Eventually(t, "the list", func() bool { return len(agenttest.Events[policy.EndpointUpdate](r.Router)) == 2 })
 	release()
 	agenttest.Eventually(t, "the health check's end", func() bool { return len(agenttest.Events[policy.HealthCheckResult](r.Router)) == 1 })
--- a/internal/upstream/results_test.go
+++ b/internal/upstream/results_test.go
@@ -153,10 +153,10 @@
 	r := agenttest.NewRig(t, time.Second)
 	entry := agenttest.Entry(before.Addr())
 	entry.Build = 1
-	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{entry}})
+	r.Publish(protocol.List{Version: 1, IsFull: true, Entries: []protocol.ListEntry{entry}})
 	r.Send(t, 1, agenttest.KeyedRequest, time.Second)
-	entry.Dial, entry.Build = after.Addr(), 2
-	r.Publish(protocol.List{Seq: 2, Hosts: []protocol.ListEntry{entry}})
+	entry.Address, entry.Build = after.Addr(), 2
+	r.Publish(protocol.List{Version: 2, Entries: []protocol.ListEntry{entry}})
 	agenttest.Eventually(t, "the end of the old connection", func() bool { return before.Closed() == 1 })
 	r.Send(t, 2, agenttest.KeyedRequest, time.Second)
 	lists := agenttest.Events[policy.EndpointUpdate](r.Router)
--- a/internal/upstream/worker.go
+++ b/internal/upstream/worker.go
@@ -7,9 +7,6 @@
 	"switchfork/internal/protocol"
 )
 
-// healthActive is the health of a list entry whose endpoint takes new attempts.
-const healthActive = "active"
-
 // worker is the goroutine of one Endpoint and the state that only it touches. Its parts:
 //
 //   - idlePool has the idle connections and closes connections (idle_pool.go).
@@ -35,9 +32,9 @@
 
 // process identifies what listens at an endpoint: an address may return with another start time or another build.
 type process struct {
-	address string
-	bornMs  float64
-	build   int
+	address     string
+	startedAtMs float64
+	build       int
 }
 
 func newWorker(pool *Pool, endpoint *Endpoint, name string, events Events) *worker {
@@ -104,11 +101,11 @@
 // update applies the list's latest entry. The idle connections of a process that was replaced are closed: a request
 // written to one of them would be reset.
 func (w *worker) update(entry protocol.ListEntry) {
-	latest := process{address: entry.Dial, bornMs: entry.BornMs, build: entry.Build}
+	latest := process{address: entry.Address, startedAtMs: entry.StartedAtMs, build: entry.Build}
 	isReplaced := latest != w.process
 	w.process = latest
 	w.isRemoved = false
-	w.isDraining = entry.Health != healthActive
+	w.isDraining = entry.Health != protocol.HealthActive
 	if isReplaced {
 		w.idle.closeAll()
 	}
