--- a/internal/connlimit/budget.go
+++ b/internal/connlimit/budget.go
@@ -26,7 +26,7 @@
 	freed         chan struct{} // holds a token after a connection was given back
 }
 
-// NewBudget makes a budget of so many descriptors.
+// NewBudget makes a budget of so many descriptors, none of which is in use.
 func NewBudget(limit int) *Budget {
 	return &Budget{limit: limit, freed: make(chan struct{}, 1)}
 }
@@ -40,19 +40,23 @@
 func (b *Budget) IsShort() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return float64(b.limit-b.clientConns-b.upstreamConns) < freeShare*float64(b.limit)
+	free := b.limit - b.clientConns - b.upstreamConns
+	return float64(free) < freeShare*float64(b.limit)
 }
 
-// maxClients returns how many connections clients may hold.
+// maxClients returns how many connections clients may have.
 func (b *Budget) maxClients() int {
 	return max(1, int(clientShare*float64(b.limit)))
 }
 
+// isExhausted reports whether no descriptor is free. The lock is held.
+func (b *Budget) isExhausted() bool { return b.clientConns+b.upstreamConns >= b.limit }
+
 // AcquireUpstream takes a descriptor for a connection to an endpoint, and reports whether there was one.
 func (b *Budget) AcquireUpstream() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.clientConns+b.upstreamConns >= b.limit {
+	if b.isExhausted() {
 		return false
 	}
 	b.upstreamConns++
@@ -63,7 +67,7 @@
 func (b *Budget) AcquireClient() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.clientConns+b.upstreamConns >= b.limit || b.clientConns >= b.maxClients() {
+	if b.isExhausted() || b.clientConns >= b.maxClients() {
 		return false
 	}
 	b.clientConns++
@@ -79,9 +83,9 @@
 // ReleaseUpstream gives the descriptor of a closed connection to an endpoint back.
 func (b *Budget) ReleaseUpstream() { b.release(&b.upstreamConns) }
 
-func (b *Budget) release(held *int) {
+func (b *Budget) release(inUse *int) {
 	b.mu.Lock()
-	*held--
+	*inUse--
 	b.mu.Unlock()
 	select {
 	case b.freed <- struct{}{}:
@@ -89,7 +93,7 @@
 	}
 }
 
-// InUse returns how many connections are held.
+// InUse returns how many connections clients and endpoints have.
 func (b *Budget) InUse() (clients, upstreams int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,4 +1,6 @@
-// Package mailbox holds an unbounded queue from which a goroutine takes its messages in batches.
+// Package mailbox holds an unbounded queue from which a goroutine takes its messages in batches, in the order in which they were put.
+//
+// A Mailbox belongs to the goroutine that takes from it; any goroutine may put messages in.
 package mailbox
 
 import "sync"
--- a/internal/ratelog/ratelog.go
+++ b/internal/ratelog/ratelog.go
@@ -1,5 +1,7 @@
 // Package ratelog writes warnings to the process's log at a bounded rate, so that bad input can't flood it. It may be used by any
 // goroutine.
+//
+// Warnings of one kind share their rate. A kind is never printed; callers choose it so that no frequent warning hides a rare one.
 package ratelog
 
 import (
@@ -9,8 +11,8 @@
 )
 
 const (
-	// interval is the shortest time between two warnings of one kind.
-	interval = time.Second
+	// minInterval is the shortest time between two warnings of one kind.
+	minInterval = time.Second
 	// maxKinds bounds the memory of a logger: with more kinds than that, all are forgotten and start anew.
 	maxKinds = 256
 )
@@ -24,12 +26,12 @@
 var standard = &Logger{loggedAt: map[string]time.Time{}}
 
 // Warn writes a warning to the process's log, at most once a second for each kind.
-func Warn(kind, text string, args ...any) { standard.Warn(kind, text, args...) }
+func Warn(kind, message string, args ...any) { standard.Warn(kind, message, args...) }
 
 // Warn writes a warning, at most once a second for each kind.
-func (l *Logger) Warn(kind, text string, args ...any) {
+func (l *Logger) Warn(kind, message string, args ...any) {
 	if l.isDue(kind) {
-		slog.Warn(text, args...)
+		slog.Warn(message, args...)
 	}
 }
 
@@ -38,7 +40,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if now.Sub(l.loggedAt[kind]) < interval {
+	if now.Sub(l.loggedAt[kind]) < minInterval {
 		return false
 	}
 	if len(l.loggedAt) >= maxKinds {
