--- /dev/null
+++ b/internal/upstream/idle_pool_test.go
@@ -0,0 +1,116 @@
+package upstream
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"switchfork/internal/connlimit"
+)
+
+// testIdleTimeout is longer than a test takes.
+const testIdleTimeout = time.Hour
+
+func newTestIdlePool(descriptors int) *idlePool {
+	return &idlePool{
+		config:       &Config{IdleTimeout: testIdleTimeout, Budget: connlimit.NewBudget(descriptors)},
+		requestSweep: func() {},
+	}
+}
+
+// dialTest returns a connection with a descriptor of the pool's budget, and its other end.
+func (p *idlePool) dialTest(t *testing.T) (conn *connection, server net.Conn) {
+	t.Helper()
+	if !p.acquireDescriptor() {
+		t.Fatal("no descriptor left")
+	}
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = listener.Close() }() // its connection is accepted by then
+	client, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = client.Close() }) // closed twice where the pool has closed it
+	if server, err = listener.Accept(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = server.Close() }) // closed twice where the test has closed it
+	return &connection{Conn: client, readNext: make(chan struct{}, 1)}, server
+}
+
+// upstreamsInUse returns how many descriptors the pool's connections have.
+func (p *idlePool) upstreamsInUse() int {
+	_, upstreams := p.config.Budget.InUse()
+	return upstreams
+}
+
+// The connection that was used last is taken first, and none twice.
+func TestLastUsedConnectionIsTakenFirst(t *testing.T) {
+	pool := newTestIdlePool(4)
+	first, _ := pool.dialTest(t)
+	second, _ := pool.dialTest(t)
+	pool.add(first)
+	pool.add(second)
+	for i, want := range []*connection{second, first, nil} {
+		if got := pool.take(); got != want {
+			t.Errorf("take %d: got %p, want %p", i, got, want)
+		}
+	}
+	if n := pool.upstreamsInUse(); n != 2 {
+		t.Errorf("%d descriptors in use, want those of the two open connections", n)
+	}
+}
+
+// A connection with input that nobody asked for, or one that the endpoint may be about to close, is closed in place of being taken. One that
+// still settles is kept.
+func TestUnusableConnectionsAreNotTaken(t *testing.T) {
+	pool := newTestIdlePool(4)
+	withInput, server := pool.dialTest(t)
+	expired, _ := pool.dialTest(t)
+	settling, _ := pool.dialTest(t)
+	for _, conn := range []*connection{withInput, expired, settling} {
+		pool.add(conn)
+	}
+	pool.config.SettleTime = testIdleTimeout / 4
+	withInput.idleSince = time.Now().Add(-testIdleTimeout / 3)
+	expired.idleSince = time.Now().Add(-testIdleTimeout / idleSafetyFactor)
+	if _, err := server.Write([]byte("x")); err != nil {
+		t.Fatal(err)
+	}
+	for deadline := time.Now().Add(5 * time.Second); withInput.hasNothingUnread() && time.Now().Before(deadline); {
+		time.Sleep(time.Millisecond)
+	}
+	if got := pool.take(); got != nil {
+		t.Errorf("took %p", got)
+	}
+	if !withInput.isClosed || !expired.isClosed || settling.isClosed {
+		t.Errorf("closed: %v with input, %v expired, %v settling", withInput.isClosed, expired.isClosed, settling.isClosed)
+	}
+	if n := pool.upstreamsInUse(); n != 1 {
+		t.Errorf("%d descriptors in use, want that of the settling connection", n)
+	}
+}
+
+// A descriptor is released once, however often its connection is closed, and the longest idle connection gives its own to a new one.
+func TestDescriptorsAreReleasedOnce(t *testing.T) {
+	pool := newTestIdlePool(2)
+	oldest, _ := pool.dialTest(t)
+	other, _ := pool.dialTest(t)
+	pool.add(oldest)
+	pool.add(other)
+	if !pool.acquireDescriptor() || !oldest.isClosed || other.isClosed {
+		t.Errorf("closed for a new connection: %v the oldest, %v the other", oldest.isClosed, other.isClosed)
+	}
+	pool.close(oldest)
+	pool.closeAll()
+	pool.close(other)
+	if n := pool.upstreamsInUse(); n != 1 {
+		t.Errorf("%d descriptors in use, want that of the new connection", n)
+	}
+	if !pool.acquireDescriptor() || pool.acquireDescriptor() {
+		t.Error("without idle connections, a descriptor was refused that was free, or given that was not")
+	}
+}
