--- a/internal/config/connections.go
+++ b/internal/config/connections.go
@@ -5,7 +5,7 @@
 // defaultMaxOpenRequests is in force where the deployment configures no bound.
 const defaultMaxOpenRequests = 20000
 
-// Modes of discovery: the agent has to ask for the endpoint list, or receives it unasked.
+// Modes of discovery: the agent has to poll the endpoint list, or receives its changes without polling.
 const (
 	discoverySubscribe = "subscribe"
 	discoveryAutomatic = "automatic"
@@ -16,7 +16,7 @@
 	DialTimeout      time.Duration // within which a connection has to come up
 	IdleTimeout      time.Duration // after which an endpoint may close an idle connection
 	CallTimeout      time.Duration // of a call to the rollout controller
-	PollWithin       time.Duration // the agent asks for the endpoint list at least this often; 0: it need not ask
+	PollWithin       time.Duration // the agent polls the endpoint list at least this often; 0: it need not poll
 	MaxOpenRequests  int           // requests that the agent may have open at a time
 	MaxRetryAfter    time.Duration // the longest Retry-After that clients honor; 0: they honor none
 	HealthChecks     bool
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -12,7 +12,7 @@
 	}
 }
 
-// retryLimits bound a request's attempts and how long clients are told to wait.
+// retryLimits bound a request's attempts and the Retry-After of their rejections.
 func (s *Settings) retryLimits() policy.RetryLimits {
 	limits := policy.RetryLimits{
 		DrainGrace:  s.micros(keyDrainGrace),
--- a/internal/connlimit/budget.go
+++ b/internal/connlimit/budget.go
@@ -5,11 +5,11 @@
 const (
 	// clientShare is the most of the limit that connections to clients may hold. Endpoints get what clients leave, two fifths at least.
 	// Clients with an open request hold at most a third, each of these requests has at most one attempt in flight, and what is left
-	// beside that lets further clients in, if only to reject their requests.
+	// beside that admits further clients, if only to reject their requests.
 	clientShare = 0.6
 
 	// reservedShare is the part of the clients' connections that is kept free of open requests, so that a client that waits to connect
-	// is let in and learns at once that the agent is full. Without it all connections fill with requests that the router holds, and
+	// is accepted and learns at once that the agent is full. Without it all connections fill with requests that the router holds, and
 	// those that wait in the kernel's queue stay unread until their deadlines.
 	reservedShare = 0.125
 
--- a/internal/discovery/list_calls.go
+++ b/internal/discovery/list_calls.go
@@ -41,7 +41,7 @@
 	w.report(listReceived{from: w, list: list})
 }
 
-// fetch asks for the full list, once.
+// fetch calls for the full list, once.
 func (w *watcher) fetch(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
--- a/internal/protocol/limits.go
+++ b/internal/protocol/limits.go
@@ -15,7 +15,7 @@
 // ErrBodyTooLong says that a body is longer than BodyLimit. Its text is the body of the response to such a request.
 var ErrBodyTooLong = errors.New("body is over 64 KiB")
 
-// ReadBody reads a whole body, or returns ErrBodyTooLong. The length is the announced one; -1 where it is not known.
+// ReadBody reads a complete body, or returns ErrBodyTooLong. The length is the announced one; -1 where it is not known.
 func ReadBody(r io.Reader, length int64) ([]byte, error) {
 	if r == nil || length == 0 {
 		return nil, nil
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -29,7 +29,7 @@
 	return &EncodedRequest{head.Bytes(), body}
 }
 
-// Bytes is the whole request, with the time for which the agent will wait for the response.
+// Bytes is the complete request, with the time for which the agent will wait for the response.
 func (r *EncodedRequest) Bytes(wait time.Duration) []byte {
 	out := make([]byte, 0, len(r.Head)+len(r.Body)+deadlineBytes)
 	out = append(out, r.Head...)
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -1,6 +1,6 @@
 package protocol
 
-// Response is an endpoint's whole response.
+// Response is an endpoint's complete response.
 type Response struct {
 	Result      Result
 	Status      int
--- a/internal/protocol/result.go
+++ b/internal/protocol/result.go
@@ -43,7 +43,7 @@
 	Stale:             {policy.NotAttempted, "stale"},
 }
 
-// Outcome is what the policy is told of the result.
+// Outcome is what the result is to the policy.
 func (r Result) Outcome() policy.Outcome { return results[r].outcome }
 
 // String is the result's name in the log.
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -43,7 +43,7 @@
 	timedOut      bool   // the request took too long
 	readAhead     []byte // bytes that the client sent before the response to its last request
 	hasWritten    bool   // something was written since the connection was last idle
-	isHalfClosed  bool   // retired: the client has been told of the end
+	isHalfClosed  bool   // retired: the client has been notified of the end
 	isLingering   bool   // half closed, and waiting for the client to close
 }
 
--- a/internal/proxy/conn_state.go
+++ b/internal/proxy/conn_state.go
@@ -13,7 +13,7 @@
 	stateNew      connState = iota // accepted, and nothing of a request has been read
 	stateIdle                      // all requests that were read have been answered
 	stateReading                   // at least a byte of a request has been read
-	stateAwaiting                  // a request has been read whole and waits for its reply
+	stateAwaiting                  // a request has been read completely and waits for its reply
 	stateRetired                   // no request is read any more; the connection is half closed or about to be closed
 )
 
@@ -25,7 +25,7 @@
 )
 
 // IdleTimeout is how long a connection is kept without a request. The protocol sets it as the time after which such a connection may be
-// closed; keeping it no longer frees the descriptors of clients that ask once and stay.
+// closed; keeping it no longer frees the descriptors of clients that send one request and stay connected.
 const IdleTimeout = 2 * time.Second
 
 // pastDeadline is a deadline that ends a pending read at once.
@@ -61,7 +61,7 @@
 	c.requestStart = c.stateSince
 }
 
-// headReceived is called when net/http has read a request's head. A retired connection of which it had a whole request buffered is
+// headReceived is called when net/http has read a request's head. A retired connection of which it had a complete request buffered is
 // served after all.
 func (c *clientConn) headReceived() {
 	c.mu.Lock()
@@ -82,7 +82,7 @@
 	c.setReadDeadline(time.Time{})
 }
 
-// requestReceived is called when a request has been read whole. What it waits for now has no bound here.
+// requestReceived is called when a request has been read completely. What it waits for now has no bound here.
 func (c *clientConn) requestReceived() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -19,10 +19,10 @@
 
 // Drain serves what still arrives, closes each connection with its next response, and returns when no client is connected any more. A
 // connection that carries no request stays open for its next one: clients use the connections that they have until these end. One that
-// nobody speaks on ends with its idle timeout, or when the drain's time has nearly run out. Requests that are open then are answered, as
+// stays silent ends with its idle timeout, or when the drain's time has nearly run out. Requests that are open then are answered, as
 // nobody will be there to answer them later, and new connections are refused: clients that go on connecting would otherwise have requests
 // on their way when the process ends, which resets them. http.Server.Shutdown is not used: it closes connections of which half a head has been read,
-// and drops without an answer a request that was read whole after it began.
+// and drops without an answer a request that was read completely after it began.
 func (p *Proxy) Drain(ctx context.Context) error {
 	p.drainDeadline = time.Now().Add(unboundedDrain)
 	if deadline, ok := ctx.Deadline(); ok {
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -14,11 +14,11 @@
 )
 
 // A request of which half the head was read when the drain starts is answered whenever its rest comes, on a kept connection as on a new
-// one. A connection on which nobody speaks ends by itself, without a reset.
+// one. A connection that stays silent ends by itself, without a reset.
 func TestDrainAnswersPartialHead(t *testing.T) {
 	server := newTestServer(t, false)
-	kept, fresh, quiet := server.dial(t), server.dial(t), server.dial(t)
-	for _, client := range []*testClient{kept, quiet} {
+	kept, fresh, silent := server.dial(t), server.dial(t), server.dial(t)
+	for _, client := range []*testClient{kept, silent} {
 		client.send(rawRequest("lookup"))
 		client.expectResponse(http.StatusServiceUnavailable, false)
 		server.waitForState(t, client, stateIdle)
@@ -38,8 +38,8 @@
 		client.expectEOF()
 		_ = client.Close()
 	}
-	quiet.expectEOF()
-	_ = quiet.Close()
+	silent.expectEOF()
+	_ = silent.Close()
 	server.assertReleased(t, done)
 }
 
@@ -67,24 +67,24 @@
 // every kept connection, and its response ends the connection; where no request comes, the connection ends by itself within the drain.
 func TestDrainStartsDuringResponse(t *testing.T) {
 	server := newTestServer(t, false)
-	speaks, quiet := server.dial(t), server.dial(t)
-	for _, client := range []*testClient{speaks, quiet} {
+	active, silent := server.dial(t), server.dial(t)
+	for _, client := range []*testClient{active, silent} {
 		client.send(rawRequest("lookup"))
 		client.expectResponse(http.StatusServiceUnavailable, false)
 	}
-	conn := server.serverConn(t, quiet)
+	conn := server.serverConn(t, silent)
 	start := time.Now()
 	done := server.startDrain(t, agenttest.WaitTimeout)
 	time.Sleep(lateArrivalWindow) // past what the drain does at its start
-	speaks.send(rawRequest("lookup"))
-	speaks.expectResponse(http.StatusServiceUnavailable, true)
-	speaks.expectEOF()
-	_ = speaks.Close()
-	quiet.expectEOF()
+	active.send(rawRequest("lookup"))
+	active.expectResponse(http.StatusServiceUnavailable, true)
+	active.expectEOF()
+	_ = active.Close()
+	silent.expectEOF()
 	if took := time.Since(start); took > IdleTimeout+time.Second {
 		t.Errorf("the connection without a request ended after %v", took)
 	}
-	_ = quiet.Close()
+	_ = silent.Close()
 	server.assertReleased(t, done)
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
--- a/internal/proxy/listener_shutdown.go
+++ b/internal/proxy/listener_shutdown.go
@@ -18,7 +18,7 @@
 )
 
 // endIdle ends the connections that have carried no request for some time. It is for the end of a drain: a connection that is ended while
-// its client still uses it may lose the client's next request, which would have been answered and told of the end by its response. One that
+// its client still uses it may lose the client's next request, which would have been answered with a response that announces the end. One that
 // was just accepted is about to get a request.
 func (l *clientListener) endIdle(minIdle time.Duration) {
 	l.mu.Lock()
@@ -40,7 +40,7 @@
 }
 
 // closeSoon closes the listener once it has accepted all that wait, whoever is connected. On a busy machine somebody waits at any moment, so
-// that no more are let in.
+// that no more are accepted.
 func (l *clientListener) closeSoon() {
 	tcpconn.RefuseNew(l.tcp)
 	l.mu.Lock()
--- a/internal/proxy/random_clients_test.go
+++ b/internal/proxy/random_clients_test.go
@@ -23,7 +23,7 @@
 type randomClient struct {
 	*testClient
 	unsent    string // what is left to send of the next request
-	requests  int    // sent whole
+	requests  int    // sent completely
 	responses atomic.Int64
 	ended     chan struct{} // closed when no response can come any more
 }
@@ -178,7 +178,7 @@
 	}
 }
 
-// Whatever clients do, in any order, each accepted request has one whole response or a client that disconnected, a client that stays
+// Whatever clients do, in any order, each accepted request has one complete response or a client that disconnected, a client that stays
 // gets as many responses as it sent requests, and all descriptors and request ids are released.
 func TestRandomClientSequences(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
--- a/internal/proxy/round_trip.go
+++ b/internal/proxy/round_trip.go
@@ -55,7 +55,7 @@
 	return true
 }
 
-// receivedRequest is a client's request that has been read whole.
+// receivedRequest is a client's request that has been read completely.
 type receivedRequest struct {
 	*clientRequest
 	target string // path and query as they were sent
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -39,7 +39,7 @@
 func newLingeringServer(t *testing.T, descriptors int, holdsRequests bool, lingerTimeout time.Duration) *testServer {
 	t.Helper()
 	server := &testServer{Rig: agenttest.NewRig(t, time.Second), budget: connlimit.NewBudget(descriptors), served: make(chan error, 1)}
-	var held []policy.Command
+	var pending []policy.Command
 	server.Respond(func(event policy.Event) []policy.Command {
 		switch event := event.(type) {
 		case policy.RequestArrived:
@@ -47,9 +47,9 @@
 			if !holdsRequests {
 				return []policy.Command{rejection}
 			}
-			held = append(held, rejection)
+			pending = append(pending, rejection)
 		case policy.GossipReceived: // rejectAll
-			return slices.Clone(held)
+			return slices.Clone(pending)
 		}
 		return nil
 	})
--- a/internal/rollout/update_publisher.go
+++ b/internal/rollout/update_publisher.go
@@ -9,7 +9,7 @@
 // updatePublisher hands updates of the stream and replies to votes to the event loop. It may be used by several goroutines at once.
 //
 // The rollout's state comes in replies and on the stream, over connections of their own: a reply that the controller wrote before it
-// rolled a build back may be read after the update of that rollback, and would put the build on trial again. A reply therefore does not
+// rolled a build back may be read after the update of that rollback, and would have the build evaluated again. A reply therefore does not
 // change a state that was published after its call began; if the reply is the newer of the two, the stream brings what it says.
 type updatePublisher struct {
 	updateRollout func(policy.RolloutUpdate)
--- a/internal/rollout/votes_test.go
+++ b/internal/rollout/votes_test.go
@@ -23,8 +23,8 @@
 		"<ceiling>" + ceiling + "</ceiling><lag_ms>" + lagMillis + "</lag_ms></item></groups></Response>"
 }
 
-// A reply that was written before the controller rolled the build back, and is read after that update, does not put the build on trial
-// again.
+// A reply that was written before the controller rolled the build back, and is read after that update, does not have the build
+// evaluated again.
 func TestVoteReplyOlderThanUpdate(t *testing.T) {
 	stream := agenttest.NewStreamServer(t, ":\n", time.Hour, func(string) string { return fakes.RolloutEvent(42, 0, "testing", 0.1) })
 	release := make(chan struct{})
--- a/internal/rollout/write_deadline.go
+++ b/internal/rollout/write_deadline.go
@@ -41,7 +41,7 @@
 	deadline time.Time
 }
 
-// Write looks at the clock as the last thing before the system call: the process may have stood still since any earlier look.
+// Write looks at the clock as the last thing before the system call: the process may have stalled since any earlier look.
 func (c writeDeadlineConn) Write(b []byte) (int, error) {
 	if !time.Now().Before(c.deadline) {
 		return 0, errWriteDeadlinePassed
--- a/internal/simprotocol/host_test.go
+++ b/internal/simprotocol/host_test.go
@@ -75,14 +75,14 @@
 }
 
 func TestServeRejectsMalformedInput(t *testing.T) {
-	whole := encodeFrame(startInstance(settings))
+	complete := encodeFrame(startInstance(settings))
 	for name, test := range map[string]struct {
 		in   []byte
 		want string
 	}{
-		"cut short":       {whole[:len(whole)-5], "cut short"},
-		"no body":         {whole[:4], "cut short"},
-		"half a length":   {whole[:2], "batch header cut short"},
+		"cut short":       {complete[:len(complete)-5], "cut short"},
+		"no body":         {complete[:4], "cut short"},
+		"half a length":   {complete[:2], "batch header cut short"},
 		"length":          {[]byte{3, 0, 0, 0}, "batch length 3"},
 		"missing setting": {encodeFrame(startInstance(strings.Replace(settings, "Zone=0\n", "", 1))), "setting Zone is missing"},
 		"not a number":    {encodeFrame(startInstance(strings.Replace(settings, "SloMs=100.0", "SloMs=soon", 1))), `"soon", not a number`},
--- a/internal/upstream/endpoint_test.go
+++ b/internal/upstream/endpoint_test.go
@@ -201,22 +201,22 @@
 
 // A response that comes slowly has its attempt's time; one that pauses in its middle ends soon.
 func TestSlowResponse(t *testing.T) {
-	whole := fakes.OKResponse(strings.Repeat("x", 20))
+	response := fakes.OKResponse(strings.Repeat("x", 20))
 	for _, test := range []struct {
 		stops int // after so many bytes; 0: does not
 		want  policy.Outcome
 	}{{0, policy.OK}, {30, policy.Malformed}} {
 		t.Run(fmt.Sprint(test.stops), func(t *testing.T) {
 			server := agenttest.NewScriptedServer(t, func(own net.Conn, _ int) bool {
-				for i := range whole {
+				for i := range response {
 					if i == test.stops && test.stops > 0 {
 						_, _ = io.Copy(io.Discard, own) // until the connection is closed
 						return false
 					}
-					if _, err := io.WriteString(own, whole[i:i+1]); err != nil {
+					if _, err := io.WriteString(own, response[i:i+1]); err != nil {
 						return false
 					}
-					time.Sleep(2 * upstream.MaxResponseGap / time.Duration(len(whole)))
+					time.Sleep(2 * upstream.MaxResponseGap / time.Duration(len(response)))
 				}
 				return true
 			})
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -24,7 +24,7 @@
 // long. It costs one connection more where one would be reused at once.
 const DefaultSettleTime = 20 * time.Millisecond
 
-// StallThreshold is how late a timer has to be to say that the process stood still. What the endpoint list and the rollout controller
+// StallThreshold is how late a timer has to be to say that the process has stalled. What the endpoint list and the rollout controller
 // wrote meanwhile counts as received, but may not have been read yet.
 const StallThreshold = 250 * time.Millisecond
 
--- a/internal/upstream/results_test.go
+++ b/internal/upstream/results_test.go
@@ -122,7 +122,7 @@
 
 // What an endpoint sends after a response, at once or later, never becomes the response to the next request.
 func TestUnrequestedResponseIsNotDelivered(t *testing.T) {
-	for _, pause := range []time.Duration{0, 20 * time.Millisecond} {
+	for _, delay := range []time.Duration{0, 20 * time.Millisecond} {
 		server := agenttest.NewScriptedServer(t, nil)
 		r := agenttest.NewRig(t, time.Second)
 		r.PublishOne(server.Addr())
@@ -131,7 +131,7 @@
 			if _, err := io.WriteString(conn, fakes.OKResponse(fmt.Sprint(nth))); err != nil {
 				return false
 			}
-			time.Sleep(pause)
+			time.Sleep(delay)
 			_, err := io.WriteString(conn, fakes.OKResponse("not asked for"))
 			sentAfter <- true
 			return err == nil
