--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -47,7 +47,9 @@
 func changedKeys(previous, next *Settings) []string {
 	var changed []string
 	for key, value := range previous.values {
-		if nextValue, ok := next.values[key]; needsRestart(key) && (!ok || nextValue != value) {
+		nextValue, isPresent := next.values[key]
+		isSame := isPresent && nextValue == value
+		if needsRestart(key) && !isSame {
 			changed = append(changed, previous.prefix+key)
 		}
 	}
--- a/internal/discovery/successor.go
+++ b/internal/discovery/successor.go
@@ -15,7 +15,8 @@
 // is merely slow goes on with it. A successor that is silent, too, gives way to another one.
 func (c *Client) handleSilence(ctx context.Context, from *watcher) {
 	isLeaving := c.pending != nil // the address is being left: its watch is not opened again
-	if isLeaving || from != c.current && from != c.successor {
+	isInUse := from == c.current || from == c.successor
+	if isLeaving || !isInUse {
 		return
 	}
 	ratelog.Warn("silent watch", "endpoint list watch fell silent, opened another one beside it", "version", c.publisher.version)
@@ -34,9 +35,9 @@
 	c.successor.start(ctx)
 }
 
-// resolveSuccessor decides between the current watcher and its successor at the first line of either. A line of the successor proves its watch: it has been sent all
-// changes after the version in force when it was opened, so that nothing of the silent one is needed any more. A line of the current one
-// shows that it was slow and not broken, and that nothing was missed.
+// resolveSuccessor decides between the current watcher and its successor at the first line of either. A line of the successor proves its
+// watch: it has been sent all changes after the version in force when it was opened, so that nothing of the silent one is needed any more.
+// A line of the current one shows that it was slow and not broken, and that nothing was missed.
 func (c *Client) resolveSuccessor(from *watcher) {
 	switch {
 	case c.successor == nil:
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -79,12 +79,14 @@
 func (c *clientConn) readAvailable(fd int, b []byte) (n int, isDone bool, err error) {
 	for {
 		keepsBytes := c.state == stateAwaiting || len(b) == 1
+		isReadAheadFull := len(c.readAhead) >= readAheadLimitBytes
+		handsOnReadAhead := len(c.readAhead) > 0 && (!keepsBytes || isReadAheadFull)
 		switch {
 		case c.state == stateRetired:
 			return 0, true, io.EOF
 		case c.timedOut:
 			return 0, true, os.ErrDeadlineExceeded
-		case len(c.readAhead) > 0 && (!keepsBytes || len(c.readAhead) >= readAheadLimitBytes):
+		case handsOnReadAhead:
 			n = copy(b, c.readAhead)
 			c.readAhead = c.readAhead[n:]
 			c.startReading()
@@ -147,15 +149,24 @@
 	c.setState(stateRetired)
 	isLingering := c.isLingering
 	c.mu.Unlock()
-	if isLingering && (wasRetired || c.CloseWrite() == nil) {
-		c.setReadDeadline(time.Now().Add(c.listener.lingerTimeout))
-		if dropped := c.discardUntilClosed(); wasRetired && dropped > 0 {
-			ratelog.Warn("unread request", "a request crossed the end of an unused connection and was not read", "bytes", dropped)
-		}
+	if isLingering {
+		c.linger(wasRetired)
 	}
 	return c.TCPConn.Close()
 }
 
+// linger half closes a connection, unless it was retired and is half closed already, and waits for the client to close it.
+func (c *clientConn) linger(wasRetired bool) {
+	if !wasRetired && c.CloseWrite() != nil {
+		return
+	}
+	c.setReadDeadline(time.Now().Add(c.listener.lingerTimeout))
+	dropped := c.discardUntilClosed()
+	if wasRetired && dropped > 0 {
+		ratelog.Warn("unread request", "a request crossed the end of an unused connection and was not read", "bytes", dropped)
+	}
+}
+
 // discardUntilClosed reads and drops what the client sends until it closes its side, or until the read deadline. It returns how many bytes
 // came.
 func (c *clientConn) discardUntilClosed() (dropped int) {
--- a/internal/proxy/conn_eviction.go
+++ b/internal/proxy/conn_eviction.go
@@ -54,8 +54,9 @@
 	c.mu.Unlock()
 	if isLingering {
 		c.setReadDeadline(pastDeadline)
+		return true
 	}
-	return isLingering || isSilent && c.retire()
+	return isSilent && c.retire()
 }
 
 // retireLongestIdle retires at most limit of the connections that have been idle longest, and returns how many. The lock is held.
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -19,19 +19,15 @@
 
 // Drain serves what still arrives, closes each connection with its next response, and returns when no client is connected any more. A
 // connection that carries no request stays open for its next one: clients use the connections that they have until these end. One that
-// stays silent ends with its idle timeout, or when the drain's time has nearly run out. Requests that are open then are answered, as
-// nobody will be there to answer them later, and new connections are refused: clients that go on connecting would otherwise have requests
-// on their way when the process ends, which resets them. http.Server.Shutdown is not used: it closes connections of which half a head has been read,
-// and drops without an answer a request that was read completely after it began.
+// stays silent ends with its idle timeout, or when the drain's time has nearly run out.
+//
+// Requests that are open then are answered, as nobody will be there to answer them later, and new connections are refused: clients that go
+// on connecting would otherwise have requests on their way when the process ends, which resets them.
+//
+// http.Server.Shutdown is not used: it closes connections of which half a head has been read, and drops without an answer a request that
+// was read completely after it began.
 func (p *Proxy) Drain(ctx context.Context) error {
-	p.drainDeadline = time.Now().Add(unboundedDrain)
-	if deadline, ok := ctx.Deadline(); ok {
-		p.drainDeadline = deadline.Add(-finalReplyWindow)
-	}
-	p.isDraining.Store(true)
-	if p.admission != nil {
-		p.admission.mailbox.Put(drainStarted{p.drainDeadline})
-	}
+	p.startDrain(ctx)
 	deadlineTimer := time.NewTimer(time.Until(p.drainDeadline))
 	defer deadlineTimer.Stop()
 	lateArrivals := time.NewTimer(lateArrivalWindow)
@@ -61,3 +57,15 @@
 		}
 	}
 }
+
+// startDrain sets the time at which open requests are answered, and has the proxy and the admission loop go by it.
+func (p *Proxy) startDrain(ctx context.Context) {
+	p.drainDeadline = time.Now().Add(unboundedDrain)
+	if deadline, ok := ctx.Deadline(); ok {
+		p.drainDeadline = deadline.Add(-finalReplyWindow)
+	}
+	p.isDraining.Store(true)
+	if p.admission != nil {
+		p.admission.mailbox.Put(drainStarted{p.drainDeadline})
+	}
+}
--- a/internal/proxy/listener_shutdown.go
+++ b/internal/proxy/listener_shutdown.go
@@ -53,7 +53,8 @@
 func (l *clientListener) shouldClose() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	isDone := l.closesSoon || l.closesWhenEmpty && len(l.conns) == 0
+	isEmpty := len(l.conns) == 0
+	isDone := l.closesSoon || (l.closesWhenEmpty && isEmpty)
 	return isDone && tcpconn.AcceptBacklog(l.tcp) == 0
 }
 
