--- a/cmd/switchfork-lab/testbed.go
+++ b/cmd/switchfork-lab/testbed.go
@@ -28,7 +28,7 @@
 
 // Operator files of the agent, with and without admission control.
 const (
-	operatorWithAdmission    = "door on\nlog-form json\ndoor-client header X-Client\n"
+	operatorWithAdmission    = "admission-control on\nlog-form json\nadmission-client header X-Client\n"
 	operatorWithoutAdmission = "log-form json\n"
 )
 
--- a/cmd/switchfork/coordinator.go
+++ b/cmd/switchfork/coordinator.go
@@ -85,7 +85,7 @@
 		slog.Warn("coordinator disabled: the votes of several agents are counted, so that one can't vote for all")
 		return false
 	case opts.Listen == "" && peers.Listen == "":
-		slog.Warn("coordinator disabled: agents may not exchange messages, and decider-listen names no address")
+		slog.Warn("coordinator disabled: agents may not exchange messages, and election-listen names no address")
 		return false
 	case opts.Listen == "" && (voting.Agents > election.MaxReplicas || len(peers.Addresses) > election.MaxReplicas):
 		slog.Warn("coordinator disabled: too many agents", "agents", voting.Agents, "max_replicas", election.MaxReplicas)
@@ -101,7 +101,7 @@
 		index = voting.Index
 	}
 	if index >= election.MaxReplicas {
-		return coordinator.Config{}, fmt.Errorf("decider: this is agent %d, numbers go from 0 to %d", index, election.MaxReplicas-1)
+		return coordinator.Config{}, fmt.Errorf("leader-election: this is agent %d, numbers go from 0 to %d", index, election.MaxReplicas-1)
 	}
 	return coordinator.Config{
 		Index:   index,
@@ -148,7 +148,7 @@
 	}
 	store, state, err := storage.Open(dir, replica.Group, replica.Index)
 	if err != nil {
-		return nil, fmt.Errorf("decider-state: %w", err)
+		return nil, fmt.Errorf("state-folder: %w", err)
 	}
 	replica.State = state
 	return store, nil
@@ -178,7 +178,7 @@
 	if w.tcp != nil {
 		tcp, err := transport.Listen(ctx, opts.Listen, w.coordinator.Receive)
 		if err != nil {
-			return fmt.Errorf("decider-listen: %w", err)
+			return fmt.Errorf("election-listen: %w", err)
 		}
 		w.tcp.TCP = tcp
 		w.setPeers(opts.Peers)
--- a/cmd/switchfork/coordinator_test.go
+++ b/cmd/switchfork/coordinator_test.go
@@ -65,7 +65,7 @@
 		t.Errorf("an agent that has to be added: %+v, %v", replica, err)
 	}
 	if _, err = replicaConfig(options.Coordinator{Index: election.MaxReplicas}, voting, 5); err == nil ||
-		err.Error() != "decider: this is agent 64, numbers go from 0 to 63" {
+		err.Error() != "leader-election: this is agent 64, numbers go from 0 to 63" {
 		t.Errorf("a number that is too high: %v", err)
 	}
 }
--- a/cmd/switchfork/main.go
+++ b/cmd/switchfork/main.go
@@ -62,7 +62,9 @@
 		},
 		&cobra.Command{
 			Use: "check FILE", Short: "read an operator's file, print its faults, or the file in force with every default",
-			Args: oneArg, RunE: func(c *cobra.Command, args []string) error { return checkOptions(c.OutOrStdout(), args[0]) },
+			Args: oneArg, RunE: func(c *cobra.Command, args []string) error {
+				return checkOptions(c.OutOrStdout(), c.ErrOrStderr(), args[0])
+			},
 		},
 		&cobra.Command{
 			Use: "version", Short: "print the version", Args: noArgs,
@@ -87,12 +89,15 @@
 	return nil
 }
 
-// checkOptions reads an operator's file and prints what would be in force.
-func checkOptions(out io.Writer, path string) error {
+// checkOptions reads an operator's file and prints what would be in force. Warnings go to warnings.
+func checkOptions(out, warnings io.Writer, path string) error {
 	opts, err := options.Read(path)
 	if err != nil {
 		return err
 	}
+	for _, keyword := range opts.Renamed {
+		_, _ = fmt.Fprintln(warnings, "switchfork:", keyword) // there is no other place to report that standard error can't be written
+	}
 	opts.Write(out)
 	return nil
 }
--- a/cmd/switchfork/reload.go
+++ b/cmd/switchfork/reload.go
@@ -3,6 +3,7 @@
 import (
 	"log/slog"
 	"os"
+	"slices"
 
 	"switchfork/internal/config"
 	"switchfork/internal/options"
@@ -63,6 +64,7 @@
 		return
 	}
 	setLogger(next.Log)
+	warnOfRenamed(newlyRenamed(r.options.Renamed, next.Renamed))
 	if r.process.admission != nil {
 		settings := r.process.settings
 		r.process.admission.SetWeights(tenantWeights(next.Admission, settings.tenants, settings.tenantShares))
@@ -73,3 +75,14 @@
 	slog.Info("options reloaded", "file", next.Path)
 	r.options = next
 }
+
+// newlyRenamed returns the old keywords of a reloaded file that were not warned of before.
+func newlyRenamed(warned, renamed []options.RenamedKeyword) (unwarned []options.RenamedKeyword) {
+	for _, keyword := range renamed {
+		isWarned := slices.ContainsFunc(warned, func(k options.RenamedKeyword) bool { return k.Written == keyword.Written })
+		if !isWarned {
+			unwarned = append(unwarned, keyword)
+		}
+	}
+	return unwarned
+}
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -87,6 +87,7 @@
 		return err
 	}
 	setLogger(opts.Log)
+	warnOfRenamed(opts.Renamed)
 	process, err := newAgentProcess(opts)
 	if err != nil {
 		return err
@@ -121,6 +122,13 @@
 	return options.Read(path)
 }
 
+// warnOfRenamed logs which keywords of the operator's file have another name now.
+func warnOfRenamed(renamed []options.RenamedKeyword) {
+	for _, keyword := range renamed {
+		slog.Warn("option renamed: the old name is still read", "file", keyword.Path, "line", keyword.Line, "keyword", keyword.Written, "new_name", keyword.Current)
+	}
+}
+
 // setLogger sets the log's level and format.
 func setLogger(opts options.Log) {
 	var level slog.Level
--- a/internal/options/errors.go
+++ b/internal/options/errors.go
@@ -40,3 +40,16 @@
 func (e *valueError) Error() string {
 	return fmt.Sprintf("is %q, expected %s", e.value, e.expected)
 }
+
+// duplicateError is a keyword that stands in the file already, by the same name or by another.
+type duplicateError struct {
+	first   firstUse
+	written string
+}
+
+func (e *duplicateError) Error() string {
+	if e.first.written != e.written {
+		return fmt.Sprintf("stands on line %d already, as %s", e.first.line, e.first.written)
+	}
+	return fmt.Sprintf("stands on line %d already", e.first.line)
+}
--- a/internal/options/keywords.go
+++ b/internal/options/keywords.go
@@ -28,27 +28,28 @@
 	weightSeparator = "share"
 )
 
+// keywords holds the definition of each keyword by its present name.
 var keywords = map[string]keyword{
 	"log-level": enumKeyword(func(o *Options) *string { return &o.Log.Level }, "debug", "info", "warn", "error").reloadable(),
 	"log-form":  enumKeyword(func(o *Options) *string { return &o.Log.Format }, "text", "json").reloadable(),
 
-	"door":        switchKeyword(func(o *Options) *bool { return &o.Admission.Enabled }),
-	"door-queues": countKeyword(func(o *Options) *int { return &o.Admission.Queues }, 1, maxQueues),
-	"door-txns":   countOrAutoKeyword(func(o *Options) *int { return &o.Admission.Requests }, 1, maxRequests, derived),
-	"door-bytes":  bytesKeyword(),
-	"door-client": clientKeyword(),
-	"come-back":   switchKeyword(func(o *Options) *bool { return &o.Admission.SendsRetryAfter }),
-	"same-answer": switchKeyword(func(o *Options) *bool { return &o.Admission.Coalesces }),
-	"tenant":      tenantKeyword().reloadable(),
-
-	"decider":        switchKeyword(func(o *Options) *bool { return &o.Coordinator.Enabled }),
-	"decider-group":  textKeyword("a name", func(o *Options) *string { return &o.Coordinator.Group }, isNotEmpty),
-	"decider-lease":  leaseKeyword(),
-	"decider-listen": textKeyword("a host and port", func(o *Options) *string { return &o.Coordinator.Listen }, isAddress),
-	"decider-me":     indexKeyword(),
-	"decider-peer":   peerKeyword().reloadable(),
-	"decider-state":  textKeyword("a folder's whole path", func(o *Options) *string { return &o.Coordinator.StateDir }, isAbsolutePath),
-	"admin":          textKeyword("a Unix socket's whole path", func(o *Options) *string { return &o.Coordinator.AdminSocket }, isAbsolutePath),
+	"admission-control":  switchKeyword(func(o *Options) *bool { return &o.Admission.Enabled }),
+	"admission-queues":   countKeyword(func(o *Options) *int { return &o.Admission.Queues }, 1, maxQueues),
+	"admission-requests": countOrAutoKeyword(func(o *Options) *int { return &o.Admission.Requests }, 1, maxRequests, derived),
+	"admission-bytes":    bytesKeyword(),
+	"admission-client":   clientKeyword(),
+	"retry-after":        switchKeyword(func(o *Options) *bool { return &o.Admission.SendsRetryAfter }),
+	"coalesce-requests":  switchKeyword(func(o *Options) *bool { return &o.Admission.Coalesces }),
+	"tenant":             tenantKeyword().reloadable(),
+
+	"leader-election": switchKeyword(func(o *Options) *bool { return &o.Coordinator.Enabled }),
+	"replica-id":      indexKeyword(),
+	"election-group":  textKeyword("a name", func(o *Options) *string { return &o.Coordinator.Group }, isNotEmpty),
+	"election-lease":  leaseKeyword(),
+	"election-listen": textKeyword("a host and port", func(o *Options) *string { return &o.Coordinator.Listen }, isAddress),
+	"election-peer":   peerKeyword().reloadable(),
+	"state-folder":    textKeyword("a folder's whole path", func(o *Options) *string { return &o.Coordinator.StateDir }, isAbsolutePath),
+	"admin":           textKeyword("a Unix socket's whole path", func(o *Options) *string { return &o.Coordinator.AdminSocket }, isAbsolutePath),
 }
 
 func sortedKeywords() []string { return slices.Sorted(maps.Keys(keywords)) }
--- a/internal/options/options.go
+++ b/internal/options/options.go
@@ -1,6 +1,7 @@
 // Package options reads the file that an operator may give an agent: one setting a line, a keyword and its values, '#'
 // before a comment, quotes around a value that holds spaces. The keywords, their syntax and their defaults are defined
-// here, and all faults of a file are reported at once.
+// here, and all faults of a file are reported at once. A keyword that was renamed is still read by its old name, and the
+// options say which were.
 //
 // The package only reads and writes: putting options into force is its caller's part. Options are not safe for
 // concurrent writes; callers treat them as immutable once they are parsed.
@@ -18,7 +19,7 @@
 	Log         Log
 	Admission   Admission
 	Coordinator Coordinator
-	Keywords    []string // the keywords that the file holds, in its order
+	Renamed     []RenamedKeyword // the old keywords that the file holds, in its order
 }
 
 // Log is how the log is written.
--- a/internal/options/parse.go
+++ b/internal/options/parse.go
@@ -5,7 +5,9 @@
 	"bytes"
 	"fmt"
 	"io"
+	"maps"
 	"os"
+	"slices"
 	"strings"
 
 	"github.com/agext/levenshtein"
@@ -26,7 +28,7 @@
 
 // Parse reads a file's text; path is what messages call it. The error is a FileErrors.
 func Parse(path string, text io.Reader) (*Options, error) {
-	p := parser{options: Defaults(), firstLines: map[string]int{}}
+	p := parser{options: Defaults(), firstUses: map[string]firstUse{}}
 	p.options.Path = path
 	lines := bufio.NewScanner(text)
 	for lines.Scan() {
@@ -43,12 +45,18 @@
 	return p.options, nil
 }
 
+// firstUse is where a keyword stands first.
+type firstUse struct {
+	line    int
+	written string // the keyword as it stands there: its present or its old name
+}
+
 // parser reads one file.
 type parser struct {
-	options    *Options
-	line       int
-	firstLines map[string]int // where a keyword was met first, with its first value if it is repeatable
-	errors     FileErrors
+	options   *Options
+	line      int
+	firstUses map[string]firstUse // by present name, with the first value of a repeatable keyword
+	errors    FileErrors
 }
 
 func (p *parser) recordError(keyword, reason string) {
@@ -64,18 +72,19 @@
 	if len(words) == 0 {
 		return
 	}
-	name, values := words[0], words[1:]
-	if err := p.parseKeyword(name, values); err != nil {
-		p.recordError(name, err.Error())
+	written, values := words[0], words[1:]
+	if err := p.parseKeyword(written, values); err != nil {
+		p.recordError(written, err.Error())
 		return
 	}
-	p.options.Keywords = append(p.options.Keywords, name)
+	p.recordRenamed(written)
 }
 
-func (p *parser) parseKeyword(name string, values []string) error {
+func (p *parser) parseKeyword(written string, values []string) error {
+	name := currentName(written)
 	definition, ok := keywords[name]
 	if !ok {
-		return fmt.Errorf("no such keyword, %s", suggestKeyword(name))
+		return fmt.Errorf("no such keyword, %s", suggestKeyword(written))
 	}
 	if len(values) == 0 || len(values) > definition.maxValues {
 		return fmt.Errorf("has %d values, expected %s", len(values), definition.syntax)
@@ -84,21 +93,37 @@
 	if definition.isRepeatable {
 		identity += " " + values[0]
 	}
-	if first, ok := p.firstLines[identity]; ok {
-		return fmt.Errorf("stands on line %d already", first)
+	if first, ok := p.firstUses[identity]; ok {
+		return &duplicateError{first: first, written: written}
 	}
-	p.firstLines[identity] = p.line
+	p.firstUses[identity] = firstUse{line: p.line, written: written}
 	return definition.parse(p.options, values)
 }
 
-// suggestKeyword names the keyword that is most similar to an unknown one, or else all of them.
-func suggestKeyword(name string) string {
+// recordRenamed records an old keyword where it stands first.
+func (p *parser) recordRenamed(written string) {
+	current := currentName(written)
+	isRecorded := slices.ContainsFunc(p.options.Renamed, func(k RenamedKeyword) bool { return k.Written == written })
+	if current == written || isRecorded {
+		return
+	}
+	p.options.Renamed = append(p.options.Renamed, RenamedKeyword{Path: p.options.Path, Line: p.line, Written: written, Current: current})
+}
+
+// suggestKeyword names the keyword whose present or old name is most similar to an unknown one, or else all of them.
+func suggestKeyword(unknown string) string {
 	nearest, similarity := "", minSimilarity
-	for _, candidate := range sortedKeywords() {
-		if match := levenshtein.Match(name, candidate, nil); match > similarity {
-			nearest, similarity = candidate, match
+	consider := func(name string) {
+		if match := levenshtein.Match(unknown, name, nil); match > similarity {
+			nearest, similarity = currentName(name), match
 		}
 	}
+	for _, name := range sortedKeywords() {
+		consider(name)
+	}
+	for _, name := range slices.Sorted(maps.Keys(currentNames)) {
+		consider(name)
+	}
 	if nearest == "" {
 		return "known are " + strings.Join(sortedKeywords(), ", ")
 	}
--- a/internal/options/write_test.go
+++ b/internal/options/write_test.go
@@ -16,7 +16,7 @@
 }
 
 func TestWrittenOptionsParseBack(t *testing.T) {
-	original := mustParse(t, "door on\ntenant 'reef calor' share 0.4\ndoor-client header X-Crew\ndoor-bytes 8MiB\nlog-form json\n")
+	original := mustParse(t, "admission-control on\ntenant 'reef calor' share 0.4\nadmission-client header X-Crew\nadmission-bytes 8MiB\nlog-form json\n")
 	var written, rewritten strings.Builder
 	original.Write(&written)
 	again := mustParse(t, written.String())
@@ -34,9 +34,9 @@
 }
 
 func TestChangedKeywordsLeavesOutReloadableOnes(t *testing.T) {
-	next := mustParse(t, "log-level debug\nlog-form json\ntenant a share 2\ndecider-peer 1 a:1\ndoor on\nadmin /run/a\n")
+	next := mustParse(t, "log-level debug\nlog-form json\ntenant a share 2\nelection-peer 1 a:1\nadmission-control on\nadmin /run/a\n")
 	changed := Defaults().ChangedKeywords(next)
-	if !slices.Equal(changed, []string{"admin", "door"}) {
+	if !slices.Equal(changed, []string{"admin", "admission-control"}) {
 		t.Errorf("changed %v", changed)
 	}
 }
