--- a/cmd/switchfork-lab/admission.go
+++ b/cmd/switchfork-lab/admission.go
@@ -59,12 +59,17 @@
 	result   *simulation.AdmissionResult
 }
 
-func admissionCommand() *cobra.Command {
+func newAdmissionCommand() *cobra.Command {
 	var experiment admissionExperiment
 	var usesSockets bool
 	var logFolder string
 	c := &cobra.Command{
-		Use: "door", Short: "one tenant floods: what the others get", Args: noArguments,
+		Use:   "admission",
+		Short: "Measure what tenants get while others send more than their share",
+		Long: "Measure how admission control shares an agent's capacity while one or several tenants send more than their share, beside the same\n" +
+			"load without the excess and beside simpler algorithms. The experiment runs in simulated time; with --sockets, a short form of it\n" +
+			"runs with the real agent on loopback.",
+		Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if !experiment.isValid() {
 				return usageError{errors.New("--times from 1, --noisy 1 to 3, --seconds 5 to 600, --one-off 0 to 1000000")}
@@ -75,13 +80,13 @@
 			return experiment.run(c.OutOrStdout())
 		},
 	}
-	c.Flags().Int64Var(&experiment.seed, "seed", 1, "of the day")
-	c.Flags().Float64Var(&experiment.noiseFactor, "times", 20, "how many times its share a noisy tenant sends")
-	c.Flags().IntVar(&experiment.noisyTenants, "noisy", 1, "how many tenants are noisy")
-	c.Flags().IntVar(&experiment.oneOffClients, "one-off", 5000, "clients that come once")
-	c.Flags().IntVar(&experiment.seconds, "seconds", 60, "length of a day")
-	c.Flags().StringVar(&logFolder, "logs", "", "a folder for the agent's logs, with --sockets")
-	c.Flags().BoolVar(&usesSockets, "sockets", false, "play a short form with the real agent on loopback")
+	c.Flags().Int64Var(&experiment.seed, "seed", 1, "seed of the simulated load")
+	c.Flags().Float64Var(&experiment.noiseFactor, "times", 20, "load of a noisy tenant, as a multiple of its share")
+	c.Flags().IntVar(&experiment.noisyTenants, "noisy", 1, "number of noisy tenants, 1 to 3")
+	c.Flags().IntVar(&experiment.oneOffClients, "one-off", 5000, "number of clients that send a single request")
+	c.Flags().IntVar(&experiment.seconds, "seconds", 60, "length of each run in seconds, 5 to 600")
+	c.Flags().StringVar(&logFolder, "logs", "", "folder for the agent's logs, with --sockets")
+	c.Flags().BoolVar(&usesSockets, "sockets", false, "run a short form with the real agent on loopback")
 	return c
 }
 
--- a/cmd/switchfork-lab/demo.go
+++ b/cmd/switchfork-lab/demo.go
@@ -70,10 +70,14 @@
 	printedLines int // of the display
 }
 
-func demoCommand() *cobra.Command {
+func newDemoCommand() *cobra.Command {
 	var d demo
 	c := &cobra.Command{
-		Use: "demo", Short: "the agent at work on loopback, among stand-ins, with a release on its way", Args: noArguments,
+		Use:   "demo",
+		Short: "Show the agent at work on loopback while a build is released",
+		Long: "Start the agent on loopback among fakes of its endpoints, service discovery and the rollout controller, send a modest load while a new\n" +
+			"build is released, and show the outcome of the requests.",
+		Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if d.flood != "" && !slices.Contains(tenantNames, d.flood) {
 				return usageError{fmt.Errorf("--flood is %q, expected one of %s", d.flood, strings.Join(tenantNames, ", "))}
@@ -85,10 +89,10 @@
 			return d.run()
 		},
 	}
-	c.Flags().StringVar(&d.flood, "flood", "", "a tenant that sends twenty times its share from a third of the time on")
-	c.Flags().BoolVar(&d.isBad, "bad-release", false, "the release fails a third of its txns")
-	c.Flags().DurationVar(&d.length, "for", defaultDemoLength, "how long it plays")
-	c.Flags().StringVar(&d.program, "agent", "", "the agent's program; built anew where none is named")
+	c.Flags().StringVar(&d.flood, "flood", "", "tenant that sends twenty times its share after a third of the time")
+	c.Flags().BoolVar(&d.isBad, "bad-release", false, "let the new build fail a third of its requests")
+	c.Flags().DurationVar(&d.length, "for", defaultDemoLength, "length of the demo, 5s to 10m")
+	c.Flags().StringVar(&d.program, "agent", "", "path of the agent's program; built from this tree if empty")
 	return c
 }
 
--- a/cmd/switchfork-lab/election.go
+++ b/cmd/switchfork-lab/election.go
@@ -58,10 +58,14 @@
 	without   string
 }
 
-func electionCommand() *cobra.Command {
+func newElectionCommand() *cobra.Command {
 	var experiment electionExperiment
 	c := &cobra.Command{
-		Use: "decider", Short: "one decider at a time: random partitions, standstills, restarts", Args: noArguments,
+		Use:   "election",
+		Short: "Check leader election under random faults in simulated time",
+		Long: "Play random schedules of network partitions, process stalls, restarts and planned leaves in simulated time, and check that the votes\n" +
+			"of two leaders never contradict each other. The experiment prints the seed of a schedule that breaks a rule.",
+		Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if !experiment.isValid() {
 				return usageError{errors.New("--schedules 1 to 1000000, --agents 1 to 9, --seconds 10 to 600, --without lease, record, wait, prevote or begin")}
@@ -69,11 +73,11 @@
 			return experiment.run(c.OutOrStdout())
 		},
 	}
-	c.Flags().Int64Var(&experiment.seed, "seed", 1, "of the first schedule")
-	c.Flags().IntVar(&experiment.schedules, "schedules", 10_000, "how many are played")
-	c.Flags().IntVar(&experiment.agents, "agents", 3, "how many agents")
-	c.Flags().IntVar(&experiment.seconds, "seconds", 40, "length of a schedule")
-	c.Flags().StringVar(&experiment.without, "without", "", "switch a guard off: lease, record, wait, prevote or begin; the experiment should then fail")
+	c.Flags().Int64Var(&experiment.seed, "seed", 1, "seed of the first schedule")
+	c.Flags().IntVar(&experiment.schedules, "schedules", 10_000, "number of schedules")
+	c.Flags().IntVar(&experiment.agents, "agents", 3, "number of agents, 1 to 9")
+	c.Flags().IntVar(&experiment.seconds, "seconds", 40, "length of each schedule in seconds, 10 to 600")
+	c.Flags().StringVar(&experiment.without, "without", "", "safety guard to switch off: lease, record, wait, prevote or begin; the experiment should then fail")
 	return c
 }
 
--- a/cmd/switchfork-lab/faulttest.go
+++ b/cmd/switchfork-lab/faulttest.go
@@ -22,36 +22,39 @@
 // progressBarWidth is in characters.
 const progressBarWidth = 20
 
-// faultTestOptions are the flags of the trial command.
+// faultTestOptions are the flags of the faulttest command.
 type faultTestOptions struct {
 	run          faulttest.RunOptions
 	namedProgram []string // NAME=PATH
 	agentPath    string   // empty: the agent is built
 }
 
-// faultTestCommand runs fault scenarios: several real agents, with faults between them.
-func faultTestCommand() *cobra.Command {
+// newFaultTestCommand returns the command that runs fault scenarios: several real agents, with faults between them.
+func newFaultTestCommand() *cobra.Command {
 	var o faultTestOptions
 	c := &cobra.Command{
-		Use: "trial [flags] FILE...", Short: "play nights: several agents among stand-ins, with faults on ways and processes",
+		Use:   "faulttest [flags] FILE...",
+		Short: "Run fault scenarios against several real agents",
+		Long: "Run each scenario file with several real agents and fakes on loopback, with a relay on each link and faults on links and processes.\n" +
+			"Each scenario's verdict is printed as a line of JSON.",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				return usageError{fmt.Errorf("%s wants the files of the nights", c.CommandPath())}
+				return usageError{fmt.Errorf("%s wants the files of scenarios", c.CommandPath())}
 			}
 			if o.run.Agents < 0 || o.run.Agents > faulttest.MaxAgents {
-				return usageError{fmt.Errorf("--agents is %d, expected 1 to %d, or 0 for each night's own", o.run.Agents, faulttest.MaxAgents)}
+				return usageError{fmt.Errorf("--agents is %d, expected 1 to %d, or 0 for each scenario's own", o.run.Agents, faulttest.MaxAgents)}
 			}
 			return nil
 		},
 		RunE: func(c *cobra.Command, args []string) error { return runFaultTests(c.OutOrStdout(), args, o) },
 	}
-	c.Flags().Int64Var(&o.run.Seed, "seed", 0, "of loads and faults; 0: each night's own")
-	c.Flags().StringVar(&o.run.Keep, "keep", "", "a folder for every night's logs, time line and records; without it they are kept where a night fails")
-	c.Flags().IntVar(&o.run.Agents, "agents", 0, "how many agents; 0: each night's own")
-	c.Flags().StringVar(&o.agentPath, "agent", "", "the agent's program; built anew where none is named")
-	c.Flags().StringArrayVar(&o.namedProgram, "program", nil, "NAME=PATH, another version of the program, for nights that start one; built anew under that version where none is named")
-	c.Flags().BoolVar(&o.run.IdleRelays, "idle", false, "relays do nothing: each night with a fault should then fail")
-	c.Flags().BoolVar(&o.run.Direct, "direct", false, "no relays at all, for the measure of what they cost: faults on ways are then impossible")
+	c.Flags().Int64Var(&o.run.Seed, "seed", 0, "seed of loads and faults; 0 uses each scenario's own")
+	c.Flags().StringVar(&o.run.Keep, "keep", "", "folder for the logs, timeline and records of every scenario; if empty, only those of failed scenarios are preserved")
+	c.Flags().IntVar(&o.run.Agents, "agents", 0, "number of agents; 0 uses each scenario's own")
+	c.Flags().StringVar(&o.agentPath, "agent", "", "path of the agent's program; built from this tree if empty")
+	c.Flags().StringArrayVar(&o.namedProgram, "program", nil, "NAME=PATH of another version of the program, for scenarios that start one; built from this tree under that name if not given")
+	c.Flags().BoolVar(&o.run.IdleRelays, "idle", false, "make the relays do nothing: each scenario with a fault should then fail")
+	c.Flags().BoolVar(&o.run.Direct, "direct", false, "use no relays, to measure what they cost: faults on links are then impossible")
 	return c
 }
 
@@ -103,7 +106,7 @@
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d nights failed", failed, len(scenarios))
+		return fmt.Errorf("%d of %d scenarios failed", failed, len(scenarios))
 	}
 	return nil
 }
--- a/cmd/switchfork-lab/logs.go
+++ b/cmd/switchfork-lab/logs.go
@@ -8,21 +8,24 @@
 	"text/tabwriter"
 	"time"
 
+	"switchfork/internal/cli"
 	"switchfork/internal/loganalysis"
 
 	"github.com/spf13/cobra"
 )
 
-// logsCommand reports on the logs of many agents.
-func logsCommand() *cobra.Command {
+// newLogsCommand reports on the logs of many agents.
+func newLogsCommand() *cobra.Command {
 	var every time.Duration
 	var endpoints int
 	var rate float64
 	c := &cobra.Command{
-		Use: "logs FOLDER", Short: "count what many agents did together, from a folder with a log an agent (*.log)",
+		Use:   "logs FOLDER",
+		Short: "Add up what many agents did together",
+		Long:  "Add up what many agents did together, from a folder that holds one log file (*.log) in text form of each agent.",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) != 1 || every < time.Second || endpoints < 0 || rate < 0 {
-				return usageError{fmt.Errorf("%s wants a folder, --every from 1s, --appliances and --calls not under 0", c.CommandPath())}
+				return usageError{fmt.Errorf("%s wants a folder, --every from 1s, --endpoints and --calls not under 0", c.CommandPath())}
 			}
 			return nil
 		},
@@ -30,9 +33,10 @@
 			return logs(c.OutOrStdout(), args[0], every, endpoints, rate)
 		},
 	}
-	c.Flags().DurationVar(&every, "every", defaultInterval, "length of a row")
-	c.Flags().IntVar(&endpoints, "appliances", defaultMaxEndpoints, "how many appliances are shown")
-	c.Flags().Float64Var(&rate, "calls", 0, "the told votes a second: fail where all agents cast more in over a tenth of the seconds with any; 0: don't ask")
+	c.Flags().DurationVar(&every, "every", defaultInterval, "time that each row of the table covers")
+	c.Flags().IntVar(&endpoints, "endpoints", defaultMaxEndpoints, "number of endpoints to show, those with the most warnings first")
+	c.Flags().Float64Var(&rate, "calls", 0, "configured rate of votes a second: fail if all agents together exceed it in over a tenth of the seconds with votes; 0 disables the check")
+	cli.AddRenamedFlag(c, "appliances", "endpoints")
 	return c
 }
 
--- a/cmd/switchfork-lab/soak.go
+++ b/cmd/switchfork-lab/soak.go
@@ -47,11 +47,14 @@
 	TookMS     int64          `json:"took_ms"`
 }
 
-// soakCommand runs scenarios that are drawn from seeds.
-func soakCommand() *cobra.Command {
+// newSoakCommand returns the command that runs scenarios that are drawn from seeds.
+func newSoakCommand() *cobra.Command {
 	var o soakOptions
 	c := &cobra.Command{
-		Use: "soak [flags]", Short: "run drawn fault scenarios with planned restarts, held against the rules alone",
+		Use:   "soak [flags]",
+		Short: "Run fault scenarios drawn from seeds",
+		Long: "Run fault scenarios that are drawn from seeds, with planned restarts, and check the protocol's rules alone. Each scenario's verdict is\n" +
+			"printed as a line of JSON, and a summary as the last line.",
 		Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := o.check(); err != nil {
@@ -64,13 +67,13 @@
 			return runSoak(c.OutOrStdout(), o)
 		},
 	}
-	c.Flags().IntVar(&o.seeds, "seeds", defaultSoakSeeds, "how many seeds; 0 with --for: as many as there is time for")
-	c.Flags().Int64Var(&o.from, "from", 1, "the first seed")
-	c.Flags().IntVar(&o.parallel, "parallel", defaultSoakParallel, "how many scenarios run at a time")
-	c.Flags().DurationVar(&o.duration, "for", 0, "start no further seed after this time; 0: no bound")
-	c.Flags().StringVar(&o.keep, "keep", "", "a folder for every scenario's logs, time line and records; without it they are kept where a rule is broken")
-	c.Flags().StringVar(&o.agentPath, "agent", "", "the agent's program; built anew where none is named")
-	c.Flags().Int64Var(&o.print, "print", -1, "print the scenario of this seed, for switchfork-lab trial, and run nothing")
+	c.Flags().IntVar(&o.seeds, "seeds", defaultSoakSeeds, "number of seeds; 0 with --for runs as many as there is time for")
+	c.Flags().Int64Var(&o.from, "from", 1, "first seed")
+	c.Flags().IntVar(&o.parallel, "parallel", defaultSoakParallel, "number of scenarios that run at a time")
+	c.Flags().DurationVar(&o.duration, "for", 0, "time after which no further seed is started; 0 sets no bound")
+	c.Flags().StringVar(&o.keep, "keep", "", "folder for the logs, timeline and records of every scenario; if empty, only those of scenarios that break a rule are preserved")
+	c.Flags().StringVar(&o.agentPath, "agent", "", "path of the agent's program; built from this tree if empty")
+	c.Flags().Int64Var(&o.print, "print", -1, "print the scenario of this seed, for switchfork-lab faulttest, and run nothing")
 	return c
 }
 
@@ -190,5 +193,5 @@
 		s.summary.Violations["other"]++
 	}
 	reportFailures(verdict)
-	printf(os.Stderr, "to run it again: switchfork-lab soak --print %d > soak-%d.txt && switchfork-lab trial soak-%d.txt\n", seed, seed, seed)
+	printf(os.Stderr, "to run it again: switchfork-lab soak --print %d > soak-%d.txt && switchfork-lab faulttest soak-%d.txt\n", seed, seed, seed)
 }
--- a/cmd/switchfork-lab/soak_test.go
+++ b/cmd/switchfork-lab/soak_test.go
@@ -36,7 +36,7 @@
 
 // What is printed of a seed is the scenario that the soak plays.
 func TestSoakPrint(t *testing.T) {
-	command, out := soakCommand(), &strings.Builder{}
+	command, out := newSoakCommand(), &strings.Builder{}
 	command.SetOut(out)
 	command.SetArgs([]string{"--print", "21"})
 	if err := command.Execute(); err != nil || out.String() != faulttest.DrawScenario(21) {
