--- a/cmd/switchfork/admin.go
+++ b/cmd/switchfork/admin.go
@@ -20,7 +20,7 @@
 	socket string // the value of --admin
 }
 
-// newAdminCommands makes the commands lead, members and state.
+// newAdminCommands makes the commands leader, members and state.
 func newAdminCommands(out io.Writer) []*cobra.Command {
 	a := &adminCommands{out: out}
 	return []*cobra.Command{a.leaderCommand(), a.membersCommand(), a.stateCommand()}
@@ -33,15 +33,17 @@
 
 // withSocketFlag adds the flag that names the agent to ask.
 func (a *adminCommands) withSocketFlag(command *cobra.Command) *cobra.Command {
-	command.Flags().StringVar(&a.socket, "admin", defaultAdminSocket, "the agent's admin address, a Unix socket")
+	command.Flags().StringVar(&a.socket, "admin", defaultAdminSocket, "path of the agent's admin socket")
 	return command
 }
 
 func (a *adminCommands) leaderCommand() *cobra.Command {
 	return a.withSocketFlag(&cobra.Command{
-		Use:   "lead",
-		Short: "tell who casts the votes, as one agent knows",
-		Args:  noArgs,
+		Use:   "leader",
+		Short: "Show which agent is the leader",
+		Long: "Ask an agent which agent is the leader and casts the votes on releases for all agents, and show the lease, the newest decision and the\n" +
+			"members as far as that agent knows them.",
+		Args: noArgs,
 		RunE: func(*cobra.Command, []string) error {
 			report, err := coordinator.QueryStatus(a.socket)
 			if err != nil {
@@ -64,17 +66,17 @@
 		a.printf("knows of nobody who leads\n")
 	}
 	a.printf("newest decision: %s\n", report.Newest)
-	a.printf("unresolved: %t; an earlier lead's may count for %d ms; abstains for %d ms\n",
+	a.printf("unresolved: %t; an earlier leader's votes may count for %d ms; abstains for %d ms\n",
 		report.Unresolved, report.WaitsMS, report.AbstainsMS)
 	a.printf("members: %v\n", report.Members)
 }
 
 func (a *adminCommands) membersCommand() *cobra.Command {
-	command := &cobra.Command{Use: "members", Short: "the agents of whom one casts the votes"}
+	command := &cobra.Command{Use: "members", Short: "List or change the members of the election"}
 	command.AddCommand(
 		a.listMembersCommand(),
-		a.changeMembersCommand("add", "let an agent in; to be asked of the one that leads"),
-		a.changeMembersCommand("remove", "take an agent out; to be asked of the one that leads"),
+		a.changeMembersCommand("add", "Add an agent to the members"),
+		a.changeMembersCommand("remove", "Remove an agent from the members"),
 	)
 	return command
 }
@@ -82,7 +84,8 @@
 func (a *adminCommands) listMembersCommand() *cobra.Command {
 	return a.withSocketFlag(&cobra.Command{
 		Use:   "list",
-		Short: "list them, as one agent knows",
+		Short: "List the members",
+		Long:  "List the members of the election, as far as the agent that is asked knows them.",
 		Args:  noArgs,
 		RunE: func(*cobra.Command, []string) error {
 			report, err := coordinator.QueryStatus(a.socket)
@@ -98,6 +101,7 @@
 	return a.withSocketFlag(&cobra.Command{
 		Use:   change + " AGENT",
 		Short: short,
+		Long:  short + " of the election. The agent that is asked has to be the leader.",
 		Args:  oneArg,
 		RunE: func(_ *cobra.Command, args []string) error {
 			agent, err := strconv.Atoi(args[0])
@@ -110,7 +114,7 @@
 }
 
 func (a *adminCommands) stateCommand() *cobra.Command {
-	command := &cobra.Command{Use: "state", Short: "a decider's state folder"}
+	command := &cobra.Command{Use: "state", Short: "Inspect a replica's state folder"}
 	command.AddCommand(a.showStateCommand(), a.verifyStateCommand())
 	return command
 }
@@ -118,7 +122,7 @@
 func (a *adminCommands) showStateCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "show FOLDER",
-		Short: "print what is kept in a folder",
+		Short: "Print what a state folder holds",
 		Args:  oneArg,
 		RunE: func(_ *cobra.Command, args []string) error {
 			group, index, state, err := storage.Inspect(args[0])
@@ -146,7 +150,7 @@
 func (a *adminCommands) verifyStateCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "verify FOLDER",
-		Short: "check that a folder can be relied on",
+		Short: "Check that a state folder is intact",
 		Args:  oneArg,
 		RunE: func(_ *cobra.Command, args []string) error {
 			if _, _, _, err := storage.Inspect(args[0]); err != nil {
--- a/cmd/switchfork/golden_test.go
+++ b/cmd/switchfork/golden_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"switchfork/internal/cli/clitest"
 	"switchfork/internal/cluster/coordinator"
 	"switchfork/internal/cluster/election"
 	"switchfork/internal/golden"
@@ -15,9 +16,12 @@
 	"github.com/spf13/cobra"
 )
 
-// help is what each command prints about itself.
+// help is what each command prints about itself, except hidden ones.
 func help(t *testing.T, c *cobra.Command, out *strings.Builder) {
 	t.Helper()
+	if c.Hidden {
+		return
+	}
 	fmt.Fprintf(out, "== %s\n", c.CommandPath())
 	c.SetOut(out)
 	if err := c.Help(); err != nil {
@@ -44,6 +48,13 @@
 	golden.Check(t, "check.golden", text)
 }
 
+func TestHelpHoldsNoWithdrawnWord(t *testing.T) {
+	root := commands(&strings.Builder{})
+	root.InitDefaultHelpCmd()
+	root.InitDefaultCompletionCmd()
+	clitest.CheckHelp(t, root)
+}
+
 type nowhere struct{}
 
 func (nowhere) Send(int, []byte) {}
--- a/cmd/switchfork/main.go
+++ b/cmd/switchfork/main.go
@@ -13,6 +13,7 @@
 	"os"
 	"runtime/debug"
 
+	"switchfork/internal/cli"
 	"switchfork/internal/options"
 
 	"github.com/spf13/cobra"
@@ -27,6 +28,11 @@
 // usageError is an error in the command line itself.
 type usageError struct{ error }
 
+// renamedCommands are the commands whose names were withdrawn. Both forms are read.
+var renamedCommands = []cli.RenamedCommand{
+	{Old: "lead", Current: "leader"},
+}
+
 // version may be set when the program is linked.
 var version = ""
 
@@ -48,30 +54,46 @@
 	var optionsPath string
 	serveAgent := func(*cobra.Command, []string) error { return serve(optionsPath) }
 	root := &cobra.Command{
-		Use: "switchfork", Short: "txn router and release judge", SilenceUsage: true, SilenceErrors: true,
-		Args: noArgs, RunE: serveAgent,
+		Use:   "switchfork",
+		Short: "Route requests to endpoints and vote on releases",
+		Long: "switchfork is one agent of a fleet. It routes the requests of its clients to endpoints, and votes on releases.\n" +
+			"Without a command it serves.",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+		Args:          noArgs,
+		RunE:          serveAgent,
 	}
 	root.SetOut(out)
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	root.PersistentFlags().StringVar(&optionsPath, "operator", os.Getenv("SWITCHFORK_OPERATOR"),
-		"the operator's file; SWITCHFORK_OPERATOR where the flag is not given")
+		"path of the operator's file; SWITCHFORK_OPERATOR if the flag is not given")
 	root.AddCommand(
 		&cobra.Command{
-			Use: "serve", Short: "serve as an agent, as without any command", Args: noArgs,
-			RunE: serveAgent,
+			Use:   "serve",
+			Short: "Serve as an agent",
+			Long:  "Serve as an agent, as without a command, until SIGTERM, which drains it. SIGHUP reads the configuration and the operator's file again.",
+			Args:  noArgs,
+			RunE:  serveAgent,
 		},
 		&cobra.Command{
-			Use: "check FILE", Short: "read an operator's file, print its faults, or the file in force with every default",
-			Args: oneArg, RunE: func(c *cobra.Command, args []string) error {
+			Use:   "check FILE",
+			Short: "Check an operator's file",
+			Long:  "Check an operator's file, and print all its faults, or the options in force with every default.",
+			Args:  oneArg,
+			RunE: func(c *cobra.Command, args []string) error {
 				return checkOptions(c.OutOrStdout(), c.ErrOrStderr(), args[0])
 			},
 		},
 		&cobra.Command{
-			Use: "version", Short: "print the version", Args: noArgs,
-			Run: func(c *cobra.Command, _ []string) { printVersion(c.OutOrStdout()) },
+			Use:   "version",
+			Short: "Print the version",
+			Args:  noArgs,
+			Run:   func(c *cobra.Command, _ []string) { printVersion(c.OutOrStdout()) },
 		},
 	)
-	root.AddCommand(newAdminCommands(out)...)
+	adminCommands := func() []*cobra.Command { return newAdminCommands(out) }
+	root.AddCommand(adminCommands()...)
+	cli.AddRenamedCommands(root, renamedCommands, adminCommands)
 	return root
 }
 
