--- a/cmd/switchfork-lab/admission_test.go
+++ b/cmd/switchfork-lab/admission_test.go
@@ -12,8 +12,8 @@
 // The real agent under more load than its endpoints can serve: the concurrency limit falls when they become five times slower, so
 // that admitted requests still succeed, and rises again when they have recovered.
 func TestConcurrencyLimitFollowsSlowEndpoints(t *testing.T) {
-	if os.Getenv("SWITCHLAB_LONG") == "" {
-		t.Skip("takes a minute and a machine that is not busy with other tests: set SWITCHLAB_LONG=1")
+	if os.Getenv("SWITCHFORK_LONG") == "" {
+		t.Skip("takes a minute and a machine that is not busy with other tests: set SWITCHFORK_LONG=1")
 	}
 	bed, err := startTestbed("", operatorWithAdmission)
 	if err != nil {
--- a/cmd/switchfork/coordinator.go
+++ b/cmd/switchfork/coordinator.go
@@ -38,43 +38,52 @@
 // before it is started.
 type lateTCP struct{ *transport.TCP }
 
+// coordinatorConfig is what a coordinator is made of: what configures it, and the parts of the agent that it is connected to.
+type coordinatorConfig struct {
+	options options.Coordinator
+	peers   config.Peers
+	voting  config.Voting
+	seed    int64
+
+	loop    *agent.Loop
+	rollout *rollout.Client
+	gossip  *gossip.Messenger
+}
+
 // wireCoordinator makes the coordinator that the operator asks for; nil without one. The votes that the policy asks for then go
 // through the coordinator, and it gets the rollout updates.
-func wireCoordinator(opts options.Coordinator, peers config.Peers, settings *config.Settings, seed int64, core *agent.Loop,
-	rolloutClient *rollout.Client, messenger *gossip.Messenger,
-) (*coordinatorWiring, error) {
-	if !opts.Enabled {
-		if opts.AdminSocket != "" {
+func wireCoordinator(c coordinatorConfig) (*coordinatorWiring, error) {
+	if !c.options.Enabled {
+		if c.options.AdminSocket != "" {
 			slog.Warn("admin socket not opened: the coordinator is off")
 		}
 		return nil, nil
 	}
-	voting := settings.Voting()
-	if !canCoordinate(opts, peers, voting) {
+	if !canCoordinate(c.options, c.peers, c.voting) {
 		return nil, nil
 	}
-	replica, err := replicaConfig(opts, voting, seed)
+	replica, err := replicaConfig(c.options, c.voting, c.seed)
 	if err != nil {
 		return nil, err
 	}
-	store, err := openStore(opts.StateDir, &replica)
+	store, err := openStore(c.options.StateDir, &replica)
 	if err != nil {
 		return nil, err
 	}
 	wiring := &coordinatorWiring{}
-	var carrier coordinator.Transport = messenger
-	if opts.Listen != "" {
+	var carrier coordinator.Transport = c.gossip
+	if c.options.Listen != "" {
 		wiring.tcp = &lateTCP{}
 		carrier = wiring.tcp
 	}
-	wiring.coordinator = coordinator.New(replica, carrier, store, coordinatorCallbacks(core, rolloutClient))
+	wiring.coordinator = coordinator.New(replica, carrier, store, coordinatorCallbacks(c.loop, c.rollout))
 	if wiring.tcp == nil {
-		messenger.Intercept(wiring.receiveGossip)
+		c.gossip.Intercept(wiring.receiveGossip)
 	}
-	core.RouteVotes(wiring.coordinator.Recommend)
-	rolloutClient.Observe(wiring.coordinator.UpdateRollout)
-	slog.Info("coordinator configured", "replica", replica.Index, "members", replica.Members.Count(), "lease", opts.Lease, "has_state_dir", opts.StateDir != "",
-		"has_stored_state", replica.State != nil, "uses_tcp", wiring.tcp != nil)
+	c.loop.RouteVotes(wiring.coordinator.Recommend)
+	c.rollout.Observe(wiring.coordinator.UpdateRollout)
+	slog.Info("coordinator configured", "replica", replica.Index, "members", replica.Members.Count(), "lease", c.options.Lease,
+		"has_state_dir", c.options.StateDir != "", "has_stored_state", replica.State != nil, "uses_tcp", wiring.tcp != nil)
 	return wiring, nil
 }
 
@@ -155,9 +164,9 @@
 }
 
 // coordinatorCallbacks connects the coordinator's results to the policy and to the rollout controller.
-func coordinatorCallbacks(core *agent.Loop, rolloutClient *rollout.Client) coordinator.Callbacks {
+func coordinatorCallbacks(loop *agent.Loop, rolloutClient *rollout.Client) coordinator.Callbacks {
 	return coordinator.Callbacks{
-		UpdateRollout: core.UpdateRollout,
+		UpdateRollout: loop.UpdateRollout,
 		CastVote: func(vote policy.Vote, writeBefore time.Time, resolved func(written bool)) {
 			rolloutClient.CastBefore(rollout.TimedVote{Vote: vote, WriteBefore: writeBefore, Resolved: resolved})
 		},
--- a/cmd/switchfork/main.go
+++ b/cmd/switchfork/main.go
@@ -1,8 +1,9 @@
 // Command switchfork is one agent of a fleet: it serves clients, routes their requests to endpoints and votes on rollouts as its routing
 // policy decides. Package config reads how the deployment configures it, package options what its operator wants of it.
 //
-// main.go holds the command line, serve.go how the parts of an agent are put together and how it serves, admission.go the settings of
-// its admission control, and reload.go what a SIGHUP changes.
+// main.go and admin.go hold the command line, serve.go how the parts of an agent are put together and started, settings.go and
+// operator_file.go what they are made of, admission.go and coordinator.go the parts that an operator may ask for, reload.go what a
+// SIGHUP changes, and drain.go how an agent ends.
 package main
 
 import (
--- a/cmd/switchfork/reload.go
+++ b/cmd/switchfork/reload.go
@@ -3,7 +3,6 @@
 import (
 	"log/slog"
 	"os"
-	"slices"
 
 	"switchfork/internal/config"
 	"switchfork/internal/options"
@@ -75,14 +74,3 @@
 	slog.Info("options reloaded", "file", next.Path)
 	r.options = next
 }
-
-// newlyRenamed returns the old keywords of a reloaded file that were not warned of before.
-func newlyRenamed(warned, renamed []options.RenamedKeyword) (unwarned []options.RenamedKeyword) {
-	for _, keyword := range renamed {
-		isWarned := slices.ContainsFunc(warned, func(k options.RenamedKeyword) bool { return k.Written == keyword.Written })
-		if !isWarned {
-			unwarned = append(unwarned, keyword)
-		}
-	}
-	return unwarned
-}
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -4,14 +4,10 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"math"
 	"math/rand"
 	"os"
 	"os/signal"
-	"runtime"
-	"runtime/debug"
 	"syscall"
-	"time"
 
 	"switchfork/internal/agent"
 	"switchfork/internal/config"
@@ -25,11 +21,6 @@
 )
 
 const (
-	// heapShare is the part of the agent's memory that the garbage collector's limit gets; the rest is for stacks, buffers and the
-	// program.
-	heapShare = 0.7
-	// gcPercent lets garbage grow to several times the live data, which is a few MB, before collecting it is worth the time.
-	gcPercent = 400
 	// reservedDescriptors are those that are not for connections to clients and endpoints: the listener, gossip, discovery, the rollout
 	// controller, the log and what the runtime holds, with some to spare.
 	reservedDescriptors = 32
@@ -38,28 +29,6 @@
 	requestIDShift = 12
 )
 
-// A drain has to be over when SIGKILL comes: by the protocol no sooner than killDelay after the longest request timeout, which counts as
-// maxDrainTimeout where it is longer. drainReserve is left for the log, and for an exit that the system is slow to notice.
-const (
-	killDelay       = 700 * time.Millisecond
-	maxDrainTimeout = 3 * time.Second
-	drainReserve    = 100 * time.Millisecond
-)
-
-// deploymentSettings are the values of the configuration from which an agent is built.
-type deploymentSettings struct {
-	identity        config.Identity
-	limits          config.ResourceLimits
-	peers           config.Peers
-	seed            uint64
-	classes         []config.RequestClass
-	classPriorities []config.ClassPriority // in the order of classes
-	tenants         []string
-	tenantShares    []float64 // in the order of tenants
-	zones           []string
-	connections     config.Connections
-}
-
 // agentProcess is an agent with all its parts.
 type agentProcess struct {
 	file     *config.File
@@ -114,58 +83,6 @@
 	return nil
 }
 
-// readOptions reads the operator's file, or returns the defaults where there is none.
-func readOptions(path string) (*options.Options, error) {
-	if path == "" {
-		return options.Defaults(), nil
-	}
-	return options.Read(path)
-}
-
-// warnOfRenamed logs which keywords of the operator's file have another name now.
-func warnOfRenamed(renamed []options.RenamedKeyword) {
-	for _, keyword := range renamed {
-		slog.Warn("option renamed: the old name is still read", "file", keyword.Path, "line", keyword.Line, "keyword", keyword.Written, "new_name", keyword.Current)
-	}
-}
-
-// setLogger sets the log's level and format.
-func setLogger(opts options.Log) {
-	var level slog.Level
-	_ = level.UnmarshalText([]byte(opts.Level)) // checked when the options are read
-	handlerOptions := &slog.HandlerOptions{Level: level}
-	var handler slog.Handler = slog.NewTextHandler(os.Stderr, handlerOptions)
-	if opts.Format == "json" {
-		handler = slog.NewJSONHandler(os.Stderr, handlerOptions)
-	}
-	slog.SetDefault(slog.New(handler))
-}
-
-// readSettings reads the configuration's values, and checks them all.
-func readSettings(file *config.File) (deploymentSettings, error) {
-	settings := deploymentSettings{
-		identity:        file.Identity(),
-		limits:          file.ResourceLimits(),
-		peers:           file.Peers(),
-		seed:            file.Seed(),
-		classes:         file.Deployment.RequestClasses(),
-		tenants:         file.Deployment.Tenants(),
-		tenantShares:    file.Deployment.TenantShares(),
-		classPriorities: file.Deployment.ClassPriorities(),
-		zones:           file.Deployment.Zones(),
-		connections:     file.Deployment.Connections(),
-	}
-	return settings, file.Err()
-}
-
-// setRuntimeLimits fits the Go runtime to what the agent may use.
-func setRuntimeLimits(limits config.ResourceLimits) {
-	const bytesPerMB = 1 << 20
-	runtime.GOMAXPROCS(int(max(1, math.Ceil(limits.Cores))))
-	debug.SetMemoryLimit(int64(heapShare * float64(limits.MemoryMB) * bytesPerMB))
-	debug.SetGCPercent(gcPercent)
-}
-
 // newAgentProcess reads the configuration and builds an agent of it, which start starts.
 func newAgentProcess(opts *options.Options) (*agentProcess, error) {
 	file, err := config.Load(os.Getenv)
@@ -196,7 +113,7 @@
 	if opts.Admission.Enabled {
 		p.enableAdmission()
 	}
-	p.coordinator, err = wireCoordinator(opts.Coordinator, settings.peers, file.Deployment, int64(settings.seed), p.loop, p.rollout, p.gossip)
+	p.coordinator, err = wireCoordinator(p.coordinatorConfig())
 	if err != nil {
 		return nil, err
 	}
@@ -245,6 +162,18 @@
 	})
 }
 
+func (p *agentProcess) coordinatorConfig() coordinatorConfig {
+	return coordinatorConfig{
+		options: p.options.Coordinator,
+		peers:   p.settings.peers,
+		voting:  p.file.Deployment.Voting(),
+		seed:    int64(p.settings.seed),
+		loop:    p.loop,
+		rollout: p.rollout,
+		gossip:  p.gossip,
+	}
+}
+
 // firstRequestID is the number at which an agent's request IDs begin.
 func firstRequestID(seed uint64) uint64 {
 	return rand.New(rand.NewSource(int64(seed))).Uint64() >> requestIDShift
@@ -276,45 +205,3 @@
 	}
 	return nil
 }
-
-// drain lets open requests finish and passes the leadership on, in the time that is left before the process is killed.
-func (p *agentProcess) drain(ctx context.Context) {
-	slog.Info("drain started")
-	ctx, cancel := context.WithTimeout(ctx, p.drainTimeout())
-	defer cancel()
-	passLeadership := func(context.Context) {}
-	if p.coordinator != nil {
-		passLeadership = p.coordinator.coordinator.Leave
-	}
-	if err := drainAndPassLeadership(ctx, passLeadership, p.proxy.Drain); err != nil {
-		slog.Warn("drain timed out with open requests", "err", err)
-	}
-	if p.admission != nil {
-		p.admission.Close(ctx)
-	}
-}
-
-// drainTimeout is the longest that a drain may take.
-func (p *agentProcess) drainTimeout() time.Duration {
-	longest := time.Duration(0)
-	for _, class := range p.settings.classes {
-		longest = max(longest, class.Timeout)
-	}
-	return min(longest, maxDrainTimeout) + killDelay - drainReserve
-}
-
-// drainAndPassLeadership does both at the same time: a leadership that is slow to pass, behind a disk or agents that are silent, would
-// use up the time in which clients are still answered, and leave the requests that were accepted without an answer.
-func drainAndPassLeadership(ctx context.Context, passLeadership func(context.Context), drain func(context.Context) error) error {
-	passed := make(chan struct{})
-	go func() {
-		defer close(passed)
-		passLeadership(ctx)
-	}()
-	err := drain(ctx)
-	select {
-	case <-passed:
-	case <-ctx.Done():
-	}
-	return err
-}
