--- a/cmd/switchfork/admission.go
+++ b/cmd/switchfork/admission.go
@@ -9,14 +9,11 @@
 	"switchfork/internal/proxy"
 )
 
-// clientIsConnection is the operator's choice to tell clients apart by their connections.
-const clientIsConnection = "connection"
-
 // enableAdmission puts the admission control that the operator asks for in front of the event loop.
 func (p *agentProcess) enableAdmission() {
 	opts := p.options.Admission
 	p.admission = proxy.NewAdmissionLoop(p.newAdmissionController(opts), p.clock, p.loop)
-	p.proxy.UseAdmission(p.admission, proxy.ClientKey{Header: opts.Header, Connection: opts.Client == clientIsConnection})
+	p.proxy.UseAdmission(p.admission, proxy.ClientKey{Header: opts.Header, Connection: opts.ClientIdentity == options.ClientByConnection})
 }
 
 func (p *agentProcess) newAdmissionController(opts options.Admission) *admission.Controller {
--- a/cmd/switchfork/main_test.go
+++ b/cmd/switchfork/main_test.go
@@ -39,7 +39,7 @@
 	file := writeFile(t, "admission-control on\nadmission-queus 5\n")
 	var faults options.FileErrors
 	if _, err := run(t, "check", file); !errors.As(err, &faults) || faults[0].Line != 2 || faults[0].Keyword != "admission-queus" ||
-		!strings.Contains(faults[0].Why, "admission-queues") {
+		!strings.Contains(faults[0].Reason, "admission-queues") {
 		t.Errorf("a faulty file: %v", err)
 	}
 	file = writeFile(t, "admission-control on\n")
--- a/internal/options/errors.go
+++ b/internal/options/errors.go
@@ -10,14 +10,14 @@
 	Path    string
 	Line    int
 	Keyword string // empty where the line could not be split into words
-	Why     string
+	Reason  string
 }
 
 func (e FileError) Error() string {
 	if e.Keyword == "" {
-		return fmt.Sprintf("%s:%d: %s", e.Path, e.Line, e.Why)
+		return fmt.Sprintf("%s:%d: %s", e.Path, e.Line, e.Reason)
 	}
-	return fmt.Sprintf("%s:%d: %s: %s", e.Path, e.Line, e.Keyword, e.Why)
+	return fmt.Sprintf("%s:%d: %s: %s", e.Path, e.Line, e.Keyword, e.Reason)
 }
 
 // FileErrors are all faults of a file, in the order of its lines.
--- a/internal/options/keywords.go
+++ b/internal/options/keywords.go
@@ -99,24 +99,34 @@
 	return keyword{
 		syntax: "address|connection|header NAME", maxValues: 2,
 		parse: func(o *Options, values []string) error {
-			client := values[0]
-			switch {
-			case client == clientByHeader && len(values) == 2:
-				o.Admission.Header = values[1]
-			case (client == clientByAddress || client == clientByConnection) && len(values) == 1:
-				o.Admission.Header = ""
-			default:
+			identity, header, isKnown := parseClientIdentity(values)
+			if !isKnown {
 				return &valueError{value: strings.Join(values, " "), expected: "address, connection, or header and a name"}
 			}
-			o.Admission.Client = client
+			o.Admission.ClientIdentity = identity
+			o.Admission.Header = header
 			return nil
 		},
 		format: func(o *Options) []string {
-			return []string{strings.TrimSpace(o.Admission.Client + " " + o.Admission.Header)}
+			return []string{strings.TrimSpace(string(o.Admission.ClientIdentity) + " " + o.Admission.Header)}
 		},
 	}
 }
 
+// parseClientIdentity reads the values of a clientKeyword. The header's name is empty where no header tells clients apart.
+func parseClientIdentity(values []string) (identity ClientIdentity, header string, isKnown bool) {
+	identity = ClientIdentity(values[0])
+	switch identity {
+	case ClientByAddress, ClientByConnection:
+		return identity, "", len(values) == 1
+	case ClientByHeader:
+		if len(values) == 2 {
+			return identity, values[1], true
+		}
+	}
+	return "", "", false
+}
+
 func tenantKeyword() keyword {
 	return keyword{
 		syntax: "NAME share WEIGHT", maxValues: 3, isRepeatable: true,
--- a/internal/options/options.go
+++ b/internal/options/options.go
@@ -29,8 +29,8 @@
 type Admission struct {
 	Enabled         bool
 	Weights         map[string]float64 // by tenant; they override the platform's shares
-	Client          string             // what tells clients apart: address, connection or header
-	Header          string             // the header's name if Client is header
+	ClientIdentity  ClientIdentity     // what tells clients apart
+	Header          string             // the header's name if ClientIdentity is ClientByHeader
 	Queues          int
 	Requests        int   // 0: derived from the platform's limits
 	Bytes           int64 // 0: derived from the platform's memory limit
@@ -50,11 +50,14 @@
 	AdminSocket string // a Unix socket's path; empty: none
 }
 
-// What tells clients apart in admission control.
+// ClientIdentity names what tells the clients of a tenant apart in admission control.
+type ClientIdentity string
+
+// The identities of clients.
 const (
-	clientByAddress    = "address"
-	clientByConnection = "connection"
-	clientByHeader     = "header"
+	ClientByAddress    ClientIdentity = "address"
+	ClientByConnection ClientIdentity = "connection"
+	ClientByHeader     ClientIdentity = "header"
 )
 
 const (
@@ -69,7 +72,7 @@
 		Log: Log{Level: "info", Format: "text"},
 		Admission: Admission{
 			Weights:         map[string]float64{},
-			Client:          clientByAddress,
+			ClientIdentity:  ClientByAddress,
 			Queues:          defaultQueues,
 			SendsRetryAfter: true,
 		},
--- a/internal/options/parse.go
+++ b/internal/options/parse.go
@@ -60,7 +60,7 @@
 }
 
 func (p *parser) recordError(keyword, reason string) {
-	p.errors = append(p.errors, FileError{Path: p.options.Path, Line: p.line, Keyword: keyword, Why: reason})
+	p.errors = append(p.errors, FileError{Path: p.options.Path, Line: p.line, Keyword: keyword, Reason: reason})
 }
 
 func (p *parser) parseLine(text string) {
