--- a/internal/loganalysis/print.go
+++ b/internal/loganalysis/print.go
@@ -29,7 +29,7 @@
 }
 
 func (r *Report) printIntervals(out *bytes.Buffer) {
-	fmt.Fprintf(out, "%d agents, rows of %v; %d lines that are none of a log\n\n", r.Agents, r.Interval, r.MalformedLines)
+	fmt.Fprintf(out, "%d agents, rows of %v; %d lines that could not be read\n\n", r.Agents, r.Interval, r.MalformedLines)
 	fmt.Fprintf(out, "from_s\t%s\tagents_with_list_updates\tlist_calls_failed\t", strings.Join(counterColumns, "\t"))
 	fmt.Fprintf(out, "results (a line a second, agent and endpoint at most)\n")
 	indices := slices.Sorted(maps.Keys(r.intervals))
@@ -49,8 +49,10 @@
 	}
 	peak, _ := r.PeakVoteRate(0)
 	fmt.Fprintf(out, "\nvotes, %d in the busiest second\n", peak)
-	for _, vote := range slices.Sorted(maps.Keys(r.votes)) {
-		fmt.Fprintf(out, "%s\t%d\n", vote, r.votes[vote])
+	outcomes := slices.Collect(maps.Keys(r.votes))
+	slices.SortFunc(outcomes, func(a, b voteOutcome) int { return strings.Compare(a.String(), b.String()) })
+	for _, outcome := range outcomes {
+		fmt.Fprintf(out, "%s\t%d\n", outcome, r.votes[outcome])
 	}
 }
 
--- a/internal/loganalysis/report.go
+++ b/internal/loganalysis/report.go
@@ -6,27 +6,20 @@
 
 import (
 	"bufio"
-	"bytes"
 	"fmt"
 	"io"
-	"strconv"
 	"time"
-
-	"github.com/go-logfmt/logfmt"
 )
 
 const (
 	// minInterval of a table row.
 	minInterval = time.Second
-	// initialBufferSize of the scanner; it grows with the longest line.
+	// initialBufferSize of the scanner in bytes; it grows with the longest line.
 	initialBufferSize = 64 << 10
-	// maxEntryLength bounds one line; Read fails on a longer one.
+	// maxEntryLength bounds one line in bytes; Read fails on a longer one.
 	maxEntryLength = 1 << 20
 )
 
-// timePrefix starts the part of a line that log/slog wrote.
-var timePrefix = []byte("time=")
-
 // Report holds the totals over all agents.
 type Report struct {
 	Interval       time.Duration // that one table row covers
@@ -35,8 +28,15 @@
 
 	intervals        map[int64]*intervalTotals
 	endpointWarnings map[string]map[string]int // by endpoint and attempt result
-	votes            map[string]int            // by vote and its result
-	votesBySecond    map[int64]int             // by the second in which they were cast
+	votes            map[voteOutcome]int
+	votesBySecond    map[int64]int // by the second in which they were cast
+}
+
+// voteOutcome is a vote and what became of it, as agents log them.
+type voteOutcome struct{ build, stage, verdict, result string }
+
+func (o voteOutcome) String() string {
+	return fmt.Sprintf("build %s stage %s %s: %s", o.build, o.stage, o.verdict, o.result)
 }
 
 // intervalTotals are the totals of one table row.
@@ -53,7 +53,7 @@
 		Interval:         max(interval, minInterval),
 		intervals:        map[int64]*intervalTotals{},
 		endpointWarnings: map[string]map[string]int{},
-		votes:            map[string]int{},
+		votes:            map[voteOutcome]int{},
 		votesBySecond:    map[int64]int{},
 	}
 }
@@ -64,55 +64,33 @@
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(make([]byte, 0, initialBufferSize), maxEntryLength)
 	for scanner.Scan() {
-		text := scanner.Bytes()
-		start := bytes.Index(text, timePrefix)
-		if start < 0 {
-			r.MalformedLines++
-			continue
-		}
-		loggedAt, fields, err := parseEntry(text[start:])
+		logged, err := parseEntry(scanner.Bytes())
 		if err != nil {
 			r.MalformedLines++
 			continue
 		}
-		r.add(agent, loggedAt, fields)
+		r.add(agent, logged)
 	}
-	return scanner.Err()
-}
-
-// parseEntry returns the time and all keys of a log line.
-func parseEntry(text []byte) (time.Time, map[string]string, error) {
-	fields := map[string]string{}
-	decoder := logfmt.NewDecoder(bytes.NewReader(text))
-	for decoder.ScanRecord() {
-		for decoder.ScanKeyval() {
-			fields[string(decoder.Key())] = string(decoder.Value())
-		}
-		if err := decoder.Err(); err != nil {
-			return time.Time{}, nil, fmt.Errorf("parsing a log line: %w", err)
-		}
-	}
-	loggedAt, err := time.Parse(time.RFC3339Nano, fields["time"])
-	if err != nil {
-		return time.Time{}, nil, fmt.Errorf("parsing a log line's time: %w", err)
+	if err := scanner.Err(); err != nil {
+		return fmt.Errorf("reading lines of up to %d bytes: %w", maxEntryLength, err)
 	}
-	return loggedAt, fields, nil
+	return nil
 }
 
 // add counts one log line.
-func (r *Report) add(agent string, loggedAt time.Time, fields map[string]string) {
-	totals := r.intervalAt(loggedAt)
-	switch fields["msg"] {
-	case "activity":
-		totals.addCounters(fields)
-	case "attempt failed":
-		totals.attemptResults[fields["result"]]++
-		r.addWarning(fields["endpoint"], fields["result"])
-	case "vote cast":
-		r.addVote(loggedAt, fields)
-	case "endpoint list received":
+func (r *Report) add(agent string, logged entry) {
+	totals := r.intervalAt(logged.at)
+	switch logged.message() {
+	case messageActivity:
+		totals.addCounters(logged)
+	case messageAttemptFailed:
+		totals.attemptResults[logged.fields["result"]]++
+		r.addWarning(logged.fields["endpoint"], logged.fields["result"])
+	case messageVoteCast:
+		r.addVote(logged)
+	case messageListReceived:
 		totals.updatedAgents[agent] = true
-	case "endpoint list watch ended", "endpoint list fetch failed":
+	case messageWatchEnded, messageFetchFailed:
 		totals.failedCalls++
 	}
 }
@@ -127,10 +105,10 @@
 	return totals
 }
 
-// addCounters adds all whole numbers of an activity line except interval_ms, the time since the line before.
-func (t *intervalTotals) addCounters(fields map[string]string) {
-	for key, value := range fields {
-		if count, err := strconv.Atoi(value); err == nil && key != "interval_ms" {
+// addCounters adds all whole numbers of an activity line except the time since the line before.
+func (t *intervalTotals) addCounters(logged entry) {
+	for key := range logged.fields {
+		if count, isNumber := logged.number(key); isNumber && key != keyInterval {
 			t.counters[key] += count
 		}
 	}
@@ -143,14 +121,16 @@
 	r.endpointWarnings[endpoint][result]++
 }
 
-// addVote counts a vote in the second in which it was cast: it is logged when its result is known, elapsed_ms later.
-func (r *Report) addVote(loggedAt time.Time, fields map[string]string) {
-	r.votes[fmt.Sprintf("build %s stage %s %s: %s", fields["build"], fields["stage"], fields["verdict"], fields["result"])]++
-	elapsedMillis, err := strconv.Atoi(fields["elapsed_ms"])
-	if err != nil {
-		elapsedMillis = 0
-	}
-	castAt := loggedAt.Add(-time.Duration(elapsedMillis) * time.Millisecond)
+// addVote counts a vote in the second in which it was cast: it is logged when its result is known, some time later.
+func (r *Report) addVote(logged entry) {
+	r.votes[voteOutcome{
+		build:   logged.fields["build"],
+		stage:   logged.fields["stage"],
+		verdict: logged.fields["verdict"],
+		result:  logged.fields["result"],
+	}]++
+	elapsedMillis, _ := logged.number(keyElapsed) // 0 if it is missing
+	castAt := logged.at.Add(-time.Duration(elapsedMillis) * time.Millisecond)
 	r.votesBySecond[castAt.Unix()]++
 }
 
