--- a/cmd/switchfork-lab/faulttest.go
+++ b/cmd/switchfork-lab/faulttest.go
@@ -14,14 +14,9 @@
 	"switchfork/internal/fakes"
 	"switchfork/internal/faulttest"
 
-	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
-	"golang.org/x/term"
 )
 
-// progressBarWidth is in characters.
-const progressBarWidth = 20
-
 // faultTestOptions are the flags of the faulttest command.
 type faultTestOptions struct {
 	run          faulttest.RunOptions
@@ -84,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder that stays does no harm
+	defer removeTemporary(dir)
 	if err := buildPrograms(dir, o, unnamed); err != nil {
 		return err
 	}
@@ -154,11 +149,10 @@
 
 // runScenario runs one scenario, with a progress bar where the standard error is a terminal.
 func runScenario(ctx context.Context, s *faulttest.Scenario, options faulttest.RunOptions) *faulttest.Verdict {
-	if !term.IsTerminal(int(os.Stderr.Fd())) {
+	bar := newProgressBar(len(s.Steps))
+	if bar == nil {
 		return faulttest.Run(ctx, s, options)
 	}
-	bar := progressbar.NewOptions(len(s.Steps), progressbar.OptionSetWriter(os.Stderr), progressbar.OptionClearOnFinish(),
-		progressbar.OptionSetWidth(progressBarWidth))
 	options.Progress = func(done, _ int, text string) {
 		bar.Describe(fmt.Sprintf("%s %.60s", s.File, text))
 		_ = bar.Set(done) // a bar that isn't drawn does no harm
@@ -173,6 +167,6 @@
 		fmt.Fprintln(os.Stderr, failure)
 	}
 	if !v.Passed {
-		fmt.Fprintf(os.Stderr, "%s: logs, time line and records are in %s\n", v.Scenario, v.Folder)
+		fmt.Fprintf(os.Stderr, "%s: logs, timeline and records are in %s\n", v.Scenario, v.Folder)
 	}
 }
--- /dev/null
+++ b/cmd/switchfork-lab/progress.go
@@ -0,0 +1,20 @@
+package main
+
+import (
+	"os"
+
+	"github.com/schollz/progressbar/v3"
+	"golang.org/x/term"
+)
+
+// progressBarWidth is in characters.
+const progressBarWidth = 20
+
+// newProgressBar returns a progress bar on standard error, or nil where that is no terminal.
+func newProgressBar(steps int) *progressbar.ProgressBar {
+	if !term.IsTerminal(int(os.Stderr.Fd())) {
+		return nil
+	}
+	return progressbar.NewOptions(steps, progressbar.OptionSetWriter(os.Stderr), progressbar.OptionClearOnFinish(),
+		progressbar.OptionSetWidth(progressBarWidth))
+}
--- a/cmd/switchfork-lab/soak.go
+++ b/cmd/switchfork-lab/soak.go
@@ -15,7 +15,6 @@
 
 	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
-	"golang.org/x/term"
 )
 
 const (
@@ -115,7 +114,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder that stays does no harm
+	defer removeTemporary(dir)
 	program, err := agentProgram(dir, o.agentPath)
 	if err != nil {
 		return err
@@ -123,11 +122,9 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	s := &soak{soakOptions: o, programs: map[string]string{"": program}, encoder: json.NewEncoder(out), next: o.from}
-	s.summary.Failed, s.summary.Violations = []int64{}, map[string]int{}
-	if term.IsTerminal(int(os.Stderr.Fd())) {
-		s.bar = progressbar.NewOptions(o.seeds, progressbar.OptionSetWriter(os.Stderr), progressbar.OptionClearOnFinish(),
-			progressbar.OptionSetWidth(progressBarWidth))
-	}
+	s.summary.Failed = []int64{}
+	s.summary.Violations = map[string]int{}
+	s.bar = newProgressBar(o.seeds)
 	start := time.Now()
 	var workers sync.WaitGroup
 	for range o.parallel {
