--- a/cmd/switchfork-lab/admission_sockets.go
+++ b/cmd/switchfork-lab/admission_sockets.go
@@ -57,8 +57,17 @@
 	descriptors []int
 }
 
-// othersCounts are sums over the tenants that are not noisy: late, rejected, failed, returned.
-type othersCounts [4]int
+// othersCounts are sums over the tenants that are not noisy.
+type othersCounts struct {
+	late     int // succeeded after the latency objective
+	rejected int
+	failed   int
+	returned int // retried by their clients after a rejection
+}
+
+func (c othersCounts) String() string {
+	return fmt.Sprintf("%d, %d, %d, %d", c.late, c.rejected, c.failed, c.returned)
+}
 
 // runOnSockets plays a short form with the real agent: a load without noise, and a noisy one with and without admission control.
 func (e *admissionExperiment) runOnSockets(out io.Writer, logFolder string) error {
@@ -155,10 +164,10 @@
 		if tenant == noisyTenant {
 			continue
 		}
-		late := totals.Succeeded - totals.InTime
-		for i, count := range []int{late, totals.Rejected, totals.Failed, totals.Returned} {
-			r.others[i] += count
-		}
+		r.others.late += totals.Succeeded - totals.InTime
+		r.others.rejected += totals.Rejected
+		r.others.failed += totals.Failed
+		r.others.returned += totals.Returned
 	}
 }
 
@@ -167,7 +176,7 @@
 		"run", "in time, by tenant", "others late, rejected, failed, returned", "succeeded", "honored", "missed", "MB by quarters", "descriptors")
 	for _, r := range runs {
 		printf(out, "%-28s %-30s %-39s %9d %9.0f %9.0f  %-26s %v\n",
-			r.name, fmt.Sprintf("%.3f", r.inTime), fmt.Sprint(r.others), r.succeeded, r.honored, r.missed,
+			r.name, fmt.Sprintf("%.3f", r.inTime), r.others, r.succeeded, r.honored, r.missed,
 			fmt.Sprintf("%.1f", r.memoryMB), r.descriptors)
 	}
 }
--- a/cmd/switchfork-lab/logs.go
+++ b/cmd/switchfork-lab/logs.go
@@ -14,61 +14,68 @@
 	"github.com/spf13/cobra"
 )
 
-// newLogsCommand reports on the logs of many agents.
+const (
+	// maxShareOverRate of the seconds with votes may exceed the configured rate: when a stage changes, the few agents that evaluate
+	// the release vote at once.
+	maxShareOverRate = 0.1
+
+	defaultInterval     = 5 * time.Second
+	defaultMaxEndpoints = 10
+)
+
+// logsOptions are the flags of the logs command.
+type logsOptions struct {
+	interval     time.Duration
+	maxEndpoints int
+	voteRate     float64 // of all agents, a second; 0: not checked
+}
+
+// newLogsCommand returns the command that reports on the logs of many agents.
 func newLogsCommand() *cobra.Command {
-	var every time.Duration
-	var endpoints int
-	var rate float64
+	var o logsOptions
 	c := &cobra.Command{
 		Use:   "logs FOLDER",
 		Short: "Add up what many agents did together",
 		Long:  "Add up what many agents did together, from a folder that holds one log file (*.log) in text form of each agent.",
 		Args: func(c *cobra.Command, args []string) error {
-			if len(args) != 1 || every < time.Second || endpoints < 0 || rate < 0 {
+			if len(args) != 1 || !o.isValid() {
 				return usageError{fmt.Errorf("%s wants a folder, --every from 1s, --endpoints and --calls not under 0", c.CommandPath())}
 			}
 			return nil
 		},
-		RunE: func(c *cobra.Command, args []string) error {
-			return logs(c.OutOrStdout(), args[0], every, endpoints, rate)
-		},
+		RunE: func(c *cobra.Command, args []string) error { return reportLogs(c.OutOrStdout(), args[0], o) },
 	}
-	c.Flags().DurationVar(&every, "every", defaultInterval, "time that each row of the table covers")
-	c.Flags().IntVar(&endpoints, "endpoints", defaultMaxEndpoints, "number of endpoints to show, those with the most warnings first")
-	c.Flags().Float64Var(&rate, "calls", 0, "configured rate of votes a second: fail if all agents together exceed it in over a tenth of the seconds with votes; 0 disables the check")
+	c.Flags().DurationVar(&o.interval, "every", defaultInterval, "time that each row of the table covers")
+	c.Flags().IntVar(&o.maxEndpoints, "endpoints", defaultMaxEndpoints, "number of endpoints to show, those with the most warnings first")
+	c.Flags().Float64Var(&o.voteRate, "calls", 0, "configured rate of votes a second: fail if all agents together exceed it in over a tenth of the seconds with votes; 0 disables the check")
 	cli.AddRenamedFlag(c, "appliances", "endpoints")
 	return c
 }
 
-// maxShareOverRate of the seconds with votes may exceed the configured rate: when a stage changes, the few agents that evaluate
-// the release vote at once.
-const maxShareOverRate = 0.1
-
-const (
-	defaultInterval     = 5 * time.Second
-	defaultMaxEndpoints = 10
-)
+func (o logsOptions) isValid() bool {
+	return o.interval >= time.Second && o.maxEndpoints >= 0 && o.voteRate >= 0
+}
 
-// logs prints the report on a folder's logs and checks the rate of votes in it.
-func logs(out io.Writer, folder string, every time.Duration, endpoints int, rate float64) error {
+// reportLogs prints the report on a folder's logs and checks the rate of votes in it.
+func reportLogs(out io.Writer, folder string, o logsOptions) error {
 	files, err := filepath.Glob(filepath.Join(folder, "*.log"))
 	if err != nil || len(files) == 0 {
 		return usageError{fmt.Errorf("%s holds no *.log", folder)}
 	}
-	report := loganalysis.NewReport(every)
+	report := loganalysis.NewReport(o.interval)
 	for _, name := range files {
 		if err := readLog(report, name); err != nil {
 			return fmt.Errorf("reading the log %s: %w", name, err)
 		}
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	if err := report.Print(table, endpoints); err != nil {
+	if err := report.Print(table, o.maxEndpoints); err != nil {
 		return err
 	}
 	if err := table.Flush(); err != nil {
 		return fmt.Errorf("writing the report: %w", err)
 	}
-	return checkVoteRate(report, rate)
+	return checkVoteRate(report, o.voteRate)
 }
 
 // readLog adds an agent's log file to the report.
--- a/cmd/switchfork-lab/logs_test.go
+++ b/cmd/switchfork-lab/logs_test.go
@@ -23,13 +23,13 @@
 			}
 		}
 		var out bytes.Buffer
-		err := logs(&out, folder, 5*time.Second, 3, 16)
+		err := reportLogs(&out, folder, logsOptions{interval: 5 * time.Second, maxEndpoints: 3, voteRate: 16})
 		if shouldFail != (err != nil) || !strings.Contains(out.String(), "build 2 stage 0 approve: succeeded") {
 			t.Errorf("%v apart: %v\n%s", spacing, err, out.String())
 		}
 	}
 	var wrong usageError
-	if err := logs(&bytes.Buffer{}, t.TempDir(), time.Second, 3, 0); !errors.As(err, &wrong) {
+	if err := reportLogs(&bytes.Buffer{}, t.TempDir(), logsOptions{interval: time.Second, maxEndpoints: 3}); !errors.As(err, &wrong) {
 		t.Errorf("an empty folder: %v", err)
 	}
 }
--- a/cmd/switchfork-lab/main_test.go
+++ b/cmd/switchfork-lab/main_test.go
@@ -60,6 +60,23 @@
 	}
 }
 
+// An old command has the flags of the present one, with the same defaults.
+func TestOldCommandsHaveTheSameFlags(t *testing.T) {
+	for _, names := range renamedCommands {
+		old, _, err := newRootCommand().Find([]string{names.Old})
+		if err != nil {
+			t.Fatal(err)
+		}
+		present, _, err := newRootCommand().Find([]string{names.Current})
+		if err != nil {
+			t.Fatal(err)
+		}
+		if old.Name() != names.Old || present.Name() != names.Current || old.Flags().FlagUsages() != present.Flags().FlagUsages() {
+			t.Errorf("%s has %s, %s has %s", old.Name(), old.Flags().FlagUsages(), present.Name(), present.Flags().FlagUsages())
+		}
+	}
+}
+
 // Wrong use of an old command is wrong use, as that of the present one.
 func TestOldCommandsCheckTheirFlags(t *testing.T) {
 	for _, args := range [][]string{
