--- a/cmd/switchfork/main.go
+++ b/cmd/switchfork/main.go
@@ -1,8 +1,9 @@
 // Command switchfork is one agent of a fleet: it serves clients, routes their requests to endpoints and votes on rollouts as its routing
 // policy decides. Package config reads how the deployment configures it, package options what its operator wants of it.
 //
-// main.go holds the command line, serve.go how the parts of an agent are put together and how it serves, admission.go the settings of
-// its admission control, and reload.go what a SIGHUP changes.
+// main.go and admin.go hold the command line, serve.go how the parts of an agent are put together and started, settings.go and
+// operator_file.go what they are made of, admission.go and coordinator.go the parts that an operator may ask for, reload.go what a
+// SIGHUP changes, and drain.go how an agent ends.
 package main
 
 import (
@@ -13,6 +14,7 @@
 	"os"
 	"runtime/debug"
 
+	"switchfork/internal/cli"
 	"switchfork/internal/options"
 
 	"github.com/spf13/cobra"
@@ -27,6 +29,11 @@
 // usageError is an error in the command line itself.
 type usageError struct{ error }
 
+// renamedCommands are the commands whose names were withdrawn. Both forms are read.
+var renamedCommands = []cli.RenamedCommand{
+	{Old: "lead", Current: "leader"},
+}
+
 // version may be set when the program is linked.
 var version = ""
 
@@ -48,28 +55,46 @@
 	var optionsPath string
 	serveAgent := func(*cobra.Command, []string) error { return serve(optionsPath) }
 	root := &cobra.Command{
-		Use: "switchfork", Short: "txn router and release judge", SilenceUsage: true, SilenceErrors: true,
-		Args: noArgs, RunE: serveAgent,
+		Use:   "switchfork",
+		Short: "Route requests to endpoints and vote on releases",
+		Long: "switchfork is one agent of a fleet. It routes the requests of its clients to endpoints, and votes on releases.\n" +
+			"Without a command it serves.",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+		Args:          noArgs,
+		RunE:          serveAgent,
 	}
 	root.SetOut(out)
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	root.PersistentFlags().StringVar(&optionsPath, "operator", os.Getenv("SWITCHFORK_OPERATOR"),
-		"the operator's file; SWITCHFORK_OPERATOR where the flag is not given")
+		"path of the operator's file; SWITCHFORK_OPERATOR if the flag is not given")
 	root.AddCommand(
 		&cobra.Command{
-			Use: "serve", Short: "serve as an agent, as without any command", Args: noArgs,
-			RunE: serveAgent,
+			Use:   "serve",
+			Short: "Serve as an agent",
+			Long:  "Serve as an agent, as without a command, until SIGTERM, which drains it. SIGHUP reads the configuration and the operator's file again.",
+			Args:  noArgs,
+			RunE:  serveAgent,
 		},
 		&cobra.Command{
-			Use: "check FILE", Short: "read an operator's file, print its faults, or the file in force with every default",
-			Args: oneArg, RunE: func(c *cobra.Command, args []string) error { return checkOptions(c.OutOrStdout(), args[0]) },
+			Use:   "check FILE",
+			Short: "Check an operator's file",
+			Long:  "Check an operator's file, and print all its faults, or the options in force with every default.",
+			Args:  oneArg,
+			RunE: func(c *cobra.Command, args []string) error {
+				return checkOptions(c.OutOrStdout(), c.ErrOrStderr(), args[0])
+			},
 		},
 		&cobra.Command{
-			Use: "version", Short: "print the version", Args: noArgs,
-			Run: func(c *cobra.Command, _ []string) { printVersion(c.OutOrStdout()) },
+			Use:   "version",
+			Short: "Print the version",
+			Args:  noArgs,
+			Run:   func(c *cobra.Command, _ []string) { printVersion(c.OutOrStdout()) },
 		},
 	)
-	root.AddCommand(newAdminCommands(out)...)
+	adminCommands := func() []*cobra.Command { return newAdminCommands(out) }
+	root.AddCommand(adminCommands()...)
+	cli.AddRenamedCommands(root, renamedCommands, adminCommands)
 	return root
 }
 
@@ -87,12 +112,15 @@
 	return nil
 }
 
-// checkOptions reads an operator's file and prints what would be in force.
-func checkOptions(out io.Writer, path string) error {
+// checkOptions reads an operator's file and prints what would be in force. Warnings go to warnings.
+func checkOptions(out, warnings io.Writer, path string) error {
 	opts, err := options.Read(path)
 	if err != nil {
 		return err
 	}
+	for _, keyword := range opts.Renamed {
+		_, _ = fmt.Fprintln(warnings, "switchfork:", keyword) // there is no other place to report that standard error can't be written
+	}
 	opts.Write(out)
 	return nil
 }
--- a/internal/options/keywords.go
+++ b/internal/options/keywords.go
@@ -28,27 +28,28 @@
 	weightSeparator = "share"
 )
 
+// keywords holds the definition of each keyword by its present name.
 var keywords = map[string]keyword{
 	"log-level": enumKeyword(func(o *Options) *string { return &o.Log.Level }, "debug", "info", "warn", "error").reloadable(),
 	"log-form":  enumKeyword(func(o *Options) *string { return &o.Log.Format }, "text", "json").reloadable(),
 
-	"door":        switchKeyword(func(o *Options) *bool { return &o.Admission.Enabled }),
-	"door-queues": countKeyword(func(o *Options) *int { return &o.Admission.Queues }, 1, maxQueues),
-	"door-txns":   countOrAutoKeyword(func(o *Options) *int { return &o.Admission.Requests }, 1, maxRequests, derived),
-	"door-bytes":  bytesKeyword(),
-	"door-client": clientKeyword(),
-	"come-back":   switchKeyword(func(o *Options) *bool { return &o.Admission.SendsRetryAfter }),
-	"same-answer": switchKeyword(func(o *Options) *bool { return &o.Admission.Coalesces }),
-	"tenant":      tenantKeyword().reloadable(),
-
-	"decider":        switchKeyword(func(o *Options) *bool { return &o.Coordinator.Enabled }),
-	"decider-group":  textKeyword("a name", func(o *Options) *string { return &o.Coordinator.Group }, isNotEmpty),
-	"decider-lease":  leaseKeyword(),
-	"decider-listen": textKeyword("a host and port", func(o *Options) *string { return &o.Coordinator.Listen }, isAddress),
-	"decider-me":     indexKeyword(),
-	"decider-peer":   peerKeyword().reloadable(),
-	"decider-state":  textKeyword("a folder's whole path", func(o *Options) *string { return &o.Coordinator.StateDir }, isAbsolutePath),
-	"admin":          textKeyword("a Unix socket's whole path", func(o *Options) *string { return &o.Coordinator.AdminSocket }, isAbsolutePath),
+	"admission-control":  switchKeyword(func(o *Options) *bool { return &o.Admission.Enabled }),
+	"admission-queues":   countKeyword(func(o *Options) *int { return &o.Admission.Queues }, 1, maxQueues),
+	"admission-requests": countOrAutoKeyword(func(o *Options) *int { return &o.Admission.Requests }, 1, maxRequests, derived),
+	"admission-bytes":    bytesKeyword(),
+	"admission-client":   clientKeyword(),
+	"retry-after":        switchKeyword(func(o *Options) *bool { return &o.Admission.SendsRetryAfter }),
+	"coalesce-requests":  switchKeyword(func(o *Options) *bool { return &o.Admission.Coalesces }),
+	"tenant":             tenantKeyword().reloadable(),
+
+	"leader-election": switchKeyword(func(o *Options) *bool { return &o.Coordinator.Enabled }),
+	"replica-id":      indexKeyword(),
+	"election-group":  textKeyword("a name", func(o *Options) *string { return &o.Coordinator.Group }, isNotEmpty),
+	"election-lease":  leaseKeyword(),
+	"election-listen": textKeyword("a host and port", func(o *Options) *string { return &o.Coordinator.Listen }, isAddress),
+	"election-peer":   peerKeyword().reloadable(),
+	"state-folder":    textKeyword("a folder's whole path", func(o *Options) *string { return &o.Coordinator.StateDir }, isAbsolutePath),
+	"admin":           textKeyword("a Unix socket's whole path", func(o *Options) *string { return &o.Coordinator.AdminSocket }, isAbsolutePath),
 }
 
 func sortedKeywords() []string { return slices.Sorted(maps.Keys(keywords)) }
@@ -98,24 +99,34 @@
 	return keyword{
 		syntax: "address|connection|header NAME", maxValues: 2,
 		parse: func(o *Options, values []string) error {
-			client := values[0]
-			switch {
-			case client == clientByHeader && len(values) == 2:
-				o.Admission.Header = values[1]
-			case (client == clientByAddress || client == clientByConnection) && len(values) == 1:
-				o.Admission.Header = ""
-			default:
+			identity, header, isKnown := parseClientIdentity(values)
+			if !isKnown {
 				return &valueError{value: strings.Join(values, " "), expected: "address, connection, or header and a name"}
 			}
-			o.Admission.Client = client
+			o.Admission.ClientIdentity = identity
+			o.Admission.Header = header
 			return nil
 		},
 		format: func(o *Options) []string {
-			return []string{strings.TrimSpace(o.Admission.Client + " " + o.Admission.Header)}
+			return []string{strings.TrimSpace(string(o.Admission.ClientIdentity) + " " + o.Admission.Header)}
 		},
 	}
 }
 
+// parseClientIdentity reads the values of a clientKeyword. The header's name is empty where no header tells clients apart.
+func parseClientIdentity(values []string) (identity ClientIdentity, header string, isKnown bool) {
+	identity = ClientIdentity(values[0])
+	switch identity {
+	case ClientByAddress, ClientByConnection:
+		return identity, "", len(values) == 1
+	case ClientByHeader:
+		if len(values) == 2 {
+			return identity, values[1], true
+		}
+	}
+	return "", "", false
+}
+
 func tenantKeyword() keyword {
 	return keyword{
 		syntax: "NAME share WEIGHT", maxValues: 3, isRepeatable: true,
--- a/internal/options/options.go
+++ b/internal/options/options.go
@@ -1,6 +1,7 @@
 // Package options reads the file that an operator may give an agent: one setting a line, a keyword and its values, '#'
 // before a comment, quotes around a value that holds spaces. The keywords, their syntax and their defaults are defined
-// here, and all faults of a file are reported at once.
+// here, and all faults of a file are reported at once. A keyword that was renamed is still read by its old name, and the
+// options say which were.
 //
 // The package only reads and writes: putting options into force is its caller's part. Options are not safe for
 // concurrent writes; callers treat them as immutable once they are parsed.
@@ -18,7 +19,7 @@
 	Log         Log
 	Admission   Admission
 	Coordinator Coordinator
-	Keywords    []string // the keywords that the file holds, in its order
+	Renamed     []RenamedKeyword // the old keywords that the file holds, in its order
 }
 
 // Log is how the log is written.
@@ -28,8 +29,8 @@
 type Admission struct {
 	Enabled         bool
 	Weights         map[string]float64 // by tenant; they override the platform's shares
-	Client          string             // what tells clients apart: address, connection or header
-	Header          string             // the header's name if Client is header
+	ClientIdentity  ClientIdentity     // what tells clients apart
+	Header          string             // the header's name if ClientIdentity is ClientByHeader
 	Queues          int
 	Requests        int   // 0: derived from the platform's limits
 	Bytes           int64 // 0: derived from the platform's memory limit
@@ -49,11 +50,14 @@
 	AdminSocket string // a Unix socket's path; empty: none
 }
 
-// What tells clients apart in admission control.
+// ClientIdentity names what tells the clients of a tenant apart in admission control.
+type ClientIdentity string
+
+// The identities of clients.
 const (
-	clientByAddress    = "address"
-	clientByConnection = "connection"
-	clientByHeader     = "header"
+	ClientByAddress    ClientIdentity = "address"
+	ClientByConnection ClientIdentity = "connection"
+	ClientByHeader     ClientIdentity = "header"
 )
 
 const (
@@ -68,7 +72,7 @@
 		Log: Log{Level: "info", Format: "text"},
 		Admission: Admission{
 			Weights:         map[string]float64{},
-			Client:          clientByAddress,
+			ClientIdentity:  ClientByAddress,
 			Queues:          defaultQueues,
 			SendsRetryAfter: true,
 		},
