--- a/cmd/switchfork-lab/demo.go
+++ b/cmd/switchfork-lab/demo.go
@@ -152,7 +152,9 @@
 
 func (d *demo) startStage(number int, stage releaseStage) error {
 	seed := int64(stageSeedSpacing * (number + 1))
-	endpoints, err := d.testbed.deployment.Add(stage.newEndpoints, demoNewBuild, testbedSlots, testbedWork, seed)
+	endpoints, err := d.testbed.deployment.Add(stage.newEndpoints, fakes.EndpointOptions{
+		Build: demoNewBuild, Slots: testbedSlots, ServiceTime: testbedWork, Seed: seed,
+	})
 	if err != nil {
 		return err
 	}
--- a/cmd/switchfork-lab/testbed.go
+++ b/cmd/switchfork-lab/testbed.go
@@ -102,10 +102,12 @@
 	if err != nil {
 		return err
 	}
-	if _, err := t.deployment.Add(testbedEndpoints, testbedBuild, testbedSlots, testbedWork, 1); err != nil {
+	if _, err := t.deployment.Add(testbedEndpoints, fakes.EndpointOptions{Build: testbedBuild, Slots: testbedSlots, ServiceTime: testbedWork, Seed: 1}); err != nil {
 		return err
 	}
-	t.agent, err = t.deployment.Start(program, t.dir, operatorFile, testbedBuild, testbedMemoryMB, t.log)
+	t.agent, err = t.deployment.Start(fakes.DeploymentAgentOptions{
+		Program: program, Dir: t.dir, OperatorFile: operatorFile, Build: testbedBuild, MemoryMB: testbedMemoryMB, Log: t.log,
+	})
 	return err
 }
 
--- a/internal/agenttest/servers.go
+++ b/internal/agenttest/servers.go
@@ -12,7 +12,7 @@
 // Listen opens a listener on loopback that is closed with the test.
 func Listen(t *testing.T) net.Listener {
 	t.Helper()
-	listener, err := fakes.Listen()
+	listener, err := fakes.Listen(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/endtoend/agent_test.go
+++ b/internal/endtoend/agent_test.go
@@ -84,7 +84,7 @@
 		}
 		return ":\n"
 	})
-	address, err := fakes.FreeAddress()
+	address, err := fakes.FreeAddress(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fakes/agent_config.go
+++ b/internal/fakes/agent_config.go
@@ -7,131 +7,154 @@
 	"time"
 )
 
-// AgentConfig is what differs between the agents of tests. The constants below are the same for all.
+// AgentConfig is what differs between the agents of tests; the limits of the protocol are the same for all. File writes it in the
+// protocol's form.
 type AgentConfig struct {
-	Index, Agents, Build, MemoryMB        int
-	Listen, Discovery, Rollout, Endpoints string // Endpoints is a document of the list, known from the start
-	PeerListen, PeersAll                  string
-	Peers                                 []string // none: the agents don't communicate
-	Tenants                               []string
-	Shares                                []float64
-	LatencyObjective, Timeout             time.Duration
-	RolloutState                          string // in JSON, see RolloutJSON; empty: the build has long been released
-	HasNonIdempotent                      bool   // there is a request class that must never run twice
+	Index    int // of the agent among all, from 0 on
+	Agents   int
+	Build    int // that is released, where InitialRollout is empty
+	MemoryMB int
+
+	Addresses AgentAddresses
+	Peers     PeerAddresses // zero: the agents don't communicate
+	Initial   InitialState
+	Requests  RequestSettings
 }
 
-const (
-	// VoteLifetime is how long a vote counts.
-	VoteLifetime = 4 * time.Second
-	// CallTimeout of the rollout controller's interface.
-	CallTimeout = 800 * time.Millisecond
-	// DrainGrace is how long after an agent was notified of a drain it may still send requests to the endpoint.
-	DrainGrace = time.Second
-	// CapWindow is the period over which the requests to a build on trial are counted against its traffic cap.
-	CapWindow = 4 * time.Second
-	// CapAllowance is the number of requests above the traffic cap that is allowed in a window.
-	CapAllowance = 3
-	// DedupWindow is how long endpoints recognize an idempotency key.
-	DedupWindow = 8 * time.Second
-	// AnswerGrace is how long after its deadline a request may still be answered.
-	AnswerGrace = 20 * time.Millisecond
-	// InitialCapacity is the part of its capacity that a new endpoint has.
-	InitialCapacity = 0.3
-	// SlowStartDuration is the time until a new endpoint has its full capacity.
-	SlowStartDuration = 3 * time.Second
-	// OverloadMultiple of its capacity makes an endpoint fail if it lasts for OverloadAfter.
-	OverloadMultiple = 2.0
-	// OverloadAfter is how long an endpoint stands an overload.
-	OverloadAfter = 1500 * time.Millisecond
-)
+// AgentAddresses are where an agent listens for clients, and where it reaches the servers that it calls.
+type AgentAddresses struct {
+	Listen    string
+	Discovery string
+	Rollout   string
+}
+
+// PeerAddresses are where an agent receives datagrams of the other agents, and where it reaches them.
+type PeerAddresses struct {
+	Listen    string
+	Peers     []string // by agent; none: the agents don't communicate
+	Broadcast string   // reaches all at once; empty: there is no such address
+}
+
+// InitialState is what an agent knows before it has called any server.
+type InitialState struct {
+	Endpoints string // a document of the endpoint list
+	Rollout   string // in JSON, see RolloutJSON; empty: the build has long been released
+}
+
+// RequestSettings are what the agent is told about the requests of its clients.
+type RequestSettings struct {
+	Tenants          []Tenant
+	LatencyObjective time.Duration
+	Timeout          time.Duration
+	HasNonIdempotent bool // there is a request class that must never run twice
+}
+
+// Tenant is a tenant with its share of the agent's capacity.
+type Tenant struct {
+	Name  string
+	Share float64
+}
 
 const (
 	// releasedAge of the build, where no state of a rollout is given.
 	releasedAge = 90 * time.Second
-	// firstSeed and seedSpacing give each agent a seed of its own.
-	firstSeed   = uint64(0x8c1f30d27a5be964)
+	// lastStage of a rollout.
+	lastStage = 2
+	// firstSeed is the seed of the first agent.
+	firstSeed = uint64(0x8c1f30d27a5be964)
+	// seedSpacing gives each further agent a seed of its own.
 	seedSpacing = uint64(0x9e3779b97f4a7c15)
 )
 
-// configTemplate is the configuration file. Numbers have the form that the platform writes.
-var configTemplate = template.Must(template.New("config").Parse(
-	`{"name":"n{{.Index}}",{{.PeerSettings}}"listen":{{printf "%q" .Listen}},"discovery":{{printf "%q" .Discovery}},` +
+// fileTemplate is the configuration file, and the only place that knows the protocol's names of the settings. Numbers have the form
+// that the platform writes.
+var fileTemplate = template.Must(template.New("config").Parse(
+	`{"name":"n{{.Index}}",{{.PeerSettings}}"listen":{{printf "%q" .Addresses.Listen}},"discovery":{{printf "%q" .Addresses.Discovery}},` +
 		`"seed":"{{printf "%016x" .Seed}}","limits":{"cores":1.0,"memory_mb":{{.MemoryMB}},
-"sockets":1024},"platform":{"address":{{printf "%q" .Rollout}},"news":{{.RolloutState}}},"known":{{.Endpoints}},
+"sockets":1024},"platform":{"address":{{printf "%q" .Addresses.Rollout}},"news":{{.InitialRollout}}},"known":{{.InitialEndpoints}},
 "settings":{"Me":{{.Index}},"Balancers":{{.Agents}},"Zone":0,"Discovery":"automatic","Localities":["suva"],"Grades":[
-{"Name":"lookup","Repeat":"read_like","SloMs":{{.ObjectiveMillis}},"HardLimitMs":{{.TimeoutMillis}},"Worth":1.0},
+{"Name":"lookup","Repeat":"read_like",{{.ClassTimes}},"Worth":1.0},
 {"Name":"posting","Repeat":"idempotency_key","KeyScope":"all","WindowMs":{{.DedupWindow.Milliseconds}},` +
-		`"SloMs":{{.ObjectiveMillis}},"HardLimitMs":{{.TimeoutMillis}},"Worth":5.0}{{if .HasNonIdempotent}},
-{"Name":"fee","Repeat":"non_idempotent","SloMs":{{.ObjectiveMillis}},"HardLimitMs":{{.TimeoutMillis}},"Worth":2.0}{{end}}],
+		`{{.ClassTimes}},"Worth":5.0}{{if .Requests.HasNonIdempotent}},
+{"Name":"fee","Repeat":"non_idempotent",{{.ClassTimes}},"Worth":2.0}{{end}}],
 "Parties":[{{.TenantList}}],"Feedback":{"How":"off"},"FamilyInfo":{"StageCap":[0.2,0.6,1.0],"StageShare":[0.1,0.4,1.0],"Shielded":1,
-"Swap":"beside","VoteStandsMs":{{.VoteLifetime.Milliseconds}},"CallTimeoutMs":{{.CallTimeout.Milliseconds}},"ApiRate":50.0,` +
-		`"VoteMode":"any","VotesToGo":1,"NoesNeeded":1,
-"CountedOverMs":{{.CapWindow.Milliseconds}},"Allowance":{{.CapAllowance}},"CountedBy":"all"},` +
-		`"Safety":{"ColdFrom":{{.InitialCapacity}},"ColdMs":{{.SlowStartDuration.Milliseconds}},"TipMultiple":{{.OverloadMultiple}},
-"TipAfterMs":{{.OverloadAfter.Milliseconds}},"DrainGraceMs":{{.DrainGrace.Milliseconds}},"GraceToAnswerMs":{{.AnswerGrace.Milliseconds}}},` +
+"Swap":"beside",{{.VotingSettings}},{{.CapSettings}},"CountedBy":"all"},"Safety":{{.SafetySettings}},` +
 		`"Limits":{"MaxAttempts":3,"DialTimeoutMs":250.0,
 "ConnIdleMs":30000.0,"RetryAfter":true,"MaxRetryAfterMs":2000.0,"OpenCap":1000,"Probes":true,"MayTell":{{.HasPeers}}}}}`))
 
-// configValues are the values that configTemplate refers to.
-type configValues struct {
-	AgentConfig
-	Seed                           uint64
-	PeerSettings, TenantList       string
-	ObjectiveMillis, TimeoutMillis string
-	HasPeers                       bool
-
-	VoteLifetime, CallTimeout, DrainGrace, CapWindow time.Duration
-	DedupWindow, AnswerGrace, SlowStartDuration      time.Duration
-	OverloadAfter                                    time.Duration
-	CapAllowance                                     int
-	InitialCapacity, OverloadMultiple                string
-}
+// fileValues are the values that fileTemplate refers to: the fields of a configuration, and its parts in the protocol's form.
+type fileValues struct{ AgentConfig }
 
 // File returns the configuration file.
 func (c AgentConfig) File() string {
-	if c.RolloutState == "" {
-		c.RolloutState = RolloutJSON(c.Build, 2, "live", 1, releasedAge)
-	}
-	c.Endpoints = strings.TrimSpace(c.Endpoints)
-	values := configValues{
-		AgentConfig:     c,
-		Seed:            firstSeed + uint64(c.Index)*seedSpacing,
-		PeerSettings:    c.peerSettings(),
-		TenantList:      c.tenantList(),
-		ObjectiveMillis: formatNumber(float64(c.LatencyObjective.Milliseconds())),
-		TimeoutMillis:   formatNumber(float64(c.Timeout.Milliseconds())),
-		HasPeers:        len(c.Peers) > 0,
-
-		VoteLifetime: VoteLifetime, CallTimeout: CallTimeout, DrainGrace: DrainGrace, CapWindow: CapWindow,
-		DedupWindow: DedupWindow, AnswerGrace: AnswerGrace, SlowStartDuration: SlowStartDuration,
-		OverloadAfter: OverloadAfter, CapAllowance: CapAllowance,
-		InitialCapacity: formatNumber(InitialCapacity), OverloadMultiple: formatNumber(OverloadMultiple),
-	}
 	var file strings.Builder
-	if err := configTemplate.Execute(&file, values); err != nil {
+	if err := fileTemplate.Execute(&file, fileValues{c}); err != nil {
 		panic(err) // a fault in the template: the builder doesn't fail
 	}
 	return file.String()
 }
 
-// peerSettings returns the keys that only an agent with peers has.
-func (c AgentConfig) peerSettings() string {
-	if len(c.Peers) == 0 {
+// Seed returns the agent's own seed.
+func (v fileValues) Seed() uint64 { return firstSeed + uint64(v.Index)*seedSpacing }
+
+// HasPeers reports whether the agents communicate.
+func (v fileValues) HasPeers() bool { return len(v.Peers.Peers) > 0 }
+
+// PeerSettings returns the keys that only an agent with peers has.
+func (v fileValues) PeerSettings() string {
+	if !v.HasPeers() {
 		return ""
 	}
-	settings := fmt.Sprintf(`"peer_listen":%q,"peers":["%s"],`, c.PeerListen, strings.Join(c.Peers, `","`))
-	if c.PeersAll != "" {
-		settings += fmt.Sprintf(`"peers_all":%q,`, c.PeersAll)
+	settings := fmt.Sprintf(`"peer_listen":%q,"peers":["%s"],`, v.Peers.Listen, strings.Join(v.Peers.Peers, `","`))
+	if v.Peers.Broadcast != "" {
+		settings += fmt.Sprintf(`"peers_all":%q,`, v.Peers.Broadcast)
 	}
 	return settings
 }
 
-func (c AgentConfig) tenantList() string {
-	var tenants []string
-	for i, name := range c.Tenants {
-		tenants = append(tenants, fmt.Sprintf(`{"Name":%q,"Fraction":%g}`, name, c.Shares[i]))
+// InitialEndpoints returns the endpoint list that the agent starts with.
+func (v fileValues) InitialEndpoints() string { return strings.TrimSpace(v.Initial.Endpoints) }
+
+// InitialRollout returns the rollout state that the agent starts with.
+func (v fileValues) InitialRollout() string {
+	if v.Initial.Rollout != "" {
+		return v.Initial.Rollout
 	}
-	return strings.Join(tenants, ",")
+	return RolloutJSON(v.Build, lastStage, "live", 1, releasedAge)
+}
+
+// TenantList returns the entries of the tenants.
+func (v fileValues) TenantList() string {
+	var entries []string
+	for _, tenant := range v.Requests.Tenants {
+		entries = append(entries, fmt.Sprintf(`{"Name":%q,"Fraction":%g}`, tenant.Name, tenant.Share))
+	}
+	return strings.Join(entries, ",")
+}
+
+// ClassTimes returns the latency objective and the timeout of a request class.
+func (v fileValues) ClassTimes() string {
+	objective, timeout := v.Requests.LatencyObjective.Milliseconds(), v.Requests.Timeout.Milliseconds()
+	return fmt.Sprintf(`"SloMs":%g,"HardLimitMs":%g`, float64(objective), float64(timeout))
+}
+
+// DedupWindow returns how long endpoints recognize an idempotency key.
+func (fileValues) DedupWindow() time.Duration { return DedupWindow }
+
+// VotingSettings returns how votes on a build are counted.
+func (fileValues) VotingSettings() string {
+	return fmt.Sprintf(`"VoteStandsMs":%d,"CallTimeoutMs":%d,"ApiRate":50.0,"VoteMode":"any","VotesToGo":1,"NoesNeeded":1`,
+		VoteLifetime.Milliseconds(), CallTimeout.Milliseconds())
 }
 
-func formatNumber(number float64) string { return fmt.Sprintf("%g", number) }
+// CapSettings returns how requests are counted against the traffic cap of a build on trial.
+func (fileValues) CapSettings() string {
+	return fmt.Sprintf("\n"+`"CountedOverMs":%d,"Allowance":%d`, CapWindow.Milliseconds(), CapAllowance)
+}
+
+// SafetySettings returns what endpoints bear and how long agents have after a change.
+func (fileValues) SafetySettings() string {
+	return fmt.Sprintf(`{"ColdFrom":%g,"ColdMs":%d,"TipMultiple":%g,`+"\n"+`"TipAfterMs":%d,"DrainGraceMs":%d,"GraceToAnswerMs":%d}`,
+		InitialCapacity, SlowStartDuration.Milliseconds(), OverloadMultiple,
+		OverloadAfter.Milliseconds(), DrainGrace.Milliseconds(), AnswerGrace.Milliseconds())
+}
--- a/internal/fakes/agent_process.go
+++ b/internal/fakes/agent_process.go
@@ -10,8 +10,6 @@
 	"os/exec"
 	"path/filepath"
 	"runtime"
-	"strconv"
-	"strings"
 	"syscall"
 	"time"
 )
@@ -28,66 +26,83 @@
 	stopTimeout        = 10 * time.Second
 	healthCheckTimeout = time.Second
 	healthPollInterval = 10 * time.Millisecond
-	kilobytesPerMB     = 1024
 )
 
+// Errors of an agent's process that a caller may tell apart.
+var (
+	// ErrExitedAtStart is that the process ended before it was healthy.
+	ErrExitedAtStart = errors.New("the agent has ended at its start")
+	// ErrNotHealthy is that the process runs and did not become healthy in time.
+	ErrNotHealthy = errors.New("the agent is not healthy")
+	// ErrStillRunning is that the process did not end in time after SIGTERM.
+	ErrStillRunning = errors.New("the agent still runs after SIGTERM")
+)
+
+// AgentOptions are how an agent's program is started.
+type AgentOptions struct {
+	Program       string // the executable's path
+	Dir           string // where the agent's files are written
+	Config        string // the text of its configuration
+	OperatorFile  string // the text of its operator file; empty: it gets none
+	ListenAddress string // where the configuration has it listen for clients
+	Log           io.Writer
+}
+
 // Agent is a process of the agent's program.
 type Agent struct {
 	URL     string
 	command *exec.Cmd
-	exit    chan error // how the process ended; closed after that
-	done    chan struct{}
-	exitErr error // set before done is closed
+	done    chan struct{} // closed when the process has ended
+	exitErr error         // how it ended; set before done is closed
 }
 
-// Start writes the agent's files into a folder, starts the program and waits until it serves.
-func (d *Deployment) Start(program, dir, operator string, build, memoryMB int, log io.Writer) (*Agent, error) {
-	listen, err := FreeAddress()
+// StartReadyAgent starts the program and waits until it serves.
+func StartReadyAgent(ctx context.Context, options AgentOptions) (*Agent, error) {
+	agent, err := StartAgent(ctx, options)
 	if err != nil {
 		return nil, err
 	}
-	return StartReadyAgent(program, dir, d.config(listen, build, memoryMB), operator, listen, log)
+	if err := agent.WaitHealthy(ctx, startTimeout, healthPollInterval); err != nil {
+		agent.Kill()
+		return nil, err
+	}
+	return agent, nil
 }
 
-// StartReadyAgent starts the program with these files in a folder, and waits until it serves.
-func StartReadyAgent(program, dir, config, operator, listen string, log io.Writer) (*Agent, error) {
-	a, err := StartAgent(program, dir, config, operator, listen, log)
+// StartAgent writes the agent's files and starts the program, without waiting until it serves. The process lives until it is stopped
+// or killed, whatever becomes of the context; on Linux it does not outlive the process that started it.
+func StartAgent(ctx context.Context, options AgentOptions) (*Agent, error) {
+	configPath, operatorPath, err := options.writeFiles()
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("writing the files of the agent at %s: %w", options.ListenAddress, err)
 	}
-	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(healthPollInterval) {
-		if a.HasExited() {
-			return nil, fmt.Errorf("the agent has ended: %w", <-a.exit)
-		}
-		if a.IsHealthy() {
-			return a, nil
-		}
+	agent := &Agent{URL: "http://" + options.ListenAddress, done: make(chan struct{})}
+	agent.command = exec.CommandContext(context.WithoutCancel(ctx), options.Program)
+	agent.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	agent.command.Env = append(os.Environ(), "GW_CONFIG="+configPath, "SWITCHFORK_OPERATOR=")
+	agent.command.Stderr = options.Log
+	if operatorPath != "" {
+		agent.command.Args = append(agent.command.Args, "--operator", operatorPath)
 	}
-	a.Kill()
-	return nil, fmt.Errorf("the agent is not healthy after %v", startTimeout)
+	started := make(chan error, 1)
+	go agent.run(started)
+	if err := <-started; err != nil {
+		return nil, fmt.Errorf("starting %s: %w", options.Program, err)
+	}
+	return agent, nil
 }
 
-// StartAgent starts the program and does not wait until it serves. On Linux it does not outlive the process that started it.
-func StartAgent(program, dir, config, operator, listen string, log io.Writer) (*Agent, error) {
-	configPath := filepath.Join(dir, ConfigName)
-	if err := os.WriteFile(configPath, []byte(config), 0o600); err != nil {
-		return nil, err
+// writeFiles writes the configuration, and the operator file if there is one.
+func (o *AgentOptions) writeFiles() (configPath, operatorPath string, err error) {
+	configPath = filepath.Join(o.Dir, ConfigName)
+	if err := os.WriteFile(configPath, []byte(o.Config), 0o600); err != nil {
+		return "", "", err
 	}
-	a := &Agent{URL: "http://" + listen, exit: make(chan error, 1), done: make(chan struct{})}
-	a.command = exec.CommandContext(context.Background(), program)
-	a.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	a.command.Env = append(os.Environ(), "GW_CONFIG="+configPath, "SWITCHFORK_OPERATOR=")
-	a.command.Stderr = log
-	if operator != "" {
-		operatorPath := filepath.Join(dir, OptionsName)
-		if err := os.WriteFile(operatorPath, []byte(operator), 0o600); err != nil {
-			return nil, err
-		}
-		a.command.Args = append(a.command.Args, "--operator", operatorPath)
+	if o.OperatorFile == "" {
+		return configPath, "", nil
 	}
-	started := make(chan error, 1)
-	go a.run(started)
-	return a, <-started
+	operatorPath = filepath.Join(o.Dir, OptionsName)
+	return configPath, operatorPath, os.WriteFile(operatorPath, []byte(o.OperatorFile), 0o600)
 }
 
 // run starts the process, reports that, and waits for its end. It keeps its thread meanwhile: with Pdeathsig the system kills
@@ -101,14 +116,44 @@
 		return
 	}
 	a.exitErr = a.command.Wait()
-	a.exit <- a.exitErr
-	close(a.exit)
 	close(a.done)
 }
 
-// IsHealthy reports whether the agent answers health checks with 200.
-func (a *Agent) IsHealthy() bool {
-	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, a.URL+"/_health", nil)
+// WaitHealthy waits until the agent answers health checks, checking at an interval. It fails with ErrExitedAtStart, with ErrNotHealthy
+// after a timeout, or with the context's error.
+func (a *Agent) WaitHealthy(ctx context.Context, timeout, interval time.Duration) error {
+	deadline := time.Now().Add(timeout)
+	for {
+		switch {
+		case a.IsHealthy(ctx):
+			return nil
+		case a.HasExited():
+			return fmt.Errorf("%w: %w", ErrExitedAtStart, a.exitStatus())
+		case time.Now().After(deadline):
+			return fmt.Errorf("%w %v after its start", ErrNotHealthy, timeout)
+		}
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-time.After(interval):
+		}
+	}
+}
+
+// errExitedCleanly stands for the exit status 0 where the process was not to end.
+var errExitedCleanly = errors.New("exit status 0")
+
+// exitStatus returns how the process ended. It may be called once Done is closed.
+func (a *Agent) exitStatus() error {
+	if a.exitErr == nil {
+		return errExitedCleanly
+	}
+	return a.exitErr
+}
+
+// IsHealthy reports whether the agent answers a health check with 200.
+func (a *Agent) IsHealthy(ctx context.Context) bool {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, a.URL+"/_health", nil)
 	if err != nil {
 		return false
 	}
@@ -140,14 +185,14 @@
 // Terminate asks the agent to drain and end.
 func (a *Agent) Terminate() error { return a.command.Process.Signal(syscall.SIGTERM) }
 
-// Stop drains the agent and waits for its end.
+// Stop drains the agent, waits for its end and returns how it ended. It fails with ErrStillRunning where it had to kill the process.
 func (a *Agent) Stop() error {
 	_ = a.Terminate() // it fails where the process has ended already
 	select {
-	case err := <-a.exit:
-		return err
+	case <-a.done:
+		return a.exitErr
 	case <-time.After(stopTimeout):
-		err := fmt.Errorf("the agent did not end %v after SIGTERM", stopTimeout)
+		err := fmt.Errorf("%w, %v later", ErrStillRunning, stopTimeout)
 		return errors.Join(err, a.command.Process.Kill())
 	}
 }
@@ -161,52 +206,20 @@
 // Kill ends the process at once and waits for its end.
 func (a *Agent) Kill() {
 	_ = a.command.Process.Kill() // it fails where the process has ended already
-	for range a.exit {
-		// That it was killed is no news; the channel is closed after that.
-	}
+	<-a.done
 }
 
 // Reload makes the agent read its files again.
 func (a *Agent) Reload() error { return a.command.Process.Signal(syscall.SIGHUP) }
 
-// Usage returns the resident memory and the number of open descriptors of the process, zeros where the system does not tell.
-func (a *Agent) Usage() (memoryMB float64, descriptors int) {
-	folder := filepath.Join("/proc", strconv.Itoa(a.command.Process.Pid))
-	open, err := os.ReadDir(filepath.Join(folder, "fd"))
-	if err != nil {
-		open = nil
-	}
-	return residentMemoryMB(filepath.Join(folder, "status")), len(open)
-}
-
-// residentMemoryMB reads a process's status file.
-func residentMemoryMB(path string) float64 {
-	status, err := os.ReadFile(path)
-	if err != nil {
-		return 0
-	}
-	for _, field := range strings.Split(string(status), "\n") {
-		size, isResident := strings.CutPrefix(field, "VmRSS:")
-		if !isResident {
-			continue
-		}
-		kilobytes := 0.0
-		if _, err := fmt.Sscan(size, &kilobytes); err != nil {
-			return 0
-		}
-		return kilobytes / kilobytesPerMB
-	}
-	return 0
-}
-
-// BuildAgent builds the agent's program into a folder, with flags for the compiler.
+// BuildAgent builds the agent's program into a folder, with flags for the compiler, and returns its path.
 func BuildAgent(dir, name string, flags ...string) (string, error) {
 	path := filepath.Join(dir, name)
 	arguments := append([]string{"build"}, flags...)
 	arguments = append(arguments, "-o", path, "switchfork/cmd/switchfork")
 	output, err := exec.CommandContext(context.Background(), "go", arguments...).CombinedOutput()
 	if err != nil {
-		return "", fmt.Errorf("building the agent: %w: %s", err, output)
+		return "", fmt.Errorf("building the agent's program as %s: %w: %s", path, err, output)
 	}
 	return path, nil
 }
--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"maps"
@@ -25,15 +26,24 @@
 	clientTimeoutMargin = time.Second
 	// postBody of every POST.
 	postBody = "beam=1"
-	// The latency histogram's range in microseconds and its precision in digits.
+	// maxLatencyMicros is the end of the latency histogram's range.
 	maxLatencyMicros = 60_000_000
-	latencyDigits    = 3
+	// latencyDigits is the latency histogram's precision.
+	latencyDigits = 3
 )
 
+// errNoFreeConnection is that a tenant's requests in progress have all of its connections.
+var errNoFreeConnection = errors.New("no free connection to the agent")
+
 // Totals counts the outcomes of a tenant's requests.
 type Totals struct {
-	Offered, Succeeded, InTime, Rejected, Failed, Returned int
-	Builds                                                 map[string]int // successes by the build that answered
+	Offered   int
+	Succeeded int
+	InTime    int // successes within the latency objective
+	Rejected  int
+	Failed    int
+	Returned  int            // retries after a rejection
+	Builds    map[string]int // successes by the build that answered
 }
 
 // ClientGroup is a tenant's clients. Their load is open: arrivals do not wait for answers.
@@ -58,7 +68,7 @@
 	latency *hdrhistogram.Histogram
 }
 
-// clientRequest is a request through all its tries.
+// clientRequest is a request through all its attempts.
 type clientRequest struct {
 	serial int64
 	tenant string
@@ -109,20 +119,20 @@
 		go func() {
 			defer c.inFlight.Done()
 			request := clientRequest{serial: c.serial.Add(1), tenant: group.Tenant, client: client, isPost: isPost}
-			c.sendWithRetries(pool, request)
+			c.sendWithRetries(context.WithoutCancel(ctx), pool, request) // what was sent is answered
 		}()
 	}
 }
 
 // sendWithRetries sends a request, again after each rejection that has a Retry-After.
-func (c *Clients) sendWithRetries(pool *clientPool, request clientRequest) {
+func (c *Clients) sendWithRetries(ctx context.Context, pool *clientPool, request clientRequest) {
 	c.count(request.tenant, func(t *Totals) { t.Offered++ })
-	for try := 0; ; try++ {
-		retryAfter, isRejected := c.send(pool, request, try)
+	for attempt := 0; ; attempt++ {
+		retryAfter, isRejected := c.send(ctx, pool, clientAttempt{request, attempt})
 		if !isRejected {
 			return
 		}
-		if retryAfter == nil || try == maxClientRetries {
+		if retryAfter == nil || attempt == maxClientRetries {
 			c.count(request.tenant, func(t *Totals) { t.Rejected++ })
 			return
 		}
@@ -131,23 +141,29 @@
 	}
 }
 
-// send sends a request once, with a deadline of its own, and counts the outcome unless it is a rejection. That is returned with
+// clientAttempt is one attempt at a request, numbered from 0 on.
+type clientAttempt struct {
+	clientRequest
+	number int
+}
+
+// send makes an attempt, with a deadline of its own, and counts the outcome unless it is a rejection. That is returned with
 // its Retry-After, if it has a valid one.
-func (c *Clients) send(pool *clientPool, request clientRequest, try int) (retryAfter *time.Duration, isRejected bool) {
+func (c *Clients) send(ctx context.Context, pool *clientPool, attempt clientAttempt) (retryAfter *time.Duration, isRejected bool) {
 	startedAt := time.Now()
-	response, err := c.exchange(pool, request, try, startedAt)
+	response, err := c.exchange(ctx, pool, attempt, startedAt)
 	if err != nil {
-		c.count(request.tenant, func(t *Totals) { t.Failed++ })
+		c.count(attempt.tenant, func(t *Totals) { t.Failed++ })
 		return nil, false
 	}
 	switch response.status {
 	case http.StatusOK:
-		c.countSuccess(request.tenant, response.body, time.Since(startedAt))
+		c.countSuccess(attempt.tenant, response.body, time.Since(startedAt))
 		return nil, false
 	case http.StatusServiceUnavailable:
 		return parseRetryAfter(response.header), true
 	default:
-		c.count(request.tenant, func(t *Totals) { t.Failed++ })
+		c.count(attempt.tenant, func(t *Totals) { t.Failed++ })
 		return nil, false
 	}
 }
@@ -160,17 +176,17 @@
 }
 
 // exchange waits for a connection, sends a request on it and reads the response.
-func (c *Clients) exchange(pool *clientPool, request clientRequest, try int, startedAt time.Time) (*clientResponse, error) {
+func (c *Clients) exchange(ctx context.Context, pool *clientPool, attempt clientAttempt, startedAt time.Time) (*clientResponse, error) {
 	select {
 	case pool.slots <- struct{}{}:
 		defer func() { <-pool.slots }()
 	case <-time.After(c.timeout):
-		return nil, fmt.Errorf("no connection to the agent within %v", c.timeout)
+		return nil, fmt.Errorf("%w within %v", errNoFreeConnection, c.timeout)
 	}
 	remaining := c.timeout - time.Since(startedAt)
-	ctx, stop := context.WithTimeout(context.Background(), remaining+clientTimeoutMargin)
+	ctx, stop := context.WithTimeout(ctx, remaining+clientTimeoutMargin)
 	defer stop()
-	httpRequest, err := c.newHTTPRequest(ctx, request, try, remaining)
+	httpRequest, err := c.newHTTPRequest(ctx, attempt, remaining)
 	if err != nil {
 		return nil, err
 	}
@@ -183,27 +199,27 @@
 	return &clientResponse{status: response.StatusCode, header: response.Header, body: string(body)}, nil
 }
 
-func (c *Clients) newHTTPRequest(ctx context.Context, request clientRequest, try int, remaining time.Duration) (*http.Request, error) {
+func (c *Clients) newHTTPRequest(ctx context.Context, attempt clientAttempt, remaining time.Duration) (*http.Request, error) {
 	method, path := http.MethodGet, "lookup"
-	if request.isPost {
+	if attempt.isPost {
 		method, path = http.MethodPost, "posting"
 	}
-	target := fmt.Sprintf("%s/%s?sid=%016x", c.url, path, request.serial)
+	target := fmt.Sprintf("%s/%s?sid=%016x", c.url, path, attempt.serial)
 	r, err := http.NewRequestWithContext(ctx, method, target, nil)
 	if err != nil {
 		return nil, err
 	}
-	if request.isPost {
+	if attempt.isPost {
 		// The body is set here since http.Client would repeat a request whose body it can read again.
 		r.Body = io.NopCloser(strings.NewReader(postBody))
 		r.ContentLength = int64(len(postBody))
-		r.Header.Set("Idempotency-Key", fmt.Sprintf("%032x", request.serial))
+		r.Header.Set("Idempotency-Key", fmt.Sprintf("%032x", attempt.serial))
 	}
-	r.Header.Set("X-Request-Id", fmt.Sprintf("%x-%d", request.serial, try))
-	r.Header.Set("X-Tenant", request.tenant)
-	r.Header.Set("X-Client", request.client)
+	r.Header.Set("X-Request-Id", fmt.Sprintf("%x-%d", attempt.serial, attempt.number))
+	r.Header.Set("X-Tenant", attempt.tenant)
+	r.Header.Set("X-Client", attempt.client)
 	r.Header.Set("X-Deadline-Ms", strconv.FormatInt(max(1, remaining.Milliseconds()), 10))
-	if try > 0 {
+	if attempt.number > 0 {
 		r.Header.Set("X-Retry", "1")
 	}
 	return r, nil
--- a/internal/fakes/deployment.go
+++ b/internal/fakes/deployment.go
@@ -1,7 +1,9 @@
 package fakes
 
 import (
+	"context"
 	"fmt"
+	"io"
 	"net/url"
 	"strings"
 	"sync"
@@ -13,10 +15,12 @@
 
 // Deployment is all that an agent meets but clients: endpoints, discovery and the rollout controller.
 type Deployment struct {
-	Discovery, Rollout        *StreamServer
-	Tenants                   []string
-	Shares                    []float64
-	LatencyObjective, Timeout time.Duration
+	Discovery        *StreamServer
+	Rollout          *StreamServer
+	Tenants          []string
+	Shares           []float64 // of the agent's capacity, by tenant
+	LatencyObjective time.Duration
+	Timeout          time.Duration
 
 	mu            sync.Mutex
 	endpoints     []*Endpoint
@@ -31,11 +35,12 @@
 		Tenants: tenants, Shares: shares, LatencyObjective: objective, Timeout: timeout,
 		listSequence: 1, votes: map[string]int{},
 	}
-	discoveryListener, err := Listen()
+	ctx := context.Background() // listening on loopback doesn't wait
+	discoveryListener, err := Listen(ctx)
 	if err != nil {
 		return nil, err
 	}
-	rolloutListener, err := Listen()
+	rolloutListener, err := Listen(ctx)
 	if err != nil {
 		_ = discoveryListener.Close() // the first error is the one to report
 		return nil, err
@@ -76,15 +81,18 @@
 	return ListDocument(d.listSequence, true, entries...)
 }
 
-// Add starts endpoints and publishes the list with them.
-func (d *Deployment) Add(count, build, slots int, work time.Duration, seed int64) ([]*Endpoint, error) {
+// Add starts endpoints and publishes the list with them. Their names and seeds are derived from the options, in which they are alike.
+func (d *Deployment) Add(count int, options EndpointOptions) ([]*Endpoint, error) {
 	var added []*Endpoint
 	for i := range count {
-		endpoint, err := NewEndpoint(fmt.Sprintf("s-%d-%d", build, i), build, slots, work, seed+int64(i))
+		listener, err := Listen(context.Background())
 		if err != nil {
-			return added, err
+			return added, fmt.Errorf("adding endpoint %d of %d: %w", i+1, count, err)
 		}
-		added = append(added, endpoint)
+		own := options
+		own.Name = fmt.Sprintf("s-%d-%d", options.Build, i)
+		own.Seed = options.Seed + int64(i)
+		added = append(added, NewEndpointAt(listener, own))
 	}
 	d.mu.Lock()
 	d.endpoints = append(d.endpoints, added...)
@@ -128,14 +136,42 @@
 	}
 }
 
+// DeploymentAgentOptions are how the only agent of a deployment is started.
+type DeploymentAgentOptions struct {
+	Program      string // the executable's path
+	Dir          string // where the agent's files are written
+	OperatorFile string // the text of its operator file; empty: it gets none
+	Build        int    // that is released
+	MemoryMB     int
+	Log          io.Writer
+}
+
+// Start starts the deployment's only agent and waits until it serves.
+func (d *Deployment) Start(options DeploymentAgentOptions) (*Agent, error) {
+	ctx := context.Background() // the start has a timeout of its own
+	listen, err := FreeAddress(ctx)
+	if err != nil {
+		return nil, err
+	}
+	return StartReadyAgent(ctx, AgentOptions{
+		Program: options.Program, Dir: options.Dir, OperatorFile: options.OperatorFile,
+		Config:        d.config(listen, options.Build, options.MemoryMB),
+		ListenAddress: listen, Log: options.Log,
+	})
+}
+
 // config returns the configuration file of the deployment's only agent.
 func (d *Deployment) config(listen string, build, memoryMB int) string {
 	config := AgentConfig{
-		Agents: 1, Listen: listen, Discovery: d.Discovery.Addr(), Rollout: d.Rollout.Addr(), Build: build, MemoryMB: memoryMB,
-		Tenants: d.Tenants, Shares: d.Shares, LatencyObjective: d.LatencyObjective, Timeout: d.Timeout,
+		Agents: 1, Build: build, MemoryMB: memoryMB,
+		Addresses: AgentAddresses{Listen: listen, Discovery: d.Discovery.Addr(), Rollout: d.Rollout.Addr()},
+		Requests:  RequestSettings{LatencyObjective: d.LatencyObjective, Timeout: d.Timeout},
+	}
+	for i, name := range d.Tenants {
+		config.Requests.Tenants = append(config.Requests.Tenants, Tenant{Name: name, Share: d.Shares[i]})
 	}
 	d.mu.Lock()
-	config.Endpoints = d.listDocument()
+	config.Initial.Endpoints = d.listDocument()
 	d.mu.Unlock()
 	return config.File()
 }
--- a/internal/fakes/listen.go
+++ b/internal/fakes/listen.go
@@ -19,18 +19,21 @@
 	processSpacing = 97
 )
 
+// ErrNoFreePort is that every port for processes that are to listen soon is taken.
+var ErrNoFreePort = errors.New("no port of loopback is free")
+
 // freePortOffset counts the ports tried by this process.
 var freePortOffset atomic.Int64
 
 // Listen listens on a free port of loopback.
-func Listen() (net.Listener, error) { return listenOn("127.0.0.1:0") }
+func Listen(ctx context.Context) (net.Listener, error) { return listenOn(ctx, "127.0.0.1:0") }
 
 // FreeAddress returns an address of loopback on which a process may listen soon.
-func FreeAddress() (string, error) {
+func FreeAddress(ctx context.Context) (string, error) {
 	freePortOffset.CompareAndSwap(0, int64(os.Getpid()*processSpacing%freePorts)+1)
 	for range freePorts {
 		port := minFreePort + freePortOffset.Add(1)%freePorts
-		listener, err := listenOn(fmt.Sprintf("127.0.0.1:%d", port))
+		listener, err := listenOn(ctx, fmt.Sprintf("127.0.0.1:%d", port))
 		if err != nil {
 			continue
 		}
@@ -40,10 +43,13 @@
 		}
 		return address, nil
 	}
-	return "", errors.New("no port of loopback is free")
+	return "", fmt.Errorf("trying the ports %d to %d: %w", minFreePort, maxFreePort-1, ErrNoFreePort)
 }
 
-func listenOn(address string) (net.Listener, error) {
-	var config net.ListenConfig
-	return config.Listen(context.Background(), "tcp", address)
+func listenOn(ctx context.Context, address string) (net.Listener, error) {
+	listener, err := new(net.ListenConfig).Listen(ctx, "tcp", address)
+	if err != nil {
+		return nil, fmt.Errorf("listening on %s: %w", address, err)
+	}
+	return listener, nil
 }
--- a/internal/faulttest/actions.go
+++ b/internal/faulttest/actions.go
@@ -168,13 +168,13 @@
 	}
 	n := 0
 	for _, a := range asked {
-		n += a.countFor(m)
+		n += a.countFor(r.ctx, m)
 	}
 	return measurement{float64(n), fmt.Sprintf("%s is %d", m.Name, n), true}
 }
 
 // countFor is what one agent adds to a measure that is summed over agents.
-func (a *agent) countFor(m Measure) int {
+func (a *agent) countFor(ctx context.Context, m Measure) int {
 	isMet := false
 	switch m.Name {
 	case measureLog:
@@ -182,7 +182,7 @@
 	case measureLeaders:
 		isMet = a.isLeader()
 	case measureHealthy:
-		isMet = a.process != nil && !a.process.HasExited() && a.process.IsHealthy()
+		isMet = a.process != nil && !a.process.HasExited() && a.process.IsHealthy(ctx)
 	}
 	if isMet {
 		return 1
--- a/internal/faulttest/agent.go
+++ b/internal/faulttest/agent.go
@@ -1,6 +1,7 @@
 package faulttest
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"os"
@@ -47,7 +48,7 @@
 	rolloutState int
 }
 
-func newAgent(number int, dir string) (*agent, error) {
+func newAgent(ctx context.Context, number int, dir string) (*agent, error) {
 	a := &agent{number: number, dir: filepath.Join(dir, fmt.Sprintf("agent-%d", number)), log: &fakes.Log{}}
 	a.stateDir = filepath.Join(a.dir, "state")
 	a.adminAddress = filepath.Join(dir, fmt.Sprintf("a%d", number)) // the path of a Unix socket has to be short
@@ -55,7 +56,7 @@
 		return nil, err
 	}
 	for _, address := range []*string{&a.listenAddress, &a.datagramAddress, &a.streamAddress} {
-		free, err := fakes.FreeAddress()
+		free, err := fakes.FreeAddress(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -99,36 +100,41 @@
 
 // agentConfig is the text of an agent's configuration, and the versions that it holds.
 func (d *deployment) agentConfig(a *agent) (text string, versions configuredVersions) {
+	versions.endpointList = d.discovery.newestVersion()
+	initial := fakes.InitialState{Endpoints: d.discovery.document(a.number, versions.endpointList)}
+	versions.rolloutState, initial.Rollout = d.rollout.stateJSON()
 	config := fakes.AgentConfig{
-		Index: a.number, Agents: d.scenario.Agents, Build: d.scenario.Build, MemoryMB: agentMemoryMB, Listen: a.listenAddress,
-		Discovery: d.currentAddress(d.toDiscovery[a.number], d.discovery.addr()),
-		Rollout:   d.currentAddress(d.toRollout[a.number], d.rollout.addr()),
-		Tenants:   []string{tenant}, Shares: []float64{1},
-		LatencyObjective: latencyObjective, Timeout: requestTimeout, HasNonIdempotent: true,
+		Index: a.number, Agents: d.scenario.Agents, Build: d.scenario.Build, MemoryMB: agentMemoryMB,
+		Addresses: fakes.AgentAddresses{
+			Listen:    a.listenAddress,
+			Discovery: d.currentAddress(d.toDiscovery[a.number], d.discovery.addr()),
+			Rollout:   d.currentAddress(d.toRollout[a.number], d.rollout.addr()),
+		},
+		Initial: initial,
+		Requests: fakes.RequestSettings{
+			Tenants: []fakes.Tenant{{Name: tenant, Share: 1}}, LatencyObjective: latencyObjective, Timeout: requestTimeout, HasNonIdempotent: true,
+		},
 	}
-	versions.endpointList = d.discovery.newestVersion()
-	config.Endpoints = d.discovery.document(a.number, versions.endpointList)
-	versions.rolloutState, config.RolloutState = d.rollout.stateJSON()
 	if d.scenario.Transport == transportDatagrams {
-		config.PeerListen = a.datagramAddress
-		config.Peers, config.PeersAll = d.datagramPeers(a)
+		config.Peers = d.datagramPeers(a)
 	}
 	return config.File(), versions
 }
 
 // datagramPeers are the addresses at which an agent reaches each peer, and all at once.
-func (d *deployment) datagramPeers(a *agent) (peers []string, all string) {
+func (d *deployment) datagramPeers(a *agent) fakes.PeerAddresses {
+	addresses := fakes.PeerAddresses{Listen: a.datagramAddress}
 	for peer, b := range d.agents {
 		address := b.datagramAddress
 		if !d.withoutRelays {
 			address = d.mesh.Address(a.number, peer)
 		}
-		peers = append(peers, address)
+		addresses.Peers = append(addresses.Peers, address)
 	}
 	if !d.withoutRelays {
-		all = d.mesh.BroadcastAddress(a.number)
+		addresses.Broadcast = d.mesh.BroadcastAddress(a.number)
 	}
-	return peers, all
+	return addresses
 }
 
 // startAgents starts all agents that are there at the start, at one time.
@@ -166,7 +172,9 @@
 	a.lifetimes = append(a.lifetimes, ProcessLifetime{Start: versions.at, End: -1, TermSentAt: -1})
 	a.initialVersions = append(a.initialVersions, versions)
 	d.mu.Unlock()
-	process, err := fakes.StartAgent(path, a.dir, text, a.operatorFile(), a.listenAddress, a.log)
+	process, err := fakes.StartAgent(d.ctx, fakes.AgentOptions{
+		Program: path, Dir: a.dir, Config: text, OperatorFile: a.operatorFile(), ListenAddress: a.listenAddress, Log: a.log,
+	})
 	if err != nil {
 		return err
 	}
@@ -179,7 +187,10 @@
 	}
 	d.recordEvent("rig", "%s", started)
 	go d.recordExit(a, process, lifetime)
-	return d.awaitHealthy(a, process)
+	if err := process.WaitHealthy(d.ctx, startupTimeout, pollInterval); err != nil {
+		return fmt.Errorf("starting agent %d: %w", a.number, err)
+	}
+	return nil
 }
 
 // recordExit waits for the end of a process and records it, if its end wasn't recorded before.
@@ -196,25 +207,6 @@
 	d.recordEvent("rig", "agent %d's process is over", a.number)
 }
 
-func (d *deployment) awaitHealthy(a *agent, process *fakes.Agent) error {
-	deadline := time.Now().Add(startupTimeout)
-	for {
-		switch {
-		case process.IsHealthy():
-			return nil
-		case process.HasExited():
-			return fmt.Errorf("agent %d has ended at its start", a.number)
-		case time.Now().After(deadline):
-			return fmt.Errorf("agent %d does not serve %v after its start", a.number, startupTimeout)
-		}
-		select {
-		case <-d.ctx.Done():
-			return d.ctx.Err()
-		case <-time.After(pollInterval):
-		}
-	}
-}
-
 // runningAgents are the agents whose processes run and weren't asked to end, as a front that checks their health would see them.
 func (d *deployment) runningAgents() (out []int) {
 	d.mu.Lock()
--- a/internal/faulttest/counting_listener.go
+++ b/internal/faulttest/counting_listener.go
@@ -57,9 +57,12 @@
 	conns []*countedConn
 }
 
-func listen() (*countingListener, error) {
-	l, err := fakes.Listen()
-	return &countingListener{Listener: l}, err
+func listen(ctx context.Context) (*countingListener, error) {
+	l, err := fakes.Listen(ctx)
+	if err != nil {
+		return nil, err
+	}
+	return &countingListener{Listener: l}, nil
 }
 
 func (l *countingListener) Accept() (net.Conn, error) {
--- a/internal/faulttest/deployment.go
+++ b/internal/faulttest/deployment.go
@@ -75,7 +75,7 @@
 		return d, err
 	}
 	for i := range s.Agents {
-		a, err := newAgent(i, dir)
+		a, err := newAgent(ctx, i, dir)
 		if err != nil {
 			return d, err
 		}
@@ -92,10 +92,10 @@
 }
 
 func (d *deployment) startServers() (err error) {
-	if d.discovery, err = newFakeDiscovery(d.now, d.endpointAddress); err != nil {
+	if d.discovery, err = newFakeDiscovery(d.ctx, d.now, d.endpointAddress); err != nil {
 		return err
 	}
-	if d.rollout, err = newFakeRollout(d.now, d.scenario.Build); err != nil {
+	if d.rollout, err = newFakeRollout(d.ctx, d.now, d.scenario.Build); err != nil {
 		return err
 	}
 	d.recorder = newEndpointRecorder(d.now)
@@ -216,7 +216,7 @@
 }
 
 func (d *deployment) addEndpoint(build int, cold bool) (row EndpointRow, err error) {
-	l, err := listen()
+	l, err := listen(d.ctx)
 	if err != nil {
 		return row, err
 	}
@@ -224,7 +224,10 @@
 	number := len(d.endpoints)
 	d.mu.Unlock()
 	s := d.scenario
-	endpoint := fakes.NewEndpointAt(l, endpointName(number), build, s.Slots, s.ServiceTime, s.Seed*31+int64(number), d.recorder, connContext)
+	endpoint := fakes.NewEndpointAt(l, fakes.EndpointOptions{
+		Name: endpointName(number), Build: build, Slots: s.Slots, ServiceTime: s.ServiceTime, Seed: s.Seed*31 + int64(number),
+		Observer: d.recorder, ConnContext: connContext,
+	})
 	relays, err := d.startEndpointRelays(endpoint.Addr(), number)
 	if err != nil {
 		endpoint.Close()
--- a/internal/faulttest/fake_discovery.go
+++ b/internal/faulttest/fake_discovery.go
@@ -1,6 +1,7 @@
 package faulttest
 
 import (
+	"context"
 	"fmt"
 	"net/http"
 	"slices"
@@ -21,8 +22,8 @@
 	address    func(agent, endpoint int) string // how an agent reaches an endpoint
 }
 
-func newFakeDiscovery(now netfault.Clock, address func(agent, endpoint int) string) (*fakeDiscovery, error) {
-	l, err := listen()
+func newFakeDiscovery(ctx context.Context, now netfault.Clock, address func(agent, endpoint int) string) (*fakeDiscovery, error) {
+	l, err := listen(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/faulttest/fake_rollout.go
+++ b/internal/faulttest/fake_rollout.go
@@ -1,6 +1,7 @@
 package faulttest
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"net/http"
@@ -33,8 +34,8 @@
 	silent   bool // votes get no answer
 }
 
-func newFakeRollout(now netfault.Clock, build int) (*fakeRollout, error) {
-	l, err := listen()
+func newFakeRollout(ctx context.Context, now netfault.Clock, build int) (*fakeRollout, error) {
+	l, err := listen(ctx)
 	if err != nil {
 		return nil, err
 	}
