--- a/internal/faulttest/agent.go
+++ b/internal/faulttest/agent.go
@@ -8,24 +8,14 @@
 	"path/filepath"
 	"slices"
 	"strings"
-	"time"
+	"sync"
 
+	"switchfork/internal/cluster/coordinator"
 	"switchfork/internal/fakes"
 	"switchfork/internal/faulttest/netfault"
 )
 
-const (
-	// firstProgram is the name of the program that agents start as.
-	firstProgram  = ""
-	agentMemoryMB = 192
-	// startupTimeout is long: many processes start at once on a machine that is busy with other tests.
-	startupTimeout = 40 * time.Second
-	// tenant is the only one of a scenario.
-	tenant = "beqa"
-)
-
-// agent is one of the deployment's agents; it keeps its addresses over restarts. The deployment's mutex guards process, lifetimes and
-// initialVersions.
+// agent is one of the deployment's agents; it keeps its addresses over restarts. One step at a time changes its files and its process.
 type agent struct {
 	number          int
 	dir             string
@@ -36,18 +26,13 @@
 	streamAddress   string // where it accepts the election's streams
 	operator        []string
 	log             *fakes.Log
-	process         *fakes.Agent
+
+	mu              sync.Mutex
+	process         *fakes.Agent // nil: it was not started yet
 	lifetimes       []ProcessLifetime
 	initialVersions []configuredVersions
 }
 
-// configuredVersions are the versions that the configuration of a process held at its start.
-type configuredVersions struct {
-	at           netfault.Micros
-	endpointList int
-	rolloutState int
-}
-
 func newAgent(ctx context.Context, number int, dir string) (*agent, error) {
 	a := &agent{number: number, dir: filepath.Join(dir, fmt.Sprintf("agent-%d", number)), log: &fakes.Log{}}
 	a.stateDir = filepath.Join(a.dir, "state")
@@ -68,184 +53,121 @@
 // operatorFile is the text of the agent's operator file.
 func (a *agent) operatorFile() string { return strings.Join(a.operator, "\n") + "\n" }
 
-// operatorLines are what an agent's operator file holds at the start.
-func (d *deployment) operatorLines(a *agent) (lines []string) {
-	s := d.scenario
-	if !s.HasElection {
-		return append(lines, s.OperatorLines...)
-	}
-	lines = append(lines, "decider on", "decider-lease "+s.Lease.String(), "admin "+a.adminAddress)
-	if s.HasStateDirs {
-		lines = append(lines, "decider-state "+a.stateDir)
-	}
-	if s.Transport == transportTCP {
-		lines = append(lines, fmt.Sprintf("decider-me %d", a.number), "decider-listen "+a.streamAddress)
-		for peer := range d.agents {
-			if !slices.Contains(s.AbsentAtStart, peer) {
-				lines = append(lines, d.peerLine(a.number, peer))
-			}
-		}
-	}
-	return append(lines, s.OperatorLines...)
+// setOperatorLine replaces the lines with the same keyword in the operator file.
+func (a *agent) setOperatorLine(tokens []string) {
+	a.operator = slices.DeleteFunc(slices.Clone(a.operator), func(line string) bool { return strings.Fields(line)[0] == tokens[0] })
+	a.operator = append(a.operator, strings.Join(tokens, " "))
 }
 
-// peerLine names one agent in another's operator file.
-func (d *deployment) peerLine(agent, peer int) string {
-	address := d.agents[peer].streamAddress
-	if peer != agent && !d.withoutRelays {
-		address = d.toPeer[agent][peer].Addr()
-	}
-	return fmt.Sprintf("decider-peer %d %s", peer, address)
-}
-
-// agentConfig is the text of an agent's configuration, and the versions that it holds.
-func (d *deployment) agentConfig(a *agent) (text string, versions configuredVersions) {
-	versions.endpointList = d.discovery.newestVersion()
-	initial := fakes.InitialState{Endpoints: d.discovery.document(a.number, versions.endpointList)}
-	versions.rolloutState, initial.Rollout = d.rollout.stateJSON()
-	config := fakes.AgentConfig{
-		Index: a.number, Agents: d.scenario.Agents, Build: d.scenario.Build, MemoryMB: agentMemoryMB,
-		Addresses: fakes.AgentAddresses{
-			Listen:    a.listenAddress,
-			Discovery: d.currentAddress(d.toDiscovery[a.number], d.discovery.addr()),
-			Rollout:   d.currentAddress(d.toRollout[a.number], d.rollout.addr()),
-		},
-		Initial: initial,
-		Requests: fakes.RequestSettings{
-			Tenants: []fakes.Tenant{{Name: tenant, Share: 1}}, LatencyObjective: latencyObjective, Timeout: requestTimeout, HasNonIdempotent: true,
-		},
-	}
-	if d.scenario.Transport == transportDatagrams {
-		config.Peers = d.datagramPeers(a)
-	}
-	return config.File(), versions
+func (a *agent) writeFile(name, text string) error {
+	return os.WriteFile(filepath.Join(a.dir, name), []byte(text), 0o600)
 }
 
-// datagramPeers are the addresses at which an agent reaches each peer, and all at once.
-func (d *deployment) datagramPeers(a *agent) fakes.PeerAddresses {
-	addresses := fakes.PeerAddresses{Listen: a.datagramAddress}
-	for peer, b := range d.agents {
-		address := b.datagramAddress
-		if !d.withoutRelays {
-			address = d.mesh.Address(a.number, peer)
-		}
-		addresses.Peers = append(addresses.Peers, address)
-	}
-	if !d.withoutRelays {
-		addresses.Broadcast = d.mesh.BroadcastAddress(a.number)
-	}
-	return addresses
-}
-
-// startAgents starts all agents that are there at the start, at one time.
-func (d *deployment) startAgents() error {
-	var present []int
-	for i, a := range d.agents {
-		a.operator = d.operatorLines(a)
-		if !slices.Contains(d.scenario.AbsentAtStart, i) {
-			present = append(present, i)
-		}
-	}
-	failed := make(chan error, len(present))
-	for _, i := range present {
-		go func() { failed <- d.startAgent(d.agents[i], firstProgram) }()
-	}
-	var first error
-	for range present {
-		if err := <-failed; err != nil && first == nil {
-			first = err
-		}
-	}
-	return first
+// current is the newest process; nil: there was none yet.
+func (a *agent) current() *fakes.Agent {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.process
 }
 
-// startAgent starts an agent's process and waits until it serves.
-func (d *deployment) startAgent(a *agent, program string) error {
-	path, isKnown := d.programs[program]
-	if !isKnown {
-		return fmt.Errorf("program %q is not named", program)
-	}
-	text, versions := d.agentConfig(a)
-	versions.at = d.now()
-	d.mu.Lock()
-	lifetime := len(a.lifetimes)
+// beginLifetime records that a process is about to be started with these versions, and returns the number of its lifetime.
+func (a *agent) beginLifetime(versions configuredVersions) int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	a.lifetimes = append(a.lifetimes, ProcessLifetime{Start: versions.at, End: -1, TermSentAt: -1})
 	a.initialVersions = append(a.initialVersions, versions)
-	d.mu.Unlock()
-	process, err := fakes.StartAgent(d.ctx, fakes.AgentOptions{
-		Program: path, Dir: a.dir, Config: text, OperatorFile: a.operatorFile(), ListenAddress: a.listenAddress, Log: a.log,
-	})
-	if err != nil {
-		return err
-	}
-	d.mu.Lock()
+	return len(a.lifetimes) - 1
+}
+
+func (a *agent) setProcess(process *fakes.Agent) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	a.process = process
-	d.mu.Unlock()
-	started := fmt.Sprintf("agent %d starts", a.number)
-	if program != firstProgram {
-		started += " as " + program
+}
+
+// recordExit records that the process of a lifetime has ended, unless that was recorded before. Another process may have started by now.
+func (a *agent) recordExit(lifetime int, at netfault.Micros, exitErr error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	l := &a.lifetimes[lifetime]
+	if l.End >= 0 {
+		return
 	}
-	d.recordEvent("rig", "%s", started)
-	go d.recordExit(a, process, lifetime)
-	if err := process.WaitHealthy(d.ctx, startupTimeout, pollInterval); err != nil {
-		return fmt.Errorf("starting agent %d: %w", a.number, err)
+	l.End = at
+	if exitErr != nil {
+		l.ExitError = exitErr.Error()
 	}
-	return nil
 }
 
-// recordExit waits for the end of a process and records it, if its end wasn't recorded before.
-func (d *deployment) recordExit(a *agent, process *fakes.Agent, lifetime int) {
-	<-process.Done()
-	d.mu.Lock()
-	if l := &a.lifetimes[lifetime]; l.End < 0 { // not the last lifetime: another process may have started by now
-		l.End = d.now()
-		if err := process.ExitError(); err != nil {
-			l.ExitError = err.Error()
-		}
-	}
-	d.mu.Unlock()
-	d.recordEvent("rig", "agent %d's process is over", a.number)
-}
-
-// runningAgents are the agents whose processes run and weren't asked to end, as a front that checks their health would see them.
-func (d *deployment) runningAgents() (out []int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for i, a := range d.agents {
-		n := len(a.lifetimes)
-		if n > 0 && a.lifetimes[n-1].End < 0 && a.lifetimes[n-1].TermSentAt < 0 && a.process != nil {
-			out = append(out, i)
-		}
+// markTerminated records that SIGTERM is about to be sent.
+func (a *agent) markTerminated(at netfault.Micros) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.lifetimes[len(a.lifetimes)-1].TermSentAt = at
+}
+
+// markKilled records that the process is about to be killed.
+func (a *agent) markKilled(at netfault.Micros) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if l := &a.lifetimes[len(a.lifetimes)-1]; l.End < 0 {
+		l.End, l.WasKilled = at, true
 	}
-	return out
 }
 
-// wasKilled tells whether an agent's newest process is over, or one that was not asked to end and lived at a time: the next may have
+// updateLifetime changes the newest lifetime. The change may signal the process: nobody sees the one without the other.
+func (a *agent) updateLifetime(change func(*ProcessLifetime) error) error {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return change(&a.lifetimes[len(a.lifetimes)-1])
+}
+
+// isRunning tells whether the newest process runs and wasn't asked to end.
+func (a *agent) isRunning() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	n := len(a.lifetimes)
+	return n > 0 && a.lifetimes[n-1].End < 0 && a.lifetimes[n-1].TermSentAt < 0 && a.process != nil
+}
+
+// wasKilled tells whether the newest process is over, or one that was not asked to end and lived at a time: the next may have
 // started by now.
-func (d *deployment) wasKilled(agent int, at netfault.Micros) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	lifetimes := d.agents[agent].lifetimes
-	n := len(lifetimes)
-	return n == 0 || lifetimes[n-1].End >= 0 || slices.ContainsFunc(lifetimes, func(l ProcessLifetime) bool {
+func (a *agent) wasKilled(at netfault.Micros) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	n := len(a.lifetimes)
+	return n == 0 || a.lifetimes[n-1].End >= 0 || slices.ContainsFunc(a.lifetimes, func(l ProcessLifetime) bool {
 		return l.Start <= at && l.End >= at && l.TermSentAt < 0
 	})
 }
 
-// writeLogs writes each agent's log.
-func (d *deployment) writeLogs(create func(name string) (io.WriteCloser, error)) error {
-	for _, a := range d.agents {
-		w, err := create(fmt.Sprintf("agent-%d.log", a.number))
-		if err != nil {
-			return err
-		}
-		_, err = io.WriteString(w, a.log.String())
-		if closeErr := w.Close(); err == nil {
-			err = closeErr
-		}
-		if err != nil {
-			return err
-		}
+func (a *agent) snapshotLifetimes() []ProcessLifetime {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	lifetimes := slices.Clone(a.lifetimes)
+	for i := range lifetimes {
+		lifetimes[i].Pauses = slices.Clone(lifetimes[i].Pauses)
+	}
+	return lifetimes
+}
+
+// isLeader asks the agent at its admin address.
+func (a *agent) isLeader() bool {
+	status, err := coordinator.QueryStatus(a.adminAddress)
+	return err == nil && status.Leads
+}
+
+// isHealthy asks the process's health check.
+func (a *agent) isHealthy(ctx context.Context) bool {
+	process := a.current()
+	return process != nil && !process.HasExited() && process.IsHealthy(ctx)
+}
+
+// writeLog writes what the agent logged.
+func (a *agent) writeLog(w io.WriteCloser) error {
+	_, err := io.WriteString(w, a.log.String())
+	if closeErr := w.Close(); err == nil {
+		err = closeErr
 	}
-	return nil
+	return err
 }
--- /dev/null
+++ b/internal/faulttest/agent_files.go
@@ -0,0 +1,96 @@
+package faulttest
+
+import (
+	"fmt"
+	"slices"
+
+	"switchfork/internal/fakes"
+	"switchfork/internal/faulttest/netfault"
+)
+
+const (
+	agentMemoryMB = 192
+	// tenant is the only one of a scenario.
+	tenant = "beqa"
+)
+
+// agentFiles write what the agents' configurations and operator files hold.
+type agentFiles struct {
+	scenario  *Scenario
+	relays    *relayNetwork
+	discovery *fakeDiscovery
+	rollout   *fakeRollout
+	agents    []*agent
+}
+
+// configuredVersions are the versions that the configuration of a process held at its start.
+type configuredVersions struct {
+	at           netfault.Micros
+	endpointList int
+	rolloutState int
+}
+
+// operatorLines are what an agent's operator file holds at the start.
+func (f *agentFiles) operatorLines(a *agent) (lines []string) {
+	s := f.scenario
+	if !s.HasElection {
+		return append(lines, s.OperatorLines...)
+	}
+	lines = append(lines, "decider on", "decider-lease "+s.Lease.String(), "admin "+a.adminAddress)
+	if s.HasStateDirs {
+		lines = append(lines, "decider-state "+a.stateDir)
+	}
+	if s.Transport == transportTCP {
+		lines = append(lines, fmt.Sprintf("decider-me %d", a.number), "decider-listen "+a.streamAddress)
+		for peer := range f.agents {
+			if !slices.Contains(s.AbsentAtStart, peer) {
+				lines = append(lines, f.peerLine(a.number, peer))
+			}
+		}
+	}
+	return append(lines, s.OperatorLines...)
+}
+
+// peerLine names one agent in another's operator file.
+func (f *agentFiles) peerLine(agent, peer int) string {
+	return fmt.Sprintf("decider-peer %d %s", peer, f.relays.peerAddress(agent, peer, f.agents[peer].streamAddress))
+}
+
+// config is the text of an agent's configuration, and the versions that it holds.
+func (f *agentFiles) config(a *agent) (text string, versions configuredVersions) {
+	versions.endpointList = f.discovery.newestVersion()
+	initial := fakes.InitialState{Endpoints: f.discovery.document(a.number, versions.endpointList)}
+	versions.rolloutState, initial.Rollout = f.rollout.stateJSON()
+	config := fakes.AgentConfig{
+		Index: a.number, Agents: f.scenario.Agents, Build: f.scenario.Build, MemoryMB: agentMemoryMB,
+		Addresses: fakes.AgentAddresses{
+			Listen:    a.listenAddress,
+			Discovery: f.relays.discoveryAddress(a.number),
+			Rollout:   f.relays.rolloutAddress(a.number),
+		},
+		Initial: initial,
+		Requests: fakes.RequestSettings{
+			Tenants: []fakes.Tenant{{Name: tenant, Share: 1}}, LatencyObjective: latencyObjective, Timeout: requestTimeout, HasNonIdempotent: true,
+		},
+	}
+	if f.scenario.Transport == transportDatagrams {
+		config.Peers = f.datagramPeers(a)
+	}
+	return config.File(), versions
+}
+
+// datagramPeers are the addresses at which an agent reaches each peer, and all at once.
+func (f *agentFiles) datagramPeers(a *agent) fakes.PeerAddresses {
+	addresses := fakes.PeerAddresses{Listen: a.datagramAddress}
+	for peer, b := range f.agents {
+		address := b.datagramAddress
+		if f.relays.mesh != nil {
+			address = f.relays.mesh.Address(a.number, peer)
+		}
+		addresses.Peers = append(addresses.Peers, address)
+	}
+	if f.relays.mesh != nil {
+		addresses.Broadcast = f.relays.mesh.BroadcastAddress(a.number)
+	}
+	return addresses
+}
--- /dev/null
+++ b/internal/faulttest/agent_group.go
@@ -0,0 +1,153 @@
+package faulttest
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+	"time"
+
+	"switchfork/internal/fakes"
+	"switchfork/internal/faulttest/netfault"
+)
+
+const (
+	// firstProgram is the name of the program that agents start as.
+	firstProgram = ""
+	// startupTimeout is long: many processes start at once on a machine that is busy with other tests.
+	startupTimeout = 40 * time.Second
+	// healthPollInterval is how often an agent that starts is asked for its health.
+	healthPollInterval = pollInterval
+)
+
+// agentGroup are the agents of a run: it starts their processes and knows which run.
+type agentGroup struct {
+	scenario *Scenario
+	now      netfault.Clock
+	events   *eventLog
+	programs map[string]string // paths by name
+	files    *agentFiles
+	all      []*agent
+}
+
+// newAgents reserves folders and addresses of agents; no process is started.
+func newAgents(ctx context.Context, count int, dir string) ([]*agent, error) {
+	var agents []*agent
+	for i := range count {
+		a, err := newAgent(ctx, i, dir)
+		if err != nil {
+			return agents, fmt.Errorf("preparing agent %d: %w", i, err)
+		}
+		agents = append(agents, a)
+	}
+	return agents, nil
+}
+
+// startAll starts all agents that are there at the start, at one time.
+func (g *agentGroup) startAll(ctx context.Context) error {
+	var present []int
+	for i, a := range g.all {
+		a.operator = g.files.operatorLines(a)
+		if !slices.Contains(g.scenario.AbsentAtStart, i) {
+			present = append(present, i)
+		}
+	}
+	return forEachAgent(present, func(i int) error { return g.start(ctx, g.all[i], firstProgram) })
+}
+
+// start starts an agent's process and waits until it serves.
+func (g *agentGroup) start(ctx context.Context, a *agent, program string) error {
+	path, isKnown := g.programs[program]
+	if !isKnown {
+		return fmt.Errorf("starting agent %d: program %q is not named", a.number, program)
+	}
+	text, versions := g.files.config(a)
+	versions.at = g.now()
+	lifetime := a.beginLifetime(versions)
+	process, err := fakes.StartAgent(ctx, fakes.AgentOptions{
+		Program: path, Dir: a.dir, Config: text, OperatorFile: a.operatorFile(), ListenAddress: a.listenAddress, Log: a.log,
+	})
+	if err != nil {
+		return err
+	}
+	a.setProcess(process)
+	started := fmt.Sprintf("agent %d starts", a.number)
+	if program != firstProgram {
+		started += " as " + program
+	}
+	g.events.record(sourceDeployment, "%s", started)
+	go g.recordExit(a, process, lifetime)
+	if err := process.WaitHealthy(ctx, startupTimeout, healthPollInterval); err != nil {
+		return fmt.Errorf("starting agent %d: %w", a.number, err)
+	}
+	return nil
+}
+
+// recordExit waits for the end of a process and records it.
+func (g *agentGroup) recordExit(a *agent, process *fakes.Agent, lifetime int) {
+	<-process.Done()
+	a.recordExit(lifetime, g.now(), process.ExitError())
+	g.events.record(sourceDeployment, "agent %d's process is over", a.number)
+}
+
+// running implements processStates, as a front that checks the agents' health would see them.
+func (g *agentGroup) running() (out []int) {
+	for i, a := range g.all {
+		if a.isRunning() {
+			out = append(out, i)
+		}
+	}
+	return out
+}
+
+// wasKilled implements processStates.
+func (g *agentGroup) wasKilled(agent int, at netfault.Micros) bool { return g.all[agent].wasKilled(at) }
+
+func (g *agentGroup) listenAddresses() (out []string) {
+	for _, a := range g.all {
+		out = append(out, a.listenAddress)
+	}
+	return out
+}
+
+// writeLogs writes each agent's log.
+func (g *agentGroup) writeLogs(create func(name string) (io.WriteCloser, error)) error {
+	for _, a := range g.all {
+		w, err := create(fmt.Sprintf("agent-%d.log", a.number))
+		if err != nil {
+			return err
+		}
+		if err := a.writeLog(w); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// killAll ends all processes and waits until they are gone.
+func (g *agentGroup) killAll() {
+	for _, a := range g.all {
+		process := a.current()
+		if process == nil {
+			continue
+		}
+		if !process.HasExited() {
+			process.Kill()
+		}
+		<-process.Done()
+	}
+}
+
+// forEachAgent does something for several agents at one time.
+func forEachAgent(agents []int, do func(i int) error) error {
+	failed := make(chan error, len(agents))
+	for _, i := range agents {
+		go func() { failed <- do(i) }()
+	}
+	var errs []error
+	for range agents {
+		errs = append(errs, <-failed)
+	}
+	return errors.Join(errs...)
+}
--- a/internal/faulttest/describe_test.go
+++ b/internal/faulttest/describe_test.go
@@ -46,17 +46,17 @@
 	}
 	for _, e := range s.Expectations {
 		fmt.Fprintf(&out, "%d: %s from %s to %s, each %v, never two %q\n",
-			e.Line, describeComparison(e.comparison), describeTimeRef(e.From), describeTimeRef(e.To), e.Window, e.NeverHeldByTwo)
+			e.Line, describeComparison(e.comparison), describeTimeRef(e.From), describeTimeRef(e.To), e.Window, e.ExclusiveClaim)
 	}
 	return out.String()
 }
 
 func describeAction(action stepAction) string {
 	switch a := action.(type) {
-	case loadStep:
+	case openLoadStep:
 		return fmt.Sprint("load ", a.number, " rate ", a.rate, " at ", describeAgents(&a.agents), " keyed ", a.keyedShare, " once ", a.onceShare,
 			" pieces ", a.piecesShare, " leave ", a.leaveShare, " short ", a.shortShare)
-	case crowdStep:
+	case closedLoadStep:
 		return fmt.Sprint("clients ", a.clients, " pause ", a.pause, " at ", describeAgents(&a.agents))
 	case faultStep:
 		fault := netfault.Fault{}
--- a/internal/faulttest/draw.go
+++ b/internal/faulttest/draw.go
@@ -8,16 +8,21 @@
 
 // Bounds of what DrawScenario draws.
 const (
-	maxDrawnAgents     = 8
-	minDrawnEndpoints  = 3
-	maxDrawnEndpoints  = 24
-	drawnRequestRate   = 160 // requests a second at all agents together
-	minCrowd, maxCrowd = 120, 300
-	crowdOneIn         = 4 // runs
-	drawnEvents        = 4
-	drawnBuild         = 7
-	canaryBuild        = 8
-	maxResetBytes      = 150 // less than a request, so that the next one on each connection is hit
+	maxDrawnAgents    = 8
+	minDrawnEndpoints = 3
+	maxDrawnEndpoints = 24
+	// drawnRequestsPerSecond at all agents together.
+	drawnRequestsPerSecond = 160
+	// minDrawnClients and maxDrawnClients of the closed load, at all agents together.
+	minDrawnClients = 120
+	maxDrawnClients = 300
+	// closedLoadOneIn is in how many scenarios one has a closed load.
+	closedLoadOneIn = 4
+	drawnEvents     = 4
+	drawnBuild      = 7
+	canaryBuild     = 8
+	// maxResetBytes is less than a request, so that the next one on each connection is hit.
+	maxResetBytes = 150
 )
 
 // drawer writes the lines of a drawn scenario.
@@ -58,11 +63,11 @@
 func (d *drawer) share(most float64) float64 { return float64(int(d.random.Float64()*most*100)) / 100 }
 
 func (d *drawer) drawLoad() {
-	rate := max(5, drawnRequestRate/d.agents)
+	rate := max(5, drawnRequestsPerSecond/d.agents)
 	d.add("0s load %d posting=%.2f once=%.2f pieces=%.2f leave=%.2f short=%.2f", rate, d.share(0.4), d.share(0.3), d.share(0.2), d.share(0.1), d.share(0.1))
-	if d.random.Intn(crowdOneIn) == 0 {
-		crowd := (minCrowd + d.random.Intn(maxCrowd-minCrowd+1)) / d.agents
-		d.add("0s crowd %d pause=%dms", crowd, 100+d.random.Intn(400))
+	if d.random.Intn(closedLoadOneIn) == 0 {
+		clients := (minDrawnClients + d.random.Intn(maxDrawnClients-minDrawnClients+1)) / d.agents
+		d.add("0s crowd %d pause=%dms", clients, 100+d.random.Intn(400))
 	}
 }
 
--- /dev/null
+++ b/internal/faulttest/event_log.go
@@ -0,0 +1,44 @@
+package faulttest
+
+import (
+	"fmt"
+	"slices"
+	"sync"
+
+	"switchfork/internal/faulttest/netfault"
+)
+
+// Sources of events that are no server and no agent.
+const (
+	sourceDeployment = "rig"
+	sourceScenario   = "night"
+	sourceClient     = "client"
+)
+
+// event is something that the deployment did or saw, for the time line.
+type event struct {
+	at     netfault.Micros
+	source string
+	text   string
+}
+
+// eventLog collects what the deployment did. Any goroutine may use it.
+type eventLog struct {
+	now netfault.Clock
+
+	mu     sync.Mutex
+	events []event
+}
+
+func (l *eventLog) record(source, format string, args ...any) {
+	entry := event{l.now(), source, fmt.Sprintf(format, args...)}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.events = append(l.events, entry)
+}
+
+func (l *eventLog) snapshot() []event {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Clone(l.events)
+}
--- a/internal/faulttest/fake_discovery.go
+++ b/internal/faulttest/fake_discovery.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"net/http"
 	"slices"
 	"strconv"
@@ -32,8 +31,6 @@
 	return d, nil
 }
 
-func (d *fakeDiscovery) addr() string { return d.listener.Addr().String() }
-
 func (d *fakeDiscovery) serveList(w http.ResponseWriter, r *http.Request) {
 	conn := countedConnOf(r)
 	newest := d.newestVersion()
@@ -87,7 +84,3 @@
 	d.versionsMu.Unlock()
 	d.publish(version)
 }
-
-const endpointNamePrefix = "s-"
-
-func endpointName(endpoint int) string { return fmt.Sprintf("%s%d", endpointNamePrefix, endpoint) }
--- a/internal/faulttest/fake_rollout.go
+++ b/internal/faulttest/fake_rollout.go
@@ -45,8 +45,6 @@
 	return f, nil
 }
 
-func (f *fakeRollout) addr() string { return f.listener.Addr().String() }
-
 func (f *fakeRollout) newestStage() (version int, stage Stage) {
 	f.stagesMu.Lock()
 	defer f.stagesMu.Unlock()
--- /dev/null
+++ b/internal/faulttest/line_reader.go
@@ -0,0 +1,155 @@
+package faulttest
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// ParseError is an error in a scenario file. All errors of a file are reported at once, joined.
+type ParseError struct {
+	File   string
+	Line   int
+	Reason string
+}
+
+func (e *ParseError) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Reason) }
+
+// lineReader reads the tokens of one line after the other, and collects the errors of all lines.
+type lineReader struct {
+	file       string
+	lineNumber int
+	tokens     []string // of the line, those that were not consumed yet
+	lineFailed bool     // an error of this line was reported; further ones follow from it
+	errs       []error
+}
+
+// statementText is a line without its comment, its tokens separated by one blank.
+func statementText(line string) string {
+	text, _, _ := strings.Cut(line, "#")
+	return strings.Join(strings.Fields(text), " ")
+}
+
+func (r *lineReader) startLine(index int, line string) {
+	r.lineNumber, r.lineFailed = index+1, false
+	r.tokens = strings.Fields(statementText(line))
+}
+
+func (r *lineReader) endLine() {
+	if len(r.tokens) > 0 {
+		r.fail("%q is left over at the line's end", strings.Join(r.tokens, " "))
+	}
+}
+
+func (r *lineReader) fail(format string, args ...any) {
+	if !r.lineFailed {
+		r.errs = append(r.errs, &ParseError{r.file, r.lineNumber, fmt.Sprintf(format, args...)})
+	}
+	r.lineFailed = true
+}
+
+// nextToken consumes the next token; where there is none, the error says what was expected.
+func (r *lineReader) nextToken(expected string) string {
+	if len(r.tokens) == 0 {
+		r.fail("the line ends, expected %s", expected)
+		return ""
+	}
+	token := r.tokens[0]
+	r.tokens = r.tokens[1:]
+	return token
+}
+
+// accept consumes the next token if it is this one.
+func (r *lineReader) accept(token string) bool {
+	if len(r.tokens) > 0 && r.tokens[0] == token {
+		r.tokens = r.tokens[1:]
+		return true
+	}
+	return false
+}
+
+// oneOf consumes a token that has to be one of a few; form is the format of the error on any other.
+func (r *lineReader) oneOf(allowed []string, expected, form string) string {
+	token := r.nextToken(expected)
+	if !slices.Contains(allowed, token) {
+		r.fail(form, token)
+	}
+	return token
+}
+
+// restOfLine consumes all tokens that are left.
+func (r *lineReader) restOfLine() []string {
+	rest := r.tokens
+	r.tokens = nil
+	return rest
+}
+
+// option consumes KEY=VALUE from wherever it stands in the rest of the line.
+func (r *lineReader) option(key string) (value string, isSet bool) {
+	for i, token := range r.tokens {
+		if value, isSet = strings.CutPrefix(token, key+"="); isSet {
+			r.tokens = slices.Delete(slices.Clone(r.tokens), i, i+1)
+			return value, true
+		}
+	}
+	return "", false
+}
+
+// number reads a token; the empty token was reported as missing before, or is optional.
+func (r *lineReader) number(token, what string, least, most float64) float64 {
+	v, err := strconv.ParseFloat(token, 64)
+	if (err != nil || v < least || v > most) && token != "" {
+		r.fail("%s is %q, expected a number from %g to %g", what, token, least, most)
+	}
+	return v
+}
+
+func (r *lineReader) integer(token, what string, least, most int) int {
+	v, err := strconv.Atoi(token)
+	if (err != nil || v < least || v > most) && token != "" {
+		r.fail("%s is %q, expected a whole number from %d to %d", what, token, least, most)
+	}
+	return v
+}
+
+func (r *lineReader) duration(token, what string) time.Duration {
+	v, err := time.ParseDuration(token)
+	if (err != nil || v < 0) && token != "" {
+		r.fail("%s is %q, expected a time such as 300ms or 2s", what, token)
+	}
+	return v
+}
+
+// share consumes a share from 0 to 1.
+func (r *lineReader) share() float64 {
+	return r.number(r.nextToken("a share from 0 to 1"), "the share", 0, 1)
+}
+
+// timeout reads "within TIME".
+func (r *lineReader) timeout() time.Duration {
+	if !r.accept("within") {
+		r.fail("no bound on the wait, expected within and a time")
+		return 0
+	}
+	return r.duration(r.nextToken("a time"), "the bound")
+}
+
+// numberList reads numbers and ranges such as 1,3..5.
+func (r *lineReader) numberList(token, what string, below int) (out []int) {
+	for _, part := range strings.Split(token, ",") {
+		first, last, isRange := strings.Cut(part, "..")
+		if !isRange {
+			last = first
+		}
+		from := r.integer(first, what, 0, below-1)
+		to := r.integer(last, what, from, below-1)
+		for i := from; i <= to && !r.lineFailed; i++ {
+			out = append(out, i)
+		}
+	}
+	return out
+}
+
+func isDigit(c byte) bool { return c >= '0' && c <= '9' }
--- a/internal/faulttest/measure.go
+++ b/internal/faulttest/measure.go
@@ -36,7 +36,7 @@
 	in      timeRange
 }
 
-// evaluators measure the records. Measures without an entry ask the agents themselves, see (*runner).askAgents.
+// evaluators measure the records. Measures without an entry ask the agents themselves, see agentCounters.
 var evaluators = map[string]func(query) measurement{
 	measureSucceeded:    func(q query) measurement { return q.requestShare(hasOutcome(outcomeSucceeded)) },
 	measureRejected:     func(q query) measurement { return q.requestShare(hasOutcome(outcomeRejected)) },
@@ -220,8 +220,8 @@
 
 // evaluate holds an expectation against the records.
 func (e Expectation) evaluate(r *Records, agents agentFilter, in timeRange) (passed bool, observed string) {
-	if e.NeverHeldByTwo != "" {
-		found := findSharedClaim(r.claims(), e.NeverHeldByTwo, in)
+	if e.ExclusiveClaim != "" {
+		found := findSharedClaim(r.claims(), e.ExclusiveClaim, in)
 		return found == "", found
 	}
 	ranges := e.windows(in)
--- /dev/null
+++ b/internal/faulttest/measure_spec.go
@@ -0,0 +1,70 @@
+package faulttest
+
+// Measure is a figure that is derived from the records.
+type Measure struct {
+	Name, Arg string
+	Agents    *AgentSet
+	Endpoints *EndpointSet
+	Build     int
+	Class     string // empty: all
+}
+
+// Names of measures.
+const (
+	measureSucceeded    = "settled"
+	measureInTime       = "in-time"
+	measureRejected     = "declined"
+	measureFailed       = "failed"
+	measureOffered      = "offered"
+	measureMedian       = "median"
+	measure99Percentile = "p99"
+	measureVotes        = "votes"
+	measureArrivals     = "arrivals"
+	measureRepeats      = "repeats"
+	measureBusiest      = "busiest"
+	measureCalls        = "calls"
+	measureDatagrams    = "datagrams"
+	measureAlive        = "alive"
+	measureLeaders      = "leads"
+	measureMembers      = "members"
+	measureLog          = "log"
+	measureHealthy      = "healthy"
+)
+
+// measureSpec tells what a measure can be narrowed by.
+type measureSpec struct {
+	hasArg     bool
+	byAgent    bool
+	byEndpoint bool
+	byBuild    bool
+	byClass    bool
+	asksAgents bool // what agents report about themselves: for waits only, never for an expectation
+}
+
+var measureSpecs = map[string]measureSpec{
+	measureSucceeded:    {byAgent: true, byClass: true},
+	measureMedian:       {byAgent: true, byClass: true},
+	measure99Percentile: {byAgent: true, byClass: true},
+	measureInTime:       {byAgent: true, byClass: true},
+	measureRejected:     {byAgent: true, byClass: true},
+	measureFailed:       {byAgent: true, byClass: true},
+	measureOffered:      {byAgent: true, byClass: true},
+	measureVotes:        {hasArg: true, byAgent: true, byBuild: true},
+	measureArrivals:     {byAgent: true, byEndpoint: true},
+	measureBusiest:      {byEndpoint: true},
+	measureDatagrams:    {byAgent: true},
+	measureCalls:        {hasArg: true, byAgent: true},
+	measureAlive:        {byAgent: true},
+	measureRepeats:      {byEndpoint: true},
+	measureLeaders:      {byAgent: true, asksAgents: true},
+	measureMembers:      {byAgent: true, asksAgents: true},
+	measureLog:          {hasArg: true, byAgent: true, asksAgents: true},
+	measureHealthy:      {byAgent: true, asksAgents: true},
+}
+
+// comparison compares a measure to a value.
+type comparison struct {
+	measure  Measure
+	operator string
+	value    float64
+}
--- a/internal/faulttest/netfault/helpers_test.go
+++ b/internal/faulttest/netfault/helpers_test.go
@@ -127,7 +127,7 @@
 
 func newTestStream(t *testing.T, l *recordingListener) *Stream {
 	t.Helper()
-	s, err := NewStream(testParty, l.Addr().String(), 5, newTestClock())
+	s, err := NewStream(t.Context(), testParty, l.Addr().String(), 5, newTestClock())
 	must(t, err)
 	t.Cleanup(s.Close)
 	return s
@@ -160,7 +160,7 @@
 		sockets[i] = c
 		addresses = append(addresses, c.LocalAddr().String())
 	}
-	m, err := NewMesh(addresses, 7, now)
+	m, err := NewMesh(t.Context(), addresses, 7, now)
 	must(t, err)
 	t.Cleanup(m.Close)
 	return m, sockets
--- a/internal/faulttest/netfault/mesh.go
+++ b/internal/faulttest/netfault/mesh.go
@@ -35,7 +35,7 @@
 }
 
 // NewMesh starts the sockets between parties at these addresses.
-func NewMesh(parties []string, seed int64, now Clock) (*Mesh, error) {
+func NewMesh(ctx context.Context, parties []string, seed int64, now Clock) (*Mesh, error) {
 	m := &Mesh{now: now, packets: make(chan packet, packetBuffer), closed: make(chan struct{})}
 	for _, party := range parties {
 		address, err := netip.ParseAddrPort(party)
@@ -45,7 +45,7 @@
 		m.parties = append(m.parties, address)
 	}
 	for i := range parties {
-		if err := m.openSockets(i, seed); err != nil {
+		if err := m.openSockets(ctx, i, seed); err != nil {
 			m.Close()
 			return nil, err
 		}
@@ -60,11 +60,11 @@
 }
 
 // openSockets makes a party's links and the sockets that it sends to.
-func (m *Mesh) openSockets(party int, seed int64) error {
+func (m *Mesh) openSockets(ctx context.Context, party int, seed int64) error {
 	m.links, m.sockets = append(m.links, nil), append(m.sockets, nil)
 	for peer := range m.parties {
 		m.links[party] = append(m.links[party], NewLink(seed+int64(party)*linkSeedStep+int64(peer)))
-		socket, err := new(net.ListenConfig).ListenPacket(context.Background(), "udp", "127.0.0.1:0")
+		socket, err := new(net.ListenConfig).ListenPacket(ctx, "udp", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
--- a/internal/faulttest/netfault/stream.go
+++ b/internal/faulttest/netfault/stream.go
@@ -54,8 +54,8 @@
 }
 
 // NewStream starts a relay for a party to an address.
-func NewStream(party int, target string, seed int64, now Clock) (*Stream, error) {
-	listener, err := new(net.ListenConfig).Listen(context.Background(), "tcp", "127.0.0.1:0")
+func NewStream(ctx context.Context, party int, target string, seed int64, now Clock) (*Stream, error) {
+	listener, err := new(net.ListenConfig).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
--- /dev/null
+++ b/internal/faulttest/open_load.go
@@ -0,0 +1,110 @@
+package faulttest
+
+import (
+	"context"
+	"math/rand"
+	"time"
+)
+
+// maxAttempts is how often a client tries a request in all, as the users' clients do.
+const maxAttempts = 3
+
+// Times of the clients that leave, or that leave the agent little time.
+const (
+	maxLeaveAfter   = 100 * time.Millisecond
+	minShortTimeout = 20 * time.Millisecond
+	maxShortTimeout = 300 * time.Millisecond
+)
+
+// openLoad is the load at one agent whose arrivals do not wait for answers.
+type openLoad struct {
+	openLoadStep
+	clients *clients
+	agent   int
+	random  *rand.Rand
+}
+
+// generate starts requests, with exponential times between them, until the context ends.
+func (l *openLoad) generate(ctx context.Context) {
+	next := time.Now()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	<-timer.C
+	for {
+		next = next.Add(time.Duration(l.random.ExpFloat64() / l.rate * float64(time.Second)))
+		timer.Reset(time.Until(next))
+		select {
+		case <-ctx.Done():
+			return
+		case <-timer.C:
+		}
+		class, style := l.drawClass(l.random.Float64()), l.drawStyle(l.random)
+		request := l.clients.records.newRequest(l.agent)
+		l.clients.running.Go(func() { l.clients.runRequest(context.WithoutCancel(ctx), request, class, style) })
+	}
+}
+
+// drawStyle is how a request is sent. A load without special requests draws nothing, so that its arrivals do not depend on them.
+func (a openLoadStep) drawStyle(random *rand.Rand) (style requestStyle) {
+	if a.piecesShare > 0 {
+		style.inPieces = random.Float64() < a.piecesShare
+	}
+	if a.leaveShare > 0 && random.Float64() < a.leaveShare {
+		style.leaveAfter = 1 + time.Duration(random.Int63n(int64(maxLeaveAfter)))
+	}
+	if a.shortShare > 0 && random.Float64() < a.shortShare {
+		style.timeout = minShortTimeout + time.Duration(random.Int63n(int64(maxShortTimeout-minShortTimeout)))
+	}
+	return style
+}
+
+// drawClass is the class of a request by a number from 0 to 1.
+func (a openLoadStep) drawClass(draw float64) string {
+	switch {
+	case draw < a.keyedShare:
+		return classKeyed
+	case draw < a.keyedShare+a.onceShare:
+		return classOnce
+	default:
+		return classIdempotent
+	}
+}
+
+// runRequest tries a request until it is final: a rejected attempt is retried after the time that the agent names, one that didn't
+// reach an agent is retried at another, as a plain front would do.
+func (c *clients) runRequest(ctx context.Context, request *Request, class string, style requestStyle) {
+	began := c.now()
+	spec := attemptSpec{agent: request.Agent, class: class, serial: c.lastSerial.Add(1), style: style}
+	outcome := outcomeFailed
+	for spec.number = range maxAttempts {
+		attempt := c.sendPooled(ctx, spec)
+		c.records.addAttempt(request, attempt)
+		outcome = attempt.outcome()
+		if attempt.HasLeft || attempt.Timeout > 0 {
+			break // it does not come again
+		}
+		if outcome == outcomeRejected {
+			time.Sleep(attempt.retryAfter())
+			continue
+		}
+		if !attempt.mayRunElsewhere() {
+			break
+		}
+		if running := c.processes.running(); len(running) > 0 {
+			spec.agent = running[int(spec.serial)%len(running)]
+		}
+	}
+	c.records.finish(request, outcome, began)
+}
+
+// sendPooled makes an attempt on a connection of the pool. Without a free slot it is not sent.
+func (c *clients) sendPooled(ctx context.Context, spec attemptSpec) Attempt {
+	if !c.pool.acquireSlot(spec.agent) {
+		c.records.droppedRequests.Add(1)
+		a := spec.newAttempt()
+		a.EndedAt, a.Err, a.WasUnreachable = c.now(), "no free connection slot", true
+		return a
+	}
+	defer c.pool.releaseSlot(spec.agent)
+	return c.sender.send(ctx, c.pool, spec)
+}
--- a/internal/faulttest/parse_expectation.go
+++ b/internal/faulttest/parse_condition.go
@@ -8,21 +8,32 @@
 
 var comparisonOperators = []string{">=", "<=", "=", ">", "<"}
 
-// minWindow is the shortest part of a run that an expectation may be held against on its own.
-const minWindow = 100 * time.Millisecond
+const (
+	// minWindow is the shortest part of a run that an expectation may be held against on its own.
+	minWindow = 100 * time.Millisecond
+	// maxComparedValue bounds the value that a measure is compared to.
+	maxComparedValue = 1e12
+)
+
+// conditionParser reads measures with what they are compared to: what a wait step waits for, and expectations. It knows the marks that
+// lines before have set.
+type conditionParser struct {
+	*setReader
+	markNames map[string]bool
+}
 
 // comparison reads MEASURE[:ARG] OP VALUE of= at= build= product=.
-func (p *parser) comparison(mayAskAgents bool) (c comparison) {
+func (p *conditionParser) comparison(mayAskAgents bool) (c comparison) {
 	c.measure = p.measure(mayAskAgents)
 	spec := measureSpecs[c.measure.Name]
 	p.measureOptions(&c.measure, spec)
 	c.operator = p.oneOf(comparisonOperators, ">=, <=, = , > or <", "%q compares nothing, expected >=, <=, =, > or <")
-	c.value = p.number(p.nextToken("a number"), "the value", -1e12, 1e12)
+	c.value = p.number(p.nextToken("a number"), "the value", -maxComparedValue, maxComparedValue)
 	return c
 }
 
 // measure reads MEASURE[:ARG].
-func (p *parser) measure(mayAskAgents bool) (m Measure) {
+func (p *conditionParser) measure(mayAskAgents bool) (m Measure) {
 	token := p.nextToken("a measure")
 	m.Name, m.Arg, _ = strings.Cut(token, ":")
 	spec, isKnown := measureSpecs[m.Name]
@@ -43,7 +54,7 @@
 }
 
 // measureOptions reads what narrows a measure.
-func (p *parser) measureOptions(m *Measure, spec measureSpec) {
+func (p *conditionParser) measureOptions(m *Measure, spec measureSpec) {
 	if v, isSet := p.option("of"); isSet {
 		agents := p.agentSet(v)
 		m.Agents = &agents
@@ -75,7 +86,7 @@
 }
 
 // timeRef reads a time, or a mark with or without an offset.
-func (p *parser) timeRef(token string) *TimeRef {
+func (p *conditionParser) timeRef(token string) *TimeRef {
 	if token != "" && isDigit(token[0]) {
 		return &TimeRef{Offset: p.duration(token, "the time")}
 	}
@@ -91,14 +102,14 @@
 }
 
 // expectation reads what stands behind expect.
-func (p *parser) expectation() (e Expectation) {
+func (p *conditionParser) expectation() (e Expectation) {
 	if !p.accept("never") {
 		e.comparison = p.comparison(false)
 		p.expectationRange(&e)
 		return e
 	}
 	if p.accept("two") {
-		e.NeverHeldByTwo = p.heldByTwo()
+		e.ExclusiveClaim = p.exclusiveClaim()
 		p.expectationRange(&e)
 		return e
 	}
@@ -108,23 +119,23 @@
 	return e
 }
 
-// heldByTwo reads hold and what is held, up to the range.
-func (p *parser) heldByTwo() string {
+// exclusiveClaim reads "hold" and what no two agents may hold at one time, up to the range.
+func (p *conditionParser) exclusiveClaim() string {
 	if !p.accept("hold") {
 		p.fail("expected hold and what is held")
 	}
-	var held []string
+	var words []string
 	for len(p.tokens) > 0 && p.tokens[0] != "from" && p.tokens[0] != "to" {
-		held = append(held, p.nextToken("what is held"))
+		words = append(words, p.nextToken("what is held"))
 	}
-	if len(held) == 0 {
+	if len(words) == 0 {
 		p.fail("the line ends, expected what is held, such as vote")
 	}
-	return strings.Join(held, " ")
+	return strings.Join(words, " ")
 }
 
 // insertZeroComparison turns "never MEASURE" into "MEASURE = 0": the comparison stands behind the measure and its options.
-func (p *parser) insertZeroComparison() {
+func (p *conditionParser) insertZeroComparison() {
 	at := 1
 	for at < len(p.tokens) && strings.Contains(p.tokens[at], "=") {
 		at++
@@ -133,7 +144,7 @@
 }
 
 // expectationRange reads the part of the run that an expectation is held against.
-func (p *parser) expectationRange(e *Expectation) {
+func (p *conditionParser) expectationRange(e *Expectation) {
 	for len(p.tokens) > 0 && !p.lineFailed {
 		switch token := p.nextToken("a range"); token {
 		case "from":
--- /dev/null
+++ b/internal/faulttest/parse_scenario.go
@@ -0,0 +1,145 @@
+package faulttest
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+)
+
+// maxSlots is the most requests that an endpoint may serve at a time.
+const maxSlots = 1000
+
+// ReadScenario reads a scenario file.
+func ReadScenario(path string) (*Scenario, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	return ParseScenario(filepath.Base(path), string(text))
+}
+
+// ParseScenario reads a scenario's text. Its error joins a ParseError for each error in the text.
+func ParseScenario(file, text string) (*Scenario, error) {
+	p := newScenarioParser(file)
+	lines := strings.Split(text, "\n")
+	var expectations []int // read last, since a mark that one names may be set by a later line
+	for i, line := range lines {
+		p.startLine(i, line)
+		if len(p.tokens) == 0 {
+			continue
+		}
+		if p.accept("expect") {
+			expectations = append(expectations, i)
+			continue
+		}
+		p.statement(line)
+		p.endLine()
+	}
+	for _, i := range expectations {
+		p.startLine(i, lines[i])
+		p.nextToken("expect")
+		e := p.conditions.expectation()
+		p.endLine()
+		e.Line, e.Text = p.lineNumber, statementText(lines[i])
+		p.scenario.Expectations = append(p.scenario.Expectations, e)
+	}
+	p.lineNumber, p.lineFailed = len(lines), false
+	p.checkWhole()
+	return p.scenario, errors.Join(p.errs...)
+}
+
+// scenarioParser reads the lines of a scenario; steps and conditions have parsers of their own, which share its line reader.
+type scenarioParser struct {
+	*setReader
+	steps      *stepParser
+	conditions *conditionParser
+}
+
+func newScenarioParser(file string) *scenarioParser {
+	sets := &setReader{lineReader: &lineReader{file: file}, scenario: defaultScenario(file), agentNames: map[string]bool{}}
+	conditions := &conditionParser{setReader: sets, markNames: map[string]bool{}}
+	steps := &stepParser{setReader: sets, conditions: conditions, faults: &faultParser{setReader: sets}}
+	return &scenarioParser{setReader: sets, steps: steps, conditions: conditions}
+}
+
+func defaultScenario(file string) *Scenario {
+	return &Scenario{
+		File: file, Agents: 3, Endpoints: 6, Slots: 8, Build: 7, ServiceTime: 5 * time.Millisecond, Transport: transportNone,
+		Lease: 600 * time.Millisecond, Seed: 1, Timeout: 90 * time.Second,
+	}
+}
+
+// statement reads a step or a header line.
+func (p *scenarioParser) statement(line string) {
+	token := p.nextToken("a statement")
+	switch {
+	case isDigit(token[0]) || token[0] == '+':
+		step := Step{Line: p.lineNumber, Text: statementText(line), AfterPrevious: token[0] == '+'}
+		step.At = p.duration(strings.TrimPrefix(token, "+"), "the time")
+		step.Action = p.steps.action(p.nextToken("a step"))
+		p.scenario.Steps = append(p.scenario.Steps, step)
+	case len(p.scenario.Steps) > 0:
+		p.fail("%q stands after the first step, expected a time, or expect", token)
+	default:
+		p.header(token)
+	}
+}
+
+// header reads a line that describes the deployment.
+func (p *scenarioParser) header(token string) {
+	s := p.scenario
+	switch token {
+	case "agents":
+		s.Agents = p.integer(p.nextToken("how many"), "the number of agents", 1, MaxAgents)
+	case "appliances":
+		p.endpointsHeader()
+	case "talk":
+		s.Transport = p.oneOf([]string{transportDatagrams, transportTCP, transportNone}, "datagrams, tcp or no",
+			"agents talk by %q, expected datagrams, tcp or no")
+	case "decider":
+		s.HasElection = true
+		if v, isSet := p.option("lease"); isSet {
+			s.Lease = p.duration(v, "the lease")
+		}
+		s.HasStateDirs = !p.accept("no-folders")
+	case "operator":
+		s.OperatorLines = append(s.OperatorLines, strings.Join(p.restOfLine(), " "))
+	case "late":
+		s.AbsentAtStart = p.numberList(p.nextToken("agents"), "the agent", s.Agents)
+	case "seed":
+		s.Seed = int64(p.integer(p.nextToken("a number"), "the seed", 0, 1<<31))
+	case "bound":
+		s.Timeout = p.duration(p.nextToken("a time"), "the bound")
+	default:
+		p.fail("%q begins no line, expected agents, appliances, talk, decider, late, operator, seed, bound, a time, or expect", token)
+	}
+}
+
+func (p *scenarioParser) endpointsHeader() {
+	s := p.scenario
+	s.Endpoints = p.integer(p.nextToken("how many"), "the number of appliances", 1, maxEndpoints)
+	if v, isSet := p.option("slots"); isSet {
+		s.Slots = p.integer(v, "slots", 1, maxSlots)
+	}
+	if v, isSet := p.option("work"); isSet {
+		s.ServiceTime = p.duration(v, "the work")
+	}
+	if v, isSet := p.option("build"); isSet {
+		s.Build = p.integer(v, "the build", 1, maxBuild)
+	}
+}
+
+// checkWhole reports what is wrong with the scenario as a whole.
+func (p *scenarioParser) checkWhole() {
+	s := p.scenario
+	switch {
+	case len(s.Expectations) == 0 && len(p.errs) == 0:
+		p.fail("the night expects nothing, expected a line that begins with expect")
+	case s.HasElection && s.Transport == transportNone:
+		p.fail("agents who say nothing to each other have no decider, expected talk tcp or talk datagrams")
+	case s.Transport == transportTCP && !s.HasElection:
+		p.fail("only the decider speaks over tcp, expected a line decider")
+	}
+}
--- a/internal/faulttest/parser_test.go
+++ b/internal/faulttest/parse_scenario_test.go
@@ -84,7 +84,7 @@
 			t.Fatal(err)
 		}
 		for _, step := range scenario.Steps {
-			if load, isLoad := step.Action.(loadStep); isLoad {
+			if load, isLoad := step.Action.(openLoadStep); isLoad {
 				numbers = append(numbers, load.number)
 			}
 		}
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -1,11 +1,10 @@
 package faulttest
 
 import (
+	"context"
+	"errors"
 	"fmt"
 	"os"
-	"path/filepath"
-	"slices"
-	"strings"
 	"time"
 
 	"switchfork/internal/fakes"
@@ -26,133 +25,111 @@
 // with room.
 const shutdownTimeout = 15 * time.Second
 
-// signalProcess carries out a step on one agent's process.
-func (r *runner) signalProcess(number int, step processStep) error {
-	a := r.agents[number]
-	r.mu.Lock()
-	process := a.process
-	var lifetime *ProcessLifetime
-	if n := len(a.lifetimes); n > 0 {
-		lifetime = &a.lifetimes[n-1]
-	}
-	r.mu.Unlock()
-	if process == nil {
-		if step.action != processStart {
-			return fmt.Errorf("agent %d has no process", number)
-		}
-		return r.startAgent(a, step.program)
+// errNoProcess is that a step needs a process that was never started or is over.
+var errNoProcess = errors.New("the agent has no process")
+
+// apply carries out a step on one agent's process.
+func (g *agentGroup) apply(ctx context.Context, number int, step processStep) error {
+	a := g.all[number]
+	process := a.current()
+	switch {
+	case process == nil && step.action == processStart:
+		return g.start(ctx, a, step.program)
+	case process == nil:
+		return fmt.Errorf("%s agent %d: %w", step.action, number, errNoProcess)
+	case step.action == processStart || step.action == processRestart:
+		return g.replace(ctx, a, process, step)
+	default:
+		return g.signal(a, process, step.action)
 	}
-	switch step.action {
+}
+
+// signal sends an agent's process what a step says, and records it.
+func (g *agentGroup) signal(a *agent, process *fakes.Agent, action string) error {
+	switch action {
 	case processStop, processGo:
 		if process.HasExited() {
-			return fmt.Errorf("agent %d has no process", number)
+			return fmt.Errorf("%s agent %d: %w", action, a.number, errNoProcess)
 		}
-		if step.action == processStop {
-			return r.pause(process, lifetime)
+		if action == processStop {
+			return g.pause(a, process)
 		}
-		return r.resume(process, lifetime)
+		return g.resume(a, process)
 	case processKill:
-		r.recordEnd(lifetime)
-		process.Kill()
+		g.kill(a, process)
 		return nil
-	case processTerm:
-		r.mu.Lock()
-		lifetime.TermSentAt = r.now()
-		r.mu.Unlock()
-		return process.Terminate()
 	default:
-		return r.replaceProcess(a, process, lifetime, step)
+		a.markTerminated(g.now())
+		return process.Terminate()
 	}
 }
 
-func (r *runner) pause(process *fakes.Agent, lifetime *ProcessLifetime) error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	lifetime.Pauses = append(lifetime.Pauses, [2]netfault.Micros{r.now(), -1})
-	return process.Pause()
+func (g *agentGroup) pause(a *agent, process *fakes.Agent) error {
+	return a.updateLifetime(func(l *ProcessLifetime) error {
+		l.Pauses = append(l.Pauses, [2]netfault.Micros{g.now(), -1})
+		return process.Pause()
+	})
 }
 
-func (r *runner) resume(process *fakes.Agent, lifetime *ProcessLifetime) error {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if n := len(lifetime.Pauses); n > 0 {
-		lifetime.Pauses[n-1][1] = r.now()
-	}
-	return process.Resume()
+func (g *agentGroup) resume(a *agent, process *fakes.Agent) error {
+	return a.updateLifetime(func(l *ProcessLifetime) error {
+		if n := len(l.Pauses); n > 0 {
+			l.Pauses[n-1][1] = g.now()
+		}
+		return process.Resume()
+	})
+}
+
+// kill records that a process is about to be killed, from where on it owes nothing, and kills it.
+func (g *agentGroup) kill(a *agent, process *fakes.Agent) {
+	a.markKilled(g.now())
+	process.Kill()
 }
 
-// replaceProcess starts an agent again. A start waits for the end of a process that was asked to end, a restart kills it.
-func (r *runner) replaceProcess(a *agent, process *fakes.Agent, lifetime *ProcessLifetime, step processStep) error {
+// replace starts an agent again. A start waits for the end of a process that was asked to end, a restart kills it.
+func (g *agentGroup) replace(ctx context.Context, a *agent, process *fakes.Agent, step processStep) error {
 	if step.action == processStart {
 		select {
 		case <-process.Done():
 		case <-time.After(shutdownTimeout):
-			return fmt.Errorf("agent %d still runs %v after it was to end", a.number, shutdownTimeout)
+			return fmt.Errorf("starting agent %d: its process still runs %v after it was to end", a.number, shutdownTimeout)
 		}
 	}
 	if !process.HasExited() {
-		r.recordEnd(lifetime)
-		process.Kill()
+		g.kill(a, process)
 	}
 	<-process.Done()
 	if step.clearsState {
 		if err := os.RemoveAll(a.stateDir); err != nil {
-			return err
+			return fmt.Errorf("clearing the state of agent %d: %w", a.number, err)
 		}
 	}
-	return r.startAgent(a, step.program)
+	return g.start(ctx, a, step.program)
 }
 
-// recordEnd records that a process is about to be killed: from here on it owes nothing.
-func (r *runner) recordEnd(l *ProcessLifetime) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if l.End < 0 {
-		l.End, l.WasKilled = r.now(), true
+// reload rewrites an agent's files and has its process read them.
+func (g *agentGroup) reload(ctx context.Context, number int, step reloadStep) error {
+	a := g.all[number]
+	if err := g.rewriteFiles(ctx, a, step); err != nil {
+		return fmt.Errorf("rewriting the files of agent %d: %w", number, err)
 	}
+	return a.current().Reload()
 }
 
-// reloadConfig rewrites an agent's files and has its process read them.
-func (r *runner) reloadConfig(number int, step reloadStep) error {
-	a := r.agents[number]
-	if err := r.rewriteFiles(a, step); err != nil {
-		return err
-	}
-	return a.process.Reload()
-}
-
-func (r *runner) rewriteFiles(a *agent, step reloadStep) error {
+func (g *agentGroup) rewriteFiles(ctx context.Context, a *agent, step reloadStep) error {
 	switch step.target {
 	case reloadMalformed:
 		return a.writeFile(fakes.ConfigName, `{"name":"n`)
 	case reloadPeer:
-		a.operator = append(a.operator, r.peerLine(a.number, step.peer))
+		a.operator = append(a.operator, g.files.peerLine(a.number, step.peer))
 		return a.writeFile(fakes.OptionsName, a.operatorFile())
 	case reloadOperator:
 		a.setOperatorLine(step.tokens)
 		return a.writeFile(fakes.OptionsName, a.operatorFile())
 	}
-	if err := r.moveServer(a, step.target); err != nil {
+	if err := g.files.relays.moveServer(ctx, a.number, step.target); err != nil {
 		return err
 	}
-	text, _ := r.agentConfig(a)
+	text, _ := g.files.config(a)
 	return a.writeFile(fakes.ConfigName, text)
 }
-
-// moveServer gives discovery or the rollout controller another address for one agent.
-func (r *runner) moveServer(a *agent, server string) error {
-	if server == serverRollout {
-		return r.addRelay(a.number, &r.toRollout[a.number], r.rollout.addr(), movedSeedSalt)
-	}
-	return r.addRelay(a.number, &r.toDiscovery[a.number], r.discovery.addr(), movedSeedSalt)
-}
-
-// setOperatorLine replaces the lines with the same keyword in the operator file.
-func (a *agent) setOperatorLine(tokens []string) {
-	a.operator = slices.DeleteFunc(slices.Clone(a.operator), func(line string) bool { return strings.Fields(line)[0] == tokens[0] })
-	a.operator = append(a.operator, strings.Join(tokens, " "))
-}
-
-func (a *agent) writeFile(name, text string) error {
-	return os.WriteFile(filepath.Join(a.dir, name), []byte(text), 0o600)
-}
--- a/internal/faulttest/records.go
+++ b/internal/faulttest/records.go
@@ -25,7 +25,7 @@
 	EndpointLists       [][]EndpointRow     `json:"Lists"` // by version
 	Lifetimes           [][]ProcessLifetime `json:"Lives"` // by agent
 	HasElection         bool                `json:"Decider"`
-	Crossings           []Crossing
+	CloseRaces          []CloseRace         `json:"Crossings"`
 
 	// ReceivedLists and ReceivedStages tell when each agent had each version, in the order of time.
 	ReceivedLists  [][]Receipt `json:"HadList"`
@@ -130,9 +130,9 @@
 	return requestTimeout
 }
 
-// Crossing is a request that was sent on a kept connection and got nothing, as the connection ended: its end crossed the request, which the
-// client sent again. The client had looked for the connection's end right before.
-type Crossing struct {
+// CloseRace is a request that was sent on a reused connection in the moment in which that ended: it got nothing, and the client sent it
+// again. The client had looked for the connection's end right before.
+type CloseRace struct {
 	Agent   int
 	At      netfault.Micros
 	ID      string
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -15,11 +15,11 @@
 )
 
 // writeFiles writes logs, time line and records into a folder of the scenario's own.
-func (v *Verdict) writeFiles(r *deployment, parent string, records *Records) {
+func (v *Verdict) writeFiles(d *deployment, parent string, records *Records) {
 	dir, err := makeReportDir(parent, strings.TrimSuffix(v.Scenario, filepath.Ext(v.Scenario)))
 	if err == nil {
 		v.Folder = dir
-		err = r.writeReport(dir, v, records)
+		err = d.writeReport(dir, v, records)
 	}
 	if err != nil {
 		v.addError("what was to be kept can't be written: " + err.Error())
@@ -38,7 +38,7 @@
 
 func (d *deployment) writeReport(dir string, v *Verdict, records *Records) error {
 	create := func(name string) (io.WriteCloser, error) { return os.Create(filepath.Join(dir, name)) }
-	if err := d.writeLogs(create); err != nil {
+	if err := d.agents.writeLogs(create); err != nil {
 		return err
 	}
 	if err := writeTimeline(create, d.timeline(records)); err != nil {
@@ -77,7 +77,7 @@
 // timeline is all that happened, merged: what the deployment did, what agents received, votes, what agents logged. Without records it is what
 // the deployment did and what agents logged.
 func (d *deployment) timeline(records *Records) []event {
-	events := d.snapshotEvents()
+	events := d.events.snapshot()
 	if records != nil {
 		events = append(events, records.receiptEvents()...)
 		events = append(events, records.voteEvents()...)
@@ -114,14 +114,14 @@
 			continue
 		}
 		last := request.lastAttempt()
-		out = append(out, event{last.EndedAt, "client", fmt.Sprintf("%s %s of agent %d failed: status %d %s, after %d tries",
+		out = append(out, event{last.EndedAt, sourceClient, fmt.Sprintf("%s %s of agent %d failed: status %d %s, after %d tries",
 			last.Class, last.ID, last.Agent, last.Status, last.Err, len(request.Attempts))})
 	}
 	return out
 }
 
 func (d *deployment) logEvents() (out []event) {
-	for _, a := range d.agents {
+	for _, a := range d.agents.all {
 		for _, line := range strings.Split(a.log.String(), "\n") {
 			if at, hasTime := parseLogTime(line); hasTime {
 				out = append(out, event{netfault.Micros(at.Sub(d.startedAt) / time.Microsecond), fmt.Sprintf("agent %d", a.number), line})
--- a/internal/faulttest/rules.go
+++ b/internal/faulttest/rules.go
@@ -19,7 +19,7 @@
 	ruleSlowStart         = "cold spared"
 	ruleExposureCap       = "exposure"
 	ruleNoContraryVotes   = "no contrary votes"
-	ruleKeptConnections   = "kept connections"
+	ruleReusedConnections = "kept connections"
 	ruleShutdown          = "shutdown"
 	ruleNothingForGone    = "nothing for clients that left"
 )
@@ -38,8 +38,8 @@
 	acceptAfterTerm = 200 * time.Millisecond
 	// exitSlack: what was sent so shortly before a process ended by itself may have met its closed listener.
 	exitSlack = 50 * time.Millisecond
-	// maxCleanCrossings: a request may cross the clean end of a connection in the microseconds in which it ends, one in a hundred restarts.
-	maxCleanCrossings = 1
+	// maxCleanCloseRaces: a request may meet the clean end of a connection in the microseconds in which it ends, one in a hundred restarts.
+	maxCleanCloseRaces = 1
 	// goneSlack is the protocol's 0.1 s for an attempt of a client that has left, and drainSlack.
 	goneSlack = 100*time.Millisecond + drainSlack
 )
@@ -69,7 +69,7 @@
 func CheckRules(r *Records) (out []Violation) {
 	rules := []func(*Records) []Violation{
 		checkOneAnswer, checkNoDuplicateEffect, checkDrainsRespected, checkSlowStart, checkExposureCap, checkNoContraryVotes,
-		checkKeptConnections, checkShutdown, checkNothingForGone,
+		checkReusedConnections, checkShutdown, checkNothingForGone,
 	}
 	for _, rule := range rules {
 		found := rule(r)
--- a/internal/faulttest/rules_test.go
+++ b/internal/faulttest/rules_test.go
@@ -111,9 +111,9 @@
 			attempt := &r.Requests[3].Attempts[0]
 			attempt.Status, attempt.DialedAt = 0, attempt.SentAt-second/10
 		}},
-		{"a kept connection is reset", "kept connections", func(r *Records) { r.Crossings = []Crossing{{IsReset: true}} }},
-		{"one kept connection ends cleanly under a request", "", func(r *Records) { r.Crossings = []Crossing{{}} }},
-		{"several do", "kept connections", func(r *Records) { r.Crossings = []Crossing{{}, {}} }},
+		{"a kept connection is reset", "kept connections", func(r *Records) { r.CloseRaces = []CloseRace{{IsReset: true}} }},
+		{"one kept connection ends cleanly under a request", "", func(r *Records) { r.CloseRaces = []CloseRace{{}} }},
+		{"several do", "kept connections", func(r *Records) { r.CloseRaces = []CloseRace{{}, {}} }},
 		{"a drain longer than SIGKILL allows", "shutdown", func(r *Records) { r.Lifetimes[1][0].TermSentAt = 5 * second }},
 		{"an exit with an error", "shutdown", func(r *Records) {
 			r.Lifetimes[1][0].TermSentAt, r.Lifetimes[1][0].ExitError = 8*second, "exit status 2"
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -6,57 +6,15 @@
 // from several goroutines at a time, each run with processes and servers of its own.
 package faulttest
 
-import (
-	"time"
+import "time"
 
-	"switchfork/internal/faulttest/netfault"
-)
-
-// Transports by which agents reach each other.
 const (
-	transportTCP       = "tcp" // streams of the leader election
-	transportDatagrams = "datagrams"
-	transportNone      = "no"
-)
-
-// Servers that agents call.
-const (
-	serverDiscovery = "discovery"
-	serverRollout   = "launcher"
-)
-
-// Health of an endpoint in the endpoint list.
-const (
-	healthActive  = "active"
-	healthLeaving = "leaving"
-	healthLeft    = "left"
-)
-
-// Phases of a rollout.
-const (
-	phaseTesting   = "testing"
-	phaseRecalling = "recalling"
-	phaseLive      = "live"
-	phaseRecalled  = "recalled"
-)
-
-var rolloutPhases = []string{phaseTesting, phaseRecalling, phaseLive, phaseRecalled}
-
-// Recommendations that an agent may vote for.
-const (
-	recommendOn   = "on"
-	recommendBack = "back"
-	recommendHold = "hold"
-	recommendNone = "none"
-)
-
-var recommendations = []string{recommendOn, recommendBack, recommendHold, recommendNone}
-
-// Bounds of a scenario; more agents belong into simulated time.
-const (
-	MaxAgents    = 64
+	// MaxAgents of a scenario; more agents belong into simulated time.
+	MaxAgents = 64
+	// maxEndpoints bounds the numbers of endpoints.
 	maxEndpoints = 250
-	maxBuild     = 65535
+	// maxBuild bounds the numbers of builds.
+	maxBuild = 65535
 )
 
 // Scenario is a parsed fault scenario.
@@ -128,75 +86,6 @@
 	Offset time.Duration
 }
 
-// Measure is a figure that is derived from the records.
-type Measure struct {
-	Name, Arg string
-	Agents    *AgentSet
-	Endpoints *EndpointSet
-	Build     int
-	Class     string // empty: all
-}
-
-// Names of measures.
-const (
-	measureSucceeded    = "settled"
-	measureInTime       = "in-time"
-	measureRejected     = "declined"
-	measureFailed       = "failed"
-	measureOffered      = "offered"
-	measureMedian       = "median"
-	measure99Percentile = "p99"
-	measureVotes        = "votes"
-	measureArrivals     = "arrivals"
-	measureRepeats      = "repeats"
-	measureBusiest      = "busiest"
-	measureCalls        = "calls"
-	measureDatagrams    = "datagrams"
-	measureAlive        = "alive"
-	measureLeaders      = "leads"
-	measureMembers      = "members"
-	measureLog          = "log"
-	measureHealthy      = "healthy"
-)
-
-// measureSpec tells what a measure can be narrowed by.
-type measureSpec struct {
-	hasArg     bool
-	byAgent    bool
-	byEndpoint bool
-	byBuild    bool
-	byClass    bool
-	asksAgents bool // what agents report about themselves: for waits only, never for an expectation
-}
-
-var measureSpecs = map[string]measureSpec{
-	measureSucceeded:    {byAgent: true, byClass: true},
-	measureMedian:       {byAgent: true, byClass: true},
-	measure99Percentile: {byAgent: true, byClass: true},
-	measureInTime:       {byAgent: true, byClass: true},
-	measureRejected:     {byAgent: true, byClass: true},
-	measureFailed:       {byAgent: true, byClass: true},
-	measureOffered:      {byAgent: true, byClass: true},
-	measureVotes:        {hasArg: true, byAgent: true, byBuild: true},
-	measureArrivals:     {byAgent: true, byEndpoint: true},
-	measureBusiest:      {byEndpoint: true},
-	measureDatagrams:    {byAgent: true},
-	measureCalls:        {hasArg: true, byAgent: true},
-	measureAlive:        {byAgent: true},
-	measureRepeats:      {byEndpoint: true},
-	measureLeaders:      {byAgent: true, asksAgents: true},
-	measureMembers:      {byAgent: true, asksAgents: true},
-	measureLog:          {hasArg: true, byAgent: true, asksAgents: true},
-	measureHealthy:      {byAgent: true, asksAgents: true},
-}
-
-// comparison compares a measure to a value.
-type comparison struct {
-	measure  Measure
-	operator string
-	value    float64
-}
-
 // Expectation is one line that the records are held against.
 type Expectation struct {
 	Line int
@@ -204,82 +93,5 @@
 	comparison
 	From, To       *TimeRef      // nil: the start, the end
 	Window         time.Duration // it holds in every part of this length; 0: in the whole range
-	NeverHeldByTwo string        // no two agents hold this at one time
-}
-
-// stepAction is what a step does. Each action is run by its own method, see actions.go.
-type stepAction interface {
-	run(r *runner, s Step) error
+	ExclusiveClaim string        // no two agents hold this at one time; empty: the comparison is held against the records
 }
-
-type (
-	loadStep struct {
-		number     int     // of the scenario's load steps, from 0 on; it is part of the seed
-		rate       float64 // requests a second, at each agent
-		agents     AgentSet
-		keyedShare float64
-		onceShare  float64
-
-		piecesShare, leaveShare, shortShare float64 // of requests sent in pieces, of clients that leave, of requests with little time
-	}
-	crowdStep struct {
-		clients int // at each agent
-		pause   time.Duration
-		agents  AgentSet
-	}
-	faultStep struct {
-		apply         func(*netfault.Fault)
-		isHeal        bool
-		from, to      Party
-		bidirectional bool
-		transport     string // empty: both
-		streamsOnly   bool   // the fault means something on streams only
-		datagramsOnly bool   // the fault means something on datagrams only
-	}
-	processStep struct {
-		action, program string
-		agents          AgentSet
-		clearsState     bool
-	}
-	reloadStep struct {
-		agents AgentSet
-		target string
-		tokens []string
-		peer   int
-	}
-	healthStep struct {
-		health    string
-		endpoints EndpointSet
-	}
-	addEndpointsStep struct{ count, build int }
-	serviceTimeStep  struct {
-		factor    float64
-		endpoints EndpointSet
-	}
-	errorShareStep struct {
-		share     float64
-		endpoints EndpointSet
-	}
-	rolloutStep struct {
-		build, stage int
-		phase        string
-		cap          float64
-	}
-	rolloutSilenceStep struct{ silent bool }
-	nameLeaderStep     struct {
-		name     string
-		excluded *AgentSet
-		timeout  time.Duration
-	}
-	membershipStep struct {
-		action           string
-		agents, contacts AgentSet
-		timeout          time.Duration
-	}
-	checkStep struct{ name string }
-	waitStep  struct {
-		comparison
-		timeout time.Duration
-	}
-	markStep struct{ name string }
-)
--- a/internal/faulttest/shutdown_rules.go
+++ b/internal/faulttest/shutdown_rules.go
@@ -7,14 +7,14 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// checkKeptConnections: no kept connection is reset under a request of its client, and next to none ends cleanly in the moment in which its
-// client uses it.
-func checkKeptConnections(r *Records) (out []Violation) {
-	for i, crossing := range r.Crossings {
-		if crossing.IsReset || i >= maxCleanCrossings {
+// checkReusedConnections: no connection is reset under a request of the client that reuses it, and next to none ends cleanly in the moment in
+// which its client uses it.
+func checkReusedConnections(r *Records) (out []Violation) {
+	for i, race := range r.CloseRaces {
+		if race.IsReset || i >= maxCleanCloseRaces {
 			out = append(out, Violation{
-				ruleKeptConnections, crossing.At,
-				fmt.Sprintf("agent %d ended a kept connection under %s: %s", crossing.Agent, crossing.ID, crossing.Err),
+				ruleReusedConnections, race.At,
+				fmt.Sprintf("agent %d ended a kept connection under %s: %s", race.Agent, race.ID, race.Err),
 			})
 		}
 	}
--- a/internal/faulttest/verdict.go
+++ b/internal/faulttest/verdict.go
@@ -64,14 +64,14 @@
 	} else if err != nil {
 		v.Error = err.Error()
 	}
-	for _, record := range r.faultRecords {
+	for _, record := range r.faults.records {
 		passed := record.hits > 0 || err != nil
 		v.Lines = append(v.Lines, LineResult{record.step.Line, record.step.Text, passed, fmt.Sprintf("it touched %d things", record.hits)})
 	}
 	if err == nil {
 		v.Lines = append(v.Lines, r.checkExpectations(records)...)
 	}
-	if n := r.clients.droppedRequests.Load(); n > 0 {
+	if n := r.clients.records.droppedRequests.Load(); n > 0 {
 		v.addError(fmt.Sprintf("%s: the clients had no place for %d txns: the load is more than they can play", r.scenario.File, n))
 	}
 	for _, violation := range CheckRules(records) {
@@ -81,14 +81,14 @@
 
 func (r *runner) checkExpectations(records *Records) (out []LineResult) {
 	for _, e := range r.scenario.Expectations {
-		in := timeRange{r.startTime(), records.End}
+		in := timeRange{r.bindings.startTime(), records.End}
 		if e.From != nil {
-			in.from = r.resolveTime(*e.From)
+			in.from = r.bindings.resolveTime(*e.From)
 		}
 		if e.To != nil {
-			in.to = r.resolveTime(*e.To)
+			in.to = r.bindings.resolveTime(*e.To)
 		}
-		passed, observed := e.evaluate(records, r.agentFilter(e.measure.Agents), in)
+		passed, observed := e.evaluate(records, r.bindings.agentFilter(e.measure.Agents), in)
 		out = append(out, LineResult{e.Line, e.Text, passed, observed})
 	}
 	return out
