--- a/cmd/switchfork/admin.go
+++ b/cmd/switchfork/admin.go
@@ -121,15 +121,15 @@
 		Short: "print what is kept in a folder",
 		Args:  oneArg,
 		RunE: func(_ *cobra.Command, args []string) error {
-			group, index, state, err := storage.Inspect(args[0])
+			contents, err := storage.Inspect(args[0])
 			if err != nil {
 				return err
 			}
-			if state == nil {
+			if contents.State == nil {
 				a.printf("nothing was ever kept\n")
 				return nil
 			}
-			a.printState(group, index, state)
+			a.printState(contents.Group, contents.Agent, contents.State)
 			return nil
 		},
 	}
@@ -149,7 +149,7 @@
 		Short: "check that a folder can be relied on",
 		Args:  oneArg,
 		RunE: func(_ *cobra.Command, args []string) error {
-			if _, _, _, err := storage.Inspect(args[0]); err != nil {
+			if _, err := storage.Inspect(args[0]); err != nil {
 				return err
 			}
 			a.printf("sound\n")
--- a/internal/cluster/storage/damaged_bucket_test.go
+++ b/internal/cluster/storage/damaged_bucket_test.go
@@ -37,7 +37,7 @@
 	}
 	pointed := 0
 	for at := 0; ; at += len(bucketName) {
-		next := bytes.Index(content[at:], bucketName)
+		next := bytes.Index(content[at:], []byte(bucketName))
 		if next < 0 {
 			break
 		}
--- /dev/null
+++ b/internal/cluster/storage/errors.go
@@ -0,0 +1,52 @@
+package storage
+
+import (
+	"errors"
+	"fmt"
+)
+
+var (
+	// ErrCorrupt marks a file that can't be relied on: damaged, or another agent's.
+	ErrCorrupt = errors.New("damaged")
+	// ErrLocked marks a file that another process has open.
+	ErrLocked = errors.New("another process has it open")
+)
+
+// FileTooLargeError tells that the file has outgrown its bound, so that nothing more is written to it.
+type FileTooLargeError struct{ Size int64 }
+
+func (e *FileTooLargeError) Error() string {
+	return fmt.Sprintf("state file has %d bytes, at most %d are allowed", e.Size, maxFileSize)
+}
+
+// Owner is the agent to which a state folder belongs.
+type Owner struct {
+	Group uint64
+	Agent int
+}
+
+func (o Owner) String() string { return fmt.Sprintf("agent %d of group %016x", o.Agent, o.Group) }
+
+// WrongOwnerError tells that a file holds the state of another agent or group. It wraps ErrCorrupt.
+type WrongOwnerError struct{ Stored, Expected Owner }
+
+func (e *WrongOwnerError) Error() string {
+	return fmt.Sprintf("%v: it belongs to %v, expected %v", ErrCorrupt, e.Stored, e.Expected)
+}
+
+// Unwrap makes the error one of a file that can't be relied on.
+func (e *WrongOwnerError) Unwrap() error { return ErrCorrupt }
+
+// QuarantinedError tells that a file was refused and moved aside, so that a later start begins without it.
+type QuarantinedError struct {
+	Path    string
+	MovedTo string
+	Reason  error
+}
+
+func (e *QuarantinedError) Error() string {
+	return fmt.Sprintf("%s: %v; it is now %s", e.Path, e.Reason, e.MovedTo)
+}
+
+// Unwrap returns why the file was refused.
+func (e *QuarantinedError) Unwrap() error { return e.Reason }
--- a/internal/cluster/storage/golden_test.go
+++ b/internal/cluster/storage/golden_test.go
@@ -33,9 +33,9 @@
 	if err = os.WriteFile(filepath.Join(folder, fileName), content, fileMode); err != nil {
 		t.Fatal(err)
 	}
-	group, index, state, err := Inspect(folder)
-	if err != nil || group != goldenGroup || index != goldenAgent || state == nil || *state != goldenState {
-		t.Fatalf("inspected as group %x, agent %d, %+v, %v", group, index, state, err)
+	contents, err := Inspect(folder)
+	if err != nil || contents.Group != goldenGroup || contents.Agent != goldenAgent || contents.State == nil || *contents.State != goldenState {
+		t.Fatalf("inspected as %+v, %v", contents, err)
 	}
 	store, state, err := Open(folder, goldenGroup, goldenAgent)
 	if err != nil || state == nil || *state != goldenState {
--- /dev/null
+++ b/internal/cluster/storage/inspect.go
@@ -0,0 +1,40 @@
+package storage
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+
+	"switchfork/internal/cluster/election"
+)
+
+// noAgent stands for the number of the agent in Contents without a record.
+const noAgent = -1
+
+// Contents is what a folder holds.
+type Contents struct {
+	Group uint64
+	Agent int                    // -1: nothing was ever saved
+	State *election.DurableState // nil: nothing was ever saved
+}
+
+// Inspect reads a folder without changing anything in it. A folder without a state file is an error that wraps fs.ErrNotExist.
+func Inspect(folder string) (Contents, error) {
+	path := filepath.Join(folder, fileName)
+	if _, err := os.Stat(path); err != nil {
+		return Contents{}, fmt.Errorf("reading the state folder: %w", err)
+	}
+	db, stored, err := openFile(path, true)
+	if err != nil {
+		return Contents{}, fmt.Errorf("reading the state file %s: %w", path, err)
+	}
+	_ = db.Close() // it was only read
+	if stored == nil {
+		return Contents{Agent: noAgent}, nil
+	}
+	return Contents{
+		Group: stored.Group,
+		Agent: int(stored.Agent),
+		State: stored.durableState(),
+	}, nil
+}
--- a/internal/cluster/storage/record.go
+++ b/internal/cluster/storage/record.go
@@ -30,13 +30,7 @@
 	return &r.State
 }
 
-// checkOwner refuses the record of another agent or group.
-func (r *record) checkOwner(group uint64, index int) error {
-	if r.Group == group && int(r.Agent) == index {
-		return nil
-	}
-	return fmt.Errorf("%w: it is agent %d's of group %016x, not agent %d's of %016x", ErrCorrupt, r.Agent, r.Group, index, group)
-}
+func (r *record) owner() Owner { return Owner{Group: r.Group, Agent: int(r.Agent)} }
 
 func encodeRecord(r record) ([]byte, error) {
 	raw, err := binary.Append(nil, binary.LittleEndian, r)
@@ -54,13 +48,13 @@
 	}
 	body := raw[:bodySize]
 	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(raw[bodySize:]) {
-		return nil, fmt.Errorf("%w: the record's sum is wrong", ErrCorrupt)
+		return nil, fmt.Errorf("%w: the record's checksum is wrong", ErrCorrupt)
 	}
 	if _, err := binary.Decode(body, binary.LittleEndian, r); err != nil {
 		return nil, fmt.Errorf("%w: decoding the record: %w", ErrCorrupt, err)
 	}
 	if r.Format != recordFormat {
-		return nil, fmt.Errorf("%w: a record of form %d, expected %d", ErrCorrupt, r.Format, recordFormat)
+		return nil, fmt.Errorf("%w: a record of format %d, expected %d", ErrCorrupt, r.Format, recordFormat)
 	}
 	return r, nil
 }
--- a/internal/cluster/storage/store_test.go
+++ b/internal/cluster/storage/store_test.go
@@ -13,6 +13,8 @@
 	"time"
 
 	"switchfork/internal/cluster/election"
+
+	"go.etcd.io/bbolt"
 )
 
 const (
@@ -72,20 +74,28 @@
 	if info, err := os.Stat(filepath.Join(dir, fileName)); err != nil || info.Size() > 256<<10 {
 		t.Errorf("after %d syncs the file has %d bytes, %v", saves, info.Size(), err)
 	}
-	group, index, state, err := Inspect(dir)
-	if err != nil || group != testGroup || index != testAgent || state == nil || *state != numberedState(saves) {
-		t.Errorf("inspected as %d %d %v %v", group, index, state, err)
+	contents, err := Inspect(dir)
+	if err != nil || contents.Group != testGroup || contents.Agent != testAgent || contents.State == nil || *contents.State != numberedState(saves) {
+		t.Errorf("inspected as %+v %v", contents, err)
 	}
 	store, state = openForTest(t, dir)
 	if state == nil || *state != numberedState(saves) {
 		t.Fatalf("opened as %v", state)
 	}
 	closeForTest(t, store)
-	if _, _, err = Open(dir, testGroup, testAgent+1); !errors.Is(err, ErrCorrupt) || !strings.Contains(err.Error(), "agent 1") {
+	_, _, err = Open(dir, testGroup, testAgent+1)
+	if !errors.Is(err, ErrCorrupt) || !strings.Contains(err.Error(), "agent 1") {
 		t.Errorf("another agent's folder gives %v", err)
 	}
-	if refused, _ := filepath.Glob(filepath.Join(dir, fileName+".refused-*")); len(refused) != 1 {
-		t.Errorf("moved aside: %v", refused)
+	stored, expected := Owner{testGroup, testAgent}, Owner{testGroup, testAgent + 1}
+	var wrong *WrongOwnerError
+	if !errors.As(err, &wrong) || wrong.Stored != stored || wrong.Expected != expected {
+		t.Errorf("another agent's folder gives %#v", wrong)
+	}
+	var quarantined *QuarantinedError
+	refused, _ := filepath.Glob(filepath.Join(dir, fileName+".refused-*"))
+	if len(refused) != 1 || !errors.As(err, &quarantined) || quarantined.MovedTo != refused[0] {
+		t.Errorf("moved aside: %v, the error is %v", refused, err)
 	}
 }
 
@@ -274,3 +284,20 @@
 		}
 	}
 }
+
+// Nothing is saved to a file that has outgrown its bound.
+func TestFileTooLarge(t *testing.T) {
+	store, _ := openForTest(t, t.TempDir())
+	defer closeForTest(t, store)
+	saveForTest(t, store, 1)
+	err := store.db.Update(func(tx *bbolt.Tx) error {
+		return tx.Bucket([]byte(bucketName)).Put([]byte("padding"), make([]byte, maxFileSize))
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var tooLarge *FileTooLargeError
+	if err = store.Save(numberedState(2)); !errors.As(err, &tooLarge) || tooLarge.Size <= maxFileSize {
+		t.Errorf("saving to a file of over %d bytes gives %v", maxFileSize, err)
+	}
+}
