--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -8,6 +8,7 @@
 import (
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"hash/crc32"
 
 	"switchfork/internal/cluster/election"
@@ -43,9 +44,9 @@
 
 var (
 	// ErrForeign marks bytes that are no frame, or a frame of another group.
-	ErrForeign = errors.New("not a message of this group's deciders")
+	ErrForeign = errors.New("not a message of this group of replicas")
 	// ErrCorrupt marks a frame that was damaged, or that holds an impossible value.
-	ErrCorrupt = errors.New("a message whose sum or content is wrong")
+	ErrCorrupt = errors.New("damaged message")
 )
 
 // Encode encodes a message of the agent from.
@@ -76,33 +77,34 @@
 // Decode decodes a frame, and returns its sender and message. Nothing of a damaged frame is used.
 func Decode(group uint64, b []byte) (from int, m election.Message, err error) {
 	if !IsFrame(b) || len(b) != frameSize {
-		return 0, m, ErrForeign
+		return 0, m, fmt.Errorf("%w: %d bytes, expected a frame of %d with its mark", ErrForeign, len(b), frameSize)
 	}
 	bodySize := frameSize - checksumSize
 	body := b[:bodySize]
 	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(b[bodySize:]) {
-		return 0, m, ErrCorrupt
+		return 0, m, fmt.Errorf("%w: its checksum is wrong", ErrCorrupt)
 	}
 	var f frame
 	if _, err = binary.Decode(body, binary.LittleEndian, &f); err != nil {
-		return 0, m, ErrCorrupt
+		return 0, m, fmt.Errorf("%w: decoding its fields: %w", ErrCorrupt, err)
 	}
 	if f.Group != group {
-		return 0, m, ErrForeign
+		return 0, m, fmt.Errorf("%w: it is of group %016x, expected %016x", ErrForeign, f.Group, group)
 	}
 	if !f.isValid() {
-		return 0, m, ErrCorrupt
+		return 0, m, fmt.Errorf("%w: a field has a value that no replica sends: %+v", ErrCorrupt, f)
 	}
 	return int(f.From), f.message(), nil
 }
 
 // isValid tells whether all values are ones that a replica may send.
 func (f frame) isValid() bool {
-	return f.From < election.MaxReplicas &&
-		f.Kind.IsValid() &&
-		f.Record.Verdict <= election.Rollback &&
-		f.Record.Prior <= election.Rollback &&
-		f.Recommendation.Verdict <= election.Rollback
+	for _, verdict := range []election.Verdict{f.Record.Verdict, f.Record.Prior, f.Recommendation.Verdict} {
+		if verdict > election.Rollback {
+			return false
+		}
+	}
+	return f.From < election.MaxReplicas && f.Kind.IsValid()
 }
 
 func (f frame) message() election.Message {
--- a/internal/cluster/transport/length_prefix.go
+++ b/internal/cluster/transport/length_prefix.go
@@ -2,23 +2,40 @@
 
 import (
 	"encoding/binary"
-	"errors"
+	"fmt"
 	"io"
 	"net"
 	"time"
 )
 
-// lengthSize is what the length before each message takes on a TCP connection, in big-endian order.
-const lengthSize = 2
+const (
+	// lengthSize in bytes is what the length before each message takes on a TCP connection, in big-endian order.
+	lengthSize = 2
+	// maxMessageSize in bytes bounds what is written and read; a longer message that comes all the same ends its connection.
+	maxMessageSize = 1 << 10
+	// writeTimeout: a message that takes longer is of no use to a lease of some seconds.
+	writeTimeout = 500 * time.Millisecond
+)
+
+// messageSizeError tells of a message with a length that none may have. It ends a connection on which one is announced; none is sent.
+type messageSizeError struct{ size int }
 
-// errMessageSize tells of a message with a length that none may have. It ends a connection on which one is announced; none is sent.
-var errMessageSize = errors.New("a message that is empty or longer than is allowed")
+func (e *messageSizeError) Error() string {
+	return fmt.Sprintf("message of %d bytes, expected 1 to %d", e.size, maxMessageSize)
+}
+
+func checkMessageSize(size int) error {
+	if size == 0 || size > maxMessageSize {
+		return &messageSizeError{size}
+	}
+	return nil
+}
 
 // writeMessage writes a message with its length before it, in one call. One that no reader takes is not written: a length over 16 bits would
 // be cut, and the rest of the message be read as the next ones.
 func writeMessage(conn net.Conn, message []byte) error {
-	if len(message) == 0 || len(message) > maxMessageSize {
-		return errMessageSize
+	if err := checkMessageSize(len(message)); err != nil {
+		return err
 	}
 	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, as writing does then
 	buffer := binary.BigEndian.AppendUint16(nil, uint16(len(message)))
@@ -33,8 +50,8 @@
 		return nil, err
 	}
 	size := int(binary.BigEndian.Uint16(length[:]))
-	if size == 0 || size > maxMessageSize {
-		return nil, errMessageSize
+	if err := checkMessageSize(size); err != nil {
+		return nil, err
 	}
 	message := make([]byte, size)
 	_, err := io.ReadFull(r, message)
--- a/internal/cluster/transport/tcp_test.go
+++ b/internal/cluster/transport/tcp_test.go
@@ -179,7 +179,8 @@
 		received <- int(n)
 	}()
 	for _, size := range []int{maxMessageSize + 1, 1<<16 + 3} {
-		if err := writeMessage(near, make([]byte, size)); !errors.Is(err, errMessageSize) {
+		var wrongSize *messageSizeError
+		if err := writeMessage(near, make([]byte, size)); !errors.As(err, &wrongSize) || wrongSize.size != size {
 			t.Errorf("a message of %d bytes: %v", size, err)
 		}
 	}
@@ -188,3 +189,51 @@
 		t.Errorf("%d bytes were sent", n)
 	}
 }
+
+// When the context of Listen ends, so do the listener and the links; SetPeers and Send return at once after that.
+func TestContextEndsTransport(t *testing.T) {
+	before := runtime.NumGoroutine()
+	ctx, stop := context.WithCancel(t.Context())
+	received := &recorder{}
+	peer := listenForTest(ctx, t, received.receive)
+	sender := listenForTest(ctx, t, ignore)
+	sender.SetPeers(map[int]string{1: peer.Addr()})
+	eventually(t, "a message", func() bool {
+		sender.Send(1, []byte("sent"))
+		return received.last() != nil
+	})
+	stop()
+	eventually(t, "no goroutine more than before", func() bool { return runtime.NumGoroutine() <= before })
+	if conn, err := dial(t.Context(), sender.Addr()); err == nil {
+		discard(conn)
+		t.Error("the listener is open after the context has ended")
+	}
+	sender.SetPeers(map[int]string{2: peer.Addr()})
+	sender.Send(1, []byte("late"))
+	sender.Send(2, []byte("late"))
+}
+
+// A link to an address that is not among the peers any more ends, and so does its connection; the others stay.
+func TestSetPeersEndsLinks(t *testing.T) {
+	ctx := t.Context()
+	sender := listenForTest(ctx, t, ignore)
+	kept, removed := &recorder{}, &recorder{}
+	keptPeer, removedPeer := listenForTest(ctx, t, kept.receive), listenForTest(ctx, t, removed.receive)
+	sender.SetPeers(map[int]string{1: keptPeer.Addr(), 2: removedPeer.Addr()})
+	eventually(t, "a message to each", func() bool {
+		sender.Send(1, []byte("first"))
+		sender.Send(2, []byte("first"))
+		return kept.last() != nil && removed.last() != nil
+	})
+	keptLink := sender.links[1]
+	sender.SetPeers(map[int]string{1: keptPeer.Addr()})
+	sender.mu.Lock()
+	if len(sender.links) != 1 || sender.links[1] != keptLink {
+		t.Errorf("the links are %v", sender.links)
+	}
+	sender.mu.Unlock()
+	eventually(t, "the end of the connection to the peer that was removed", func() bool { return len(removedPeer.inbound) == 0 })
+	if len(keptPeer.inbound) != 1 {
+		t.Errorf("%d connections to the peer that stayed", len(keptPeer.inbound))
+	}
+}
