--- a/internal/cluster/election/command.go
+++ b/internal/cluster/election/command.go
@@ -1,7 +1,8 @@
 package election
 
-// Command is one of [SendMessage], [CastVote], [Persist] and [SelfStop]. The commands of a call have to be carried out in order.
-type Command any
+// Command is one of [SendMessage], [CastVote], [Persist] and [SelfStop]. The commands of a call have to be carried out in order. Only
+// this package can add another.
+type Command interface{ isCommand() }
 
 type (
 	// SendMessage sends a message to another replica. It may be lost, delayed, duplicated or reordered.
@@ -24,3 +25,8 @@
 		Stop bool
 	}
 )
+
+func (SendMessage) isCommand() {}
+func (CastVote) isCommand()    {}
+func (Persist) isCommand()     {}
+func (SelfStop) isCommand()    {}
