--- a/internal/cluster/election/campaign.go
+++ b/internal/cluster/election/campaign.go
@@ -19,7 +19,7 @@
 func (t *campaignTimer) isDue(now Micros) bool { return now >= t.nextAt }
 
 // reset postpones the campaign by a random delay.
-func (t *campaignTimer) reset(now Micros) { t.nextAt = now + t.jitter() }
+func (t *campaignTimer) reset(now Micros) { t.nextAt = now + t.delay() }
 
 // deferTo postpones the campaign for as long as another candidate's ballot may last. It does so once in an interval only: a
 // candidate whose ballots never come through must not hold this replica off for good.
@@ -29,10 +29,10 @@
 		return
 	}
 	t.deferredAt[candidate] = now
-	t.nextAt = max(t.nextAt, now+t.settings.ballotTimeout()+t.jitter())
+	t.nextAt = max(t.nextAt, now+t.settings.ballotTimeout()+t.delay())
 }
 
-// jitter returns a random delay, which keeps replicas from campaigning at the same time.
-func (t *campaignTimer) jitter() Micros {
-	return t.settings.Lease/minJitterParts + t.random.Int63n(max(1, t.settings.Lease/maxJitterParts))
+// delay returns a random delay, which keeps replicas from campaigning at the same time.
+func (t *campaignTimer) delay() Micros {
+	return t.settings.minCampaignDelay() + t.random.Int63n(max(1, t.settings.maxCampaignJitter()))
 }
--- a/internal/cluster/election/candidate_test.go
+++ b/internal/cluster/election/candidate_test.go
@@ -108,12 +108,12 @@
 
 // A campaign comes after a random delay of a thirtieth to a bit over a third of a lease.
 func TestCampaignDelay(t *testing.T) {
-	lease := testSettings().Lease
+	minDelay, jitter := testSettings().minCampaignDelay(), testSettings().maxCampaignJitter()
 	for seed := range int64(100) {
 		timer := newCampaignTimer(Config{Settings: testSettings(), Seed: seed})
 		timer.reset(second)
 		delay := timer.nextAt - second
-		if delay < lease/minJitterParts || delay >= lease/minJitterParts+lease/maxJitterParts {
+		if delay < minDelay || delay >= minDelay+jitter {
 			t.Fatalf("seed %d: a delay of %d us", seed, delay)
 		}
 		if timer.isDue(timer.nextAt-1) || !timer.isDue(timer.nextAt) {
--- a/internal/cluster/election/settings.go
+++ b/internal/cluster/election/settings.go
@@ -55,9 +55,10 @@
 	callGapsPerLease = 2
 	// retriesPerLease is how often an unanswered message is sent again, and how often a replica wants a tick.
 	retriesPerLease = 15
-	// maxJitterParts and minJitterParts of a lease bound the random delay before a campaign.
-	maxJitterParts = 3
-	minJitterParts = 30
+	// campaignDelaysPerLease: a campaign waits a thirtieth of a lease at least.
+	campaignDelaysPerLease = 30
+	// campaignJittersPerLease: a random part of up to a third of a lease comes on top.
+	campaignJittersPerLease = 3
 	// recommendationLeases is how long a recommendation counts; replicas repeat theirs twice a lease.
 	recommendationLeases = 2
 	// recastLifetimeFraction of a vote's lifetime is over when the vote is cast again.
@@ -82,6 +83,10 @@
 
 func (s Settings) deferralInterval() Micros { return deferralIntervalLeases * s.Lease }
 
+func (s Settings) minCampaignDelay() Micros { return s.Lease / campaignDelaysPerLease }
+
+func (s Settings) maxCampaignJitter() Micros { return s.Lease / campaignJittersPerLease }
+
 func (s Settings) maxCallGap() Micros { return s.Lease / callGapsPerLease }
 
 func (s Settings) retryInterval() Micros { return s.Lease / retriesPerLease }
--- a/internal/cluster/storage/errors.go
+++ b/internal/cluster/storage/errors.go
@@ -16,7 +16,7 @@
 type FileTooLargeError struct{ Size int64 }
 
 func (e *FileTooLargeError) Error() string {
-	return fmt.Sprintf("state file has %d bytes, at most %d are allowed", e.Size, maxFileSize)
+	return fmt.Sprintf("the file has %d bytes, at most %d are allowed", e.Size, maxFileBytes)
 }
 
 // Owner is the agent to which a state folder belongs.
--- a/internal/cluster/storage/file.go
+++ b/internal/cluster/storage/file.go
@@ -46,7 +46,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if reason := recover(); reason != nil {
-			err = fmt.Errorf("%w: %v", ErrCorrupt, reason)
+			err = fmt.Errorf("%w: reading its pages: %v", ErrCorrupt, reason)
 		}
 	}()
 	return read()
@@ -77,6 +77,6 @@
 	case errors.Is(err, os.ErrPermission):
 		return nil, err
 	default:
-		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
+		return nil, fmt.Errorf("%w: opening it as a bbolt database: %w", ErrCorrupt, err)
 	}
 }
--- a/internal/cluster/storage/integrity.go
+++ b/internal/cluster/storage/integrity.go
@@ -10,10 +10,10 @@
 // readRecord checks all pages of the file before it reads the record.
 func readRecord(tx *bbolt.Tx) (*record, error) {
 	if err := touchBuckets(tx); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
+		return nil, fmt.Errorf("%w: reading its buckets: %w", ErrCorrupt, err)
 	}
 	if err := checkPages(tx); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
+		return nil, fmt.Errorf("%w: checking its pages: %w", ErrCorrupt, err)
 	}
 	bucket := tx.Bucket([]byte(bucketName))
 	if bucket == nil {
--- a/internal/cluster/storage/record.go
+++ b/internal/cluster/storage/record.go
@@ -10,8 +10,8 @@
 
 const (
 	// recordFormat is the version of the record's layout.
-	recordFormat = 1
-	checksumSize = crc32.Size
+	recordFormat  = 1
+	checksumBytes = crc32.Size
 )
 
 // record is what the file holds: these fields in little-endian order without gaps, and a CRC-32 of them.
@@ -42,12 +42,12 @@
 
 func decodeRecord(raw []byte) (*record, error) {
 	r := &record{}
-	bodySize := binary.Size(r)
-	if len(raw) != bodySize+checksumSize {
-		return nil, fmt.Errorf("%w: a record of %d bytes, expected %d", ErrCorrupt, len(raw), bodySize+checksumSize)
+	bodyBytes := binary.Size(r)
+	if len(raw) != bodyBytes+checksumBytes {
+		return nil, fmt.Errorf("%w: a record of %d bytes, expected %d", ErrCorrupt, len(raw), bodyBytes+checksumBytes)
 	}
-	body := raw[:bodySize]
-	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(raw[bodySize:]) {
+	body := raw[:bodyBytes]
+	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(raw[bodyBytes:]) {
 		return nil, fmt.Errorf("%w: the record's checksum is wrong", ErrCorrupt)
 	}
 	if _, err := binary.Decode(body, binary.LittleEndian, r); err != nil {
--- a/internal/cluster/storage/store.go
+++ b/internal/cluster/storage/store.go
@@ -20,8 +20,8 @@
 const (
 	fileName = "decider.db"
 	dirMode  = 0o700
-	// maxFileSize in bytes is ample for one small record that is written again and again, because bbolt reuses its free pages.
-	maxFileSize = 1 << 20
+	// maxFileBytes is ample for one small record that is written again and again, because bbolt reuses its free pages.
+	maxFileBytes = 1 << 20
 )
 
 // Names within the bbolt file; they are part of its format.
@@ -90,13 +90,13 @@
 	}
 	err = s.db.Update(func(tx *bbolt.Tx) error { return putRecord(tx, raw) })
 	if err != nil {
-		return fmt.Errorf("saving the state: %w", err)
+		return fmt.Errorf("saving the state to %s: %w", s.db.Path(), err)
 	}
 	return nil
 }
 
 func putRecord(tx *bbolt.Tx, raw []byte) error {
-	if tx.Size() > maxFileSize {
+	if tx.Size() > maxFileBytes {
 		return &FileTooLargeError{tx.Size()}
 	}
 	bucket, err := tx.CreateBucketIfNotExists([]byte(bucketName))
--- a/internal/cluster/storage/store_test.go
+++ b/internal/cluster/storage/store_test.go
@@ -291,13 +291,13 @@
 	defer closeForTest(t, store)
 	saveForTest(t, store, 1)
 	err := store.db.Update(func(tx *bbolt.Tx) error {
-		return tx.Bucket([]byte(bucketName)).Put([]byte("padding"), make([]byte, maxFileSize))
+		return tx.Bucket([]byte(bucketName)).Put([]byte("padding"), make([]byte, maxFileBytes))
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var tooLarge *FileTooLargeError
-	if err = store.Save(numberedState(2)); !errors.As(err, &tooLarge) || tooLarge.Size <= maxFileSize {
-		t.Errorf("saving to a file of over %d bytes gives %v", maxFileSize, err)
+	if err = store.Save(numberedState(2)); !errors.As(err, &tooLarge) || tooLarge.Size <= maxFileBytes {
+		t.Errorf("saving to a file of over %d bytes gives %v", maxFileBytes, err)
 	}
 }
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -14,13 +14,13 @@
 	"switchfork/internal/cluster/election"
 )
 
-// frameMark begins every frame. The release analyzers' gossip shares the socket; it consists of lines of nine bytes, and frameSize
+// frameMark begins every frame. The release analyzers' gossip shares the socket; it consists of lines of nine bytes, and frameBytes
 // is no multiple of nine.
 const frameMark = 0x5fd1c0a7
 
 const (
-	markSize     = 4
-	checksumSize = crc32.Size
+	markBytes     = 4
+	checksumBytes = crc32.Size
 )
 
 // frame is a message as it is sent: these fields in little-endian order without gaps, and a CRC-32 of them.
@@ -36,11 +36,11 @@
 	Members        election.Members
 }
 
-// frameSize includes the checksum: 85 bytes, of the 256 that a datagram of the gossip may have.
-var frameSize = binary.Size(frame{}) + checksumSize
+// frameBytes includes the checksum: 85 bytes, of the 256 that a datagram of the gossip may have.
+var frameBytes = binary.Size(frame{}) + checksumBytes
 
 // FrameSize is the size of every frame in bytes.
-func FrameSize() int { return frameSize }
+func FrameSize() int { return frameBytes }
 
 var (
 	// ErrForeign marks bytes that are no frame, or a frame of another group.
@@ -62,7 +62,7 @@
 		Recommendation: m.Recommendation,
 		Members:        m.Members,
 	}
-	b, err := binary.Append(make([]byte, 0, frameSize), binary.LittleEndian, f)
+	b, err := binary.Append(make([]byte, 0, frameBytes), binary.LittleEndian, f)
 	if err != nil {
 		panic(err) // only a type without a fixed size can't be encoded
 	}
@@ -71,17 +71,17 @@
 
 // IsFrame tells whether a datagram is a frame of some group, by its mark.
 func IsFrame(b []byte) bool {
-	return len(b) >= markSize && binary.LittleEndian.Uint32(b) == frameMark
+	return len(b) >= markBytes && binary.LittleEndian.Uint32(b) == frameMark
 }
 
 // Decode decodes a frame, and returns its sender and message. Nothing of a damaged frame is used.
 func Decode(group uint64, b []byte) (from int, m election.Message, err error) {
-	if !IsFrame(b) || len(b) != frameSize {
-		return 0, m, fmt.Errorf("%w: %d bytes, expected a frame of %d with its mark", ErrForeign, len(b), frameSize)
+	if !IsFrame(b) || len(b) != frameBytes {
+		return 0, m, fmt.Errorf("%w: %d bytes, expected a frame of %d with its mark", ErrForeign, len(b), frameBytes)
 	}
-	bodySize := frameSize - checksumSize
-	body := b[:bodySize]
-	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(b[bodySize:]) {
+	bodyBytes := frameBytes - checksumBytes
+	body := b[:bodyBytes]
+	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(b[bodyBytes:]) {
 		return 0, m, fmt.Errorf("%w: its checksum is wrong", ErrCorrupt)
 	}
 	var f frame
--- a/internal/cluster/transport/length_prefix.go
+++ b/internal/cluster/transport/length_prefix.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// lengthSize in bytes is what the length before each message takes on a TCP connection, in big-endian order.
-	lengthSize = 2
-	// maxMessageSize in bytes bounds what is written and read; a longer message that comes all the same ends its connection.
-	maxMessageSize = 1 << 10
+	// lengthBytes is what the length before each message takes on a TCP connection, in big-endian order.
+	lengthBytes = 2
+	// maxMessageBytes bounds what is written and read; a longer message that comes all the same ends its connection.
+	maxMessageBytes = 1 << 10
 	// writeTimeout: a message that takes longer is of no use to a lease of some seconds.
 	writeTimeout = 500 * time.Millisecond
 )
@@ -21,11 +21,11 @@
 type messageSizeError struct{ size int }
 
 func (e *messageSizeError) Error() string {
-	return fmt.Sprintf("message of %d bytes, expected 1 to %d", e.size, maxMessageSize)
+	return fmt.Sprintf("message of %d bytes, expected 1 to %d", e.size, maxMessageBytes)
 }
 
 func checkMessageSize(size int) error {
-	if size == 0 || size > maxMessageSize {
+	if size == 0 || size > maxMessageBytes {
 		return &messageSizeError{size}
 	}
 	return nil
@@ -45,7 +45,7 @@
 
 // readMessage reads one message with its length before it.
 func readMessage(r io.Reader) ([]byte, error) {
-	var length [lengthSize]byte
+	var length [lengthBytes]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
 		return nil, err
 	}
--- a/internal/cluster/transport/link.go
+++ b/internal/cluster/transport/link.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxQueued is what a replica sends to one peer in some leases.
-	maxQueued = 64
+	// maxQueuedMessages is what a replica sends to one peer in some leases.
+	maxQueuedMessages = 64
 	// minRetryDelay and maxRetryDelay bound the exponential backoff between connections that fail.
 	minRetryDelay = 20 * time.Millisecond
 	maxRetryDelay = time.Second
@@ -43,7 +43,7 @@
 	l := &link{
 		address: address,
 		dial:    dial,
-		queue:   make(chan []byte, maxQueued),
+		queue:   make(chan []byte, maxQueuedMessages),
 		stop:    stop,
 		retry:   retry,
 	}
--- a/internal/cluster/transport/tcp.go
+++ b/internal/cluster/transport/tcp.go
@@ -17,8 +17,8 @@
 	acceptRetryDelay = 20 * time.Millisecond
 	// idleTimeout ends the connection of a peer that is silent; replicas send several times a lease.
 	idleTimeout = 2 * time.Minute
-	// maxInbound bounds the connections that others have open here.
-	maxInbound = 128
+	// maxInboundConnections bounds the connections that others have open here.
+	maxInboundConnections = 128
 )
 
 // TCP sends messages over one connection to each peer, on which nothing is read, and reads the connections of others. What can't
@@ -58,7 +58,7 @@
 			return dialer.DialContext(ctx, "tcp", address)
 		},
 		receive: receive,
-		inbound: make(chan struct{}, maxInbound),
+		inbound: make(chan struct{}, maxInboundConnections),
 		updates: make(chan peerUpdate),
 		ended:   make(chan struct{}),
 		links:   map[int]*link{},
@@ -151,7 +151,7 @@
 	// A goroutine that waits for the context would outlive the connection.
 	stop := context.AfterFunc(ctx, func() { discard(conn) })
 	defer stop()
-	reader := bufio.NewReaderSize(conn, 2*maxMessageSize)
+	reader := bufio.NewReaderSize(conn, 2*maxMessageBytes)
 	for {
 		_ = conn.SetReadDeadline(time.Now().Add(idleTimeout)) // fails only on a closed connection, as reading does then
 		message, err := readMessage(reader)
--- a/internal/cluster/transport/tcp_test.go
+++ b/internal/cluster/transport/tcp_test.go
@@ -24,7 +24,7 @@
 			return
 		}
 		size := len(message)
-		if size == 0 || size > maxMessageSize || size != int(binary.BigEndian.Uint16(b)) || !bytes.Equal(message, b[2:2+size]) {
+		if size == 0 || size > maxMessageBytes || size != int(binary.BigEndian.Uint16(b)) || !bytes.Equal(message, b[2:2+size]) {
 			t.Errorf("%x reads as %x", b, message)
 		}
 	})
@@ -100,11 +100,11 @@
 			}
 			return err != nil
 		})
-		for range 10 * maxQueued {
+		for range 10 * maxQueuedMessages {
 			sender.Send(1, []byte{9})
 		}
 		sender.mu.Lock()
-		if queued := len(sender.links[1].queue); queued > maxQueued {
+		if queued := len(sender.links[1].queue); queued > maxQueuedMessages {
 			t.Errorf("%d are queued", queued)
 		}
 		sender.mu.Unlock()
@@ -178,7 +178,7 @@
 		n, _ := io.Copy(io.Discard, far)
 		received <- int(n)
 	}()
-	for _, size := range []int{maxMessageSize + 1, 1<<16 + 3} {
+	for _, size := range []int{maxMessageBytes + 1, 1<<16 + 3} {
 		var wrongSize *messageSizeError
 		if err := writeMessage(near, make([]byte, size)); !errors.As(err, &wrongSize) || wrongSize.size != size {
 			t.Errorf("a message of %d bytes: %v", size, err)
