--- a/cmd/switchfork/admin.go
+++ b/cmd/switchfork/admin.go
@@ -125,15 +125,15 @@
 		Short: "Print what a state folder holds",
 		Args:  oneArg,
 		RunE: func(_ *cobra.Command, args []string) error {
-			group, index, state, err := storage.Inspect(args[0])
+			contents, err := storage.Inspect(args[0])
 			if err != nil {
 				return err
 			}
-			if state == nil {
+			if contents.State == nil {
 				a.printf("nothing was ever kept\n")
 				return nil
 			}
-			a.printState(group, index, state)
+			a.printState(contents.Group, contents.Agent, contents.State)
 			return nil
 		},
 	}
@@ -153,7 +153,7 @@
 		Short: "Check that a state folder is intact",
 		Args:  oneArg,
 		RunE: func(_ *cobra.Command, args []string) error {
-			if _, _, _, err := storage.Inspect(args[0]); err != nil {
+			if _, err := storage.Inspect(args[0]); err != nil {
 				return err
 			}
 			a.printf("sound\n")
--- a/internal/cluster/storage/record.go
+++ b/internal/cluster/storage/record.go
@@ -10,8 +10,8 @@
 
 const (
 	// recordFormat is the version of the record's layout.
-	recordFormat = 1
-	checksumSize = crc32.Size
+	recordFormat  = 1
+	checksumBytes = crc32.Size
 )
 
 // record is what the file holds: these fields in little-endian order without gaps, and a CRC-32 of them.
@@ -30,13 +30,7 @@
 	return &r.State
 }
 
-// checkOwner refuses the record of another agent or group.
-func (r *record) checkOwner(group uint64, index int) error {
-	if r.Group == group && int(r.Agent) == index {
-		return nil
-	}
-	return fmt.Errorf("%w: it is agent %d's of group %016x, not agent %d's of %016x", ErrCorrupt, r.Agent, r.Group, index, group)
-}
+func (r *record) owner() Owner { return Owner{Group: r.Group, Agent: int(r.Agent)} }
 
 func encodeRecord(r record) ([]byte, error) {
 	raw, err := binary.Append(nil, binary.LittleEndian, r)
@@ -48,19 +42,19 @@
 
 func decodeRecord(raw []byte) (*record, error) {
 	r := &record{}
-	bodySize := binary.Size(r)
-	if len(raw) != bodySize+checksumSize {
-		return nil, fmt.Errorf("%w: a record of %d bytes, expected %d", ErrCorrupt, len(raw), bodySize+checksumSize)
+	bodyBytes := binary.Size(r)
+	if len(raw) != bodyBytes+checksumBytes {
+		return nil, fmt.Errorf("%w: a record of %d bytes, expected %d", ErrCorrupt, len(raw), bodyBytes+checksumBytes)
 	}
-	body := raw[:bodySize]
-	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(raw[bodySize:]) {
-		return nil, fmt.Errorf("%w: the record's sum is wrong", ErrCorrupt)
+	body := raw[:bodyBytes]
+	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(raw[bodyBytes:]) {
+		return nil, fmt.Errorf("%w: the record's checksum is wrong", ErrCorrupt)
 	}
 	if _, err := binary.Decode(body, binary.LittleEndian, r); err != nil {
 		return nil, fmt.Errorf("%w: decoding the record: %w", ErrCorrupt, err)
 	}
 	if r.Format != recordFormat {
-		return nil, fmt.Errorf("%w: a record of form %d, expected %d", ErrCorrupt, r.Format, recordFormat)
+		return nil, fmt.Errorf("%w: a record of format %d, expected %d", ErrCorrupt, r.Format, recordFormat)
 	}
 	return r, nil
 }
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -8,18 +8,19 @@
 import (
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"hash/crc32"
 
 	"switchfork/internal/cluster/election"
 )
 
-// frameMark begins every frame. The release analyzers' gossip shares the socket; it consists of lines of nine bytes, and frameSize
+// frameMark begins every frame. The release analyzers' gossip shares the socket; it consists of lines of nine bytes, and frameBytes
 // is no multiple of nine.
 const frameMark = 0x5fd1c0a7
 
 const (
-	markSize     = 4
-	checksumSize = crc32.Size
+	markBytes     = 4
+	checksumBytes = crc32.Size
 )
 
 // frame is a message as it is sent: these fields in little-endian order without gaps, and a CRC-32 of them.
@@ -35,17 +36,17 @@
 	Members        election.Members
 }
 
-// frameSize includes the checksum: 85 bytes, of the 256 that a datagram of the gossip may have.
-var frameSize = binary.Size(frame{}) + checksumSize
+// frameBytes includes the checksum: 85 bytes, of the 256 that a datagram of the gossip may have.
+var frameBytes = binary.Size(frame{}) + checksumBytes
 
 // FrameSize is the size of every frame in bytes.
-func FrameSize() int { return frameSize }
+func FrameSize() int { return frameBytes }
 
 var (
 	// ErrForeign marks bytes that are no frame, or a frame of another group.
-	ErrForeign = errors.New("not a message of this group's deciders")
+	ErrForeign = errors.New("not a message of this group of replicas")
 	// ErrCorrupt marks a frame that was damaged, or that holds an impossible value.
-	ErrCorrupt = errors.New("a message whose sum or content is wrong")
+	ErrCorrupt = errors.New("damaged message")
 )
 
 // Encode encodes a message of the agent from.
@@ -61,7 +62,7 @@
 		Recommendation: m.Recommendation,
 		Members:        m.Members,
 	}
-	b, err := binary.Append(make([]byte, 0, frameSize), binary.LittleEndian, f)
+	b, err := binary.Append(make([]byte, 0, frameBytes), binary.LittleEndian, f)
 	if err != nil {
 		panic(err) // only a type without a fixed size can't be encoded
 	}
@@ -70,39 +71,40 @@
 
 // IsFrame tells whether a datagram is a frame of some group, by its mark.
 func IsFrame(b []byte) bool {
-	return len(b) >= markSize && binary.LittleEndian.Uint32(b) == frameMark
+	return len(b) >= markBytes && binary.LittleEndian.Uint32(b) == frameMark
 }
 
 // Decode decodes a frame, and returns its sender and message. Nothing of a damaged frame is used.
 func Decode(group uint64, b []byte) (from int, m election.Message, err error) {
-	if !IsFrame(b) || len(b) != frameSize {
-		return 0, m, ErrForeign
+	if !IsFrame(b) || len(b) != frameBytes {
+		return 0, m, fmt.Errorf("%w: %d bytes, expected a frame of %d with its mark", ErrForeign, len(b), frameBytes)
 	}
-	bodySize := frameSize - checksumSize
-	body := b[:bodySize]
-	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(b[bodySize:]) {
-		return 0, m, ErrCorrupt
+	bodyBytes := frameBytes - checksumBytes
+	body := b[:bodyBytes]
+	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(b[bodyBytes:]) {
+		return 0, m, fmt.Errorf("%w: its checksum is wrong", ErrCorrupt)
 	}
 	var f frame
 	if _, err = binary.Decode(body, binary.LittleEndian, &f); err != nil {
-		return 0, m, ErrCorrupt
+		return 0, m, fmt.Errorf("%w: decoding its fields: %w", ErrCorrupt, err)
 	}
 	if f.Group != group {
-		return 0, m, ErrForeign
+		return 0, m, fmt.Errorf("%w: it is of group %016x, expected %016x", ErrForeign, f.Group, group)
 	}
 	if !f.isValid() {
-		return 0, m, ErrCorrupt
+		return 0, m, fmt.Errorf("%w: a field has a value that no replica sends: %+v", ErrCorrupt, f)
 	}
 	return int(f.From), f.message(), nil
 }
 
 // isValid tells whether all values are ones that a replica may send.
 func (f frame) isValid() bool {
-	return f.From < election.MaxReplicas &&
-		f.Kind.IsValid() &&
-		f.Record.Verdict <= election.Rollback &&
-		f.Record.Prior <= election.Rollback &&
-		f.Recommendation.Verdict <= election.Rollback
+	for _, verdict := range []election.Verdict{f.Record.Verdict, f.Record.Prior, f.Recommendation.Verdict} {
+		if verdict > election.Rollback {
+			return false
+		}
+	}
+	return f.From < election.MaxReplicas && f.Kind.IsValid()
 }
 
 func (f frame) message() election.Message {
