--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -19,24 +19,29 @@
 	PriorityWeight   float64
 }
 
+// classSettings are the settings of one request class, by its index.
+type classSettings struct {
+	*keyValues
+	index int
+}
+
+func (s *Settings) class(index int) classSettings { return classSettings{s.keyValues, index} }
+
 // RequestClasses returns the classes in the order in which the router numbers them. Names are unique.
 func (s *Settings) RequestClasses() []RequestClass {
 	classes := make([]RequestClass, s.integer(keyClassCount))
 	indexByName := map[string]int{}
 	for i := range classes {
-		class := RequestClass{
-			Name:        s.text(classKey(i, classKeyName)),
-			Idempotency: s.idempotency(i),
-			Timeout:     s.duration(classKey(i, classKeyTimeout)),
-		}
+		settings := s.class(i)
+		class := settings.requestClass()
 		other, isDuplicate := indexByName[class.Name]
 		switch {
 		case class.Name == "":
-			s.recordError(classKey(i, classKeyName), "is empty; requests name their class by it")
+			s.recordError(settings.key(classKeyName), "is empty; requests name their class by it")
 		case isDuplicate:
-			s.recordError(classKey(i, classKeyName), "is %q, like that of class %d; requests name their class by it", class.Name, other)
+			s.recordError(settings.key(classKeyName), "is %q, like that of class %d; requests name their class by it", class.Name, other)
 		case class.Timeout <= 0:
-			s.recordError(classKey(i, classKeyTimeout), "is 0; no answer could come in time")
+			s.recordError(settings.key(classKeyTimeout), "is 0; no answer could come in time")
 		}
 		indexByName[class.Name] = i
 		classes[i] = class
@@ -48,22 +53,11 @@
 func (s *Settings) ClassPriorities() []ClassPriority {
 	priorities := make([]ClassPriority, s.integer(keyClassCount))
 	for i := range priorities {
-		priorities[i] = ClassPriority{
-			LatencyObjective: s.duration(classKey(i, classKeyLatencyObjective)),
-			PriorityWeight:   s.figure(classKey(i, classKeyPriorityWeight)),
-		}
+		priorities[i] = s.class(i).priority()
 	}
 	return priorities
 }
 
-func (s *Settings) idempotency(class int) policy.Idempotency {
-	return enum(s.keyValues, classKey(class, classKeyIdempotency), map[string]policy.Idempotency{
-		"read_like":       policy.Idempotent,
-		"idempotency_key": policy.Keyed,
-		"non_idempotent":  policy.NonIdempotent,
-	})
-}
-
 // policyClasses returns what the router has to know of the request classes, in the order of RequestClasses.
 func (s *Settings) policyClasses() []policy.RequestClass {
 	classes := make([]policy.RequestClass, s.integer(keyClassCount))
@@ -71,27 +65,54 @@
 		s.recordError(keyClasses, "has no request class")
 	}
 	for i := range classes {
-		classes[i] = s.policyClass(i)
+		classes[i] = s.class(i).policyClass()
 	}
 	return classes
 }
 
-func (s *Settings) policyClass(index int) policy.RequestClass {
-	class := policy.RequestClass{Idempotency: s.idempotency(index)}
+// key returns the full key of one of the class's settings.
+func (c classSettings) key(name string) string { return classKey(c.index, name) }
+
+func (c classSettings) requestClass() RequestClass {
+	return RequestClass{
+		Name:        c.text(c.key(classKeyName)),
+		Idempotency: c.idempotency(),
+		Timeout:     c.duration(c.key(classKeyTimeout)),
+	}
+}
+
+func (c classSettings) priority() ClassPriority {
+	return ClassPriority{
+		LatencyObjective: c.duration(c.key(classKeyLatencyObjective)),
+		PriorityWeight:   c.figure(c.key(classKeyPriorityWeight)),
+	}
+}
+
+func (c classSettings) idempotency() policy.Idempotency {
+	return enum(c.keyValues, c.key(classKeyIdempotency), map[string]policy.Idempotency{
+		"read_like":       policy.Idempotent,
+		"idempotency_key": policy.Keyed,
+		"non_idempotent":  policy.NonIdempotent,
+	})
+}
+
+// policyClass reads a class as the router sees it. Only keyed requests have a scope and a window of deduplication.
+func (c classSettings) policyClass() policy.RequestClass {
+	class := policy.RequestClass{Idempotency: c.idempotency()}
 	if class.Idempotency == policy.Keyed {
-		class.DedupScope = enum(s.keyValues, classKey(index, classKeyDedupScope), map[string]policy.DedupScope{
+		class.DedupScope = enum(c.keyValues, c.key(classKeyDedupScope), map[string]policy.DedupScope{
 			"all":  policy.DedupAll,
 			"zone": policy.DedupZone,
 			"cell": policy.DedupCell,
 		})
-		class.DedupWindow = s.micros(classKey(index, classKeyDedupWindow))
+		class.DedupWindow = c.micros(c.key(classKeyDedupWindow))
 	}
-	class.LatencyObjective = s.micros(classKey(index, classKeyLatencyObjective))
-	class.Timeout = s.micros(classKey(index, classKeyTimeout))
+	class.LatencyObjective = c.micros(c.key(classKeyLatencyObjective))
+	class.Timeout = c.micros(c.key(classKeyTimeout))
 	if class.LatencyObjective <= 0 {
-		s.recordError(classKey(index, classKeyLatencyObjective), "is 0; no answer could be in time")
+		c.recordError(c.key(classKeyLatencyObjective), "is 0; no answer could be in time")
 	}
-	class.PriorityWeight = s.figure(classKey(index, classKeyPriorityWeight))
-	class.LateWeightShare = s.figureOrDefault(classKey(index, classKeyLateWeightShare), 0)
+	class.PriorityWeight = c.figure(c.key(classKeyPriorityWeight))
+	class.LateWeightShare = c.figureOrDefault(c.key(classKeyLateWeightShare), 0)
 	return class
 }
