--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -148,7 +148,7 @@
 	if reply := <-replies; reply.Response == nil {
 		t.Errorf("the request in flight got %+v", reply)
 	}
-	r.Loop.Flush(r.Context)
+	r.Loop.Flush(r.Context())
 	if n := r.Loop.EndpointRecords(); n != 0 {
 		t.Errorf("%d records are kept", n)
 	}
--- a/internal/agenttest/agenttest.go
+++ b/internal/agenttest/agenttest.go
@@ -23,12 +23,12 @@
 var KeyedRequest = protocol.EncodeRequest(http.MethodPost, "/posting?sid=1", "service.internal",
 	http.Header{"Idempotency-Key": {"k"}}, []byte("body"))
 
-// Eventually waits until isDone returns true, and fails the test where it does not within Patience. what names it in the failure.
+// Eventually waits until isDone returns true, and fails the test where it does not within WaitTimeout. what names it in the failure.
 func Eventually(t *testing.T, what string, isDone func() bool) {
 	t.Helper()
 	for end := time.Now().Add(WaitTimeout); !isDone(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("%s did not come", what)
+			t.Fatalf("%s did not come within %v", what, WaitTimeout)
 		}
 	}
 }
--- a/internal/agenttest/rig.go
+++ b/internal/agenttest/rig.go
@@ -17,22 +17,26 @@
 
 // The settings of a Rig's pool that no test depends on.
 const (
-	idleTimeout      = time.Minute
+	idleTimeout = time.Minute
+	// connectionBudget is the number of descriptors for connections.
 	connectionBudget = 64
 )
 
 // Rig is an event loop with a scripted router and an endpoint pool, and no clients.
 type Rig struct {
 	*Router
-	Loop    *agent.Loop
-	Pool    *upstream.Pool
-	Context context.Context // ends with the test
+	Loop *agent.Loop
+	Pool *upstream.Pool
+	t    *testing.T
 }
 
+// Context ends with the test.
+func (r *Rig) Context() context.Context { return r.t.Context() }
+
 // NewRig starts a rig whose connections have to come up within dialTimeout. They are reused at once after a response.
 func NewRig(t *testing.T, dialTimeout time.Duration) *Rig {
 	t.Helper()
-	r := &Rig{Router: &Router{}, Context: t.Context()}
+	r := &Rig{Router: &Router{}, t: t}
 	r.Loop = agent.NewLoop(r.Router, agent.NewClock())
 	r.Pool = upstream.NewPool(upstream.Config{
 		DialTimeout:      dialTimeout,
@@ -40,7 +44,7 @@
 		LoadReportFields: []string{"queue"},
 		Budget:           connlimit.NewBudget(connectionBudget),
 	})
-	go r.Loop.Serve(r.Context, r.Pool, func(policy.Vote) {}, func(policy.SendGossip) {})
+	go r.Loop.Serve(r.Context(), r.Pool, func(policy.Vote) {}, func(policy.SendGossip) {})
 	return r
 }
 
@@ -97,10 +101,10 @@
 	r.Loop.Admit(policy.RequestArrived{ID: id}, request)
 	select {
 	case reply := <-request.Replies():
-		r.Loop.Flush(r.Context) // the router gets the result after the client
+		r.Loop.Flush(r.Context()) // the router gets the result after the client
 		return reply
 	case <-time.After(WaitTimeout):
-		t.Fatal("no final reply")
+		t.Fatalf("request %d has no final reply after %v", id, WaitTimeout)
 		return agent.Reply{}
 	}
 }
--- a/internal/agenttest/router.go
+++ b/internal/agenttest/router.go
@@ -9,7 +9,7 @@
 
 // Router is a scripted routing policy: it records events and returns the commands that the test wants. It may be used by any goroutine.
 type Router struct {
-	mu      sync.Mutex
+	mutex   sync.Mutex
 	events  []policy.Event
 	times   []policy.Micros
 	respond func(policy.Event) []policy.Command
@@ -17,8 +17,8 @@
 
 // Handle records an event.
 func (r *Router) Handle(now policy.Micros, event policy.Event) []policy.Command {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	r.events = append(r.events, event)
 	r.times = append(r.times, now)
 	if r.respond == nil {
@@ -29,15 +29,15 @@
 
 // Respond sets what is returned for each event from now on. It is called with the router locked.
 func (r *Router) Respond(respond func(policy.Event) []policy.Command) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	r.respond = respond
 }
 
 // All returns the events so far, with the times at which they came.
 func (r *Router) All() ([]policy.Event, []policy.Micros) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	return slices.Clone(r.events), slices.Clone(r.times)
 }
 
--- a/internal/agenttest/servers.go
+++ b/internal/agenttest/servers.go
@@ -34,21 +34,25 @@
 	return server
 }
 
-// maxCapture is how much of a connection Capture reads.
-const maxCapture = 4096
+const (
+	// maxCaptureBytes is how much of a connection Capture reads.
+	maxCaptureBytes = 4096
+	// maxCaptures is how many connections Capture keeps for next.
+	maxCaptures = 64
+)
 
 // Capture accepts connections, keeps the first bytes of each, and closes it. next waits for those of the next connection.
 func Capture(t *testing.T) (address string, next func() string) {
 	t.Helper()
 	listener := Listen(t)
-	captured := make(chan string, 64)
+	captured := make(chan string, maxCaptures)
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			raw := make([]byte, maxCapture)
+			raw := make([]byte, maxCaptureBytes)
 			_ = conn.SetReadDeadline(time.Now().Add(WaitTimeout)) // fails only on a closed connection, which Read reports
 			n, _ := conn.Read(raw)                                // what came before an error is what counts
 			captured <- string(raw[:n])
@@ -60,7 +64,7 @@
 		case text := <-captured:
 			return strings.ReplaceAll(text, listener.Addr().String(), "HOST:PORT")
 		case <-time.After(WaitTimeout):
-			t.Fatal("nothing was written")
+			t.Fatalf("no connection was captured within %v", WaitTimeout)
 			return ""
 		}
 	}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -34,7 +34,7 @@
 	handled := make(chan struct{}) // all that the next discovery has sent
 	r.client.mailbox.Put(barrierReceived{agent.Barrier{Done: handled}})
 	<-handled
-	r.Loop.Flush(r.Context)
+	r.Loop.Flush(r.Context())
 	if !r.hasDrainingEndpoint() || previous.Closed() != 0 {
 		t.Fatalf("the older list is in force: %+v", r.endpoints())
 	}
--- a/internal/discovery/rig_test.go
+++ b/internal/discovery/rig_test.go
@@ -33,7 +33,7 @@
 	if err := r.client.Known([]byte(list)); err != nil {
 		t.Fatal(err)
 	}
-	go r.client.Serve(r.Context)
+	go r.client.Serve(r.Context())
 }
 
 // endpoints returns the endpoints that the router knows of, by number.
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	start := time.Now()
-	go r.client.Serve(r.Context)
+	go r.client.Serve(r.Context())
 	agenttest.Eventually(t, "the next watch", func() bool { return server.CallsContaining("stream=1&index=5") == 2 })
 	agenttest.Eventually(t, "its stream", func() bool { return server.Open() == 2 || server.Closed() == 1 })
 	server.Publish(drainingList)
--- a/internal/gossip/messenger_test.go
+++ b/internal/gossip/messenger_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go messenger.Serve(r.Context)
+	go messenger.Serve(r.Context())
 	messenger.SendCommand(policy.SendGossip{To: 1, Payload: []byte("hello")})
 	buffer := make([]byte, 300)
 	if err := peer.SetReadDeadline(time.Now().Add(agenttest.WaitTimeout)); err != nil {
--- a/internal/proxy/admission_loop_test.go
+++ b/internal/proxy/admission_loop_test.go
@@ -33,7 +33,7 @@
 		Seed:            1,
 	})
 	admissionRig := &testAdmission{rig, NewAdmissionLoop(controller, clock, rig.Loop)}
-	go admissionRig.loop.Serve(rig.Context)
+	go admissionRig.loop.Serve(rig.Context())
 	return admissionRig
 }
 
--- a/internal/rollout/refused_vote_test.go
+++ b/internal/rollout/refused_vote_test.go
@@ -18,7 +18,7 @@
 	}
 	r := newRig(t, closed.Addr().String())
 	resolved := make(chan bool, 1)
-	r.client.castTimedVote(r.Context, r.client.apiURL, TimedVote{
+	r.client.castTimedVote(r.Context(), r.client.apiURL, TimedVote{
 		Vote: policy.Vote{Build: 4}, WriteBefore: time.Now().Add(agenttest.WaitTimeout), Resolved: func(wrote bool) { resolved <- wrote },
 	})
 	select {
--- a/internal/rollout/stream_test.go
+++ b/internal/rollout/stream_test.go
@@ -15,7 +15,7 @@
 		return fakes.RolloutEvent(42, 0, "testing", 0.1)
 	})
 	r := newRig(t, server.Addr())
-	go r.client.Serve(r.Context)
+	go r.client.Serve(r.Context())
 	r.awaitUpdates(t, "the state at once", 1)
 	server.Publish("event: OTHER\ndata: image=1\n\n" + fakes.RolloutEvent(42, 1, "recalling", 0))
 	r.awaitUpdates(t, "an update", 2)
--- a/internal/rollout/votes_test.go
+++ b/internal/rollout/votes_test.go
@@ -34,9 +34,9 @@
 	})
 	r := newRig(t, stream.Addr())
 	r.client.voteTimeout = agenttest.WaitTimeout
-	go r.client.Serve(r.Context)
+	go r.client.Serve(r.Context())
 	r.awaitUpdates(t, "the canary stage", 1)
-	go r.client.castVote(r.Context, apiURL(votes.Addr()), policy.Vote{Build: 42, Verdict: policy.Advance})
+	go r.client.castVote(r.Context(), apiURL(votes.Addr()), policy.Vote{Build: 42, Verdict: policy.Advance})
 	agenttest.Eventually(t, "the vote", func() bool { return len(votes.Requests()) == 1 })
 	stream.Publish(fakes.RolloutEvent(42, 0, "recalling", 0))
 	r.awaitUpdates(t, "the rollback", 2)
@@ -65,7 +65,7 @@
 	} {
 		server := agenttest.NewStreamServer(t, ":\n", time.Hour, func(string) string { return c.reply })
 		r := newRig(t, server.Addr())
-		r.client.castVote(r.Context, r.client.apiURL, policy.Vote{Build: 42, Stage: 1, Verdict: policy.Advance})
+		r.client.castVote(r.Context(), r.client.apiURL, policy.Vote{Build: 42, Stage: 1, Verdict: policy.Advance})
 		r.awaitUpdates(t, "the reply", 1)
 		got := r.updates()[0]
 		if got.Outcome != c.want || !got.IsVoteReply || got.Build != 42 || got.Stage != 1 {
@@ -88,7 +88,7 @@
 	}
 	for address, want := range map[string]policy.Outcome{silent.Addr(): policy.TimedOut, closed.Addr().String(): policy.ConnectFailed} {
 		r := newRig(t, address)
-		r.client.castVote(r.Context, r.client.apiURL, policy.Vote{})
+		r.client.castVote(r.Context(), r.client.apiURL, policy.Vote{})
 		r.awaitUpdates(t, "the outcome", 1)
 		if got := r.updates()[0]; got.Outcome != want {
 			t.Errorf("published as %+v, want outcome %d", got, want)
--- a/internal/rollout/write_deadline_test.go
+++ b/internal/rollout/write_deadline_test.go
@@ -14,7 +14,7 @@
 	server := agenttest.NewScriptedServer(t, fakes.NeverRespond)
 	r := newRig(t, server.Addr())
 	resolved := make(chan bool, 1)
-	r.client.castTimedVote(r.Context, r.client.apiURL, TimedVote{
+	r.client.castTimedVote(r.Context(), r.client.apiURL, TimedVote{
 		Vote:        policy.Vote{Build: 42, Verdict: policy.Advance},
 		WriteBefore: time.Now().Add(-time.Millisecond),
 		Resolved:    func(wrote bool) { resolved <- wrote },
--- a/internal/upstream/endpoint_test.go
+++ b/internal/upstream/endpoint_test.go
@@ -62,7 +62,7 @@
 	case <-time.After(agenttest.WaitTimeout / 2):
 		t.Fatal("its attempt still waits for the connection")
 	}
-	r.Loop.Flush(r.Context)
+	r.Loop.Flush(r.Context())
 	if results := agenttest.Events[policy.AttemptResult](r.Router); len(results) != 1 || results[0].Outcome != policy.NotAttempted {
 		t.Fatalf("ended as %+v", results)
 	}
@@ -243,7 +243,7 @@
 			t.Fatalf("request %d ended as %+v", id+1, got)
 		}
 	}
-	r.Loop.Flush(r.Context)
+	r.Loop.Flush(r.Context())
 	const idle = 20 * time.Millisecond
 	r.Pool.SetIdleTimeout(idle)
 	time.Sleep(idle) // the time that has to be over; more does not matter
--- a/internal/upstream/results_test.go
+++ b/internal/upstream/results_test.go
@@ -209,7 +209,7 @@
 	if got := r.Send(t, 1, agenttest.KeyedRequest, time.Second); got.Response == nil {
 		t.Fatalf("a fresh one got %+v", got)
 	}
-	r.Loop.Flush(r.Context)
+	r.Loop.Flush(r.Context())
 	entry := agenttest.Entry(server.Addr())
 	endpoint := r.Pool.NewEndpoint(protocol.EndpointID(agenttest.Host), entry, r.Loop)
 	endpoint.Update(entry)
