--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -78,9 +78,9 @@
 	random   *rand.Rand
 	result   *AdmissionResult
 
-	admitter   admitter
-	timerAt    int64             // at which the admission controller wants to be called
-	rejections [][]waitingClient // by tenant
+	admitter    admitter
+	timerAt     int64 // at which the admission controller wants to be called
+	retryAfters *retryAfterMeter
 
 	router        policy.Router
 	endpoints     []*endpointModel
@@ -88,22 +88,15 @@
 	lastRequestID uint64
 }
 
-// waitingClient is one that was rejected with a Retry-After. It needed to wait until the tenant's admitted cost reaches targetCost.
-type waitingClient struct {
-	targetCost float64
-	retryAfter float64
-	rejectedAt int64
-}
-
 // PlayAdmission plays a scenario under an admission policy.
 func PlayAdmission(scenario AdmissionScenario, admissionPolicy AdmissionPolicy) *AdmissionResult {
 	r := &admissionRun{
-		scenario:   scenario,
-		random:     rand.New(rand.NewSource(scenario.Seed)),
-		result:     &AdmissionResult{},
-		timerAt:    never,
-		rejections: make([][]waitingClient, len(scenario.TenantShares)),
-		pending:    map[uint64]*clientRequest{},
+		scenario:    scenario,
+		random:      rand.New(rand.NewSource(scenario.Seed)),
+		result:      &AdmissionResult{},
+		timerAt:     never,
+		retryAfters: newRetryAfterMeter(len(scenario.TenantShares)),
+		pending:     map[uint64]*clientRequest{},
 	}
 	for range scenario.TenantShares {
 		r.result.Tenants = append(r.result.Tenants, TenantResult{Latency: hdrhistogram.New(1, 100*second, 3)})
@@ -114,6 +107,7 @@
 	r.scheduleLimitSamples()
 	r.runUntil(scenario.duration() + scenario.timeout() + maxRetryAfter*maxClientRetries)
 	r.result.Counters = r.admitter.Counters
+	r.result.RetryAfterRatios = r.retryAfters.ratios
 	for tenant := range scenario.TenantShares {
 		r.result.AdmittedCost = append(r.result.AdmittedCost, r.tenantStatus(tenant).AdmittedCost)
 	}
@@ -161,7 +155,9 @@
 			panic("simulation: a retry was coalesced, which no scenario turns on")
 		}
 	}
-	r.measureNeededWaits()
+	for tenant := range r.scenario.TenantShares {
+		r.retryAfters.recordAdmittedCost(r.now, tenant, r.tenantStatus(tenant).AdmittedCost)
+	}
 	r.scheduleAdmissionTimer()
 }
 
@@ -171,30 +167,11 @@
 		retryAfter = r.admitter.fixedRetryAfter
 	}
 	if command.RetryAfter > 0 {
-		status := r.tenantStatus(request.tenant)
-		r.rejections[request.tenant] = append(r.rejections[request.tenant], waitingClient{
-			targetCost: status.AdmittedCost + status.Cost + status.ReservedCost,
-			retryAfter: float64(command.RetryAfter),
-			rejectedAt: r.now,
-		})
+		r.retryAfters.recordRejection(r.now, request.tenant, r.tenantStatus(request.tenant), command.RetryAfter)
 	}
 	r.rejectRequest(request, retryAfter)
 }
 
-// measureNeededWaits compares the waits of rejected requests with the time at which there was capacity for them.
-func (r *admissionRun) measureNeededWaits() {
-	for tenant := range r.rejections {
-		admittedCost := r.tenantStatus(tenant).AdmittedCost
-		for len(r.rejections[tenant]) > 0 && admittedCost >= r.rejections[tenant][0].targetCost {
-			first := r.rejections[tenant][0]
-			r.rejections[tenant] = r.rejections[tenant][1:]
-			if needed := float64(r.now - first.rejectedAt); needed > 0 {
-				r.result.RetryAfterRatios = append(r.result.RetryAfterRatios, first.retryAfter/needed)
-			}
-		}
-	}
-}
-
 func (r *admissionRun) scheduleAdmissionTimer() {
 	next := r.admitter.NextTimer()
 	if next <= 0 || next >= r.timerAt {
