--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -38,7 +38,7 @@
 }
 
 // admitReserved admits a queued request that arrived at its reserved time ahead of those that wait, where the headroom of the
-// concurrency limit allows it; its tenant pays as for any other. It returns whether the request was admitted.
+// concurrency limit allows it; its tenant is charged as for any other. It returns whether the request was admitted.
 func (c *Controller) admitReserved(request *trackedRequest) bool {
 	if !c.concurrency.hasReservedCapacity() {
 		c.Counters.ReservationsMissed++
--- a/internal/admission/concurrency_limit.go
+++ b/internal/admission/concurrency_limit.go
@@ -25,7 +25,7 @@
 // holds them, or they are on the way between two goroutines. The surplus shows that the dispatcher is never short of requests.
 const (
 	// unsentFraction of the limit may be in progress without having been sent. As a fraction of the requests in progress
-	// instead, it would bring the limit down to the demand in quiet times.
+	// instead, it would bring the limit down to the demand while there is little load.
 	unsentFraction = 0.05
 	// minUnsentAllowance, in requests, is the least number that may be: some tens of milliseconds of a small deployment's work.
 	// With hardly any, a dispatcher that had lowered all its endpoints' limits would be given too few requests to raise them again.
@@ -88,7 +88,7 @@
 func (l *concurrencyLimit) recordSent(now Micros) { l.observe(now, l.inProgress, l.sent+1) }
 
 // recordFinished records that a request is no longer in progress. A request that was sent and rejected in the end met
-// endpoints that are at their limits. One that the dispatcher rejected without sending it was either held unsent, which
+// endpoints that are at their limits. One that the dispatcher rejected without sending it either waited unsent, which
 // counts by its time, or arrived too late to be worth sending, which says nothing about the limit: counted as a rejection,
 // late retries would lower the limit for everyone.
 func (l *concurrencyLimit) recordFinished(now Micros, result Result, isSent bool) {
--- a/internal/admission/fair_scheduler.go
+++ b/internal/admission/fair_scheduler.go
@@ -20,7 +20,7 @@
 }
 
 type heapEntry[T any] struct {
-	startTag float64 // the flow's, kept here so that a comparison stays within the heap's memory
+	startTag float64 // the flow's, copied here so that a comparison stays within the heap's memory
 	flow     *fairFlow[T]
 }
 
--- a/internal/admission/retry_index.go
+++ b/internal/admission/retry_index.go
@@ -28,7 +28,7 @@
 	return hashing.Mix64(hashing.Mix64(hash) + arrival.Client)
 }
 
-// register makes a request known to its later attempts. One without a key cannot be told from its client's other requests
+// register makes a request known to its later attempts. One without a key cannot be distinguished from its client's other requests
 // and is not registered.
 func (x *retryIndex) register(request *trackedRequest) {
 	if request.Key != 0 {
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -24,7 +24,7 @@
 	OnDone         func() // called when it is answered and none of its attempts is in flight; nil: not called
 	OnFirstAttempt func() // called before its first attempt is sent; nil: not called
 
-	replies   chan Reply   // has room for the one final reply
+	replies   chan Reply   // buffers the one final reply
 	coalesced []chan Reply // those of its retries, which get the same reply
 	answered  bool         // it has its final reply, or its client has gone
 	result    admission.Result
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -56,7 +56,7 @@
 	ticksPerLease = 15
 	// maxEffectDelay of a vote at the rollout controller, without faults.
 	maxEffectDelay = 40 * ms
-	// maxViolations are kept of a schedule.
+	// maxViolations of a schedule are recorded.
 	maxViolations = 5
 
 	// memberChangeRate of the schedules with faults have changes of members.
--- a/internal/simulation/election_agent.go
+++ b/internal/simulation/election_agent.go
@@ -29,7 +29,7 @@
 	a.epoch++
 }
 
-// restoredState returns the durable state that the agent has kept; nil: none.
+// restoredState returns the durable state that the agent has on its disk; nil: none.
 func (a *electionAgent) restoredState() *election.DurableState {
 	if !a.hasDisk {
 		return nil
@@ -59,7 +59,7 @@
 	}
 }
 
-// pause makes the agent stand still; what comes in meanwhile is handled at the end.
+// pause stops the agent for a time; what comes in meanwhile is handled at the end.
 func (a *electionAgent) pause(t *timeline, span int64) {
 	if a.isDown {
 		return
--- a/internal/simulation/election_controller.go
+++ b/internal/simulation/election_controller.go
@@ -27,7 +27,7 @@
 	until  int64 // it counts until then
 }
 
-// nextStage moves the rollout on; votes on the stage before are moot.
+// nextStage moves the rollout on; votes on the stage before have no effect any more.
 func (c *rolloutController) nextStage() {
 	c.stage++
 	c.votes = nil
@@ -43,7 +43,7 @@
 // before another agent's contrary vote took effect.
 func (c *rolloutController) carryOut(now int64, agent int, record election.Record, castAt int64) {
 	if record.Build != c.build || record.Stage != c.stage {
-		return // moot
+		return // on a stage that is over
 	}
 	c.result.EffectiveVotes++
 	c.votes = slices.DeleteFunc(c.votes, func(v effectiveVote) bool { return v.until <= now || v.agent == agent })
