--- a/cmd/switchfork/admin.go
+++ b/cmd/switchfork/admin.go
@@ -72,7 +72,11 @@
 }
 
 func (a *adminCommands) membersCommand() *cobra.Command {
-	command := &cobra.Command{Use: "members", Short: "List or change the members of the election"}
+	command := &cobra.Command{
+		Use:   "members",
+		Short: "List or change the members of the election",
+		Long:  "List or change the members of the election, the agents of which one is the leader and casts the votes on releases for all.",
+	}
 	command.AddCommand(
 		a.listMembersCommand(),
 		a.changeMembersCommand("add", "Add an agent to the members"),
@@ -114,7 +118,11 @@
 }
 
 func (a *adminCommands) stateCommand() *cobra.Command {
-	command := &cobra.Command{Use: "state", Short: "Inspect a replica's state folder"}
+	command := &cobra.Command{
+		Use:   "state",
+		Short: "Inspect a replica's state folder",
+		Long:  "Inspect the state folder of a replica of the election. The agent that uses the folder must not be running.",
+	}
 	command.AddCommand(a.showStateCommand(), a.verifyStateCommand())
 	return command
 }
@@ -123,6 +131,7 @@
 	return &cobra.Command{
 		Use:   "show FOLDER",
 		Short: "Print what a state folder holds",
+		Long:  "Print the promises, the accepted lease, the newest decision and the members that a state folder holds.",
 		Args:  oneArg,
 		RunE: func(_ *cobra.Command, args []string) error {
 			group, index, state, err := storage.Inspect(args[0])
@@ -151,6 +160,7 @@
 	return &cobra.Command{
 		Use:   "verify FOLDER",
 		Short: "Check that a state folder is intact",
+		Long:  "Check that a state folder is intact. Nothing in it is changed.",
 		Args:  oneArg,
 		RunE: func(_ *cobra.Command, args []string) error {
 			if _, _, _, err := storage.Inspect(args[0]); err != nil {
--- a/cmd/switchfork/main.go
+++ b/cmd/switchfork/main.go
@@ -88,6 +88,7 @@
 		&cobra.Command{
 			Use:   "version",
 			Short: "Print the version",
+			Long:  "Print the version of the program, or the commit from which it was built.",
 			Args:  noArgs,
 			Run:   func(c *cobra.Command, _ []string) { printVersion(c.OutOrStdout()) },
 		},
