--- a/cmd/switchfork/coordinator.go
+++ b/cmd/switchfork/coordinator.go
@@ -168,7 +168,7 @@
 	return coordinator.Callbacks{
 		UpdateRollout: loop.UpdateRollout,
 		CastVote: func(vote policy.Vote, writeBefore time.Time, resolved func(written bool)) {
-			rolloutClient.CastBefore(rollout.TimedVote{Vote: vote, WriteBefore: writeBefore, Resolved: resolved})
+			rolloutClient.VoteBefore(rollout.TimedVote{Vote: vote, WriteBefore: writeBefore, Resolved: resolved})
 		},
 	}
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -15,7 +15,7 @@
 )
 
 // A watch that ends is resumed from the last version. Versions may be skipped, a list that is not newer is dropped, and after a line that
-// can't be read the whole list is fetched.
+// can't be read the full list is fetched.
 func TestWatchResumesFromLastVersion(t *testing.T) {
 	server := agenttest.NewStreamServer(t, "\n", 50*time.Millisecond, func(target string) string {
 		if !strings.Contains(target, "stream") {
@@ -32,11 +32,11 @@
 	agenttest.Eventually(t, "the next watch", func() bool { return server.CallsContaining("stream=1&index=20") == 1 })
 	agenttest.Eventually(t, "its stream", func() bool { return server.Open() == 1 })
 	server.Publish("{\"seq\":21,\"hosts\":[" + "\n")
-	agenttest.Eventually(t, "the whole list", func() bool { return len(r.builds()) == 4 })
+	agenttest.Eventually(t, "the full list", func() bool { return len(r.builds()) == 4 })
 	if got := r.builds(); got[1] != 3 || got[2] != 4 || got[3] != 9 {
 		t.Errorf("builds published: %v", got)
 	}
-	agenttest.Eventually(t, "the watch from the whole list on", func() bool { return server.CallsContaining("index=30") > 0 })
+	agenttest.Eventually(t, "the watch from the full list on", func() bool { return server.CallsContaining("index=30") > 0 })
 }
 
 // A discovery that reports overload is called again within the configured time, not at once: all agents call alike.
@@ -48,7 +48,14 @@
 	}))
 	defer overloaded.Close()
 	loop := agent.NewLoop(&agenttest.Router{}, agent.NewClock())
-	client := NewClient(loop, overloaded.Listener.Addr().String(), []string{agenttest.Zone}, time.Second, 8*time.Second, 1, 1)
+	client := NewClient(loop, Config{
+		Address:     overloaded.Listener.Addr().String(),
+		Zones:       []string{agenttest.Zone},
+		DialTimeout: time.Second,
+		PollWithin:  8 * time.Second,
+		AgentCount:  1,
+		Seed:        1,
+	})
 	go client.Serve(t.Context())
 	time.Sleep(1200 * time.Millisecond) // the next call is due 2 to 6 s after the first
 	if n := calls.Load(); n != 1 {
@@ -56,9 +63,9 @@
 	}
 }
 
-// A list may come over several lines, whether it is whole or of changes.
+// A list may come over several lines, whether it is full or of changes.
 func TestListsOverSeveralLines(t *testing.T) {
-	fullList := indented(t, fakes.ListDocument(5, true, firstHost("active", 1), secondHost("active", 1)))
+	fullList := indented(t, fakes.ListDocument(5, true, firstHost("active", 1), secondHost("active")))
 	server := agenttest.NewStreamServer(t, "\n", 50*time.Millisecond, onlyFullList(fullList))
 	r := newRig(t, server.Addr())
 	r.serveKnown(t, "")
@@ -66,14 +73,14 @@
 	agenttest.Eventually(t, "the watch", func() bool { return server.Open() == 1 })
 	server.Publish(indented(t, fakes.ListDocument(6, false, firstHost("active", 2))))
 	r.awaitHosts(t, 2, 2)
-	server.Publish(fakes.ListDocument(7, false, firstHost("active", 3)) + indented(t, fakes.ListDocument(8, false, secondHost("left", 1))))
+	server.Publish(fakes.ListDocument(7, false, firstHost("active", 3)) + indented(t, fakes.ListDocument(8, false, secondHost("left"))))
 	r.awaitHosts(t, 1, 3)
 	if n := server.CallsContaining(""); n != 2 {
 		t.Errorf("calls: %q", server.Targets())
 	}
 }
 
-// A list that lacks its end is detected by the next heartbeat or the next list, and the whole list is fetched.
+// A list that lacks its end is detected by the next heartbeat or the next list, and the full list is fetched.
 func TestTruncatedListIsFetchedAgain(t *testing.T) {
 	truncated, _, found := strings.Cut(indented(t, fakes.ListDocument(6, false, firstHost("leaving", 7))), `"health"`)
 	if !found {
@@ -110,7 +117,7 @@
 	drainingList := fakes.ListDocument(6, false, firstHost("leaving", 1))
 	server := agenttest.NewStreamServer(t, "\n", time.Hour, func(string) string { return "\n" })
 	r := newRig(t, server.Addr())
-	if err := r.client.Known([]byte(fakes.ListDocument(5, true, firstHost("active", 1)))); err != nil {
+	if err := r.client.PublishInitial([]byte(fakes.ListDocument(5, true, firstHost("active", 1)))); err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
--- a/internal/faulttest/fake_discovery.go
+++ b/internal/faulttest/fake_discovery.go
@@ -1,7 +1,7 @@
 package faulttest
 
 import (
-	"fmt"
+	"context"
 	"net/http"
 	"slices"
 	"strconv"
@@ -21,8 +21,8 @@
 	address    func(agent, endpoint int) string // how an agent reaches an endpoint
 }
 
-func newFakeDiscovery(now netfault.Clock, address func(agent, endpoint int) string) (*fakeDiscovery, error) {
-	l, err := listen()
+func newFakeDiscovery(ctx context.Context, now netfault.Clock, address func(agent, endpoint int) string) (*fakeDiscovery, error) {
+	l, err := listen(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -31,8 +31,6 @@
 	return d, nil
 }
 
-func (d *fakeDiscovery) addr() string { return d.listener.Addr().String() }
-
 func (d *fakeDiscovery) serveList(w http.ResponseWriter, r *http.Request) {
 	conn := countedConnOf(r)
 	newest := d.newestVersion()
@@ -86,7 +84,3 @@
 	d.versionsMu.Unlock()
 	d.publish(version)
 }
-
-const endpointNamePrefix = "s-"
-
-func endpointName(endpoint int) string { return fmt.Sprintf("%s%d", endpointNamePrefix, endpoint) }
--- a/internal/upstream/results_test.go
+++ b/internal/upstream/results_test.go
@@ -122,7 +122,7 @@
 
 // What an endpoint sends after a response, at once or later, never becomes the response to the next request.
 func TestUnrequestedResponseIsNotDelivered(t *testing.T) {
-	for _, pause := range []time.Duration{0, 20 * time.Millisecond} {
+	for _, delay := range []time.Duration{0, 20 * time.Millisecond} {
 		server := agenttest.NewScriptedServer(t, nil)
 		r := agenttest.NewRig(t, time.Second)
 		r.PublishOne(server.Addr())
@@ -131,7 +131,7 @@
 			if _, err := io.WriteString(conn, fakes.OKResponse(fmt.Sprint(nth))); err != nil {
 				return false
 			}
-			time.Sleep(pause)
+			time.Sleep(delay)
 			_, err := io.WriteString(conn, fakes.OKResponse("not asked for"))
 			sentAfter <- true
 			return err == nil
@@ -153,10 +153,10 @@
 	r := agenttest.NewRig(t, time.Second)
 	entry := agenttest.Entry(before.Addr())
 	entry.Build = 1
-	r.Publish(protocol.List{Seq: 1, Whole: true, Hosts: []protocol.ListEntry{entry}})
+	r.Publish(protocol.List{Version: 1, IsFull: true, Entries: []protocol.ListEntry{entry}})
 	r.Send(t, 1, agenttest.KeyedRequest, time.Second)
-	entry.Dial, entry.Build = after.Addr(), 2
-	r.Publish(protocol.List{Seq: 2, Hosts: []protocol.ListEntry{entry}})
+	entry.Address, entry.Build = after.Addr(), 2
+	r.Publish(protocol.List{Version: 2, Entries: []protocol.ListEntry{entry}})
 	agenttest.Eventually(t, "the end of the old connection", func() bool { return before.Closed() == 1 })
 	r.Send(t, 2, agenttest.KeyedRequest, time.Second)
 	lists := agenttest.Events[policy.EndpointUpdate](r.Router)
