--- a/cmd/switchfork/golden_test.go
+++ b/cmd/switchfork/golden_test.go
@@ -59,7 +59,7 @@
 
 func (nowhere) Send(int, []byte) {}
 
-// The metrics keep their names.
+// The metrics keep their names, also the deprecated ones.
 func TestGoldenMetrics(t *testing.T) {
 	c := coordinator.New(coordinator.Config{Members: election.InitialMembers(3), Settings: election.Settings{Lease: 1e6}}, nowhere{}, nil,
 		coordinator.Callbacks{UpdateRollout: func(policy.RolloutUpdate) {}})
