--- a/cmd/switchfork/admin.go
+++ b/cmd/switchfork/admin.go
@@ -79,8 +79,8 @@
 	}
 	command.AddCommand(
 		a.listMembersCommand(),
-		a.changeMembersCommand("add", "Add an agent to the members"),
-		a.changeMembersCommand("remove", "Remove an agent from the members"),
+		a.changeMembersCommand(coordinator.AddMember, "Add an agent to the members"),
+		a.changeMembersCommand(coordinator.RemoveMember, "Remove an agent from the members"),
 	)
 	return command
 }
@@ -101,9 +101,9 @@
 	})
 }
 
-func (a *adminCommands) changeMembersCommand(change, short string) *cobra.Command {
+func (a *adminCommands) changeMembersCommand(kind coordinator.MemberChangeKind, short string) *cobra.Command {
 	return a.withSocketFlag(&cobra.Command{
-		Use:   change + " AGENT",
+		Use:   string(kind) + " AGENT",
 		Short: short,
 		Long:  short + " of the election. The agent that is asked has to be the leader.",
 		Args:  oneArg,
@@ -112,7 +112,7 @@
 			if err != nil || agent < 0 || agent >= election.MaxReplicas {
 				return usageError{fmt.Errorf("%q is no agent, expected a number from 0 to %d", args[0], election.MaxReplicas-1)}
 			}
-			return coordinator.RequestMemberChange(a.socket, coordinator.MemberChange{Kind: coordinator.MemberChangeKind(change), Agent: agent})
+			return coordinator.RequestMemberChange(a.socket, coordinator.MemberChange{Kind: kind, Agent: agent})
 		},
 	})
 }
