--- a/internal/faulttest/netfault/link.go
+++ b/internal/faulttest/netfault/link.go
@@ -1,8 +1,3 @@
-// Package netfault holds relays that stand between processes of a test, and the faults that a link between them may have: a Mesh relays
-// datagrams, a Stream relays TCP connections, and each direction is a Link with its own Fault.
-//
-// What becomes of a datagram or of a segment of a stream is decided by Link, without I/O or a clock; the relays carry it out and count
-// it. All exported methods may be called from any goroutine.
 package netfault
 
 import (
@@ -25,18 +20,10 @@
 
 // Delivery is what becomes of one datagram.
 type Delivery struct {
-	Copies       int // 0: it is lost
-	DeliverAt    Micros
-	IsHeld       bool // it waits for the next one, or until DeliverAt
-	ReleasesHeld bool // the one that was held goes right behind it
-}
-
-// Counters count what passed in one direction.
-type Counters struct {
-	Received, ReceivedBytes   int64
-	Delivered, DeliveredBytes int64
-	Dropped                   int64
-	Foreign                   int64 // from a sender that is no party
+	Copies        int // 0: it is lost
+	DeliverAt     Micros
+	AwaitsReorder bool // it waits for the next one to overtake it, or until DeliverAt
+	Overtakes     bool // the one that waits goes right behind it
 }
 
 // Link is one direction between two parties.
@@ -48,7 +35,7 @@
 	random          *rand.Rand
 	bandwidthFreeAt Micros // when the bound on bytes lets the next ones through
 	lastDeliveryAt  Micros // of the datagram before
-	isHolding       bool   // a datagram is held to be overtaken
+	hasWaiting      bool   // a datagram waits to be overtaken
 	counters        Counters
 	faultHits       int64
 	ignoresFaults   bool
@@ -110,12 +97,7 @@
 func (l *Link) add(n Counters) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.counters.Received += n.Received
-	l.counters.ReceivedBytes += n.ReceivedBytes
-	l.counters.Delivered += n.Delivered
-	l.counters.DeliveredBytes += n.DeliveredBytes
-	l.counters.Dropped += n.Dropped
-	l.counters.Foreign += n.Foreign
+	l.counters.add(n)
 }
 
 // deliveryTime draws the delay of some bytes, and adds what the bound on bytes costs. The caller holds the mutex.
@@ -155,10 +137,10 @@
 		l.faultHits++
 	}
 	switch {
-	case l.isHolding:
-		l.isHolding, d.ReleasesHeld = false, true
-	case l.draw(f.ReorderRate / (1 - f.ReorderRate)): // nothing is drawn for the one that overtakes: of all, ReorderRate are held
-		l.isHolding, d.IsHeld = true, true
+	case l.hasWaiting:
+		l.hasWaiting, d.Overtakes = false, true
+	case l.draw(f.ReorderRate / (1 - f.ReorderRate)): // nothing is drawn for the one that overtakes: of all, ReorderRate wait
+		l.hasWaiting, d.AwaitsReorder = true, true
 		d.DeliverAt += maxReorderWait
 		l.faultHits++
 		return d
@@ -167,11 +149,11 @@
 	return d
 }
 
-// ReleaseHeld tells the link that its held datagram has waited long enough.
-func (l *Link) ReleaseHeld() {
+// EndReorderWait tells the link that its waiting datagram has waited long enough.
+func (l *Link) EndReorderWait() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.isHolding = false
+	l.hasWaiting = false
 }
 
 // ScheduleSegment decides when a segment of a stream may be delivered: not before the segment ahead of it, since a stream keeps its
--- a/internal/faulttest/netfault/link_test.go
+++ b/internal/faulttest/netfault/link_test.go
@@ -27,18 +27,18 @@
 	expectNear(t, "delay", delaySum/float64(draws-lost), 50_000, 0.02)
 
 	link.SetFault(Fault{ReorderRate: 0.25})
-	held, previousHeld := 0, false
+	waiting, previousWaits := 0, false
 	for i := range int64(draws) {
 		d := link.ScheduleDatagram(1e12+i, 80)
-		if d.IsHeld {
-			held++
+		if d.AwaitsReorder {
+			waiting++
 		}
-		if d.ReleasesHeld != previousHeld {
-			t.Fatal("the datagram behind a held one releases it, and no other does")
+		if d.Overtakes != previousWaits {
+			t.Fatal("the datagram behind a waiting one overtakes it, and no other does")
 		}
-		previousHeld = d.IsHeld
+		previousWaits = d.AwaitsReorder
 	}
-	expectNear(t, "reordered", float64(held)/draws, 0.25, 0.02)
+	expectNear(t, "reordered", float64(waiting)/draws, 0.25, 0.02)
 
 	link.SetFault(Fault{BytesPerSecond: 10_000})
 	at := Micros(0)
@@ -65,7 +65,7 @@
 		}
 	}
 	link.SetFault(Fault{})
-	link.ReleaseHeld()
+	link.EndReorderWait()
 	if d := link.ScheduleDatagram(5e12, 1); d != (Delivery{Copies: 1, DeliverAt: 5e12}) {
 		t.Errorf("without a fault a datagram is scheduled as %+v", d)
 	}
--- a/internal/faulttest/netfault/mesh.go
+++ b/internal/faulttest/netfault/mesh.go
@@ -37,10 +37,10 @@
 // NewMesh starts the sockets between parties at these addresses.
 func NewMesh(ctx context.Context, parties []string, seed int64, now Clock) (*Mesh, error) {
 	m := &Mesh{now: now, packets: make(chan packet, packetBuffer), closed: make(chan struct{})}
-	for _, party := range parties {
+	for i, party := range parties {
 		address, err := netip.ParseAddrPort(party)
 		if err != nil {
-			return nil, fmt.Errorf("a party's address: %w", err)
+			return nil, fmt.Errorf("parsing the address of party %d, expected an IP address and a port: %w", i, err)
 		}
 		m.parties = append(m.parties, address)
 	}
@@ -66,7 +66,7 @@
 		m.links[party] = append(m.links[party], NewLink(seed+int64(party)*linkSeedStep+int64(peer)))
 		socket, err := new(net.ListenConfig).ListenPacket(ctx, "udp", "127.0.0.1:0")
 		if err != nil {
-			return err
+			return fmt.Errorf("opening the socket of party %d to party %d: %w", party, peer, err)
 		}
 		m.sockets[party] = append(m.sockets[party], socket)
 	}
@@ -180,7 +180,7 @@
 			return
 		}
 		if p.reorderTimedOut {
-			m.links[p.from][p.to].ReleaseHeld()
+			m.links[p.from][p.to].EndReorderWait()
 		}
 		m.send(p)
 	}
--- a/internal/faulttest/netfault/packet_schedule.go
+++ b/internal/faulttest/netfault/packet_schedule.go
@@ -11,17 +11,17 @@
 	route
 	payload         []byte
 	sequence        int  // the order in which packets came
-	reorderTimedOut bool // set on delivery: it was held, and nothing has overtaken it in time
+	reorderTimedOut bool // set on delivery: it waited to be overtaken, and nothing came in time
 }
 
-// packetSchedule orders packets by the time at which they are due, and holds those that wait to be overtaken. One goroutine uses it.
+// packetSchedule orders packets by the time at which they are due, and keeps those back that wait to be overtaken. One goroutine uses it.
 type packetSchedule struct {
 	queue        packetQueue
-	held         map[route]packet // at most one on each route
+	waiting      map[route]packet // at most one on each route
 	lastSequence int
 }
 
-func newPacketSchedule() *packetSchedule { return &packetSchedule{held: map[route]packet{}} }
+func newPacketSchedule() *packetSchedule { return &packetSchedule{waiting: map[route]packet{}} }
 
 func (s *packetSchedule) pending() int { return len(s.queue) }
 
@@ -33,31 +33,31 @@
 	return s.queue[0].DeliverAt, true
 }
 
-// add schedules a packet. One that is held stays in the queue as its own timeout; one that releases a held packet goes ahead of it.
+// add schedules a packet. One that waits to be overtaken stays in the queue as its own timeout; the one that overtakes it goes ahead of it.
 func (s *packetSchedule) add(p packet) {
 	s.lastSequence++
 	p.sequence = s.lastSequence
-	if p.IsHeld {
-		s.held[p.route] = p
+	if p.AwaitsReorder {
+		s.waiting[p.route] = p
 	}
 	heap.Push(&s.queue, p)
-	if held, isHolding := s.held[p.route]; isHolding && p.ReleasesHeld {
-		delete(s.held, p.route)
+	if overtaken, isWaiting := s.waiting[p.route]; isWaiting && p.Overtakes {
+		delete(s.waiting, p.route)
 		s.lastSequence++
-		held.DeliverAt, held.sequence, held.IsHeld = p.DeliverAt, s.lastSequence, false
-		heap.Push(&s.queue, held)
+		overtaken.DeliverAt, overtaken.sequence, overtaken.AwaitsReorder = p.DeliverAt, s.lastSequence, false
+		heap.Push(&s.queue, overtaken)
 	}
 }
 
-// takeDue removes a packet that is due by a time. The timeout of a held packet that was released before is passed over.
+// takeDue removes a packet that is due by a time. The timeout of a packet that was overtaken before is passed over.
 func (s *packetSchedule) takeDue(now Micros) (p packet, isDue bool) {
 	for len(s.queue) > 0 && s.queue[0].DeliverAt <= now {
 		p = heap.Pop(&s.queue).(packet)
-		if !p.IsHeld {
+		if !p.AwaitsReorder {
 			return p, true
 		}
-		if held, isHolding := s.held[p.route]; isHolding && held.sequence == p.sequence {
-			delete(s.held, p.route)
+		if waiting, isWaiting := s.waiting[p.route]; isWaiting && waiting.sequence == p.sequence {
+			delete(s.waiting, p.route)
 			p.reorderTimedOut = true
 			return p, true
 		}
--- a/internal/faulttest/netfault/packet_schedule_test.go
+++ b/internal/faulttest/netfault/packet_schedule_test.go
@@ -41,24 +41,24 @@
 	}
 }
 
-// A held packet goes right behind the one that overtakes it, and once only.
-func TestPacketScheduleReleasesHeld(t *testing.T) {
+// A waiting packet goes right behind the one that overtakes it, and once only.
+func TestPacketScheduleOvertaking(t *testing.T) {
 	s := newPacketSchedule()
-	s.add(testPacket("held", Delivery{DeliverAt: 1000, IsHeld: true}))
-	s.add(testPacket("next ", Delivery{DeliverAt: 10, ReleasesHeld: true}))
-	if names, timedOut := takeAll(s, 2000); names != "next held" || slices.Contains(timedOut, true) {
+	s.add(testPacket("late", Delivery{DeliverAt: 1000, AwaitsReorder: true}))
+	s.add(testPacket("next ", Delivery{DeliverAt: 10, Overtakes: true}))
+	if names, timedOut := takeAll(s, 2000); names != "next late" || slices.Contains(timedOut, true) {
 		t.Errorf("delivered %q, timed out %v", names, timedOut)
 	}
 }
 
-// A held packet that nothing overtakes goes at its own time, and the link is told.
-func TestPacketScheduleHeldTimesOut(t *testing.T) {
+// A waiting packet that nothing overtakes goes at its own time, and the link is told.
+func TestPacketScheduleReorderTimesOut(t *testing.T) {
 	s := newPacketSchedule()
-	s.add(testPacket("held", Delivery{DeliverAt: 1000, IsHeld: true}))
+	s.add(testPacket("late", Delivery{DeliverAt: 1000, AwaitsReorder: true}))
 	if names, _ := takeAll(s, 999); names != "" {
 		t.Errorf("%q is delivered too early", names)
 	}
-	if names, timedOut := takeAll(s, 1000); names != "held" || !slices.Equal(timedOut, []bool{true}) {
+	if names, timedOut := takeAll(s, 1000); names != "late" || !slices.Equal(timedOut, []bool{true}) {
 		t.Errorf("delivered %q, timed out %v", names, timedOut)
 	}
 }
--- a/internal/faulttest/netfault/stream.go
+++ b/internal/faulttest/netfault/stream.go
@@ -3,18 +3,15 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"net"
 	"os"
 	"sync"
 	"time"
 )
 
-const (
-	serverDialTimeout = 5 * time.Second
-	// partiesPerSubnet is how many parties share the third byte of their relays' addresses.
-	partiesPerSubnet = 250
-	noParty          = -1
-)
+// serverDialTimeout bounds the connection of a relay to its target.
+const serverDialTimeout = 5 * time.Second
 
 // Stream relays TCP connections from one party to one address, each byte subject to the fault of its direction. While a direction
 // drops everything or is a black hole, new connections never come up. What a handshake over a slow link would cost is not modelled.
@@ -35,29 +32,11 @@
 	connections map[*relayedConn]bool
 }
 
-// PartyIP is the loopback address that a party's relays dial from, so that the server knows the client; PartyOf is its inverse.
-func PartyIP(party int) net.IP {
-	return net.IPv4(127, 0, byte(1+party/partiesPerSubnet), byte(1+party%partiesPerSubnet))
-}
-
-// PartyOf is the party whose relay dialled from an address, -1 for an address that is no relay's.
-func PartyOf(a net.Addr) int {
-	address, isTCP := a.(*net.TCPAddr)
-	if !isTCP {
-		return noParty
-	}
-	ip := address.IP.To4()
-	if ip == nil || ip[2] == 0 || ip[3] == 0 {
-		return noParty
-	}
-	return int(ip[2]-1)*partiesPerSubnet + int(ip[3]) - 1
-}
-
 // NewStream starts a relay for a party to an address.
 func NewStream(ctx context.Context, party int, target string, seed int64, now Clock) (*Stream, error) {
 	listener, err := new(net.ListenConfig).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("opening the relay of party %d to %s: %w", party, target, err)
 	}
 	s := &Stream{
 		Forward: NewLink(seed), Reverse: NewLink(^seed), party: party, listener: listener.(*net.TCPListener), target: target, now: now,
--- a/internal/faulttest/netfault/stream_test.go
+++ b/internal/faulttest/netfault/stream_test.go
@@ -212,15 +212,15 @@
 	expectNear(t, "a second's bytes, ms", float64(time.Since(began).Milliseconds()), 1000, 0.1)
 }
 
-// A relay that ends takes along all that it started, also connections that are in use, held by a fault or not up yet.
+// A relay that ends takes along all that it started, also connections that are in use, stopped by a fault or not up yet.
 func TestCloseEndsAllGoroutines(t *testing.T) {
 	before := runtime.NumGoroutine()
 	listener := newRecordingListener(t)
 	stream := newTestStream(t, listener)
 	mesh, _ := newTestMesh(t, newTestClock())
-	held := dial(t, stream)
+	stopped := dial(t, stream)
 	stream.Forward.SetFault(Fault{Drop: true})
-	write(t, held, "held")
+	write(t, stopped, "stopped")
 	// While the direction drops everything a connection comes up or not, as it began before the listener was blocked or after.
 	ctx, cancel := context.WithCancel(t.Context())
 	pending := make(chan struct{})
