--- a/internal/endtoend/admission_test.go
+++ b/internal/endtoend/admission_test.go
@@ -31,23 +31,10 @@
 	release := make(chan struct{})
 	endpoint := agenttest.NewScriptedServer(t, nil)
 	endpoint.SetHandler(func(c net.Conn, nth int) bool { <-release; return fakes.Respond(fakes.OKResponse("yes"))(c, nth) })
-	agent := startAgent(t, nil, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+	agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 	request := func(n int) (status int, retryAfter string) {
-		httpRequest, err := http.NewRequestWithContext(context.Background(), http.MethodGet, fmt.Sprintf("%s/lookup?sid=%016x", agent.url, n), nil)
-		if err != nil {
-			t.Error(err)
-			return 0, ""
-		}
-		httpRequest.Header.Set("X-Request-Id", strconv.Itoa(n))
-		httpRequest.Header.Set("X-Tenant", "acme")
-		httpRequest.Header.Set("X-Client", strconv.Itoa(n))
-		response, err := http.DefaultClient.Do(httpRequest)
-		if err != nil {
-			t.Error(err)
-			return 0, ""
-		}
-		_ = response.Body.Close()
-		return response.StatusCode, response.Header.Get("Retry-After")
+		got := agent.requestAs(t, "acme", strconv.Itoa(n), n)
+		return got.status, got.header.Get("Retry-After")
 	}
 	var pending sync.WaitGroup
 	statuses := make([]int, 3)
@@ -71,15 +58,26 @@
 		}
 	}
 	writeOperatorFile("door onn\n")
-	if err := agent.command.Process.Signal(syscall.SIGHUP); err != nil {
-		t.Fatal(err)
-	}
+	agent.signal(t, syscall.SIGHUP)
 	agenttest.Eventually(t, "the error in the log", func() bool { return strings.Contains(agent.log.String(), "operator.conf:1: door") })
 	if status, _ := request(99); status != http.StatusOK {
 		t.Errorf("after a malformed file a request got %d", status)
 	}
 }
 
+// requestAs sends an idempotent request as a tenant's client of an id, which is the request's id too. A client without a response gets
+// the status 0.
+func (a *runningAgent) requestAs(t *testing.T, tenant, client string, key int) clientResponse {
+	t.Helper()
+	response, err := a.tryRequest(context.Background(), http.MethodGet, fmt.Sprintf("/lookup?sid=%016x", key), "",
+		"X-Request-Id", client, "X-Tenant", tenant, "X-Client", client)
+	if err != nil {
+		t.Error(err)
+		return clientResponse{}
+	}
+	return response
+}
+
 // One tenant's flood of clients that come once is twenty times what admission control holds, while the endpoint does not respond. Another
 // tenant's requests that come last are queued all the same and succeed, and none of the flood is left without an answer.
 func TestTenantFlood(t *testing.T) {
@@ -96,24 +94,8 @@
 		return strings.ReplaceAll(config, `"Parties":[{"Name":"acme"}]`, `"Parties":[{"Name":"acme","Fraction":0.5},{"Name":"beqa","Fraction":0.5}]`)
 	}, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 	agent.waitHealthy(t)
-	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 100, MaxIdleConnsPerHost: 100}}
-	request := func(tenant string, n int) int {
-		httpRequest, err := http.NewRequestWithContext(context.Background(), http.MethodGet, fmt.Sprintf("%s/lookup?sid=%016x", agent.url, n), nil)
-		if err != nil {
-			t.Error(err)
-			return 0
-		}
-		httpRequest.Header.Set("X-Request-Id", fmt.Sprint(tenant, n))
-		httpRequest.Header.Set("X-Tenant", tenant)
-		httpRequest.Header.Set("X-Client", fmt.Sprint(tenant, n))
-		response, err := client.Do(httpRequest)
-		if err != nil {
-			t.Error(err)
-			return 0
-		}
-		_ = response.Body.Close()
-		return response.StatusCode
-	}
+	agent.client = &http.Client{Transport: &http.Transport{MaxConnsPerHost: 100, MaxIdleConnsPerHost: 100}}
+	request := func(tenant string, n int) int { return agent.requestAs(t, tenant, fmt.Sprint(tenant, n), n).status }
 	const capacity, floodSize, otherTenantRequests = 48, 20 * 48, 5
 	statuses := make(chan int, floodSize)
 	for n := range floodSize {
--- a/internal/endtoend/client_input_test.go
+++ b/internal/endtoend/client_input_test.go
@@ -1,9 +1,6 @@
 package endtoend
 
 import (
-	"errors"
-	"io"
-	"os"
 	"strings"
 	"sync"
 	"testing"
@@ -16,7 +13,7 @@
 // A request that breaks the rules of its class is answered with an error and reaches no endpoint.
 func TestInvalidRequests(t *testing.T) {
 	endpoint := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
-	agent := startAgent(t, nil, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+	agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 	for _, test := range []struct {
 		method, target, body string
 		headers              []string
@@ -43,24 +40,10 @@
 	}
 }
 
-// exchangeRaw writes text and reads until the agent closes the connection.
-func (a *runningAgent) exchangeRaw(t *testing.T, text string) string {
-	t.Helper()
-	conn := a.dial(t)
-	defer func() { _ = conn.Close() }()
-	_, _ = io.WriteString(conn, text) // fails where the agent has closed the connection before all was sent
-	_ = conn.SetReadDeadline(time.Now().Add(agenttest.WaitTimeout))
-	got, err := io.ReadAll(conn)
-	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%.60q: neither closed nor answered, got %q", text, got)
-	}
-	return string(got)
-}
-
 // What is no request gets an error or a close in time, and nothing of it reaches an endpoint.
 func TestMalformedInput(t *testing.T) {
 	endpoint := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
-	agent := startAgent(t, nil, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+	agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 	head := "POST /posting HTTP/1.1\r\nHost: x\r\nX-Request-Id: 1\r\nIdempotency-Key: k\r\n"
 	smuggled := "GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: 2\r\n\r\n"
 	var pending sync.WaitGroup
--- a/internal/endtoend/connections_test.go
+++ b/internal/endtoend/descriptors_test.go
@@ -82,9 +82,9 @@
 // Clients that send one request and keep the connection keep nobody out: once they hold all descriptors that clients may have, the connection
 // that has been idle longest is closed before its idle timeout, and each new client is served at once. While descriptors are free none is.
 func TestIdleConnectionsMakeRoom(t *testing.T) {
-	const fit, crowd = 8, 40 // with 64 descriptors clients may hold 19
+	const fewClients, manyClients = 8, 40 // with 64 descriptors clients may hold 19
 	endpoint := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
-	for _, clients := range []int{fit, crowd} {
+	for _, clients := range []int{fewClients, manyClients} {
 		agent := startAgent(t, withFewDescriptors, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 		agent.waitHealthy(t)
 		var first net.Conn
@@ -106,7 +106,7 @@
 		}
 		_ = first.SetReadDeadline(start.Add(agenttest.WaitTimeout))
 		_, err := io.ReadAll(first)
-		if endedEarly := time.Since(start) < proxy.IdleTimeout; err != nil || endedEarly != (clients == crowd) {
+		if endedEarly := time.Since(start) < proxy.IdleTimeout; err != nil || endedEarly != (clients == manyClients) {
 			t.Errorf("with %d clients the first connection ended after %v, %v", clients, time.Since(start), err)
 		}
 	}
--- a/internal/endtoend/invalid_config_test.go
+++ b/internal/endtoend/invalid_config_test.go
@@ -3,9 +3,6 @@
 import (
 	"strings"
 	"testing"
-	"time"
-
-	"switchfork/internal/agenttest"
 )
 
 // An error in the configuration ends the start with one line that names it.
@@ -24,14 +21,7 @@
 		{`{"name"`, `{"name`, "GW_CONFIG"},
 	} {
 		agent := startAgent(t, func(config string) string { return strings.Replace(config, test.from, test.to, 1) })
-		select {
-		case err := <-agent.exited:
-			if log := agent.log.String(); err == nil || !strings.Contains(log, test.want) || strings.Count(log, "\n") != 1 {
-				t.Errorf("%s: %v, log %q", test.to, err, log)
-			}
-		case <-time.After(agenttest.WaitTimeout):
-			t.Errorf("%s: started", test.to)
-		}
+		agent.expectStartError(t, test.to, test.want)
 	}
 }
 
@@ -53,14 +43,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			agent := startAgent(t, func(text string) string { return editConfig(t, text, test.change) })
-			select {
-			case err := <-agent.exited:
-				if logged := strings.TrimSpace(agent.log.String()); err == nil || !strings.Contains(logged, test.want) || strings.Contains(logged, "\n") {
-					t.Errorf("ended with %v and %q, want one line with %s", err, logged, test.want)
-				}
-			case <-time.After(agenttest.WaitTimeout):
-				t.Error("started")
-			}
+			agent.expectStartError(t, name, test.want)
 		})
 	}
 }
+
+// expectStartError expects that the process ends at its start, with one line in its log that contains a text.
+func (a *runningAgent) expectStartError(t *testing.T, what, want string) {
+	t.Helper()
+	hasExited, result := a.waitExit()
+	if !hasExited {
+		t.Errorf("%s: started", what)
+		return
+	}
+	if log := a.log.String(); result == nil || !strings.Contains(log, want) || strings.Count(log, "\n") != 1 {
+		t.Errorf("%s: ended with %v and the log %q, want one line with %s", what, result, log, want)
+	}
+}
--- a/internal/endtoend/reload_test.go
+++ b/internal/endtoend/reload_test.go
@@ -16,7 +16,7 @@
 func TestReload(t *testing.T) {
 	first := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("1")))
 	second := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("2")))
-	agent := startAgent(t, nil, fakes.ListEntry("s-1", first.Addr(), "active", 41))
+	agent := startReadyAgent(t, fakes.ListEntry("s-1", first.Addr(), "active", 41))
 	agenttest.Eventually(t, "the first calls to discovery and the rollout controller", func() bool {
 		return agent.discovery.CallsContaining("index=1") == 1 && agent.rolloutController.CallsContaining("bulletin") == 1
 	})
@@ -26,9 +26,7 @@
 		if err := os.WriteFile(agent.configPath, []byte(config), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := agent.command.Process.Signal(syscall.SIGHUP); err != nil {
-			t.Fatal(err)
-		}
+		agent.signal(t, syscall.SIGHUP)
 		agenttest.Eventually(t, want, func() bool { return strings.Count(agent.log.String(), want) > seen })
 	}
 	reload("the old stays in force", `{"name"`, `{"name`)
--- a/internal/endtoend/rollout_test.go
+++ b/internal/endtoend/rollout_test.go
@@ -18,7 +18,7 @@
 	for i := range 4 { // a single endpoint is ejected before there is enough evidence
 		hosts = append(hosts, fakes.ListEntry(fmt.Sprint("t-", i), failing.Addr(), "active", 42))
 	}
-	agent := startAgent(t, nil, hosts...)
+	agent := startReadyAgent(t, hosts...)
 	agenttest.Eventually(t, "the call for rollout updates", func() bool { return agent.rolloutController.CallsContaining("/api/bulletin") > 0 })
 	agent.rolloutController.Publish(fakes.RolloutEvent(42, 0, "testing", 0.5))
 	agenttest.Eventually(t, "the rollout update", func() bool { return strings.Contains(agent.log.String(), "build=42") })
--- a/internal/endtoend/routing_test.go
+++ b/internal/endtoend/routing_test.go
@@ -20,7 +20,7 @@
 // Requests and responses pass through unchanged, and connections to endpoints are used again.
 func TestRequestAndResponseUnchanged(t *testing.T) {
 	endpoint := agenttest.NewScriptedServer(t, fakes.Respond("HTTP/1.1 200 OK\r\nContent-Type: text/odd\r\nContent-Length: 4\r\n\r\n\x00\xff\n!"))
-	agent := startAgent(t, nil, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+	agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 	target := "/posting//a/../b%2Fc?sid=7f3a9c21e0b4d655&odd;=%zz&&x"
 	got := agent.request(t, "POST", target, "some\r\nbody", "X-Request-Id", "9b1f03aa5c7e2d41", "X-Deadline-Ms", "900", "X-Tenant", "nobody", "X-Other", "kept")
 	if got.status != http.StatusOK || got.body != "\x00\xff\n!" || got.header.Get("Content-Type") != "text/odd" {
@@ -86,7 +86,7 @@
 func TestDuplicateRequestID(t *testing.T) {
 	release := make(chan struct{})
 	endpoint := agenttest.NewScriptedServer(t, func(c net.Conn, nth int) bool { <-release; return fakes.Respond(fakes.OKResponse("done"))(c, nth) })
-	agent := startAgent(t, nil, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+	agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 	first := make(chan clientResponse, 1)
 	go func() {
 		got, _ := agent.tryRequest(context.Background(), "GET", "/lookup", "", "X-Request-Id", "a1")
@@ -108,7 +108,7 @@
 // With no endpoint to send to, a request is rejected with a Retry-After. One that may have run is answered by its deadline.
 func TestRejectedAndFailed(t *testing.T) {
 	endpoint := agenttest.NewScriptedServer(t, fakes.NeverRespond)
-	agent := startAgent(t, nil, fakes.ListEntry("s-1", endpoint.Addr(), "leaving", 41))
+	agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "leaving", 41))
 	if got := agent.request(t, "POST", "/posting", ""); got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") != "0.500" {
 		t.Errorf("rejected with %+v", got)
 	}
@@ -126,7 +126,7 @@
 // A client that disconnects ends nothing but its own request.
 func TestClientDisconnects(t *testing.T) {
 	endpoint := agenttest.NewScriptedServer(t, fakes.NeverRespond)
-	agent := startAgent(t, nil, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+	agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 	ctx, disconnect := context.WithCancel(context.Background())
 	result := make(chan error)
 	go func() { _, err := agent.tryRequest(ctx, "GET", "/lookup", ""); result <- err }()
@@ -144,7 +144,7 @@
 	first := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("1")))
 	second := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("2")))
 	third := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("3")))
-	agent := startAgent(t, nil, fakes.ListEntry("s-1", first.Addr(), "active", 41))
+	agent := startReadyAgent(t, fakes.ListEntry("s-1", first.Addr(), "active", 41))
 	if got := agent.request(t, "GET", "/lookup", ""); got.body != "1" {
 		t.Errorf("got %+v", got)
 	}
@@ -165,10 +165,8 @@
 // A request that stood unread while the agent was stopped has that much less time left.
 func TestQueueDelayCountsTowardsDeadline(t *testing.T) {
 	endpoint := agenttest.NewScriptedServer(t, fakes.NeverRespond)
-	agent := startAgent(t, nil, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
-	if err := agent.command.Process.Signal(syscall.SIGSTOP); err != nil {
-		t.Fatal(err)
-	}
+	agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+	agent.signal(t, syscall.SIGSTOP)
 	// The signal's sender goes on before all threads have stopped: one of them could still read the request.
 	agenttest.Eventually(t, "all threads to stop", func() bool { return allThreadsStopped(agent.command.Process.Pid) })
 	conn := agent.dial(t)
@@ -178,9 +176,7 @@
 	for time.Since(sent) < time.Second { // the time that the agent is stopped for
 		time.Sleep(10 * time.Millisecond)
 	}
-	if err := agent.command.Process.Signal(syscall.SIGCONT); err != nil {
-		t.Fatal(err)
-	}
+	agent.signal(t, syscall.SIGCONT)
 	agenttest.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
 	deadline := parseMilliseconds(t, endpoint.Requests()[0].Header)
 	if deadline < 1 || deadline > 1050 {
--- /dev/null
+++ b/internal/endtoend/running_agent_test.go
@@ -0,0 +1,126 @@
+package endtoend
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"switchfork/internal/agenttest"
+	"switchfork/internal/fakes"
+)
+
+// runningAgent is a process of the program with the fakes that it speaks to.
+type runningAgent struct {
+	command           *exec.Cmd
+	url               string
+	discovery         *fakes.StreamServer
+	rolloutController *fakes.StreamServer
+	configPath        string
+	config            string // the content of the file
+	log               *fakes.Log
+	client            *http.Client // that request and tryRequest use
+	exited            chan error   // the result of the process
+}
+
+// startReadyAgent starts the program with the hosts of the endpoint list, and waits until it serves.
+func startReadyAgent(t *testing.T, hosts ...string) *runningAgent {
+	t.Helper()
+	a := startAgent(t, func(config string) string { return config }, hosts...)
+	a.waitHealthy(t)
+	return a
+}
+
+// startAgent writes the configuration, edited by change, and starts the program.
+func startAgent(t *testing.T, change func(config string) string, hosts ...string) *runningAgent {
+	t.Helper()
+	binary, err := buildProgram()
+	if err != nil {
+		t.Fatal(err)
+	}
+	a := &runningAgent{log: &fakes.Log{}, client: http.DefaultClient, exited: make(chan error, 1)}
+	a.discovery = agenttest.NewStreamServer(t, "\n", 100*time.Millisecond, func(string) string { return "" })
+	a.rolloutController = agenttest.NewStreamServer(t, ":\n", 100*time.Millisecond, func(target string) string {
+		if strings.HasPrefix(target, "POST") {
+			return "400|<Error><Code>Throttling</Code></Error>"
+		}
+		return ":\n"
+	})
+	address, err := fakes.FreeAddress(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	a.config = change(fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,
+"sockets":1024},"platform":{"address":%q,"news":{"image":41,"ring":1,"progress":"live","ceiling":1,"lag_ms":9000}},
+"known":%s,"settings":%s}`, address, a.discovery.Addr(), a.rolloutController.Addr(), fakes.ListDocument(1, true, hosts...), deploymentSettings))
+	a.configPath = filepath.Join(t.TempDir(), "config.json")
+	if err = os.WriteFile(a.configPath, []byte(a.config), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	a.url = "http://" + address
+	a.command = exec.CommandContext(context.Background(), binary) // killed below, and not before the other cleanups
+	a.command.Env = append(os.Environ(), "GW_CONFIG="+a.configPath)
+	a.command.Stderr = a.log
+	if err = a.command.Start(); err != nil {
+		t.Fatal(err)
+	}
+	go func() { a.exited <- a.command.Wait() }()
+	t.Cleanup(func() {
+		_ = a.command.Process.Kill() // fails where it has exited
+		if t.Failed() {
+			t.Log(a.log)
+		}
+	})
+	return a
+}
+
+// signal sends the process a signal.
+func (a *runningAgent) signal(t *testing.T, signal os.Signal) {
+	t.Helper()
+	if err := a.command.Process.Signal(signal); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// waitExit waits until the process has ended and returns how; hasExited is false where it did not end in time.
+func (a *runningAgent) waitExit() (hasExited bool, result error) {
+	select {
+	case result = <-a.exited:
+		return true, result
+	case <-time.After(agenttest.WaitTimeout):
+		return false, nil
+	}
+}
+
+// expectCleanExit expects that the process ends in time, with status 0.
+func (a *runningAgent) expectCleanExit(t *testing.T) {
+	t.Helper()
+	switch hasExited, result := a.waitExit(); {
+	case !hasExited:
+		t.Error("did not exit")
+	case result != nil:
+		t.Errorf("exited with %v", result)
+	}
+}
+
+// waitHealthy waits until the health endpoint answers.
+func (a *runningAgent) waitHealthy(t *testing.T) {
+	t.Helper()
+	agenttest.Eventually(t, "health", func() bool {
+		request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, a.url+"/_health", nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		response, err := http.DefaultClient.Do(request)
+		if err != nil {
+			return false
+		}
+		_ = response.Body.Close()
+		return response.StatusCode == http.StatusOK
+	})
+}
--- a/internal/endtoend/settings_test.go
+++ b/internal/endtoend/settings_test.go
@@ -1,7 +1,6 @@
 package endtoend
 
 import (
-	"encoding/json"
 	"fmt"
 	"net/http"
 	"net/url"
@@ -13,24 +12,6 @@
 	"switchfork/internal/fakes"
 )
 
-// jsonObject is a decoded JSON object.
-type jsonObject = map[string]any
-
-// editConfig decodes a configuration, has change edit it and its settings, and encodes it again.
-func editConfig(t *testing.T, text string, change func(config, settings jsonObject)) string {
-	t.Helper()
-	var config jsonObject
-	if err := json.Unmarshal([]byte(text), &config); err != nil {
-		t.Fatal(err)
-	}
-	change(config, config["settings"].(jsonObject))
-	edited, err := json.Marshal(config)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return string(edited)
-}
-
 // requestClass makes a class's settings; the deadline is in milliseconds.
 func requestClass(name, idempotency string, deadline float64) jsonObject {
 	class := jsonObject{"Name": name, "Repeat": idempotency, "SloMs": deadline / 2, "HardLimitMs": deadline, "Worth": 1.0}
--- a/internal/endtoend/shutdown_test.go
+++ b/internal/endtoend/shutdown_test.go
@@ -23,16 +23,14 @@
 		}
 		return fakes.Respond(fakes.OKResponse("done"))(conn, nth)
 	})
-	agent := startAgent(t, nil, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
+	agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 	open := make(chan clientResponse, 1)
 	go func() {
 		got, _ := agent.tryRequest(context.Background(), "GET", "/lookup", "", "X-Deadline-Ms", "2000")
 		open <- got
 	}()
 	agenttest.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
-	if err := agent.command.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
+	agent.signal(t, syscall.SIGTERM)
 	agenttest.Eventually(t, "the drain", func() bool { return strings.Contains(agent.log.String(), "drain started") })
 	conn := agent.dial(t)
 	defer func() { _ = conn.Close() }()
@@ -44,14 +42,7 @@
 	if got := <-open; got.status != http.StatusOK || got.body != "done" {
 		t.Errorf("the open request got %+v", got)
 	}
-	select {
-	case err := <-agent.exited:
-		if err != nil {
-			t.Errorf("exited with %v", err)
-		}
-	case <-time.After(agenttest.WaitTimeout):
-		t.Error("did not exit")
-	}
+	agent.expectCleanExit(t)
 }
 
 // However long the deadlines are, a drain ends before SIGKILL is due, with an answer to open requests: it is owed 3.7 s after SIGTERM. The
@@ -69,18 +60,12 @@
 	}()
 	agenttest.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
 	start := time.Now()
-	if err := agent.command.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
-	}
+	agent.signal(t, syscall.SIGTERM)
 	if got := <-open; got.status != http.StatusGatewayTimeout {
 		t.Errorf("the open request got %+v", got)
 	}
-	select {
-	case err := <-agent.exited:
-		if took := time.Since(start); err != nil || took > 10*time.Second {
-			t.Errorf("exited after %v with %v", took, err)
-		}
-	case <-time.After(agenttest.WaitTimeout):
-		t.Error("did not exit")
+	agent.expectCleanExit(t)
+	if took := time.Since(start); took > 10*time.Second {
+		t.Errorf("exited after %v", took)
 	}
 }
