--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -93,7 +93,7 @@
 			t.Fatalf("no deadline: the delay after an overload is %d", delay)
 		}
 	}
-	for reconnecting, limit := New(8_000*millisecond, 2), Micros(75*millisecond); limit < 1200*millisecond; limit *= 2 {
+	for reconnecting, limit := New(8_000*millisecond, 2), 75*millisecond; limit < 1200*millisecond; limit *= 2 {
 		if delay := reconnecting.Next(Unreachable); delay > limit {
 			t.Errorf("the reconnect delay is %d, over %d", delay, limit)
 		}
