--- a/internal/policy/config.go
+++ b/internal/policy/config.go
@@ -45,11 +45,13 @@
 
 // Instance is what an agent is configured with about itself.
 type Instance struct {
-	Index, Agents, Zone int
-	Seed                int64
-	KeyAffinity         bool // endpoints serve the keys that they served lately faster
-	HasWeights          bool // the list has the capacities of endpoints
-	LoadReport          LoadReportFormat
+	Index       int // of this agent, from 0 on
+	Agents      int // in the deployment
+	Zone        int
+	Seed        int64 // of its random source
+	KeyAffinity bool  // endpoints serve the keys that they served lately faster
+	HasWeights  bool  // the list has the capacities of endpoints
+	LoadReport  LoadReportFormat
 }
 
 // RequestClass is one kind of requests.
@@ -60,13 +62,13 @@
 	LatencyObjective Micros
 	Timeout          Micros
 	PriorityWeight   float64
-	LateWeightShare  float64 // part of the priority weight that a late answer earns
+	LateWeightShare  float64 // part of the priority weight that a late answer earns; no decision depends on it yet
 }
 
 // RolloutPlan is how releases are rolled out.
 type RolloutPlan struct {
 	Caps            []float64 // by stage
-	Shares          []float64
+	Shares          []float64 // of the endpoints, by stage; no decision depends on them yet
 	GuardedStages   int  // first stages that only idempotent requests may use
 	KeysNeverGoBack bool // an answered key goes to no earlier build
 	ReplacesInPlace bool // the earlier endpoints leave as their successors start
@@ -85,30 +87,33 @@
 
 // ExposureLimit bounds the attempts at a build that is in evaluation.
 type ExposureLimit struct {
-	Window    Micros
-	Allowance float64
-	PerClass  bool
+	Window    Micros  // over which attempts and requests are counted
+	Allowance float64 // attempts above the share of the requests
+	PerClass  bool    // each request class has a count of its own
 }
 
 // SlowStart is what a starting endpoint may be sent.
 type SlowStart struct {
 	InitialCapacity  float64 // share of its capacity that it starts with, at the least
 	Duration         Micros  // warm after this time at the latest
-	OverloadMultiple float64
-	OverloadAfter    Micros
+	OverloadMultiple float64 // of its capacity at the time, which brings it down
+	OverloadAfter    Micros  // how long that has to last
 }
 
 // RetryLimits are the bounds on attempts and waits.
 type RetryLimits struct {
-	DrainGrace    Micros
-	AnswerGrace   Micros
-	MaxAttempts   int
+	DrainGrace    Micros // in which a draining endpoint may still get requests; none is sent, so no decision depends on it
+	AnswerGrace   Micros // in which an answer after its deadline counts; no decision depends on it
+	MaxAttempts   int    // of one request
 	MaxRetryAfter Micros // longest wait that clients follow; 0 where they get none
 }
 
 // Capabilities are what the deployment permits an agent to do.
 type Capabilities struct {
-	HealthChecks, Cancellation, Gossip, PollsEndpoints bool
+	HealthChecks   bool
+	Cancellation   bool // of attempts whose client has gone; no decision depends on it yet
+	Gossip         bool // agents may send each other messages
+	PollsEndpoints bool // discovery has to be asked for the endpoint list
 }
 
 // LoadReportFormat tells the place of a figure in a load report, from 1 on; 0 where it is not reported.
@@ -120,5 +125,8 @@
 
 // CostWeights are the costs of actions, as parts of the result.
 type CostWeights struct {
-	CrossZone, Waste, HealthCheck, Gossip float64
+	CrossZone   float64 // of an attempt in another zone
+	Waste       float64 // of an attempt whose answer nobody gets; no decision depends on it yet
+	HealthCheck float64 // no decision depends on it yet
+	Gossip      float64 // of a message; no decision depends on it yet
 }
