--- a/internal/policy/config.go
+++ b/internal/policy/config.go
@@ -69,9 +69,9 @@
 type RolloutPlan struct {
 	Caps            []float64 // by stage
 	Shares          []float64 // of the endpoints, by stage; no decision depends on them yet
-	GuardedStages   int  // first stages that only idempotent requests may use
-	KeysNeverGoBack bool // an answered key goes to no earlier build
-	ReplacesInPlace bool // the earlier endpoints leave as their successors start
+	GuardedStages   int       // first stages that only idempotent requests may use
+	KeysNeverGoBack bool      // an answered key goes to no earlier build
+	ReplacesInPlace bool      // the earlier endpoints leave as their successors start
 }
 
 // VotingRules are how votes are cast and counted.
