--- a/internal/faulttest/capacity_rules.go
+++ b/internal/faulttest/capacity_rules.go
@@ -51,7 +51,7 @@
 			capacity := meanSpeed * float64(window) * float64(r.Slots) / float64(r.ServiceTime)
 			limit := fakes.OverloadMultiple * capacity
 			if float64(count) > limit+slowStartDeviations*math.Sqrt(limit) {
-				out = append(out, Violation{ruleSlowStart, at, fmt.Sprintf("appliance %d, %.3f s old, was sent %d txns in %v; it can do %.1f, and bears %.1f",
+				out = append(out, Violation{ruleSlowStart, at, fmt.Sprintf("endpoint %d, %.3f s old, was sent %d requests in %v; it can do %.1f, and bears %.1f",
 					endpoint, seconds(at-started), count, fakes.OverloadAfter, capacity, limit)})
 				break
 			}
@@ -183,7 +183,7 @@
 	if float64(sent) <= limit {
 		return v, false
 	}
-	return Violation{ruleExposureCap, at, fmt.Sprintf("agent %d sent %d txns to build %d in %.3f s, under a cap of %g, having taken %d: at most %.1f",
+	return Violation{ruleExposureCap, at, fmt.Sprintf("agent %d sent %d requests to build %d in %.3f s, under a cap of %g, having taken %d: at most %.1f",
 		w.agent, sent, w.build, seconds(at-from), highest, received, limit)}, true
 }
 
--- a/internal/faulttest/collect.go
+++ b/internal/faulttest/collect.go
@@ -17,7 +17,10 @@
 		Slots: d.scenario.Slots, ServiceTime: toMicros(d.scenario.ServiceTime),
 		Datagrams: d.relays.deliveredDatagrams(), EndpointStarts: d.endpoints.snapshotStarts(),
 	}
-	out.Calls = map[string][]Call{serverDiscovery: d.discovery.snapshotCalls(), serverRollout: d.rollout.snapshotCalls()}
+	out.Calls = map[string][]Call{
+		callsKey(serverDiscovery): d.discovery.snapshotCalls(),
+		callsKey(serverRollout):   d.rollout.snapshotCalls(),
+	}
 	for _, a := range d.agents.all {
 		out.Lifetimes = append(out.Lifetimes, a.snapshotLifetimes())
 	}
--- a/internal/faulttest/describe_test.go
+++ b/internal/faulttest/describe_test.go
@@ -34,11 +34,25 @@
 	golden.Check(t, "scenario_meanings.golden", out.String())
 }
 
+// recordedWords are the words that the golden file was recorded with, where the code has others now.
+var recordedWords = map[string]string{
+	transportNone: "no", reloadMalformed: "spoilt", serverRollout: "launcher",
+	processPause: "stop", processResume: "go", processTerminate: "term",
+	measureSucceeded: "settled", measureInTime: "in-time", measureRejected: "declined", measureDuplicates: "repeats", measureLeaders: "leads",
+}
+
+func recordedWord(word string) string {
+	if recorded, isRenamed := recordedWords[word]; isRenamed {
+		return recorded
+	}
+	return word
+}
+
 // describeScenario writes all that a scenario means, a line each, without the words that its file uses.
 func describeScenario(s *Scenario) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s: agents %d endpoints %d slots %d build %d service time %v transport %s\n",
-		s.File, s.Agents, s.Endpoints, s.Slots, s.Build, s.ServiceTime, s.Transport)
+		s.File, s.Agents, s.Endpoints, s.Slots, s.Build, s.ServiceTime, recordedWord(s.Transport))
 	fmt.Fprintf(&out, "election %t state folders %t lease %v absent %v operator %q seed %d timeout %v\n",
 		s.HasElection, s.HasStateDirs, s.Lease, s.AbsentAtStart, s.OperatorLines, s.Seed, s.Timeout)
 	for _, step := range s.Steps {
@@ -66,9 +80,9 @@
 		return fmt.Sprint("fault ", fault, " heal ", a.isHeal, " from ", describeParty(a.from), " to ", describeParty(a.to), " both ", a.bidirectional,
 			" transport ", a.transport, " streams ", a.streamsOnly, " datagrams ", a.datagramsOnly)
 	case processStep:
-		return fmt.Sprint("process ", a.action, " ", describeAgents(&a.agents), " program ", a.program, " clears ", a.clearsState)
+		return fmt.Sprint("process ", recordedWord(a.action), " ", describeAgents(&a.agents), " program ", a.program, " clears ", a.clearsState)
 	case reloadStep:
-		return fmt.Sprint("reload ", describeAgents(&a.agents), " ", a.target, " ", a.tokens, " peer ", a.peer)
+		return fmt.Sprint("reload ", describeAgents(&a.agents), " ", recordedWord(a.target), " ", a.tokens, " peer ", a.peer)
 	case healthStep:
 		return fmt.Sprint("health ", a.health, " ", describeEndpoints(&a.endpoints))
 	case addEndpointsStep:
@@ -98,7 +112,11 @@
 
 func describeComparison(c comparison) string {
 	m := c.measure
-	return fmt.Sprint(m.Name, ":", m.Arg, " of ", describeAgents(m.Agents), " at ", describeEndpoints(m.Endpoints),
+	argument := m.Arg
+	if m.Name == measureCalls {
+		argument = recordedWord(argument)
+	}
+	return fmt.Sprint(recordedWord(m.Name), ":", argument, " of ", describeAgents(m.Agents), " at ", describeEndpoints(m.Endpoints),
 		" build ", m.Build, " class ", m.Class, " ", c.operator, " ", c.value)
 }
 
--- a/internal/faulttest/draw.go
+++ b/internal/faulttest/draw.go
@@ -33,7 +33,8 @@
 }
 
 // DrawScenario returns the text of a scenario that is drawn from a seed: a deployment, a load with clients of all kinds, faults, changes of
-// the endpoint list and planned restarts. It expects nothing but the rules, so that any violation is a fault of the agent.
+// the endpoint list and planned restarts. The text is in the former notation (see formerWords), so that a seed of an earlier report draws the
+// same text. It expects nothing but the rules, so that any violation is a fault of the agent.
 func DrawScenario(seed int64) string {
 	d := &drawer{random: rand.New(rand.NewSource(seed))}
 	d.agents = 1 + d.random.Intn(maxDrawnAgents)
@@ -115,7 +116,7 @@
 	}
 	d.add("%.2fs mark restart", at)
 	for range d.random.Intn(3) {
-		d.add("+%dms reload %s %s", d.random.Intn(30), who, []string{serverDiscovery, serverRollout, "operator log-level info"}[d.random.Intn(3)])
+		d.add("+%dms reload %s %s", d.random.Intn(30), who, []string{"discovery", "launcher", "operator log-level info"}[d.random.Intn(3)])
 	}
 	d.add("+%dms term %s", d.random.Intn(30), who)
 	if d.random.Intn(2) == 0 {
--- a/internal/faulttest/event_log.go
+++ b/internal/faulttest/event_log.go
@@ -10,8 +10,8 @@
 
 // Sources of events that are no server and no agent.
 const (
-	sourceDeployment = "rig"
-	sourceScenario   = "night"
+	sourceDeployment = "deployment"
+	sourceScenario   = "scenario"
 	sourceClient     = "client"
 )
 
--- a/internal/faulttest/line_reader.go
+++ b/internal/faulttest/line_reader.go
@@ -61,22 +61,23 @@
 	return token
 }
 
-// accept consumes the next token if it is this one.
-func (r *lineReader) accept(token string) bool {
-	if len(r.tokens) > 0 && r.tokens[0] == token {
+// accept consumes the next token if it is this word, in the current or the former notation.
+func (r *lineReader) accept(word string) bool {
+	if len(r.tokens) > 0 && currentWord(argumentWord, r.tokens[0]) == word {
 		r.tokens = r.tokens[1:]
 		return true
 	}
 	return false
 }
 
-// oneOf consumes a token that has to be one of a few; form is the format of the error on any other.
+// oneOf consumes a token that has to be one of a few words, and returns the word; form is the format of the error on any other.
 func (r *lineReader) oneOf(allowed []string, expected, form string) string {
 	token := r.nextToken(expected)
-	if !slices.Contains(allowed, token) {
+	word := currentWord(argumentWord, token)
+	if !slices.Contains(allowed, word) {
 		r.fail(form, token)
 	}
-	return token
+	return word
 }
 
 // restOfLine consumes all tokens that are left.
@@ -89,7 +90,8 @@
 // option consumes KEY=VALUE from wherever it stands in the rest of the line.
 func (r *lineReader) option(key string) (value string, isSet bool) {
 	for i, token := range r.tokens {
-		if value, isSet = strings.CutPrefix(token, key+"="); isSet {
+		name, value, isOption := strings.Cut(token, "=")
+		if isOption && currentWord(optionWord, name) == key {
 			r.tokens = slices.Delete(slices.Clone(r.tokens), i, i+1)
 			return value, true
 		}
--- a/internal/faulttest/measure.go
+++ b/internal/faulttest/measure.go
@@ -42,12 +42,12 @@
 	measureRejected:     func(q query) measurement { return q.requestShare(hasOutcome(outcomeRejected)) },
 	measureFailed:       func(q query) measurement { return q.requestShare(hasOutcome(outcomeFailed)) },
 	measureInTime:       func(q query) measurement { return q.requestShare(func(r Request) bool { return r.MetObjective }) },
-	measureOffered:      func(q query) measurement { return counted(len(q.requests()), "txns offered") },
+	measureOffered:      func(q query) measurement { return counted(len(q.requests()), "requests offered") },
 	measureMedian:       func(q query) measurement { return q.latencyPercentile(50) },
 	measure99Percentile: func(q query) measurement { return q.latencyPercentile(99) },
 	measureVotes:        query.votes,
 	measureArrivals:     func(q query) measurement { return counted(len(q.arrivals()), measureArrivals) },
-	measureRepeats:      query.repeats,
+	measureDuplicates:   query.duplicates,
 	measureBusiest:      query.busiest,
 	measureCalls:        query.calls,
 	measureDatagrams:    query.datagrams,
@@ -81,7 +81,7 @@
 func (q query) requestShare(holds func(Request) bool) measurement {
 	requests := q.requests()
 	if len(requests) == 0 {
-		return notMeasured("no txn was offered")
+		return notMeasured("no request was offered")
 	}
 	n := 0
 	for _, request := range requests {
@@ -90,7 +90,7 @@
 		}
 	}
 	share := float64(n) / float64(len(requests))
-	return measurement{share, fmt.Sprintf("%.4f (%d of %d txns)", share, n, len(requests)), true}
+	return measurement{share, fmt.Sprintf("%.4f (%d of %d requests)", share, n, len(requests)), true}
 }
 
 // latencyPercentile is a percentile, in milliseconds, of the time from a request's arrival to the last byte of its answer.
@@ -102,7 +102,7 @@
 		}
 	}
 	if len(latencies) == 0 {
-		return notMeasured("nothing was settled")
+		return notMeasured("nothing succeeded")
 	}
 	slices.Sort(latencies)
 	latency := latencies[len(latencies)*percent/100]
@@ -131,15 +131,15 @@
 	return out
 }
 
-// repeats counts the arrivals that endpoints dropped as duplicates.
-func (q query) repeats() measurement {
+// duplicates counts the arrivals that endpoints dropped as duplicates.
+func (q query) duplicates() measurement {
 	n := 0
 	for _, a := range q.arrivals() {
 		if a.WasDeduplicated {
 			n++
 		}
 	}
-	return counted(n, measureRepeats)
+	return counted(n, measureDuplicates)
 }
 
 // busiest is the number of arrivals at the busiest endpoint, in multiples of the mean.
@@ -159,12 +159,12 @@
 		endpoints = len(q.Endpoints.Numbers)
 	}
 	ratio := float64(most) * float64(endpoints) / float64(len(arrivals))
-	return measurement{ratio, fmt.Sprintf("%.3f of the mean (%d txns at %d appliances)", ratio, len(arrivals), endpoints), true}
+	return measurement{ratio, fmt.Sprintf("%.3f of the mean (%d requests at %d endpoints)", ratio, len(arrivals), endpoints), true}
 }
 
 func (q query) calls() measurement {
 	n := 0
-	for _, c := range q.records.Calls[q.Arg] {
+	for _, c := range q.records.Calls[callsKey(q.Arg)] {
 		if q.in.contains(c.At) && q.agents(c.Agent) {
 			n++
 		}
--- a/internal/faulttest/measure_spec.go
+++ b/internal/faulttest/measure_spec.go
@@ -11,21 +11,21 @@
 
 // Names of measures.
 const (
-	measureSucceeded    = "settled"
-	measureInTime       = "in-time"
-	measureRejected     = "declined"
+	measureSucceeded    = "succeeded"
+	measureInTime       = "within-objective"
+	measureRejected     = "rejected"
 	measureFailed       = "failed"
 	measureOffered      = "offered"
 	measureMedian       = "median"
 	measure99Percentile = "p99"
 	measureVotes        = "votes"
 	measureArrivals     = "arrivals"
-	measureRepeats      = "repeats"
+	measureDuplicates   = "duplicates"
 	measureBusiest      = "busiest"
 	measureCalls        = "calls"
 	measureDatagrams    = "datagrams"
 	measureAlive        = "alive"
-	measureLeaders      = "leads"
+	measureLeaders      = "leaders"
 	measureMembers      = "members"
 	measureLog          = "log"
 	measureHealthy      = "healthy"
@@ -55,7 +55,7 @@
 	measureDatagrams:    {byAgent: true},
 	measureCalls:        {hasArg: true, byAgent: true},
 	measureAlive:        {byAgent: true},
-	measureRepeats:      {byEndpoint: true},
+	measureDuplicates:   {byEndpoint: true},
 	measureLeaders:      {byAgent: true, asksAgents: true},
 	measureMembers:      {byAgent: true, asksAgents: true},
 	measureLog:          {hasArg: true, byAgent: true, asksAgents: true},
--- a/internal/faulttest/options.go
+++ b/internal/faulttest/options.go
@@ -44,7 +44,7 @@
 		}
 	}
 	if options.Agents > 0 && options.Agents < s.Agents {
-		errs = append(errs, fmt.Errorf("%s: %d agents asked for, expected at least the night's own %d: its lines name them",
+		errs = append(errs, fmt.Errorf("%s: %d agents asked for, expected at least the scenario's own %d: its lines name them",
 			s.File, options.Agents, s.Agents))
 	}
 	return errors.Join(errs...)
@@ -59,11 +59,11 @@
 		}
 	case checkStep:
 		if o.Checks[a.name] == nil {
-			return fmt.Sprintf("no check %q is given, expected a night that its own test plays", a.name)
+			return fmt.Sprintf("no check %q is given, expected a scenario that its own test runs", a.name)
 		}
 	case faultStep:
 		if o.Direct {
-			return "a fault on a way, expected none without relays"
+			return "a fault on a link, expected none without relays"
 		}
 	}
 	return ""
--- a/internal/faulttest/parse_condition.go
+++ b/internal/faulttest/parse_condition.go
@@ -22,7 +22,7 @@
 	markNames map[string]bool
 }
 
-// comparison reads MEASURE[:ARG] OP VALUE of= at= build= product=.
+// comparison reads MEASURE[:ARG] OP VALUE of= at= build= class=.
 func (p *conditionParser) comparison(mayAskAgents bool) (c comparison) {
 	c.measure = p.measure(mayAskAgents)
 	spec := measureSpecs[c.measure.Name]
@@ -35,24 +35,43 @@
 // measure reads MEASURE[:ARG].
 func (p *conditionParser) measure(mayAskAgents bool) (m Measure) {
 	token := p.nextToken("a measure")
-	m.Name, m.Arg, _ = strings.Cut(token, ":")
+	name, argument, _ := strings.Cut(token, ":")
+	m.Name, m.Arg = currentWord(measureWord, name), argument
 	spec, isKnown := measureSpecs[m.Name]
 	switch {
 	case !isKnown:
-		p.fail("%q is no measure, expected one of settled, in-time, median, p99, declined, failed, offered, votes:, arrivals, busiest, datagrams, calls:, alive, "+
-			"repeats, and after wait leads, members, healthy, log:", token)
+		p.fail("%q is no measure, expected one of succeeded, within-objective, median, p99, rejected, failed, offered, votes:, arrivals, busiest, "+
+			"datagrams, calls:, alive, duplicates, and after wait leaders, members, healthy, log:", token)
 	case spec.asksAgents && !mayAskAgents:
-		p.fail("%q is what agents say of themselves, expected a measure of stand-ins or relays", token)
+		p.fail("%q is what agents say of themselves, expected a measure of fake servers or relays", token)
 	case spec.hasArg != (m.Arg != ""):
-		p.fail("%q, expected votes:on, votes:back, votes:hold, votes:none, calls:discovery, calls:launcher, log:TEXT, and no word behind the others", token)
-	case m.Name == measureVotes && !slices.Contains(recommendations, m.Arg):
-		p.fail("%q is no verdict, expected on, back, hold or none", m.Arg)
-	case m.Name == measureCalls && m.Arg != serverDiscovery && m.Arg != serverRollout:
-		p.fail("%q takes no calls, expected discovery or launcher", m.Arg)
+		p.fail("%q, expected votes:advance, votes:rollback, votes:hold, votes:none, calls:discovery, calls:rollout-controller, log:TEXT, and no word behind the others", token)
+	case m.Name == measureVotes:
+		m.Arg = p.recommendation(argument)
+	case m.Name == measureCalls:
+		m.Arg = p.server(argument)
 	}
 	return m
 }
 
+// recommendation reads what a vote is for.
+func (p *conditionParser) recommendation(word string) string {
+	recommendation, isKnown := recommendationWords[currentWord(measureArgument, word)]
+	if !isKnown {
+		p.fail("%q is no verdict, expected advance, rollback, hold or none", word)
+	}
+	return recommendation
+}
+
+// server reads which server takes calls.
+func (p *conditionParser) server(word string) string {
+	server := currentWord(measureArgument, word)
+	if server != serverDiscovery && server != serverRollout {
+		p.fail("%q takes no calls, expected discovery or rollout-controller", word)
+	}
+	return server
+}
+
 // measureOptions reads what narrows a measure.
 func (p *conditionParser) measureOptions(m *Measure, spec measureSpec) {
 	if v, isSet := p.option("of"); isSet {
@@ -66,7 +85,7 @@
 		endpoints := p.endpointSet(v)
 		m.Endpoints = &endpoints
 		if !spec.byEndpoint {
-			p.fail("%s is not counted by appliance, expected no at=", m.Name)
+			p.fail("%s is not counted by endpoint, expected no at=", m.Name)
 		}
 	}
 	if v, isSet := p.option("build"); isSet {
@@ -75,12 +94,12 @@
 			p.fail("%s is not counted by build, expected no build=", m.Name)
 		}
 	}
-	if v, isSet := p.option("product"); isSet {
+	if v, isSet := p.option("class"); isSet {
 		m.Class = v
 		if !spec.byClass {
-			p.fail("%s is not counted by product, expected no product=", m.Name)
+			p.fail("%s is not counted by class, expected no class=", m.Name)
 		} else if v != classIdempotent && v != classKeyed && v != classOnce {
-			p.fail("product %q is not known, expected %s, %s or %s", v, classIdempotent, classKeyed, classOnce)
+			p.fail("class %q is not known, expected %s, %s or %s", v, classIdempotent, classKeyed, classOnce)
 		}
 	}
 }
@@ -96,7 +115,7 @@
 		ref.Offset = p.duration(offset, "the time")
 	}
 	if !p.markNames[mark] {
-		p.fail("%q is no time, expected one such as 2s, or a mark of this night such as cut or cut+2s", token)
+		p.fail("%q is no time, expected one such as 2s, or a mark of this scenario such as cut or cut+2s", token)
 	}
 	return &ref
 }
--- a/internal/faulttest/parse_fault.go
+++ b/internal/faulttest/parse_fault.go
@@ -18,15 +18,15 @@
 
 // faultParsers read what stands between the keyword of a fault and its link.
 var faultParsers = map[string]func(p *faultParser, f *faultStep){
-	"drop":    (*faultParser).drop,
-	"silent":  (*faultParser).blackhole,
-	"refuse":  (*faultParser).refuse,
-	"lose":    (*faultParser).loss,
-	"slow":    (*faultParser).delay,
-	"trickle": (*faultParser).bandwidth,
-	"reset":   (*faultParser).reset,
-	"double":  (*faultParser).duplicate,
-	"swap":    (*faultParser).reorder,
+	"drop":      (*faultParser).drop,
+	"blackhole": (*faultParser).blackhole,
+	"refuse":    (*faultParser).refuse,
+	"loss":      (*faultParser).loss,
+	"delay":     (*faultParser).delay,
+	"bandwidth": (*faultParser).bandwidth,
+	"reset":     (*faultParser).reset,
+	"duplicate": (*faultParser).duplicate,
+	"reorder":   (*faultParser).reorder,
 }
 
 // fault reads a fault and its link; false: the keyword is none of a fault.
--- a/internal/faulttest/parse_scenario.go
+++ b/internal/faulttest/parse_scenario.go
@@ -90,41 +90,41 @@
 // header reads a line that describes the deployment.
 func (p *scenarioParser) header(token string) {
 	s := p.scenario
-	switch token {
+	switch currentWord(headerWord, token) {
 	case "agents":
 		s.Agents = p.integer(p.nextToken("how many"), "the number of agents", 1, MaxAgents)
-	case "appliances":
+	case "endpoints":
 		p.endpointsHeader()
-	case "talk":
-		s.Transport = p.oneOf([]string{transportDatagrams, transportTCP, transportNone}, "datagrams, tcp or no",
-			"agents talk by %q, expected datagrams, tcp or no")
-	case "decider":
+	case "transport":
+		s.Transport = p.oneOf([]string{transportDatagrams, transportTCP, transportNone}, "datagrams, tcp or none",
+			"agents talk by %q, expected datagrams, tcp or none")
+	case "leader-election":
 		s.HasElection = true
 		if v, isSet := p.option("lease"); isSet {
 			s.Lease = p.duration(v, "the lease")
 		}
-		s.HasStateDirs = !p.accept("no-folders")
+		s.HasStateDirs = !p.accept("stateless")
 	case "operator":
 		s.OperatorLines = append(s.OperatorLines, strings.Join(p.restOfLine(), " "))
-	case "late":
+	case "absent":
 		s.AbsentAtStart = p.numberList(p.nextToken("agents"), "the agent", s.Agents)
 	case "seed":
 		s.Seed = int64(p.integer(p.nextToken("a number"), "the seed", 0, 1<<31))
-	case "bound":
-		s.Timeout = p.duration(p.nextToken("a time"), "the bound")
+	case "timeout":
+		s.Timeout = p.duration(p.nextToken("a time"), "the timeout")
 	default:
-		p.fail("%q begins no line, expected agents, appliances, talk, decider, late, operator, seed, bound, a time, or expect", token)
+		p.fail("%q begins no line, expected agents, endpoints, transport, leader-election, absent, operator, seed, timeout, a time, or expect", token)
 	}
 }
 
 func (p *scenarioParser) endpointsHeader() {
 	s := p.scenario
-	s.Endpoints = p.integer(p.nextToken("how many"), "the number of appliances", 1, maxEndpoints)
+	s.Endpoints = p.integer(p.nextToken("how many"), "the number of endpoints", 1, maxEndpoints)
 	if v, isSet := p.option("slots"); isSet {
 		s.Slots = p.integer(v, "slots", 1, maxSlots)
 	}
-	if v, isSet := p.option("work"); isSet {
-		s.ServiceTime = p.duration(v, "the work")
+	if v, isSet := p.option("service-time"); isSet {
+		s.ServiceTime = p.duration(v, "the service time")
 	}
 	if v, isSet := p.option("build"); isSet {
 		s.Build = p.integer(v, "the build", 1, maxBuild)
@@ -136,10 +136,10 @@
 	s := p.scenario
 	switch {
 	case len(s.Expectations) == 0 && len(p.errs) == 0:
-		p.fail("the night expects nothing, expected a line that begins with expect")
+		p.fail("the scenario expects nothing, expected a line that begins with expect")
 	case s.HasElection && s.Transport == transportNone:
-		p.fail("agents who say nothing to each other have no decider, expected talk tcp or talk datagrams")
+		p.fail("agents that exchange nothing have no leader election, expected transport tcp or transport datagrams")
 	case s.Transport == transportTCP && !s.HasElection:
-		p.fail("only the decider speaks over tcp, expected a line decider")
+		p.fail("only the leader election uses tcp, expected a line leader-election")
 	}
 }
--- a/internal/faulttest/parse_step.go
+++ b/internal/faulttest/parse_step.go
@@ -21,32 +21,33 @@
 
 // actionParsers read what stands behind the keyword of a step. Faults have a parser of their own.
 var actionParsers = map[string]func(p *stepParser, keyword string) stepAction{
-	"load":     (*stepParser).openLoad,
-	"crowd":    (*stepParser).closedLoad,
-	"stop":     (*stepParser).process,
-	"go":       (*stepParser).process,
-	"kill":     (*stepParser).process,
-	"term":     (*stepParser).process,
-	"start":    (*stepParser).process,
-	"restart":  (*stepParser).process,
-	"reload":   (*stepParser).reload,
-	"drain":    (*stepParser).health,
-	"ready":    (*stepParser).health,
-	"gone":     (*stepParser).health,
-	"add":      (*stepParser).addEndpoints,
-	"work":     (*stepParser).serviceTime,
-	"fail":     (*stepParser).errorShare,
-	"news":     (*stepParser).rollout,
-	"launcher": (*stepParser).rolloutSilence,
-	"name":     (*stepParser).nameLeader,
-	"members":  (*stepParser).membership,
-	"wait":     (*stepParser).wait,
-	"check":    (*stepParser).check,
-	"mark":     (*stepParser).mark,
+	"load":           (*stepParser).openLoad,
+	"client-load":    (*stepParser).closedLoad,
+	processPause:     (*stepParser).process,
+	processResume:    (*stepParser).process,
+	processKill:      (*stepParser).process,
+	processTerminate: (*stepParser).process,
+	processStart:     (*stepParser).process,
+	processRestart:   (*stepParser).process,
+	"reload":         (*stepParser).reload,
+	"drain":          (*stepParser).health,
+	"activate":       (*stepParser).health,
+	"remove":         (*stepParser).health,
+	"add":            (*stepParser).addEndpoints,
+	"slowdown":       (*stepParser).serviceTime,
+	"error-rate":     (*stepParser).errorShare,
+	"rollout":        (*stepParser).rollout,
+	serverRollout:    (*stepParser).rolloutSilence,
+	"name":           (*stepParser).nameLeader,
+	"members":        (*stepParser).membership,
+	"wait":           (*stepParser).wait,
+	"check":          (*stepParser).check,
+	"mark":           (*stepParser).mark,
 }
 
 // action reads a step's action; nil for an unknown keyword.
-func (p *stepParser) action(keyword string) stepAction {
+func (p *stepParser) action(token string) stepAction {
+	keyword := currentWord(stepWord, token)
 	if fault, isFault := p.faults.fault(keyword); isFault {
 		return fault
 	}
@@ -56,21 +57,22 @@
 	if parse, isKnown := actionParsers[keyword]; isKnown {
 		return parse(p, keyword)
 	}
-	p.fail("%q is no step, expected one of load, crowd, drop, silent, refuse, lose, slow, trickle, reset, double, swap, heal, stop, go, kill, term, "+
-		"start, restart, reload, drain, ready, gone, add, work, fail, news, launcher, name, members, wait, check, mark", keyword)
+	p.fail("%q is no step, expected one of load, client-load, drop, blackhole, refuse, loss, delay, bandwidth, reset, duplicate, reorder, heal, "+
+		"pause, resume, kill, terminate, start, restart, reload, drain, activate, remove, add, slowdown, error-rate, rollout, rollout-controller, "+
+		"name, members, wait, check, mark", token)
 	return nil
 }
 
 func (p *stepParser) openLoad(string) stepAction {
-	load := openLoadStep{number: p.loadSteps, rate: p.number(p.nextToken("txns a second for each agent"), "the load", 0, maxRequestRate)}
+	load := openLoadStep{number: p.loadSteps, rate: p.number(p.nextToken("requests a second for each agent"), "the load", 0, maxRequestRate)}
 	p.loadSteps++
-	load.keyedShare = p.optionalShare("posting")
-	if v, isSet := p.option("once"); isSet {
-		load.onceShare = p.number(v, "once", 0, 1-load.keyedShare)
+	load.keyedShare = p.optionalShare("keyed")
+	if v, isSet := p.option("non-idempotent"); isSet {
+		load.onceShare = p.number(v, "non-idempotent", 0, 1-load.keyedShare)
 	}
-	load.piecesShare = p.optionalShare("pieces")
-	load.leaveShare = p.optionalShare("leave")
-	load.shortShare = p.optionalShare("short")
+	load.piecesShare = p.optionalShare("split")
+	load.leaveShare = p.optionalShare("disconnect")
+	load.shortShare = p.optionalShare("short-timeout")
 	load.agents = p.optionalAgentSet()
 	return load
 }
@@ -85,9 +87,9 @@
 }
 
 func (p *stepParser) closedLoad(string) stepAction {
-	load := closedLoadStep{clients: p.integer(p.nextToken("clients at each agent"), "the crowd", 0, maxConnsPerAgent), pause: defaultClientPause}
-	if v, isSet := p.option("pause"); isSet {
-		load.pause = p.duration(v, "the pause")
+	load := closedLoadStep{clients: p.integer(p.nextToken("clients at each agent"), "the number of clients", 0, maxConnsPerAgent), pause: defaultClientPause}
+	if v, isSet := p.option("think-time"); isSet {
+		load.pause = p.duration(v, "the think time")
 	}
 	load.agents = p.optionalAgentSet()
 	return load
@@ -95,7 +97,7 @@
 
 func (p *stepParser) process(keyword string) stepAction {
 	step := processStep{action: keyword, agents: p.nextAgentSet()}
-	step.clearsState = p.accept("fresh")
+	step.clearsState = p.accept("clear-state")
 	step.program, _ = p.option("program")
 	if strings.ContainsAny(step.program, "/\\. ") {
 		p.fail("the program is %q, expected a name, without a path", step.program)
@@ -105,7 +107,8 @@
 
 func (p *stepParser) reload(string) stepAction {
 	reload := reloadStep{agents: p.nextAgentSet()}
-	reload.target = p.nextToken("operator, peer, discovery, launcher or spoilt")
+	token := p.nextToken("operator, peer, discovery, rollout-controller or malformed")
+	reload.target = currentWord(argumentWord, token)
 	switch reload.target {
 	case reloadOperator:
 		reload.tokens = p.restOfLine()
@@ -116,18 +119,18 @@
 		reload.peer = p.integer(p.nextToken("an agent"), "the agent", 0, p.scenario.Agents-1)
 	case serverDiscovery, serverRollout, reloadMalformed:
 	default:
-		p.fail("%q can't be reloaded, expected operator, peer, discovery, launcher or spoilt", reload.target)
+		p.fail("%q can't be reloaded, expected operator, peer, discovery, rollout-controller or malformed", token)
 	}
 	return reload
 }
 
 func (p *stepParser) health(keyword string) stepAction {
-	health := map[string]string{"drain": healthLeaving, "ready": healthActive, "gone": healthLeft}[keyword]
+	health := map[string]string{"drain": healthLeaving, "activate": healthActive, "remove": healthLeft}[keyword]
 	return healthStep{health, p.nextEndpointSet()}
 }
 
 func (p *stepParser) addEndpoints(string) stepAction {
-	step := addEndpointsStep{count: p.integer(p.nextToken("how many appliances"), "the number", 1, maxEndpoints)}
+	step := addEndpointsStep{count: p.integer(p.nextToken("how many endpoints"), "the number", 1, maxEndpoints)}
 	build, isSet := p.option("build")
 	step.build = p.integer(build, "the build", 1, maxBuild)
 	if !isSet {
@@ -137,7 +140,7 @@
 }
 
 func (p *stepParser) serviceTime(string) stepAction {
-	factor := p.number(p.nextToken("times its usual work"), "the work", 0, maxSlowdown)
+	factor := p.number(p.nextToken("times its usual service time"), "the slowdown", 0, maxSlowdown)
 	return serviceTimeStep{factor, p.nextEndpointSet()}
 }
 
@@ -155,14 +158,14 @@
 }
 
 func (p *stepParser) rolloutSilence(string) stepAction {
-	token := p.oneOf([]string{"silent", "answers"}, "silent or answers", "the launcher is %q, expected silent or answers")
+	token := p.oneOf([]string{"silent", "answers"}, "silent or answers", "the rollout controller is %q, expected silent or answers")
 	return rolloutSilenceStep{token == "silent"}
 }
 
 func (p *stepParser) nameLeader(string) stepAction {
 	step := nameLeaderStep{name: p.nextToken("a name")}
-	if !p.accept("lead") {
-		p.fail("only who leads can be named, expected lead")
+	if !p.accept("leader") {
+		p.fail("only the leader can be named, expected leader")
 	}
 	if v, isSet := p.option("not"); isSet {
 		excluded := p.agentSet("agent:" + v)
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -13,12 +13,12 @@
 
 // Words of the steps that act on processes.
 const (
-	processStop    = "stop"
-	processGo      = "go"
-	processKill    = "kill"
-	processTerm    = "term"
-	processStart   = "start"
-	processRestart = "restart"
+	processPause     = "pause"
+	processResume    = "resume"
+	processKill      = "kill"
+	processTerminate = "terminate"
+	processStart     = "start"
+	processRestart   = "restart"
 )
 
 // shutdownTimeout is the longest that a process may take to end after SIGTERM: its longest request timeout and what a drain adds,
@@ -47,11 +47,11 @@
 // signal sends an agent's process what a step says, and records it.
 func (g *agentGroup) signal(a *agent, process *fakes.Agent, action string) error {
 	switch action {
-	case processStop, processGo:
+	case processPause, processResume:
 		if process.HasExited() {
 			return fmt.Errorf("%s agent %d: %w", action, a.number, errNoProcess)
 		}
-		if action == processStop {
+		if action == processPause {
 			return g.pause(a, process)
 		}
 		return g.resume(a, process)
--- a/internal/faulttest/records.go
+++ b/internal/faulttest/records.go
@@ -17,7 +17,7 @@
 	EndpointStarts      []netfault.Micros `json:"Born"`    // by endpoint; -1: long before the run
 	Slots               int               // requests that an endpoint serves at a time
 	ServiceTime         netfault.Micros   `json:"Work"` // of one request at an endpoint that is warm
-	Calls               map[string][]Call // by server: discovery, launcher
+	Calls               map[string][]Call // by server, see callsKey
 	Datagrams           []int64           // delivered, by sender
 	Arrivals            []Arrival
 	Votes               []Vote
@@ -50,6 +50,14 @@
 	Version int `json:"Serial"`
 }
 
+// callsKey is the key of a server's calls in records.json, which does not change with the notation.
+func callsKey(server string) string {
+	if server == serverRollout {
+		return "launcher"
+	}
+	return server
+}
+
 // Call is a request of an agent to discovery or to the rollout controller.
 type Call struct {
 	Agent int
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -57,7 +57,7 @@
 	}
 	w := bufio.NewWriter(file)
 	for _, e := range events {
-		_, _ = fmt.Fprintf(w, "%10.3f  %-10s %s\n", seconds(e.at), e.source, e.text) // Flush reports the first error
+		_, _ = fmt.Fprintf(w, "%10.3f  %-18s %s\n", seconds(e.at), e.source, e.text) // Flush reports the first error
 	}
 	err = w.Flush()
 	if closeErr := file.Close(); err == nil {
@@ -95,7 +95,7 @@
 		}
 		for _, receipt := range r.ReceivedStages[agent] {
 			s := r.Stages[receipt.Version]
-			out = append(out, event{receipt.At, serverRollout, fmt.Sprintf("agent %d has the news: build %d stage %d %s cap %g", agent, s.Build, s.Stage, s.Phase, s.Cap)})
+			out = append(out, event{receipt.At, serverRollout, fmt.Sprintf("agent %d has the rollout state: build %d stage %d %s cap %g", agent, s.Build, s.Stage, s.Phase, s.Cap)})
 		}
 	}
 	return out
@@ -103,7 +103,7 @@
 
 func (r *Records) voteEvents() (out []event) {
 	for _, v := range r.Votes {
-		out = append(out, event{v.At, serverRollout, fmt.Sprintf("agent %d votes %s on build %d stage %d", v.Agent, v.Recommendation, v.Build, v.Stage)})
+		out = append(out, event{v.At, serverRollout, fmt.Sprintf("agent %d votes %s on build %d stage %d", v.Agent, recommendationWord(v.Recommendation), v.Build, v.Stage)})
 	}
 	return out
 }
@@ -114,7 +114,7 @@
 			continue
 		}
 		last := request.lastAttempt()
-		out = append(out, event{last.EndedAt, sourceClient, fmt.Sprintf("%s %s of agent %d failed: status %d %s, after %d tries",
+		out = append(out, event{last.EndedAt, sourceClient, fmt.Sprintf("%s %s of agent %d failed: status %d %s, after %d attempts",
 			last.Class, last.ID, last.Agent, last.Status, last.Err, len(request.Attempts))})
 	}
 	return out
--- a/internal/faulttest/rules.go
+++ b/internal/faulttest/rules.go
@@ -149,7 +149,7 @@
 			continue
 		}
 		out = append(out, Violation{ruleNoDuplicateEffect, a.RanAt, fmt.Sprintf(
-			"%s ran at appliance %d of agent %d, and %.3f s before at appliance %d of agent %d (tries %s and %s)",
+			"%s ran at endpoint %d of agent %d, and %.3f s before at endpoint %d of agent %d (attempts %s and %s)",
 			key, a.Endpoint, a.Agent, seconds(a.RanAt-b.RanAt), b.Endpoint, b.Agent, a.ID, b.ID)})
 	}
 	return out
@@ -197,7 +197,7 @@
 		}
 		since := r.inactiveSince(receipts, a.Endpoint, sent)
 		if since >= 0 && sent-since > grace {
-			out = append(out, Violation{ruleDrainsRespected, sent, fmt.Sprintf("agent %d sent %s to appliance %d %.3f s after it was told that it is %s",
+			out = append(out, Violation{ruleDrainsRespected, sent, fmt.Sprintf("agent %d sent %s to endpoint %d %.3f s after it was notified that it is %s",
 				a.Agent, a.ID, a.Endpoint, seconds(sent-since), health)})
 		}
 	}
@@ -238,7 +238,7 @@
 			sameStage := a.Build == b.Build && a.Stage == b.Stage
 			if !replacesOwn && sameStage && areContrary(a.Recommendation, b.Recommendation) && b.At-a.At < lifetime {
 				out = append(out, Violation{ruleNoContraryVotes, b.At, fmt.Sprintf("agent %d voted %s on build %d stage %d, agent %d voted %s %.3f s before",
-					b.Agent, b.Recommendation, b.Build, b.Stage, a.Agent, a.Recommendation, seconds(b.At-a.At))})
+					b.Agent, recommendationWord(b.Recommendation), b.Build, b.Stage, a.Agent, recommendationWord(a.Recommendation), seconds(b.At-a.At))})
 			}
 		}
 	}
--- a/internal/faulttest/runner.go
+++ b/internal/faulttest/runner.go
@@ -36,12 +36,12 @@
 		return v
 	}
 	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder that stays does no harm
-	cause := fmt.Errorf("the night is over its bound of %v", s.Timeout)
+	cause := fmt.Errorf("the scenario is over its timeout of %v", s.Timeout)
 	ctx, stop := context.WithTimeoutCause(ctx, s.Timeout+startupTimeout, cause)
 	defer stop()
 	d, err := startDeployment(ctx, s, dir, options)
 	if err != nil {
-		v.Error = fmt.Sprintf("%s: the rig does not stand: %v", s.File, err)
+		v.Error = fmt.Sprintf("%s: the deployment did not start: %v", s.File, err)
 		if d.agents.all != nil {
 			v.writeFiles(d, options.Keep, nil)
 		}
--- a/internal/faulttest/scenarios_test.go
+++ b/internal/faulttest/scenarios_test.go
@@ -1,6 +1,7 @@
 package faulttest
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"math"
@@ -62,7 +63,8 @@
 	return Run(t.Context(), n, options)
 }
 
-// Every shipped scenario passes. SWITCHFORK_NIGHTS selects those whose names contain it, SWITCHFORK_TIMES is how often each runs.
+// Every shipped scenario passes. SWITCHFORK_SCENARIOS (formerly SWITCHFORK_NIGHTS) selects those whose names contain it, SWITCHFORK_TIMES is
+// how often each runs.
 func TestScenarios(t *testing.T) {
 	files, _ := filepath.Glob("scenarios/*.txt")
 	if len(files) == 0 {
@@ -72,9 +74,10 @@
 	if n, err := strconv.Atoi(strings.TrimSpace(os.Getenv("SWITCHFORK_TIMES"))); err == nil {
 		times = n
 	}
+	selected := cmp.Or(os.Getenv("SWITCHFORK_SCENARIOS"), os.Getenv("SWITCHFORK_NIGHTS"))
 	options := runOptions(t)
 	for _, f := range files {
-		if !strings.Contains(f, os.Getenv("SWITCHFORK_NIGHTS")) {
+		if !strings.Contains(f, selected) {
 			continue
 		}
 		n, err := ReadScenario(f)
@@ -100,15 +103,15 @@
 func TestFalseExpectationsFail(t *testing.T) {
 	options := runOptions(t)
 	const text = `agents 2
-appliances 3 slots=4 work=2ms
+endpoints 3 slots=4 service-time=2ms
 0s load 40
-0s slow 50ms agents -> appliances
+0s delay 50ms agents -> endpoints
 1s heal all
 1s load 0
-expect settled >= 0.9
-expect settled <= 0.1 of=agent:1
+expect succeeded >= 0.9
+expect succeeded <= 0.1 of=agent:1
 expect never arrivals
-expect votes:back >= 1
+expect votes:rollback >= 1
 `
 	for _, c := range []struct {
 		name string
@@ -149,7 +152,7 @@
 func TestInterruptionLeavesNothing(t *testing.T) {
 	options := runOptions(t)
 	goroutines, listeners, children := countLeftovers(t)
-	n, err := ParseScenario("long", "agents 3\n0s load 40\n0s stop agent:1\n0s drop agents -> appliances\n60s load 0\nexpect settled >= 0\n")
+	n, err := ParseScenario("long", "agents 3\n0s load 40\n0s pause agent:1\n0s drop agents -> endpoints\n60s load 0\nexpect succeeded >= 0\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -192,11 +195,11 @@
 	options := runOptions(t)
 	options.Programs = map[string]string{firstProgram: options.Programs["other"]} // without the race detector: sixteen share the test's cores
 	const text = `agents 16
-appliances 24 slots=4 work=20ms
-talk datagrams
-0s load 25 posting=0.3
+endpoints 24 slots=4 service-time=20ms
+transport datagrams
+0s load 25 keyed=0.3
 5s load 0
-expect in-time >= 0.98
+expect within-objective >= 0.98
 expect median <= 100
 expect offered >= 1500
 `
--- a/internal/faulttest/set_reader.go
+++ b/internal/faulttest/set_reader.go
@@ -49,31 +49,33 @@
 
 func (r *setReader) endpointSet(token string) (set EndpointSet) {
 	kind, rest, hasRest := strings.Cut(token, ":")
+	kind = currentWord(partyWord, kind)
 	build, isBuild := strings.CutPrefix(rest, "build=")
 	switch {
-	case kind != "appliance" && kind != "appliances":
-		r.fail("%q names no appliances, expected appliances, appliance:3, appliance:0..5 or appliances:build=8", token)
+	case kind != "endpoint" && kind != "endpoints":
+		r.fail("%q names no endpoints, expected endpoints, endpoint:3, endpoint:0..5 or endpoints:build=8", token)
 	case !hasRest:
 	case isBuild:
 		set.Build = r.integer(build, "the build", 1, maxBuild)
 	default:
-		set.Numbers = r.numberList(rest, "the appliance", maxEndpoints)
+		set.Numbers = r.numberList(rest, "the endpoint", maxEndpoints)
 	}
 	return set
 }
 
 // nextEndpointSet consumes a token that names endpoints.
-func (r *setReader) nextEndpointSet() EndpointSet { return r.endpointSet(r.nextToken("appliances")) }
+func (r *setReader) nextEndpointSet() EndpointSet { return r.endpointSet(r.nextToken("endpoints")) }
 
 // party consumes a token that names an end of a link.
 func (r *setReader) party() (end Party) {
-	token := r.nextToken("an end of a link: agents, appliances, discovery or launcher")
-	switch {
+	token := r.nextToken("an end of a link: agents, endpoints, discovery or rollout-controller")
+	kind, _, _ := strings.Cut(token, ":")
+	switch kind = currentWord(partyWord, kind); {
 	case token == serverDiscovery:
 		end.Discovery = true
-	case token == serverRollout:
+	case currentWord(partyWord, token) == serverRollout:
 		end.Rollout = true
-	case strings.HasPrefix(token, "appliance"):
+	case strings.HasPrefix(kind, "endpoint"):
 		endpoints := r.endpointSet(token)
 		end.Endpoints = &endpoints
 	default:
--- a/internal/faulttest/shutdown_rules.go
+++ b/internal/faulttest/shutdown_rules.go
@@ -82,7 +82,7 @@
 		}
 		process := r.lifetimeAt(arrival.Agent, sent)
 		if process != nil && !process.wasPaused(left, sent) {
-			out = append(out, Violation{ruleNothingForGone, sent, fmt.Sprintf("agent %d sent %s to appliance %d %.3f s after its client had left",
+			out = append(out, Violation{ruleNothingForGone, sent, fmt.Sprintf("agent %d sent %s to endpoint %d %.3f s after its client had left",
 				arrival.Agent, arrival.ID, arrival.Endpoint, seconds(sent-left))})
 		}
 	}
--- a/internal/faulttest/verdict.go
+++ b/internal/faulttest/verdict.go
@@ -66,13 +66,13 @@
 	}
 	for _, record := range r.faults.records {
 		passed := record.hits > 0 || err != nil
-		v.Lines = append(v.Lines, LineResult{record.step.Line, record.step.Text, passed, fmt.Sprintf("it touched %d things", record.hits)})
+		v.Lines = append(v.Lines, LineResult{record.step.Line, record.step.Text, passed, fmt.Sprintf("it changed %d things", record.hits)})
 	}
 	if err == nil {
 		v.Lines = append(v.Lines, r.checkExpectations(records)...)
 	}
 	if n := r.clients.records.droppedRequests.Load(); n > 0 {
-		v.addError(fmt.Sprintf("%s: the clients had no place for %d txns: the load is more than they can play", r.scenario.File, n))
+		v.addError(fmt.Sprintf("%s: the clients had no free connection for %d requests: the load is more than they can send", r.scenario.File, n))
 	}
 	for _, violation := range CheckRules(records) {
 		v.Violations = append(v.Violations, violation.String())
--- a/internal/faulttest/vocabulary.go
+++ b/internal/faulttest/vocabulary.go
@@ -4,13 +4,13 @@
 const (
 	transportTCP       = "tcp" // streams of the leader election
 	transportDatagrams = "datagrams"
-	transportNone      = "no"
+	transportNone      = "none"
 )
 
 // Servers that agents call.
 const (
 	serverDiscovery = "discovery"
-	serverRollout   = "launcher"
+	serverRollout   = "rollout-controller"
 )
 
 // Health of an endpoint in the endpoint list.
@@ -30,7 +30,7 @@
 
 var rolloutPhases = []string{phaseTesting, phaseRecalling, phaseLive, phaseRecalled}
 
-// Recommendations that an agent may vote for.
+// Recommendations that an agent may vote for, as records.json has them.
 const (
 	recommendOn   = "on"
 	recommendBack = "back"
@@ -38,13 +38,11 @@
 	recommendNone = "none"
 )
 
-var recommendations = []string{recommendOn, recommendBack, recommendHold, recommendNone}
-
 // What a reload may change, apart from the addresses of servers.
 const (
 	reloadOperator  = "operator"
 	reloadPeer      = "peer"
-	reloadMalformed = "spoilt"
+	reloadMalformed = "malformed"
 )
 
 // Changes of the election's members.
