--- a/internal/faulttest/attempt_sender.go
+++ b/internal/faulttest/attempt_sender.go
@@ -26,9 +26,9 @@
 
 // requestStyle is how a client sends a request; the zero value is a plain one.
 type requestStyle struct {
-	inPieces   bool
-	timeout    time.Duration // that the client gives the agent; 0: requestTimeout
-	leaveAfter time.Duration // the client closes its connection so long after it has sent the request; 0: it waits
+	isSplit         bool
+	timeout         time.Duration // that the client gives the agent; 0: requestTimeout
+	disconnectAfter time.Duration // the client closes its connection so long after it has sent the request; 0: it waits
 }
 
 // attemptSpec is one attempt at a request, as its client makes it.
@@ -107,9 +107,9 @@
 		return false, err
 	}
 	a.SentAt = s.now()
-	if spec.style.leaveAfter > 0 {
-		time.Sleep(spec.style.leaveAfter)
-		a.HasLeft, a.EndedAt = true, s.now()
+	if spec.style.disconnectAfter > 0 {
+		time.Sleep(spec.style.disconnectAfter)
+		a.HasDisconnected, a.EndedAt = true, s.now()
 		return false, nil
 	}
 	response, err := http.ReadResponse(conn.reader, nil)
@@ -132,14 +132,14 @@
 }
 
 // encodeRequest is the request of an attempt as it is written to the agent.
-func encodeRequest(a *Attempt, spec attemptSpec, left time.Duration) []byte {
+func encodeRequest(a *Attempt, spec attemptSpec, remaining time.Duration) []byte {
 	method := http.MethodPost
 	if a.Class == classIdempotent {
 		method = http.MethodGet
 	}
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s /%s?sid=%016x HTTP/1.1\r\nHost: service.internal\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: %s\r\nX-Deadline-Ms: %d\r\n",
-		method, a.Class, spec.serial, a.ID, a.Class, tenant, max(1, left.Milliseconds()))
+		method, a.Class, spec.serial, a.ID, a.Class, tenant, max(1, remaining.Milliseconds()))
 	if spec.number > 0 {
 		b.WriteString("X-Retry: 1\r\n")
 	}
@@ -185,5 +185,5 @@
 		return true
 	}
 	waited := a.EndedAt - max(a.SentAt, 0)
-	return a.Status == 0 && a.Class != classOnce && waited < requestTimeout.Microseconds()
+	return a.Status == 0 && a.Class != classNonIdempotent && waited < requestTimeout.Microseconds()
 }
--- a/internal/faulttest/client_conn.go
+++ b/internal/faulttest/client_conn.go
@@ -29,7 +29,7 @@
 
 // write sends a request, in two pieces where its style says so.
 func (c *clientConn) write(request []byte, style requestStyle) error {
-	if style.inPieces {
+	if style.isSplit {
 		half := len(request) / 2
 		if _, err := c.Write(request[:half]); err != nil {
 			return err
--- a/internal/faulttest/describe_test.go
+++ b/internal/faulttest/describe_test.go
@@ -68,8 +68,8 @@
 func describeAction(action stepAction) string {
 	switch a := action.(type) {
 	case openLoadStep:
-		return fmt.Sprint("load ", a.number, " rate ", a.rate, " at ", describeAgents(&a.agents), " keyed ", a.keyedShare, " once ", a.onceShare,
-			" pieces ", a.piecesShare, " leave ", a.leaveShare, " short ", a.shortShare)
+		return fmt.Sprint("load ", a.number, " rate ", a.rate, " at ", describeAgents(&a.agents), " keyed ", a.keyedShare, " once ", a.nonIdempotentShare,
+			" pieces ", a.splitShare, " leave ", a.disconnectShare, " short ", a.shortTimeoutShare)
 	case closedLoadStep:
 		return fmt.Sprint("clients ", a.clients, " pause ", a.pause, " at ", describeAgents(&a.agents))
 	case faultStep:
--- a/internal/faulttest/endpoint_group.go
+++ b/internal/faulttest/endpoint_group.go
@@ -11,8 +11,8 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// longWarm is the start of an endpoint that has its full speed from the run's beginning on.
-const longWarm netfault.Micros = -1
+// startedLongAgo is the start of an endpoint that has its full speed from the run's beginning on.
+const startedLongAgo netfault.Micros = -1
 
 // endpointSeedSpacing gives each endpoint a random source of its own.
 const endpointSeedSpacing = 31
@@ -27,7 +27,7 @@
 
 	mu     sync.Mutex
 	all    []*fakes.Endpoint
-	starts []netfault.Micros // when each started; longWarm: long before the run
+	starts []netfault.Micros // when each started; startedLongAgo: long before the run
 }
 
 const endpointNamePrefix = "s-"
@@ -64,7 +64,7 @@
 		return row, err
 	}
 	row = EndpointRow{Endpoint: number, Health: healthActive, Build: build}
-	started := longWarm
+	started := startedLongAgo
 	if warmsUp {
 		endpoint.SetSlowStart(fakes.InitialCapacity, fakes.SlowStartDuration)
 		row.StartedAtMS, started = time.Now().UnixMilli(), g.now()
--- a/internal/faulttest/endpoint_recorder.go
+++ b/internal/faulttest/endpoint_recorder.go
@@ -12,9 +12,9 @@
 
 // Request classes of a scenario, as fakes.AgentConfig configures them.
 const (
-	classIdempotent = "lookup"
-	classKeyed      = "posting" // idempotent by its key
-	classOnce       = "fee"     // must never run twice
+	classIdempotent    = "lookup"
+	classKeyed         = "posting" // idempotent by its key
+	classNonIdempotent = "fee"     // must never run twice
 )
 
 // notRun is the time of a run that has not begun.
@@ -46,7 +46,7 @@
 	if conn := countedConnOf(request); conn != nil {
 		a.Agent, a.conn, a.StreamOffset = conn.agent, conn, conn.requestStart.Load()
 	}
-	if class == classOnce {
+	if class == classNonIdempotent {
 		a.Key = request.URL.Query().Get("sid")
 	}
 	r.mu.Lock()
--- a/internal/faulttest/fake_discovery.go
+++ b/internal/faulttest/fake_discovery.go
@@ -67,7 +67,7 @@
 func (d *fakeDiscovery) document(agent, version int) string {
 	var entries []string
 	for _, row := range d.rows(version) {
-		if row.Health != healthLeft {
+		if row.Health != healthRemoved {
 			address := d.address(agent, row.Endpoint)
 			entries = append(entries, fakes.ListEntryStartedAt(endpointName(row.Endpoint), address, row.Health, row.Build, row.StartedAtMS))
 		}
--- a/internal/faulttest/fake_rollout.go
+++ b/internal/faulttest/fake_rollout.go
@@ -17,7 +17,7 @@
 
 // recommendationNames map the votes of the protocol to those of records and scenarios.
 var recommendationNames = map[string]string{
-	"approve": recommendOn, "reject": recommendBack, "wait": recommendHold, "clear": recommendNone,
+	"approve": recommendAdvance, "reject": recommendRollback, "wait": recommendHold, "clear": recommendNone,
 }
 
 // initialStageAge is how long before the run the first build was released.
--- a/internal/faulttest/notation.go
+++ b/internal/faulttest/notation.go
@@ -54,7 +54,7 @@
 
 // recommendationWords are the notation's words for what an agent may vote for.
 var recommendationWords = map[string]string{
-	"advance": recommendOn, "rollback": recommendBack, "hold": recommendHold, "none": recommendNone,
+	"advance": recommendAdvance, "rollback": recommendRollback, "hold": recommendHold, "none": recommendNone,
 }
 
 // recommendationWord is the notation's word for a recommendation of the records.
--- a/internal/faulttest/open_load.go
+++ b/internal/faulttest/open_load.go
@@ -9,11 +9,11 @@
 // maxAttempts is how often a client tries a request in all, as the users' clients do.
 const maxAttempts = 3
 
-// Times of the clients that leave, or that leave the agent little time.
+// Times of the clients that disconnect, or that give the agent little time.
 const (
-	maxLeaveAfter   = 100 * time.Millisecond
-	minShortTimeout = 20 * time.Millisecond
-	maxShortTimeout = 300 * time.Millisecond
+	maxDisconnectAfter = 100 * time.Millisecond
+	minShortTimeout    = 20 * time.Millisecond
+	maxShortTimeout    = 300 * time.Millisecond
 )
 
 // openLoad is the load at one agent whose arrivals do not wait for answers.
@@ -46,13 +46,13 @@
 
 // drawStyle is how a request is sent. A load without special requests draws nothing, so that its arrivals do not depend on them.
 func (a openLoadStep) drawStyle(random *rand.Rand) (style requestStyle) {
-	if a.piecesShare > 0 {
-		style.inPieces = random.Float64() < a.piecesShare
+	if a.splitShare > 0 {
+		style.isSplit = random.Float64() < a.splitShare
 	}
-	if a.leaveShare > 0 && random.Float64() < a.leaveShare {
-		style.leaveAfter = 1 + time.Duration(random.Int63n(int64(maxLeaveAfter)))
+	if a.disconnectShare > 0 && random.Float64() < a.disconnectShare {
+		style.disconnectAfter = 1 + time.Duration(random.Int63n(int64(maxDisconnectAfter)))
 	}
-	if a.shortShare > 0 && random.Float64() < a.shortShare {
+	if a.shortTimeoutShare > 0 && random.Float64() < a.shortTimeoutShare {
 		style.timeout = minShortTimeout + time.Duration(random.Int63n(int64(maxShortTimeout-minShortTimeout)))
 	}
 	return style
@@ -63,8 +63,8 @@
 	switch {
 	case draw < a.keyedShare:
 		return classKeyed
-	case draw < a.keyedShare+a.onceShare:
-		return classOnce
+	case draw < a.keyedShare+a.nonIdempotentShare:
+		return classNonIdempotent
 	default:
 		return classIdempotent
 	}
@@ -80,7 +80,7 @@
 		attempt := c.sendPooled(ctx, spec)
 		c.records.addAttempt(request, attempt)
 		outcome = attempt.outcome()
-		if attempt.HasLeft || attempt.Timeout > 0 {
+		if attempt.HasDisconnected || attempt.Timeout > 0 {
 			break // it does not come again
 		}
 		if outcome == outcomeRejected {
--- a/internal/faulttest/parse_condition.go
+++ b/internal/faulttest/parse_condition.go
@@ -98,8 +98,8 @@
 		m.Class = v
 		if !spec.byClass {
 			p.fail("%s is not counted by class, expected no class=", m.Name)
-		} else if v != classIdempotent && v != classKeyed && v != classOnce {
-			p.fail("class %q is not known, expected %s, %s or %s", v, classIdempotent, classKeyed, classOnce)
+		} else if v != classIdempotent && v != classKeyed && v != classNonIdempotent {
+			p.fail("class %q is not known, expected %s, %s or %s", v, classIdempotent, classKeyed, classNonIdempotent)
 		}
 	}
 }
--- a/internal/faulttest/parse_step.go
+++ b/internal/faulttest/parse_step.go
@@ -68,11 +68,11 @@
 	p.loadSteps++
 	load.keyedShare = p.optionalShare("keyed")
 	if v, isSet := p.option("non-idempotent"); isSet {
-		load.onceShare = p.number(v, "non-idempotent", 0, 1-load.keyedShare)
+		load.nonIdempotentShare = p.number(v, "non-idempotent", 0, 1-load.keyedShare)
 	}
-	load.piecesShare = p.optionalShare("split")
-	load.leaveShare = p.optionalShare("disconnect")
-	load.shortShare = p.optionalShare("short-timeout")
+	load.splitShare = p.optionalShare("split")
+	load.disconnectShare = p.optionalShare("disconnect")
+	load.shortTimeoutShare = p.optionalShare("short-timeout")
 	load.agents = p.optionalAgentSet()
 	return load
 }
@@ -125,7 +125,7 @@
 }
 
 func (p *stepParser) health(keyword string) stepAction {
-	health := map[string]string{"drain": healthLeaving, "activate": healthActive, "remove": healthLeft}[keyword]
+	health := map[string]string{"drain": healthDraining, "activate": healthActive, "remove": healthRemoved}[keyword]
 	return healthStep{health, p.nextEndpointSet()}
 }
 
--- a/internal/faulttest/records.go
+++ b/internal/faulttest/records.go
@@ -117,9 +117,9 @@
 	Body           string
 	WasUnreachable bool `json:"Unreached"` // no connection came up: the agent has not received it
 
-	Timeout  netfault.Micros `json:",omitempty"`     // that the client gave the agent; 0: requestTimeout
-	DialedAt netfault.Micros `json:",omitempty"`     // when its connection was dialed; 0: not known
-	HasLeft  bool            `json:"Gone,omitempty"` // the client closed its connection at EndedAt and wants no answer
+	Timeout         netfault.Micros `json:",omitempty"`     // that the client gave the agent; 0: requestTimeout
+	DialedAt        netfault.Micros `json:",omitempty"`     // when its connection was dialed; 0: not known
+	HasDisconnected bool            `json:"Gone,omitempty"` // the client closed its connection at EndedAt and wants no answer
 }
 
 // processTime is a time at which the process lived that an attempt was sent to: an attempt may be sent whole when the next one has started.
--- a/internal/faulttest/rules.go
+++ b/internal/faulttest/rules.go
@@ -13,15 +13,15 @@
 
 // Names of the rules, as reports print them.
 const (
-	ruleOneAnswer         = "one answer"
-	ruleNoDuplicateEffect = "no effect twice"
-	ruleDrainsRespected   = "drains kept"
-	ruleSlowStart         = "cold spared"
-	ruleExposureCap       = "exposure"
-	ruleNoContraryVotes   = "no contrary votes"
-	ruleReusedConnections = "kept connections"
-	ruleShutdown          = "shutdown"
-	ruleNothingForGone    = "nothing for clients that left"
+	ruleOneAnswer              = "one answer"
+	ruleNoDuplicateEffect      = "no duplicate effect"
+	ruleDrainsRespected        = "drains respected"
+	ruleSlowStart              = "slow start"
+	ruleExposureCap            = "exposure"
+	ruleNoContraryVotes        = "no contrary votes"
+	ruleReusedConnections      = "reused connections"
+	ruleShutdown               = "shutdown"
+	ruleNothingAfterDisconnect = "nothing after disconnect"
 )
 
 const (
@@ -40,8 +40,8 @@
 	exitSlack = 50 * time.Millisecond
 	// maxCleanCloseRaces: a request may meet the clean end of a connection in the microseconds in which it ends, one in a hundred restarts.
 	maxCleanCloseRaces = 1
-	// goneSlack is the protocol's 0.1 s for an attempt of a client that has left, and drainSlack.
-	goneSlack = 100*time.Millisecond + drainSlack
+	// disconnectSlack is the protocol's 0.1 s for an attempt of a client that has disconnected, and drainSlack.
+	disconnectSlack = 100*time.Millisecond + drainSlack
 )
 
 // Violation is a rule that was broken.
@@ -69,7 +69,7 @@
 func CheckRules(r *Records) (out []Violation) {
 	rules := []func(*Records) []Violation{
 		checkOneAnswer, checkNoDuplicateEffect, checkDrainsRespected, checkSlowStart, checkExposureCap, checkNoContraryVotes,
-		checkReusedConnections, checkShutdown, checkNothingForGone,
+		checkReusedConnections, checkShutdown, checkNothingAfterDisconnect,
 	}
 	for _, rule := range rules {
 		found := rule(r)
@@ -100,7 +100,7 @@
 	if a.HasExtraBytes {
 		out = append(out, Violation{ruleOneAnswer, a.EndedAt, fmt.Sprintf("bytes behind the answer to %s of agent %d", a.ID, a.Agent)})
 	}
-	if a.SentAt < 0 || a.HasLeft {
+	if a.SentAt < 0 || a.HasDisconnected {
 		return out
 	}
 	due := a.SentAt + (a.timeout() + fakes.AnswerGrace + answerSlack).Microseconds()
@@ -167,14 +167,14 @@
 	return newest
 }
 
-// endpointHealth is an endpoint's health in a version of the list; an endpoint that is not listed has left.
+// endpointHealth is an endpoint's health in a version of the list; an endpoint that is not listed was removed.
 func endpointHealth(rows []EndpointRow, endpoint int) string {
 	for _, row := range rows {
 		if row.Endpoint == endpoint {
 			return row.Health
 		}
 	}
-	return healthLeft
+	return healthRemoved
 }
 
 // checkDrainsRespected: no new request to an endpoint later than the grace after its agent was notified that it drains or is gone. A
@@ -234,7 +234,7 @@
 	lifetime := fakes.VoteLifetime.Microseconds()
 	for i, a := range r.Votes {
 		for _, b := range r.Votes[i+1:] {
-			replacesOwn := a.Agent == b.Agent && a.Recommendation == recommendOn
+			replacesOwn := a.Agent == b.Agent && a.Recommendation == recommendAdvance
 			sameStage := a.Build == b.Build && a.Stage == b.Stage
 			if !replacesOwn && sameStage && areContrary(a.Recommendation, b.Recommendation) && b.At-a.At < lifetime {
 				out = append(out, Violation{ruleNoContraryVotes, b.At, fmt.Sprintf("agent %d voted %s on build %d stage %d, agent %d voted %s %.3f s before",
@@ -246,7 +246,7 @@
 }
 
 func areContrary(a, b string) bool {
-	return a == recommendOn && b == recommendBack || a == recommendBack && b == recommendOn
+	return a == recommendAdvance && b == recommendRollback || a == recommendRollback && b == recommendAdvance
 }
 
 // claim is that an agent holds something exclusively over a span of time.
--- a/internal/faulttest/rules_test.go
+++ b/internal/faulttest/rules_test.go
@@ -52,30 +52,30 @@
 		{"bytes behind an answer", "one answer", onAttempt(func(a *Attempt) { a.HasExtraBytes = true })},
 		{"bytes behind an answer, later", "one answer", func(r *Records) { r.ConnsWithExtraBytes = 1 }},
 		{"no answer of a process that was killed", "", func(r *Records) { r.Requests[3].Attempts[0].Status = 0; r.Lifetimes[0][0].End = 4 * second }},
-		{"no answer of one that stands still", "", func(r *Records) {
+		{"no answer of one that is paused", "", func(r *Records) {
 			r.Requests[3].Attempts[0].Status = 0
 			r.Lifetimes[0][0].Pauses = [][2]netfault.Micros{{2 * second, 9 * second}}
 		}},
-		{"no answer of one that was asked to leave only later", "one answer", func(r *Records) {
+		{"no answer of one that was asked to end only later", "one answer", func(r *Records) {
 			r.Requests[3].Attempts[0].Status = 0
 			r.Lifetimes[0][0].TermSentAt, r.Lifetimes[0][0].End = 3*second, 4*second
 		}},
-		{"a posting that ran again", "no effect twice", func(r *Records) { r.addArrival(1, 0, 13*second, classKeyed, "k1") }},
-		{"a fee that ran again", "no effect twice", func(r *Records) {
-			r.addArrival(0, 1, 3*second, classOnce, "f")
-			r.addArrival(1, 0, 4*second, classOnce, "f")
+		{"a keyed request that ran again", "no duplicate effect", func(r *Records) { r.addArrival(1, 0, 13*second, classKeyed, "k1") }},
+		{"a non-idempotent request that ran again", "no duplicate effect", func(r *Records) {
+			r.addArrival(0, 1, 3*second, classNonIdempotent, "f")
+			r.addArrival(1, 0, 4*second, classNonIdempotent, "f")
 		}},
 		{"a repeat that was dropped", "", func(r *Records) {
 			r.addArrival(1, 0, 4*second, classKeyed, "k1")
 			r.Arrivals[len(r.Arrivals)-1].RanAt = -1
 		}},
-		{"something new after the grace", "drains kept", func(r *Records) { r.addArrival(0, 0, 6*second+second/2, classIdempotent, "") }},
-		{"the same by one who stood still when it was told", "drains kept", func(r *Records) {
+		{"something new after the grace", "drains respected", func(r *Records) { r.addArrival(0, 0, 6*second+second/2, classIdempotent, "") }},
+		{"the same by one who was paused when it was notified", "drains respected", func(r *Records) {
 			r.Lifetimes[0][0].Pauses = [][2]netfault.Micros{{4 * second, 7 * second}}
 			r.addArrival(0, 0, 7*second, classIdempotent, "")
 		}},
 		{"something new after the grace by one who was never told", "", func(r *Records) { r.addArrival(1, 0, 8*second, classIdempotent, "") }},
-		{"a cold appliance that is sent too much", "cold spared", func(r *Records) {
+		{"a warming endpoint that is sent too much", "slow start", func(r *Records) {
 			for i := range netfault.Micros(400) {
 				r.addArrival(int(i)%2, 0, second+i*second/400, classIdempotent, "")
 			}
@@ -97,7 +97,7 @@
 			}
 		}},
 		{"a short time of its own", "one answer", onAttempt(func(a *Attempt) { a.Timeout, a.EndedAt = second/50, a.SentAt+second })},
-		{"no answer to a client that left", "", onAttempt(func(a *Attempt) { a.Status, a.HasLeft = 0, true })},
+		{"no answer to a client that left", "", onAttempt(func(a *Attempt) { a.Status, a.HasDisconnected = 0, true })},
 		{"no answer of one that ended by itself", "one answer", func(r *Records) {
 			r.Requests[3].Attempts[0].Status = 0
 			r.Lifetimes[0][0].TermSentAt, r.Lifetimes[0][0].End = 2*second+second/10, 4*second
@@ -111,9 +111,9 @@
 			attempt := &r.Requests[3].Attempts[0]
 			attempt.Status, attempt.DialedAt = 0, attempt.SentAt-second/10
 		}},
-		{"a kept connection is reset", "kept connections", func(r *Records) { r.CloseRaces = []CloseRace{{IsReset: true}} }},
+		{"a reused connection is reset", "reused connections", func(r *Records) { r.CloseRaces = []CloseRace{{IsReset: true}} }},
 		{"one kept connection ends cleanly under a request", "", func(r *Records) { r.CloseRaces = []CloseRace{{}} }},
-		{"several do", "kept connections", func(r *Records) { r.CloseRaces = []CloseRace{{}, {}} }},
+		{"several do", "reused connections", func(r *Records) { r.CloseRaces = []CloseRace{{}, {}} }},
 		{"a drain longer than SIGKILL allows", "shutdown", func(r *Records) { r.Lifetimes[1][0].TermSentAt = 5 * second }},
 		{"an exit with an error", "shutdown", func(r *Records) {
 			r.Lifetimes[1][0].TermSentAt, r.Lifetimes[1][0].ExitError = 8*second, "exit status 2"
@@ -125,8 +125,8 @@
 			r.Lifetimes[1][0].TermSentAt = 8 * second
 			r.Requests[3].Attempts[0] = Attempt{Agent: 1, SentAt: -1, EndedAt: 8*second + second/10, WasUnreachable: true, Err: "connection refused"}
 		}},
-		{"an attempt for a client that left", "nothing for clients that left", func(r *Records) {
-			r.Requests[3].Attempts[0].ID, r.Requests[3].Attempts[0].HasLeft = "y", true
+		{"an attempt for a client that disconnected", "nothing after disconnect", func(r *Records) {
+			r.Requests[3].Attempts[0].ID, r.Requests[3].Attempts[0].HasDisconnected = "y", true
 		}},
 		{"contrary votes", "no contrary votes", func(r *Records) { r.Votes[1].At = 6 * second }},
 		{"one's own vote on that comes after its vote back", "no contrary votes", func(r *Records) {
--- a/internal/faulttest/shutdown_rules.go
+++ b/internal/faulttest/shutdown_rules.go
@@ -64,26 +64,26 @@
 	return isEarly && a.WasUnreachable && strings.Contains(a.Err, "refused")
 }
 
-// checkNothingForGone: no attempt is sent for a client that has left.
-func checkNothingForGone(r *Records) (out []Violation) {
-	leftAt := map[string]netfault.Micros{}
+// checkNothingAfterDisconnect: no attempt is sent for a client that has disconnected.
+func checkNothingAfterDisconnect(r *Records) (out []Violation) {
+	disconnectedAt := map[string]netfault.Micros{}
 	for _, request := range r.Requests {
 		for _, attempt := range request.Attempts {
-			if attempt.HasLeft {
-				leftAt[attempt.ID] = attempt.EndedAt
+			if attempt.HasDisconnected {
+				disconnectedAt[attempt.ID] = attempt.EndedAt
 			}
 		}
 	}
 	for i, arrival := range r.Arrivals {
-		left, hasLeft := leftAt[arrival.ID]
+		disconnected, hasDisconnected := disconnectedAt[arrival.ID]
 		sent := r.SentAt[i]
-		if !hasLeft || sent <= left+goneSlack.Microseconds() {
+		if !hasDisconnected || sent <= disconnected+disconnectSlack.Microseconds() {
 			continue
 		}
 		process := r.lifetimeAt(arrival.Agent, sent)
-		if process != nil && !process.wasPaused(left, sent) {
-			out = append(out, Violation{ruleNothingForGone, sent, fmt.Sprintf("agent %d sent %s to endpoint %d %.3f s after its client had left",
-				arrival.Agent, arrival.ID, arrival.Endpoint, seconds(sent-left))})
+		if process != nil && !process.wasPaused(disconnected, sent) {
+			out = append(out, Violation{ruleNothingAfterDisconnect, sent, fmt.Sprintf("agent %d sent %s to endpoint %d %.3f s after its client had disconnected",
+				arrival.Agent, arrival.ID, arrival.Endpoint, seconds(sent-disconnected))})
 		}
 	}
 	return out
--- a/internal/faulttest/steps.go
+++ b/internal/faulttest/steps.go
@@ -15,15 +15,15 @@
 type (
 	// openLoadStep starts requests at a rate, whether or not those before were answered.
 	openLoadStep struct {
-		number     int     // of the scenario's load steps, from 0 on; it is part of the seed
-		rate       float64 // requests a second, at each agent
-		agents     AgentSet
-		keyedShare float64
-		onceShare  float64
+		number             int     // of the scenario's load steps, from 0 on; it is part of the seed
+		rate               float64 // requests a second, at each agent
+		agents             AgentSet
+		keyedShare         float64
+		nonIdempotentShare float64
 
-		piecesShare float64 // of requests that are sent in pieces
-		leaveShare  float64 // of clients that leave before the answer
-		shortShare  float64 // of requests with little time
+		splitShare        float64 // of requests that are sent in pieces
+		disconnectShare   float64 // of clients that disconnect before the answer
+		shortTimeoutShare float64 // of requests with little time
 	}
 	// closedLoadStep starts clients that keep a connection each and send one request at a time.
 	closedLoadStep struct {
--- a/internal/faulttest/verdict.go
+++ b/internal/faulttest/verdict.go
@@ -12,19 +12,19 @@
 	Number   int    `json:"line"`
 	Text     string `json:"text"`
 	Passed   bool   `json:"passed"`
-	Observed string `json:"seen"`
+	Observed string `json:"observed"`
 }
 
 // Verdict is the result of a run.
 type Verdict struct {
-	Scenario   string       `json:"night"`
+	Scenario   string       `json:"scenario"`
 	Seed       int64        `json:"seed"`
 	Passed     bool         `json:"passed"`
 	Error      string       `json:"error,omitempty"` // the scenario could not be run
 	Lines      []LineResult `json:"lines"`
-	Violations []string     `json:"breaches,omitempty"`
-	Mismatches []string     `json:"differ,omitempty"` // between the records of servers and relays
-	Requests   int          `json:"txns"`
+	Violations []string     `json:"violations,omitempty"`
+	Mismatches []string     `json:"mismatches,omitempty"` // between the records of servers and relays
+	Requests   int          `json:"requests"`
 	TookMS     int64        `json:"took_ms"`
 	Folder     string       `json:"folder,omitempty"`
 }
--- a/internal/faulttest/vocabulary.go
+++ b/internal/faulttest/vocabulary.go
@@ -15,9 +15,9 @@
 
 // Health of an endpoint in the endpoint list.
 const (
-	healthActive  = "active"
-	healthLeaving = "leaving"
-	healthLeft    = "left"
+	healthActive   = "active"
+	healthDraining = "leaving"
+	healthRemoved  = "left"
 )
 
 // Phases of a rollout.
@@ -32,10 +32,10 @@
 
 // Recommendations that an agent may vote for, as records.json has them.
 const (
-	recommendOn   = "on"
-	recommendBack = "back"
-	recommendHold = "hold"
-	recommendNone = "none"
+	recommendAdvance  = "on"
+	recommendRollback = "back"
+	recommendHold     = "hold"
+	recommendNone     = "none"
 )
 
 // What a reload may change, apart from the addresses of servers.
