--- a/cmd/switchfork-lab/testbed.go
+++ b/cmd/switchfork-lab/testbed.go
@@ -28,7 +28,7 @@
 
 // Operator files of the agent, with and without admission control.
 const (
-	operatorWithAdmission    = "door on\nlog-form json\ndoor-client header X-Client\n"
+	operatorWithAdmission    = "admission-control on\nlog-form json\nadmission-client header X-Client\n"
 	operatorWithoutAdmission = "log-form json\n"
 )
 
@@ -144,3 +144,13 @@
 	}
 	return groups
 }
+
+// runInBackground runs a task in a goroutine of its own. The channel is closed when it has ended.
+func runInBackground(task func()) <-chan struct{} {
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		task()
+	}()
+	return done
+}
--- a/cmd/switchfork/admission.go
+++ b/cmd/switchfork/admission.go
@@ -9,14 +9,11 @@
 	"switchfork/internal/proxy"
 )
 
-// clientIsConnection is the operator's choice to tell clients apart by their connections.
-const clientIsConnection = "connection"
-
 // enableAdmission puts the admission control that the operator asks for in front of the event loop.
 func (p *agentProcess) enableAdmission() {
 	opts := p.options.Admission
 	p.admission = proxy.NewAdmissionLoop(p.newAdmissionController(opts), p.clock, p.loop)
-	p.proxy.UseAdmission(p.admission, proxy.ClientKey{Header: opts.Header, Connection: opts.Client == clientIsConnection})
+	p.proxy.UseAdmission(p.admission, proxy.ClientKey{Header: opts.Header, Connection: opts.ClientIdentity == options.ClientByConnection})
 }
 
 func (p *agentProcess) newAdmissionController(opts options.Admission) *admission.Controller {
@@ -38,7 +35,14 @@
 	}
 	tenants := tenantWeights(opts, p.settings.tenants, p.settings.tenantShares)
 	slog.Info("admission control configured", "max_requests", limits.Requests, "max_kib", limits.Bytes>>10, "queues", limits.Queues, "tenants", len(tenants))
-	return admission.New(classes, tenants, limits, retryAfter, opts.Coalesces, int64(p.settings.seed))
+	return admission.New(admission.Config{
+		Classes:         classes,
+		Tenants:         tenants,
+		Limits:          limits,
+		RetryAfter:      retryAfter,
+		CoalesceRetries: opts.Coalesces,
+		Seed:            int64(p.settings.seed),
+	})
 }
 
 // admissionLimits are what fits into the agent's memory and connections, or less where the operator wants less.
--- a/cmd/switchfork/coordinator.go
+++ b/cmd/switchfork/coordinator.go
@@ -38,43 +38,52 @@
 // before it is started.
 type lateTCP struct{ *transport.TCP }
 
+// coordinatorConfig is what a coordinator is made of: what configures it, and the parts of the agent that it is connected to.
+type coordinatorConfig struct {
+	options options.Coordinator
+	peers   config.Peers
+	voting  config.Voting
+	seed    int64
+
+	loop    *agent.Loop
+	rollout *rollout.Client
+	gossip  *gossip.Messenger
+}
+
 // wireCoordinator makes the coordinator that the operator asks for; nil without one. The votes that the policy asks for then go
 // through the coordinator, and it gets the rollout updates.
-func wireCoordinator(opts options.Coordinator, peers config.Peers, settings *config.Settings, seed int64, core *agent.Loop,
-	rolloutClient *rollout.Client, messenger *gossip.Messenger,
-) (*coordinatorWiring, error) {
-	if !opts.Enabled {
-		if opts.AdminSocket != "" {
+func wireCoordinator(c coordinatorConfig) (*coordinatorWiring, error) {
+	if !c.options.Enabled {
+		if c.options.AdminSocket != "" {
 			slog.Warn("admin socket not opened: the coordinator is off")
 		}
 		return nil, nil
 	}
-	voting := settings.Voting()
-	if !canCoordinate(opts, peers, voting) {
+	if !canCoordinate(c.options, c.peers, c.voting) {
 		return nil, nil
 	}
-	replica, err := replicaConfig(opts, voting, seed)
+	replica, err := replicaConfig(c.options, c.voting, c.seed)
 	if err != nil {
 		return nil, err
 	}
-	store, err := openStore(opts.StateDir, &replica)
+	store, err := openStore(c.options.StateDir, &replica)
 	if err != nil {
 		return nil, err
 	}
 	wiring := &coordinatorWiring{}
-	var carrier coordinator.Transport = messenger
-	if opts.Listen != "" {
+	var carrier coordinator.Transport = c.gossip
+	if c.options.Listen != "" {
 		wiring.tcp = &lateTCP{}
 		carrier = wiring.tcp
 	}
-	wiring.coordinator = coordinator.New(replica, carrier, store, coordinatorCallbacks(core, rolloutClient))
+	wiring.coordinator = coordinator.New(replica, carrier, store, coordinatorCallbacks(c.loop, c.rollout))
 	if wiring.tcp == nil {
-		messenger.Intercept(wiring.receiveGossip)
+		c.gossip.Intercept(wiring.receiveGossip)
 	}
-	core.RouteVotes(wiring.coordinator.Recommend)
-	rolloutClient.Observe(wiring.coordinator.UpdateRollout)
-	slog.Info("coordinator configured", "replica", replica.Index, "members", replica.Members.Count(), "lease", opts.Lease, "has_state_dir", opts.StateDir != "",
-		"has_stored_state", replica.State != nil, "uses_tcp", wiring.tcp != nil)
+	c.loop.RouteVotes(wiring.coordinator.Recommend)
+	c.rollout.Observe(wiring.coordinator.UpdateRollout)
+	slog.Info("coordinator configured", "replica", replica.Index, "members", replica.Members.Count(), "lease", c.options.Lease,
+		"has_state_dir", c.options.StateDir != "", "has_stored_state", replica.State != nil, "uses_tcp", wiring.tcp != nil)
 	return wiring, nil
 }
 
@@ -85,7 +94,7 @@
 		slog.Warn("coordinator disabled: the votes of several agents are counted, so that one can't vote for all")
 		return false
 	case opts.Listen == "" && peers.Listen == "":
-		slog.Warn("coordinator disabled: agents may not exchange messages, and decider-listen names no address")
+		slog.Warn("coordinator disabled: agents may not exchange messages, and election-listen names no address")
 		return false
 	case opts.Listen == "" && (voting.Agents > election.MaxReplicas || len(peers.Addresses) > election.MaxReplicas):
 		slog.Warn("coordinator disabled: too many agents", "agents", voting.Agents, "max_replicas", election.MaxReplicas)
@@ -101,7 +110,7 @@
 		index = voting.Index
 	}
 	if index >= election.MaxReplicas {
-		return coordinator.Config{}, fmt.Errorf("decider: this is agent %d, numbers go from 0 to %d", index, election.MaxReplicas-1)
+		return coordinator.Config{}, fmt.Errorf("leader-election: this is agent %d, numbers go from 0 to %d", index, election.MaxReplicas-1)
 	}
 	return coordinator.Config{
 		Index:   index,
@@ -148,18 +157,18 @@
 	}
 	store, state, err := storage.Open(dir, replica.Group, replica.Index)
 	if err != nil {
-		return nil, fmt.Errorf("decider-state: %w", err)
+		return nil, fmt.Errorf("state-folder: %w", err)
 	}
 	replica.State = state
 	return store, nil
 }
 
 // coordinatorCallbacks connects the coordinator's results to the policy and to the rollout controller.
-func coordinatorCallbacks(core *agent.Loop, rolloutClient *rollout.Client) coordinator.Callbacks {
+func coordinatorCallbacks(loop *agent.Loop, rolloutClient *rollout.Client) coordinator.Callbacks {
 	return coordinator.Callbacks{
-		UpdateRollout: core.UpdateRollout,
+		UpdateRollout: loop.UpdateRollout,
 		CastVote: func(vote policy.Vote, writeBefore time.Time, resolved func(written bool)) {
-			rolloutClient.CastBefore(rollout.TimedVote{Vote: vote, WriteBefore: writeBefore, Resolved: resolved})
+			rolloutClient.VoteBefore(rollout.TimedVote{Vote: vote, WriteBefore: writeBefore, Resolved: resolved})
 		},
 	}
 }
@@ -178,7 +187,7 @@
 	if w.tcp != nil {
 		tcp, err := transport.Listen(ctx, opts.Listen, w.coordinator.Receive)
 		if err != nil {
-			return fmt.Errorf("decider-listen: %w", err)
+			return fmt.Errorf("election-listen: %w", err)
 		}
 		w.tcp.TCP = tcp
 		w.setPeers(opts.Peers)
--- a/cmd/switchfork/reload.go
+++ b/cmd/switchfork/reload.go
@@ -63,6 +63,7 @@
 		return
 	}
 	setLogger(next.Log)
+	warnOfRenamed(newlyRenamed(r.options.Renamed, next.Renamed))
 	if r.process.admission != nil {
 		settings := r.process.settings
 		r.process.admission.SetWeights(tenantWeights(next.Admission, settings.tenants, settings.tenantShares))
--- a/internal/endtoend/reusing_clients_test.go
+++ b/internal/endtoend/reusing_clients_test.go
@@ -64,7 +64,7 @@
 		}
 	}()
 	for {
-		if conn != nil && !tcpconn.IsQuiet(conn) {
+		if conn != nil && !tcpconn.IsOpenWithoutInput(conn) {
 			_ = conn.Close()
 			conn = nil
 		}
--- a/internal/faulttest/agent.go
+++ b/internal/faulttest/agent.go
@@ -154,7 +154,7 @@
 // isLeader asks the agent at its admin address.
 func (a *agent) isLeader() bool {
 	status, err := coordinator.QueryStatus(a.adminAddress)
-	return err == nil && status.Leads
+	return err == nil && status.IsLeader
 }
 
 // isHealthy asks the process's health check.
--- a/internal/gossip/messenger_test.go
+++ b/internal/gossip/messenger_test.go
@@ -18,11 +18,11 @@
 		t.Fatal(err)
 	}
 	r := agenttest.NewRig(t, time.Second)
-	messenger, err := NewMessenger(r.Loop, ownAddress, []string{ownAddress, peer.LocalAddr().String()}, "")
+	messenger, err := NewMessenger(r.Loop, Config{Listen: ownAddress, Peers: []string{ownAddress, peer.LocalAddr().String()}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	go messenger.Serve(r.Context)
+	go messenger.Serve(r.Context())
 	messenger.SendCommand(policy.SendGossip{To: 1, Payload: []byte("hello")})
 	buffer := make([]byte, 300)
 	if err := peer.SetReadDeadline(time.Now().Add(agenttest.WaitTimeout)); err != nil {
