--- a/internal/faulttest/records.go
+++ b/internal/faulttest/records.go
@@ -17,7 +17,7 @@
 	EndpointStarts      []netfault.Micros `json:"Born"`    // by endpoint; -1: long before the run
 	Slots               int               // requests that an endpoint serves at a time
 	ServiceTime         netfault.Micros   `json:"Work"` // of one request at an endpoint that is warm
-	Calls               map[string][]Call // by server: discovery, launcher
+	Calls               map[string][]Call // by server, see callsKey
 	Datagrams           []int64           // delivered, by sender
 	Arrivals            []Arrival
 	Votes               []Vote
@@ -50,6 +50,14 @@
 	Version int `json:"Serial"`
 }
 
+// callsKey is the key of a server's calls in records.json, which does not change with the notation.
+func callsKey(server string) string {
+	if server == serverRollout {
+		return "launcher"
+	}
+	return server
+}
+
 // Call is a request of an agent to discovery or to the rollout controller.
 type Call struct {
 	Agent int
@@ -109,9 +117,9 @@
 	Body           string
 	WasUnreachable bool `json:"Unreached"` // no connection came up: the agent has not received it
 
-	Timeout  netfault.Micros `json:",omitempty"`     // that the client gave the agent; 0: requestTimeout
-	DialedAt netfault.Micros `json:",omitempty"`     // when its connection was dialed; 0: not known
-	HasLeft  bool            `json:"Gone,omitempty"` // the client closed its connection at EndedAt and wants no answer
+	Timeout         netfault.Micros `json:",omitempty"`     // that the client gave the agent; 0: requestTimeout
+	DialedAt        netfault.Micros `json:",omitempty"`     // when its connection was dialed; 0: not known
+	HasDisconnected bool            `json:"Gone,omitempty"` // the client closed its connection at EndedAt and wants no answer
 }
 
 // processTime is a time at which the process lived that an attempt was sent to: an attempt may be sent whole when the next one has started.
--- a/internal/faulttest/verdict.go
+++ b/internal/faulttest/verdict.go
@@ -12,19 +12,19 @@
 	Number   int    `json:"line"`
 	Text     string `json:"text"`
 	Passed   bool   `json:"passed"`
-	Observed string `json:"seen"`
+	Observed string `json:"observed"`
 }
 
 // Verdict is the result of a run.
 type Verdict struct {
-	Scenario   string       `json:"night"`
+	Scenario   string       `json:"scenario"`
 	Seed       int64        `json:"seed"`
 	Passed     bool         `json:"passed"`
 	Error      string       `json:"error,omitempty"` // the scenario could not be run
 	Lines      []LineResult `json:"lines"`
-	Violations []string     `json:"breaches,omitempty"`
-	Mismatches []string     `json:"differ,omitempty"` // between the records of servers and relays
-	Requests   int          `json:"txns"`
+	Violations []string     `json:"violations,omitempty"`
+	Mismatches []string     `json:"mismatches,omitempty"` // between the records of servers and relays
+	Requests   int          `json:"requests"`
 	TookMS     int64        `json:"took_ms"`
 	Folder     string       `json:"folder,omitempty"`
 }
@@ -66,13 +66,13 @@
 	}
 	for _, record := range r.faults.records {
 		passed := record.hits > 0 || err != nil
-		v.Lines = append(v.Lines, LineResult{record.step.Line, record.step.Text, passed, fmt.Sprintf("it touched %d things", record.hits)})
+		v.Lines = append(v.Lines, LineResult{record.step.Line, record.step.Text, passed, fmt.Sprintf("it changed %d things", record.hits)})
 	}
 	if err == nil {
 		v.Lines = append(v.Lines, r.checkExpectations(records)...)
 	}
 	if n := r.clients.records.droppedRequests.Load(); n > 0 {
-		v.addError(fmt.Sprintf("%s: the clients had no place for %d txns: the load is more than they can play", r.scenario.File, n))
+		v.addError(fmt.Sprintf("%s: the clients had no free connection for %d requests: the load is more than they can send", r.scenario.File, n))
 	}
 	for _, violation := range CheckRules(records) {
 		v.Violations = append(v.Violations, violation.String())
