--- a/internal/endtoend/admission_test.go
+++ b/internal/endtoend/admission_test.go
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 	}
-	writeOperatorFile("door on\ndoor-txns 3\ndoor-client header X-Client\ntenant acme share 0.7\n")
+	writeOperatorFile("admission-control on\nadmission-requests 3\nadmission-client header X-Client\ntenant acme share 0.7\n")
 	t.Setenv("SWITCHFORK_OPERATOR", file)
 	release := make(chan struct{})
 	endpoint := agenttest.NewScriptedServer(t, nil)
@@ -57,9 +57,9 @@
 			t.Errorf("request %d got %d", n+1, status)
 		}
 	}
-	writeOperatorFile("door onn\n")
+	writeOperatorFile("admission-control onn\n")
 	agent.signal(t, syscall.SIGHUP)
-	agenttest.Eventually(t, "the error in the log", func() bool { return strings.Contains(agent.log.String(), "operator.conf:1: door") })
+	agenttest.Eventually(t, "the error in the log", func() bool { return strings.Contains(agent.log.String(), "operator.conf:1: admission-control") })
 	if status, _ := request(99); status != http.StatusOK {
 		t.Errorf("after a malformed file a request got %d", status)
 	}
@@ -81,7 +81,7 @@
 // One tenant's flood of clients that come once is twenty times what admission control holds, while the endpoint does not respond. Another
 // tenant's requests that come last are queued all the same and succeed, and none of the flood is left without an answer.
 func TestTenantFlood(t *testing.T) {
-	file := filepath.Join(t.TempDir(), "operator.conf")
+	file := filepath.Join(t.TempDir(), "operator.conf") // with the keywords of earlier versions, which are still read
 	if err := os.WriteFile(file, []byte("door on\ndoor-txns 48\ndoor-client header X-Client\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/faulttest/agent_files.go
+++ b/internal/faulttest/agent_files.go
@@ -36,12 +36,12 @@
 	if !s.HasElection {
 		return append(lines, s.OperatorLines...)
 	}
-	lines = append(lines, "decider on", "decider-lease "+s.Lease.String(), "admin "+a.adminAddress)
+	lines = append(lines, "leader-election on", "election-lease "+s.Lease.String(), "admin "+a.adminAddress)
 	if s.HasStateDirs {
-		lines = append(lines, "decider-state "+a.stateDir)
+		lines = append(lines, "state-folder "+a.stateDir)
 	}
 	if s.Transport == transportTCP {
-		lines = append(lines, fmt.Sprintf("decider-me %d", a.number), "decider-listen "+a.streamAddress)
+		lines = append(lines, fmt.Sprintf("replica-id %d", a.number), "election-listen "+a.streamAddress)
 		for peer := range f.agents {
 			if !slices.Contains(s.AbsentAtStart, peer) {
 				lines = append(lines, f.peerLine(a.number, peer))
@@ -53,7 +53,7 @@
 
 // peerLine names one agent in another's operator file.
 func (f *agentFiles) peerLine(agent, peer int) string {
-	return fmt.Sprintf("decider-peer %d %s", peer, f.relays.peerAddress(agent, peer, f.agents[peer].streamAddress))
+	return fmt.Sprintf("election-peer %d %s", peer, f.relays.peerAddress(agent, peer, f.agents[peer].streamAddress))
 }
 
 // config is the text of an agent's configuration, and the versions that it holds.
