--- a/internal/faulttest/parse_scenario_test.go
+++ b/internal/faulttest/parse_scenario_test.go
@@ -51,12 +51,12 @@
 		"0s members add agent:1 at agents":               "within and a time",
 		"0s name x who within 1s":                        "expected leader",
 		"0s start agent:0 program=other twice":           "left over",
-		"operator admission-control on\n0s rollout-controller shouts": "expected silent or answers",
-		"0s bandwidth 0 agents -> endpoints":                          "from 1",
-		"0s start agent:0 program=../x":                               "without a path",
-		"0s slowdown 2 machines":                                      "names no endpoints",
-		"0s loss 2 agents <-> agents":                                 "from 0 to 1",
-		"0s mark a\nexpect succeeded >= 1 from a+soon":                "expected a time",
+		"operator admin x\n0s rollout-controller shouts": "expected silent or answers",
+		"0s bandwidth 0 agents -> endpoints":             "from 1",
+		"0s start agent:0 program=../x":                  "without a path",
+		"0s slowdown 2 machines":                         "names no endpoints",
+		"0s loss 2 agents <-> agents":                    "from 0 to 1",
+		"0s mark a\nexpect succeeded >= 1 from a+soon":   "expected a time",
 	} {
 		_, err := ParseScenario("n.txt", "# a comment\n"+text+"\nexpect succeeded >= 0.9\n")
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.HasPrefix(err.Error(), "n.txt:") {
