--- a/internal/endtoend/reusing_clients_test.go
+++ b/internal/endtoend/reusing_clients_test.go
@@ -29,7 +29,7 @@
 	isLeaving   atomic.Bool // no client makes a new connection any more
 
 	mu         sync.Mutex
-	unanswered []string // what became of the requests that were sent whole and got no answer
+	unanswered []string // what became of the requests that were sent completely and got no answer
 }
 
 // startReusingClients starts so many clients, which begin at different times within one thinkTime.
@@ -95,7 +95,7 @@
 	_ = conn.SetDeadline(time.Now().Add(agenttest.WaitTimeout))
 	sentAt := time.Now()
 	if _, err := fmt.Fprintf(conn, "GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: %016x\r\n\r\n", lastRequestID.Add(1)); err != nil {
-		return false // it was not sent whole
+		return false // it was not sent completely
 	}
 	c.requests.Add(1)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/internal/endtoend/routing_test.go
+++ b/internal/endtoend/routing_test.go
@@ -196,7 +196,7 @@
 	return len(threads) > 0
 }
 
-// Where endpoints may be told that a request is given up, the attempt of a client that has gone ends with it. What happened: the policy
+// Where endpoints may be notified that a request is cancelled, the attempt of a client that has disconnected ends with it. What happened: the policy
 // closes such a request but returns no CancelAttempt, so that the attempt holds its connection and its place at the endpoint to its
 // deadline, 2.01 s in a trial; impatient clients cost capacity, most of all in an overload.
 func TestAttemptEndsWithItsClient(t *testing.T) {
--- a/internal/fakes/agent_config.go
+++ b/internal/fakes/agent_config.go
@@ -41,7 +41,7 @@
 	Rollout   string // in JSON, see RolloutJSON; empty: the build has long been released
 }
 
-// RequestSettings are what the agent is told about the requests of its clients.
+// RequestSettings are what an agent knows about the requests of its clients.
 type RequestSettings struct {
 	Tenants          []Tenant
 	LatencyObjective time.Duration
@@ -147,7 +147,7 @@
 		VoteLifetime.Milliseconds(), CallTimeout.Milliseconds())
 }
 
-// CapSettings returns how requests are counted against the traffic cap of a build on trial.
+// CapSettings returns how requests are counted against the traffic cap of a canary build.
 func (fileValues) CapSettings() string {
 	return fmt.Sprintf("\n"+`"CountedOverMs":%d,"Allowance":%d`, CapWindow.Milliseconds(), CapAllowance)
 }
--- a/internal/fakes/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -109,7 +109,7 @@
 // writeBody writes a response's body. An error says that the client has gone, which is its own affair.
 func writeBody(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// SetSlowStart makes the endpoint start now, with a part of its speed that is whole after a duration.
+// SetSlowStart makes the endpoint start now, with a part of its speed, and reach its full speed after a duration.
 func (e *Endpoint) SetSlowStart(initial float64, duration time.Duration) {
 	e.work.slowStart.Store(&slowStart{startedAt: time.Now(), initial: initial, duration: duration})
 }
--- a/internal/fakes/protocol_limits.go
+++ b/internal/fakes/protocol_limits.go
@@ -10,7 +10,7 @@
 	CallTimeout = 800 * time.Millisecond
 	// DrainGrace is how long after an agent was notified of a drain it may still send requests to the endpoint.
 	DrainGrace = time.Second
-	// CapWindow is the period over which the requests to a build on trial are counted against its traffic cap.
+	// CapWindow is the period over which the requests to a canary build are counted against its traffic cap.
 	CapWindow = 4 * time.Second
 	// CapAllowance is the number of requests above the traffic cap that is allowed in a window.
 	CapAllowance = 3
--- a/internal/fakes/scripted_server.go
+++ b/internal/fakes/scripted_server.go
@@ -16,7 +16,7 @@
 	Conn              int // number of the connection, from 1
 }
 
-// ScriptedServer is a fake endpoint that records each whole request and then calls a handler. The handler writes to the
+// ScriptedServer is a fake endpoint that records each complete request and then calls a handler. The handler writes to the
 // connection, is given the request's number from 1, and reports whether the connection stays open.
 type ScriptedServer struct {
 	net.Listener
@@ -42,7 +42,7 @@
 	}
 }
 
-// OKResponse returns a whole response with a body.
+// OKResponse returns a complete response with a body.
 func OKResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
--- a/internal/fakes/workload.go
+++ b/internal/fakes/workload.go
@@ -51,7 +51,7 @@
 	random   *rand.Rand
 }
 
-// slowStart describes an endpoint that starts with a part of its speed, which rises evenly to the whole.
+// slowStart describes an endpoint that starts with a part of its speed, which rises evenly to full speed.
 type slowStart struct {
 	startedAt time.Time
 	initial   float64
--- a/internal/fakes/workload_test.go
+++ b/internal/fakes/workload_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// The speed rises evenly from its initial part to the whole.
+// The speed rises evenly from its initial part to full speed.
 func TestSlowStartSpeed(t *testing.T) {
 	work := newWorkload(0, 1)
 	if got := work.speed(); got != 1 {
--- a/internal/faulttest/fake_discovery.go
+++ b/internal/faulttest/fake_discovery.go
@@ -63,7 +63,7 @@
 	return slices.Clone(d.versions)
 }
 
-// document is a version as an agent gets it; every document is a whole list.
+// document is a version as an agent gets it; every document is a full list.
 func (d *fakeDiscovery) document(agent, version int) string {
 	var entries []string
 	for _, row := range d.rows(version) {
--- a/internal/faulttest/netfault/direction.go
+++ b/internal/faulttest/netfault/direction.go
@@ -84,25 +84,14 @@
 		if !d.survives(fault, version, &state) {
 			return
 		}
-		incoming := d.segments
-		var due <-chan time.Time
-		switch {
-		case pending == nil:
-		case fault.Drop:
-			incoming = nil
-			d.link.recordFaultHit()
-		default:
-			incoming = nil
-			wait := time.Duration(pending.deliverAt-d.conn.relay.now()) * time.Microsecond
-			if wait <= 0 {
-				if !d.deliver(*pending, fault, &state) {
-					return
-				}
-				pending = nil
-				continue
+		if pending != nil && !fault.Drop && d.untilDue(*pending) <= 0 {
+			if !d.deliver(*pending, fault, &state) {
+				return
 			}
-			due = time.After(wait)
+			pending = nil
+			continue
 		}
+		incoming, due := d.awaited(pending, fault)
 		select {
 		case s, isOpen := <-incoming:
 			if !isOpen {
@@ -117,6 +106,23 @@
 	}
 }
 
+// awaited are what the writer waits for, apart from a change of the fault: the next segment where none is pending, else the time at which
+// that is due. A segment that the link drops waits for a change alone.
+func (d *direction) awaited(pending *segment, fault Fault) (incoming <-chan segment, due <-chan time.Time) {
+	if pending == nil {
+		return d.segments, nil
+	}
+	if fault.Drop {
+		d.link.recordFaultHit()
+		return nil, nil
+	}
+	return nil, time.After(d.untilDue(*pending))
+}
+
+func (d *direction) untilDue(s segment) time.Duration {
+	return time.Duration(s.deliverAt-d.conn.relay.now()) * time.Microsecond
+}
+
 // survives resets the connection where a fault refuses it or bytes were swallowed by one that is over, and returns false then. It takes
 // over the byte count of a new fault.
 func (d *direction) survives(fault Fault, version int, state *writerState) bool {
--- a/internal/faulttest/netfault/packet_schedule_test.go
+++ b/internal/faulttest/netfault/packet_schedule_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// A waiting packet that nothing overtakes goes at its own time, and the link is told.
+// A waiting packet that nothing overtakes goes at its own time, and the link is notified.
 func TestPacketScheduleReorderTimesOut(t *testing.T) {
 	s := newPacketSchedule()
 	s.add(testPacket("late", Delivery{DeliverAt: 1000, AwaitsReorder: true}))
--- a/internal/faulttest/parse_scenario_test.go
+++ b/internal/faulttest/parse_scenario_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// A load's random seed depends on its place among the loads, not on the line that it stands in: a comment more plays the same arrivals.
+// A load's random seed depends on its place among the loads, not on the line that it stands in: one more comment draws the same arrivals.
 func TestLoadSeedIgnoresComments(t *testing.T) {
 	numbers := func(text string) (numbers []int) {
 		scenario, err := ParseScenario("loads", text)
--- a/internal/faulttest/records.go
+++ b/internal/faulttest/records.go
@@ -122,7 +122,7 @@
 	HasDisconnected bool            `json:"Gone,omitempty"` // the client closed its connection at EndedAt and wants no answer
 }
 
-// processTime is a time at which the process lived that an attempt was sent to: an attempt may be sent whole when the next one has started.
+// processTime is a time at which the process lived that an attempt was sent to: an attempt may be sent completely when the next one has started.
 func (a *Attempt) processTime() netfault.Micros {
 	if a.DialedAt > 0 {
 		return a.DialedAt
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -22,7 +22,7 @@
 		err = d.writeReport(dir, v, records)
 	}
 	if err != nil {
-		v.addError("what was to be kept can't be written: " + err.Error())
+		v.addError("logs and records can't be written: " + err.Error())
 		v.Passed = false
 	}
 }
@@ -30,7 +30,7 @@
 // makeReportDir makes the folder in the parent, or a temporary one without a parent.
 func makeReportDir(parent, name string) (string, error) {
 	if parent == "" {
-		return os.MkdirTemp("", "switchfork-trial-"+name+"-")
+		return os.MkdirTemp("", "switchfork-faulttest-"+name+"-")
 	}
 	dir := filepath.Join(parent, name)
 	return dir, os.MkdirAll(dir, 0o755)
--- a/internal/faulttest/rules.go
+++ b/internal/faulttest/rules.go
@@ -109,7 +109,7 @@
 	}
 	switch {
 	case a.Status == 0:
-		out = append(out, Violation{ruleOneAnswer, a.EndedAt, fmt.Sprintf("agent %d gave %s (%s) no whole answer: %s", a.Agent, a.ID, a.Class, a.Err)})
+		out = append(out, Violation{ruleOneAnswer, a.EndedAt, fmt.Sprintf("agent %d gave %s (%s) no complete answer: %s", a.Agent, a.ID, a.Class, a.Err)})
 	case a.EndedAt > due:
 		out = append(out, Violation{ruleOneAnswer, a.EndedAt, fmt.Sprintf("agent %d answered %s (%s) %.3f s after it was sent",
 			a.Agent, a.ID, a.Class, seconds(a.EndedAt-a.SentAt))})
@@ -125,7 +125,7 @@
 		return false
 	}
 	if process.End >= 0 && a.SentAt >= process.End {
-		return false // it was not sent whole while the process lived
+		return false // it was not sent completely while the process lived
 	}
 	endedBeforeDue := process.End >= 0 && process.End <= due
 	receivedBeforeTerm := process.TermSentAt >= 0 && a.SentAt <= process.TermSentAt
--- a/internal/faulttest/rules_test.go
+++ b/internal/faulttest/rules_test.go
@@ -74,7 +74,7 @@
 			r.Lifetimes[0][0].Pauses = [][2]netfault.Micros{{4 * second, 7 * second}}
 			r.addArrival(0, 0, 7*second, classIdempotent, "")
 		}},
-		{"something new after the grace by one who was never told", "", func(r *Records) { r.addArrival(1, 0, 8*second, classIdempotent, "") }},
+		{"something new after the grace by one that was never notified", "", func(r *Records) { r.addArrival(1, 0, 8*second, classIdempotent, "") }},
 		{"a warming endpoint that is sent too much", "slow start", func(r *Records) {
 			for i := range netfault.Micros(400) {
 				r.addArrival(int(i)%2, 0, second+i*second/400, classIdempotent, "")
@@ -86,7 +86,7 @@
 				r.addArrival(int(i)%2, 0, second+i*second/400, classIdempotent, "")
 			}
 		}},
-		{"too much on trial", "exposure", func(r *Records) {
+		{"too much to a canary build", "exposure", func(r *Records) {
 			for i := range netfault.Micros(10) {
 				r.addArrival(0, 1, 3*second+i, classIdempotent, "")
 			}
@@ -102,7 +102,7 @@
 			r.Requests[3].Attempts[0].Status = 0
 			r.Lifetimes[0][0].TermSentAt, r.Lifetimes[0][0].End = 2*second+second/10, 4*second
 		}},
-		{"no answer to what was sent whole after the process had ended", "", func(r *Records) {
+		{"no answer to what was sent completely after the process had ended", "", func(r *Records) {
 			attempt := &r.Requests[3].Attempts[0]
 			attempt.Status, attempt.DialedAt = 0, attempt.SentAt-second/10
 			r.Lifetimes[0] = []ProcessLifetime{{Start: 0, End: attempt.SentAt - second/20, TermSentAt: second}, {Start: attempt.SentAt - second/50, End: -1, TermSentAt: -1}}
@@ -112,7 +112,7 @@
 			attempt.Status, attempt.DialedAt = 0, attempt.SentAt-second/10
 		}},
 		{"a reused connection is reset", "reused connections", func(r *Records) { r.CloseRaces = []CloseRace{{IsReset: true}} }},
-		{"one kept connection ends cleanly under a request", "", func(r *Records) { r.CloseRaces = []CloseRace{{}} }},
+		{"one reused connection ends cleanly under a request", "", func(r *Records) { r.CloseRaces = []CloseRace{{}} }},
 		{"several do", "reused connections", func(r *Records) { r.CloseRaces = []CloseRace{{}, {}} }},
 		{"a drain longer than SIGKILL allows", "shutdown", func(r *Records) { r.Lifetimes[1][0].TermSentAt = 5 * second }},
 		{"an exit with an error", "shutdown", func(r *Records) {
--- a/internal/faulttest/runner.go
+++ b/internal/faulttest/runner.go
@@ -30,7 +30,7 @@
 	start := time.Now()
 	v = &Verdict{Scenario: s.File, Seed: s.Seed}
 	defer func() { v.TookMS = time.Since(start).Milliseconds() }()
-	dir, err := os.MkdirTemp("", "sf-trial") // short: it holds the sockets of the admin addresses
+	dir, err := os.MkdirTemp("", "sf-fault") // short: it holds the sockets of the admin addresses
 	if err != nil {
 		v.Error = err.Error()
 		return v
--- a/internal/faulttest/shutdown_rules.go
+++ b/internal/faulttest/shutdown_rules.go
@@ -14,7 +14,7 @@
 		if race.IsReset || i >= maxCleanCloseRaces {
 			out = append(out, Violation{
 				ruleReusedConnections, race.At,
-				fmt.Sprintf("agent %d ended a kept connection under %s: %s", race.Agent, race.ID, race.Err),
+				fmt.Sprintf("agent %d ended a reused connection under %s: %s", race.Agent, race.ID, race.Err),
 			})
 		}
 	}
--- a/internal/faulttest/soak_test.go
+++ b/internal/faulttest/soak_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// soakSeeds are the drawn scenarios that CI plays.
+// soakSeeds are the drawn scenarios that CI runs.
 var soakSeeds = []int64{1, 2, 3, 4, 5, 6, 7, 8}
 
-// Drawn scenarios break no rule. One that does is printed by switchfork-lab soak --print SEED, and played by switchfork-lab trial.
+// Drawn scenarios break no rule. One that does is printed by switchfork-lab soak --print SEED, and run by switchfork-lab faulttest.
 func TestSoak(t *testing.T) {
 	options := runOptions(t)
 	for _, seed := range soakSeeds {
