--- a/internal/faulttest/parse_scenario_test.go
+++ b/internal/faulttest/parse_scenario_test.go
@@ -51,7 +51,7 @@
 		"0s members add agent:1 at agents":               "within and a time",
 		"0s name x who within 1s":                        "expected leader",
 		"0s start agent:0 program=other twice":           "left over",
-		"operator door on\n0s rollout-controller shouts": "expected silent or answers",
+		"operator admin x\n0s rollout-controller shouts": "expected silent or answers",
 		"0s bandwidth 0 agents -> endpoints":             "from 1",
 		"0s start agent:0 program=../x":                  "without a path",
 		"0s slowdown 2 machines":                         "names no endpoints",
@@ -76,7 +76,7 @@
 	}
 }
 
-// A load's random seed depends on its place among the loads, not on the line that it stands in: a comment more plays the same arrivals.
+// A load's random seed depends on its place among the loads, not on the line that it stands in: one more comment draws the same arrivals.
 func TestLoadSeedIgnoresComments(t *testing.T) {
 	numbers := func(text string) (numbers []int) {
 		scenario, err := ParseScenario("loads", text)
