--- a/internal/policy/analyzer.go
+++ b/internal/policy/analyzer.go
@@ -4,8 +4,8 @@
 // that learn from it; what they decide stands with them. The router calls it with gossip, rollout updates, reports and ticks,
 // the dispatcher with what became of attempts and requests.
 type releaseAnalyzer struct {
-	mailbox
-	*runtime
+	messageQueue
+	*sharedState
 	endpoints  *endpointSet
 	codec      *gossipCodec
 	release    *releaseState
@@ -19,27 +19,27 @@
 	voter      *voter
 }
 
-func newReleaseAnalyzer(shared *runtime, endpoints *endpointSet, config Config) *releaseAnalyzer {
-	release := &releaseState{runtime: shared, rolloutState: newRolloutState(config.RolloutPlan)}
+func newReleaseAnalyzer(shared *sharedState, endpoints *endpointSet, config Config) *releaseAnalyzer {
+	release := &releaseState{sharedState: shared, rolloutState: newRolloutState(config.RolloutPlan)}
 	evaluators := newEvaluatorGroup(shared, config)
 	evidence := &buildEvidence{release: release, endpoints: endpoints, evaluators: evaluators}
 	reports := newControllerReports(release, endpoints, evaluators, config)
 	slowdown := newSlowdownDetector(release, endpoints, evaluators, reports, len(config.Classes))
 	verdicts := newVerdictExchange(release, evaluators)
 	return &releaseAnalyzer{
-		runtime:    shared,
-		endpoints:  endpoints,
-		codec:      &gossipCodec{runtime: shared, endpoints: endpoints, classes: config.Classes},
-		release:    release,
-		evaluators: evaluators,
-		sharing:    &outcomeSharing{runtime: shared, evaluators: evaluators},
-		digest:     &overloadDigest{runtime: shared, evaluators: evaluators, endpoints: endpoints},
-		verdicts:   verdicts,
-		evidence:   evidence,
-		slowdown:   slowdown,
-		reports:    reports,
+		sharedState: shared,
+		endpoints:   endpoints,
+		codec:       &gossipCodec{sharedState: shared, endpoints: endpoints, classes: config.Classes},
+		release:     release,
+		evaluators:  evaluators,
+		sharing:     &outcomeSharing{sharedState: shared, evaluators: evaluators},
+		digest:      &overloadDigest{sharedState: shared, evaluators: evaluators, endpoints: endpoints},
+		verdicts:    verdicts,
+		evidence:    evidence,
+		slowdown:    slowdown,
+		reports:     reports,
 		voter: &voter{
-			releaseState: release, endpoints: endpoints, evaluators: evaluators, verdicts: verdicts, evidence: evidence,
+			release: release, endpoints: endpoints, evaluators: evaluators, verdicts: verdicts, evidence: evidence,
 			slowdown: slowdown, reports: reports, rules: config.VotingRules,
 		},
 	}
--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -46,7 +46,7 @@
 		IsRetry   bool   // the client says that it has tried before
 		ArrivedAt Micros // when it came, where it waited before it got here; 0: now
 	}
-	// ResponseStarted reports that a streamed response has started.
+	// ResponseStarted reports that a streamed response has started. The policy takes no notice of it.
 	ResponseStarted struct{ RequestID uint64 }
 	// AttemptResult is the outcome of one attempt.
 	AttemptResult struct {
@@ -154,7 +154,7 @@
 		Timeout     Micros
 		WriteBefore Micros // its last byte must not leave later; 0: no such time
 	}
-	// CancelAttempt stops the wait for an attempt.
+	// CancelAttempt stops the wait for an attempt. The policy does not return it yet.
 	CancelAttempt struct {
 		RequestID uint64
 		Attempt   int
@@ -185,7 +185,7 @@
 		Build, Stage int
 		Verdict      Verdict
 	}
-	// LogMessage writes a line in the log.
+	// LogMessage writes a line in the log. The policy does not return it yet.
 	LogMessage struct{ Text string }
 )
 
--- a/internal/policy/build_selector.go
+++ b/internal/policy/build_selector.go
@@ -25,11 +25,13 @@
 
 // rankOf is the rank of a build, where newest is the newest one.
 func (b *buildSelector) rankOf(build, newest int) buildRank {
-	isSuperseded := build == b.rollout.build && b.rollout.phase == Evaluating && build < newest
-	switch {
-	case b.rollout.rolledBack[build] || isSuperseded:
+	isEvaluated := build == b.rollout.build && b.rollout.phase == Evaluating
+	isSuperseded := isEvaluated && build < newest
+	if b.rollout.rolledBack[build] || isSuperseded {
 		return leavingBuild
-	case build == newest && build >= b.rollout.build && build > 0:
+	}
+	isAnnounced := build >= b.rollout.build && build > 0
+	if build == newest && isAnnounced {
 		return newestBuild
 	}
 	return earlierBuild
--- a/internal/policy/concurrency_limit.go
+++ b/internal/policy/concurrency_limit.go
@@ -3,11 +3,11 @@
 import "switchfork/internal/stats"
 
 const (
-	initialConcurrencyLimit = 4.0  // two requests in work and two waiting, at an endpoint that is not known yet
-	quickAnswerFraction     = 0.25 // of the latency objective: below it the endpoint has free capacity
-	lateAnswerFraction      = 0.45 // of the latency objective: above it too much is open
-	limitDecreaseFactor     = 0.7
-	limitDecreaseInterval   = 250 * millisecond // late answers of one overload are one sign
+	initialEndpointLimit  = 4.0  // two requests in work and two waiting, at an endpoint that is not known yet
+	quickAnswerFraction   = 0.25 // of the latency objective: below it the endpoint has free capacity
+	lateAnswerFraction    = 0.45 // of the latency objective: above it too much is open
+	limitDecreaseFactor   = 0.7
+	limitDecreaseInterval = 250 * millisecond // late answers of one overload are one sign
 	// silenceTimeoutFraction of the latency objective with attempts in flight and no answer: the endpoint gets no more until
 	// it answers.
 	silenceTimeoutFraction = 0.8
@@ -32,7 +32,10 @@
 	return float64(e.now-e.waitingSince) >= silenceTimeoutFraction*float64(e.lastObjective)
 }
 
-// minLimit is the lowest concurrency limit: of all agents together, one open attempt a core.
+// minLimitPerCore is the lowest concurrency limit of one core: one open attempt of all agents together.
+func minLimitPerCore(agents int) float64 { return 1 / float64(agents) }
+
+// minLimit is the lowest concurrency limit of the endpoint, by what it serves at one time.
 func (e *endpointRecord) minLimit() float64 {
 	return e.endpoints.minLimitPerCore * e.endpoints.warmConcurrency
 }
--- a/internal/policy/controller_reports.go
+++ b/internal/policy/controller_reports.go
@@ -62,13 +62,19 @@
 
 func (r *controllerReports) receive(report MetricsReport) {
 	r.hasReceived = r.interval > 0
-	isKnownClass := report.Class < len(r.classes)
-	isOutOfDate := report.Build > r.release.build || r.release.rolledBack[report.Build]
-	if r.areUsed() && report.Requests > 0 && isKnownClass && !isOutOfDate {
+	if r.areUsed() && r.isUsable(report) {
 		r.pending = append(r.pending, report)
 	}
 }
 
+// isUsable reports whether a report counts requests of a known class at a build that is in evaluation or was released.
+func (r *controllerReports) isUsable(report MetricsReport) bool {
+	if report.Requests <= 0 || report.Class >= len(r.classes) {
+		return false
+	}
+	return report.Build <= r.release.build && !r.release.rolledBack[report.Build]
+}
+
 // startBuild forgets the evidence on another build than the one in evaluation.
 func (r *controllerReports) startBuild(build int) {
 	if build != r.build {
--- a/internal/policy/dispatcher.go
+++ b/internal/policy/dispatcher.go
@@ -20,8 +20,8 @@
 // of the builds is tried first, and what follows from an attempt's result; what it asks for that stands in the parts that it
 // holds. The router calls it with requests, results, rollout updates and ticks.
 type dispatcher struct {
-	mailbox
-	*runtime
+	messageQueue
+	*sharedState
 	endpoints      *endpointSet
 	analyzer       *releaseAnalyzer
 	classes        []RequestClass
@@ -43,7 +43,7 @@
 }
 
 func newDispatcher(
-	shared *runtime, endpoints *endpointSet, analyzer *releaseAnalyzer, config Config,
+	shared *sharedState, endpoints *endpointSet, analyzer *releaseAnalyzer, config Config,
 ) *dispatcher {
 	rollout := newRolloutState(config.RolloutPlan)
 	requests := requestTable{}
@@ -56,24 +56,24 @@
 	}
 	builds := &buildSelector{rollout: rollout, endpoints: endpoints, budget: budget}
 	slowStart := &slowStartRule{
-		runtime: shared, endpoints: endpoints, traffic: traffic, builds: builds, budget: budget,
+		sharedState: shared, endpoints: endpoints, traffic: traffic, builds: builds, budget: budget,
 		limits: config.SlowStart, agentIndex: config.Instance.Index, agents: config.Instance.Agents,
 	}
 	rules := &attemptRules{
-		runtime: shared, requests: requests, classes: config.Classes, exposure: exposure, slowStart: slowStart,
+		sharedState: shared, requests: requests, classes: config.Classes, exposure: exposure, slowStart: slowStart,
 		maxAttempts: config.RetryLimits.MaxAttempts,
 	}
 	zones := &zoneLimits{endpoints: endpoints, agents: config.Instance.Agents}
 	return &dispatcher{
-		runtime:    shared,
-		endpoints:  endpoints,
-		analyzer:   analyzer,
-		classes:    config.Classes,
-		loadReport: config.Instance.LoadReport,
-		requests:   requests,
-		rollout:    rollout,
-		builds:     builds,
-		exposure:   exposure,
+		sharedState: shared,
+		endpoints:   endpoints,
+		analyzer:    analyzer,
+		classes:     config.Classes,
+		loadReport:  config.Instance.LoadReport,
+		requests:    requests,
+		rollout:     rollout,
+		builds:      builds,
+		exposure:    exposure,
 		selector: &endpointSelector{
 			endpoints: endpoints, builds: builds, rules: rules, budget: budget, zones: zones,
 			ownZone: config.Instance.Zone, crossZoneCost: config.CostWeights.CrossZone,
@@ -81,14 +81,14 @@
 		placement: newKeyPlacement(shared, traffic, config.Instance),
 		rules:     rules,
 		retries: &retryPolicy{
-			runtime: shared, endpoints: endpoints, rules: rules, clients: clients, tenants: tenants,
+			sharedState: shared, endpoints: endpoints, rules: rules, clients: clients, tenants: tenants,
 			classes: config.Classes, limits: config.RetryLimits, agents: config.Instance.Agents,
 		},
 		zones:          zones,
 		traffic:        traffic,
 		clients:        clients,
 		tenants:        tenants,
-		maxClientDelay: config.RetryLimits.MaxRetryAfter + returnGrace,
+		maxClientDelay: config.RetryLimits.MaxRetryAfter + clientReturnGrace,
 	}
 }
 
@@ -157,12 +157,9 @@
 		return
 	}
 	d.builds.updateShare()
-	for _, rank := range d.builds.ranksFor(req) {
-		e := d.selector.pick(req, rank)
-		if e != nil && !d.retries.hasTooManyErrors(req) {
-			d.sendAttempt(req, e)
-			return
-		}
+	if e := d.findEndpoint(req); e != nil {
+		d.sendAttempt(req, e)
+		return
 	}
 	if !d.retries.mustGiveUp(req) {
 		d.pending = append(d.pending, req)
@@ -172,7 +169,20 @@
 	d.giveUp(req)
 }
 
-// sendAttempt sends the request to an endpoint, if the rules allow it.
+// findEndpoint returns the endpoint for the request's next attempt, or nil where there is none now.
+func (d *dispatcher) findEndpoint(req *request) *endpointRecord {
+	if d.retries.hasTooManyErrors(req) {
+		return nil
+	}
+	for _, rank := range d.builds.ranksFor(req) {
+		if e := d.selector.pick(req, rank); e != nil {
+			return e
+		}
+	}
+	return nil
+}
+
+// sendAttempt sends the request to an endpoint, if the rules allow it. They do, as findEndpoint has asked them.
 func (d *dispatcher) sendAttempt(req *request, e *endpointRecord) {
 	if !d.rules.mayAttempt(req, e) {
 		return
--- a/internal/policy/poller.go
+++ b/internal/policy/endpoint_poller.go
@@ -8,8 +8,8 @@
 // endpointPoller decides when the endpoint list is asked for, where discovery has to be polled: at the start, and again after
 // each failed call, with exponential backoff and jitter. The router calls it with endpoint updates and ticks.
 type endpointPoller struct {
-	mailbox
-	*runtime
+	messageQueue
+	*sharedState
 	isEnabled     bool
 	pollAt        Micros // -1: a call is in progress, or the watch is open
 	failuresInRow int
--- a/internal/policy/endpoint_record.go
+++ b/internal/policy/endpoint_record.go
@@ -5,15 +5,15 @@
 	"switchfork/internal/ramp"
 )
 
-// endpointRecord is what is known of one endpoint, and the actor that keeps it.
+// endpointRecord is what is known of one endpoint, kept by the messages that it receives.
 type endpointRecord struct {
-	mailbox
-	*runtime
+	messageQueue
+	*sharedState
 	Endpoint
 	endpointHealth
 	endpoints      *endpointSet
 	inList         bool
-	isQueued       bool // in the runtime's pendingEndpoints
+	isQueued       bool // in the sharedState's pendingEndpoints
 	ringPoints     []uint64
 	healthChecks   bool // an ejected endpoint comes back by a health check
 	slowStart      SlowStart
@@ -43,9 +43,9 @@
 	cost   float64 // µs of work
 }
 
-// enqueue also queues the endpoint for the loop, so that emptying the mailboxes does not cost a look at each endpoint.
+// enqueue also queues the endpoint for the loop, so that emptying the queues does not cost a look at each endpoint.
 func (e *endpointRecord) enqueue(msg message) {
-	e.mailbox.enqueue(msg)
+	e.messageQueue.enqueue(msg)
 	if !e.isQueued {
 		e.isQueued = true
 		e.pendingEndpoints = append(e.pendingEndpoints, e)
@@ -80,7 +80,7 @@
 func (e *endpointRecord) updateEntry(entry Endpoint) {
 	isNewProcess := entry.Started != e.Started || entry.Build != e.Build || e.limit.Value == 0
 	if isNewProcess || entry.State == Gone {
-		e.endpointHealth = endpointHealth{limit: aimd.Limit{Value: initialConcurrencyLimit}}
+		e.endpointHealth = endpointHealth{limit: aimd.Limit{Value: initialEndpointLimit}}
 		e.recentAttempts = nil
 	}
 	e.Endpoint = entry
@@ -102,6 +102,7 @@
 	}
 	e.inFlight = max(0, e.inFlight-1)
 	e.waitingSince = e.now
+	e.updateLimit(outcome)
 	e.updateHealth(outcome)
 }
 
--- a/internal/policy/endpoint_selector.go
+++ b/internal/policy/endpoint_selector.go
@@ -4,8 +4,8 @@
 
 const (
 	loadBound       = 1.25    // of the mean load, as usual for consistent hashing with bounded loads
-	crossZoneFactor = 40.0    // how much the cost of another zone shrinks its segments of the ring
-	lastResort      = 1 << 20 // puts an endpoint behind all others: longer than any distance on the ring
+	crossZoneFactor = 40.0    // by how much more than its cost another zone shrinks its segments of the ring
+	penaltyFactor   = 1 << 20 // of the distance to an endpoint that is loaded, or was tried: behind nearly all others
 )
 
 // endpointSelector decides to which endpoint of a build's rank a request goes: on a consistent-hash ring whose segments are
@@ -67,10 +67,10 @@
 		distance *= 1 + crossZoneFactor*s.crossZoneCost
 	}
 	if among.isLoaded(e) {
-		distance *= lastResort
+		distance *= penaltyFactor
 	}
 	if req.hasTried(e) || s.endpoints.isCalledOverloaded(e) {
-		distance *= lastResort
+		distance *= penaltyFactor
 	}
 	return distance
 }
--- a/internal/policy/endpoint_set.go
+++ b/internal/policy/endpoint_set.go
@@ -7,8 +7,8 @@
 
 // endpointSet keeps one record for each endpoint of the list.
 type endpointSet struct {
-	mailbox
-	*runtime
+	messageQueue
+	*sharedState
 	byID              map[uint32]*endpointRecord
 	all               []*endpointRecord
 	healthChecks      bool
@@ -24,9 +24,9 @@
 	ringSalt          uint64
 }
 
-func newEndpointSet(shared *runtime, config Config) *endpointSet {
+func newEndpointSet(shared *sharedState, config Config) *endpointSet {
 	return &endpointSet{
-		runtime:           shared,
+		sharedState:       shared,
 		byID:              map[uint32]*endpointRecord{},
 		healthChecks:      config.Capabilities.HealthChecks,
 		slowStart:         config.SlowStart,
@@ -34,7 +34,7 @@
 		pointsPerEndpoint: pointsPerEndpoint,
 		ringSalt:          ringSalt,
 		warmConcurrency:   1,
-		minLimitPerCore:   1 / float64(config.Instance.Agents), // one open attempt of all agents together
+		minLimitPerCore:   minLimitPerCore(config.Instance.Agents),
 	}
 }
 
@@ -60,7 +60,8 @@
 	}
 }
 
-// update adds and removes records as the list says, and sends each endpoint its own entry.
+// update adds and removes records as the list says, and sends each endpoint its own entry. An endpoint that leaves has its entry
+// still to process, so its record goes with the next list.
 func (s *endpointSet) update(list EndpointUpdate) {
 	if list.Full {
 		for _, e := range s.all {
@@ -88,7 +89,7 @@
 
 func (s *endpointSet) add(id uint32) *endpointRecord {
 	e := &endpointRecord{
-		runtime:      s.runtime,
+		sharedState:  s.sharedState,
 		endpoints:    s,
 		healthChecks: s.healthChecks,
 		slowStart:    s.slowStart,
@@ -109,7 +110,7 @@
 	})
 }
 
-// readyWith iterates over the ready endpoints of a build, in the order of the list.
+// readyWith iterates over the ready endpoints of a build, in the order in which they were added.
 func (s *endpointSet) readyWith(build int) func(yield func(*endpointRecord) bool) {
 	return func(yield func(*endpointRecord) bool) {
 		for _, e := range s.all {
--- a/internal/policy/evaluators.go
+++ b/internal/policy/evaluator_group.go
@@ -1,6 +1,11 @@
 package policy
 
-import "slices"
+import (
+	"cmp"
+	"slices"
+
+	"switchfork/internal/hashing"
+)
 
 // evaluatorCount is how many agents evaluate for all: some are left when agents restart in numbers, and notifying them costs
 // little.
@@ -9,7 +14,7 @@
 // evaluatorGroup decides which agents evaluate releases for all, where gossip is allowed: the same ones on every agent. All parts
 // of the analyzer ask it whether this agent is one of them.
 type evaluatorGroup struct {
-	*runtime
+	*sharedState
 	agentIndex     int
 	agentCount     int
 	members        []int // none where each agent evaluates by itself
@@ -19,9 +24,9 @@
 
 // newEvaluatorGroup selects the evaluators where there are more agents than are needed. A single agent sees too few outcomes, and
 // among hundreds the one with the most extreme sample would decide.
-func newEvaluatorGroup(shared *runtime, config Config) *evaluatorGroup {
+func newEvaluatorGroup(shared *sharedState, config Config) *evaluatorGroup {
 	instance := config.Instance
-	group := &evaluatorGroup{runtime: shared, agentIndex: instance.Index, agentCount: instance.Agents}
+	group := &evaluatorGroup{sharedState: shared, agentIndex: instance.Index, agentCount: instance.Agents}
 	if !config.Capabilities.Gossip || instance.Agents <= evaluatorCount {
 		return group
 	}
@@ -61,3 +66,15 @@
 		g.emit(SendGossip{To: agent, Payload: payload})
 	}
 }
+
+// selectAgents draws some of the agents' indices, the same on every agent.
+func selectAgents(agents, count int) []int {
+	all := make([]int, agents)
+	for i := range all {
+		all[i] = i
+	}
+	slices.SortFunc(all, func(a, b int) int {
+		return cmp.Compare(hashing.Mix64(uint64(a)^ringSalt), hashing.Mix64(uint64(b)^ringSalt))
+	})
+	return all[:count]
+}
--- a/internal/policy/evidence.go
+++ b/internal/policy/evidence.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	minFailureRate     = 0.01 // of a baseline
-	badFailureFactor   = 3.0  // times the baseline's rate is a bad build
-	maxBadRate         = 0.95
-	minRateRatio       = 1.05  // of a bad rate to the baseline's
+	minFailureRate     = 0.01  // of a baseline
+	badFailureFactor   = 3.0   // times the baseline's rate is a bad build
+	maxBadRate         = 0.95  // so that a good outcome still counts
+	minRateRatio       = 1.05  // of a bad rate to the baseline's, so that they differ
 	failureDecay       = 0.997 // of the baseline's counts, an outcome
 	minEndpointAge     = 2 * second
 	largeBuildSize     = 24  // endpoints; above it failures are one sum over the build
-	evidenceQuorum     = 4   // one in so many endpoints of a large build must speak
+	evidenceQuorum     = 4   // one in so many endpoints must speak against a build, for the sum to be conclusive
 	maxEndpointSum     = 2.0 // what one of several endpoints adds
 	oldestFailingShare = 0.6 // of the oldest endpoints, for these to speak alone
 	minEndpoints       = 3   // of a build: what fewer show may be theirs alone
@@ -95,8 +95,9 @@
 	return e.Started <= 0 || b.release.now-e.Started >= minEndpointAge
 }
 
-// evidenceShares divides the evidence that good outcomes save up: among a build's endpoints, so that all must speak for an early
-// advance; of a large build among those that have evidence, as one agent meets few of them.
+// evidenceShares divides the evidence that good outcomes save up: among a build's ready endpoints, so that all must speak for an
+// early advance; of a large build among those that have evidence, as one agent meets few of them. ratio counts a build as large
+// by the endpoints that have evidence: only they are in its sums.
 func (b *buildEvidence) evidenceShares(e *endpointRecord) float64 {
 	if count := b.endpoints.readyCount(e.Build); count <= largeBuildSize {
 		return float64(max(1, count))
--- a/internal/policy/exposure.go
+++ b/internal/policy/exposure.go
@@ -33,21 +33,21 @@
 // exposureGuard decides whether a request may go to a build (rule 5): by the exposure cap over the window, the guarded stages,
 // and the build to which its key is bound. The rules ask it for each attempt; the dispatcher records requests and attempts.
 type exposureGuard struct {
-	*runtime
+	*sharedState
 	rollout   *rolloutState
 	classes   []RequestClass
 	limit     ExposureLimit
-	windows   []*exposure.Window // by class, or a single one
+	windows   []*exposure.Window // by class; without PerClass the first serves all
 	keyBuilds map[uint64]int     // the latest build that answered a key, where keys never go back
 }
 
-func newExposureGuard(shared *runtime, rollout *rolloutState, config Config) *exposureGuard {
+func newExposureGuard(shared *sharedState, rollout *rolloutState, config Config) *exposureGuard {
 	guard := &exposureGuard{
-		runtime:   shared,
-		rollout:   rollout,
-		classes:   config.Classes,
-		limit:     config.ExposureLimit,
-		keyBuilds: map[uint64]int{},
+		sharedState: shared,
+		rollout:     rollout,
+		classes:     config.Classes,
+		limit:       config.ExposureLimit,
+		keyBuilds:   map[uint64]int{},
 	}
 	for range config.Classes {
 		guard.windows = append(guard.windows, &exposure.Window{})
--- a/internal/policy/exposure_test.go
+++ b/internal/policy/exposure_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func newTestGuard(plan RolloutPlan) *exposureGuard {
-	guard := newExposureGuard(&runtime{}, newRolloutState(plan), Config{
+	guard := newExposureGuard(&sharedState{}, newRolloutState(plan), Config{
 		Classes:       []RequestClass{{Idempotency: Idempotent}, {Idempotency: NonIdempotent}},
 		ExposureLimit: ExposureLimit{Window: 4 * second, Allowance: 1},
 	})
--- a/internal/policy/gossip_codec.go
+++ b/internal/policy/gossip_codec.go
@@ -81,7 +81,7 @@
 
 // gossipCodec turns what peers write into messages of the analyzer.
 type gossipCodec struct {
-	*runtime
+	*sharedState
 	endpoints *endpointSet
 	classes   []RequestClass
 }
@@ -126,7 +126,8 @@
 	e := c.endpointOf(record)
 	class := int(record[classByte])
 	outcome := Outcome(record[kindByte])
-	if e == nil || byte(e.Build) != record[buildByte] || class >= len(c.classes) || outcome > Malformed {
+	isOfEndpoint := e != nil && byte(e.Build) == record[buildByte]
+	if !isOfEndpoint || class >= len(c.classes) || outcome > Malformed {
 		return nil
 	}
 	elapsed := Micros(binary.LittleEndian.Uint16(record[elapsedByte:])) * millisecond
--- a/internal/policy/key_placement.go
+++ b/internal/policy/key_placement.go
@@ -18,16 +18,16 @@
 // keyPlacement decides where on the ring a request stands: by its key where endpoints serve the keys that they know faster, or
 // else by its id. A hot key gets several places. The dispatcher calls it once for each request.
 type keyPlacement struct {
-	*runtime
+	*sharedState
 	traffic     *trafficEstimate
 	keyAffinity bool
 	agents      int
 	usages      keyUsages
 }
 
-func newKeyPlacement(shared *runtime, traffic *trafficEstimate, instance Instance) *keyPlacement {
+func newKeyPlacement(shared *sharedState, traffic *trafficEstimate, instance Instance) *keyPlacement {
 	return &keyPlacement{
-		runtime:     shared,
+		sharedState: shared,
 		traffic:     traffic,
 		keyAffinity: instance.KeyAffinity,
 		agents:      instance.Agents,
--- a/internal/policy/key_placement_test.go
+++ b/internal/policy/key_placement_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestHotKeyGetsSeveralPlaces(t *testing.T) {
-	shared := &runtime{}
+	shared := &sharedState{}
 	traffic := &trafficEstimate{meanCost: float64(10 * millisecond)}
 	placement := newKeyPlacement(shared, traffic, Instance{KeyAffinity: true, Agents: 1})
 	placesOf := func(key uint64, interval Micros) int {
@@ -23,7 +23,7 @@
 }
 
 func TestRequestsWithoutAffinityArePlacedByID(t *testing.T) {
-	placement := newKeyPlacement(&runtime{}, &trafficEstimate{meanCost: 1}, Instance{Agents: 1})
+	placement := newKeyPlacement(&sharedState{}, &trafficEstimate{meanCost: 1}, Instance{Agents: 1})
 	first := placement.ringPosition(&request{RequestArrived: RequestArrived{ID: 1, Key: 5}})
 	second := placement.ringPosition(&request{RequestArrived: RequestArrived{ID: 2, Key: 5}})
 	if first == second {
--- a/internal/policy/messages.go
+++ b/internal/policy/messages.go
@@ -52,23 +52,23 @@
 	}
 )
 
-// mailbox is a component's queue of messages, first in, first out. It is not for concurrency: the router's goroutine empties all
-// mailboxes within one call of Handle. It keeps an order: a component finishes a message before what follows from it is
+// messageQueue holds the messages to a component, first in, first out. It is not for concurrency: the router's goroutine empties all
+// queues within one call of Handle. It keeps an order: a component finishes a message before what follows from it is
 // processed, by itself or by another, and endpoints take in theirs before any component decides again.
-type mailbox struct {
+type messageQueue struct {
 	messages []message
 	read     int
 }
 
-func (m *mailbox) enqueue(msg message) { m.messages = append(m.messages, msg) }
+func (q *messageQueue) enqueue(msg message) { q.messages = append(q.messages, msg) }
 
 // dequeue returns the oldest message, or nil where there is none.
-func (m *mailbox) dequeue() message {
-	if m.read < len(m.messages) {
-		msg := m.messages[m.read]
-		m.read++
+func (q *messageQueue) dequeue() message {
+	if q.read < len(q.messages) {
+		msg := q.messages[q.read]
+		q.read++
 		return msg
 	}
-	m.messages, m.read = m.messages[:0], 0
+	q.messages, q.read = q.messages[:0], 0
 	return nil
 }
--- a/internal/policy/outcome_sharing.go
+++ b/internal/policy/outcome_sharing.go
@@ -8,7 +8,7 @@
 // outcomeSharing decides when an agent sends what it saw of its attempts to the evaluators: in batches, or at once where these
 // follow what is in flight. The analyzer adds records and calls it at each tick.
 type outcomeSharing struct {
-	*runtime
+	*sharedState
 	evaluators     *evaluatorGroup
 	batch          []byte
 	batchStartedAt Micros
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -17,7 +17,6 @@
 // updateHealth decides whether an endpoint is ejected: it cannot be reached, falls silent or answers with errors. It is called
 // for the result of each attempt of this agent.
 func (e *endpointRecord) updateHealth(outcome attemptOutcome) {
-	e.updateLimit(outcome)
 	switch outcome.Outcome {
 	case OK:
 		e.silentOutcomes = 0
--- a/internal/policy/overload_digest.go
+++ b/internal/policy/overload_digest.go
@@ -9,7 +9,7 @@
 // endpoint once a minute, no limit of its own can tell; the evaluators see the attempts of all. A digest may be a second old. The
 // analyzer calls it at each tick.
 type overloadDigest struct {
-	*runtime
+	*sharedState
 	evaluators *evaluatorGroup
 	endpoints  *endpointSet
 	sentAt     Micros
--- a/internal/policy/clients.go
+++ b/internal/policy/rejected_clients.go
@@ -5,7 +5,7 @@
 const (
 	returnRateWeight  = 0.1 // of one rejected client in the moving mean
 	initialReturnRate = 0.5
-	returnGrace       = 500 * millisecond // added to the longest wait that clients follow
+	clientReturnGrace = 500 * millisecond // added to the longest wait that clients follow
 )
 
 // rejectedClient is a client that was rejected and has not come back yet.
@@ -27,7 +27,7 @@
 	return &rejectedClients{byHash: map[uint64]rejectedClient{}, returnRate: initialReturnRate}
 }
 
-// reject records that a client was rejected.
+// reject records that a client's request was given up. One that got a final failure counts too, though few of these come back.
 func (c *rejectedClients) reject(client rejectedClient) {
 	c.byHash[client.clientHash] = client
 	c.queue = append(c.queue, client)
--- a/internal/policy/release_state.go
+++ b/internal/policy/release_state.go
@@ -5,7 +5,7 @@
 
 // releaseState is what the parts of the release analyzer share: the rollout's state, and since when its stage runs.
 type releaseState struct {
-	*runtime
+	*sharedState
 	*rolloutState
 	stageStartedAt Micros // or this agent's start, if that was later
 }
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -30,14 +30,6 @@
 	}
 }
 
-// dedupUntil is when a keyed request that was sent at the given time is no longer deduplicated; 0 for others.
-func (c *RequestClass) dedupUntil(sentAt Micros) Micros {
-	if c.Idempotency != Keyed {
-		return 0
-	}
-	return sentAt + c.DedupWindow
-}
-
 // requestTable holds the requests of an agent by their ids.
 type requestTable map[uint64]*request
 
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -1,15 +1,15 @@
 package policy
 
 const (
-	// lowReturnRate of rejected clients: below it, ending late attempts frees more than the retries cost.
-	lowReturnRate = 0.3
-	// pendingShare of its latency objective is how long a request is kept pending.
+	// lowFleetReturnRate of rejected clients: below it, ending late attempts frees more capacity than the retries cost.
+	lowFleetReturnRate = 0.3
+	// pendingShare of its latency objective is how long a request may stay pending.
 	pendingShare = 0.5
-	// overloadDuration is how long giving up a request means overload.
+	// overloadDuration after a request was given up the agent counts as overloaded.
 	overloadDuration = 1 * second
 	// maxServerErrors at different endpoints are the request's own fault: one may be the build's or the endpoint's.
 	maxServerErrors = 3
-	// maxServerErrorsOfFailingTenant leaves the exposure cap to others.
+	// maxServerErrorsOfFailingTenant: each retry uses up exposure that other tenants could have.
 	maxServerErrorsOfFailingTenant = 1
 )
 
@@ -17,7 +17,7 @@
 // deadline, its latency objective, its attempts so far and the agent's overload. The dispatcher asks it for each request that it
 // routes.
 type retryPolicy struct {
-	*runtime
+	*sharedState
 	endpoints    *endpointSet
 	rules        *attemptRules
 	clients      *rejectedClients
@@ -28,7 +28,8 @@
 	overloadedAt Micros // when a request was last given up
 }
 
-// attemptTimeout is none, 0, before the deadline, or the latency objective where rejected clients do not return.
+// attemptTimeout is how long an attempt may take: 0, that is until the deadline, or until the latency objective where rejected
+// clients do not return.
 func (p *retryPolicy) attemptTimeout(req *request) Micros {
 	left := req.acceptedAt + p.classes[req.Class].LatencyObjective - p.now
 	if p.clients.returnRate >= p.lowReturnRate() || left <= 0 {
@@ -37,9 +38,10 @@
 	return min(left, req.Deadline-p.now)
 }
 
-// lowReturnRate is as one agent sees it: clients that are spread over a zone's agents come back to any of them.
+// lowReturnRate is the rate below which few clients return, as one agent sees it: clients that are spread over a zone's agents come
+// back to any of them.
 func (p *retryPolicy) lowReturnRate() float64 {
-	return lowReturnRate * min(1, float64(p.endpoints.zoneCount)/float64(p.agents))
+	return lowFleetReturnRate * min(1, float64(p.endpoints.zoneCount)/float64(p.agents))
 }
 
 // isTooLate reports whether any attempt would be load for no value: a late retry, or a late attempt under overload.
--- a/internal/policy/ring.go
+++ b/internal/policy/ring.go
@@ -1,8 +1,6 @@
 package policy
 
 import (
-	"cmp"
-	"math"
 	"slices"
 	"sort"
 
@@ -27,21 +25,3 @@
 	i := sort.Search(len(e.ringPoints), func(i int) bool { return e.ringPoints[i] >= position })
 	return float64(e.ringPoints[i%len(e.ringPoints)]-position) + 1
 }
-
-// slotPhase spreads the agents' slots at an endpoint evenly over the interval from 0 to 1 (golden ratio sequence).
-func slotPhase(agent int, endpointID uint32) float64 {
-	_, phase := math.Modf(float64(agent)*math.Phi + float64(hashing.Mix64(uint64(endpointID))>>40)/(1<<24))
-	return phase
-}
-
-// selectAgents draws some of the agents' indices, the same on every agent.
-func selectAgents(agents, count int) []int {
-	all := make([]int, agents)
-	for i := range all {
-		all[i] = i
-	}
-	slices.SortFunc(all, func(a, b int) int {
-		return cmp.Compare(hashing.Mix64(uint64(a)^ringSalt), hashing.Mix64(uint64(b)^ringSalt))
-	})
-	return all[:count]
-}
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -7,9 +7,9 @@
 	second             = 1000 * millisecond
 )
 
-// router is the Router of one agent: its components, and the loop that empties their mailboxes.
+// router is the Router of one agent: its components, and the loop that empties their queues.
 type router struct {
-	*runtime
+	*sharedState
 	endpoints  *endpointSet
 	dispatcher *dispatcher
 	analyzer   *releaseAnalyzer
@@ -18,8 +18,8 @@
 	timerAt    Micros // the timer that was asked for last
 }
 
-// runtime is what all components share: the time, the source of randomness and the commands to carry out.
-type runtime struct {
+// sharedState is what all components share: the time, the source of randomness and the commands to carry out.
+type sharedState struct {
 	now              Micros
 	startedAt        Micros // -1: no event yet
 	random           *rand.Rand
@@ -27,29 +27,29 @@
 	pendingEndpoints []*endpointRecord // those with messages to process
 }
 
-func (r *runtime) emit(command Command) { r.commands = append(r.commands, command) }
+func (r *sharedState) emit(command Command) { r.commands = append(r.commands, command) }
 
 // randomBelow returns a random duration below the limit.
-func (r *runtime) randomBelow(limit Micros) Micros { return r.random.Int63n(limit) }
+func (r *sharedState) randomBelow(limit Micros) Micros { return r.random.Int63n(limit) }
 
 // New returns the router of one agent.
 func New(config Config) Router {
-	shared := &runtime{random: rand.New(rand.NewSource(config.Instance.Seed)), startedAt: -1}
+	shared := &sharedState{random: rand.New(rand.NewSource(config.Instance.Seed)), startedAt: -1}
 	endpoints := newEndpointSet(shared, config)
 	analyzer := newReleaseAnalyzer(shared, endpoints, config)
 	dispatcher := newDispatcher(shared, endpoints, analyzer, config)
-	poller := &endpointPoller{runtime: shared, isEnabled: config.Capabilities.PollsEndpoints}
+	poller := &endpointPoller{sharedState: shared, isEnabled: config.Capabilities.PollsEndpoints}
 	return &router{
-		runtime:    shared,
-		endpoints:  endpoints,
-		analyzer:   analyzer,
-		dispatcher: dispatcher,
-		poller:     poller,
-		components: []component{endpoints, analyzer, dispatcher, poller},
+		sharedState: shared,
+		endpoints:   endpoints,
+		analyzer:    analyzer,
+		dispatcher:  dispatcher,
+		poller:      poller,
+		components:  []component{endpoints, analyzer, dispatcher, poller},
 	}
 }
 
-// Handle passes an event to the components, empties the mailboxes, and sees to it that a timer is asked for.
+// Handle passes an event to the components, empties the queues, and sees to it that a timer is asked for.
 func (r *router) Handle(now Micros, event Event) []Command {
 	r.now, r.commands = now, nil
 	isTick := r.isTickDue(event)
--- a/internal/policy/rules.go
+++ b/internal/policy/rules.go
@@ -1,9 +1,16 @@
 package policy
 
-// attemptRules decides whether an attempt is allowed at all: the protocol's rules on attempts. Every attempt passes mayAttempt
-// before it is sent; the endpoint selector asks the single rules for each candidate.
+// attemptRules decides whether an attempt is allowed at all, by the protocol's rules:
+//
+//  1. A request gets one final answer before its deadline; no attempt starts after it.
+//  2. No request takes effect twice: one attempt at a time, and what may have run is repeated only where that does no harm.
+//  3. Nothing new goes to an endpoint that drains or has left.
+//  4. All agents together do not overload an endpoint in slow start.
+//  5. The exposure of a build in evaluation stays within its cap.
+//
+// Every attempt passes mayAttempt before it is sent; the endpoint selector asks the single rules for each candidate.
 type attemptRules struct {
-	*runtime
+	*sharedState
 	requests    requestTable
 	classes     []RequestClass
 	exposure    *exposureGuard
@@ -26,7 +33,7 @@
 // hasUsedAttempts reports whether a request has had as many attempts as it may.
 func (r *attemptRules) hasUsedAttempts(req *request) bool { return req.attempts >= r.maxAttempts }
 
-// mayUseBuild is rule 5.
+// mayUseBuild is rule 5, which exposureGuard holds.
 func (r *attemptRules) mayUseBuild(req *request, build int) bool {
 	return r.exposure.mayUse(req, build)
 }
@@ -83,3 +90,11 @@
 	}
 	return false
 }
+
+// dedupUntil is when a keyed request that was sent at the given time is no longer deduplicated; 0 for others.
+func (c *RequestClass) dedupUntil(sentAt Micros) Micros {
+	if c.Idempotency != Keyed {
+		return 0
+	}
+	return sentAt + c.DedupWindow
+}
--- a/internal/policy/slow_start.go
+++ b/internal/policy/slow_start.go
@@ -1,6 +1,10 @@
 package policy
 
-import "math"
+import (
+	"math"
+
+	"switchfork/internal/hashing"
+)
 
 const (
 	// overloadMargin of the configured overload multiple is used; the rest is for what the cost estimates miss.
@@ -48,7 +52,7 @@
 // slowStartRule decides whether one more attempt of a request fits an endpoint in slow start (rule 4): each agent keeps to its
 // share of what the endpoint takes before it falls over. The rules ask it for each candidate.
 type slowStartRule struct {
-	*runtime
+	*sharedState
 	endpoints  *endpointSet
 	traffic    *trafficEstimate
 	builds     *buildSelector
@@ -105,3 +109,9 @@
 	maxLoad := max(slotLoad, overloadMargin*r.limits.OverloadMultiple)
 	return r.endpoints.warmConcurrency * min(slotLoad/max(chanceInSlot, minSlotChance), maxLoad)
 }
+
+// slotPhase spreads the agents' slots at an endpoint evenly over the interval from 0 to 1 (golden ratio sequence).
+func slotPhase(agent int, endpointID uint32) float64 {
+	_, phase := math.Modf(float64(agent)*math.Phi + float64(hashing.Mix64(uint64(endpointID))>>40)/(1<<24))
+	return phase
+}
--- a/internal/policy/slowdown.go
+++ b/internal/policy/slowdown.go
@@ -7,14 +7,15 @@
 const (
 	slowdownFactor       = 1.3  // times the baseline's median latency, with slowdownCompletions
 	slowdownCompletions  = 0.8  // of the baseline's rate on time
-	onTimeDrop           = 0.6  // of the baseline's share on time, with completionDrop
-	completionDrop       = 0.85 // of the baseline's rate on time
+	farLessOnTime        = 0.6  // of the baseline's share on time, with fewerCompletions
+	lessOnTime           = 0.85 // of the baseline's share on time, with collapsedCompletions
+	fewerCompletions     = 0.85 // of the baseline's rate on time
 	collapsedCompletions = 0.5  // of the baseline's rate on time: need not be told apart from other faults
 	isolatedSlowdown     = 1.6  // times the baseline's median latency: needs no drop
 	isolatedWeight       = 0.7  // of the time of an isolated slowdown
 	wholeFleetShare      = 0.85 // of the baseline's warm capacity; with less the others are slow for that reason
-	slowdownRecovery     = 4.0  // times as fast a passed overload is forgotten
-	minBaselineMedian    = 1e-9 // to divide by
+	slowdownRecovery     = 4.0  // µs of slow time that are taken off for each µs without a slowdown
+	minBaselineMedian    = 1e-9 // so that it can be divided by
 )
 
 // Where the outcomes of all agents are known, a slowdown with a certain canary share and without more arrivals came with the
@@ -55,7 +56,10 @@
 	lastTickAt             Micros
 
 	slowTime float64 // µs, weighted, that the fleet has been slow
-	ratio    float64 // median latency over the baseline's; 0: not known
+	// ratio compares latencies with those of the baseline, 0 where that is not known: an evaluator's median of relative latencies
+	// with the baseline's median, the controller's mean latencies with the baseline's means, or else an agent's median of relative
+	// latencies alone.
+	ratio float64
 }
 
 // tickMeasurement is what a tick measures.
@@ -115,7 +119,7 @@
 func (s *slowdownDetector) update() {
 	measured := s.measure()
 	isFleetWhole := measured.capacity >= wholeFleetShare*s.baselineCapacity
-	weight := s.canaryShare
+	weight := s.canaryShare // before reports replace it: the share of the time that has passed
 	s.ratio = measured.median
 	if s.evaluators.isMember { // it gets enough outcomes to compare medians
 		s.ratio = measured.median / max(s.latencies.baselineMedian, minBaselineMedian)
@@ -156,11 +160,11 @@
 	if s.ratio >= slowdownFactor && s.isCompletionBelow(slowdownCompletions) {
 		return true
 	}
-	isLessOnTime := s.onTimeShare < completionDrop*s.baselineOnTimeShare
+	isLessOnTime := s.onTimeShare < lessOnTime*s.baselineOnTimeShare
 	if isLessOnTime && s.isCompletionBelow(collapsedCompletions) {
 		return true
 	}
-	return isFleetWhole && s.isFarLessOnTime() && s.isCompletionBelow(completionDrop)
+	return isFleetWhole && s.isFarLessOnTime() && s.isCompletionBelow(fewerCompletions)
 }
 
 func (s *slowdownDetector) isCompletionBelow(share float64) bool {
@@ -168,7 +172,7 @@
 }
 
 func (s *slowdownDetector) isFarLessOnTime() bool {
-	return s.onTimeShare < onTimeDrop*s.baselineOnTimeShare
+	return s.onTimeShare < farLessOnTime*s.baselineOnTimeShare
 }
 
 // measure takes what was completed and begun since the last tick, and moves the rates by it.
--- a/internal/policy/verdict_exchange_test.go
+++ b/internal/policy/verdict_exchange_test.go
@@ -4,13 +4,13 @@
 
 // newTestVerdicts returns an exchange of a release of build 2, stage 1, in a fleet with evaluators.
 func newTestVerdicts() *verdictExchange {
-	shared := &runtime{now: 100 * second}
+	shared := &sharedState{now: 100 * second}
 	group := newEvaluatorGroup(shared, Config{
 		Instance: Instance{Agents: 50}, Capabilities: Capabilities{Gossip: true},
 	})
 	state := newRolloutState(RolloutPlan{Caps: []float64{0.1, 0.5, 1}})
 	state.build, state.stage = 2, 1
-	return newVerdictExchange(&releaseState{runtime: shared, rolloutState: state}, group)
+	return newVerdictExchange(&releaseState{sharedState: shared, rolloutState: state}, group)
 }
 
 func TestMajorityOfEvaluators(t *testing.T) {
--- a/internal/policy/voter.go
+++ b/internal/policy/voter.go
@@ -21,12 +21,14 @@
 	rollbackSlowTime    = 9 * second
 	// pauseCanaryShare of the traffic: with less a slowdown is more likely another overload.
 	pauseCanaryShare = 0.15
+	// minOnTimeShare of the requests is needed for a release, also where there is no baseline.
+	minOnTimeShare = 0.6
 )
 
 // voter decides what this agent votes on the build in evaluation, and when: from the evidence, the slowdown, the reports and the
 // evaluators' majority. The analyzer calls it at each tick, and after a vote that failed.
 type voter struct {
-	*releaseState
+	release      *releaseState
 	endpoints    *endpointSet
 	evaluators   *evaluatorGroup
 	verdicts     *verdictExchange
@@ -46,31 +48,31 @@
 	verdict := v.currentVerdict()
 	if verdict != v.wanted {
 		v.wanted = verdict
-		v.wantedSince = v.now
+		v.wantedSince = v.release.now
 	}
 	if v.isDue(verdict) {
 		v.lastVote = verdict
-		v.lastVoteAt = v.now
-		v.emit(Vote{Build: v.build, Stage: v.stage, Verdict: verdict})
+		v.lastVoteAt = v.release.now
+		v.release.emit(Vote{Build: v.release.build, Stage: v.release.stage, Verdict: verdict})
 	}
 }
 
 // isDue reports whether a verdict is to be sent: it is new, or its vote has to be renewed.
 func (v *voter) isDue(verdict Verdict) bool {
-	if v.now < max(v.backoffUntil, v.wantedSince+v.spread()) {
+	if v.release.now < max(v.backoffUntil, v.wantedSince+v.spread()) {
 		return false
 	}
 	renewAfter := Micros(renewalFraction * float64(v.rules.VoteLifetime))
-	needsRenewal := verdict != NoVote && v.now-v.lastVoteAt >= renewAfter
+	needsRenewal := verdict != NoVote && v.release.now-v.lastVoteAt >= renewAfter
 	return verdict != v.lastVote || needsRenewal
 }
 
 // delay puts the next vote off after a failed call, not all agents in step.
 func (v *voter) delay(outcome Outcome) {
 	v.lastVote = NoVote
-	v.backoffUntil = v.now + voteRetryDelay + v.randomBelow(v.period()+1)
+	v.backoffUntil = v.release.now + voteRetryDelay + v.release.randomBelow(v.period()+1)
 	if outcome == Rejected {
-		v.backoffUntil += voteRejectDelay - voteRetryDelay + v.randomBelow(voteRejectDelay)
+		v.backoffUntil += voteRejectDelay - voteRetryDelay + v.release.randomBelow(voteRejectDelay)
 	}
 }
 
@@ -92,7 +94,7 @@
 	if v.evaluators.decidesItself() {
 		return 0
 	}
-	hash := hashing.Mix64(uint64(v.evaluators.agentIndex) ^ uint64(v.build+v.stage)<<20)
+	hash := hashing.Mix64(uint64(v.evaluators.agentIndex) ^ uint64(v.release.build+v.release.stage)<<20)
 	return Micros(unitInterval(hash) * float64(v.period()))
 }
 
@@ -114,10 +116,10 @@
 
 // isTimeToAdvance reports whether the stage has run for long enough: less where the evidence is good.
 func (v *voter) isTimeToAdvance(ratio float64, hasMajority bool) bool {
-	if v.endpoints.readyCount(v.build) == 0 {
+	if v.endpoints.readyCount(v.release.build) == 0 {
 		return false // its list is out of date: to advance unseen takes away the endpoints that it knows of
 	}
-	sinceStart := v.now - v.endpoints.newestStart(v.build)
+	sinceStart := v.release.now - v.endpoints.newestStart(v.release.build)
 	elapsed := v.stageTime(sinceStart, hasMajority)
 	if elapsed >= stageTimeout {
 		return true
@@ -129,8 +131,8 @@
 // stageTime is the time that counts for an advance. The last stage releases: there it also runs from the newest start. Elsewhere
 // delay costs more.
 func (v *voter) stageTime(sinceStart Micros, hasMajority bool) Micros {
-	elapsed := v.now - v.stageStartedAt
-	if v.isLastStage() {
+	elapsed := v.release.now - v.release.stageStartedAt
+	if v.release.isLastStage() {
 		elapsed = min(elapsed, sinceStart)
 		if !v.slowdown.latencies.isWindowFull() && v.rules.VotesToAdvance <= 1 {
 			elapsed -= noBaselineDelay // it cannot see a slowdown; where one vote is enough, others may
@@ -144,13 +146,13 @@
 
 // evidenceVerdict is the verdict without regard to the time.
 func (v *voter) evidenceVerdict(ratio float64) Verdict {
-	if v.build == 0 || v.rolledBack[v.build] {
+	if v.release.build == 0 || v.release.rolledBack[v.release.build] {
 		return NoVote
 	}
 	if v.needsRollback(ratio) {
 		return Rollback
 	}
-	if v.phase != Evaluating {
+	if v.release.phase != Evaluating {
 		return NoVote
 	}
 	if v.rules.Rule == TimedStages {
@@ -171,10 +173,11 @@
 	if v.evidence.outcomeCount >= minCount && ratio >= v.rollbackThreshold() {
 		return true
 	}
-	if v.reports.areUsed() && v.reports.ratio >= decisionThreshold && ratio >= holdThreshold {
+	isReported := v.reports.areUsed() && v.reports.ratio >= decisionThreshold
+	if isReported && ratio >= holdThreshold {
 		return true
 	}
-	isWatched := !v.isEstablished() && v.evaluators.decidesItself()
+	isWatched := !v.release.isEstablished() && v.evaluators.decidesItself()
 	return isWatched && v.slowdown.slowTime >= float64(rollbackSlowTime)
 }
 
@@ -192,16 +195,19 @@
 // isPausedBySlowdown reports whether the build does not advance as the fleet is slow.
 func (v *voter) isPausedBySlowdown() bool {
 	slowTime := 0.0
-	if !v.isEstablished() {
+	if !v.release.isEstablished() {
 		slowTime = v.slowdown.slowTime
 	}
-	if v.isLastStage() {
-		return slowTime >= float64(releaseHoldSlowTime) || v.slowdown.onTimeShare < onTimeDrop
+	if v.release.isLastStage() {
+		return slowTime >= float64(releaseHoldSlowTime) || v.slowdown.onTimeShare < minOnTimeShare
 	}
 	if v.slowdown.canaryShare < pauseCanaryShare {
 		return false
 	}
 	// An evaluator gets all outcomes, and sees them slow with the build's share: it need not wait.
-	seesSlowdown := v.slowdown.ratio >= slowdownFactor || v.slowdown.isFarLessOnTime()
-	return slowTime >= float64(stagePauseSlowTime) || v.evaluators.isMember && seesSlowdown
+	isSlowNow := v.slowdown.ratio >= slowdownFactor || v.slowdown.isFarLessOnTime()
+	if v.evaluators.isMember && isSlowNow {
+		return true
+	}
+	return slowTime >= float64(stagePauseSlowTime)
 }
