--- a/internal/faulttest/agent_files.go
+++ b/internal/faulttest/agent_files.go
@@ -33,11 +33,11 @@
 // operatorLines are what an agent's operator file holds at the start.
 func (f *agentFiles) operatorLines(a *agent) (lines []string) {
 	s := f.scenario
-	if !s.HasElection {
+	if !s.Election.IsOn {
 		return append(lines, s.OperatorLines...)
 	}
-	lines = append(lines, "leader-election on", "election-lease "+s.Lease.String(), "admin "+a.adminAddress)
-	if s.HasStateDirs {
+	lines = append(lines, "leader-election on", "election-lease "+s.Election.Lease.String(), "admin "+a.adminAddress)
+	if s.Election.HasStateDirs {
 		lines = append(lines, "state-folder "+a.stateDir)
 	}
 	if s.Transport == transportTCP {
@@ -62,7 +62,7 @@
 	initial := fakes.InitialState{Endpoints: f.discovery.document(a.number, versions.endpointList)}
 	versions.rolloutState, initial.Rollout = f.rollout.stateJSON()
 	config := fakes.AgentConfig{
-		Index: a.number, Agents: f.scenario.Agents, Build: f.scenario.Build, MemoryMB: agentMemoryMB,
+		Index: a.number, Agents: f.scenario.Agents, Build: f.scenario.Endpoints.Build, MemoryMB: agentMemoryMB,
 		Addresses: fakes.AgentAddresses{
 			Listen:    a.listenAddress,
 			Discovery: f.relays.discoveryAddress(a.number),
--- a/internal/faulttest/collect.go
+++ b/internal/faulttest/collect.go
@@ -10,11 +10,11 @@
 func (d *deployment) serverRecords() *Records {
 	clients := d.clients.records
 	out := &Records{
-		Agents: d.scenario.Agents, End: d.now(), HasElection: d.scenario.HasElection,
+		Agents: d.scenario.Agents, End: d.now(), HasElection: d.scenario.Election.IsOn,
 		Requests: clients.snapshotRequests(), ConnsWithExtraBytes: int(clients.connsWithExtraBytes.Load()),
 		CloseRaces: clients.snapshotCloseRaces(),
 		Arrivals:   d.endpoints.recorder.snapshot(), Votes: d.rollout.snapshotVotes(),
-		Slots: d.scenario.Slots, ServiceTime: toMicros(d.scenario.ServiceTime),
+		Slots: d.scenario.Endpoints.Slots, ServiceTime: toMicros(d.scenario.Endpoints.ServiceTime),
 		Datagrams: d.relays.deliveredDatagrams(), EndpointStarts: d.endpoints.snapshotStarts(),
 	}
 	out.Calls = map[string][]Call{
--- a/internal/faulttest/deployment.go
+++ b/internal/faulttest/deployment.go
@@ -56,7 +56,7 @@
 	if err := d.startRelays(ctx); err != nil {
 		return fmt.Errorf("starting the relays: %w", err)
 	}
-	if err := d.endpoints.add(ctx, d.scenario.Endpoints, d.scenario.Build, false); err != nil {
+	if err := d.endpoints.add(ctx, d.scenario.Endpoints.Count, d.scenario.Endpoints.Build, false); err != nil {
 		return err
 	}
 	d.clients = newClients(d.now, d.agents.listenAddresses(), d.agents)
@@ -68,7 +68,7 @@
 		return fmt.Errorf("starting discovery: %w", err)
 	}
 	d.endpoints.discovery = d.discovery
-	if d.rollout, err = newFakeRollout(ctx, d.now, d.scenario.Build); err != nil {
+	if d.rollout, err = newFakeRollout(ctx, d.now, d.scenario.Endpoints.Build); err != nil {
 		return fmt.Errorf("starting the rollout controller: %w", err)
 	}
 	return nil
--- a/internal/faulttest/describe_test.go
+++ b/internal/faulttest/describe_test.go
@@ -52,9 +52,9 @@
 func describeScenario(s *Scenario) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s: agents %d endpoints %d slots %d build %d service time %v transport %s\n",
-		s.File, s.Agents, s.Endpoints, s.Slots, s.Build, s.ServiceTime, recordedWord(s.Transport))
+		s.File, s.Agents, s.Endpoints.Count, s.Endpoints.Slots, s.Endpoints.Build, s.Endpoints.ServiceTime, recordedWord(s.Transport))
 	fmt.Fprintf(&out, "election %t state folders %t lease %v absent %v operator %q seed %d timeout %v\n",
-		s.HasElection, s.HasStateDirs, s.Lease, s.AbsentAtStart, s.OperatorLines, s.Seed, s.Timeout)
+		s.Election.IsOn, s.Election.HasStateDirs, s.Election.Lease, s.AbsentAtStart, s.OperatorLines, s.Seed, s.Timeout)
 	for _, step := range s.Steps {
 		fmt.Fprintf(&out, "%d: after previous %t, %v: %s\n", step.Line, step.AfterPrevious, step.At, describeAction(step.Action))
 	}
--- a/internal/faulttest/endpoint_group.go
+++ b/internal/faulttest/endpoint_group.go
@@ -56,7 +56,7 @@
 	number := len(g.snapshot())
 	s := g.scenario
 	endpoint := fakes.NewEndpointAt(listener, fakes.EndpointOptions{
-		Name: endpointName(number), Build: build, Slots: s.Slots, ServiceTime: s.ServiceTime, Seed: s.Seed*endpointSeedSpacing + int64(number),
+		Name: endpointName(number), Build: build, Slots: s.Endpoints.Slots, ServiceTime: s.Endpoints.ServiceTime, Seed: s.Seed*endpointSeedSpacing + int64(number),
 		Observer: g.recorder, ConnContext: connContext,
 	})
 	if err := g.relays.addEndpoint(ctx, listener, number); err != nil {
--- a/internal/faulttest/parse_scenario.go
+++ b/internal/faulttest/parse_scenario.go
@@ -66,8 +66,9 @@
 
 func defaultScenario(file string) *Scenario {
 	return &Scenario{
-		File: file, Agents: 3, Endpoints: 6, Slots: 8, Build: 7, ServiceTime: 5 * time.Millisecond, Transport: transportNone,
-		Lease: 600 * time.Millisecond, Seed: 1, Timeout: 90 * time.Second,
+		File: file, Agents: 3, Transport: transportNone, Seed: 1, Timeout: 90 * time.Second,
+		Endpoints: EndpointSetup{Count: 6, Slots: 8, Build: 7, ServiceTime: 5 * time.Millisecond},
+		Election:  ElectionSetup{Lease: 600 * time.Millisecond},
 	}
 }
 
@@ -99,11 +100,11 @@
 		s.Transport = p.oneOf([]string{transportDatagrams, transportTCP, transportNone}, "datagrams, tcp or none",
 			"agents talk by %q, expected datagrams, tcp or none")
 	case "leader-election":
-		s.HasElection = true
+		s.Election.IsOn = true
 		if v, isSet := p.option("lease"); isSet {
-			s.Lease = p.duration(v, "the lease")
+			s.Election.Lease = p.duration(v, "the lease")
 		}
-		s.HasStateDirs = !p.accept("stateless")
+		s.Election.HasStateDirs = !p.accept("stateless")
 	case "operator":
 		s.OperatorLines = append(s.OperatorLines, strings.Join(p.restOfLine(), " "))
 	case "absent":
@@ -118,16 +119,16 @@
 }
 
 func (p *scenarioParser) endpointsHeader() {
-	s := p.scenario
-	s.Endpoints = p.integer(p.nextToken("how many"), "the number of endpoints", 1, maxEndpoints)
+	setup := &p.scenario.Endpoints
+	setup.Count = p.integer(p.nextToken("how many"), "the number of endpoints", 1, maxEndpoints)
 	if v, isSet := p.option("slots"); isSet {
-		s.Slots = p.integer(v, "slots", 1, maxSlots)
+		setup.Slots = p.integer(v, "slots", 1, maxSlots)
 	}
 	if v, isSet := p.option("service-time"); isSet {
-		s.ServiceTime = p.duration(v, "the service time")
+		setup.ServiceTime = p.duration(v, "the service time")
 	}
 	if v, isSet := p.option("build"); isSet {
-		s.Build = p.integer(v, "the build", 1, maxBuild)
+		setup.Build = p.integer(v, "the build", 1, maxBuild)
 	}
 }
 
@@ -137,9 +138,9 @@
 	switch {
 	case len(s.Expectations) == 0 && len(p.errs) == 0:
 		p.fail("the scenario expects nothing, expected a line that begins with expect")
-	case s.HasElection && s.Transport == transportNone:
+	case s.Election.IsOn && s.Transport == transportNone:
 		p.fail("agents that exchange nothing have no leader election, expected transport tcp or transport datagrams")
-	case s.Transport == transportTCP && !s.HasElection:
+	case s.Transport == transportTCP && !s.Election.IsOn:
 		p.fail("only the leader election uses tcp, expected a line leader-election")
 	}
 }
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -21,22 +21,32 @@
 type Scenario struct {
 	File          string
 	Agents        int
-	Endpoints     int
-	Slots         int // requests that an endpoint serves at a time
-	Build         int
-	ServiceTime   time.Duration
-	Transport     string // how agents reach each other: datagrams, tcp, no
-	HasElection   bool
-	HasStateDirs  bool
-	Lease         time.Duration
 	AbsentAtStart []int    // agents that are not started at the beginning, and that the others' files don't name
 	OperatorLines []string // further lines of each agent's operator file
+	Endpoints     EndpointSetup
+	Transport     string // how agents reach each other: datagrams, tcp, none
+	Election      ElectionSetup
 	Seed          int64
 	Timeout       time.Duration // the longest that a run may take
 	Steps         []Step
 	Expectations  []Expectation
 }
 
+// EndpointSetup are the endpoints that a scenario starts with.
+type EndpointSetup struct {
+	Count       int
+	Slots       int // requests that each serves at a time
+	Build       int
+	ServiceTime time.Duration // mean of a request
+}
+
+// ElectionSetup is how agents elect the one that votes for all.
+type ElectionSetup struct {
+	IsOn         bool // else each agent votes for itself
+	HasStateDirs bool
+	Lease        time.Duration
+}
+
 // Restarts counts the planned restarts of agents.
 func (s *Scenario) Restarts() (count int) {
 	for _, step := range s.Steps {
