--- a/internal/policy/evidence.go
+++ b/internal/policy/evidence.go
@@ -9,9 +9,9 @@
 
 // Thresholds of the log likelihood ratio between "the build is bad" and "the build is as the baseline".
 const (
-	minOutcomes       = 10                    // before any decision
-	decisionThreshold = 3                     // from here on the build is bad; below the negative, good
-	holdThreshold     = 1                     // from here on the build does not advance
+	minOutcomes       = 10                    // before evidence decides; fewer where several votes are needed to roll back
+	decisionThreshold = 3                     // from here on the build is bad, from the negative on good
+	holdThreshold     = 1                     // above it the build does not advance
 	maxSavedEvidence  = decisionThreshold + 1 // that good outcomes save up at the most: a build may turn bad late
 )
 
@@ -35,7 +35,7 @@
 	release           *releaseState
 	endpoints         *endpointSet
 	evaluators        *evaluatorGroup
-	outcomeCount      int     // outcomes on the canary in this stage
+	outcomeCount      int     // on the canary since the last reset; an answer counts for failure and for lateness
 	buildFailureRatio float64 // log likelihood ratio by failures, over all of the build's endpoints
 	baselineFailures  outcomeCounts
 	baselineLateness  outcomeCounts
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -25,7 +25,7 @@
 	classes      []RequestClass
 	limits       RetryLimits
 	agents       int
-	overloadedAt Micros // when a request was last given up
+	overloadedAt Micros // when a request was last given up as no endpoint could take it in time
 }
 
 // attemptTimeout is how long an attempt may take: 0, that is until the deadline, or until the latency objective where rejected
--- a/internal/policy/slowdown.go
+++ b/internal/policy/slowdown.go
@@ -5,7 +5,7 @@
 // A slowdown is told from other changes by several signs together. More traffic lowers the share on time and raises the
 // completions, less traffic lowers only the completions.
 const (
-	slowdownFactor       = 1.3  // times the baseline's median latency, with slowdownCompletions
+	slowdownFactor       = 1.3  // times the baseline's median latency: with slowdownCompletions, for an evaluator also alone
 	slowdownCompletions  = 0.8  // of the baseline's rate on time
 	farLessOnTime        = 0.6  // of the baseline's share on time, with fewerCompletions
 	lessOnTime           = 0.85 // of the baseline's share on time, with collapsedCompletions
--- a/internal/policy/zone_limits.go
+++ b/internal/policy/zone_limits.go
@@ -5,7 +5,7 @@
 const (
 	slowShareWeight       = 0.05 // of one result in a zone's moving mean
 	maxSlowShare          = 0.25 // of late results; a healthy busy zone has a tenth
-	zoneLimitDecrease     = 0.03 // of the limit, a result
+	zoneLimitDecrease     = 0.03 // of the limit in use, a late result
 	zoneLimitGrowthFactor = 3    // how many times as fast a limit rises
 	minOpenPerEndpoint    = 4.0  // attempts of all agents together that leave no queue
 	openPerConcurrency    = 2.0  // the same, by what the endpoint serves at one time
