--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -49,6 +49,14 @@
 	ErrCorrupt = errors.New("damaged message")
 )
 
+// What Decode finds. The errors are made once, as anybody may send any number of bad datagrams.
+var (
+	errNoFrame      = fmt.Errorf("%w: not the mark and the length of a frame", ErrForeign)
+	errOtherGroup   = fmt.Errorf("%w: a frame of another group", ErrForeign)
+	errChecksum     = fmt.Errorf("%w: its checksum is wrong", ErrCorrupt)
+	errInvalidField = fmt.Errorf("%w: a field has a value that no replica sends", ErrCorrupt)
+)
+
 // Encode encodes a message of the agent from.
 func Encode(group uint64, from int, m election.Message) []byte {
 	f := frame{
@@ -77,22 +85,22 @@
 // Decode decodes a frame, and returns its sender and message. Nothing of a damaged frame is used.
 func Decode(group uint64, b []byte) (from int, m election.Message, err error) {
 	if !IsFrame(b) || len(b) != frameBytes {
-		return 0, m, fmt.Errorf("%w: %d bytes, expected a frame of %d with its mark", ErrForeign, len(b), frameBytes)
+		return 0, m, errNoFrame
 	}
 	bodyBytes := frameBytes - checksumBytes
 	body := b[:bodyBytes]
 	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(b[bodyBytes:]) {
-		return 0, m, fmt.Errorf("%w: its checksum is wrong", ErrCorrupt)
+		return 0, m, errChecksum
 	}
 	var f frame
 	if _, err = binary.Decode(body, binary.LittleEndian, &f); err != nil {
 		return 0, m, fmt.Errorf("%w: decoding its fields: %w", ErrCorrupt, err)
 	}
 	if f.Group != group {
-		return 0, m, fmt.Errorf("%w: it is of group %016x, expected %016x", ErrForeign, f.Group, group)
+		return 0, m, errOtherGroup
 	}
 	if !f.isValid() {
-		return 0, m, fmt.Errorf("%w: a field has a value that no replica sends: %+v", ErrCorrupt, f)
+		return 0, m, errInvalidField
 	}
 	return int(f.From), f.message(), nil
 }
