--- a/internal/cluster/election/acceptor.go
+++ b/internal/cluster/election/acceptor.go
@@ -1,14 +1,8 @@
 package election
 
-// noReplica stands for a replica's number where there is none.
-const noReplica = -1
-
-// forever is later than any time.
-const forever Micros = 1 << 62
-
 // acceptor is the replica in Paxos's role of that name: it decides which ballots are promised and which leases are accepted, from
-// the ballots that it has seen and the lease that it has accepted. [Replica] asks it for each Prepare, Propose, Replicate,
-// CommitMembers and TransferLease message, its own included, and persists what it holds before any answer leaves.
+// the ballots that it has seen and the lease that it has accepted. [leaderElection] asks it for each Prepare, Propose, Replicate,
+// CommitMembers and TransferLease message, its own included; [Replica] persists what it holds before any answer leaves.
 type acceptor struct {
 	settings Settings
 	// ignoresLease: the guard DisabledGuards.Prevote is off.
--- a/internal/cluster/election/campaign.go
+++ b/internal/cluster/election/campaign.go
@@ -3,7 +3,7 @@
 import "math/rand"
 
 // campaignTimer decides when a replica that does not lead may campaign: after a random delay, and later than a candidate that it
-// has promised. [Replica] asks it whenever time has passed; a renewal of the replica's own lease does not depend on it.
+// has promised. [leaderElection] asks it whenever time has passed; a renewal of the replica's own lease does not depend on it.
 type campaignTimer struct {
 	settings Settings
 	random   *rand.Rand
--- a/internal/cluster/election/candidate.go
+++ b/internal/cluster/election/candidate.go
@@ -1,8 +1,8 @@
 package election
 
 // candidate is the replica as the one that asks for a lease, or for its renewal: its present ballot and who has answered it. It
-// decides when the ballot is proposed, whether it has won, and whether it is worth sending again. [Replica] starts a ballot when
-// a campaign is due and passes on each Promise, Accepted and Nack.
+// decides when the ballot is proposed, whether it has won, and whether it is worth sending again. [leaderElection] starts a ballot
+// when a campaign is due and passes on each Promise, Accepted and Nack.
 type candidate struct {
 	settings Settings
 	// renewsStart: the guard DisabledGuards.LeaseFromStart is off.
--- a/internal/cluster/election/leader_election.go
+++ b/internal/cluster/election/leader_election.go
@@ -143,8 +143,8 @@
 	return nil
 }
 
-// advanceMembers stamps the members in a new term, and sends the stamp again until a quorum knows it.
-func (e *leaderElection) advanceMembers() {
+// commitMembers stamps the members in a new term, and sends the stamp again until a quorum knows it.
+func (e *leaderElection) commitMembers() {
 	if !e.membership.isSendDue(e.now) {
 		return
 	}
--- a/internal/cluster/election/lease.go
+++ b/internal/cluster/election/lease.go
@@ -1,8 +1,8 @@
 package election
 
 // lease is the leadership that this replica holds: until when, in which term, and among which members. It decides whether the
-// replica may act as the leader at a time, from what a quorum has accepted and from this replica's own clock. [Replica] asks it
-// before anything that only a leader does, and ends it whenever another replica may lead.
+// replica may act as the leader at a time, from what a quorum has accepted and from this replica's own clock. [leaderElection]
+// grants it, and ends it whenever another replica may lead; [Replica] asks it before anything that only a leader does.
 type lease struct {
 	// ignoresTimeout: the guard DisabledGuards.LeaseTimeout is off.
 	ignoresTimeout bool
--- a/internal/cluster/election/members.go
+++ b/internal/cluster/election/members.go
@@ -5,6 +5,9 @@
 // MaxReplicas is how many replica numbers there are, from 0.
 const MaxReplicas = 64
 
+// noReplica stands for a replica's number where there is none.
+const noReplica = -1
+
 // Members are the replicas that vote. The leader that changes them stamps them with its term; the newest that a replica has
 // received are in force for it at once.
 type Members struct {
--- a/internal/cluster/election/membership.go
+++ b/internal/cluster/election/membership.go
@@ -13,8 +13,8 @@
 )
 
 // membership is which members are in force here, and, while this replica leads, how far its own stamp on them is known. It decides
-// whether they may change, from the stamp's acknowledgements and the members among whom the lease was granted. [Replica] passes
-// on the members of each message, and lets a leader stamp them and repeat the stamp.
+// whether they may change, from the stamp's acknowledgements and the members among whom the lease was granted. [leaderElection]
+// passes on the members of each message, and lets a leader stamp them and repeat the stamp.
 type membership struct {
 	settings Settings
 
--- a/internal/cluster/election/replica.go
+++ b/internal/cluster/election/replica.go
@@ -69,7 +69,7 @@
 func (r *Replica) UpdateRollout(now Micros, build, stage int32, isActive bool) []Command {
 	r.beginCall(now)
 	r.votes.updateRollout(rolloutPosition{build: build, stage: stage, isActive: isActive})
-	return r.advance()
+	return r.runDue()
 }
 
 // Recommend takes the recommendation of this replica's release analyzer, and sends it to the other members.
@@ -77,20 +77,20 @@
 	r.beginCall(now)
 	r.votes.recommendations.put(r.election.id, recommended, now)
 	r.out.broadcast(r.election.membership.current, Message{Kind: Recommend, Recommendation: recommended})
-	return r.advance()
+	return r.runDue()
 }
 
 // ResolveVote tells that the rollout controller has answered the vote of a record: it took effect, or never will.
 func (r *Replica) ResolveVote(now Micros, record Record) []Command {
 	r.beginCall(now)
 	r.votes.history.resolve(record)
-	return r.advance()
+	return r.runDue()
 }
 
 // Tick has to be called at the time that NextTick returned, or later.
 func (r *Replica) Tick(now Micros) []Command {
 	r.beginCall(now)
-	return r.advance()
+	return r.runDue()
 }
 
 // NextTick returns when to call Tick, unless another call comes first.
@@ -104,7 +104,7 @@
 	if from >= 0 && from < MaxReplicas && from != r.election.id {
 		r.election.handle(from, m)
 	}
-	return r.advance()
+	return r.runDue()
 }
 
 // ChangeMembers puts other members in force, one more or one fewer. Only the leader can, and only when the change before is
@@ -117,7 +117,7 @@
 	if err := r.election.changeMembers(mask); err != nil {
 		return nil, err
 	}
-	return r.advance(), nil
+	return r.runDue(), nil
 }
 
 // Leave hands the leadership over for good: this replica casts nothing any more and never campaigns again, but still answers
@@ -135,8 +135,8 @@
 	r.out.reset()
 }
 
-// advance does whatever is due at the present time, and ends the call.
-func (r *Replica) advance() []Command {
+// runDue does whatever is due at the present time, and ends the call.
+func (r *Replica) runDue() []Command {
 	now := r.election.now
 	if r.election.lease.expire(now) {
 		r.votes.log.discardPending()
@@ -145,8 +145,8 @@
 		r.election.campaign()
 	}
 	if r.IsLeader(now) {
-		r.election.advanceMembers()
-		r.votes.advance(now, r.leadership(), &r.out)
+		r.election.commitMembers()
+		r.votes.runDue(now, r.leadership(), &r.out)
 	}
 	isLeaderKnown := r.IsLeader(now) || r.election.acceptor.isLeaseInForce(now)
 	if command, ok := r.selfStop.update(r.votes.recommendations.own(), r.votes.wantsRollback(), isLeaderKnown); ok {
--- a/internal/cluster/election/settings.go
+++ b/internal/cluster/election/settings.go
@@ -3,6 +3,9 @@
 // Micros is a point in time or a duration in whole microseconds.
 type Micros = int64
 
+// forever is later than any time.
+const forever Micros = 1 << 62
+
 // Settings are the parameters that all replicas have to agree on.
 type Settings struct {
 	Lease          Micros  // how long a leadership lasts unless it is renewed
--- a/internal/cluster/election/votecaster.go
+++ b/internal/cluster/election/vote_caster.go
@@ -1,8 +1,9 @@
 package election
 
 // voteCaster decides which vote a leader casts and when: it takes the decision from the recommendations, waits until nothing contrary
-// may count, has a quorum know the record, and then casts it if the lease lasts long enough. [Replica] calls advance while it leads,
-// and passes on records, recommendations and the position of the rollout at any time.
+// may count, has a quorum know the record, and then casts it if the lease lasts long enough. [Replica] calls runDue while it leads,
+// and tells the position of the rollout and this replica's recommendation at any time; [leaderElection] passes on the records and
+// recommendations of others.
 type voteCaster struct {
 	id       int
 	settings Settings
@@ -74,8 +75,8 @@
 	return v.rollout.isActive && v.recommendations.own() == v.rollout.decision(Rollback)
 }
 
-// advance replicates what the recommendations ask for, and casts it once a quorum knows it.
-func (v *voteCaster) advance(now Micros, by leadership, out *outbox) {
+// runDue replicates what the recommendations ask for, and casts it once a quorum knows it.
+func (v *voteCaster) runDue(now Micros, by leadership, out *outbox) {
 	if !v.rollout.isActive {
 		return
 	}
--- a/internal/cluster/election/votecaster_test.go
+++ b/internal/cluster/election/vote_caster_test.go
@@ -28,15 +28,15 @@
 	const leaseUntil = 3 * second
 	v, by := leaderForTest(leaseUntil, DisabledGuards{})
 	out := &outbox{}
-	v.advance(second, by, out)
+	v.runDue(second, by, out)
 	if len(out.commands) != 2 || len(castVotes(out.commands)) != 0 {
 		t.Fatalf("before a quorum knows the record: %+v, want it sent to two replicas", out.commands)
 	}
 	record := v.log.pending
 	v.log.acknowledge(1, record)
 	out.reset()
-	v.advance(second+ms, by, out)
-	v.advance(second+2*ms, by, out)
+	v.runDue(second+ms, by, out)
+	v.runDue(second+2*ms, by, out)
 	casts := castVotes(out.commands)
 	if len(casts) != 1 || casts[0].Record != record || casts[0].WriteBefore >= leaseUntil {
 		t.Errorf("cast %+v, want %+v once, with a time before %d", casts, record, leaseUntil)
@@ -61,11 +61,11 @@
 	} {
 		v, by := leaderForTest(tc.leaseUntil, tc.disabled)
 		out := &outbox{}
-		v.advance(second, by, out)
+		v.runDue(second, by, out)
 		if tc.isReplicated {
 			v.log.acknowledge(1, v.log.pending)
 		}
-		v.advance(second, by, out)
+		v.runDue(second, by, out)
 		if casts := castVotes(out.commands); len(casts) != tc.want {
 			t.Errorf("%s: cast %+v, want %d", name, casts, tc.want)
 		}
@@ -76,12 +76,12 @@
 func TestPendingVoteIsDiscarded(t *testing.T) {
 	v, by := leaderForTest(3*second, DisabledGuards{})
 	out := &outbox{}
-	v.advance(second, by, out)
+	v.runDue(second, by, out)
 	advanceRecord := v.log.pending
 	v.recommendations.put(0, testRecord(Rollback).Decision, second)
-	v.advance(second, by, out)
+	v.runDue(second, by, out)
 	v.log.acknowledge(1, advanceRecord)
-	v.advance(second, by, out)
+	v.runDue(second, by, out)
 	if v.log.pending.Verdict != Rollback || len(castVotes(out.commands)) != 0 {
 		t.Errorf("pending %+v, cast %+v", v.log.pending, castVotes(out.commands))
 	}
--- a/internal/cluster/election/votelog.go
+++ b/internal/cluster/election/vote_log.go
@@ -1,7 +1,8 @@
 package election
 
 // voteLog is the replicated log of decisions, of which a replica keeps the newest record. It decides whether a leader's own record is
-// known to a quorum, from the acknowledgements. [voteCaster] appends to it; [Replica] passes on the records of all messages.
+// known to a quorum, from the acknowledgements. [voteCaster] appends to it; [leaderElection] passes on the records of
+// all messages.
 type voteLog struct {
 	settings Settings
 
