--- a/cmd/switchfork-lab/election.go
+++ b/cmd/switchfork-lab/election.go
@@ -21,7 +21,7 @@
 	"lease":   {LeaseTimeout: true},
 	"record":  {QuorumBeforeCast: true},
 	"wait":    {WaitForEarlierVotes: true},
-	"prevote": {Prevote: true},
+	"prevote": {PromiseAfterLease: true},
 	"begin":   {LeaseFromStart: true},
 }
 
--- a/internal/cluster/election/acceptor.go
+++ b/internal/cluster/election/acceptor.go
@@ -5,8 +5,7 @@
 // CommitMembers and TransferLease message, its own included; [Replica] persists what it holds before any answer leaves.
 type acceptor struct {
 	settings Settings
-	// ignoresLease: the guard DisabledGuards.Prevote is off.
-	ignoresLease bool
+	disabled DisabledGuards
 
 	highestPromised uint64
 	highestAccepted uint64
@@ -18,9 +17,9 @@
 
 func newAcceptor(config Config) acceptor {
 	return acceptor{
-		settings:     config.Settings,
-		ignoresLease: config.DisabledGuards.Prevote,
-		leaseHolder:  noReplica,
+		settings:    config.Settings,
+		disabled:    config.DisabledGuards,
+		leaseHolder: noReplica,
 	}
 }
 
@@ -62,7 +61,7 @@
 // isLeasedToOther reports whether a lease of another replica than the candidate is in force here. While it is, nobody else
 // is promised anything, so that a partitioned replica that comes back can't disturb the leader.
 func (a *acceptor) isLeasedToOther(now Micros, candidate int) bool {
-	return !a.ignoresLease && a.isLeaseInForce(now) && a.leaseHolder != candidate
+	return !a.disabled.PromiseAfterLease && a.isLeaseInForce(now) && a.leaseHolder != candidate
 }
 
 // canPromise reports whether a ballot is higher than the one that was promised, or is the same, sent again by its owner.
--- a/internal/cluster/election/acceptor_test.go
+++ b/internal/cluster/election/acceptor_test.go
@@ -73,7 +73,7 @@
 		t.Error("the lease runs after its holder has released it")
 	}
 	a = accepted()
-	a.ignoresLease = true
+	a.disabled.PromiseAfterLease = true
 	if !a.promise(second, secondCandidate, next, 0) {
 		t.Error("with the guard off no promise while the lease runs")
 	}
--- a/internal/cluster/election/candidate.go
+++ b/internal/cluster/election/candidate.go
@@ -5,8 +5,7 @@
 // when a campaign is due and passes on each Promise, Accepted and Nack.
 type candidate struct {
 	settings Settings
-	// renewsStart: the guard DisabledGuards.LeaseFromStart is off.
-	renewsStart bool
+	disabled DisabledGuards
 
 	ballot      uint64
 	members     Members // that were in force when the ballot was started
@@ -22,14 +21,14 @@
 }
 
 func newCandidate(config Config) candidate {
-	return candidate{settings: config.Settings, renewsStart: config.DisabledGuards.LeaseFromStart}
+	return candidate{settings: config.Settings, disabled: config.DisabledGuards}
 }
 
 // start begins a ballot in place of the one before.
 func (c *candidate) start(ballot uint64, members Members, now Micros) {
 	*c = candidate{
 		settings:    c.settings,
-		renewsStart: c.renewsStart,
+		disabled:    c.disabled,
 		ballot:      ballot,
 		members:     members,
 		startedAt:   now,
@@ -64,7 +63,7 @@
 // messageToSend returns the Prepare or the Propose of the ballot, which is sent to all members now.
 func (c *candidate) messageToSend(now Micros, released uint64) Message {
 	c.sentAt = now
-	if c.renewsStart {
+	if c.disabled.LeaseFromStart {
 		c.startedAt = now
 	}
 	if c.hasProposed {
--- a/internal/cluster/election/candidate_test.go
+++ b/internal/cluster/election/candidate_test.go
@@ -88,14 +88,14 @@
 // The lease counts from the ballot's beginning, however often it is sent, unless that guard is off. A new ballot keeps what others have
 // told of higher ones.
 func TestCandidateSentAgain(t *testing.T) {
-	for _, renewsStart := range []bool{false, true} {
-		c := newCandidate(Config{Settings: testSettings(), DisabledGuards: DisabledGuards{LeaseFromStart: renewsStart}})
+	for _, isDisabled := range []bool{false, true} {
+		c := newCandidate(Config{Settings: testSettings(), DisabledGuards: DisabledGuards{LeaseFromStart: isDisabled}})
 		c.observe(1000)
 		c.start(testBallot, InitialMembers(3), second)
 		before := c.leaseEnd()
 		c.messageToSend(second+ms, 0)
-		if moved := c.leaseEnd() != before; moved != renewsStart {
-			t.Errorf("guard off %t: sent again, the lease's end has moved: %t", renewsStart, moved)
+		if moved := c.leaseEnd() != before; moved != isDisabled {
+			t.Errorf("guard off %t: sent again, the lease's end has moved: %t", isDisabled, moved)
 		}
 		if c.isResendDue(second+ms) || !c.isResendDue(second+ms+testSettings().ballotResendInterval()) {
 			t.Error("the ballot is not sent again at its interval")
--- a/internal/cluster/election/golden_test.go
+++ b/internal/cluster/election/golden_test.go
@@ -181,7 +181,7 @@
 		{LeaseTimeout: true},
 		{QuorumBeforeCast: true},
 		{WaitForEarlierVotes: true},
-		{Prevote: true},
+		{PromiseAfterLease: true},
 		{LeaseFromStart: true},
 	}
 	var out strings.Builder
--- a/internal/cluster/election/leader_election.go
+++ b/internal/cluster/election/leader_election.go
@@ -37,7 +37,7 @@
 		acceptor:   newAcceptor(config),
 		campaigns:  newCampaignTimer(config),
 		candidate:  newCandidate(config),
-		lease:      lease{ignoresTimeout: config.DisabledGuards.LeaseTimeout},
+		lease:      lease{disabled: config.DisabledGuards},
 	}
 	if config.State != nil {
 		e.acceptor.restore(*config.State, config.Now)
--- a/internal/cluster/election/lease.go
+++ b/internal/cluster/election/lease.go
@@ -4,8 +4,7 @@
 // replica may act as the leader at a time, from what a quorum has accepted and from this replica's own clock. [leaderElection]
 // grants it, and ends it whenever another replica may lead; [Replica] asks it before anything that only a leader does.
 type lease struct {
-	// ignoresTimeout: the guard DisabledGuards.LeaseTimeout is off.
-	ignoresTimeout bool
+	disabled DisabledGuards
 
 	until   Micros  // 0: there is none
 	members Members // among whom it was granted
@@ -17,7 +16,7 @@
 
 // isValid reports whether the replica leads.
 func (l *lease) isValid(now Micros) bool {
-	return now < l.until || l.ignoresTimeout && l.isGranted()
+	return now < l.until || l.disabled.LeaseTimeout && l.isGranted()
 }
 
 func (l *lease) remaining(now Micros) Micros { return max(0, l.until-now) }
@@ -43,14 +42,14 @@
 
 // revoke ends the lease because another replica may lead by now.
 func (l *lease) revoke() {
-	if !l.ignoresTimeout {
+	if !l.disabled.LeaseTimeout {
 		l.release()
 	}
 }
 
 // expire ends a lease whose time is over, and reports whether there was one.
 func (l *lease) expire(now Micros) bool {
-	if !l.isGranted() || now < l.until || l.ignoresTimeout {
+	if !l.isGranted() || now < l.until || l.disabled.LeaseTimeout {
 		return false
 	}
 	l.release()
@@ -59,5 +58,5 @@
 
 // allowsWriteBefore reports whether a vote that has to be written before a time can still be.
 func (l *lease) allowsWriteBefore(deadline, now Micros) bool {
-	return now < deadline || l.ignoresTimeout
+	return now < deadline || l.disabled.LeaseTimeout
 }
--- a/internal/cluster/election/lease_test.go
+++ b/internal/cluster/election/lease_test.go
@@ -24,22 +24,22 @@
 
 // What ends a lease and allows no late write has no effect where the guard is off; giving it up always has.
 func TestLeaseWithoutTimeout(t *testing.T) {
-	for _, ignoresTimeout := range []bool{false, true} {
-		l := lease{ignoresTimeout: ignoresTimeout}
+	for _, isDisabled := range []bool{false, true} {
+		l := lease{disabled: DisabledGuards{LeaseTimeout: isDisabled}}
 		l.grant(2*second, InitialMembers(3))
-		if got := l.allowsWriteBefore(2*second, 2*second); got != ignoresTimeout {
-			t.Errorf("guard off %t: a late write allowed: %t", ignoresTimeout, got)
+		if got := l.allowsWriteBefore(2*second, 2*second); got != isDisabled {
+			t.Errorf("guard off %t: a late write allowed: %t", isDisabled, got)
 		}
-		if got := l.isValid(3 * second); got != ignoresTimeout {
-			t.Errorf("guard off %t: valid after its end: %t", ignoresTimeout, got)
+		if got := l.isValid(3 * second); got != isDisabled {
+			t.Errorf("guard off %t: valid after its end: %t", isDisabled, got)
 		}
 		l.revoke()
-		if got := l.isGranted(); got != ignoresTimeout {
-			t.Errorf("guard off %t: granted after it was revoked: %t", ignoresTimeout, got)
+		if got := l.isGranted(); got != isDisabled {
+			t.Errorf("guard off %t: granted after it was revoked: %t", isDisabled, got)
 		}
 		l.release()
 		if l.isGranted() {
-			t.Errorf("guard off %t: granted after it was given up", ignoresTimeout)
+			t.Errorf("guard off %t: granted after it was given up", isDisabled)
 		}
 	}
 }
--- a/internal/cluster/election/settings.go
+++ b/internal/cluster/election/settings.go
@@ -37,8 +37,8 @@
 	QuorumBeforeCast bool
 	// WaitForEarlierVotes: a contrary vote waits until earlier ones can't count any more.
 	WaitForEarlierVotes bool
-	// Prevote: a replica promises nothing to others while an accepted lease is in force.
-	Prevote bool
+	// PromiseAfterLease: a replica promises nothing to others until the lease that it has accepted is over.
+	PromiseAfterLease bool
 	// LeaseFromStart: a lease counts from the beginning of its ballot, not from when the ballot was sent again: the promises and
 	// acceptances may answer the first sending.
 	LeaseFromStart bool
--- a/internal/cluster/election/vote_caster.go
+++ b/internal/cluster/election/vote_caster.go
@@ -7,8 +7,7 @@
 type voteCaster struct {
 	id       int
 	settings Settings
-	// skipsQuorum: the guard DisabledGuards.QuorumBeforeCast is off.
-	skipsQuorum bool
+	disabled DisabledGuards
 
 	rollout         rolloutPosition
 	recommendations recommendations
@@ -38,13 +37,10 @@
 	v := voteCaster{
 		id:              config.ID,
 		settings:        config.Settings,
-		skipsQuorum:     config.DisabledGuards.QuorumBeforeCast,
+		disabled:        config.DisabledGuards,
 		recommendations: recommendations{self: config.ID, settings: config.Settings},
 		log:             voteLog{settings: config.Settings},
-		history: voteHistory{
-			settings:       config.Settings,
-			ignoresEarlier: config.DisabledGuards.WaitForEarlierVotes,
-		},
+		history:         voteHistory{settings: config.Settings, disabled: config.DisabledGuards},
 	}
 	if config.State != nil {
 		v.log.newest = config.State.Newest
@@ -111,7 +107,7 @@
 // castPending casts the pending vote if a quorum knows it and the lease lasts long enough for it to be written.
 func (v *voteCaster) castPending(now Micros, by leadership, out *outbox) {
 	writeBefore := by.lease.until - v.settings.driftUpperBound(v.settings.retryInterval())
-	isReplicated := v.log.isReplicated(by.members) || v.skipsQuorum
+	isReplicated := v.log.isReplicated(by.members) || v.disabled.QuorumBeforeCast
 	if !isReplicated || !by.lease.allowsWriteBefore(writeBefore, now) {
 		return
 	}
--- a/internal/cluster/election/vote_caster_test.go
+++ b/internal/cluster/election/vote_caster_test.go
@@ -7,7 +7,7 @@
 	v := newVoteCaster(Config{Settings: testSettings(), DisabledGuards: disabled})
 	v.updateRollout(rolloutPosition{build: 4, stage: 1, isActive: true})
 	v.recommendations.put(0, testRecord(Advance).Decision, second)
-	held := &lease{ignoresTimeout: disabled.LeaseTimeout}
+	held := &lease{disabled: disabled}
 	held.startTerm(testTerm)
 	held.grant(leaseUntil, InitialMembers(3))
 	v.startTerm(second)
--- a/internal/cluster/election/vote_history.go
+++ b/internal/cluster/election/vote_history.go
@@ -5,8 +5,7 @@
 // [voteCaster] asks it before a vote begins to be replicated.
 type voteHistory struct {
 	settings Settings
-	// ignoresEarlier: the guard DisabledGuards.WaitForEarlierVotes is off.
-	ignoresEarlier bool
+	disabled DisabledGuards
 
 	lastCast         Record // of the present term; the zero value: none
 	lastCastAt       Micros
@@ -81,7 +80,7 @@
 
 // allows reports whether nothing contrary to a decision may count.
 func (h *voteHistory) allows(wanted Decision, now Micros) bool {
-	if h.ignoresEarlier {
+	if h.disabled.WaitForEarlierVotes {
 		return true
 	}
 	return !h.mustWaitForPredecessor(wanted, now) && !h.mustWaitForOwnVote(wanted, now)
