--- a/internal/cluster/election/decision.go
+++ b/internal/cluster/election/decision.go
@@ -33,9 +33,9 @@
 	Prior Verdict
 }
 
-func (r Record) isNewerThan(other Record) bool {
-	return r.Term > other.Term || r.Term == other.Term && r.Index > other.Index
-}
+func (r Record) isNewerThan(other Record) bool { return r.revision().isAfter(other.revision()) }
+
+func (r Record) revision() revision { return revision{r.Term, r.Index} }
 
 // DurableState is what a replica must not forget: one that restarts with it may take part at once.
 type DurableState struct {
--- a/internal/cluster/election/handlers.go
+++ b/internal/cluster/election/handlers.go
@@ -2,12 +2,22 @@
 
 // handle processes a message from another replica, or from this one itself.
 func (e *leaderElection) handle(from int, m Message) {
-	if m.Kind == Prepare && !e.membership.current.Contains(from) && !m.Members.isNewerThan(e.membership.current) {
+	if m.Kind == Prepare && !e.isMember(from, m.Members) {
 		e.rejectNonMember(from)
 		return
 	}
 	e.votes.log.learn(m.Record)
 	e.adoptMembers(m.Members)
+	e.dispatch(from, m)
+}
+
+// isMember reports whether a sender is a member, or knows of newer members, which this replica has yet to adopt.
+func (e *leaderElection) isMember(sender int, known Members) bool {
+	return e.membership.current.Contains(sender) || known.isNewerThan(e.membership.current)
+}
+
+// dispatch passes a message to the step for its kind.
+func (e *leaderElection) dispatch(from int, m Message) {
 	switch m.Kind {
 	case Prepare:
 		e.handlePrepare(from, m)
@@ -147,7 +157,7 @@
 	if !e.acceptor.releaseLease(e.now, from, m.Ballot) {
 		return
 	}
-	successorBallot := m.ReleasedBallot
+	successorBallot := m.successorBallot()
 	switch successor := ballotOwner(successorBallot); {
 	case successorBallot <= e.acceptor.highestPromised:
 		// Another ballot has come in between: the successor has to be elected.
--- a/internal/cluster/election/leader_election.go
+++ b/internal/cluster/election/leader_election.go
@@ -124,12 +124,8 @@
 	highest := max(e.acceptor.highestPromised, ballot, e.candidate.highestSeen)
 	successorBallot := nextBallot(highest, successor)
 	e.acceptor.transferLease(e.now, ballot, successorBallot)
-	e.out.broadcast(e.membership.current, e.membership.attach(Message{
-		Kind:           TransferLease,
-		Ballot:         ballot,
-		ReleasedBallot: successorBallot,
-		Record:         e.votes.log.newest,
-	}))
+	transfer := newTransferLease(ballot, successorBallot, e.votes.log.newest)
+	e.out.broadcast(e.membership.current, e.membership.attach(transfer))
 }
 
 // changeMembers puts the members of a mask in force, or returns why they can't be. Those that are out are told.
--- a/internal/cluster/election/members.go
+++ b/internal/cluster/election/members.go
@@ -27,9 +27,9 @@
 // Count returns how many members there are.
 func (m Members) Count() int { return bits.OnesCount64(m.Mask) }
 
-func (m Members) isNewerThan(other Members) bool {
-	return m.Term > other.Term || m.Term == other.Term && m.Version > other.Version
-}
+func (m Members) isNewerThan(other Members) bool { return m.revision().isAfter(other.revision()) }
+
+func (m Members) revision() revision { return revision{m.Term, m.Version} }
 
 // next returns the member after a replica, in turn; the replica itself where there is no other.
 func (m Members) next(after int) int {
--- a/internal/cluster/election/message.go
+++ b/internal/cluster/election/message.go
@@ -25,14 +25,22 @@
 type Message struct {
 	Kind   Kind
 	Ballot uint64
-	// ReleasedBallot, of a Prepare, is the ballot up to which leases were given up by their holders; of a TransferLease, the ballot that
-	// the leaving leader has promised to its successor.
+	// ReleasedBallot, of a Prepare, is the ballot up to which leases were given up by their holders. A TransferLease has its successor's
+	// ballot here: newTransferLease and successorBallot.
 	ReleasedBallot uint64
 	Record         Record   // of a Promise, Accepted, Replicate, Replicated, TransferLease or CommitMembers
 	Recommendation Decision // of a Recommend
 	Members        Members  // that the sender knows; of all kinds but Recommend, Replicate and Replicated
 }
 
+// newTransferLease makes the message by which a leader releases the lease of its ballot, having promised the successor's.
+func newTransferLease(ballot, successorBallot uint64, newest Record) Message {
+	return Message{Kind: TransferLease, Ballot: ballot, ReleasedBallot: successorBallot, Record: newest}
+}
+
+// successorBallot returns the ballot that the sender of a TransferLease has promised to its successor.
+func (m Message) successorBallot() uint64 { return m.ReleasedBallot }
+
 const (
 	// ballotOwnerBits are the low bits of a ballot; they hold its owner's number, so that no two replicas share a ballot.
 	ballotOwnerBits = 8
--- a/internal/cluster/election/settings.go
+++ b/internal/cluster/election/settings.go
@@ -44,24 +44,41 @@
 	LeaseFromStart bool
 }
 
+// leaseFraction is a duration as a part of a lease, by what the lease is divided by.
+type leaseFraction Micros
+
+const (
+	halfLease        leaseFraction = 2
+	thirdOfLease     leaseFraction = 3
+	sixthOfLease     leaseFraction = 6
+	fifteenthOfLease leaseFraction = 15
+	thirtiethOfLease leaseFraction = 30
+)
+
+func (f leaseFraction) of(lease Micros) Micros { return lease / Micros(f) }
+
+const (
+	// renewalFraction leaves a leader time for two more tries after the first renewal that fails.
+	renewalFraction = thirdOfLease
+	// ballotResendFraction of a lease after it was sent, an unanswered ballot is sent again: twice in the interval between two
+	// renewals.
+	ballotResendFraction = sixthOfLease
+	// ballotTimeoutFraction of a lease after its beginning a ballot is given up; a later one would bring a lease that is mostly over.
+	ballotTimeoutFraction = halfLease
+	// maxCallGapFraction: a longer gap between two calls counts as a pause of the process.
+	maxCallGapFraction = halfLease
+	// retryFraction is how often an unanswered message is sent again, and how often a replica wants a tick.
+	retryFraction = fifteenthOfLease
+	// minCampaignDelayFraction is the least that a campaign waits.
+	minCampaignDelayFraction = thirtiethOfLease
+	// maxCampaignJitterFraction bounds the random part that comes on top.
+	maxCampaignJitterFraction = thirdOfLease
+)
+
 const (
-	// renewalsPerLease leaves a leader time for two more tries after the first renewal that fails.
-	renewalsPerLease = 3
-	// ballotResendsPerLease is how often an unanswered ballot is sent again: twice in the interval between two renewals.
-	ballotResendsPerLease = 6
-	// ballotTimeoutsPerLease ends a ballot after half a lease; a later one would bring a lease that is mostly over.
-	ballotTimeoutsPerLease = 2
 	// deferralIntervalLeases bounds how often a replica postpones its own campaign for another candidate, in leases, so that a
 	// candidate whose ballots never come through can't hold it off for good.
 	deferralIntervalLeases = 2
-	// callGapsPerLease: a gap between two calls of more than half a lease counts as a pause of the process.
-	callGapsPerLease = 2
-	// retriesPerLease is how often an unanswered message is sent again, and how often a replica wants a tick.
-	retriesPerLease = 15
-	// campaignDelaysPerLease: a campaign waits a thirtieth of a lease at least.
-	campaignDelaysPerLease = 30
-	// campaignJittersPerLease: a random part of up to a third of a lease comes on top.
-	campaignJittersPerLease = 3
 	// recommendationLeases is how long a recommendation counts; replicas repeat theirs twice a lease.
 	recommendationLeases = 2
 	// recastLifetimeFraction of a vote's lifetime is over when the vote is cast again.
@@ -78,21 +95,21 @@
 	return Micros(float64(span) * (1 - 2*s.ClockDrift))
 }
 
-func (s Settings) renewalInterval() Micros { return s.Lease / renewalsPerLease }
+func (s Settings) renewalInterval() Micros { return renewalFraction.of(s.Lease) }
 
-func (s Settings) ballotResendInterval() Micros { return s.Lease / ballotResendsPerLease }
+func (s Settings) ballotResendInterval() Micros { return ballotResendFraction.of(s.Lease) }
 
-func (s Settings) ballotTimeout() Micros { return s.Lease / ballotTimeoutsPerLease }
+func (s Settings) ballotTimeout() Micros { return ballotTimeoutFraction.of(s.Lease) }
 
 func (s Settings) deferralInterval() Micros { return deferralIntervalLeases * s.Lease }
 
-func (s Settings) minCampaignDelay() Micros { return s.Lease / campaignDelaysPerLease }
+func (s Settings) minCampaignDelay() Micros { return minCampaignDelayFraction.of(s.Lease) }
 
-func (s Settings) maxCampaignJitter() Micros { return s.Lease / campaignJittersPerLease }
+func (s Settings) maxCampaignJitter() Micros { return maxCampaignJitterFraction.of(s.Lease) }
 
-func (s Settings) maxCallGap() Micros { return s.Lease / callGapsPerLease }
+func (s Settings) maxCallGap() Micros { return maxCallGapFraction.of(s.Lease) }
 
-func (s Settings) retryInterval() Micros { return s.Lease / retriesPerLease }
+func (s Settings) retryInterval() Micros { return retryFraction.of(s.Lease) }
 
 func (s Settings) recommendationLifetime() Micros { return recommendationLeases * s.Lease }
 
