--- a/cmd/switchfork/admin.go
+++ b/cmd/switchfork/admin.go
@@ -65,7 +65,7 @@
 	default:
 		a.printf("knows of nobody who leads\n")
 	}
-	a.printf("newest decision: %s\n", report.NewestDecision)
+	a.printf("newest decision: %s\n", report.DescribeNewestDecision())
 	a.printf("unresolved: %t; an earlier leader's votes may count for %d ms; abstains for %d ms\n",
 		report.HasUnresolvedVote, report.EarlierVotesExpireInMS, report.AbstainsForMS)
 	a.printf("members: %v\n", report.Members)
--- a/cmd/switchfork/admin_test.go
+++ b/cmd/switchfork/admin_test.go
@@ -41,6 +41,8 @@
 	for report, want := range map[string]string{
 		`{"me":1,"leads":true,"owner":1,"term":513,"left_ms":400,"unresolved":true,"waits_ms":5,"abstains_ms":6,"newest":"513.2 build 7 stage 1 hold","members":[0,1,2]}`: "agent 1: leads, term 513, lease left 400 ms\nnewest decision: 513.2 build 7 stage 1 hold\n" +
 			"unresolved: true; an earlier leader's votes may count for 5 ms; abstains for 6 ms\nmembers: [0 1 2]\n",
+		`{"me":1,"owner":2,"newest":"513.2 build 7 stage 1 back","members":[1,2]}`: "agent 1: agent 2 leads\nnewest decision: 513.2 build 7 stage 1 rollback\n" +
+			"unresolved: false; an earlier leader's votes may count for 0 ms; abstains for 0 ms\nmembers: [1 2]\n",
 		`{"me":1,"owner":2,"newest":"none","members":[1,2]}`: "agent 1: agent 2 leads\nnewest decision: none\n" +
 			"unresolved: false; an earlier leader's votes may count for 0 ms; abstains for 0 ms\nmembers: [1 2]\n",
 		`{"me":0,"owner":-1,"newest":"none"}`: "agent 0: knows of nobody who leads\nnewest decision: none\n" +
@@ -108,7 +110,7 @@
 func TestStateOutput(t *testing.T) {
 	const folder = "../../internal/cluster/storage/testdata"
 	const shown = "agent 4 of group feedc0de12345678\npromised 2818, accepted 2561 of agent 2, given up 2305\n" +
-		"newest decision: term 2561, 7: build 42 stage 3 back\nmembers 10111, stamped 2049.4\n"
+		"newest decision: term 2561, 7: build 42 stage 3 rollback\nmembers 10111, stamped 2049.4\n"
 	if out, err := run(t, "state", "show", folder); err != nil || out != shown {
 		t.Errorf("state show prints %q, %v", out, err)
 	}
--- a/internal/cluster/coordinator/status.go
+++ b/internal/cluster/coordinator/status.go
@@ -2,12 +2,18 @@
 
 import (
 	"fmt"
+	"strings"
 
 	"switchfork/internal/cluster/election"
 )
 
-// noDecision stands in a report whose agent knows of no decision.
-const noDecision = "none"
+const (
+	// noDecision stands in a report whose agent knows of no decision.
+	noDecision = "none"
+	// wireAdvance and wireRollback are the admin address's words for the two verdicts; commands of any version read them.
+	wireAdvance  = "on"
+	wireRollback = "back"
+)
 
 // StatusReport is the admin address's answer to a status query: the leader and its lease, as this agent knows them. The keys are
 // part of the protocol between the agent and the commands of any version.
@@ -20,7 +26,7 @@
 	HasUnresolvedVote      bool   `json:"unresolved"`
 	EarlierVotesExpireInMS int64  `json:"waits_ms"`    // until no vote of an earlier leader can count
 	AbstainsForMS          int64  `json:"abstains_ms"` // until this agent takes part again
-	NewestDecision         string `json:"newest"`      // that it knows
+	NewestDecision         string `json:"newest"`      // that it knows, in the words of the admin address
 	Members                []int  `json:"members"`
 }
 
@@ -40,11 +46,34 @@
 	}
 }
 
+// DescribeNewestDecision returns the newest decision for people to read.
+func (r StatusReport) DescribeNewestDecision() string {
+	if rest, found := strings.CutSuffix(r.NewestDecision, " "+wireAdvance); found {
+		return fmt.Sprintf("%s %v", rest, election.Advance)
+	}
+	if rest, found := strings.CutSuffix(r.NewestDecision, " "+wireRollback); found {
+		return fmt.Sprintf("%s %v", rest, election.Rollback)
+	}
+	return r.NewestDecision
+}
+
+// describeRecord returns a decision in the words of the admin address.
 func describeRecord(record election.Record) string {
 	if record.Term == 0 {
 		return noDecision
 	}
-	return fmt.Sprintf("%d.%d build %d stage %d %v", record.Term, record.Index, record.Build, record.Stage, record.Verdict)
+	return fmt.Sprintf("%d.%d build %d stage %d %s", record.Term, record.Index, record.Build, record.Stage, wireVerdict(record.Verdict))
+}
+
+func wireVerdict(verdict election.Verdict) string {
+	switch verdict {
+	case election.Advance:
+		return wireAdvance
+	case election.Rollback:
+		return wireRollback
+	case election.NoVote, election.Hold:
+	}
+	return verdict.String()
 }
 
 func memberIndices(members election.Members) (indices []int) {
--- a/internal/cluster/coordinator/verdict.go
+++ b/internal/cluster/coordinator/verdict.go
@@ -5,6 +5,8 @@
 	"switchfork/internal/policy"
 )
 
+// The policy and the election each have a type for verdicts, as neither imports the other; package coordinator knows both.
+
 // electionVerdict converts a verdict of the policy.
 func electionVerdict(verdict policy.Verdict) election.Verdict {
 	switch verdict {
--- a/internal/cluster/election/decision.go
+++ b/internal/cluster/election/decision.go
@@ -11,7 +11,7 @@
 	Rollback
 )
 
-func (v Verdict) String() string { return [...]string{"none", "on", "hold", "back"}[v] }
+func (v Verdict) String() string { return [...]string{"none", "advance", "hold", "rollback"}[v] }
 
 // Decision is a verdict on one stage of one build.
 type Decision struct {
--- a/internal/cluster/election/decision_test.go
+++ b/internal/cluster/election/decision_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Status reports and logs show verdicts by these words.
+// Logs and the commands show verdicts by these words.
 func TestVerdictString(t *testing.T) {
-	for verdict, want := range map[Verdict]string{NoVote: "none", Advance: "on", Hold: "hold", Rollback: "back"} {
+	for verdict, want := range map[Verdict]string{NoVote: "none", Advance: "advance", Hold: "hold", Rollback: "rollback"} {
 		if got := verdict.String(); got != want {
 			t.Errorf("verdict %d is %q, want %q", uint8(verdict), got, want)
 		}
