--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -15,8 +15,8 @@
 type commandExecutor struct {
 	clock     Clock
 	timers    *timerQueue
-	requests  *requestTable
-	endpoints *endpointSet
+	requests  *openRequests
+	endpoints *listedEndpoints
 	activity  *activity
 
 	// reportAttempt takes the result of an attempt that can't be sent. It must not call the policy.
@@ -59,7 +59,7 @@
 func (e *commandExecutor) sendAttempt(command policy.SendAttempt, decidedAt time.Time) {
 	request := e.requests.get(command.RequestID)
 	endpoint := e.endpoints.get(command.EndpointID)
-	if request == nil || request.answered || request.inFlight > 0 || endpoint == nil {
+	if request == nil || endpoint == nil || !request.canAttempt() {
 		e.refuseAttempt(command, request)
 		return
 	}
@@ -110,7 +110,7 @@
 		Result: protocol.NotSent,
 	})
 	if request != nil {
-		request.inFlight++ // requestTable.finishAttempt decrements it with the result
+		request.inFlight++ // openRequests.finishAttempt decrements it with the result
 	}
 }
 
--- a/internal/agent/commands_test.go
+++ b/internal/agent/commands_test.go
@@ -18,8 +18,8 @@
 		"request that is not known": nil,
 	} {
 		counts := &activity{}
-		requests := newRequestTable(counts)
-		endpoints := newEndpointSet(nil)
+		requests := newOpenRequests(counts)
+		endpoints := newListedEndpoints(nil)
 		inFlight := 0
 		if prepare != nil {
 			request := addTestRequest(&requests)
--- a/internal/agent/endpoints.go
+++ b/internal/agent/listed_endpoints.go
@@ -8,25 +8,25 @@
 	"switchfork/internal/upstream"
 )
 
-// endpointSet holds the endpoints of the endpoint list in force: it starts those that are new and removes those that have left.
+// listedEndpoints holds the endpoints of the endpoint list in force: it starts those that are new and removes those that have left.
 // The loop's goroutine owns it.
-type endpointSet struct {
+type listedEndpoints struct {
 	pool   *upstream.Pool  // where endpoints are made; set before the first update
 	events upstream.Events // what endpoints report to
 	byID   map[uint32]*upstream.Endpoint
 	order  []*upstream.Endpoint // in the order in which they were added
 }
 
-func newEndpointSet(events upstream.Events) endpointSet {
-	return endpointSet{events: events, byID: map[uint32]*upstream.Endpoint{}}
+func newListedEndpoints(events upstream.Events) listedEndpoints {
+	return listedEndpoints{events: events, byID: map[uint32]*upstream.Endpoint{}}
 }
 
 // get returns an endpoint; nil: it is not listed.
-func (s *endpointSet) get(id uint32) *upstream.Endpoint { return s.byID[id] }
+func (s *listedEndpoints) get(id uint32) *upstream.Endpoint { return s.byID[id] }
 
 // update applies a change of the endpoint list: new endpoints are started, and all get their latest entry. Endpoints that have left
 // stop by themselves once none of their attempts is in flight; one that returns is started anew.
-func (s *endpointSet) update(list EndpointList) {
+func (s *listedEndpoints) update(list EndpointList) {
 	isPresent := map[uint32]bool{}
 	for i, row := range list.Endpoints {
 		if row.State == policy.Gone {
@@ -47,7 +47,7 @@
 }
 
 // updateEndpoint gives an endpoint its latest entry, and starts it where it is new.
-func (s *endpointSet) updateEndpoint(id uint32, entry protocol.ListEntry) {
+func (s *listedEndpoints) updateEndpoint(id uint32, entry protocol.ListEntry) {
 	endpoint := s.byID[id]
 	if endpoint == nil {
 		endpoint = s.pool.NewEndpoint(id, entry, s.events)
@@ -58,7 +58,7 @@
 }
 
 // remove forgets an endpoint; one that is not known is ignored.
-func (s *endpointSet) remove(id uint32) {
+func (s *listedEndpoints) remove(id uint32) {
 	endpoint := s.byID[id]
 	if endpoint == nil {
 		return
@@ -69,7 +69,7 @@
 }
 
 // trimIdle lets all endpoints close the connections that they do not need.
-func (s *endpointSet) trimIdle() {
+func (s *listedEndpoints) trimIdle() {
 	for _, endpoint := range s.order {
 		endpoint.TrimIdle()
 	}
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -3,7 +3,8 @@
 // Everything that the policy is to know reaches it as a message in one of the loop's two mailboxes: requests from the proxy, results
 // from the endpoints, and, ahead of those, changes of the endpoint list and rollout updates. The commands that the policy returns are
 // carried out by the same goroutine, which hands them on to the endpoints, to the rollout controller's client and to the gossip
-// messenger without ever waiting for them.
+// messenger without waiting for them. It waits in one case: after the process has stood still, for the readers of the endpoint list and
+// of rollout updates (stall.go).
 //
 // The policy, the requests in flight, the endpoints and the timers belong to the goroutine that runs Loop.Serve. The methods that put
 // a message into a mailbox may be called by any goroutine and do not block.
@@ -26,7 +27,7 @@
 const idleWait = time.Hour
 
 // Loop calls the policy with one event after the other and carries out its commands. What waits is in its two mailboxes (messages.go)
-// and timers (timers.go); what is open, in its tables of requests and endpoints (request_table.go, endpoints.go).
+// and timers (timers.go); what is open, in its requests and endpoints (open_requests.go, listed_endpoints.go).
 type Loop struct {
 	router    policy.Router
 	clock     Clock
@@ -37,8 +38,8 @@
 	timers  timerQueue
 	stalls  stallGuard
 
-	requests  requestTable
-	endpoints endpointSet
+	requests  openRequests
+	endpoints listedEndpoints
 	executor  commandExecutor
 	voteSink  func(policy.Vote) // replaces the receiver of votes that Serve is given; nil: not replaced
 
@@ -54,8 +55,8 @@
 		urgent:  mailbox.New[message](),
 		stalls:  newStallGuard(),
 	}
-	l.endpoints = newEndpointSet(l)
-	l.requests = newRequestTable(&l.activity)
+	l.endpoints = newListedEndpoints(l)
+	l.requests = newOpenRequests(&l.activity)
 	l.executor = commandExecutor{
 		clock:         clock,
 		timers:        &l.timers,
@@ -93,17 +94,7 @@
 	timer := time.NewTimer(idleWait)
 	defer timer.Stop()
 	var messages []message
-	for {
-		if at, found := l.timers.next(); found {
-			timer.Reset(time.Duration(at-l.clock.Now()) * time.Microsecond)
-		}
-		select {
-		case <-ctx.Done():
-			return
-		case <-timer.C:
-		case <-l.mailbox.Ready():
-		case <-l.urgent.Ready():
-		}
+	for l.waitForWork(ctx, timer) {
 		messages = l.mailbox.Take(messages)
 		for _, message := range messages {
 			l.handleUrgent()
@@ -115,6 +106,21 @@
 	}
 }
 
+// waitForWork waits for a message or for the policy's first timer. It returns false where ctx has ended instead.
+func (l *Loop) waitForWork(ctx context.Context, timer *time.Timer) bool {
+	if at, found := l.timers.next(); found {
+		timer.Reset(time.Duration(at-l.clock.Now()) * time.Microsecond)
+	}
+	select {
+	case <-ctx.Done():
+		return false
+	case <-timer.C:
+	case <-l.mailbox.Ready():
+	case <-l.urgent.Ready():
+	}
+	return true
+}
+
 // handleConfigured handles the endpoint list and the rollout update that the agent was configured with. To the policy they come at one
 // moment: an update a few microseconds younger than its first event would read as a release made after the start, and the baseline
 // before the next release would not be recorded.
@@ -125,7 +131,7 @@
 }
 
 // handleUrgent handles endpoint list changes and rollout updates ahead of everything else. If the process has stalled, it first lets
-// their readers catch up.
+// their readers catch up, which takes this goroutine about maxReaderWait at most.
 func (l *Loop) handleUrgent() {
 	l.stalls.waitAfterStall(&l.timers, l.clock)
 	for _, message := range l.urgent.Take(nil) {
--- a/internal/agent/request_table_test.go
+++ b/internal/agent/open_requests_test.go
@@ -10,7 +10,7 @@
 	"switchfork/internal/upstream"
 )
 
-// testRequest is a request in a table that counts how often it was done.
+// testRequest is an open request that counts how often it was done.
 type testRequest struct {
 	*Request
 	doneCount int
@@ -19,10 +19,10 @@
 // testRequestID is the number of the one request that a test adds.
 const testRequestID = 1
 
-func addTestRequest(table *requestTable) *testRequest {
+func addTestRequest(requests *openRequests) *testRequest {
 	test := &testRequest{}
 	test.Request = NewRequest(nil, time.Now().Add(time.Minute), func() { test.doneCount++ })
-	table.add(testRequestID, test.Request)
+	requests.add(testRequestID, test.Request)
 	return test
 }
 
@@ -51,58 +51,60 @@
 // A request gets one final reply, whatever ends it first, and is forgotten with it.
 func TestRequestGetsOneFinalReply(t *testing.T) {
 	for name, test := range map[string]struct {
-		end          func(*requestTable)
+		end          func(*openRequests)
 		wantRejected bool
 		wantResult   admission.Result
 	}{
-		"rejected":     {func(table *requestTable) { table.reply(testRequestID, Reply{Rejected: true}) }, true, admission.Rejected},
-		"failed":       {func(table *requestTable) { table.reply(testRequestID, Reply{}) }, false, admission.Failed},
-		"succeeded":    {func(table *requestTable) { table.finishAttempt(attemptResult(testRequestID, protocol.Succeeded)) }, false, admission.Succeeded},
-		"client error": {func(table *requestTable) { table.finishAttempt(attemptResult(testRequestID, protocol.ClientError)) }, false, admission.Succeeded},
+		"rejected":  {func(requests *openRequests) { requests.reply(testRequestID, Reply{Rejected: true}) }, true, admission.Rejected},
+		"failed":    {func(requests *openRequests) { requests.reply(testRequestID, Reply{}) }, false, admission.Failed},
+		"succeeded": {func(requests *openRequests) { requests.finishAttempt(attemptResult(testRequestID, protocol.Succeeded)) }, false, admission.Succeeded},
+		"client error": {func(requests *openRequests) {
+			requests.finishAttempt(attemptResult(testRequestID, protocol.ClientError))
+		}, false, admission.Succeeded},
 	} {
-		table := newRequestTable(&activity{})
-		request := addTestRequest(&table)
+		requests := newOpenRequests(&activity{})
+		request := addTestRequest(&requests)
 		request.inFlight = 1
-		test.end(&table)
-		table.reply(testRequestID, Reply{Rejected: !test.wantRejected})
-		if table.cancel(testRequestID) {
+		test.end(&requests)
+		requests.reply(testRequestID, Reply{Rejected: !test.wantRejected})
+		if requests.cancel(testRequestID) {
 			t.Errorf("%s: an answered request was cancelled", name)
 		}
 		if request.inFlight > 0 { // the reply came while the attempt was in flight
-			if table.get(testRequestID) == nil || request.doneCount > 0 {
+			if requests.get(testRequestID) == nil || request.doneCount > 0 {
 				t.Errorf("%s: forgotten while an attempt is in flight", name)
 			}
-			if !table.finishAttempt(attemptResult(testRequestID, protocol.Succeeded)) {
+			if !requests.finishAttempt(attemptResult(testRequestID, protocol.Succeeded)) {
 				t.Errorf("%s: an answered request is not done", name)
 			}
 		}
 		wantReply(t, name, request.Request, test.wantRejected, test.wantResult)
-		if table.get(testRequestID) != nil || request.doneCount != 1 || len(request.replies) > 0 {
-			t.Errorf("%s: %d requests are left, it was done %d times, %d more replies", name, len(table.byID), request.doneCount, len(request.replies))
+		if requests.get(testRequestID) != nil || request.doneCount != 1 || len(request.replies) > 0 {
+			t.Errorf("%s: %d requests are left, it was done %d times, %d more replies", name, len(requests.byID), request.doneCount, len(request.replies))
 		}
 	}
 }
 
 // An attempt that fails leaves its request open for another one.
 func TestFailedAttemptLeavesRequestOpen(t *testing.T) {
-	table := newRequestTable(&activity{})
-	request := addTestRequest(&table)
+	requests := newOpenRequests(&activity{})
+	request := addTestRequest(&requests)
 	request.inFlight = 1
-	if table.finishAttempt(attemptResult(testRequestID, protocol.NotSent)) || request.answered || request.doneCount > 0 {
+	if requests.finishAttempt(attemptResult(testRequestID, protocol.NotSent)) || request.answered || request.doneCount > 0 {
 		t.Errorf("a failed attempt has ended its request: %+v", request.Request)
 	}
-	if !table.finishAttempt(attemptResult(2, protocol.Succeeded)) {
+	if !requests.finishAttempt(attemptResult(2, protocol.Succeeded)) {
 		t.Error("the result of an unknown request's attempt leaves it open")
 	}
 }
 
 // A retry that is coalesced gets its request's reply, and a rejection where that request is answered already.
 func TestCoalescedRetryGetsReply(t *testing.T) {
-	table := newRequestTable(&activity{})
-	leader := addTestRequest(&table)
+	requests := newOpenRequests(&activity{})
+	leader := addTestRequest(&requests)
 	retry := NewRequest(nil, time.Now(), nil)
-	table.coalesce(testRequestID, retry)
-	table.reply(testRequestID, Reply{})
+	requests.coalesce(testRequestID, retry)
+	requests.reply(testRequestID, Reply{})
 	wantReply(t, "the request", leader.Request, false, admission.Failed)
 	select {
 	case reply := <-retry.Replies():
@@ -113,7 +115,7 @@
 		t.Error("the retry has no reply")
 	}
 	late := NewRequest(nil, time.Now(), nil)
-	table.coalesce(testRequestID, late)
+	requests.coalesce(testRequestID, late)
 	if reply := <-late.Replies(); !reply.Rejected {
 		t.Errorf("a retry of an answered request gets %+v, want a rejection", reply)
 	}
@@ -121,12 +123,12 @@
 
 // A cancelled request ends without a reply.
 func TestCancelledRequestHasNoReply(t *testing.T) {
-	table := newRequestTable(&activity{})
-	request := addTestRequest(&table)
-	if !table.cancel(testRequestID) || request.Result() != admission.ClientGone || request.doneCount != 1 || len(request.replies) > 0 {
+	requests := newOpenRequests(&activity{})
+	request := addTestRequest(&requests)
+	if !requests.cancel(testRequestID) || request.Result() != admission.ClientGone || request.doneCount != 1 || len(request.replies) > 0 {
 		t.Errorf("cancelled: result %d, done %d times, %d replies; want the client gone, once, none", request.Result(), request.doneCount, len(request.replies))
 	}
-	if table.cancel(testRequestID) {
+	if requests.cancel(testRequestID) {
 		t.Error("an unknown request was cancelled")
 	}
 }
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -16,8 +16,10 @@
 	RetryAfter policy.Micros      // after which a retry of a rejected request makes sense
 }
 
-// Request is a client's request that is not answered yet or has an attempt in flight. The loop's goroutine owns all fields but Encoded
-// and Deadline, which do not change, and the reply channels.
+// Request is a client's request that is not answered yet or has an attempt in flight. One goroutine owns it at a time: the one that has
+// made it, then the one that it is handed to, such as the admission loop's, which may set the callbacks or deliver a rejection itself.
+// Loop.Admit and Loop.Coalesce hand it over for good to the loop's goroutine. The callbacks are called by the owner. Any goroutine may
+// read Encoded and Deadline, which do not change, and receive from Replies.
 type Request struct {
 	Encoded        *protocol.EncodedRequest
 	Deadline       time.Time
@@ -42,10 +44,10 @@
 // Replies is the channel of the one final reply.
 func (r *Request) Replies() <-chan Reply { return r.replies }
 
-// Result tells how an answered request ended.
+// Result tells how an answered request ended. OnDone may call it.
 func (r *Request) Result() admission.Result { return r.result }
 
-// Deliver gives the final reply to the client and to those of its retries.
+// Deliver gives the final reply to the client and to those of its retries. Only the goroutine that owns the request may call it, once.
 func (r *Request) Deliver(reply Reply) {
 	r.replies <- reply
 	for _, replies := range r.coalesced {
@@ -53,3 +55,6 @@
 	}
 	r.coalesced = nil
 }
+
+// canAttempt reports whether an attempt may be sent: the request has no answer, and no other attempt of it is in flight.
+func (r *Request) canAttempt() bool { return !r.answered && r.inFlight == 0 }
--- a/internal/agent/stall.go
+++ b/internal/agent/stall.go
@@ -25,7 +25,7 @@
 // before the stall. It guards against all that stops an agent, such as a frozen machine or a starved core, and costs a little where
 // the core is merely full.
 //
-// Readers may be added by any goroutine; the other methods are for the loop's goroutine.
+// Readers may be added by any goroutine; the other methods are for the loop's goroutine, which sleeps in them after a stall.
 type stallGuard struct {
 	unread *tcpconn.UnreadGauge // the connections on which the endpoint list and rollout updates arrive
 
