--- a/internal/admission/concurrency_limit.go
+++ b/internal/admission/concurrency_limit.go
@@ -3,9 +3,8 @@
 import "math"
 
 const (
-	// initialConcurrencyLimit, in requests, is doubled each round until it is too high, so its size matters for some tenths of a
-	// second only.
-	initialConcurrencyLimit = 32
+	// initialAdmissionLimit, in requests, is where slow start begins.
+	initialAdmissionLimit = 32
 	// slowStartFactor multiplies the limit in a round of slow start in which it was reached.
 	slowStartFactor = 2
 	// roundInterval lets some requests finish in each round even of a small deployment, and reacts to congestion well inside any
@@ -19,6 +18,8 @@
 	increaseFraction = 0.05
 	// headroomFraction of the limit is available on top of it to clients that return at their reserved time.
 	headroomFraction = 0.1
+	// extraHeadroom, in requests, comes on top, so that the smallest limit, too, has room for two clients that return together.
+	extraHeadroom = 1
 )
 
 // Some requests in progress have always not been sent: no endpoint in their group takes them, a cap on a release's traffic
@@ -64,7 +65,7 @@
 }
 
 func newConcurrencyLimit(ceiling float64) concurrencyLimit {
-	return concurrencyLimit{current: min(initialConcurrencyLimit, ceiling), ceiling: ceiling, inSlowStart: true}
+	return concurrencyLimit{current: min(initialAdmissionLimit, ceiling), ceiling: ceiling, inSlowStart: true}
 }
 
 // value returns the number of requests that may be in progress.
@@ -77,7 +78,7 @@
 
 // hasReservedCapacity returns whether one more request with a reservation may be in progress.
 func (l *concurrencyLimit) hasReservedCapacity() bool {
-	headroom := 1 + int(math.Ceil(headroomFraction*l.current))
+	headroom := extraHeadroom + int(math.Ceil(headroomFraction*l.current))
 	return l.inProgress < l.value()+headroom
 }
 
--- a/internal/admission/concurrency_limit_test.go
+++ b/internal/admission/concurrency_limit_test.go
@@ -75,12 +75,12 @@
 		limit.recordFinished(now, result, true)
 	}
 	closeRound(Succeeded)
-	if limit.current != 2*initialConcurrencyLimit {
+	if limit.current != 2*initialAdmissionLimit {
 		t.Errorf("after a round in slow start the limit is %v, want it doubled", limit.current)
 	}
 	closeRound(Rejected)
 	decreased := limit.current
-	if limit.inSlowStart || decreased > 2*initialConcurrencyLimit*(1-maxDecreaseFraction)+1 {
+	if limit.inSlowStart || decreased > 2*initialAdmissionLimit*(1-maxDecreaseFraction)+1 {
 		t.Errorf("after a round of rejections the limit is %v, in slow start: %t", decreased, limit.inSlowStart)
 	}
 	closeRound(Succeeded)
@@ -96,7 +96,7 @@
 		limit.recordAdmission(now)
 		limit.recordFinished(now, Rejected, false)
 	}
-	if limit.current != initialConcurrencyLimit || !limit.inSlowStart {
+	if limit.current != initialAdmissionLimit || !limit.inSlowStart {
 		t.Errorf("the limit is %v, in slow start: %t; want the initial one", limit.current, limit.inSlowStart)
 	}
 }
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -10,7 +10,7 @@
 //
 // The controller composes parts that know nothing of each other, each in a file of its own:
 //
-//	requestTable      the records of all open requests
+//	requestRecords    the records of all open requests
 //	retryIndex        which arrival is a retry of which request
 //	costEstimator     what a request costs, and how long it may wait
 //	waitingRequests   what waits: fairQueues (in which order) and timingWheel (until when)
@@ -31,7 +31,7 @@
 	drainDeadline Micros // 0: not draining
 	commands      []Command
 
-	requests     requestTable
+	requests     requestRecords
 	retries      retryIndex
 	costs        costEstimator
 	waiting      waitingRequests
@@ -53,7 +53,7 @@
 	return &Controller{
 		limits:           config.Limits,
 		coalescesRetries: config.CoalesceRetries,
-		requests:         newRequestTable(),
+		requests:         newRequestRecords(),
 		retries:          newRetryIndex(config.Classes, hashSeed),
 		costs:            newCostEstimator(config.Classes),
 		waiting:          waitingRequests{queues: newFairQueues(config, hashSeed)},
@@ -65,7 +65,7 @@
 
 // Arrive takes in a new request.
 func (c *Controller) Arrive(now Micros, arrival Arrival) []Command {
-	c.begin(now)
+	c.beginCall(now)
 	c.Counters.Arrived++
 	c.costs.recordArrival(&arrival)
 	request := c.track(arrival)
@@ -78,24 +78,24 @@
 		}
 	}
 	c.enforceLimits()
-	return c.flush()
+	return c.endCall()
 }
 
 // AttemptSent reports that the dispatcher has sent an admitted request to an endpoint.
 func (c *Controller) AttemptSent(now Micros, id uint64) []Command {
-	c.begin(now)
+	c.beginCall(now)
 	request := c.requests.get(id)
 	if request != nil && request.state == stateInProgress && !request.isSent {
 		request.isSent = true
 		c.concurrency.recordSent(now)
 	}
-	return c.flush()
+	return c.endCall()
 }
 
 // Finish reports that an admitted request has its answer, or that nobody waits for one; no attempt of it is in flight any
 // more. For a request that is not in progress it is the same as Abandon.
 func (c *Controller) Finish(now Micros, id uint64, result Result) []Command {
-	c.begin(now)
+	c.beginCall(now)
 	request := c.requests.get(id)
 	if request == nil || request.state != stateInProgress {
 		return c.Abandon(now, id)
@@ -109,24 +109,24 @@
 	c.enqueueFollower(request)
 	c.discard(request)
 	c.admitWaiting()
-	return c.flush()
+	return c.endCall()
 }
 
 // Abandon reports that the client of a waiting request has left. A request in progress ends with Finish instead.
 func (c *Controller) Abandon(now Micros, id uint64) []Command {
-	c.begin(now)
+	c.beginCall(now)
 	request := c.requests.get(id)
 	if request != nil && request.state != stateInProgress {
 		c.waiting.remove(request)
 		c.discard(request)
 		c.admitWaiting()
 	}
-	return c.flush()
+	return c.endCall()
 }
 
 // TimerFired does what is due. It is called at the time that NextTimer returned, or later.
 func (c *Controller) TimerFired(now Micros) []Command {
-	c.begin(now)
+	c.beginCall(now)
 	c.waiting.deadlines.expire(now, func(request *trackedRequest) { c.reject(request, TooLate) })
 	if c.drainDeadline > 0 && now >= c.drainDeadline {
 		c.waiting.deadlines.forEach(func(request *trackedRequest) { c.reject(request, Draining) })
@@ -134,7 +134,7 @@
 	c.Counters.ReservationsUnclaimed += uint64(c.reservations.expire(c.now))
 	c.concurrency.tick(now, c.waiting.count > 0)
 	c.admitWaiting()
-	return c.flush()
+	return c.endCall()
 }
 
 // NextTimer returns when TimerFired has to be called; 0: not before the next event.
@@ -156,7 +156,7 @@
 // Drain announces that the process shuts down at the given time. Requests that will not be admitted before are rejected at
 // once, those that wait as well as those that arrive from now on.
 func (c *Controller) Drain(now, until Micros) []Command {
-	c.begin(now)
+	c.beginCall(now)
 	c.drainDeadline = max(until, 1)
 	var unservable []*trackedRequest
 	c.waiting.deadlines.forEach(func(request *trackedRequest) {
@@ -167,20 +167,20 @@
 	for _, request := range unservable {
 		c.reject(request, TooLate)
 	}
-	return c.flush()
+	return c.endCall()
 }
 
 // SetWeights changes the weights of the configured tenants, which keep their indices.
 func (c *Controller) SetWeights(tenants []Tenant) { c.waiting.queues.setWeights(tenants) }
 
-// begin starts a call: time never goes back, and the commands of the last call have been carried out.
-func (c *Controller) begin(now Micros) {
+// beginCall starts a call: time never goes back, and the commands of the last call have been carried out.
+func (c *Controller) beginCall(now Micros) {
 	c.now = max(c.now, now)
 	c.commands = c.commands[:0]
 }
 
-// flush ends a call and returns its commands.
-func (c *Controller) flush() []Command {
+// endCall ends a call and returns its commands.
+func (c *Controller) endCall() []Command {
 	c.rates.recordBacklog(c.now, c.waiting.count > 0)
 	return c.commands
 }
--- a/internal/admission/cost_estimator.go
+++ b/internal/admission/cost_estimator.go
@@ -1,5 +1,7 @@
 package admission
 
+import "switchfork/internal/stats"
+
 const (
 	// initialCostDivisor of its class's latency objective is a request's cost until some have been measured.
 	initialCostDivisor = 8
@@ -60,7 +62,7 @@
 // recordArrival updates the mean cost of a request's class with its hint, if it has one.
 func (e *costEstimator) recordArrival(arrival *Arrival) {
 	if arrival.CostHint > 0 {
-		moveAverage(&e.meanCosts[arrival.Class], float64(arrival.CostHint))
+		e.updateMeanCost(arrival.Class, arrival.CostHint)
 	}
 }
 
@@ -68,12 +70,11 @@
 // the client gave one.
 func (e *costEstimator) recordResponseTime(arrival *Arrival, responseTime Micros) {
 	if arrival.CostHint == 0 {
-		moveAverage(&e.meanCosts[arrival.Class], float64(responseTime))
+		e.updateMeanCost(arrival.Class, responseTime)
 	}
-	moveAverage(&e.meanResponseTime, float64(responseTime))
+	e.meanResponseTime = stats.MovingMean(e.meanResponseTime, float64(responseTime), smoothingFactor)
 }
 
-// moveAverage moves an exponentially weighted moving average towards a sample.
-func moveAverage(mean *float64, sample float64) {
-	*mean += (sample - *mean) * smoothingFactor
+func (e *costEstimator) updateMeanCost(class int, cost Micros) {
+	e.meanCosts[class] = stats.MovingMean(e.meanCosts[class], float64(cost), smoothingFactor)
 }
--- a/internal/admission/fair_scheduler.go
+++ b/internal/admission/fair_scheduler.go
@@ -12,8 +12,8 @@
 // last finish tag, so that an idle flow gains no credit. The flow with the lowest start tag is served next and is charged
 // its request's cost over its weight.
 //
-// The flows that have a request stand in a d-ary heap that holds their start tags. With ten thousand flows, a binary heap of
-// pointers touches thirteen records scattered over memory on each way down; this one touches seven cache lines.
+// The flows that have a request stand in a d-ary heap that holds copies of their start tags, so that ordering thousands of flows
+// touches few cache lines, and none of the flows themselves, which are scattered over memory.
 type fairScheduler[T any] struct {
 	virtualTime float64
 	active      []heapEntry[T]
--- a/internal/admission/reservations.go
+++ b/internal/admission/reservations.go
@@ -9,9 +9,9 @@
 	// reservableFraction of what its tenant's rate allows in a slot may be reserved: the rest is for the requests that wait and
 	// for errors of the estimate. A tenant that floods is then given the longest time without a reservation.
 	reservableFraction = 0.5
-	// returnGrace, beside a slot's width, is how long after its time of return a client is still on time: clients sleep at least as
+	// reservationGrace, beside a slot's width, is how long after its time of return a client is still on time: clients sleep at least as
 	// long as the Retry-After says, and the network adds its delay.
-	returnGrace = 100 * millisecond
+	reservationGrace = 100 * millisecond
 	// earlyTolerance is how long before its time of return a client is on time already.
 	earlyTolerance = 2 * millisecond
 	// minFallbackFraction of the longest Retry-After time is the least that is sent without a reservation; the rest is random,
@@ -43,7 +43,7 @@
 	calendars     []calendar // by tenant
 	byRetryKey    map[uint64]*reservation
 	byReturnTime  reservationHeap
-	free          []*reservation // records to reuse
+	free          freeList[reservation]
 }
 
 // claimResult says what an arriving request has reserved.
@@ -87,7 +87,7 @@
 	if !found {
 		return unreserved, false
 	}
-	granted := t.newRecord()
+	granted := t.free.take()
 	*granted = reservation{
 		retryKey: request.retryKey,
 		tenant:   request.Tenant,
@@ -187,7 +187,7 @@
 
 // deadline returns the last moment at which a reservation can be claimed.
 func (t *reservationTable) deadline(r *reservation) Micros {
-	return r.returnAt + t.slotWidth + returnGrace
+	return r.returnAt + t.slotWidth + reservationGrace
 }
 
 // nextDeadline returns when the first reservation will have expired; 0: there is none.
@@ -202,17 +202,7 @@
 func (t *reservationTable) remove(ended *reservation) {
 	heap.Remove(&t.byReturnTime, ended.heapIndex)
 	delete(t.byRetryKey, ended.retryKey)
-	t.free = append(t.free, ended)
-}
-
-func (t *reservationTable) newRecord() *reservation {
-	last := len(t.free) - 1
-	if last < 0 {
-		return new(reservation)
-	}
-	record := t.free[last]
-	t.free = t.free[:last]
-	return record
+	t.free.put(ended)
 }
 
 // reservationHeap orders reservations by their time of return; it implements heap.Interface.
--- a/internal/admission/reservations_test.go
+++ b/internal/admission/reservations_test.go
@@ -75,8 +75,8 @@
 	}{
 		{"early", func(r *reservation) Micros { return r.returnAt - earlyTolerance - 1 }, claimedEarly, 0},
 		{"hardly early", func(r *reservation) Micros { return r.returnAt - earlyTolerance }, claimedOnTime, 1000},
-		{"at the end of the grace", func(r *reservation) Micros { return r.returnAt + 2*second/calendarSlots + returnGrace }, claimedOnTime, 1000},
-		{"late", func(r *reservation) Micros { return r.returnAt + 2*second/calendarSlots + returnGrace + 1 }, claimedLate, 1000},
+		{"at the end of the grace", func(r *reservation) Micros { return r.returnAt + 2*second/calendarSlots + reservationGrace }, claimedOnTime, 1000},
+		{"late", func(r *reservation) Micros { return r.returnAt + 2*second/calendarSlots + reservationGrace + 1 }, claimedLate, 1000},
 	} {
 		table := newReservationTable(10, 1, 2*second, rand.New(rand.NewSource(1)))
 		now := 50 * second
--- a/internal/admission/retries.go
+++ b/internal/admission/retries.go
@@ -21,6 +21,7 @@
 // replaceWaiting gives a waiting request's place in its queue to a retry, and rejects the earlier attempt.
 func (c *Controller) replaceWaiting(earlier, retry *trackedRequest) {
 	retry.firstArrival = earlier.firstArrival
+	// An earlier attempt that arrived past its own deadline has a wait deadline before its arrival, which must not bind the retry.
 	retry.waitDeadline = min(max(earlier.waitDeadline, earlier.firstArrival), retry.Deadline)
 	c.waiting.replace(earlier, retry)
 	c.retries.register(retry)
