--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -16,7 +16,7 @@
 	clock     Clock
 	timers    *timerQueue
 	requests  *openRequests
-	endpoints *listedEndpoints
+	endpoints *endpointRegistry
 	activity  *activity
 
 	// reportAttempt takes the result of an attempt that can't be sent. It must not call the policy.
--- a/internal/agent/commands_test.go
+++ b/internal/agent/commands_test.go
@@ -19,7 +19,7 @@
 	} {
 		counts := &activity{}
 		requests := newOpenRequests(counts)
-		endpoints := newListedEndpoints(nil)
+		endpoints := newEndpointRegistry(nil)
 		inFlight := 0
 		if prepare != nil {
 			request := addTestRequest(&requests)
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -27,7 +27,7 @@
 const idleWait = time.Hour
 
 // Loop calls the policy with one event after the other and carries out its commands. What waits is in its two mailboxes (messages.go)
-// and timers (timers.go); what is open, in its requests and endpoints (open_requests.go, listed_endpoints.go).
+// and timers (timers.go); what is open, in its requests and endpoints (open_requests.go, endpoint_registry.go).
 type Loop struct {
 	router    policy.Router
 	clock     Clock
@@ -39,7 +39,7 @@
 	stalls  stallGuard
 
 	requests  openRequests
-	endpoints listedEndpoints
+	endpoints endpointRegistry
 	executor  commandExecutor
 	voteSink  func(policy.Vote) // replaces the receiver of votes that Serve is given; nil: not replaced
 
@@ -55,7 +55,7 @@
 		urgent:  mailbox.New[message](),
 		stalls:  newStallGuard(),
 	}
-	l.endpoints = newListedEndpoints(l)
+	l.endpoints = newEndpointRegistry(l)
 	l.requests = newOpenRequests(&l.activity)
 	l.executor = commandExecutor{
 		clock:         clock,
