--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -11,8 +11,8 @@
 	request.cost = c.costs.estimate(&arrival)
 	request.firstArrival = c.now
 	request.waitDeadline = min(request.firstArrival+c.costs.maxWait(arrival.Class), arrival.Deadline)
-	if c.drainDeadline > 0 {
-		request.waitDeadline = min(request.waitDeadline, max(c.drainDeadline, c.now))
+	if c.drain.isAnnounced() {
+		request.waitDeadline = min(request.waitDeadline, max(c.drain.deadline, c.now))
 	}
 	return request
 }
@@ -58,8 +58,7 @@
 		return
 	}
 	admission := c.now + c.estimatedWait(request)
-	exceedsDrain := c.drainDeadline > 0 && admission > c.drainDeadline
-	if admission > request.waitDeadline || exceedsDrain {
+	if admission > request.waitDeadline || c.drain.endsBefore(admission) {
 		c.reject(request, TooLate)
 	}
 }
@@ -99,7 +98,7 @@
 // retryAfter returns the Retry-After time for a rejected request, and reserves capacity for its return. A process that is
 // draining will not be there then, so it reserves nothing.
 func (c *Controller) retryAfter(request *trackedRequest) Micros {
-	if c.drainDeadline > 0 {
+	if c.drain.isAnnounced() {
 		return c.reservations.unreservedRetryAfter()
 	}
 	waitingCost := c.waiting.queues.tenants[request.Tenant].waitingCost
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -27,9 +27,9 @@
 	limits           Limits
 	coalescesRetries bool // a retry shares the answer of its earlier attempt in progress
 
-	now           Micros
-	drainDeadline Micros // 0: not draining
-	commands      []Command
+	now      Micros
+	drain    drain
+	commands []Command
 
 	requests     requestRecords
 	retries      retryIndex
@@ -128,7 +128,7 @@
 func (c *Controller) TimerFired(now Micros) []Command {
 	c.beginCall(now)
 	c.waiting.deadlines.expire(now, func(request *trackedRequest) { c.reject(request, TooLate) })
-	if c.drainDeadline > 0 && now >= c.drainDeadline {
+	if c.drain.isOver(now) {
 		c.waiting.deadlines.forEach(func(request *trackedRequest) { c.reject(request, Draining) })
 	}
 	c.Counters.ReservationsUnclaimed += uint64(c.reservations.expire(c.now))
@@ -147,7 +147,7 @@
 	}
 	if c.waiting.count > 0 {
 		consider(c.waiting.deadlines.nextTick(c.now))
-		consider(c.drainDeadline)
+		consider(c.drain.deadline)
 	}
 	consider(c.reservations.nextDeadline())
 	return earliest
@@ -157,10 +157,10 @@
 // once, those that wait as well as those that arrive from now on.
 func (c *Controller) Drain(now, until Micros) []Command {
 	c.beginCall(now)
-	c.drainDeadline = max(until, 1)
+	c.drain.announce(until)
 	var unservable []*trackedRequest
 	c.waiting.deadlines.forEach(func(request *trackedRequest) {
-		if request.state == stateWaiting && now+c.estimatedWait(request) > c.drainDeadline {
+		if request.state == stateWaiting && c.drain.endsBefore(now+c.estimatedWait(request)) {
 			unservable = append(unservable, request)
 		}
 	})
--- a/internal/admission/retries.go
+++ b/internal/admission/retries.go
@@ -42,8 +42,8 @@
 		return
 	}
 	retry.waitDeadline = retry.Deadline
-	if c.drainDeadline > 0 {
-		retry.waitDeadline = min(retry.waitDeadline, c.drainDeadline)
+	if c.drain.isAnnounced() {
+		retry.waitDeadline = min(retry.waitDeadline, c.drain.deadline)
 	}
 	c.waiting.follow(leader, retry)
 }
