--- a/internal/cluster/election/acceptor.go
+++ b/internal/cluster/election/acceptor.go
@@ -1,18 +1,11 @@
 package election
 
-// noReplica stands for a replica's number where there is none.
-const noReplica = -1
-
-// forever is later than any time.
-const forever Micros = 1 << 62
-
 // acceptor is the replica in Paxos's role of that name: it decides which ballots are promised and which leases are accepted, from
-// the ballots that it has seen and the lease that it has accepted. [Replica] asks it for each Prepare, Propose, Replicate,
-// CommitMembers and TransferLease message, its own included, and persists what it holds before any answer leaves.
+// the ballots that it has seen and the lease that it has accepted. [leaderElection] asks it for each Prepare, Propose, Replicate,
+// CommitMembers and TransferLease message, its own included; [Replica] persists what it holds before any answer leaves.
 type acceptor struct {
 	settings Settings
-	// ignoresLease: the guard DisabledGuards.Prevote is off.
-	ignoresLease bool
+	disabled DisabledGuards
 
 	highestPromised uint64
 	highestAccepted uint64
@@ -24,9 +17,9 @@
 
 func newAcceptor(config Config) acceptor {
 	return acceptor{
-		settings:     config.Settings,
-		ignoresLease: config.DisabledGuards.Prevote,
-		leaseHolder:  noReplica,
+		settings:    config.Settings,
+		disabled:    config.DisabledGuards,
+		leaseHolder: noReplica,
 	}
 }
 
@@ -68,7 +61,7 @@
 // isLeasedToOther reports whether a lease of another replica than the candidate is in force here. While it is, nobody else
 // is promised anything, so that a partitioned replica that comes back can't disturb the leader.
 func (a *acceptor) isLeasedToOther(now Micros, candidate int) bool {
-	return !a.ignoresLease && a.isLeaseInForce(now) && a.leaseHolder != candidate
+	return !a.disabled.PromiseAfterLease && a.isLeaseInForce(now) && a.leaseHolder != candidate
 }
 
 // canPromise reports whether a ballot is higher than the one that was promised, or is the same, sent again by its owner.
--- a/internal/cluster/election/leader_election.go
+++ b/internal/cluster/election/leader_election.go
@@ -37,7 +37,7 @@
 		acceptor:   newAcceptor(config),
 		campaigns:  newCampaignTimer(config),
 		candidate:  newCandidate(config),
-		lease:      lease{ignoresTimeout: config.DisabledGuards.LeaseTimeout},
+		lease:      lease{disabled: config.DisabledGuards},
 	}
 	if config.State != nil {
 		e.acceptor.restore(*config.State, config.Now)
@@ -124,12 +124,8 @@
 	highest := max(e.acceptor.highestPromised, ballot, e.candidate.highestSeen)
 	successorBallot := nextBallot(highest, successor)
 	e.acceptor.transferLease(e.now, ballot, successorBallot)
-	e.out.broadcast(e.membership.current, e.membership.attach(Message{
-		Kind:           TransferLease,
-		Ballot:         ballot,
-		ReleasedBallot: successorBallot,
-		Record:         e.votes.log.newest,
-	}))
+	transfer := newTransferLease(ballot, successorBallot, e.votes.log.newest)
+	e.out.broadcast(e.membership.current, e.membership.attach(transfer))
 }
 
 // changeMembers puts the members of a mask in force, or returns why they can't be. Those that are out are told.
@@ -143,8 +139,8 @@
 	return nil
 }
 
-// advanceMembers stamps the members in a new term, and sends the stamp again until a quorum knows it.
-func (e *leaderElection) advanceMembers() {
+// commitMembers stamps the members in a new term, and sends the stamp again until a quorum knows it.
+func (e *leaderElection) commitMembers() {
 	if !e.membership.isSendDue(e.now) {
 		return
 	}
--- a/internal/cluster/election/votecaster.go
+++ b/internal/cluster/election/vote_caster.go
@@ -1,13 +1,13 @@
 package election
 
 // voteCaster decides which vote a leader casts and when: it takes the decision from the recommendations, waits until nothing contrary
-// may count, has a quorum know the record, and then casts it if the lease lasts long enough. [Replica] calls advance while it leads,
-// and passes on records, recommendations and the position of the rollout at any time.
+// may count, has a quorum know the record, and then casts it if the lease lasts long enough. [Replica] calls runDue while it leads,
+// and tells the position of the rollout and this replica's recommendation at any time; [leaderElection] passes on the records and
+// recommendations of others.
 type voteCaster struct {
 	id       int
 	settings Settings
-	// skipsQuorum: the guard DisabledGuards.QuorumBeforeCast is off.
-	skipsQuorum bool
+	disabled DisabledGuards
 
 	rollout         rolloutPosition
 	recommendations recommendations
@@ -37,13 +37,10 @@
 	v := voteCaster{
 		id:              config.ID,
 		settings:        config.Settings,
-		skipsQuorum:     config.DisabledGuards.QuorumBeforeCast,
+		disabled:        config.DisabledGuards,
 		recommendations: recommendations{self: config.ID, settings: config.Settings},
 		log:             voteLog{settings: config.Settings},
-		history: voteHistory{
-			settings:       config.Settings,
-			ignoresEarlier: config.DisabledGuards.WaitForEarlierVotes,
-		},
+		history:         voteHistory{settings: config.Settings, disabled: config.DisabledGuards},
 	}
 	if config.State != nil {
 		v.log.newest = config.State.Newest
@@ -74,8 +71,8 @@
 	return v.rollout.isActive && v.recommendations.own() == v.rollout.decision(Rollback)
 }
 
-// advance replicates what the recommendations ask for, and casts it once a quorum knows it.
-func (v *voteCaster) advance(now Micros, by leadership, out *outbox) {
+// runDue replicates what the recommendations ask for, and casts it once a quorum knows it.
+func (v *voteCaster) runDue(now Micros, by leadership, out *outbox) {
 	if !v.rollout.isActive {
 		return
 	}
@@ -110,7 +107,7 @@
 // castPending casts the pending vote if a quorum knows it and the lease lasts long enough for it to be written.
 func (v *voteCaster) castPending(now Micros, by leadership, out *outbox) {
 	writeBefore := by.lease.until - v.settings.driftUpperBound(v.settings.retryInterval())
-	isReplicated := v.log.isReplicated(by.members) || v.skipsQuorum
+	isReplicated := v.log.isReplicated(by.members) || v.disabled.QuorumBeforeCast
 	if !isReplicated || !by.lease.allowsWriteBefore(writeBefore, now) {
 		return
 	}
