--- a/internal/cluster/transport/link.go
+++ b/internal/cluster/transport/link.go
@@ -69,9 +69,10 @@
 // run writes what is queued until the context ends, and connects when there is something to write.
 func (l *link) run(ctx context.Context) {
 	defer l.disconnect()
-	for ctx.Err() == nil {
+	for {
 		select {
 		case <-ctx.Done():
+			return
 		case message := <-l.queue:
 			l.send(ctx, message)
 		}
