--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -1,6 +1,6 @@
 package admission
 
-// track creates the record of an arrival.
+// track creates the record of an arriving request.
 func (c *Controller) track(arrival Arrival) *trackedRequest {
 	unknownTenant := c.waiting.queues.unknownTenant()
 	if arrival.Tenant < 0 || arrival.Tenant > unknownTenant {
@@ -17,13 +17,13 @@
 	return request
 }
 
-// discard forgets a request that does not wait, and its retry key.
+// discard removes the record and the retry key of a request that has ended. The request is not waiting.
 func (c *Controller) discard(request *trackedRequest) {
 	c.retries.unregister(request)
 	c.requests.release(request)
 }
 
-// claimReservation ends an arriving request's reservation, if it has one, and returns whether the client has returned on time.
+// claimReservation ends an arriving request's reservation, if it has one, and reports whether the client has returned on time.
 func (c *Controller) claimReservation(request *trackedRequest) bool {
 	switch c.reservations.claim(c.now, request.retryKey) {
 	case claimedOnTime:
@@ -37,8 +37,8 @@
 	return false
 }
 
-// admitReserved admits a queued request that arrived at its reserved time ahead of those that wait, where the headroom of the
-// concurrency limit allows it; its tenant is charged as for any other. It returns whether the request was admitted.
+// admitReserved admits a queued request that arrived at its reserved time, ahead of all other waiting requests, if the headroom
+// of the concurrency limit allows it. Its tenant is charged as usual. It reports whether the request was admitted.
 func (c *Controller) admitReserved(request *trackedRequest) bool {
 	if !c.concurrency.hasReservedCapacity() {
 		c.Counters.ReservationsMissed++
@@ -50,8 +50,8 @@
 	return true
 }
 
-// admitOrWait admits as many requests as the concurrency limit allows, and rejects the given one if it is not among them and
-// would not be admitted in time.
+// admitOrWait admits as many waiting requests as the concurrency limit allows. It rejects the given request if that is not
+// among them and is not expected to be admitted in time.
 func (c *Controller) admitOrWait(request *trackedRequest) {
 	c.admitWaiting()
 	if request.state != stateWaiting {
@@ -74,7 +74,7 @@
 	}
 }
 
-// admit hands a request that does not wait any more to the dispatcher.
+// admit hands a request that has been taken out of its queue to the dispatcher.
 func (c *Controller) admit(request *trackedRequest) {
 	request.state = stateInProgress
 	request.admittedAt = c.now
@@ -84,7 +84,7 @@
 	c.emit(Command{Kind: Admit, ID: request.ID})
 }
 
-// reject answers a waiting request with a rejection, with a Retry-After where a later attempt may do better.
+// reject rejects a waiting request. The client is sent a Retry-After time if a later attempt may succeed.
 func (c *Controller) reject(request *trackedRequest, reason Reason) {
 	c.waiting.remove(request)
 	retryAfter := Micros(0)
@@ -95,8 +95,8 @@
 	c.discard(request)
 }
 
-// retryAfter returns the Retry-After time for a rejected request, and reserves capacity for its return. A process that is
-// draining will not be there then, so it reserves nothing.
+// retryAfter returns the Retry-After time for a rejected request, and reserves capacity for its return. A draining process
+// reserves nothing, since it will have ended when the client returns.
 func (c *Controller) retryAfter(request *trackedRequest) Micros {
 	if c.drain.isAnnounced() {
 		return c.reservations.unreservedRetryAfter()
@@ -109,7 +109,7 @@
 	return retryAfter
 }
 
-// enforceLimits rejects waiting requests until the limits hold. Requests in progress are never evicted.
+// enforceLimits rejects waiting requests until no limit is exceeded. Requests in progress are never evicted.
 func (c *Controller) enforceLimits() {
 	for c.exceedsLimits() {
 		candidate := c.waiting.evictionCandidate()
@@ -125,14 +125,14 @@
 	return openCount > c.limits.Requests || c.requests.bodyBytes > c.limits.Bytes
 }
 
-// estimatedWait returns how long a queued request will wait: the time that the cost ahead of it takes at its tenant's rate,
-// less what is reserved for others.
+// estimatedWait returns how long a queued request is expected to wait. This is the time to serve the cost ahead of it at its
+// tenant's rate, reduced by what is reserved.
 func (c *Controller) estimatedWait(request *trackedRequest) Micros {
 	costAhead := c.waiting.queues.costAhead(request)
 	return c.reservations.timeToServe(c.now, request.Tenant, costAhead, c.tenantRate(request.Tenant))
 }
 
-// tenantRate returns the cost a microsecond that a tenant gets while all tenants that have requests waiting get their share.
+// tenantRate returns the tenant's rate, in cost per microsecond, if every tenant with waiting requests gets its share.
 func (c *Controller) tenantRate(tenant int) float64 {
 	return c.waiting.queues.shareOfRate(tenant, c.rates.rate(c.now, c.costs.meanResponseTime))
 }
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,31 +1,31 @@
 // Package admission is the admission control of the router. It decides which request is handed to the dispatcher and when:
 // it queues requests fairly among tenants and among each tenant's clients, learns how many may be in progress at a time,
-// rejects those that cannot be served in time or that exceed the limits, and reserves capacity for the end of the
-// Retry-After that a rejected client is sent.
+// and rejects those that cannot be served in time or that exceed the limits. A rejected client is sent a Retry-After time,
+// and capacity is reserved for its return at that time.
 //
-// A Controller owns all state of the requests that wait, the requests in progress and the reservations. It does no I/O,
-// reads no clock and starts no goroutine; the same calls always produce the same commands. One goroutine, the owner of the
-// controller, makes all calls. Each call passes the current time in microseconds and returns the commands to carry out
-// before the next call, in a slice that the next call reuses.
+// A Controller owns all state of waiting requests, requests in progress and reservations. It does no I/O, reads no clock and
+// starts no goroutine; the same calls always produce the same commands. One goroutine, the owner of the controller, makes all
+// calls. Each call passes the current time in microseconds and returns the commands to carry out before the next call, in a
+// slice that the next call reuses.
 //
-// The controller composes parts that know nothing of each other, each in a file of its own:
+// The controller is composed of components that do not depend on each other, each in a file of its own:
 //
-//	requestRecords    the records of all open requests
-//	retryIndex        which arrival is a retry of which request
-//	costEstimator     what a request costs, and how long it may wait
-//	waitingRequests   what waits: fairQueues (in which order) and timingWheel (until when)
-//	concurrencyLimit  how many requests may be in progress
-//	rateEstimator     at what rate cost is admitted
-//	reservationTable  when a rejected client should return
+//	requestRecords    holds the records of all open requests
+//	retryIndex        finds the earlier attempt of a retry
+//	costEstimator     estimates the cost of a request, and how long the request may wait
+//	waitingRequests   holds the waiting requests: fairQueues orders them, timingWheel expires them
+//	concurrencyLimit  decides how many requests may be in progress
+//	rateEstimator     estimates the rate at which cost is admitted
+//	reservationTable  decides when a rejected client should return
 package admission
 
 import "math/rand"
 
-// Controller is the admission control of one process. Create it with New. Its methods that callers use are in this file and
-// in status.go; what it decides by asking its parts is in admit.go and retries.go.
+// Controller is the admission control of one process. Create it with New. The methods that callers use are in this file and
+// in status.go. The decisions behind them are in admit.go and retries.go.
 type Controller struct {
 	limits           Limits
-	coalescesRetries bool // a retry shares the answer of its earlier attempt in progress
+	coalescesRetries bool // as Config.CoalesceRetries
 
 	now      Micros
 	drain    drain
@@ -39,11 +39,11 @@
 	rates        rateEstimator
 	reservations reservationTable
 
-	// Counters may be read between two calls.
+	// Counters may be read by the controller's owner between two calls.
 	Counters Counters
 }
 
-// New creates a controller. Limits below one request or one queue are raised to one.
+// New creates a controller. A limit of less than one request or one queue is raised to one.
 func New(config Config) *Controller {
 	config.Limits.Requests = max(1, config.Limits.Requests)
 	config.Limits.Queues = max(1, config.Limits.Queues)
@@ -63,7 +63,7 @@
 	}
 }
 
-// Arrive takes in a new request.
+// Arrive reports that a new request has arrived.
 func (c *Controller) Arrive(now Micros, arrival Arrival) []Command {
 	c.beginCall(now)
 	c.Counters.Arrived++
@@ -92,8 +92,8 @@
 	return c.endCall()
 }
 
-// Finish reports that an admitted request has its answer, or that nobody waits for one; no attempt of it is in flight any
-// more. For a request that is not in progress it is the same as Abandon.
+// Finish reports that an admitted request has been answered, or that nobody waits for its answer any more. None of its
+// attempts may still be in flight. For a request that is not in progress, Finish is the same as Abandon.
 func (c *Controller) Finish(now Micros, id uint64, result Result) []Command {
 	c.beginCall(now)
 	request := c.requests.get(id)
@@ -112,7 +112,8 @@
 	return c.endCall()
 }
 
-// Abandon reports that the client of a waiting request has left. A request in progress ends with Finish instead.
+// Abandon reports that the client of a waiting request no longer waits for the answer. For a request in progress, call Finish
+// instead.
 func (c *Controller) Abandon(now Micros, id uint64) []Command {
 	c.beginCall(now)
 	request := c.requests.get(id)
@@ -124,7 +125,8 @@
 	return c.endCall()
 }
 
-// TimerFired does what is due. It is called at the time that NextTimer returned, or later.
+// TimerFired rejects the requests that have waited too long, ends expired reservations, adjusts the concurrency limit and
+// admits waiting requests. It has to be called at the time that NextTimer returned, or later.
 func (c *Controller) TimerFired(now Micros) []Command {
 	c.beginCall(now)
 	c.waiting.deadlines.expire(now, func(request *trackedRequest) { c.reject(request, TooLate) })
@@ -137,7 +139,8 @@
 	return c.endCall()
 }
 
-// NextTimer returns when TimerFired has to be called; 0: not before the next event.
+// NextTimer returns the time at which TimerFired has to be called. 0 means that TimerFired is not needed until another method
+// has been called.
 func (c *Controller) NextTimer() Micros {
 	earliest := Micros(0)
 	consider := func(at Micros) {
@@ -153,8 +156,8 @@
 	return earliest
 }
 
-// Drain announces that the process shuts down at the given time. Requests that will not be admitted before are rejected at
-// once, those that wait as well as those that arrive from now on.
+// Drain announces that the process shuts down at the given time. Queued requests that are not expected to be admitted by then
+// are rejected at once. The same holds for requests that arrive later.
 func (c *Controller) Drain(now, until Micros) []Command {
 	c.beginCall(now)
 	c.drain.announce(until)
@@ -170,10 +173,11 @@
 	return c.endCall()
 }
 
-// SetWeights changes the weights of the configured tenants, which keep their indices.
+// SetWeights changes the weights of the configured tenants. The index of a tenant is the same as in Config.Tenants.
 func (c *Controller) SetWeights(tenants []Tenant) { c.waiting.queues.setWeights(tenants) }
 
-// beginCall starts a call: time never goes back, and the commands of the last call have been carried out.
+// beginCall starts a call. The controller's time never goes back, even if now does. The commands of the previous call have
+// been carried out, so their slice is reused.
 func (c *Controller) beginCall(now Micros) {
 	c.now = max(c.now, now)
 	c.commands = c.commands[:0]
--- a/internal/admission/fair_queues.go
+++ b/internal/admission/fair_queues.go
@@ -7,28 +7,30 @@
 )
 
 const (
-	// shardSize is the number of its tenant's queues that a client may be put into (shuffle sharding); it is put into the
-	// least loaded of them. Few pairs of clients have all of them in common, so a client that floods delays hardly any other,
-	// and it fills four queues at the most.
+	// shardSize is the number of queues of its tenant that a client's requests may be put in (shuffle sharding). Each request
+	// goes into the least loaded of them. Few pairs of clients share all of their queues, so a client that floods delays hardly
+	// any other client. It fills at most four queues.
 	shardSize = 4
-	// unknownTenantsWeight is the weight of all unknown tenants together, where configured weights add up to about one.
+	// unknownTenantsWeight is the combined weight of all unknown tenants. The configured weights add up to about one.
 	unknownTenantsWeight = 0.05
-	// minTenantWeight keeps divisions by a weight finite.
+	// minTenantWeight is the lowest weight of a tenant. It keeps divisions by a weight finite.
 	minTenantWeight = 1e-6
 )
 
-// fairQueues decides the order in which waiting requests are admitted, and which of them is evicted: from the tenants'
-// weights, the requests' costs and the request classes' priority weights. Tenants share by start-time fair queueing, and so do
-// each tenant's queues, over which its clients are spread. waitingRequests calls it; the controller reads what waits.
+// fairQueues decides the order in which waiting requests are admitted, and which of them is evicted. It uses the weights of
+// tenants, the costs of requests and the priority weights of request classes. Start-time fair queueing divides the capacity
+// among the tenants, and each tenant's capacity among its queues. Clients are distributed over the queues of their tenant.
+// waitingRequests changes fairQueues; the controller reads its counts and costs.
 type fairQueues struct {
-	tenants         []*tenantQueues // the last one stands for all unknown tenants
+	tenants         []*tenantQueues // by tenant index; the last one holds the requests of all unknown tenants
 	tenantScheduler fairScheduler[*tenantQueues]
-	classPriorities []int // by class; 0 is served first
+	classPriorities []int // by class; priority 0 is served first
 	priorityCount   int
-	hashSeed        uint64 // keeps clients from choosing their queues
+	hashSeed        uint64 // secret, so that clients cannot choose their queues
 }
 
-// tenantQueues is one tenant, a flow among the tenants, with the fixed number of queues over which its clients are spread.
+// tenantQueues holds the queues of one tenant, over which its clients are distributed. Their number is fixed. The tenant is a
+// flow in tenantScheduler.
 type tenantQueues struct {
 	flow           fairFlow[*tenantQueues]
 	weight         float64
@@ -36,16 +38,16 @@
 	queues         []clientQueue
 	waitingCount   int
 	waitingCost    float64
-	admittedCost   float64 // since the start
+	admittedCost   float64 // total since the process started
 }
 
-// queuePlace is where fairQueues holds a request.
+// queuePlace is the place of a request in fairQueues.
 type queuePlace struct {
 	tenant   *tenantQueues
 	queue    *clientQueue
-	priority int             // index of the queue's list
-	previous *trackedRequest // in that list, as next
-	next     *trackedRequest
+	priority int             // index into queue.priorities
+	previous *trackedRequest // in the list of this priority
+	next     *trackedRequest // in the list of this priority
 }
 
 func newFairQueues(config Config, hashSeed uint64) fairQueues {
@@ -74,7 +76,8 @@
 	return tenant
 }
 
-// priorityLevels ranks the request classes by priority weight: 0 is the highest, and classes of equal weight share a level.
+// priorityLevels returns the priority of each request class, and the number of different priorities. The class with the highest
+// priority weight has priority 0. Classes of equal weight have equal priorities.
 func priorityLevels(classes []RequestClass) (levels []int, count int) {
 	var weights []float64
 	for _, class := range classes {
@@ -90,7 +93,7 @@
 	return levels, max(1, len(weights))
 }
 
-// setWeights changes the weights of the configured tenants, which keep their indices.
+// setWeights changes the weights of the configured tenants, by tenant index.
 func (q *fairQueues) setWeights(tenants []Tenant) {
 	for i, tenant := range tenants {
 		if i < q.unknownTenant() {
@@ -99,7 +102,7 @@
 	}
 }
 
-// unknownTenant returns the index that stands for all tenants that were not configured.
+// unknownTenant returns the index that is used for all tenants that are not configured.
 func (q *fairQueues) unknownTenant() int { return len(q.tenants) - 1 }
 
 // enqueue puts a request at the end of one of its tenant's queues.
@@ -118,7 +121,7 @@
 	tenant.waitingCost += request.cost
 }
 
-// chooseQueue returns the least loaded of the queues that a client may be put into.
+// chooseQueue returns the least loaded of the queues that a client's requests may be put in.
 func (q *fairQueues) chooseQueue(tenant *tenantQueues, client uint64) *clientQueue {
 	var leastLoaded *clientQueue
 	hash := hashing.Mix64(q.hashSeed ^ client)
@@ -135,7 +138,8 @@
 	return leastLoaded
 }
 
-// next takes out the request that is served next and charges its flows; nil: all queues are empty.
+// next removes the request to serve next, charges its queue and its tenant, and returns it. It returns nil if all queues are
+// empty.
 func (q *fairQueues) next() *trackedRequest {
 	if len(q.tenantScheduler.active) == 0 {
 		return nil
@@ -148,7 +152,7 @@
 	return request
 }
 
-// remove takes a request out of its queue without a charge.
+// remove removes a request from its queue without charging its queue and its tenant.
 func (q *fairQueues) remove(request *trackedRequest) {
 	q.unlink(request)
 	tenant, queue := request.queuePlace.tenant, request.queuePlace.queue
@@ -160,18 +164,18 @@
 	}
 }
 
-// unlink takes a request out of its queue and the tenant's sums, and leaves the flows as they are.
+// unlink removes a request from its queue and from the tenant's count and cost. It does not change the schedulers.
 func (q *fairQueues) unlink(request *trackedRequest) {
 	request.queuePlace.queue.remove(request)
 	tenant := request.queuePlace.tenant
 	tenant.waitingCount--
 	tenant.waitingCost -= request.cost
 	if tenant.waitingCount == 0 {
-		tenant.waitingCost = 0 // rounding errors must not add up
+		tenant.waitingCost = 0 // so that rounding errors do not accumulate
 	}
 }
 
-// charge charges a request's queue and tenant for its admission, after the request was taken out.
+// charge charges a request's queue and tenant for its admission. The request has been removed from its queue before.
 func (q *fairQueues) charge(request *trackedRequest) {
 	tenant, queue := request.queuePlace.tenant, request.queuePlace.queue
 	tenant.queueScheduler.charge(&queue.flow, request.cost, queue.length > 0)
@@ -179,7 +183,7 @@
 	tenant.admittedCost += request.cost
 }
 
-// replace puts a request into the place of another one that waits.
+// replace puts a request in the place of an old one, which is queued.
 func (q *fairQueues) replace(old, request *trackedRequest) {
 	tenant := q.tenants[request.Tenant]
 	queue := old.queuePlace.queue
@@ -189,9 +193,10 @@
 	tenant.waitingCost += request.cost - old.cost
 }
 
-// evictionCandidate returns the request to reject when a limit is reached: the newest one of the lowest priority in the
-// most loaded queue of the tenant that waits with most beyond its share. It is nil where all queues are empty.
-// The request that arrived last is not the one at fault for having come last.
+// evictionCandidate returns the request to reject when a limit is exceeded, or nil if all queues are empty. It picks the tenant
+// with the highest waiting cost relative to its weight, then the most loaded queue of that tenant, then the newest request of
+// the lowest priority there. The request that arrived last need not belong to the tenant that causes the overload, so it is not
+// rejected just for being the last.
 func (q *fairQueues) evictionCandidate() *trackedRequest {
 	var worst *tenantQueues
 	for _, tenant := range q.tenants {
@@ -207,7 +212,7 @@
 
 func (t *tenantQueues) weightedWaitingCost() float64 { return t.waitingCost / t.weight }
 
-// mostLoadedQueue returns the queue of the highest cost; nil: no request of the tenant waits.
+// mostLoadedQueue returns the tenant's queue with the highest cost, or nil if the tenant has no waiting request.
 func (t *tenantQueues) mostLoadedQueue() *clientQueue {
 	var mostLoaded *clientQueue
 	for _, entry := range t.queueScheduler.active {
@@ -218,17 +223,18 @@
 	return mostLoaded
 }
 
-// costAhead returns the cost of its tenant's requests that are served before a queued request: those of its own queue, and
-// a like amount in each other queue of its tenant, as they take turns.
+// costAhead estimates the cost of the requests of the same tenant that are served before a queued request: the cost ahead of it
+// in its queue, and as much again for each other queue with requests, since the queues are served in turn.
 func (q *fairQueues) costAhead(request *trackedRequest) float64 {
 	tenant, queue := request.queuePlace.tenant, request.queuePlace.queue
-	// The queue's start tag is that far ahead of the virtual time, and the other queues that hold requests advance alike.
+	// The queue is served when the virtual time reaches its start tag. Until then, every other queue that has requests is served
+	// about as much cost as this distance.
 	tagDistance := queue.flow.startTag - tenant.queueScheduler.virtualTime
 	aheadInQueue := max(0, tagDistance+queue.costThrough(request)-request.cost)
 	return min(tenant.waitingCost-request.cost, aheadInQueue*float64(len(tenant.queueScheduler.active)))
 }
 
-// shareOfRate returns the part of a rate that a tenant gets while all tenants that have requests waiting get theirs.
+// shareOfRate returns the tenant's share of a rate, by weight, among this tenant and all tenants that have waiting requests.
 func (q *fairQueues) shareOfRate(tenantIndex int, rate float64) float64 {
 	totalWeight := 0.0
 	for _, entry := range q.tenantScheduler.active {
