--- a/internal/admission/calendar.go
+++ b/internal/admission/calendar.go
@@ -1,13 +1,14 @@
 package admission
 
-// calendarSlots divide the longest Retry-After time. A calendar has one slot more, since the current one has partly passed.
+// calendarSlots is the number of slots that the longest Retry-After time is divided into. A calendar has one slot more, since
+// the current slot has partly passed.
 const calendarSlots = 32
 
-// calendar is the reserved cost of one tenant by slot of time, as a ring. Slots are numbered from time 0. reservationTable owns
-// it and advances it before it reads or changes it.
+// calendar holds the reserved cost of one tenant in each time slot, as a ring buffer. Slot 0 starts at time 0. reservationTable
+// owns the calendar, and advances it before reading or changing it.
 type calendar struct {
 	costs     [calendarSlots + 1]float64
-	firstSlot int64 // the slots before this one are cleared
+	firstSlot int64 // earlier slots have been cleared
 }
 
 // advance clears the slots that have passed.
@@ -21,7 +22,7 @@
 // at returns the reserved cost of a slot.
 func (c *calendar) at(slot int64) *float64 { return &c.costs[slot%int64(len(c.costs))] }
 
-// release gives back a reserved cost, unless its slot has been cleared.
+// release subtracts a cost from the reserved cost of a slot, unless the slot has been cleared.
 func (c *calendar) release(slot int64, cost float64) {
 	if slot >= c.firstSlot {
 		reserved := c.at(slot)
@@ -29,7 +30,7 @@
 	}
 }
 
-// total returns the cost that is reserved in all slots that have not been cleared.
+// total returns the sum of the reserved costs of all slots that have not been cleared.
 func (c *calendar) total() float64 {
 	total := 0.0
 	for _, cost := range c.costs {
--- a/internal/admission/client_queue.go
+++ b/internal/admission/client_queue.go
@@ -1,10 +1,10 @@
 package admission
 
-// clientQueue is one queue of a tenant, a flow among the tenant's queues. It serves its requests by priority, and those of one
-// priority in the order of their arrival. fairQueues owns it.
+// clientQueue is one queue of a tenant, and a flow in the tenant's queueScheduler. It serves its requests by priority, and requests
+// of the same priority in the order of their arrival. fairQueues owns it.
 type clientQueue struct {
 	flow       fairFlow[*clientQueue]
-	priorities []requestList // served in this order; nil until the queue is first used
+	priorities []requestList // one list per priority, served in this order; nil until the queue is first used
 	length     int
 	cost       float64
 }
@@ -16,24 +16,24 @@
 	q.flow.heapIndex = -1
 }
 
-// append puts a request behind those of its priority.
+// append adds a request behind all others of its priority.
 func (q *clientQueue) append(request *trackedRequest) {
 	q.priorities[request.queuePlace.priority].append(request)
 	q.length++
 	q.cost += request.cost
 }
 
-// remove takes a request out of the queue.
+// remove removes a request from the queue.
 func (q *clientQueue) remove(request *trackedRequest) {
 	q.priorities[request.queuePlace.priority].remove(request)
 	q.length--
 	q.cost -= request.cost
 	if q.length == 0 {
-		q.cost = 0 // rounding errors must not add up
+		q.cost = 0 // so that rounding errors do not accumulate
 	}
 }
 
-// first returns the request that the queue serves next; nil: it is empty.
+// first returns the request that the queue serves next, or nil if the queue is empty.
 func (q *clientQueue) first() *trackedRequest {
 	for i := range q.priorities {
 		if request := q.priorities[i].head; request != nil {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// last returns the request that the queue would serve last; nil: it is empty.
+// last returns the request that the queue would serve last, or nil if the queue is empty.
 func (q *clientQueue) last() *trackedRequest {
 	for i := len(q.priorities) - 1; i >= 0; i-- {
 		if request := q.priorities[i].tail; request != nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// costThrough returns the cost of the requests that the queue serves before a request, and of the request itself.
+// costThrough returns the total cost of a request and of all requests that the queue serves before it.
 func (q *clientQueue) costThrough(request *trackedRequest) float64 {
 	if q.isKnownLast(request) {
 		return q.cost
@@ -70,7 +70,8 @@
 	return cost
 }
 
-// isKnownLast returns whether a request is known, without a search, to be the last one that the queue serves.
+// isKnownLast reports whether a request is found, without searching the lists, to be the last one that the queue serves. It may
+// miss a last request of a higher priority.
 func (q *clientQueue) isKnownLast(request *trackedRequest) bool {
 	priority := request.queuePlace.priority
 	return priority+1 == len(q.priorities) && q.priorities[priority].tail == request
--- a/internal/admission/command.go
+++ b/internal/admission/command.go
@@ -1,14 +1,14 @@
 package admission
 
-// CommandKind says what a Command asks of its caller.
+// CommandKind says what the caller has to do with a request.
 type CommandKind int
 
 const (
 	// Admit hands the request to the dispatcher.
 	Admit CommandKind = iota
-	// Reject answers the client with RetryAfter as the time after which it may try again.
+	// Reject rejects the request. The client may retry after the time RetryAfter.
 	Reject
-	// Coalesce gives the request the same answer as the request in progress that LeaderID names.
+	// Coalesce answers the request with the answer to the request LeaderID, which is in progress.
 	Coalesce
 )
 
@@ -16,13 +16,13 @@
 type Reason int
 
 const (
-	// NoReason stands in a Command that rejects nothing.
+	// NoReason is the reason in a Command that is not a rejection.
 	NoReason Reason = iota
-	// TooLate means that the request would not be admitted before its wait deadline.
+	// TooLate means that the request was not, or is not expected to be, admitted before its wait deadline.
 	TooLate
-	// NoCapacity means that a limit is reached and the request's tenant is the one furthest over its share.
+	// NoCapacity means that a limit is exceeded and that the request's tenant has the highest waiting cost for its weight.
 	NoCapacity
-	// Replaced means that a retry of the request has taken its place.
+	// Replaced means that a later attempt has replaced the request.
 	Replaced
 	// Draining means that the process is shutting down.
 	Draining
@@ -37,7 +37,7 @@
 type Command struct {
 	Kind       CommandKind
 	ID         uint64
-	LeaderID   uint64 // of a Coalesce
-	RetryAfter Micros // of a Reject; 0: the client is given no time
-	Reason     Reason // of a Reject
+	LeaderID   uint64 // for Coalesce: the request whose answer is shared
+	RetryAfter Micros // for Reject: the time until the client may retry; 0 if the client is sent none
+	Reason     Reason // for Reject
 }
--- a/internal/admission/concurrency_limit.go
+++ b/internal/admission/concurrency_limit.go
@@ -3,44 +3,47 @@
 import "math"
 
 const (
-	// initialAdmissionLimit, in requests, is where slow start begins.
+	// initialAdmissionLimit, in requests, is the limit at the beginning of slow start.
 	initialAdmissionLimit = 32
-	// slowStartFactor multiplies the limit in a round of slow start in which it was reached.
+	// slowStartFactor multiplies the limit after each round of slow start in which it was reached.
 	slowStartFactor = 2
-	// roundInterval lets some requests finish in each round even of a small deployment, and reacts to congestion well inside any
-	// latency objective.
+	// roundInterval is the length of a round. In this time some requests finish even in a small deployment, and the limit reacts
+	// to congestion well within any latency objective.
 	roundInterval = 100 * millisecond
-	// maxRejectedRatio of the finished requests may have been rejected by endpoints; single rejections may be due to the request.
+	// maxRejectedRatio is the highest ratio of rejected to finished requests that does not lower the limit. Single rejections may
+	// be due to the requests themselves.
 	maxRejectedRatio = 0.1
-	// maxDecreaseFraction of the limit is taken away when all finished requests were rejected.
+	// maxDecreaseFraction is the fraction by which the limit decreases if all finished requests were rejected.
 	maxDecreaseFraction = 0.3
-	// increaseFraction is added to the limit in a round in which it was reached.
+	// increaseFraction is the fraction by which the limit increases, after slow start, in each round in which it was reached.
 	increaseFraction = 0.05
-	// headroomFraction of the limit is available on top of it to clients that return at their reserved time.
+	// headroomFraction is the fraction of the limit that clients returning at their reserved time may use beyond the limit.
 	headroomFraction = 0.1
-	// extraHeadroom, in requests, comes on top, so that the smallest limit, too, has room for two clients that return together.
+	// extraHeadroom, in requests, is added to this headroom, so that two clients can return together even at the smallest limit.
 	extraHeadroom = 1
 )
 
-// Some requests in progress have always not been sent: no endpoint in their group takes them, a cap on a release's traffic
-// holds them, or they are on the way between two goroutines. The surplus shows that the dispatcher is never short of requests.
+// At any time some requests in progress have not been sent: no endpoint in their group accepts them, a cap on a release's traffic
+// holds them back, or they are on the way between two goroutines. As long as there are some, the dispatcher is not short of
+// requests.
 const (
-	// unsentFraction of the limit may be in progress without having been sent. As a fraction of the requests in progress
-	// instead, it would bring the limit down to the demand while there is little load.
+	// unsentFraction is the fraction of the limit that may be in progress without having been sent. A fraction of the requests
+	// in progress would reduce the limit to the demand whenever there is little load.
 	unsentFraction = 0.05
-	// minUnsentAllowance, in requests, is the least number that may be: some tens of milliseconds of a small deployment's work.
-	// With hardly any, a dispatcher that had lowered all its endpoints' limits would be given too few requests to raise them again.
+	// minUnsentAllowance, in requests, is the least number of requests that may be in progress without having been sent. It is
+	// some tens of milliseconds of work for a small deployment. If it were much smaller, a dispatcher that has lowered the limits
+	// of all its endpoints would get too few requests to raise them again.
 	minUnsentAllowance = 16.0
 )
 
-// concurrencyLimit decides how many requests may be in progress, from what the dispatcher does with them. The requests that it
-// has sent are what the endpoints take now, at whatever response time, as it holds each endpoint to what its response times
-// allow. Requests that it cannot send are too many. Response times alone would mistake endpoints that slow down for a
-// queue that builds up, and starve them.
+// concurrencyLimit decides how many requests may be in progress, based on how many of them the dispatcher sends. The dispatcher
+// limits each endpoint according to its response times, so the number of sent requests is what the endpoints can handle at
+// present, whatever their response time is. Requests that the dispatcher cannot send are too many. A limit based on response
+// times alone would mistake endpoints that slow down for a growing queue, and would give them too few requests.
 //
-// The limit changes once a round and stands in between. It doubles each round in slow start, until a round shows that it is
-// too high; from then on it increases by a small fraction. The controller asks it before each admission, and reports
-// what happens to each request in progress.
+// The limit is adjusted once per round. In slow start it doubles in each round in which it was reached, until a round shows that
+// it is too high. After that it increases by a small fraction per round. The controller checks the limit before each admission,
+// and reports what happens to each request in progress.
 type concurrencyLimit struct {
 	current     float64
 	ceiling     float64
@@ -48,20 +51,20 @@
 
 	inProgress int
 	sent       int    // requests in progress that the dispatcher has sent to an endpoint
-	updatedAt  Micros // when inProgress and sent last changed
+	updatedAt  Micros // time of the last update of round.unsentTime
 
 	round limitRound
 }
 
-// limitRound is what was measured since the start of a round.
+// limitRound holds the measurements since the start of a round.
 type limitRound struct {
 	start          Micros
 	finishedCount  int
-	rejectedCount  float64
-	unsentTime     float64 // requests in progress that were not sent, times microseconds
+	rejectedCount  float64 // sent requests that were rejected
+	unsentTime     float64 // integral over time of the number of unsent requests in progress, in request-microseconds
 	peakSent       int
 	peakInProgress int
-	wasReached     bool
+	wasReached     bool // the limit was reached
 }
 
 func newConcurrencyLimit(ceiling float64) concurrencyLimit {
@@ -73,25 +76,25 @@
 	return int(max(1, min(l.current, l.ceiling)))
 }
 
-// hasCapacity returns whether one more request may be in progress.
+// hasCapacity reports whether one more request may be in progress.
 func (l *concurrencyLimit) hasCapacity() bool { return l.inProgress < l.value() }
 
-// hasReservedCapacity returns whether one more request with a reservation may be in progress.
+// hasReservedCapacity reports whether one more request with a reservation may be in progress.
 func (l *concurrencyLimit) hasReservedCapacity() bool {
 	headroom := extraHeadroom + int(math.Ceil(headroomFraction*l.current))
 	return l.inProgress < l.value()+headroom
 }
 
-// recordAdmission records that one more request is in progress.
+// recordAdmission records that a request has been admitted and is now in progress.
 func (l *concurrencyLimit) recordAdmission(now Micros) { l.observe(now, l.inProgress+1, l.sent) }
 
 // recordSent records that the dispatcher has sent a request in progress to an endpoint.
 func (l *concurrencyLimit) recordSent(now Micros) { l.observe(now, l.inProgress, l.sent+1) }
 
-// recordFinished records that a request is no longer in progress. A request that was sent and rejected in the end met
-// endpoints that are at their limits. One that the dispatcher rejected without sending it either waited unsent, which
-// counts by its time, or arrived too late to be worth sending, which says nothing about the limit: counted as a rejection,
-// late retries would lower the limit for everyone.
+// recordFinished records that a request is no longer in progress. A request that was sent and finally rejected has met endpoints
+// that are at their limits, so it counts as a rejection. A request that was rejected unsent does not: either it waited unsent,
+// which unsentTime already contains, or it was admitted too late to be worth sending, which says nothing about the limit. If
+// the latter counted as rejections, late retries would lower the limit for all requests.
 func (l *concurrencyLimit) recordFinished(now Micros, result Result, isSent bool) {
 	if isSent {
 		l.observe(now, l.inProgress-1, l.sent-1)
@@ -105,7 +108,8 @@
 	l.adjust(now)
 }
 
-// observe records how many requests are in progress from now on, and how many of them have been sent.
+// observe sets the number of requests in progress, and how many of them have been sent. It first adds the time since the last
+// update to unsentTime.
 func (l *concurrencyLimit) observe(now Micros, inProgress, sent int) {
 	elapsed := float64(now - l.updatedAt)
 	l.round.unsentTime += elapsed * float64(l.inProgress-l.sent)
@@ -117,13 +121,14 @@
 	l.round.wasReached = l.round.wasReached || inProgress >= l.value()
 }
 
-// tick closes a round in which no request finished.
+// tick ends the round if it is over, which is necessary when no requests finish. Waiting requests mean that the limit was
+// reached.
 func (l *concurrencyLimit) tick(now Micros, hasWaiting bool) {
 	l.round.wasReached = l.round.wasReached || hasWaiting
 	l.adjust(now)
 }
 
-// adjust changes the limit where the round is over, and starts the next one.
+// adjust adjusts the limit and starts the next round, if the current round is over.
 func (l *concurrencyLimit) adjust(now Micros) {
 	elapsed := now - l.round.start
 	if elapsed < roundInterval {
@@ -133,7 +138,7 @@
 	unsentAllowance := max(minUnsentAllowance, unsentFraction*l.current)
 	switch {
 	case l.round.unsentTime > unsentAllowance*float64(elapsed):
-		// The most that it had sent and the allowance beside it: never less than the endpoints take.
+		// The largest number of sent requests plus the allowance is never less than what the endpoints can handle.
 		l.current = min(l.current, float64(l.round.peakSent)+unsentAllowance)
 		l.inSlowStart = false
 	case l.round.rejectedRatio() > maxRejectedRatio:
@@ -146,7 +151,7 @@
 	l.round = limitRound{start: now, peakInProgress: l.inProgress, peakSent: l.sent}
 }
 
-// increased returns the limit after a round in which it was reached and not too high.
+// increased returns the limit after a round in which it was reached and was not too high.
 func (l *concurrencyLimit) increased() float64 {
 	if l.inSlowStart {
 		return slowStartFactor * l.current
@@ -154,7 +159,7 @@
 	return l.current + max(1, increaseFraction*l.current)
 }
 
-// rejectedRatio returns the part of the finished requests that was rejected.
+// rejectedRatio returns the ratio of rejected to finished requests.
 func (r *limitRound) rejectedRatio() float64 {
 	return min(1, r.rejectedCount/max(1, float64(r.finishedCount)))
 }
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -8,16 +8,17 @@
 	second             = 1000 * millisecond
 )
 
-// Config is what a Controller is created with. Only the tenants' weights may change later, by SetWeights.
+// Config is the configuration of a Controller. Only the tenants' weights may change later, by SetWeights.
 type Config struct {
-	Classes    []RequestClass // an Arrival names its class by the index here
-	Tenants    []Tenant       // an Arrival names its tenant by the index here; all others count as one more tenant
+	Classes    []RequestClass // Arrival.Class is an index into it
+	Tenants    []Tenant       // Arrival.Tenant is an index into it; all unknown tenants together count as one more
 	Limits     Limits
 	RetryAfter RetryAfterLimits
-	// CoalesceRetries gives a retry that arrives while an earlier attempt is in progress that attempt's answer, instead of
-	// letting it wait for the attempt's end.
+	// CoalesceRetries makes a retry that arrives while an earlier attempt is in progress share the answer of that attempt.
+	// Otherwise the retry waits until the attempt has finished.
 	CoalesceRetries bool
-	// Seed makes the random draws repeatable, and the clients' queues unknown to them.
+	// Seed seeds the random numbers, which makes them repeatable, and the hash that distributes clients over queues. As long as
+	// clients don't know the seed, they cannot choose their queues.
 	Seed int64
 }
 
@@ -26,17 +27,17 @@
 	LatencyObjective Micros
 	Timeout          Micros
 	PriorityWeight   float64
-	Keyed            bool // the key identifies one request, so an equal key marks a retry
+	Keyed            bool // Arrival.Key identifies one request, so a request with the same key is a retry of it
 }
 
-// Tenant is one customer of the service and its share of the whole.
+// Tenant is one customer of the service. Its share of the capacity is proportional to its weight.
 type Tenant struct{ Weight float64 }
 
-// Limits bounds the requests that are open at a time, waiting and in progress together.
+// Limits bounds the open requests, which are those waiting and those in progress.
 type Limits struct {
 	Requests int
-	Bytes    int64 // of their bodies
-	Queues   int   // per tenant; its clients are spread over them
+	Bytes    int64 // total size of the request bodies
+	Queues   int   // number of queues per tenant, over which its clients are distributed
 }
 
 const (
@@ -44,12 +45,12 @@
 	budgetDivisor = 4
 	// bodyDivisor gives request bodies half of admission control's memory.
 	bodyDivisor = 2
-	// bytesPerRequest is what one request takes beside its body: its connection and garbage included.
+	// bytesPerRequest is the memory that one request takes besides its body, including its connection and garbage.
 	bytesPerRequest = 64 << 10
 )
 
-// LimitsFor derives the limits from the process's memory budget, the number of upstream slots and the number of queues
-// for each tenant.
+// LimitsFor derives the limits from the process's memory budget in MiB, the number of upstream slots and the number of queues
+// per tenant.
 func LimitsFor(budgetMB, upstreamSlots, queues int) Limits {
 	admissionBytes := int64(budgetMB) << 20 / budgetDivisor
 	return Limits{
@@ -59,5 +60,5 @@
 	}
 }
 
-// RetryAfterLimits bounds the Retry-After times that are sent to rejected clients. With Max 0 none are sent.
+// RetryAfterLimits bounds the Retry-After times that are sent to rejected clients. If Max is 0, none are sent.
 type RetryAfterLimits struct{ Max Micros }
--- a/internal/admission/cost_estimator.go
+++ b/internal/admission/cost_estimator.go
@@ -3,35 +3,37 @@
 import "switchfork/internal/stats"
 
 const (
-	// initialCostDivisor of its class's latency objective is a request's cost until some have been measured.
+	// initialCostDivisor divides the latency objective of a class. The quotient is the mean cost of the class until requests of
+	// it have been measured.
 	initialCostDivisor = 8
-	// smoothingFactor is the weight of a new sample in an exponentially weighted moving average: it looks back over some
-	// fifty requests.
+	// smoothingFactor is the weight of a new sample in an exponentially weighted moving average, which therefore covers about the
+	// last fifty requests.
 	smoothingFactor = 0.02
-	// minHintFraction of its class's mean cost is the least that a cost hint counts for: a client that claims that all its
-	// requests are small gains four times its share at the most.
+	// minHintFraction is the fraction of the class's mean cost that a request is charged at least, even if its cost hint is lower.
+	// A client that claims that all its requests are small thus gains at most four times its share.
 	minHintFraction = 0.25
-	// minMeanCost in microseconds keeps a request's cost positive.
+	// minMeanCost, in microseconds, keeps the cost of a request positive.
 	minMeanCost = 1.0
 )
 
 const (
-	// maxWaitFraction of its latency objective is the longest that a request waits for admission.
+	// maxWaitFraction is the fraction of its latency objective that a request may wait for admission at most.
 	maxWaitFraction = 0.5
-	// responseTimeMultiple of the mean response time has to be left of the latency objective after the wait: a request
-	// admitted too late is given up after all, having cost an endpoint its work.
+	// responseTimeMultiple is how many mean response times have to remain of the latency objective after the wait. A request that
+	// is admitted with less time left is likely to be given up after an endpoint has worked on it.
 	responseTimeMultiple = 3.0
-	// minWaitFraction of its latency objective a request may wait however slow responses are.
+	// minWaitFraction is the fraction of its latency objective that a request may wait however slow responses are.
 	minWaitFraction = 0.05
 )
 
-// costEstimator estimates the cost of a request, which is the work that it takes an endpoint, in microseconds, and how long it
-// may wait: from the cost hints of clients and the response times of admitted requests. Costs are the unit of fair
-// queueing, of wait estimates and of reservations. The controller asks it for each arrival and reports each success.
+// costEstimator estimates the cost of a request, and how long the request may wait. The cost is the work of an endpoint on the
+// request, in microseconds. The estimates are based on the cost hints of clients and on the response times of admitted requests.
+// Fair queueing, wait estimates and reservations all count in cost. The controller asks for estimates on each arrival, and
+// reports each arrival and each success.
 type costEstimator struct {
 	classes          []RequestClass
 	meanCosts        []float64 // by class
-	meanResponseTime float64   // from admission to the answer, in microseconds
+	meanResponseTime float64   // over all classes, from admission to the answer, in microseconds
 }
 
 func newCostEstimator(classes []RequestClass) costEstimator {
@@ -43,7 +45,7 @@
 	return e
 }
 
-// estimate returns the cost that a request is charged: its hint, or else the mean of its class.
+// estimate returns the cost that a request is charged: its cost hint, or the mean cost of its class if it has none.
 func (e *costEstimator) estimate(arrival *Arrival) float64 {
 	meanCost := max(e.meanCosts[arrival.Class], minMeanCost)
 	if arrival.CostHint > 0 {
@@ -66,8 +68,8 @@
 	}
 }
 
-// recordResponseTime updates the means with a request that succeeded. Its class's mean cost already contains the hint where
-// the client gave one.
+// recordResponseTime updates the mean response time, and the mean cost of the request's class, after a request has succeeded. If
+// the client gave a cost hint, recordArrival has already updated the mean cost with it.
 func (e *costEstimator) recordResponseTime(arrival *Arrival, responseTime Micros) {
 	if arrival.CostHint == 0 {
 		e.updateMeanCost(arrival.Class, responseTime)
--- a/internal/admission/drain.go
+++ b/internal/admission/drain.go
@@ -1,16 +1,17 @@
 package admission
 
-// drain is the announced end of the process. The controller asks it whenever it decides how long a request may wait.
+// drain holds the time at which the process is going to shut down. The controller takes it into account whenever it decides how
+// long a request may wait.
 type drain struct {
-	deadline Micros // 0: no end is announced
+	deadline Micros // 0 if no shutdown has been announced
 }
 
 func (d *drain) announce(deadline Micros) { d.deadline = max(deadline, 1) }
 
 func (d *drain) isAnnounced() bool { return d.deadline > 0 }
 
-// isOver reports whether the process ends now.
+// isOver reports whether the deadline has been reached.
 func (d *drain) isOver(now Micros) bool { return d.isAnnounced() && now >= d.deadline }
 
-// endsBefore reports whether the process ends before a time.
+// endsBefore reports whether the deadline is earlier than the given time.
 func (d *drain) endsBefore(at Micros) bool { return d.isAnnounced() && at > d.deadline }
--- a/internal/admission/fair_scheduler.go
+++ b/internal/admission/fair_scheduler.go
@@ -1,42 +1,43 @@
 package admission
 
-// fairFlow is one of the flows that share a fairScheduler: a tenant, or one queue of a tenant.
+// fairFlow is one of the flows that a fairScheduler orders: a tenant, or one queue of a tenant.
 type fairFlow[T any] struct {
 	startTag  float64
 	finishTag float64
-	heapIndex int // in the scheduler's heap; -1: the flow has no request
+	heapIndex int // in the scheduler's heap; -1 if the flow has no requests
 	owner     T
 }
 
-// fairScheduler orders flows by start-time fair queueing (SFQ). A flow's start tag is the later of the virtual time and its own
-// last finish tag, so that an idle flow gains no credit. The flow with the lowest start tag is served next and is charged
-// its request's cost over its weight.
+// fairScheduler orders flows by start-time fair queueing (SFQ). The start tag of a flow is the later of the virtual time and the
+// flow's last finish tag, so that an idle flow gains no credit. The flow with the lowest start tag is served next, and is charged
+// the cost of its request divided by its weight.
 //
-// The flows that have a request stand in a d-ary heap that holds copies of their start tags, so that ordering thousands of flows
-// touches few cache lines, and none of the flows themselves, which are scattered over memory.
+// Flows that have requests are kept in a d-ary heap, which holds copies of their start tags. Ordering thousands of flows then
+// touches few cache lines, and does not read the flows themselves, which are scattered over memory.
 type fairScheduler[T any] struct {
 	virtualTime float64
 	active      []heapEntry[T]
 }
 
 type heapEntry[T any] struct {
-	startTag float64 // the flow's, copied here so that a comparison stays within the heap's memory
+	startTag float64 // copy of the flow's start tag, so that a comparison reads only the heap
 	flow     *fairFlow[T]
 }
 
 const (
-	// heapArity is the number of children of each heap entry: four entries fill one cache line.
+	// heapArity is the number of children of each heap entry. Four entries fill one cache line.
 	heapArity = 4
-	// initialHeapCapacity bounds the memory of a heap that holds few flows at a time.
+	// initialHeapCapacity, in flows, is the largest capacity that a heap starts with. It bounds the memory of heaps that hold
+	// few flows at a time.
 	initialHeapCapacity = 64
 )
 
-// newFairScheduler creates a scheduler for a number of flows.
+// newFairScheduler creates a scheduler for the given number of flows.
 func newFairScheduler[T any](flows int) fairScheduler[T] {
 	return fairScheduler[T]{active: make([]heapEntry[T], 0, min(flows, initialHeapCapacity))}
 }
 
-// activate adds a flow that has got a request.
+// activate adds a flow that now has a request.
 func (s *fairScheduler[T]) activate(flow *fairFlow[T]) {
 	flow.startTag = max(s.virtualTime, flow.finishTag)
 	s.active = append(s.active, heapEntry[T]{flow.startTag, flow})
@@ -44,14 +45,14 @@
 	s.siftUp(flow.heapIndex)
 }
 
-// deactivate removes a flow that has no request left, without a charge.
+// deactivate removes a flow that has no requests left, without charging it.
 func (s *fairScheduler[T]) deactivate(flow *fairFlow[T]) {
 	if flow.heapIndex >= 0 {
 		s.remove(flow)
 	}
 }
 
-// charge accounts for a request of a flow that is served; hasMore says whether the flow has another one.
+// charge charges a flow the cost of a request that is served. hasMore says whether the flow has more requests.
 func (s *fairScheduler[T]) charge(flow *fairFlow[T], cost float64, hasMore bool) {
 	if flow.heapIndex < 0 {
 		flow.finishTag = max(s.virtualTime, flow.finishTag) + cost
@@ -67,7 +68,7 @@
 	s.reposition(flow)
 }
 
-// reposition moves a flow to where its start tag belongs now.
+// reposition restores the heap order after the start tag of a flow has changed.
 func (s *fairScheduler[T]) reposition(flow *fairFlow[T]) {
 	entry := &s.active[flow.heapIndex]
 	previousTag := entry.startTag
@@ -79,7 +80,7 @@
 	}
 }
 
-// remove takes a flow out of the heap; the last entry fills its place.
+// remove removes a flow from the heap. The last entry takes its place.
 func (s *fairScheduler[T]) remove(flow *fairFlow[T]) {
 	index, last := flow.heapIndex, len(s.active)-1
 	moved := s.active[last]
--- a/internal/admission/free_list.go
+++ b/internal/admission/free_list.go
@@ -1,9 +1,10 @@
 package admission
 
-// freeList keeps records that are not needed any more for their next use, so that steady traffic allocates none.
+// freeList keeps unused records for reuse, so that steady traffic causes no allocations.
 type freeList[T any] []*T
 
-// take returns the record that was put in last, or a new one. A record that was used before has its fields as they were.
+// take removes and returns the record that was put in last, or returns a new one if the list is empty. The fields of a reused
+// record still have their old values.
 func (l *freeList[T]) take() *T {
 	last := len(*l) - 1
 	if last < 0 {
@@ -14,5 +15,5 @@
 	return record
 }
 
-// put makes a record available. Its fields stay as they are until it is taken.
+// put makes a record available for reuse. Its fields keep their values until it is taken.
 func (l *freeList[T]) put(record *T) { *l = append(*l, record) }
--- a/internal/admission/rate_estimator.go
+++ b/internal/admission/rate_estimator.go
@@ -1,28 +1,28 @@
 package admission
 
 const (
-	// throughputWindow is long enough that single requests don't move the measured throughput, and short enough to follow
-	// endpoints that slow down.
+	// throughputWindow is the time over which throughput is measured. It is long enough that single requests don't change the
+	// result much, and short enough to follow endpoints that slow down.
 	throughputWindow = 1 * second
-	// minAdmissionRate, in cost a microsecond, keeps divisions by the rate finite.
+	// minAdmissionRate, in cost per microsecond, keeps divisions by the rate finite.
 	minAdmissionRate = 1e-9
 )
 
 // notBacklogged is the value of backloggedSince while no request waits.
 const notBacklogged Micros = -1
 
-// rateEstimator estimates at what rate cost can be admitted: from the cost that was admitted over a sliding window, the cost in
-// progress, and for how long requests have been waiting. The controller reports each admission and each end of a request, and
-// uses the rate for wait estimates and reservations.
+// rateEstimator estimates the rate at which cost can be admitted. It uses the cost that was admitted over a sliding window, the
+// cost in progress, and how long there has been a backlog of waiting requests. The controller reports each admission and each
+// finished request, and uses the rate for wait estimates and reservations.
 type rateEstimator struct {
 	throughput      throughputMeter
 	inProgressCost  float64
-	backloggedSince Micros // start of the time for which requests have been waiting
+	backloggedSince Micros // since when at least one request has been waiting, or notBacklogged
 }
 
 func newRateEstimator() rateEstimator { return rateEstimator{backloggedSince: notBacklogged} }
 
-// recordAdmission records that a request of the given cost is in progress from now on.
+// recordAdmission records that a request of the given cost has been admitted.
 func (e *rateEstimator) recordAdmission(now Micros, cost float64) {
 	e.inProgressCost += cost
 	e.throughput.add(now, cost)
@@ -31,7 +31,7 @@
 // recordFinished records that a request of the given cost is no longer in progress.
 func (e *rateEstimator) recordFinished(cost float64) { e.inProgressCost -= cost }
 
-// recordBacklog records whether requests wait from now on.
+// recordBacklog records whether any request is waiting.
 func (e *rateEstimator) recordBacklog(now Micros, hasWaiting bool) {
 	switch {
 	case !hasWaiting:
@@ -41,9 +41,9 @@
 	}
 }
 
-// rate returns the cost a microsecond that can be admitted. While requests have waited for a whole window, that is what was
-// admitted; before, less was admitted than could have been, and the rate is at least what is in progress over the time
-// that it takes.
+// rate returns the cost per microsecond that can be admitted. If there has been a backlog for a whole window, this is the measured
+// throughput. Otherwise less may have been admitted than would have been possible, so the rate is at least the cost in progress
+// divided by the mean response time.
 func (e *rateEstimator) rate(now Micros, meanResponseTime float64) float64 {
 	rate := e.throughput.rateAt(now)
 	if !e.isBackloggedForWindow(now) {
@@ -56,7 +56,7 @@
 	return e.backloggedSince != notBacklogged && now-e.backloggedSince >= throughputWindow
 }
 
-// throughputMeter measures the admitted cost a microsecond over a sliding window.
+// throughputMeter measures the admitted cost per microsecond over a sliding window.
 type throughputMeter struct {
 	updatedAt Micros
 	rate      float64
@@ -67,7 +67,8 @@
 	m.updatedAt = now
 }
 
-// rateAt decays linearly, which between two requests is as good as an exponential.
+// rateAt returns the rate at a time. Since the last request it has decayed linearly, which is as good as an exponential decay
+// over the short time between two requests.
 func (m *throughputMeter) rateAt(now Micros) float64 {
 	return m.rate * max(0, 1-float64(now-m.updatedAt)/float64(throughputWindow))
 }
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -3,12 +3,12 @@
 // Arrival describes a request that has just arrived.
 type Arrival struct {
 	ID       uint64
-	Tenant   int    // index of the tenant; any index that was not configured counts as the one unknown tenant
+	Tenant   int    // index into Config.Tenants; all other indices count as one unknown tenant
 	Client   uint64 // hash of the client's identity
-	Class    int    // index of the request class
-	Key      uint64 // hash of the idempotency key, or of the object that the request concerns; 0: none
-	IsRetry  bool   // the client marked it as a retry
-	CostHint Micros // the client's estimate of the work; 0: none
+	Class    int    // index into Config.Classes
+	Key      uint64 // hash of the idempotency key, or of the object that the request concerns; 0 if it has neither
+	IsRetry  bool   // the client marked the request as a retry
+	CostHint Micros // the client's estimate of the work; 0 if it gave none
 	Deadline Micros
 	Bytes    int // size of the body
 }
@@ -19,11 +19,11 @@
 const (
 	// Succeeded means that the client got an answer.
 	Succeeded Result = iota
-	// Rejected means that the dispatcher found no endpoint that would take the request.
+	// Rejected means that the dispatcher found no endpoint that accepted the request.
 	Rejected
-	// Failed means that the request was attempted and no answer came.
+	// Failed means that the request was attempted and no endpoint answered it.
 	Failed
-	// ClientGone means that the client has left.
+	// ClientGone means that the client no longer waits for the answer.
 	ClientGone
 	resultCount
 )
@@ -33,24 +33,24 @@
 
 const (
 	stateWaiting    requestState = iota // in a queue
-	stateFollowing                      // a retry that waits for its earlier attempt, which is in progress
+	stateFollowing                      // a retry that waits for an earlier attempt in progress to finish
 	stateInProgress                     // admitted, not finished
 )
 
-// trackedRequest is the controller's record of one request, from its arrival until it is answered. The controller owns it
-// all but the places, which belong to the parts that hold the request.
+// trackedRequest is the controller's record of one request, from its arrival until it is answered. The controller owns its
+// fields, except those that are marked as owned by another component.
 type trackedRequest struct {
 	Arrival
 	state        requestState
 	retryKey     uint64  // equal for all attempts of one request
 	cost         float64 // work, in microseconds
-	firstArrival Micros  // arrival of the first attempt whose place in the queue this one holds
-	waitDeadline Micros  // rejected if not admitted by then
+	firstArrival Micros  // arrival of the first attempt; a retry that replaces a queued attempt inherits it
+	waitDeadline Micros  // the request is rejected if it is not admitted by then
 	admittedAt   Micros
-	isSent       bool // the dispatcher has sent it to an endpoint
+	isSent       bool // the dispatcher has sent the request to an endpoint
 
 	queuePlace queuePlace      // owned by fairQueues
 	wheelPlace wheelPlace      // owned by timingWheel
-	follower   *trackedRequest // the retry that waits for this one; owned by waitingRequests, as leader
-	leader     *trackedRequest // the earlier attempt that this one waits for
+	follower   *trackedRequest // the retry that waits for this request to finish; owned by waitingRequests
+	leader     *trackedRequest // the earlier attempt that this request waits for; owned by waitingRequests
 }
--- a/internal/admission/request_list.go
+++ b/internal/admission/request_list.go
@@ -1,19 +1,20 @@
 package admission
 
-// requestList holds the requests of one queue and priority in the order of their arrival, linked by their queue places.
+// requestList is a doubly linked list of the requests of one queue and priority, in the order of their arrival. The links are in
+// trackedRequest.queuePlace.
 type requestList struct {
 	head *trackedRequest
 	tail *trackedRequest
 }
 
-// append puts a request at the end of the list.
+// append adds a request at the end of the list.
 func (l *requestList) append(request *trackedRequest) {
 	request.queuePlace.previous = l.tail
 	request.queuePlace.next = nil
 	l.link(request)
 }
 
-// remove takes a request out of the list.
+// remove removes a request from the list.
 func (l *requestList) remove(request *trackedRequest) {
 	place := &request.queuePlace
 	if place.previous != nil {
@@ -30,14 +31,14 @@
 	place.next = nil
 }
 
-// replace puts a request into the place of another one.
+// replace puts a request in the place of an old one, whose links stay as they are.
 func (l *requestList) replace(old, request *trackedRequest) {
 	request.queuePlace.previous = old.queuePlace.previous
 	request.queuePlace.next = old.queuePlace.next
 	l.link(request)
 }
 
-// link makes a request's neighbours, or the ends of the list, point to it.
+// link makes the neighbours of a request point to it. Where it has no neighbour, it becomes the head or the tail.
 func (l *requestList) link(request *trackedRequest) {
 	if previous := request.queuePlace.previous; previous != nil {
 		previous.queuePlace.next = request
--- a/internal/admission/request_records.go
+++ b/internal/admission/request_records.go
@@ -1,7 +1,7 @@
 package admission
 
-// requestRecords holds the records of all requests that are not answered yet, and sums up the size of their bodies. It decides
-// nothing. The controller adds a request on its arrival and releases it with its answer.
+// requestRecords holds the records of all open requests, and the total size of their bodies. The controller adds a request on its
+// arrival and releases it when it has been answered.
 type requestRecords struct {
 	byID      map[uint64]*trackedRequest
 	free      freeList[trackedRequest]
@@ -12,10 +12,10 @@
 	return requestRecords{byID: map[uint64]*trackedRequest{}}
 }
 
-// get returns the record of a request; nil: it is not open.
+// get returns the record of a request, or nil if the request is not open.
 func (r *requestRecords) get(id uint64) *trackedRequest { return r.byID[id] }
 
-// add creates the record of an arrival.
+// add creates the record of an arriving request.
 func (r *requestRecords) add(arrival Arrival) *trackedRequest {
 	request := r.free.take()
 	*request = trackedRequest{Arrival: arrival}
@@ -24,7 +24,7 @@
 	return request
 }
 
-// release forgets a request that no other part of the controller holds any more, and frees its record for reuse.
+// release removes the record of a request and frees it for reuse. No other component may still hold the record.
 func (r *requestRecords) release(request *trackedRequest) {
 	r.bodyBytes -= int64(request.Bytes)
 	delete(r.byID, request.ID)
--- a/internal/admission/reservations.go
+++ b/internal/admission/reservations.go
@@ -6,39 +6,40 @@
 )
 
 const (
-	// reservableFraction of what its tenant's rate allows in a slot may be reserved: the rest is for the requests that wait and
-	// for errors of the estimate. A tenant that floods is then given the longest time without a reservation.
+	// reservableFraction is the fraction of a tenant's rate that may be reserved. The rest is left for waiting requests and for
+	// errors of the estimate. The clients of a tenant that floods therefore get the longest times, without a reservation.
 	reservableFraction = 0.5
-	// reservationGrace, beside a slot's width, is how long after its time of return a client is still on time: clients sleep at least as
-	// long as the Retry-After says, and the network adds its delay.
+	// reservationGrace is added to the width of a slot. The sum is how long after its return time a client is still on time:
+	// clients sleep at least as long as the Retry-After says, and the network adds its delay.
 	reservationGrace = 100 * millisecond
-	// earlyTolerance is how long before its time of return a client is on time already.
+	// earlyTolerance is how long before its return time a client is already on time.
 	earlyTolerance = 2 * millisecond
-	// minFallbackFraction of the longest Retry-After time is the least that is sent without a reservation; the rest is random,
-	// so that a thousand clients that were rejected together don't return together.
+	// minFallbackFraction is the fraction of the longest Retry-After time that is sent at least if there is no reservation. The
+	// rest is random, so that a thousand clients that were rejected together don't return together.
 	minFallbackFraction = 0.75
 )
 
-// reservation is capacity reserved for a rejected client at the end of the Retry-After that it was sent.
+// reservation is capacity reserved for a rejected client, for when its Retry-After time has passed.
 type reservation struct {
 	retryKey  uint64
 	tenant    int
 	cost      float64
-	slot      int64
-	returnAt  Micros
-	heapIndex int
+	slot      int64  // the calendar slot that contains returnAt
+	returnAt  Micros // when the Retry-After time ends
+	heapIndex int    // index into byReturnTime
 }
 
-// reservationTable decides the Retry-After of rejected requests and whether a client has returned on time: from the rate and the
-// waiting cost of the request's tenant and from what is reserved already. The time ahead of each tenant is a calendar of equal
-// slots, each of which takes the cost that the tenant's rate allows to be admitted meanwhile. A client that returns on time is
-// admitted ahead of the requests that wait. A reservation ends honored, missed for want of capacity, or unclaimed.
+// reservationTable decides the Retry-After time of each rejected request, and whether a client has returned on time. The time
+// depends on the rate and the waiting cost of the request's tenant, and on what is already reserved. Each tenant has a calendar
+// of time slots of equal width. A slot has room for the cost that the tenant's rate allows to be admitted during the slot. A
+// client that returns on time is admitted ahead of the waiting requests. A reservation is honored, missed if there is no capacity
+// when the client returns, given up if the client returns early, or unclaimed.
 //
-// The controller calls it for each rejection and each arrival; wait estimates take from it what is reserved for others.
+// The controller calls reservationTable for each rejection and each arrival. Wait estimates allow for the reserved cost.
 type reservationTable struct {
-	maxRetryAfter Micros // 0: clients are sent no Retry-After
+	maxRetryAfter Micros // 0 if clients are sent no Retry-After
 	slotWidth     Micros
-	capacity      int // reservations at a time
+	capacity      int // largest number of reservations at a time
 	random        *rand.Rand
 	calendars     []calendar // by tenant
 	byRetryKey    map[uint64]*reservation
@@ -46,17 +47,17 @@
 	free          freeList[reservation]
 }
 
-// claimResult says what an arriving request has reserved.
+// claimResult says whether an arriving request has a reservation, and whether it is on time.
 type claimResult int
 
 const (
 	// notReserved means that no capacity is reserved for the request.
 	notReserved claimResult = iota
-	// claimedEarly means that the client has returned before its time, which ends its reservation.
+	// claimedEarly means that the client has returned too early and has lost its reservation.
 	claimedEarly
-	// claimedOnTime means that the request may be admitted ahead of those that wait.
+	// claimedOnTime means that the request may be admitted ahead of the waiting requests.
 	claimedOnTime
-	// claimedLate means that the client has returned after its time, which ends its reservation.
+	// claimedLate means that the client has returned too late and has lost its reservation.
 	claimedLate
 )
 
@@ -73,10 +74,10 @@
 
 func (t *reservationTable) count() int { return len(t.byRetryKey) }
 
-// reserve returns the Retry-After time for a request that is rejected, and reserves capacity for its return where a slot has
-// some left, at the rate and behind the waiting cost of its tenant. It returns 0 where clients are sent no time.
+// reserve returns the Retry-After time for a rejected request, and reserves capacity for its return if a slot has enough left.
+// rate and waitingCost are those of its tenant. The time is 0 if clients are sent no Retry-After.
 func (t *reservationTable) reserve(now Micros, request *trackedRequest, rate, waitingCost float64) (retryAfter Micros, isReserved bool) {
-	unreserved := t.unreservedRetryAfter() // drawn for each rejection: the draws don't depend on what is reserved
+	unreserved := t.unreservedRetryAfter() // drawn for each rejection, whatever is reserved
 	if t.maxRetryAfter == 0 || t.count() >= t.capacity {
 		return unreserved, false
 	}
@@ -101,7 +102,7 @@
 	return max(1, granted.returnAt-now), true
 }
 
-// unreservedRetryAfter returns the Retry-After time for a request for which nothing is reserved.
+// unreservedRetryAfter returns a random Retry-After time for a request without a reservation.
 func (t *reservationTable) unreservedRetryAfter() Micros {
 	if t.maxRetryAfter == 0 {
 		return 0
@@ -109,7 +110,8 @@
 	return t.maxRetryAfter - Micros(t.random.Float64()*(1-minFallbackFraction)*float64(t.maxRetryAfter))
 }
 
-// findSlot returns the first slot with capacity left for a request, after the time that its tenant's waiting cost takes.
+// findSlot returns the first slot with enough capacity left for a request, out of those after the time that is estimated for the
+// waiting cost of its tenant.
 func (t *reservationTable) findSlot(now Micros, request *trackedRequest, rate, waitingCost float64) (slot int64, found bool) {
 	calendar := t.currentCalendar(request.Tenant, now)
 	backlog := Micros(min(waitingCost*(1-reservableFraction)/rate, float64(t.maxRetryAfter)))
@@ -127,7 +129,7 @@
 	return 0, false
 }
 
-// timeToServe returns how long a tenant needs for a cost at its rate, beside what is reserved.
+// timeToServe returns how long a tenant takes to serve a cost at its rate, apart from the cost that is reserved in each slot.
 func (t *reservationTable) timeToServe(now Micros, tenant int, cost, rate float64) Micros {
 	if t.count() == 0 {
 		return Micros(cost / rate)
@@ -152,14 +154,14 @@
 	return t.currentCalendar(tenant, now).total()
 }
 
-// currentCalendar returns a tenant's calendar after it has cleared the slots that have passed.
+// currentCalendar clears the slots of a tenant's calendar that have passed, and returns the calendar.
 func (t *reservationTable) currentCalendar(tenant int, now Micros) *calendar {
 	calendar := &t.calendars[tenant]
 	calendar.advance(now / t.slotWidth)
 	return calendar
 }
 
-// claim ends the reservation of an arriving request, if it has one. A client that returns early frees the reserved cost.
+// claim ends the reservation of an arriving request, if it has one. If the client is early, the reserved cost is released.
 func (t *reservationTable) claim(now Micros, retryKey uint64) claimResult {
 	claimed := t.byRetryKey[retryKey]
 	if claimed == nil {
@@ -176,7 +178,7 @@
 	return claimedOnTime
 }
 
-// expire ends the reservations that were not claimed in time and returns how many.
+// expire ends the reservations that were not claimed in time, and returns their number.
 func (t *reservationTable) expire(now Micros) (expiredCount int) {
 	for len(t.byReturnTime) > 0 && t.deadline(t.byReturnTime[0]) < now {
 		t.remove(t.byReturnTime[0])
@@ -185,12 +187,12 @@
 	return expiredCount
 }
 
-// deadline returns the last moment at which a reservation can be claimed.
+// deadline returns the last time at which a client is on time to claim a reservation.
 func (t *reservationTable) deadline(r *reservation) Micros {
 	return r.returnAt + t.slotWidth + reservationGrace
 }
 
-// nextDeadline returns when the first reservation will have expired; 0: there is none.
+// nextDeadline returns the time at which the next reservation expires, or 0 if there is none.
 func (t *reservationTable) nextDeadline() Micros {
 	if len(t.byReturnTime) == 0 {
 		return 0
@@ -198,14 +200,14 @@
 	return t.deadline(t.byReturnTime[0]) + 1
 }
 
-// remove ends a reservation. Its fields stay as they are until another reservation is made.
+// remove ends a reservation. The fields of the record keep their values until the next reservation is made.
 func (t *reservationTable) remove(ended *reservation) {
 	heap.Remove(&t.byReturnTime, ended.heapIndex)
 	delete(t.byRetryKey, ended.retryKey)
 	t.free.put(ended)
 }
 
-// reservationHeap orders reservations by their time of return; it implements heap.Interface.
+// reservationHeap orders reservations by their return time. It implements heap.Interface.
 type reservationHeap []*reservation
 
 func (h reservationHeap) Len() int           { return len(h) }
--- a/internal/admission/retries.go
+++ b/internal/admission/retries.go
@@ -1,6 +1,7 @@
 package admission
 
-// joinEarlierAttempt looks for an earlier attempt of an arriving request and joins it; it returns whether there was one.
+// joinEarlierAttempt looks for an earlier attempt of an arriving request. If there is one, the new attempt replaces it or follows
+// it. It reports whether there was one.
 func (c *Controller) joinEarlierAttempt(retry *trackedRequest) bool {
 	earlier := c.retries.earlierAttempt(retry)
 	if earlier == nil {
@@ -18,10 +19,10 @@
 	return true
 }
 
-// replaceWaiting gives a waiting request's place in its queue to a retry, and rejects the earlier attempt.
+// replaceWaiting puts a retry in the queue place of its earlier attempt, and rejects the earlier attempt.
 func (c *Controller) replaceWaiting(earlier, retry *trackedRequest) {
 	retry.firstArrival = earlier.firstArrival
-	// An earlier attempt that arrived past its own deadline has a wait deadline before its arrival, which must not bind the retry.
+	// An earlier attempt that arrived after its deadline has a wait deadline before its arrival, which must not apply to the retry.
 	retry.waitDeadline = min(max(earlier.waitDeadline, earlier.firstArrival), retry.Deadline)
 	c.waiting.replace(earlier, retry)
 	c.retries.register(retry)
@@ -29,8 +30,8 @@
 	c.requests.release(earlier)
 }
 
-// followInProgress attaches a retry to an earlier attempt that is in progress, since no request may be sent twice at a time:
-// the retry gets the same answer, or waits for the earlier attempt's end.
+// followInProgress attaches a retry to an earlier attempt that is in progress, because two attempts of a request must not be in
+// progress at the same time. The retry shares the answer, or waits until the earlier attempt has finished.
 func (c *Controller) followInProgress(leader, retry *trackedRequest) {
 	if previous := leader.follower; previous != nil {
 		c.reject(previous, Replaced)
@@ -48,7 +49,7 @@
 	c.waiting.follow(leader, retry)
 }
 
-// enqueueFollower puts the retry that waited for a finished request, if there is one, into the queue.
+// enqueueFollower puts the retry that has been waiting for a finished request, if there is one, into a queue.
 func (c *Controller) enqueueFollower(finished *trackedRequest) {
 	follower := finished.follower
 	if follower == nil {
--- a/internal/admission/status.go
+++ b/internal/admission/status.go
@@ -1,20 +1,20 @@
 package admission
 
-// Counters counts events since the start. No decision depends on them.
+// Counters counts events since the process started. No decision depends on them.
 type Counters struct {
 	Arrived   uint64
 	Admitted  uint64
-	Rejoined  uint64 // retries that joined an earlier attempt
-	Coalesced uint64 // of those, retries that share the earlier attempt's answer
+	Rejoined  uint64 // retries that replaced or followed an earlier attempt
+	Coalesced uint64 // those of the rejoined that share the earlier attempt's answer
 	Rejected  [reasonCount]uint64
 
 	Reserved              uint64
 	ReservationsHonored   uint64 // the client returned on time and was admitted at once
 	ReservationsMissed    uint64 // the client returned on time and had to wait
 	ReservationsUnclaimed uint64 // the client did not return on time
-	EarlyRetries          uint64 // the client returned before its time
+	EarlyRetries          uint64 // the client returned too early
 
-	Finished [resultCount]uint64 // requests that had been admitted, by result
+	Finished [resultCount]uint64 // admitted requests that have finished, by result
 }
 
 // Status is a snapshot of the controller for metrics and logs.
@@ -23,7 +23,7 @@
 	InProgress   int
 	Reservations int
 	Limit        float64 // the concurrency limit
-	Bytes        int64   // of the bodies of the requests that wait or are in progress
+	Bytes        int64   // total size of the bodies of open requests
 }
 
 // Status returns a snapshot of the controller.
@@ -40,9 +40,9 @@
 // TenantStatus is a snapshot of one tenant. Costs are in microseconds of work.
 type TenantStatus struct {
 	Waiting      int
-	Cost         float64 // of the requests that wait
-	AdmittedCost float64 // admitted since the start
-	ReservedCost float64 // reserved for times that have not come yet
+	Cost         float64 // of the waiting requests
+	AdmittedCost float64 // total since the process started
+	ReservedCost float64 // in the current slot and later ones
 }
 
 // Tenant returns a snapshot of the tenant with the given index.
--- a/internal/admission/timing_wheel.go
+++ b/internal/admission/timing_wheel.go
@@ -1,30 +1,31 @@
 package admission
 
 const (
-	// tickInterval is the granularity of wait deadlines, and how often the concurrency limit is looked at while a request waits:
-	// well inside any latency objective.
+	// tickInterval is the granularity of wait deadlines, and how often the concurrency limit is checked while any request waits.
+	// It is short compared with any latency objective.
 	tickInterval = 10 * millisecond
-	// timingWheelSlots of a tick each make ten seconds; a request with a later deadline is passed over until its tick comes.
+	// timingWheelSlots is the number of slots of one tick each, which together cover ten seconds. A request with a later deadline
+	// is skipped until its tick is due.
 	timingWheelSlots = 1024
 )
 
-// timingWheel decides when a waiting request has waited for too long: it holds the waiting requests by their wait deadlines in a
-// list for each tick, so that adding and removing cost the same however many requests wait. A request expires up to two ticks
-// before its deadline and never after it. waitingRequests adds and removes requests; the controller lets them expire.
+// timingWheel finds the waiting requests whose wait deadline has come. It has a list of requests for each tick, so that adding and
+// removing take the same time however many requests wait. A request expires up to two ticks before its deadline, and never after
+// it. waitingRequests adds and removes requests; the controller calls expire.
 type timingWheel struct {
-	slots         [timingWheelSlots]*trackedRequest
-	processedTick int64 // the last tick whose requests have expired
+	slots         [timingWheelSlots]*trackedRequest // head of the list of each slot
+	processedTick int64                             // the last tick whose requests have expired
 	count         int
 }
 
-// wheelPlace is where a timingWheel holds a request.
+// wheelPlace is the place of a request in a timingWheel.
 type wheelPlace struct {
-	tick     int64           // at which the request expires
-	previous *trackedRequest // in the list of its slot, as next
-	next     *trackedRequest
+	tick     int64           // the tick at which the request expires
+	previous *trackedRequest // in the list of its slot
+	next     *trackedRequest // in the list of its slot
 }
 
-// add puts a request in by its wait deadline.
+// add adds a request, which expires shortly before its wait deadline.
 func (w *timingWheel) add(request *trackedRequest) {
 	place := &request.wheelPlace
 	place.tick = max(request.waitDeadline/tickInterval-1, w.processedTick+1)
@@ -38,7 +39,7 @@
 	w.count++
 }
 
-// remove takes out a request, which has to be in the wheel.
+// remove removes a request, which has to be in the wheel.
 func (w *timingWheel) remove(request *trackedRequest) {
 	place := &request.wheelPlace
 	if place.previous != nil {
@@ -53,7 +54,7 @@
 	w.count--
 }
 
-// expire passes each request whose deadline is near to handle, which has to remove it from the wheel.
+// expire calls handle for each request that expires. handle has to remove the request from the wheel.
 func (w *timingWheel) expire(now Micros, handle func(*trackedRequest)) {
 	currentTick := now / tickInterval
 	if w.count > 0 {
@@ -75,7 +76,7 @@
 	}
 }
 
-// forEach passes every request to handle, which may remove it from the wheel.
+// forEach calls handle for each request. handle may remove the request from the wheel.
 func (w *timingWheel) forEach(handle func(*trackedRequest)) {
 	for i := range w.slots {
 		for request := w.slots[i]; request != nil; {
@@ -86,7 +87,7 @@
 	}
 }
 
-// nextTick returns when expire has to be called again; 0: no request is in the wheel.
+// nextTick returns the time at which expire has to be called again, or 0 if the wheel is empty.
 func (w *timingWheel) nextTick(now Micros) Micros {
 	if w.count == 0 {
 		return 0
--- a/internal/admission/waiting.go
+++ b/internal/admission/waiting.go
@@ -1,12 +1,12 @@
 package admission
 
-// waitingRequests holds every request that waits, with its wait deadline: the requests in the queues, and the retries that
-// follow an earlier attempt in progress. It keeps the two together and counts them; the queues decide the order. The
-// controller puts a request in when it cannot admit it at once, and takes it out to admit or to reject it.
+// waitingRequests holds all waiting requests, with their wait deadlines. These are the requests in the queues, and the retries
+// that follow an earlier attempt in progress. It counts them, and keeps queues and deadlines consistent. The queues decide the
+// order. The controller adds a request when it arrives, and removes it to admit or to reject it.
 type waitingRequests struct {
 	queues    fairQueues
 	deadlines timingWheel
-	count     int
+	count     int // queued requests and followers
 }
 
 // enqueue puts a request into its tenant's queues.
@@ -17,7 +17,7 @@
 	w.count++
 }
 
-// follow lets a retry wait for the end of its earlier attempt.
+// follow makes a retry wait until its earlier attempt, the leader, has finished.
 func (w *waitingRequests) follow(leader, retry *trackedRequest) {
 	leader.follower = retry
 	retry.leader = leader
@@ -26,14 +26,15 @@
 	w.count++
 }
 
-// enqueueFollower puts a retry whose earlier attempt has ended into its tenant's queues. Its wait deadline stays.
+// enqueueFollower puts a retry whose earlier attempt has finished into its tenant's queues. Its wait deadline does not change.
 func (w *waitingRequests) enqueueFollower(follower *trackedRequest) {
 	detachFollower(follower)
 	follower.state = stateWaiting
 	w.queues.enqueue(follower)
 }
 
-// next takes out the request that is served next and charges its flows; nil: no queue holds a request.
+// next removes the request to serve next, charges its queue and its tenant, and returns it. It returns nil if all queues are
+// empty.
 func (w *waitingRequests) next() *trackedRequest {
 	request := w.queues.next()
 	if request != nil {
@@ -42,13 +43,13 @@
 	return request
 }
 
-// takeAhead takes a request out of its queue ahead of its turn, and charges its flows as if it had been served.
+// takeAhead removes a request that is served out of turn. Its queue and its tenant are charged as usual.
 func (w *waitingRequests) takeAhead(request *trackedRequest) {
 	w.remove(request)
 	w.queues.charge(request)
 }
 
-// remove takes out a request that is not served. One that is in progress does not wait and is left as it is.
+// remove removes a waiting request without charging its queue and its tenant. It does nothing if the request is in progress.
 func (w *waitingRequests) remove(request *trackedRequest) {
 	switch request.state {
 	case stateWaiting:
@@ -61,7 +62,7 @@
 	w.forget(request)
 }
 
-// replace puts a request into the place of another one that waits in a queue.
+// replace puts a request in the place of an old one, which is queued.
 func (w *waitingRequests) replace(old, request *trackedRequest) {
 	request.state = stateWaiting
 	w.queues.replace(old, request)
@@ -69,11 +70,11 @@
 	w.deadlines.add(request)
 }
 
-// evictionCandidate returns the request to reject when a limit is reached; nil: none waits.
+// evictionCandidate returns the request to reject when a limit is exceeded, or nil if no request is waiting.
 func (w *waitingRequests) evictionCandidate() *trackedRequest {
 	candidate := w.queues.evictionCandidate()
 	if candidate == nil {
-		// Only retries that follow a request in progress are left.
+		// All queues are empty, so only retries that follow a request in progress are waiting.
 		w.deadlines.forEach(func(follower *trackedRequest) { candidate = follower })
 	}
 	return candidate
