--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -45,7 +45,7 @@
 		return false
 	}
 	c.Counters.ReservationsHonored++
-	c.waiting.takeAhead(request)
+	c.waiting.dequeueOutOfTurn(request)
 	c.admit(request)
 	return true
 }
@@ -66,7 +66,7 @@
 // admitWaiting admits waiting requests in fair order up to the concurrency limit.
 func (c *Controller) admitWaiting() {
 	for c.concurrency.hasCapacity() {
-		request := c.waiting.next()
+		request := c.waiting.dequeue()
 		if request == nil {
 			return
 		}
--- a/internal/admission/fair_queues.go
+++ b/internal/admission/fair_queues.go
@@ -138,9 +138,9 @@
 	return leastLoaded
 }
 
-// next removes the request to serve next, charges its queue and its tenant, and returns it. It returns nil if all queues are
+// dequeue removes the request to serve next, charges its queue and its tenant, and returns it. It returns nil if all queues are
 // empty.
-func (q *fairQueues) next() *trackedRequest {
+func (q *fairQueues) dequeue() *trackedRequest {
 	if len(q.tenantScheduler.active) == 0 {
 		return nil
 	}
--- a/internal/admission/waiting.go
+++ b/internal/admission/waiting.go
@@ -33,18 +33,18 @@
 	w.queues.enqueue(follower)
 }
 
-// next removes the request to serve next, charges its queue and its tenant, and returns it. It returns nil if all queues are
+// dequeue removes the request to serve next, charges its queue and its tenant, and returns it. It returns nil if all queues are
 // empty.
-func (w *waitingRequests) next() *trackedRequest {
-	request := w.queues.next()
+func (w *waitingRequests) dequeue() *trackedRequest {
+	request := w.queues.dequeue()
 	if request != nil {
 		w.forget(request)
 	}
 	return request
 }
 
-// takeAhead removes a request that is served out of turn. Its queue and its tenant are charged as usual.
-func (w *waitingRequests) takeAhead(request *trackedRequest) {
+// dequeueOutOfTurn removes the given request, which is served out of turn. Its queue and its tenant are charged as usual.
+func (w *waitingRequests) dequeueOutOfTurn(request *trackedRequest) {
 	w.remove(request)
 	w.queues.charge(request)
 }
--- a/internal/admission/waiting_test.go
+++ b/internal/admission/waiting_test.go
@@ -19,7 +19,7 @@
 	if waiting.count != 1 || waiting.deadlines.count != 1 || leader.follower != follower {
 		t.Errorf("%d wait, %d have a deadline, the leader's follower is %p; want the one follower", waiting.count, waiting.deadlines.count, leader.follower)
 	}
-	if next := waiting.next(); next != nil {
+	if next := waiting.dequeue(); next != nil {
 		t.Errorf("%+v is served next, want none while the earlier attempt is in progress", next)
 	}
 	if candidate := waiting.evictionCandidate(); candidate != follower {
@@ -29,7 +29,7 @@
 	if leader.follower != nil || follower.leader != nil {
 		t.Error("the two are still connected")
 	}
-	if next := waiting.next(); next != follower {
+	if next := waiting.dequeue(); next != follower {
 		t.Errorf("%p is served next, want the follower", next)
 	}
 	if waiting.count != 0 || waiting.deadlines.count != 0 {
@@ -41,8 +41,8 @@
 func TestWaitingRequestsAreTakenOutWhole(t *testing.T) {
 	for name, takeOut := range map[string]func(*waitingRequests, *trackedRequest){
 		"removed":     (*waitingRequests).remove,
-		"taken ahead": (*waitingRequests).takeAhead,
-		"served":      func(w *waitingRequests, _ *trackedRequest) { w.next() },
+		"taken ahead": (*waitingRequests).dequeueOutOfTurn,
+		"served":      func(w *waitingRequests, _ *trackedRequest) { w.dequeue() },
 		"replaced": func(w *waitingRequests, old *trackedRequest) {
 			replacement := &trackedRequest{cost: 3, waitDeadline: second}
 			w.replace(old, replacement)
@@ -57,7 +57,7 @@
 		waiting.enqueue(request)
 		takeOut(waiting, request)
 		tenant := waiting.queues.tenants[0]
-		if waiting.count+waiting.deadlines.count+tenant.waitingCount != 0 || tenant.waitingCost != 0 || waiting.next() != nil {
+		if waiting.count+waiting.deadlines.count+tenant.waitingCount != 0 || tenant.waitingCost != 0 || waiting.dequeue() != nil {
 			t.Errorf("%s: %d wait, %d have a deadline, %d are queued with a cost of %v; want none",
 				name, waiting.count, waiting.deadlines.count, tenant.waitingCount, tenant.waitingCost)
 		}
