--- a/internal/admission/calendar_test.go
+++ b/internal/admission/calendar_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// The calendar holds what was reserved in slots that have not passed, less what was released; the reference keeps a map.
+// The calendar holds the reserved cost, less the released cost, of all slots that have not passed. A map is the reference.
 func TestCalendarHoldsReservedCosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var reservedTime calendar
@@ -29,7 +29,7 @@
 				reservedTime.release(slot, cost)
 				want[slot] = max(0, want[slot]-cost)
 			case 2:
-				reservedTime.release(current-1, cost) // has passed
+				reservedTime.release(current-1, cost) // a slot that has passed
 			default:
 				*reservedTime.at(slot) += cost
 				want[slot] += cost
@@ -38,11 +38,11 @@
 			for slot, cost := range want {
 				total += cost
 				if got := *reservedTime.at(slot); got != cost {
-					t.Fatalf("slot %d holds %v, want %v", slot, got, cost)
+					t.Fatalf("slot %d: got cost %v, want %v", slot, got, cost)
 				}
 			}
 			if got := reservedTime.total(); got != total {
-				t.Fatalf("the calendar holds %v, want %v", got, total)
+				t.Fatalf("got total cost %v, want %v", got, total)
 			}
 		}
 	})
--- a/internal/admission/client_queue_test.go
+++ b/internal/admission/client_queue_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// A queue serves by priority and then by arrival, whatever is removed and replaced, and knows the cost up to each request.
+// A queue serves its requests by priority and then by arrival, whichever requests are removed, and returns the right cost through
+// each request.
 func TestClientQueueServesByPriorityAndArrival(t *testing.T) {
 	const priorityCount = 3
 	rapid.Check(t, func(t *rapid.T) {
@@ -43,21 +44,21 @@
 		first, last = served[0], served[len(served)-1]
 	}
 	if queue.first() != first || queue.last() != last || queue.length != len(served) {
-		t.Fatalf("the queue has %d requests from %v to %v, want %d from %v to %v", queue.length, queue.first(), queue.last(), len(served), first, last)
+		t.Fatalf("got %d requests, first %v, last %v, want %d, first %v, last %v", queue.length, queue.first(), queue.last(), len(served), first, last)
 	}
 	cost := 0.0
 	for _, request := range served {
 		cost += request.cost
 		if got := queue.costThrough(request); got != cost {
-			t.Fatalf("the cost through request %d is %v, want %v", request.ID, got, cost)
+			t.Fatalf("cost through request %d: got %v, want %v", request.ID, got, cost)
 		}
 	}
 	if queue.cost != cost {
-		t.Fatalf("the queue's cost is %v, want %v", queue.cost, cost)
+		t.Fatalf("cost of the queue: got %v, want %v", queue.cost, cost)
 	}
 }
 
-// A request that is replaced gives its place to the other one.
+// The replacement of a request takes its place in the list.
 func TestRequestListReplacesInPlace(t *testing.T) {
 	for replaced := range 3 {
 		var list requestList
@@ -79,7 +80,7 @@
 		}
 		slices.Reverse(backwards)
 		if !slices.Equal(forwards, want) || !slices.Equal(backwards, want) {
-			t.Errorf("place %d: the list is %v forwards and %v backwards, want %v", replaced, forwards, backwards, want)
+			t.Errorf("request %d replaced: got %v forwards and %v backwards, want %v", replaced, forwards, backwards, want)
 		}
 	}
 }
--- a/internal/admission/concurrency_limit_test.go
+++ b/internal/admission/concurrency_limit_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// The limit follows what the endpoints take: down when the dispatcher holds requests unsent, up again when it doesn't, at any
-// response time.
+// The limit follows the capacity of the endpoints at any response time: it decreases while the dispatcher has too many unsent
+// requests, and increases again when it hasn't.
 func TestConcurrencyLimitTracksCapacity(t *testing.T) {
 	for _, responseTime := range []Micros{20 * millisecond, 100 * millisecond} {
 		c := newTestController([]float64{1}, Limits{Requests: 4000, Bytes: 1 << 30, Queues: 8}, false)
@@ -45,21 +45,21 @@
 		}
 		runUntil(slots, 5*second)
 		if limit := c.Status().Limit; limit < 45 || limit > 90 {
-			t.Errorf("response time %d us, 50 at a time: the limit is %.0f", responseTime, limit)
+			t.Errorf("response time %d us, capacity 50: got limit %.0f, want 45 to 90", responseTime, limit)
 		}
 		runUntil(10, 12*second)
 		if limit := c.Status().Limit; limit < 9 || limit > 10+minUnsentAllowance+4 {
-			t.Errorf("response time %d us, 10 at a time: the limit is %.0f", responseTime, limit)
+			t.Errorf("response time %d us, capacity reduced to 10: got limit %.0f, want 9 to 30", responseTime, limit)
 		}
 		runUntil(50, 20*second)
 		if limit := c.Status().Limit; limit < 45 || limit > 90 {
-			t.Errorf("response time %d us, 50 again: the limit is %.0f", responseTime, limit)
+			t.Errorf("response time %d us, capacity back at 50: got limit %.0f, want 45 to 90", responseTime, limit)
 		}
 	}
 }
 
-// A limit that is reached doubles each round in slow start, until a sign that it is too high ends that; from then on it grows
-// slowly.
+// In slow start a limit that is reached doubles each round. A round that shows that it is too high ends slow start, after which it
+// grows slowly.
 func TestConcurrencyLimitLeavesSlowStart(t *testing.T) {
 	limit := newConcurrencyLimit(1000)
 	now := Micros(0)
@@ -76,16 +76,16 @@
 	}
 	closeRound(Succeeded)
 	if limit.current != 2*initialAdmissionLimit {
-		t.Errorf("after a round in slow start the limit is %v, want it doubled", limit.current)
+		t.Errorf("after a round in slow start: got limit %v, want it doubled", limit.current)
 	}
 	closeRound(Rejected)
 	decreased := limit.current
 	if limit.inSlowStart || decreased > 2*initialAdmissionLimit*(1-maxDecreaseFraction)+1 {
-		t.Errorf("after a round of rejections the limit is %v, in slow start: %t", decreased, limit.inSlowStart)
+		t.Errorf("after a round of rejections: got limit %v, in slow start %t, want it decreased and slow start ended", decreased, limit.inSlowStart)
 	}
 	closeRound(Succeeded)
 	if want := decreased * (1 + increaseFraction); limit.current != want {
-		t.Errorf("after slow start the limit grows from %v to %v, want %v", decreased, limit.current, want)
+		t.Errorf("after slow start, growing from limit %v: got %v, want %v", decreased, limit.current, want)
 	}
 }
 
@@ -97,6 +97,6 @@
 		limit.recordFinished(now, Rejected, false)
 	}
 	if limit.current != initialAdmissionLimit || !limit.inSlowStart {
-		t.Errorf("the limit is %v, in slow start: %t; want the initial one", limit.current, limit.inSlowStart)
+		t.Errorf("got limit %v, in slow start %t, want the initial limit in slow start", limit.current, limit.inSlowStart)
 	}
 }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -10,16 +10,16 @@
 	"pgregory.net/rapid"
 )
 
-// testController carries out a controller's commands and records what each request was answered, by its ID.
+// testController carries out a controller's commands and records the fate of each request. Its maps are by request ID.
 type testController struct {
 	*Controller
 	now          Micros
-	finalAnswers map[uint64]int
+	finalAnswers map[uint64]int  // number of final answers
 	unanswered   map[uint64]bool // arrived, without a final answer
 	inProgress   map[uint64]bool
-	coalesced    map[uint64][]uint64 // by the request whose answer they share
+	coalesced    map[uint64][]uint64 // IDs of the retries that share the request's answer
 	rejected     map[uint64]Command
-	admitted     []uint64 // in order of admission
+	admitted     []uint64 // IDs in the order of admission
 }
 
 // The classes that testClasses returns.
@@ -32,7 +32,7 @@
 // testTimeout is the timeout of all test classes.
 const testTimeout = 3 * second
 
-// testClasses returns an unkeyed class and a keyed one of a higher priority.
+// testClasses returns an unkeyed class and a keyed class of higher priority.
 func testClasses() []RequestClass {
 	return []RequestClass{
 		unkeyedClass: {LatencyObjective: second, Timeout: testTimeout, PriorityWeight: 1},
@@ -125,7 +125,7 @@
 	}
 }
 
-// drawKey draws one of a map's keys; found is false where it has none.
+// drawKey draws one of the keys of a map. found is false if the map is empty.
 func drawKey[V any](t *rapid.T, values map[uint64]V, label string) (key uint64, found bool) {
 	if len(values) == 0 {
 		return 0, false
@@ -148,30 +148,31 @@
 	}
 }
 
-// checkInvariants fails the test where a limit is exceeded, a request in progress is not counted, or two requests with one
-// idempotency key are in progress together.
+// checkInvariants fails the test if a limit is exceeded, if the controller counts the requests in progress wrongly, or if two
+// requests with the same idempotency key are in progress at the same time. idempotencyKeys are by request ID.
 func (c *testController) checkInvariants(t *rapid.T, limits Limits, idempotencyKeys map[uint64]uint64) {
 	t.Helper()
 	status := c.Status()
 	exceedsRequests := status.Waiting+status.InProgress > limits.Requests && status.InProgress <= limits.Requests
 	exceedsBytes := status.Bytes > limits.Bytes && status.Waiting > 0
 	if exceedsRequests || exceedsBytes {
-		t.Fatalf("limits %+v exceeded: %+v", limits, status)
+		t.Fatalf("limits %+v exceeded: status is %+v", limits, status)
 	}
 	if status.InProgress != len(c.inProgress) {
-		t.Fatalf("%d requests are in progress, the controller counts %d", len(c.inProgress), status.InProgress)
+		t.Fatalf("%d requests are in progress, but the controller counts %d", len(c.inProgress), status.InProgress)
 	}
 	holders := map[uint64]uint64{}
 	for id := range c.inProgress {
 		key := idempotencyKeys[id]
 		if key != 0 && holders[key] != 0 {
-			t.Fatalf("requests %d and %d with one idempotency key are in progress together", holders[key], id)
+			t.Fatalf("requests %d and %d with the same idempotency key are in progress at the same time", holders[key], id)
 		}
 		holders[key] = id
 	}
 }
 
-// finishAll lets every request end, and fails the test where one is left or got other than one final answer.
+// finishAll finishes all requests. It fails the test if the controller still holds a request, or if a request did not get exactly
+// one final answer.
 func (c *testController) finishAll(t *rapid.T) {
 	t.Helper()
 	for range 40 {
@@ -185,18 +186,18 @@
 	}
 	status := c.Status()
 	if status.Waiting+status.InProgress > 0 || status.Bytes != 0 || len(c.unanswered)+len(c.requests.byID)+len(c.retries.byKey) > 0 {
-		t.Fatalf("left at the end: %+v, %d unanswered, %d requests, %d retry keys",
+		t.Fatalf("after all requests have finished: status %+v, %d unanswered requests, %d records, %d retry keys; want none",
 			status, len(c.unanswered), len(c.requests.byID), len(c.retries.byKey))
 	}
 	for id, count := range c.finalAnswers {
 		if count != 1 {
-			t.Fatalf("request %d got %d final answers", id, count)
+			t.Fatalf("request %d: got %d final answers, want 1", id, count)
 		}
 	}
 }
 
-// Over any interleaving of arrivals, finished requests, clients that leave and a drain, each request gets one final answer, no two
-// requests with one idempotency key are in progress together, and the limits hold.
+// Whatever the order of arrivals, finished requests, abandoned requests and a drain, each request gets exactly one final answer, no
+// two requests with the same idempotency key are in progress at the same time, and no limit is exceeded.
 func TestEveryRequestGetsOneFinalAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		coalescesRetries := rapid.Bool().Draw(t, "coalescesRetries")
@@ -238,7 +239,7 @@
 	})
 }
 
-// flood sends many requests of one tenant and returns the next free ID.
+// flood lets count requests of one tenant arrive, with IDs from firstID, and returns the next free ID.
 func flood(c *testController, tenant, count int, firstID uint64) uint64 {
 	for i := range count {
 		c.arrive(Arrival{ID: firstID + uint64(i), Tenant: tenant, Client: uint64(i) % 50, CostHint: 20 * millisecond})
@@ -252,7 +253,8 @@
 	c.costs.meanResponseTime = 20000
 }
 
-// A request that cannot be admitted in time is rejected on arrival, and one that was queued on a wrong estimate at its deadline.
+// A request that is not expected to be admitted in time is rejected on arrival. A request that is queued because of a wrong
+// estimate is rejected at its wait deadline.
 func TestRequestThatCannotMeetItsDeadlineIsRejectedOnArrival(t *testing.T) {
 	c := newTestController([]float64{1}, Limits{Requests: 500, Bytes: 1 << 20, Queues: 8}, false)
 	fixLimit(c, 1)
@@ -261,34 +263,34 @@
 		c.arrive(Arrival{ID: id, Client: id, CostHint: 100 * millisecond})
 	}
 	if waiting := c.Status().Waiting; waiting > 8 || waiting < 2 {
-		t.Errorf("%d requests wait, want about half a second of work", waiting)
+		t.Errorf("got %d waiting requests, want 2 to 8, about half a second of work", waiting)
 	}
 	c.advance(600 * millisecond)
 	if waiting := c.Status().Waiting; waiting != 0 {
-		t.Errorf("%d requests wait after their deadline", waiting)
+		t.Errorf("got %d waiting requests after their wait deadlines, want none", waiting)
 	}
 }
 
-// A drain rejects at once what will not be admitted in time, and leaves no request behind.
+// A drain rejects at once the requests that are not expected to be admitted in time. No request waits after its deadline.
 func TestDrainEmptiesTheQueues(t *testing.T) {
 	c := newTestController([]float64{1}, Limits{Requests: 500, Bytes: 1 << 20, Queues: 8}, false)
 	fixLimit(c, 1)
 	flood(c, 0, 20, 1)
 	c.apply(c.Drain(c.now, c.now+100*millisecond))
-	if waiting := c.Status().Waiting; waiting > 8 || waiting < 2 { // of 19, to within one for each queue
-		t.Errorf("%d requests wait, there is time for five", waiting)
+	if waiting := c.Status().Waiting; waiting > 8 || waiting < 2 { // of 19; the estimate may be off by one for each queue
+		t.Errorf("got %d waiting requests, want about five, for which there is time", waiting)
 	}
 	c.advance(150 * millisecond)
 	if waiting := c.Status().Waiting; waiting != 0 {
-		t.Errorf("%d requests wait after the drain", waiting)
+		t.Errorf("got %d waiting requests after the drain, want none", waiting)
 	}
 	c.arrive(Arrival{ID: 900, Client: 1, CostHint: millisecond})
 	if c.rejected[900].Reason == NoReason {
-		t.Error("a request that arrived after the drain waits")
+		t.Error("a request that arrived after the drain was not rejected")
 	}
 }
 
-// Clients that send a single request leave no record behind.
+// The number of records stays bounded if each client sends a single request and rejected clients never return.
 func TestRecordsStayBounded(t *testing.T) {
 	c := newTestController([]float64{1}, Limits{Requests: 100, Bytes: 1 << 20, Queues: 16}, false)
 	peak := 0
@@ -306,11 +308,11 @@
 		clear(c.rejected)
 	}
 	if peak > 500 {
-		t.Errorf("%d records are held", peak)
+		t.Errorf("got %d records at the peak, want 500 at most", peak)
 	}
 }
 
-// BenchmarkAdmitAndFinish measures one arrival and one finished request, with few queues and with many.
+// BenchmarkAdmitAndFinish measures the arrival of one request and the end of another, with few and with many queues.
 func BenchmarkAdmitAndFinish(b *testing.B) {
 	for _, queues := range []int{10, 10000} {
 		b.Run(fmt.Sprint(queues), func(b *testing.B) {
--- a/internal/admission/cost_estimator_test.go
+++ b/internal/admission/cost_estimator_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A cost hint is charged as it is given, but no lower than a part of the class's mean; without one the mean is charged.
+// A request is charged its cost hint, but at least a fraction of the mean cost of its class. Without a hint it is charged the mean.
 func TestCostEstimateFollowsHints(t *testing.T) {
 	estimator := newCostEstimator(testClasses())
 	mean := float64(second) / initialCostDivisor
@@ -11,12 +11,12 @@
 		want float64
 	}{{0, mean}, {1, minHintFraction * mean}, {100 * millisecond, float64(100 * millisecond)}, {10 * second, float64(10 * second)}} {
 		if got := estimator.estimate(&Arrival{CostHint: test.hint}); got != test.want {
-			t.Errorf("hint %d: the estimate is %.0f, want %.0f", test.hint, got, test.want)
+			t.Errorf("hint %d: got cost %.0f, want %.0f", test.hint, got, test.want)
 		}
 	}
 }
 
-// The mean of a class comes to what its requests cost: the hint where there is one, else the response time.
+// The mean cost of a class converges to the cost of its requests, which is the cost hint, or the response time without a hint.
 func TestMeanCostFollowsRequests(t *testing.T) {
 	estimator := newCostEstimator(testClasses())
 	for range 1000 {
@@ -30,12 +30,12 @@
 	for class, want := range map[int]Micros{keyedClass: 30 * millisecond, unkeyedClass: 70 * millisecond} {
 		got := Micros(estimator.estimate(&Arrival{Class: class}))
 		if got < want-1 || got > want+1 {
-			t.Errorf("class %d: the mean cost is %d, want %d", class, got, want)
+			t.Errorf("class %d: got mean cost %d, want %d", class, got, want)
 		}
 	}
 }
 
-// A request may wait for half of its latency objective, for less where responses are slow, and for a little in any case.
+// A request may wait for half of its latency objective, for less if responses are slow, and always for a small fraction of it.
 func TestMaxWaitLeavesTimeForResponse(t *testing.T) {
 	estimator := newCostEstimator(testClasses())
 	for meanResponseTime, want := range map[Micros]Micros{
@@ -45,7 +45,7 @@
 	} {
 		estimator.meanResponseTime = float64(meanResponseTime)
 		if got := estimator.maxWait(unkeyedClass); got != want {
-			t.Errorf("mean response time %d: the longest wait is %d, want %d", meanResponseTime, got, want)
+			t.Errorf("mean response time %d: got longest wait %d, want %d", meanResponseTime, got, want)
 		}
 	}
 }
--- a/internal/admission/fair_queues_test.go
+++ b/internal/admission/fair_queues_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Two tenants that always have requests waiting are served by their weights: the difference of their weighted costs stays within
-// the most expensive request of each, whatever their requests cost and however many they send.
+// Two tenants that always have waiting requests are served by their weights. The difference of their weighted served costs is at
+// most the sum of the weighted costs of the most expensive request of each, whatever their requests cost.
 func TestCostIsSharedByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := []float64{rapid.Float64Range(0.1, 1).Draw(t, "w0"), rapid.Float64Range(0.1, 1).Draw(t, "w1")}
@@ -40,13 +40,13 @@
 			c.finish(last, Succeeded)
 			c.concurrency.current = 1
 			if gap := math.Abs(served[0] - served[1]); gap > largest[0]+largest[1]+1 {
-				t.Fatalf("weighted costs %v differ by %.0f, the most expensive requests are %v", served, gap, largest)
+				t.Fatalf("weighted served costs %v differ by %.0f, want at most the sum of the most expensive requests %v", served, gap, largest)
 			}
 		}
 	})
 }
 
-// When a limit is reached, the request that arrived last is not the one evicted, unless its tenant is the one over its share.
+// When a limit is exceeded, a request of the tenant that is over its share is evicted, even if another tenant's request arrived last.
 func TestOverloadEvictsFromTenantOverItsShare(t *testing.T) {
 	c := newTestController([]float64{0.5, 0.5}, Limits{Requests: 40, Bytes: 1 << 20, Queues: 8}, false)
 	fixLimit(c, 10)
@@ -55,11 +55,11 @@
 		c.arrive(Arrival{ID: id + uint64(i), Tenant: 1, Client: uint64(i), CostHint: 20 * millisecond})
 	}
 	if c.Tenant(1).Waiting != 5 {
-		t.Errorf("%d of five requests of the quiet tenant wait; rejected: %v", c.Tenant(1).Waiting, c.Counters.Rejected)
+		t.Errorf("got %d waiting requests of the tenant within its share, want 5; rejections by reason: %v", c.Tenant(1).Waiting, c.Counters.Rejected)
 	}
 	for i := range 5 {
 		if command, found := c.rejected[id+uint64(i)]; found {
-			t.Errorf("a request of the quiet tenant was rejected: %+v", command)
+			t.Errorf("a request of the tenant within its share was rejected: %+v", command)
 		}
 	}
 }
@@ -80,6 +80,6 @@
 		}
 	}
 	if affected > 2 {
-		t.Errorf("%d of 100 clients wait behind the noisy one", affected)
+		t.Errorf("got %d of 100 clients waiting behind the noisy one, want 2 at most", affected)
 	}
 }
--- a/internal/admission/fair_scheduler_test.go
+++ b/internal/admission/fair_scheduler_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// The flow with the lowest start tag stands first, whichever flows are activated, charged and deactivated, and each flow knows its
-// heap index.
+// The flow with the lowest start tag is first in the heap, and each flow has the right heap index, whichever flows are activated,
+// charged and deactivated.
 func TestFairSchedulerServesLowestStartTagFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scheduler := newFairScheduler[int](8)
@@ -33,12 +33,12 @@
 						t.Fatalf("flow %d is not at its heap index %d", i, flow.heapIndex)
 					}
 					if flow.startTag < scheduler.active[0].startTag {
-						t.Fatalf("flow %d has start tag %v, lower than the first one's %v", i, flow.startTag, scheduler.active[0].startTag)
+						t.Fatalf("flow %d has start tag %v, which is lower than that of the first flow, %v", i, flow.startTag, scheduler.active[0].startTag)
 					}
 				}
 			}
 			if activeCount != len(scheduler.active) {
-				t.Fatalf("the heap holds %d flows, %d have a heap index", len(scheduler.active), activeCount)
+				t.Fatalf("the heap holds %d flows, but %d flows have a heap index", len(scheduler.active), activeCount)
 			}
 		}
 	})
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -10,18 +10,19 @@
 	"switchfork/internal/golden"
 )
 
-// goldenSteps is enough for queues to fill, reservations to be honored and missed, and a drain.
+// goldenSteps is the number of steps of a stream: enough for queues to fill, for reservations to be honored and missed, and for a
+// drain.
 const goldenSteps = 8000
 
-// goldenStream drives a controller with random calls and digests all that it answers.
+// goldenStream makes random calls to a controller and computes a digest of all commands and states that it returns.
 type goldenStream struct {
 	controller   *Controller
 	random       *rand.Rand
 	digest       *golden.Digest
 	commandCount int
 	now          Micros
-	arrived      []uint64
-	inProgress   []uint64
+	arrived      []uint64 // IDs
+	inProgress   []uint64 // IDs
 }
 
 func newGoldenStream(limits Limits, coalescesRetries bool, seed int64) *goldenStream {
@@ -50,8 +51,8 @@
 	}
 }
 
-// takeOne removes a random ID from a list.
-func (s *goldenStream) takeOne(ids *[]uint64) uint64 {
+// removeRandom removes a random ID from a list.
+func (s *goldenStream) removeRandom(ids *[]uint64) uint64 {
 	i := s.random.Intn(len(*ids))
 	id := (*ids)[i]
 	*ids = slices.Delete(*ids, i, i+1)
@@ -77,7 +78,7 @@
 	if len(s.inProgress) == 0 {
 		return
 	}
-	id := s.takeOne(&s.inProgress)
+	id := s.removeRandom(&s.inProgress)
 	if s.random.Intn(2) == 0 {
 		s.record(s.controller.AttemptSent(s.now, id))
 	}
@@ -86,7 +87,7 @@
 
 func (s *goldenStream) abandonOne() {
 	if len(s.arrived) > 0 {
-		s.record(s.controller.Abandon(s.now, s.takeOne(&s.arrived)))
+		s.record(s.controller.Abandon(s.now, s.removeRandom(&s.arrived)))
 	}
 }
 
@@ -113,7 +114,7 @@
 	}
 }
 
-// The same calls produce the same commands as ever: the file's digests were made before names and shape of this package changed.
+// The same calls produce the same commands as before the package was restructured, when the digests in the golden file were made.
 func TestGoldenDecisions(t *testing.T) {
 	var summary strings.Builder
 	for _, coalescesRetries := range []bool{false, true} {
@@ -128,7 +129,7 @@
 				for tenant := range 4 {
 					stream.digest.Add(stream.controller.Tenant(tenant))
 				}
-				fmt.Fprintf(&summary, "shared %t room %d seed %d: %d orders %s\n",
+				fmt.Fprintf(&summary, "coalescing %t limit %d seed %d: %d commands %s\n",
 					coalescesRetries, limits.Requests, seed, stream.commandCount, stream.digest)
 			}
 		}
--- a/internal/admission/rate_estimator_test.go
+++ b/internal/admission/rate_estimator_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// While requests wait, the rate is what is admitted; until they have waited for a whole window, it is at least what is in
-// progress over the time that it takes.
+// After a whole window of backlog the rate is the measured throughput. Before that, and without a backlog, it is at least the cost
+// in progress divided by the mean response time.
 func TestRateIsWhatIsAdmittedUnderBacklog(t *testing.T) {
 	const (
 		cost             = 20_000.0
-		interval         = 10 * millisecond // so two microseconds of work are admitted each microsecond
+		interval         = 10 * millisecond // with this cost, two microseconds of work are admitted per microsecond
 		meanResponseTime = 20_000.0
 	)
 	estimator := newRateEstimator()
@@ -23,23 +23,23 @@
 		}
 	}
 	if rate := estimator.rate(now, meanResponseTime); math.Abs(rate-2) > 0.05 {
-		t.Errorf("under backlog the rate is %.3f, want 2", rate)
+		t.Errorf("with a backlog: got rate %.3f, want 2", rate)
 	}
 	for range 9 {
 		estimator.recordAdmission(now, cost)
 	}
 	if rate := estimator.rate(now, meanResponseTime); rate > 2.5 {
-		t.Errorf("under backlog the rate is %.3f, want what was admitted", rate)
+		t.Errorf("with a backlog, ten requests in progress: got rate %.3f, want the throughput, 2.5 at most", rate)
 	}
 	estimator.recordBacklog(now, false)
 	if rate, want := estimator.rate(now, meanResponseTime), 10.0; math.Abs(rate-want) > 0.05 {
-		t.Errorf("without backlog the rate is %.3f, want %.0f: ten requests in the time of one", rate, want)
+		t.Errorf("without a backlog: got rate %.3f, want %.0f, ten requests per mean response time", rate, want)
 	}
 	estimator.recordBacklog(now, true)
 	if rate := estimator.rate(now+throughputWindow-1, meanResponseTime); math.Abs(rate-10) > 0.05 {
-		t.Errorf("with a short backlog the rate is %.3f, want 10", rate)
+		t.Errorf("with a backlog shorter than the window: got rate %.3f, want 10", rate)
 	}
 	if rate := estimator.rate(now+throughputWindow, meanResponseTime); rate != minAdmissionRate {
-		t.Errorf("after a window of backlog without an admission the rate is %g, want the least one", rate)
+		t.Errorf("after a window of backlog without admissions: got rate %g, want minAdmissionRate", rate)
 	}
 }
--- a/internal/admission/reservations_test.go
+++ b/internal/admission/reservations_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A rejected client is given a time, and is admitted at once when it returns then; no more is reserved than its tenant's share.
+// A rejected client is sent a Retry-After time within the maximum. If it has a reservation and returns at that time, it is admitted
+// at once in nine of ten cases.
 func TestReservationsAreHonored(t *testing.T) {
 	c := newTestController([]float64{0.5, 0.5}, Limits{Requests: 60, Bytes: 1 << 20, Queues: 8}, false)
 	fixLimit(c, 8)
@@ -32,7 +33,7 @@
 			c.arrive(arrival)
 			if command, found := c.rejected[arrival.ID]; found && command.RetryAfter > 0 {
 				if command.RetryAfter > 2*second {
-					t.Fatalf("Retry-After is %d, over the maximum", command.RetryAfter)
+					t.Fatalf("got Retry-After %d, want 2 s at most", command.RetryAfter)
 				}
 				returning = append(returning, returningClient{now + command.RetryAfter, arrival})
 			}
@@ -59,11 +60,11 @@
 		}
 	}
 	if returned < 100 || float64(honored) < 0.9*float64(returned) {
-		t.Errorf("%d of %d clients that returned on time were admitted at once; %+v", honored, returned, c.Counters)
+		t.Errorf("%d of %d clients that returned on time were admitted at once, want nine of ten, and 100 clients at least; counters: %+v", honored, returned, c.Counters)
 	}
 }
 
-// A reservation is claimed once: on time, early, which frees its capacity, or late.
+// A reservation can be claimed once: early, which releases its cost, on time, or late.
 func TestReservationIsClaimedByTimeOfReturn(t *testing.T) {
 	const retryKey = 5
 	request := &trackedRequest{cost: 1000, retryKey: retryKey}
@@ -74,8 +75,8 @@
 		cost     float64 // reserved after the claim
 	}{
 		{"early", func(r *reservation) Micros { return r.returnAt - earlyTolerance - 1 }, claimedEarly, 0},
-		{"hardly early", func(r *reservation) Micros { return r.returnAt - earlyTolerance }, claimedOnTime, 1000},
-		{"at the end of the grace", func(r *reservation) Micros { return r.returnAt + 2*second/calendarSlots + reservationGrace }, claimedOnTime, 1000},
+		{"early within the tolerance", func(r *reservation) Micros { return r.returnAt - earlyTolerance }, claimedOnTime, 1000},
+		{"at the end of the grace time", func(r *reservation) Micros { return r.returnAt + 2*second/calendarSlots + reservationGrace }, claimedOnTime, 1000},
 		{"late", func(r *reservation) Micros { return r.returnAt + 2*second/calendarSlots + reservationGrace + 1 }, claimedLate, 1000},
 	} {
 		table := newReservationTable(10, 1, 2*second, rand.New(rand.NewSource(1)))
@@ -83,47 +84,48 @@
 		retryAfter, isReserved := table.reserve(now, request, 1, 0)
 		granted := table.byRetryKey[retryKey]
 		if !isReserved || granted == nil || now+retryAfter != granted.returnAt {
-			t.Fatalf("%s: the client is sent %d, its reservation is %+v", test.name, retryAfter, granted)
+			t.Fatalf("%s: got Retry-After %d and reservation %+v, want a reservation that ends with the Retry-After", test.name, retryAfter, granted)
 		}
 		reserved := &table.calendars[0]
 		if got := table.claim(test.returnAt(granted), retryKey); got != test.want || reserved.total() != test.cost {
-			t.Errorf("%s: the claim is %d and leaves a cost of %v, want %d and %v", test.name, got, reserved.total(), test.want, test.cost)
+			t.Errorf("%s: got claim result %d and a remaining cost of %v, want %d and %v", test.name, got, reserved.total(), test.want, test.cost)
 		}
 		if got := table.claim(now, retryKey); got != notReserved || table.count() != 0 {
-			t.Errorf("%s: the second claim is %d, want none", test.name, got)
+			t.Errorf("%s: got claim result %d for a second claim, want notReserved", test.name, got)
 		}
 	}
 }
 
-// Without capacity a client is sent a time near the longest, and nothing is reserved; without a maximum it is sent none.
+// Without capacity, a client is sent a time near the longest Retry-After and nothing is reserved. If the maximum is 0, it is sent
+// no Retry-After.
 func TestRetryAfterWithoutReservation(t *testing.T) {
 	request := &trackedRequest{cost: 1000}
 	full := newReservationTable(0, 1, 2*second, rand.New(rand.NewSource(1)))
 	for range 1000 {
 		retryAfter, isReserved := full.reserve(0, request, 1, 0)
 		if isReserved || retryAfter < 1500*millisecond || retryAfter > 2*second {
-			t.Fatalf("a full table sends %d, reserved: %t; want 1.5 to 2 s and nothing reserved", retryAfter, isReserved)
+			t.Fatalf("full table: got Retry-After %d, reserved %t, want 1.5 to 2 s and nothing reserved", retryAfter, isReserved)
 		}
 	}
 	none := newReservationTable(10, 1, 0, rand.New(rand.NewSource(1)))
 	if retryAfter, isReserved := none.reserve(0, request, 1, 0); isReserved || retryAfter != 0 {
-		t.Errorf("without a maximum %d is sent, reserved: %t; want neither", retryAfter, isReserved)
+		t.Errorf("maximum 0: got Retry-After %d, reserved %t, want neither", retryAfter, isReserved)
 	}
 }
 
-// What is reserved for others takes time away from those that wait.
+// Reserved cost increases the time to serve other requests.
 func TestTimeToServePassesOverReservedTime(t *testing.T) {
 	const rate = 2.0
 	table := newReservationTable(10, 1, 2*second, rand.New(rand.NewSource(1)))
 	cost := float64(200 * millisecond)
 	if got := table.timeToServe(0, 0, cost, rate); got != 100*millisecond {
-		t.Errorf("without reservations it takes %d, want 100 ms", got)
+		t.Errorf("without reservations: got %d, want 100 ms", got)
 	}
 	reservedCost := float64(50 * millisecond)
 	if _, isReserved := table.reserve(0, &trackedRequest{cost: reservedCost}, rate, 0); !isReserved {
-		t.Fatal("nothing is reserved")
+		t.Fatal("no capacity was reserved")
 	}
 	if got := table.timeToServe(0, 0, cost, rate); got < 120*millisecond || got > 130*millisecond {
-		t.Errorf("beside a reservation of 50 ms of work it takes %d, want about 125 ms", got)
+		t.Errorf("with a reservation of 50 ms of work: got %d, want about 125 ms", got)
 	}
 }
--- a/internal/admission/retries_test.go
+++ b/internal/admission/retries_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A retry takes its earlier attempt's place while that waits, waits for its end while it is in progress, and is a request of its
-// own once that has finished.
+// A retry replaces an earlier attempt that is waiting. If the earlier attempt is in progress, the retry shares its answer or waits
+// until it has finished. After the earlier attempt has finished, the retry is handled as a new request.
 func TestRetryJoinsEarlierAttempt(t *testing.T) {
 	for _, coalescesRetries := range []bool{false, true} {
 		c := newTestController([]float64{1}, Limits{Requests: 100, Bytes: 1 << 20, Queues: 8}, coalescesRetries)
@@ -17,14 +17,14 @@
 		c.advance(50 * millisecond)
 		c.arrive(Arrival{ID: 4, Client: 2, Class: 1, Key: 6, CostHint: 5 * millisecond, Deadline: c.now + second})
 		if command := c.rejected[2]; command.Reason != Replaced {
-			t.Fatalf("the earlier attempt got %+v, want a rejection as replaced", command)
+			t.Fatalf("earlier attempt: got %+v, want a rejection with reason Replaced", command)
 		}
 		if retry := c.requests.get(4); retry.firstArrival != 0 || retry.waitDeadline != 500*millisecond {
-			t.Errorf("the retry did not take over the times: first arrival %d, wait deadline %d", retry.firstArrival, retry.waitDeadline)
+			t.Errorf("retry: got first arrival %d and wait deadline %d, want those of the earlier attempt, 0 and 500 ms", retry.firstArrival, retry.waitDeadline)
 		}
 		c.arrive(Arrival{ID: 5, Client: 1, Class: 1, Key: 5}) // its earlier attempt is in progress
 		if len(c.inProgress) != 1 {
-			t.Fatalf("two attempts of one request are in progress: %v", c.inProgress)
+			t.Fatalf("got requests %v in progress, want only the first attempt", c.inProgress)
 		}
 		c.finish(1, Succeeded)
 		switch {
@@ -40,15 +40,15 @@
 		}
 		c.arrive(Arrival{ID: 9, Client: 1, Class: 1, Key: 5})
 		if !c.inProgress[9] {
-			t.Error("an idempotency key whose request has finished was not admitted anew")
+			t.Error("a new request with the idempotency key of a finished request was not admitted")
 		}
 		if want := []uint64{1, 4}; fmt.Sprint(c.admitted[:2]) != fmt.Sprint(want) {
-			t.Errorf("admitted %v, want %v first", c.admitted, want)
+			t.Errorf("got admitted requests %v, want %v first", c.admitted, want)
 		}
 	}
 }
 
-// Requests without an idempotency key that concern one object are apart: only one marked as a retry joins.
+// Requests of one client without an idempotency key that concern the same object are different requests, unless marked as retries.
 func TestUnkeyedRequestsJoinOnlyAsRetries(t *testing.T) {
 	c := newTestController([]float64{1}, Limits{Requests: 100, Bytes: 1 << 20, Queues: 8}, false)
 	fixLimit(c, 1)
@@ -56,6 +56,6 @@
 		c.arrive(Arrival{ID: id, Client: 3, Key: 9, CostHint: 5 * millisecond, IsRetry: id == 4})
 	}
 	if c.Counters.Rejoined != 1 || c.rejected[3].Reason != Replaced || len(c.rejected) != 1 {
-		t.Errorf("joined %d, rejected %v", c.Counters.Rejoined, c.rejected)
+		t.Errorf("got %d rejoined requests and rejections %v, want 1 and request 3 rejected as replaced", c.Counters.Rejoined, c.rejected)
 	}
 }
--- a/internal/admission/retry_index_test.go
+++ b/internal/admission/retry_index_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Attempts of one request have one retry key, and different requests have different ones.
+// Attempts of the same request have the same retry key, and different requests have different retry keys.
 func TestRetryKeyIdentifiesRequest(t *testing.T) {
 	index := newRetryIndex(testClasses(), 7)
 	base := Arrival{ID: 1, Tenant: 1, Client: 5, Class: keyedClass, Key: 9}
@@ -21,19 +21,19 @@
 		changed := base
 		test.change(&changed)
 		if isSame := index.keyOf(&changed) == index.keyOf(&base); isSame != test.isSame {
-			t.Errorf("%s: the same retry key is %t, want %t", test.name, isSame, test.isSame)
+			t.Errorf("%s: got same retry key %t, want %t", test.name, isSame, test.isSame)
 		}
 	}
 	object := Arrival{Client: 5, Class: unkeyedClass, Key: 9}
 	otherClient := object
 	otherClient.Client = 6
 	if index.keyOf(&object) == index.keyOf(&otherClient) {
-		t.Error("two clients' requests that concern one object have one retry key")
+		t.Error("requests of two clients that concern the same object have the same retry key")
 	}
 }
 
-// An earlier attempt is found by the idempotency key, without one only by a request that is marked as a retry, and not any more
-// once it is unregistered.
+// An earlier attempt is found by its idempotency key, or, without one, only if the later request is marked as a retry. It is no
+// longer found after it has been unregistered.
 func TestEarlierAttemptIsFound(t *testing.T) {
 	index := newRetryIndex(testClasses(), 7)
 	newAttempt := func(arrival Arrival) *trackedRequest {
@@ -55,16 +55,16 @@
 		test.arrival.IsRetry = test.isRetry
 		retry := newAttempt(test.arrival)
 		if isFound := index.earlierAttempt(retry) == first; isFound != test.isFound {
-			t.Errorf("%s: the earlier attempt is found: %t, want %t", test.name, isFound, test.isFound)
+			t.Errorf("%s: got earlier attempt found %t, want %t", test.name, isFound, test.isFound)
 		}
 		index.register(retry)
 		index.unregister(first)
 		if test.arrival.Key != 0 && index.byKey[retry.retryKey] != retry {
-			t.Errorf("%s: the end of the earlier attempt has unregistered the retry", test.name)
+			t.Errorf("%s: unregistering the earlier attempt also unregistered the retry", test.name)
 		}
 		index.unregister(retry)
 		if len(index.byKey) != 0 {
-			t.Errorf("%s: %d attempts are left", test.name, len(index.byKey))
+			t.Errorf("%s: got %d registered attempts at the end, want none", test.name, len(index.byKey))
 		}
 	}
 }
--- a/internal/admission/timing_wheel_test.go
+++ b/internal/admission/timing_wheel_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// A request expires at most two ticks before its deadline and never after it, whatever else is added and removed meanwhile;
-// one that was removed does not expire.
+// A request expires at most two ticks before its deadline and never after it, whichever other requests are added and removed. A
+// removed request does not expire.
 func TestTimingWheelExpiresRequestsAtTheirDeadlines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var wheel timingWheel
@@ -32,17 +32,17 @@
 			}
 			wheel.expire(now, func(request *trackedRequest) {
 				if contained[request.ID] == nil {
-					t.Fatalf("request %d expires, it is not in the wheel", request.ID)
+					t.Fatalf("request %d expired, but it is not in the wheel", request.ID)
 				}
 				if request.waitDeadline-now > 2*tickInterval {
-					t.Fatalf("request %d expires at %d, its deadline is %d", request.ID, now, request.waitDeadline)
+					t.Fatalf("request %d expired at %d, more than two ticks before its deadline %d", request.ID, now, request.waitDeadline)
 				}
 				wheel.remove(request)
 				delete(contained, request.ID)
 			})
 			for _, request := range contained {
 				if request.waitDeadline < now {
-					t.Fatalf("request %d has not expired at %d, its deadline is %d", request.ID, now, request.waitDeadline)
+					t.Fatalf("request %d has not expired at %d, after its deadline %d", request.ID, now, request.waitDeadline)
 				}
 			}
 			checkWheelContains(t, &wheel, contained)
@@ -55,25 +55,25 @@
 	visited := map[uint64]int{}
 	wheel.forEach(func(request *trackedRequest) { visited[request.ID]++ })
 	if wheel.count != len(want) || len(visited) != len(want) {
-		t.Fatalf("the wheel counts %d requests and visits %d, %d are in it", wheel.count, len(visited), len(want))
+		t.Fatalf("got count %d and %d visited requests, want %d", wheel.count, len(visited), len(want))
 	}
 	for id := range want {
 		if visited[id] != 1 {
-			t.Fatalf("request %d is visited %d times", id, visited[id])
+			t.Fatalf("request %d was visited %d times, want once", id, visited[id])
 		}
 	}
 }
 
-// The next tick is within one interval, and there is none while the wheel is empty.
+// The next tick is at most one tick interval away. An empty wheel has no next tick.
 func TestTimingWheelNextTick(t *testing.T) {
 	var wheel timingWheel
 	if got := wheel.nextTick(25 * millisecond); got != 0 {
-		t.Errorf("the next tick of an empty wheel is %d, want none", got)
+		t.Errorf("empty wheel: got next tick %d, want 0", got)
 	}
 	wheel.add(&trackedRequest{waitDeadline: second})
 	for now, want := range map[Micros]Micros{20 * millisecond: 30 * millisecond, 25 * millisecond: 30 * millisecond} {
 		if got := wheel.nextTick(now); got != want {
-			t.Errorf("at %d the next tick is %d, want %d", now, got, want)
+			t.Errorf("at %d: got next tick %d, want %d", now, got, want)
 		}
 	}
 }
--- a/internal/admission/waiting_test.go
+++ b/internal/admission/waiting_test.go
@@ -10,44 +10,45 @@
 	}, 7)}
 }
 
-// A retry that follows an earlier attempt waits with its deadline, is not served before the attempt ends, and then is as any other.
+// A retry that follows an earlier attempt has a wait deadline. It is not served before the earlier attempt has finished, and is then
+// queued like any other request.
 func TestFollowerWaitsForItsLeader(t *testing.T) {
 	waiting := newTestWaiting()
 	leader := &trackedRequest{state: stateInProgress}
 	follower := &trackedRequest{cost: 1, waitDeadline: second}
 	waiting.follow(leader, follower)
 	if waiting.count != 1 || waiting.deadlines.count != 1 || leader.follower != follower {
-		t.Errorf("%d wait, %d have a deadline, the leader's follower is %p; want the one follower", waiting.count, waiting.deadlines.count, leader.follower)
+		t.Errorf("got %d waiting requests, %d with a deadline, follower %p, want one request, the follower", waiting.count, waiting.deadlines.count, leader.follower)
 	}
 	if next := waiting.dequeue(); next != nil {
-		t.Errorf("%+v is served next, want none while the earlier attempt is in progress", next)
+		t.Errorf("got next request %+v, want none while the earlier attempt is in progress", next)
 	}
 	if candidate := waiting.evictionCandidate(); candidate != follower {
-		t.Errorf("the eviction candidate is %p, want the follower, as the queues are empty", candidate)
+		t.Errorf("got eviction candidate %p, want the follower, since the queues are empty", candidate)
 	}
 	waiting.enqueueFollower(follower)
 	if leader.follower != nil || follower.leader != nil {
-		t.Error("the two are still connected")
+		t.Error("leader and follower still refer to each other")
 	}
 	if next := waiting.dequeue(); next != follower {
-		t.Errorf("%p is served next, want the follower", next)
+		t.Errorf("got next request %p, want the follower", next)
 	}
 	if waiting.count != 0 || waiting.deadlines.count != 0 {
-		t.Errorf("%d wait, %d have a deadline; want none", waiting.count, waiting.deadlines.count)
+		t.Errorf("got %d waiting requests, %d with a deadline, want none", waiting.count, waiting.deadlines.count)
 	}
 }
 
-// Whatever is taken out leaves neither a queued request nor a deadline behind.
-func TestWaitingRequestsAreTakenOutWhole(t *testing.T) {
+// However a request is removed, neither the queues nor the timing wheel still hold it.
+func TestRemovedRequestsLeaveNothingBehind(t *testing.T) {
 	for name, takeOut := range map[string]func(*waitingRequests, *trackedRequest){
 		"removed":     (*waitingRequests).remove,
-		"taken ahead": (*waitingRequests).dequeueOutOfTurn,
+		"out of turn": (*waitingRequests).dequeueOutOfTurn,
 		"served":      func(w *waitingRequests, _ *trackedRequest) { w.dequeue() },
 		"replaced": func(w *waitingRequests, old *trackedRequest) {
 			replacement := &trackedRequest{cost: 3, waitDeadline: second}
 			w.replace(old, replacement)
 			if w.count != 1 || w.deadlines.count != 1 || w.queues.tenants[0].waitingCost != 3 {
-				t.Errorf("replaced: %d wait with a cost of %v, want the replacement with 3", w.count, w.queues.tenants[0].waitingCost)
+				t.Errorf("replaced: got %d waiting requests with cost %v, want the replacement with cost 3", w.count, w.queues.tenants[0].waitingCost)
 			}
 			w.remove(replacement)
 		},
@@ -58,7 +59,7 @@
 		takeOut(waiting, request)
 		tenant := waiting.queues.tenants[0]
 		if waiting.count+waiting.deadlines.count+tenant.waitingCount != 0 || tenant.waitingCost != 0 || waiting.dequeue() != nil {
-			t.Errorf("%s: %d wait, %d have a deadline, %d are queued with a cost of %v; want none",
+			t.Errorf("%s: got %d waiting requests, %d with a deadline, %d queued with cost %v, want none",
 				name, waiting.count, waiting.deadlines.count, tenant.waitingCount, tenant.waitingCost)
 		}
 	}
