--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,6 +1,6 @@
-// Package backoff decides how long a caller waits before it calls a service again that failed. It is for the calls that all
-// agents make alike, to service discovery and to the rollout controller: what one agent repeats without harm, many agents in
-// step make a retry storm of, which keeps a service down that would have long recovered (a metastable failure).
+// Package backoff decides how long a caller waits before it retries a failed call to a service. It is meant for calls that all
+// agents make, to service discovery and to the rollout controller. Retries of a single agent do no harm, but synchronized retries
+// of many agents are a retry storm, which keeps a service down that would otherwise have recovered (a metastable failure).
 //
 // A Backoff belongs to one caller and is not safe for concurrent use. It does no I/O and reads no clock.
 package backoff
@@ -14,38 +14,40 @@
 type Reason int
 
 const (
-	// Unreachable means that the connection broke, was refused or stayed silent: the service may be back at any moment.
+	// Unreachable means that the connection broke, was refused or delivered no data. The service may be back at any moment.
 	Unreachable Reason = iota
-	// Overloaded means that the service answered that it has too much to do.
+	// Overloaded means that the service answered that it is overloaded.
 	Overloaded
 )
 
 const millisecond Micros = 1000
 
-// The delay after Unreachable.
+// Constants of the delay after Unreachable.
 const (
-	// minReconnectDelay doubles with each Unreachable up to maxReconnectDelay. It is short, so that a service that is back is found
-	// at once: the changes that it reports bind from that moment.
+	// minReconnectDelay is the delay after the first Unreachable, before jitter. It doubles with each further one up to
+	// maxReconnectDelay. It is short, so that a service that is back is found at once, since the changes that it reports have to
+	// take effect from that moment.
 	minReconnectDelay = 50 * millisecond
 	maxReconnectDelay = 800 * millisecond
-	// maxDoublings keeps the doubled delay from overflowing; it is beyond maxReconnectDelay already.
+	// maxDoublings keeps the doubled delay from overflowing. Fewer doublings already exceed maxReconnectDelay.
 	maxDoublings = 8
 )
 
-// The delay after Overloaded.
+// Constants of the delay after Overloaded.
 const (
-	// jitterMultiplier of the last delay is the longest next one, as is usual for decorrelated jitter.
+	// jitterMultiplier times the last delay is the upper bound of the next one, as is usual for decorrelated jitter.
 	jitterMultiplier = 3
 	// defaultMinOverloadDelay is the shortest delay for a caller without a deadline.
 	defaultMinOverloadDelay = 400 * millisecond
 	// defaultMaxOverloadDelay is the longest delay for a caller without a deadline.
 	defaultMaxOverloadDelay = 3200 * millisecond
-	// minDelayDivisor of the longest delay is the shortest one for a caller with a deadline. A call that timed out may still be
-	// worked on by the service, so that an earlier retry only fills its queue with calls that nobody waits for.
+	// minDelayDivisor divides the longest delay to give the shortest delay for a caller with a deadline. The service may still be
+	// working on a call that timed out, and an earlier retry would only fill its queue with calls that nobody waits for.
 	minDelayDivisor = 4
 )
 
-// startSpacing spreads the first calls of agents that start together, by about the time that one call costs a small service.
+// startSpacing is the mean time between the first calls of agents that start together. It is about the time that a small service
+// takes for one call.
 const startSpacing = 60 * millisecond
 
 // Backoff computes the delays of one caller.
@@ -55,10 +57,10 @@
 	minOverloadDelay  Micros
 	maxOverloadDelay  Micros
 	lastOverloadDelay Micros
-	unreachableCount  int // in a row
+	unreachableCount  int // number of consecutive Unreachable failures
 }
 
-// New returns the backoff of a caller that has to call at least once within a deadline (0: it has none).
+// New returns the Backoff of a caller that has to make at least one call within each deadline. A deadline of 0 means none.
 func New(deadline Micros, seed int64) *Backoff {
 	b := &Backoff{
 		random:           rand.New(rand.NewSource(seed)),
@@ -73,9 +75,10 @@
 	return b
 }
 
-// Initial returns the delay before the first call. Agents that start at the same moment call one after another within half of
-// the deadline; few agents wait next to nothing. Without a deadline there is no delay: the endpoint list then arrives by
-// itself, and a drain announced while an agent was away binds as soon as it is back.
+// Initial returns the delay before the first call. The calls of agents that start at the same time are spread over up to half of
+// the deadline. If there are few agents, the delay is close to 0. Without a deadline there is no delay, since the endpoint list is
+// then pushed by the service, and a drain that was announced while an agent was disconnected has to take effect as soon as the
+// agent is connected again.
 func (b *Backoff) Initial(agents int) Micros {
 	if !b.hasDeadline {
 		return 0
@@ -83,12 +86,12 @@
 	return b.randomDelay(min(b.maxOverloadDelay/2, Micros(agents-1)*startSpacing))
 }
 
-// Spread returns a random delay below a limit, for a call that many agents make for the same reason at the same time.
+// Spread returns a random delay below the limit, for a call that many agents make for the same reason at the same time.
 func (b *Backoff) Spread(limit Micros) Micros { return b.randomDelay(limit) }
 
 // Next returns the delay before the next call. After Unreachable it grows exponentially from 50 ms, with jitter. After Overloaded
-// it uses decorrelated jitter: callers that were rejected together spread out within a few retries, over a longer time the
-// longer the service stays overloaded.
+// it uses decorrelated jitter: calls of callers that were rejected together spread out within a few retries, and the longer the
+// service stays overloaded, the longer the time over which they spread.
 func (b *Backoff) Next(reason Reason) Micros {
 	if reason == Overloaded {
 		return b.nextOverloadDelay()
@@ -105,13 +108,13 @@
 	return b.lastOverloadDelay
 }
 
-// Reset forgets the failures; it is called after a call that succeeded.
+// Reset forgets the past failures. It has to be called after a successful call.
 func (b *Backoff) Reset() {
 	b.unreachableCount = 0
 	b.lastOverloadDelay = 0
 }
 
-// randomDelay returns a random delay below a limit; 0 where the limit is not positive.
+// randomDelay returns a random delay below the limit, or 0 if the limit is not positive.
 func (b *Backoff) randomDelay(limit Micros) Micros {
 	if limit <= 0 {
 		return 0
