--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,21 +1,21 @@
-// Package mailbox holds an unbounded queue from which a goroutine takes its messages in batches, in the order in which they were put.
+// Package mailbox provides an unbounded queue of messages, from which one goroutine takes batches in first-in, first-out order.
 //
-// A Mailbox belongs to the goroutine that takes from it; any goroutine may put messages in.
+// A Mailbox belongs to the goroutine that takes from it. Any goroutine may put messages in.
 package mailbox
 
 import "sync"
 
-// Mailbox keeps messages for the one goroutine that takes them. Any goroutine may put messages in, which never blocks.
+// Mailbox holds messages for the one goroutine that takes them. Any goroutine may put messages in.
 type Mailbox[T any] struct {
 	mu       sync.Mutex
 	messages []T
-	ready    chan struct{} // holds one token while there are messages
+	ready    chan struct{} // holds at most one token, see Ready
 }
 
-// New makes an empty mailbox.
+// New returns an empty mailbox.
 func New[T any]() *Mailbox[T] { return &Mailbox[T]{ready: make(chan struct{}, 1)} }
 
-// Put adds a message.
+// Put adds a message. It never blocks for lack of space.
 func (m *Mailbox[T]) Put(message T) {
 	m.mu.Lock()
 	m.messages = append(m.messages, message)
@@ -26,12 +26,12 @@
 	}
 }
 
-// Ready is a channel that holds one token while there are messages. Take may still find none: a message that came between the receipt of
-// a token and Take leaves another token.
+// Ready returns a channel that holds a token after a message was put. Its receiver then calls Take. Take may return no messages: a
+// message that is put between the receipt of a token and the call of Take is taken by that call, but leaves another token.
 func (m *Mailbox[T]) Ready() <-chan struct{} { return m.ready }
 
-// Take removes all messages and returns them in the order in which they came. It reuses the memory of an earlier batch, which must not be
-// used any more; nil where there is none.
+// Take removes all messages and returns them in the order in which they were put. It reuses the memory of an earlier batch, which
+// must not be used afterwards. earlier is nil if there is no such batch.
 func (m *Mailbox[T]) Take(earlier []T) []T {
 	clear(earlier)
 	m.mu.Lock()
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// Messages come out in the order in which they were put, a batch at a time, and a token says that there are some.
+// Messages are taken in batches, in the order in which they were put, and a token indicates that there are some.
 func TestTakeKeepsOrder(t *testing.T) {
 	m := New[int]()
 	select {
 	case <-m.Ready():
-		t.Error("an empty mailbox is ready")
+		t.Error("an empty mailbox holds a token")
 	default:
 	}
 	for i := range 3 {
@@ -20,33 +20,33 @@
 	<-m.Ready()
 	first := m.Take(nil)
 	if !slices.Equal(first, []int{0, 1, 2}) {
-		t.Errorf("took %v", first)
+		t.Errorf("first batch: got %v, want messages 0 to 2", first)
 	}
 	m.Put(3)
 	if next := m.Take(first); !slices.Equal(next, []int{3}) {
-		t.Errorf("took %v, want the message after the first batch", next)
+		t.Errorf("second batch: got %v, want message 3", next)
 	}
 	if rest := m.Take(nil); len(rest) != 0 {
-		t.Errorf("took %v of an empty mailbox", rest)
+		t.Errorf("empty mailbox: got %v, want no messages", rest)
 	}
 }
 
-// The memory of a batch is reused by messages that come after it was given back, and holds none of its messages any more.
+// A batch that is passed back to Take is cleared, and its memory is reused for later messages.
 func TestTakeReusesEarlierBatch(t *testing.T) {
 	m := New[*int]()
 	m.Put(new(int))
 	batch := m.Take(nil)
 	m.Take(batch)
 	if batch[0] != nil {
-		t.Error("a batch that was given back holds a message")
+		t.Error("the batch that was passed back still holds a message")
 	}
 	m.Put(new(int))
 	if next := m.Take(nil); &next[0] != &batch[0] {
-		t.Error("its memory is not reused")
+		t.Error("the memory of the batch that was passed back was not reused")
 	}
 }
 
-// No message is lost where several goroutines put and one takes at each token.
+// No message is lost if several goroutines put messages and one goroutine takes them whenever there is a token.
 func TestConcurrentPuts(t *testing.T) {
 	const writers, messagesEach = 8, 500
 	m := New[int]()
@@ -58,13 +58,13 @@
 			}
 		})
 	}
-	next := make([]int, writers) // by writer: the message that is to come
+	next := make([]int, writers) // the next expected message of each writer
 	for taken := 0; taken < writers*messagesEach; {
 		<-m.Ready()
 		for _, message := range m.Take(nil) {
 			writer, i := message/messagesEach, message%messagesEach
 			if i != next[writer] {
-				t.Fatalf("message %d of writer %d came, want %d", i, writer, next[writer])
+				t.Fatalf("got message %d of writer %d, want %d", i, writer, next[writer])
 			}
 			next[writer]++
 			taken++
--- a/internal/ratelog/ratelog.go
+++ b/internal/ratelog/ratelog.go
@@ -1,7 +1,8 @@
-// Package ratelog writes warnings to the process's log at a bounded rate, so that bad input can't flood it. It may be used by any
-// goroutine.
+// Package ratelog writes warnings to the process's log at a limited rate, so that bad input can't flood the log. It is safe for
+// concurrent use.
 //
-// Warnings of one kind share their rate. A kind is never printed; callers choose it so that no frequent warning hides a rare one.
+// Each kind of warning has its own rate limit. The kind is not printed. Callers choose kinds so that no frequent warning suppresses
+// a rare one.
 package ratelog
 
 import (
@@ -13,11 +14,12 @@
 const (
 	// minInterval is the shortest time between two warnings of one kind.
 	minInterval = time.Second
-	// maxKinds bounds the memory of a logger: with more kinds than that, all are forgotten and start anew.
+	// maxKinds bounds the memory of a logger. When this many kinds are recorded, the next warning makes the
+	// logger forget them all.
 	maxKinds = 256
 )
 
-// Logger lets one warning of each kind through in an interval.
+// Logger writes at most one warning of each kind per minInterval.
 type Logger struct {
 	mu       sync.Mutex
 	loggedAt map[string]time.Time // by kind
@@ -35,7 +37,7 @@
 	}
 }
 
-// isDue tells whether a warning of a kind may be written now, and counts it as written.
+// isDue reports whether a warning of the given kind may be written now. If so, it records the warning as written.
 func (l *Logger) isDue(kind string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/ratelog/ratelog_test.go
+++ b/internal/ratelog/ratelog_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A kind is due once in the interval, whatever other kinds were logged.
+// A warning of each kind is due once per interval, whichever other kinds were logged.
 func TestEachKindHasItsOwnRate(t *testing.T) {
 	logger := &Logger{loggedAt: map[string]time.Time{}}
 	if !logger.isDue("a") || !logger.isDue("b") {
@@ -21,7 +21,7 @@
 	}
 }
 
-// The memory of a logger is bounded, whatever kinds its callers make up.
+// The number of recorded kinds is bounded, however many kinds callers use.
 func TestKindsAreBounded(t *testing.T) {
 	logger := &Logger{loggedAt: map[string]time.Time{}}
 	for i := range 3 * maxKinds {
@@ -29,7 +29,7 @@
 			t.Fatalf("the first warning of kind %d is not due", i)
 		}
 		if n := len(logger.loggedAt); n > maxKinds {
-			t.Fatalf("%d kinds are kept, want %d at most", n, maxKinds)
+			t.Fatalf("got %d recorded kinds, want %d at most", n, maxKinds)
 		}
 	}
 }
