--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -126,7 +126,7 @@
 }
 
 // estimatedWait returns how long a queued request is expected to wait. This is the time to serve the cost ahead of it at its
-// tenant's rate, reduced by what is reserved.
+// tenant's rate, minus the capacity that is reserved for others.
 func (c *Controller) estimatedWait(request *trackedRequest) Micros {
 	costAhead := c.waiting.queues.costAhead(request)
 	return c.reservations.timeToServe(c.now, request.Tenant, costAhead, c.tenantRate(request.Tenant))
--- a/internal/admission/command.go
+++ b/internal/admission/command.go
@@ -6,7 +6,7 @@
 const (
 	// Admit hands the request to the dispatcher.
 	Admit CommandKind = iota
-	// Reject rejects the request. The client may retry after the time RetryAfter.
+	// Reject rejects the request. The client may retry after RetryAfter.
 	Reject
 	// Coalesce answers the request with the answer to the request LeaderID, which is in progress.
 	Coalesce
--- a/internal/admission/concurrency_limit.go
+++ b/internal/admission/concurrency_limit.go
@@ -30,9 +30,9 @@
 	// unsentFraction is the fraction of the limit that may be in progress without having been sent. A fraction of the requests
 	// in progress would reduce the limit to the demand whenever there is little load.
 	unsentFraction = 0.05
-	// minUnsentAllowance, in requests, is the least number of requests that may be in progress without having been sent. It is
-	// some tens of milliseconds of work for a small deployment. If it were much smaller, a dispatcher that has lowered the limits
-	// of all its endpoints would get too few requests to raise them again.
+	// minUnsentAllowance, in requests, is the number that may be in progress without having been sent however low the limit is.
+	// It is some tens of milliseconds of work for a small deployment. If it were much smaller, a dispatcher that has lowered the
+	// limits of all its endpoints would get too few requests to raise them again.
 	minUnsentAllowance = 16.0
 )
 
@@ -93,7 +93,7 @@
 
 // recordFinished records that a request is no longer in progress. A request that was sent and finally rejected has met endpoints
 // that are at their limits, so it counts as a rejection. A request that was rejected unsent does not: either it waited unsent,
-// which unsentTime already contains, or it was admitted too late to be worth sending, which says nothing about the limit. If
+// which unsentTime already contains, or it arrived too late to be worth sending, which says nothing about the limit. If
 // the latter counted as rejections, late retries would lower the limit for all requests.
 func (l *concurrencyLimit) recordFinished(now Micros, result Result, isSent bool) {
 	if isSent {
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -27,7 +27,7 @@
 	LatencyObjective Micros
 	Timeout          Micros
 	PriorityWeight   float64
-	Keyed            bool // Arrival.Key identifies one request, so a request with the same key is a retry of it
+	Keyed            bool // Arrival.Key is the hash of an idempotency key, so a request with an equal key is a retry
 }
 
 // Tenant is one customer of the service. Its share of the capacity is proportional to its weight.
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,7 +1,7 @@
 // Package admission is the admission control of the router. It decides which request is handed to the dispatcher and when:
 // it queues requests fairly among tenants and among each tenant's clients, learns how many may be in progress at a time,
-// and rejects those that cannot be served in time or that exceed the limits. A rejected client is sent a Retry-After time,
-// and capacity is reserved for its return at that time.
+// and rejects those that cannot be served in time or that exceed the limits. A rejected client may be sent a Retry-After time.
+// If possible, capacity is reserved for its return at that time.
 //
 // A Controller owns all state of waiting requests, requests in progress and reservations. It does no I/O, reads no clock and
 // starts no goroutine; the same calls always produce the same commands. One goroutine, the owner of the controller, makes all
--- a/internal/admission/fair_queues.go
+++ b/internal/admission/fair_queues.go
@@ -20,7 +20,7 @@
 // fairQueues decides the order in which waiting requests are admitted, and which of them is evicted. It uses the weights of
 // tenants, the costs of requests and the priority weights of request classes. Start-time fair queueing divides the capacity
 // among the tenants, and each tenant's capacity among its queues. Clients are distributed over the queues of their tenant.
-// waitingRequests changes fairQueues; the controller reads its counts and costs.
+// waitingRequests adds and removes requests; the controller sets the weights, and reads counts and costs.
 type fairQueues struct {
 	tenants         []*tenantQueues // by tenant index; the last one holds the requests of all unknown tenants
 	tenantScheduler fairScheduler[*tenantQueues]
@@ -29,8 +29,8 @@
 	hashSeed        uint64 // secret, so that clients cannot choose their queues
 }
 
-// tenantQueues holds the queues of one tenant, over which its clients are distributed. Their number is fixed. The tenant is a
-// flow in tenantScheduler.
+// tenantQueues holds the queues of one tenant, over which its clients are distributed. The number of queues is fixed. The
+// tenant is a flow in tenantScheduler.
 type tenantQueues struct {
 	flow           fairFlow[*tenantQueues]
 	weight         float64
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -21,7 +21,7 @@
 	Succeeded Result = iota
 	// Rejected means that the dispatcher found no endpoint that accepted the request.
 	Rejected
-	// Failed means that the request was attempted and no endpoint answered it.
+	// Failed means that the request was attempted, but no attempt brought an answer for the client.
 	Failed
 	// ClientGone means that the client no longer waits for the answer.
 	ClientGone
@@ -44,7 +44,7 @@
 	state        requestState
 	retryKey     uint64  // equal for all attempts of one request
 	cost         float64 // work, in microseconds
-	firstArrival Micros  // arrival of the first attempt; a retry that replaces a queued attempt inherits it
+	firstArrival Micros  // arrival time of the first attempt; a retry that replaces a queued attempt inherits it
 	waitDeadline Micros  // the request is rejected if it is not admitted by then
 	admittedAt   Micros
 	isSent       bool // the dispatcher has sent the request to an endpoint
--- a/internal/admission/reservations.go
+++ b/internal/admission/reservations.go
@@ -26,7 +26,7 @@
 	cost      float64
 	slot      int64  // the calendar slot that contains returnAt
 	returnAt  Micros // when the Retry-After time ends
-	heapIndex int    // index into byReturnTime
+	heapIndex int    // index in reservationTable.byReturnTime
 }
 
 // reservationTable decides the Retry-After time of each rejected request, and whether a client has returned on time. The time
@@ -77,7 +77,7 @@
 // reserve returns the Retry-After time for a rejected request, and reserves capacity for its return if a slot has enough left.
 // rate and waitingCost are those of its tenant. The time is 0 if clients are sent no Retry-After.
 func (t *reservationTable) reserve(now Micros, request *trackedRequest, rate, waitingCost float64) (retryAfter Micros, isReserved bool) {
-	unreserved := t.unreservedRetryAfter() // drawn for each rejection, whatever is reserved
+	unreserved := t.unreservedRetryAfter() // drawn for each rejection, so that this draw does not depend on what is reserved
 	if t.maxRetryAfter == 0 || t.count() >= t.capacity {
 		return unreserved, false
 	}
--- a/internal/admission/reservations_test.go
+++ b/internal/admission/reservations_test.go
@@ -84,7 +84,7 @@
 		retryAfter, isReserved := table.reserve(now, request, 1, 0)
 		granted := table.byRetryKey[retryKey]
 		if !isReserved || granted == nil || now+retryAfter != granted.returnAt {
-			t.Fatalf("%s: got Retry-After %d and reservation %+v, want a reservation that ends with the Retry-After", test.name, retryAfter, granted)
+			t.Fatalf("%s: got Retry-After %d and reservation %+v, want a reservation whose return time is the end of the Retry-After", test.name, retryAfter, granted)
 		}
 		reserved := &table.calendars[0]
 		if got := table.claim(test.returnAt(granted), retryKey); got != test.want || reserved.total() != test.cost {
