--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// testController carries out a controller's commands and records the fate of each request. Its maps are by request ID.
+// testController carries out a controller's commands and records the outcome of each request. Its maps are by request ID.
 type testController struct {
 	*Controller
 	now          Micros
@@ -239,7 +239,7 @@
 	})
 }
 
-// flood lets count requests of one tenant arrive, with IDs from firstID, and returns the next free ID.
+// flood makes a number of requests of one tenant arrive, with consecutive IDs from firstID, and returns the next free ID.
 func flood(c *testController, tenant, count int, firstID uint64) uint64 {
 	for i := range count {
 		c.arrive(Arrival{ID: firstID + uint64(i), Tenant: tenant, Client: uint64(i) % 50, CostHint: 20 * millisecond})
@@ -278,7 +278,7 @@
 	flood(c, 0, 20, 1)
 	c.apply(c.Drain(c.now, c.now+100*millisecond))
 	if waiting := c.Status().Waiting; waiting > 8 || waiting < 2 { // of 19; the estimate may be off by one for each queue
-		t.Errorf("got %d waiting requests, want about five, for which there is time", waiting)
+		t.Errorf("got %d waiting requests, want 2 to 8, since there is time for about five", waiting)
 	}
 	c.advance(150 * millisecond)
 	if waiting := c.Status().Waiting; waiting != 0 {
