--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -74,8 +74,8 @@
 // Clock is the clock that the policy's times are read from.
 func (l *Loop) Clock() Clock { return l.clock }
 
-// UnreadInput is the gauge of the connections on which the endpoint list and rollout updates arrive.
-func (l *Loop) UnreadInput() *tcpconn.UnreadGauge { return l.stalls.unread }
+// UnreadInput tracks the connections on which the endpoint list and rollout updates arrive.
+func (l *Loop) UnreadInput() *tcpconn.UnreadTracker { return l.stalls.unread }
 
 // AddReader adds a goroutine that hands on the endpoint list or rollout updates. After a stall, flush is called with a barrier that the
 // reader has to answer once it has handed on all that it had read.
--- a/internal/agent/stall.go
+++ b/internal/agent/stall.go
@@ -27,7 +27,7 @@
 //
 // Readers may be added by any goroutine; the other methods are for the loop's goroutine, which sleeps in them after a stall.
 type stallGuard struct {
-	unread *tcpconn.UnreadGauge // the connections on which the endpoint list and rollout updates arrive
+	unread *tcpconn.UnreadTracker // the connections on which the endpoint list and rollout updates arrive
 
 	mutex   sync.Mutex
 	readers []func(Barrier) // the goroutines that read from those connections; guarded by mutex
@@ -35,7 +35,7 @@
 	lateTimer policy.Micros // the time of the late timer for which the readers were last waited for
 }
 
-func newStallGuard() stallGuard { return stallGuard{unread: tcpconn.NewUnreadGauge()} }
+func newStallGuard() stallGuard { return stallGuard{unread: tcpconn.NewUnreadTracker()} }
 
 // addReader adds a goroutine that hands on the endpoint list or rollout updates.
 func (g *stallGuard) addReader(flush func(Barrier)) {
--- a/internal/tcpconn/reset_conn.go
+++ b/internal/tcpconn/reset_conn.go
@@ -15,13 +15,13 @@
 // was given up may suffer.
 type ResetConn struct {
 	tcp        *net.TCPConn
-	unanswered atomic.Bool  // something was written and nothing has come since
-	isReading  atomic.Bool  // a reader waits in Read: all that it has read before is handed on
-	gauge      *UnreadGauge // nil: it is in none
+	unanswered atomic.Bool    // something was written and nothing has come since
+	isReading  atomic.Bool    // a reader waits in Read: all that it has read before is handed on
+	tracker    *UnreadTracker // nil: not tracked
 }
 
-// Dial opens a ResetConn. gauge counts it while it is open; nil where none is to.
-func Dial(ctx context.Context, dialer *net.Dialer, address string, gauge *UnreadGauge) (net.Conn, error) {
+// Dial opens a ResetConn. Unless tracker is nil, it tracks the connection until the connection is closed.
+func Dial(ctx context.Context, dialer *net.Dialer, address string, tracker *UnreadTracker) (net.Conn, error) {
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
@@ -30,9 +30,9 @@
 	if !ok {
 		return conn, nil
 	}
-	reset := &ResetConn{tcp: tcp, gauge: gauge}
-	if gauge != nil {
-		gauge.add(reset)
+	reset := &ResetConn{tcp: tcp, tracker: tracker}
+	if tracker != nil {
+		tracker.add(reset)
 	}
 	return reset, nil
 }
@@ -59,8 +59,8 @@
 	if c.unanswered.Load() {
 		_ = c.tcp.SetLinger(0) // fails only on a closed connection, which Close reports
 	}
-	if c.gauge != nil {
-		c.gauge.remove(c)
+	if c.tracker != nil {
+		c.tracker.remove(c)
 	}
 	return c.tcp.Close()
 }
--- /dev/null
+++ b/internal/tcpconn/unread_tracker.go
@@ -0,0 +1,37 @@
+package tcpconn
+
+import "sync"
+
+// UnreadTracker reports whether any connection of a set has received input that its reader has not handed on. It may be used by any
+// goroutine.
+type UnreadTracker struct {
+	mu   sync.Mutex
+	open map[*ResetConn]bool
+}
+
+// NewUnreadTracker returns a tracker without connections. Dial adds them.
+func NewUnreadTracker() *UnreadTracker { return &UnreadTracker{open: map[*ResetConn]bool{}} }
+
+// HasUnread reports whether input has arrived on any of the connections that its reader has not handed on.
+func (t *UnreadTracker) HasUnread() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for conn := range t.open {
+		if !conn.isReading.Load() || !IsOpenWithoutInput(conn) {
+			return true
+		}
+	}
+	return false
+}
+
+func (t *UnreadTracker) add(conn *ResetConn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.open[conn] = true
+}
+
+func (t *UnreadTracker) remove(conn *ResetConn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.open, conn)
+}
