--- a/internal/proxy/admission_loop.go
+++ b/internal/proxy/admission_loop.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// summaryInterval is how often the log gets a summary of the admission loop, while there is anything to report.
+	// summaryInterval is how often a summary of the admission loop is logged if there is anything to report.
 	summaryInterval = 10 * time.Second
-	// idleTimerInterval is what the admission loop's timer is set to while the controller has set none.
+	// idleTimerInterval is the interval of the admission loop's timer while the controller has no timer.
 	idleTimerInterval = time.Hour
 )
 
-// AdmissionLoop drives an admission controller: it holds requests back until the controller admits them to the event loop, rejects
-// them, or has them answered with the reply of the request that they repeat.
+// AdmissionLoop drives an admission controller. It holds each request until the controller admits it to the event loop, rejects it, or
+// coalesces it, in which case it gets the reply of the request that it retries.
 //
-// The goroutine that runs Serve owns all its state. The other methods may be called by any goroutine. Its mailbox keeps the order in which
-// requests arrive, which is the order in which the controller sees them, and a request's arrival before its cancellation.
+// The goroutine that runs Serve owns all its state. The other exported methods may be called by any goroutine. The mailbox preserves the
+// order of messages: the controller sees requests in the order in which they arrive, and the arrival of a request before its cancellation.
 type AdmissionLoop struct {
 	controller *admission.Controller
 	clock      agent.Clock
 	loop       *agent.Loop
 	mailbox    *mailbox.Mailbox[admissionMessage]
-	waiting    map[uint64]requestArrival // not admitted yet
-	inProgress map[uint64]bool           // admitted and not finished
+	waiting    map[uint64]requestArrival // by request id; not admitted yet
+	inProgress map[uint64]bool           // by request id; admitted and not finished
 	lastLogged AdmissionStatus
 }
 
-// NewAdmissionLoop makes an admission loop in front of an event loop.
+// NewAdmissionLoop returns an admission loop that hands admitted requests to an event loop.
 func NewAdmissionLoop(controller *admission.Controller, clock agent.Clock, loop *agent.Loop) *AdmissionLoop {
 	return &AdmissionLoop{
 		controller: controller,
@@ -70,7 +70,7 @@
 	}
 }
 
-// untilNextTimer returns how long the controller may be left alone while no message comes.
+// untilNextTimer returns the time until the controller's next timer, or idleTimerInterval if there is none.
 func (l *AdmissionLoop) untilNextTimer() time.Duration {
 	next := l.controller.NextTimer()
 	if next <= 0 {
@@ -104,7 +104,7 @@
 	}
 }
 
-// cancel takes a request back. The event loop reports an admitted one as finished when nothing of it is in flight any more.
+// cancel cancels a request. The event loop cancels an admitted one, and reports it as finished once none of its attempts is in flight.
 func (l *AdmissionLoop) cancel(now policy.Micros, id uint64) {
 	if l.inProgress[id] {
 		l.loop.Enqueue(policy.RequestCancelled{RequestID: id})
@@ -114,7 +114,7 @@
 	l.execute(l.controller.Abandon(now, id))
 }
 
-// execute carries the controller's commands out.
+// execute carries out the controller's commands.
 func (l *AdmissionLoop) execute(commands []admission.Command) {
 	for _, command := range commands {
 		switch command.Kind {
@@ -132,7 +132,7 @@
 	}
 }
 
-// admit hands a request to the event loop, which reports back its first attempt and its end.
+// admit hands a request to the event loop. The request's callbacks report its first attempt and its end to the mailbox.
 func (l *AdmissionLoop) admit(id uint64) {
 	admitted := l.waiting[id]
 	delete(l.waiting, id)
@@ -148,7 +148,7 @@
 	l.loop.Admit(admitted.event, request)
 }
 
-// remove takes a request off those that wait, and reports whether it was one of them.
+// remove removes a waiting request, calls its OnDone callback, and reports whether it was waiting.
 func (l *AdmissionLoop) remove(id uint64) (removed requestArrival, ok bool) {
 	removed, ok = l.waiting[id]
 	if !ok {
@@ -161,7 +161,7 @@
 	return removed, true
 }
 
-// Status returns the admission loop's status, or an empty one where the context ends first.
+// Status returns the admission loop's status, or the zero value if the context ends first.
 func (l *AdmissionLoop) Status(ctx context.Context) (status AdmissionStatus) {
 	reply := make(chan AdmissionStatus, 1)
 	l.mailbox.Put(statusQuery{reply})
@@ -172,12 +172,12 @@
 	return status
 }
 
-// SetWeights puts other weights of the tenants in force.
+// SetWeights changes the weights of the tenants.
 func (l *AdmissionLoop) SetWeights(tenants []admission.Tenant) {
 	l.mailbox.Put(weightsUpdate{tenants})
 }
 
-// Close writes the last summary to the log.
+// Close logs a final summary. It waits until the summary is written or the context ends.
 func (l *AdmissionLoop) Close(ctx context.Context) {
 	done := make(chan struct{})
 	l.mailbox.Put(summaryRequest{done})
--- a/internal/proxy/admission_loop_test.go
+++ b/internal/proxy/admission_loop_test.go
@@ -11,13 +11,13 @@
 	"switchfork/internal/policy"
 )
 
-// testAdmission is an event loop behind an admission loop, with a router that the test scripts.
+// testAdmission is an admission loop in front of an event loop, with a router that the test scripts.
 type testAdmission struct {
 	*agenttest.Rig
 	loop *AdmissionLoop
 }
 
-// newTestAdmission starts an admission loop with so much capacity for one class and one tenant.
+// newTestAdmission starts an admission loop with the given limits for one class and one tenant.
 func newTestAdmission(t *testing.T, limits admission.Limits, coalesces bool) *testAdmission {
 	t.Helper()
 	rig := agenttest.NewRig(t, time.Second)
@@ -52,27 +52,27 @@
 // status asks the admission loop for its status.
 func (g *testAdmission) status() AdmissionStatus { return g.loop.Status(context.Background()) }
 
-// admitted returns how many requests the router has got.
+// admitted returns how many requests the router has received.
 func (g *testAdmission) admitted() int { return len(agenttest.Events[policy.RequestArrived](g.Router)) }
 
-// A retry is not admitted while the request that it repeats is in progress, is admitted when that is finished, and takes over the queue
-// position of an earlier retry.
+// A retry is not admitted while the request that it repeats is in progress. It is admitted once that request is finished. A second retry
+// takes over the queue position of the first.
 func TestRetryOfRequestInProgress(t *testing.T) {
 	rig := newTestAdmission(t, admission.Limits{Requests: 10, Bytes: 1 << 20, Queues: 4}, false)
 	rig.arrive(1, 5)
 	agenttest.Eventually(t, "the first request", func() bool { return rig.admitted() == 1 })
 	rig.arrive(2, 5)
 	if status := rig.status(); status.Rejoined != 1 || status.InProgress != 1 || status.Waiting != 1 {
-		t.Fatalf("status after the retry: %+v", status)
+		t.Fatalf("got status %+v after the retry, want one request rejoined, one in progress and one waiting", status)
 	}
 	if rig.admitted() != 1 {
 		t.Fatal("two requests with one key were admitted")
 	}
 	third := rig.arrive(3, 5)
 	if status := rig.status(); status.Rejoined != 2 || status.Waiting != 1 {
-		t.Fatalf("status after the second retry: %+v", status)
+		t.Fatalf("got status %+v after the second retry, want two requests rejoined and one waiting", status)
 	}
-	rig.loop.mailbox.Put(requestCancelled{1}) // the first client disconnects: its request is finished when the router has got the event
+	rig.loop.mailbox.Put(requestCancelled{1}) // the first client disconnects; its request is finished once the router has received this event
 	agenttest.Eventually(t, "the retry", func() bool { return rig.admitted() == 2 })
 	if got := agenttest.Events[policy.RequestArrived](rig.Router)[1].ID; got != 3 {
 		t.Errorf("request %d was admitted after the first one, want the last retry", got)
@@ -86,14 +86,14 @@
 	agenttest.Eventually(t, "a request after all are finished", func() bool { return rig.admitted() == 3 })
 }
 
-// With coalescing, a retry gets the reply of the request that it repeats, whatever it is, and is not admitted itself.
+// With coalescing, a retry is not admitted. It gets the reply of the request that it repeats, whatever that reply is.
 func TestRetryIsCoalesced(t *testing.T) {
 	rig := newTestAdmission(t, admission.Limits{Requests: 10, Bytes: 1 << 20, Queues: 4}, true)
 	first := rig.arrive(1, 5)
 	agenttest.Eventually(t, "the first request", func() bool { return rig.admitted() == 1 })
 	second := rig.arrive(2, 5)
 	if status := rig.status(); status.Coalesced != 1 {
-		t.Fatalf("status after the retry: %+v", status)
+		t.Fatalf("got status %+v after the retry, want one request coalesced", status)
 	}
 	rig.Respond(func(event policy.Event) []policy.Command {
 		if _, is := event.(policy.HealthCheckResult); is {
@@ -106,7 +106,7 @@
 		select {
 		case r := <-ch:
 			if r.Rejected || r.Response != nil {
-				t.Errorf("the %s request was answered %+v, want a failure", name, r)
+				t.Errorf("the %s request got reply %+v, want a failure", name, r)
 			}
 		case <-time.After(agenttest.WaitTimeout):
 			t.Errorf("the %s request was not answered", name)
@@ -117,7 +117,7 @@
 	}
 }
 
-// A queued request whose client disconnects is removed, and a drain answers all that will not be admitted.
+// A queued request whose client disconnects is removed. A drain rejects all requests that can't be admitted before its deadline.
 func TestCancelAndDrain(t *testing.T) {
 	rig := newTestAdmission(t, admission.Limits{Requests: 40, Bytes: 1 << 20, Queues: 4}, false)
 	for id := uint64(1); id <= 32; id++ { // the initial concurrency limit
@@ -130,14 +130,14 @@
 	}
 	rig.loop.mailbox.Put(requestCancelled{33})
 	if status := rig.status(); status.InProgress != 32 || status.Waiting != 5 {
-		t.Fatalf("status after the cancellation: %+v", status)
+		t.Fatalf("got status %+v after the cancellation, want 32 requests in progress and 5 waiting", status)
 	}
 	rig.loop.mailbox.Put(drainStarted{time.Now()})
 	for id := uint64(34); id <= 38; id++ {
 		select {
 		case r := <-replies[id]:
 			if !r.Rejected {
-				t.Errorf("request %d was answered %+v", id, r)
+				t.Errorf("request %d got reply %+v, want a rejection", id, r)
 			}
 		case <-time.After(agenttest.WaitTimeout):
 			t.Errorf("request %d was not answered", id)
--- a/internal/proxy/admission_messages.go
+++ b/internal/proxy/admission_messages.go
@@ -21,25 +21,25 @@
 // attemptSent reports the first attempt of a request.
 type attemptSent struct{ id uint64 }
 
-// requestFinished reports that an admitted request has its reply and nothing of it is in flight.
+// requestFinished reports that an admitted request has its reply or was cancelled, and that none of its attempts is in flight.
 type requestFinished struct {
 	id     uint64
 	result admission.Result
 }
 
-// requestCancelled reports that the client of a request has gone, or that nobody waits for its reply any more.
+// requestCancelled reports that nobody waits for the reply to a request any more: the client disconnected, or the drain has run out of time.
 type requestCancelled struct{ id uint64 }
 
-// drainStarted announces that no request can be answered after a deadline.
+// drainStarted reports that a drain has started, and that no request can be answered after its deadline.
 type drainStarted struct{ deadline time.Time }
 
-// weightsUpdate puts other weights of the tenants in force.
+// weightsUpdate changes the weights of the tenants.
 type weightsUpdate struct{ tenants []admission.Tenant }
 
 // statusQuery asks for the admission loop's status.
 type statusQuery struct{ reply chan<- AdmissionStatus }
 
-// summaryRequest asks for a summary in the log; done is closed when it is written.
+// summaryRequest asks for a summary to be logged; done is closed when it is written.
 type summaryRequest struct{ done chan<- struct{} }
 
 func (requestArrival) isAdmissionMessage()   {}
--- a/internal/proxy/admission_summary.go
+++ b/internal/proxy/admission_summary.go
@@ -6,18 +6,18 @@
 	"switchfork/internal/admission"
 )
 
-// AdmissionStatus is what an admission loop holds and has done.
+// AdmissionStatus holds the current state of an admission loop, and its counters since the start.
 type AdmissionStatus struct {
 	admission.Status
 	admission.Counters
 }
 
-// status returns the controller's state. Only the goroutine that runs Serve may call it.
+// status returns the controller's state and counters. Only the goroutine that runs Serve may call it.
 func (l *AdmissionLoop) status() AdmissionStatus {
 	return AdmissionStatus{l.controller.Status(), l.controller.Counters}
 }
 
-// logSummary writes a summary to the log if anything has happened since the last one.
+// logSummary logs a summary if requests have arrived since the last one or are waiting.
 func (l *AdmissionLoop) logSummary() {
 	now := l.status()
 	if now.Arrived != l.lastLogged.Arrived || now.Waiting > 0 {
@@ -26,7 +26,7 @@
 	l.lastLogged = now
 }
 
-// writeSummary logs gauges as they are, and counters as their increase since the last summary.
+// writeSummary logs gauges with their current values, and counters with their increase since the last summary.
 func writeSummary(now, last AdmissionStatus) {
 	slog.Info("admission",
 		"in_progress", now.InProgress,
--- a/internal/proxy/buffers.go
+++ b/internal/proxy/buffers.go
@@ -5,7 +5,8 @@
 // copyBufferBytes is the size of a copy buffer; most response bodies fit.
 const copyBufferBytes = 4 << 10
 
-// bufferPool lends httputil.ReverseProxy its copy buffers. A new buffer for each response would cost much of the agent's processor time.
+// bufferPool is the pool of copy buffers of an httputil.ReverseProxy. A new buffer for each response would take much of the agent's CPU
+// time.
 type bufferPool struct{ pool sync.Pool }
 
 // Get returns a buffer from the pool, or a new one where the pool is empty.
@@ -16,5 +17,5 @@
 	return make([]byte, copyBufferBytes)
 }
 
-// Put takes a buffer back.
+// Put returns a buffer to the pool.
 func (b *bufferPool) Put(buffer []byte) { b.pool.Put((*[copyBufferBytes]byte)(buffer)) }
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -1,10 +1,11 @@
-// Package proxy is the agent's side towards its clients: an HTTP server that reads each request, hands it to the event loop and writes
-// the one final reply that the loop gives.
+// Package proxy is the client-facing side of the agent: an HTTP server that reads each request, hands it to the event loop and writes
+// the one final reply that the event loop returns.
 //
-// A request passes through three parts. A clientListener accepts connections while the connection budget allows and knows for each
-// whether it carries a request, so that closing one never loses a request that was read. The Proxy checks and decodes the request, as
-// the http.RoundTripper of an httputil.ReverseProxy. An optional AdmissionLoop decides when the request may go on to the event loop.
+// A request passes through three parts. A clientListener accepts connections while the connection budget has descriptors. It tracks
+// whether each connection carries a request, so that closing a connection never loses a request that was read. The Proxy is the
+// http.RoundTripper of an httputil.ReverseProxy; it checks and decodes the request. An optional AdmissionLoop decides when the request is
+// handed to the event loop.
 //
-// The methods of Proxy may be called by any goroutine once Serve runs; Listen and UseAdmission have to be called before. The admission
-// controller belongs to the goroutine that runs AdmissionLoop.Serve, and all others reach it by messages.
+// The methods of Proxy may be called by any goroutine once Serve runs. Listen and UseAdmission have to be called before. The admission
+// controller belongs to the goroutine that runs AdmissionLoop.Serve; other goroutines send it messages.
 package proxy
--- a/internal/proxy/error_log.go
+++ b/internal/proxy/error_log.go
@@ -7,7 +7,7 @@
 	"switchfork/internal/ratelog"
 )
 
-// errorLogWriter takes what net/http logs and passes on one line a second, since clients can cause any number of them.
+// errorLogWriter logs the errors that net/http reports, at most one a second, since clients can cause any number of them.
 type errorLogWriter struct{}
 
 func newErrorLog() *log.Logger { return log.New(errorLogWriter{}, "", 0) }
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -26,7 +26,7 @@
 		if err := response.Write(&text); err != nil {
 			t.Fatal(err)
 		}
-		_ = response.Body.Close() // it reads from memory
+		_ = response.Body.Close() // the body is in memory
 		write(fmt.Sprintf("reply %d", i), text.String())
 	}
 	golden.Check(t, "requests.golden", out.String())
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -14,10 +14,10 @@
 // healthPath is the path of the health endpoint.
 const healthPath = "/_health"
 
-// Keys of the values that a request's context carries.
+// Keys of the values in a request's context.
 type (
 	connKey   struct{} // the net.Conn that the request came on
-	targetKey struct{} // its path and query as they were sent
+	targetKey struct{} // the request's path and query as the client sent them
 )
 
 // newServer makes the HTTP server that reads requests and writes responses.
@@ -49,7 +49,7 @@
 		if p.isDraining.Load() {
 			w.Header().Set("Connection", "close")
 		}
-		// A request class may have the path's name: its requests have ids.
+		// A request class may have the name of this path. Its requests have ids, health checks have none.
 		if r.URL.Path == healthPath && r.Header.Get(requestIDHeader) == "" {
 			p.serveHealth(w)
 			return
@@ -58,7 +58,7 @@
 			rejectTransferEncoding(w)
 			return
 		}
-		// The target goes on as it was sent, also where ReverseProxy would clean it.
+		// The target is forwarded as the client sent it, even if ReverseProxy would clean it.
 		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), targetKey{}, r.RequestURI)))
 	})
 }
@@ -68,12 +68,12 @@
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = io.WriteString(w, "ok\n") // fails only where the client has gone
+	_, _ = io.WriteString(w, "ok\n") // fails only if the client has disconnected
 }
 
-// rejectTransferEncoding answers a body without a length and closes the connection. Clients of the protocol send lengths. Where a request
-// has both, net/http follows the chunks and drops the length, and what another reader takes for the rest of the body would pass as the
-// next request; so nothing behind it is read.
+// rejectTransferEncoding rejects a request with a Transfer-Encoding and closes the connection. Clients of the protocol send a
+// Content-Length. If a request has both headers, net/http reads the chunks and ignores the length. Bytes that another reader takes for the
+// rest of the body would then be served as the next request, so nothing that follows the request is read.
 func rejectTransferEncoding(w http.ResponseWriter) {
 	invalid := &requestError{status: http.StatusLengthRequired, reason: "a body needs a Content-Length and no Transfer-Encoding"}
 	w.Header().Set("Connection", "close")
@@ -81,8 +81,8 @@
 	invalid.log()
 }
 
-// closeConnIfNeeded has a response end its connection during a drain, while descriptors for endpoints run short, and once for each client
-// that waits for a descriptor. That is the one end of a connection that no request of its client can cross.
+// closeConnIfNeeded has a response close its connection during a drain, while few descriptors are left for endpoints, and once for each
+// client that waits for a descriptor. Only a close that a response announces can't coincide with the client's next request.
 func (p *Proxy) closeConnIfNeeded(response *http.Response) error {
 	if p.isDraining.Load() || p.budget.IsShort() || p.listener.takeWaitingClient() {
 		response.Header.Set("Connection", "close")
@@ -90,10 +90,10 @@
 	return nil
 }
 
-// handleReadError is called for a client that went away, or whose body could not be read.
+// handleReadError is called if the client has disconnected or the body of its request could not be read.
 func (p *Proxy) handleReadError(w http.ResponseWriter, r *http.Request, err error) {
 	if r.Context().Err() == nil {
-		ratelog.Warn("body", "request body not read", "err", err)
+		ratelog.Warn("body", "reading a request body failed", "err", err)
 	}
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(http.StatusBadRequest)
--- a/internal/proxy/handler_test.go
+++ b/internal/proxy/handler_test.go
@@ -15,7 +15,7 @@
 	client.send(rawRequest("_health?sid=1"))
 	client.expectResponse(http.StatusServiceUnavailable, false)
 	if n := len(agenttest.Events[policy.RequestArrived](server.Router)); n != 1 {
-		t.Errorf("%d requests were accepted", n)
+		t.Errorf("%d requests were accepted, want 1", n)
 	}
 	client.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 	client.expectResponse(http.StatusOK, false)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -13,25 +13,26 @@
 	"switchfork/internal/policy"
 )
 
-// exchangeTimeout bounds writing responses to what is no request, and the age of a request that waits in the kernel. The response to a
-// request has a bound of its own.
+// exchangeTimeout is the write timeout of responses that the event loop has no part in, such as those to health checks. Responses to
+// forwarded requests have another write deadline, which limitWriteTime sets. It also bounds the time that a request may have waited in the
+// kernel: queueDelay ignores longer times.
 const exchangeTimeout = time.Minute
 
-// Config is what a Proxy is made from.
+// Config is the configuration of a Proxy.
 type Config struct {
 	Loop    *agent.Loop
 	Classes []RequestClass // a class's id is its index
 	Tenants []string       // a tenant's id is its index
 
-	// MaxOpenRequests is the number of requests that may be open where no admission loop decides.
+	// MaxOpenRequests is the number of requests that may be open if there is no admission loop.
 	MaxOpenRequests int
-	// MaxRetryAfter is the longest Retry-After that clients follow, 0 where they are not sent any.
+	// MaxRetryAfter is the longest Retry-After that clients honor, or 0 if the agent sends none.
 	MaxRetryAfter time.Duration
 	Budget        *connlimit.Budget
 
-	// LastRequestID is the number before the first request's. The router places a request without a warm key by its number. Where all
-	// agents counted from one, the n-th request of each went to the same endpoint, and hundreds that started together filled its queue.
-	// So it has to differ from agent to agent and from start to start.
+	// LastRequestID is the number before that of the first request. The router selects the endpoint of a request without a warm key by the
+	// request's number. When all agents counted from one, the n-th request of each agent went to the same endpoint, and hundreds of agents
+	// that started together filled its queue. So LastRequestID has to differ between agents and between starts of an agent.
 	LastRequestID uint64
 }
 
@@ -51,11 +52,11 @@
 	clientKey       ClientKey
 
 	isDraining    atomic.Bool
-	drainDeadline time.Time     // set before isDraining
-	drainExpired  chan struct{} // closed when the drain has run out of time
+	drainDeadline time.Time     // when all open requests are answered; set before isDraining
+	drainExpired  chan struct{} // closed when drainDeadline has passed
 }
 
-// New makes a proxy that does not listen yet.
+// New returns a proxy that does not listen yet.
 func New(config Config) *Proxy {
 	p := &Proxy{
 		loop:            config.Loop,
@@ -72,19 +73,19 @@
 	return p
 }
 
-// ClientKey says how a tenant's clients are told apart: by a header that the operator names, by the connection, or by the address.
+// ClientKey selects what identifies a client within its tenant: a header if one is named, or else the connection or the IP address.
 type ClientKey struct {
 	Header     string
 	Connection bool
 }
 
-// UseAdmission has an admission loop decide when requests go to the event loop. It has to be called before Serve.
+// UseAdmission sets an admission loop, which decides when requests go to the event loop. It has to be called before Serve.
 func (p *Proxy) UseAdmission(admission *AdmissionLoop, clientKey ClientKey) {
 	p.admission = admission
 	p.clientKey = clientKey
 }
 
-// Listen opens the listener for clients; the health endpoint answers as soon as Serve runs. Its error names the address.
+// Listen opens the listener for clients. The health endpoint answers as soon as Serve runs. The error names the address.
 func (p *Proxy) Listen(address string) error {
 	listener, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", address)
 	if err != nil {
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// Serve serves clients until Drain has ended.
+// Serve serves clients until Drain has closed the listener.
 func (p *Proxy) Serve() error {
 	if err := p.server.Serve(p.listener); !errors.Is(err, net.ErrClosed) {
 		return err
--- a/internal/proxy/queue_delay.go
+++ b/internal/proxy/queue_delay.go
@@ -8,8 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// queueDelay returns how long ago the request's last byte came in, by the kernel's count: a request that waited in a queue while the
-// agent was short of processor time or descriptors has that much less time left. It returns 0 where the kernel can't tell.
+// queueDelay returns how long ago the kernel received the last byte of a request. A request that waited in a queue while the agent was
+// short of CPU time or descriptors has that much less time left. It returns 0 if the kernel does not report the time, or if the time is
+// exchangeTimeout or longer.
 func queueDelay(r *http.Request) (delay time.Duration) {
 	conn, ok := r.Context().Value(connKey{}).(syscall.Conn)
 	if !ok {
@@ -19,7 +20,7 @@
 	if err != nil {
 		return 0
 	}
-	// Control fails only for a connection that is closed already; then there is no delay to measure.
+	// Control fails only for a closed connection, which has no delay to measure.
 	_ = raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err != nil {
--- a/internal/proxy/replies.go
+++ b/internal/proxy/replies.go
@@ -21,7 +21,7 @@
 	failedBody   = "voided\n"
 )
 
-// requestError is a request that is answered with an error status and that the event loop never sees.
+// requestError describes a request that is answered with an error status and not handed to the event loop.
 type requestError struct {
 	status int
 	reason string
@@ -35,8 +35,8 @@
 	ratelog.Warn("request"+strconv.Itoa(e.status), "request rejected", "status", e.status, "reason", e.reason)
 }
 
-// errorResponse answers a request that could not be read: with the status of a requestError, and not at all after any other error, which
-// means that the client went away or took too long.
+// errorResponse returns the response to a request that was not accepted because of a requestError. It returns any other error as it is: the
+// client disconnected or took too long.
 func errorResponse(r *http.Request, err error) (*http.Response, error) {
 	var invalid *requestError
 	if !errors.As(err, &invalid) {
@@ -61,7 +61,7 @@
 	return newResponse(r, http.StatusGatewayTimeout, plainText, []byte(failedBody))
 }
 
-// formatSeconds formats a time as seconds with milliseconds, as the protocol's Retry-After has it.
+// formatSeconds formats a time as seconds with three decimals, the form of Retry-After in the protocol.
 func formatSeconds(t policy.Micros) string {
 	return strconv.FormatFloat(float64(t)/microsPerSecond, 'f', 3, 64)
 }
--- a/internal/proxy/request_decoder.go
+++ b/internal/proxy/request_decoder.go
@@ -12,19 +12,19 @@
 	"switchfork/internal/protocol"
 )
 
-// RequestClass is a class of requests as the configuration has it.
+// RequestClass is a configured class of requests.
 type RequestClass struct {
 	Name        string // the first segment of the path
 	Idempotency policy.Idempotency
-	Timeout     time.Duration // of a request without a deadline of its own
+	Timeout     time.Duration // of a request without X-Deadline-Ms
 }
 
-// clientRequest is what a client's request says to the agent.
+// clientRequest holds the properties of a client's request that the agent uses.
 type clientRequest struct {
 	class    int
 	tenant   int
-	key      uint64 // session key, 0 where it has none
-	retryKey uint64 // what a retry has too: the hash of the idempotency key, or else the session key
+	key      uint64 // session key; 0: none
+	retryKey uint64 // shared by a request and its retries; see RequestClass.retryKey
 	timeout  time.Duration
 	costHint policy.Micros
 	isRetry  bool
@@ -75,7 +75,7 @@
 	if class := d.indexOfClass(segment); class >= 0 {
 		return class, nil
 	}
-	// A name may hold characters that a path has percent-encoded.
+	// A class name may contain characters that are percent-encoded in a path.
 	if decoded, err := url.PathUnescape(segment); err == nil {
 		if class := d.indexOfClass(decoded); class >= 0 {
 			return class, nil
@@ -89,7 +89,7 @@
 	return slices.IndexFunc(d.classes, func(class RequestClass) bool { return class.Name == name })
 }
 
-// check tells whether a request has the method and the headers that its class requires.
+// check returns an error unless a request has the method and the headers that its class requires.
 func (c RequestClass) check(r *http.Request) error {
 	if name := r.Header.Get(classHeader); name != "" && name != c.Name {
 		return badRequest("X-Class is %.40q under the path of %s", name, c.Name)
@@ -117,7 +117,8 @@
 	return http.MethodPost
 }
 
-// retryKey returns what the retries of a request have in common with it, 0 where nothing is known to be.
+// retryKey returns the key that a request shares with its retries: the session key of an idempotent request, or else the hash of the
+// idempotency key. It returns 0 if there is none.
 func (c RequestClass) retryKey(header http.Header, key uint64) uint64 {
 	if c.Idempotency == policy.Idempotent {
 		return key
@@ -128,7 +129,7 @@
 	return 0
 }
 
-// tenantOf returns the tenant's id. All tenants that are not configured share one.
+// tenantOf returns the tenant's id. All tenants that are not configured share one id.
 func (d *requestDecoder) tenantOf(header http.Header) int {
 	if tenant := slices.Index(d.tenants, header.Get(tenantHeader)); tenant >= 0 {
 		return tenant
--- a/internal/proxy/request_headers.go
+++ b/internal/proxy/request_headers.go
@@ -22,13 +22,14 @@
 	retryHeader          = "X-Retry"
 )
 
-// maxCostHintMicros bounds the cost hints that are believed.
+// maxCostHintMicros bounds the cost hints that are used; a hint that reaches it is ignored.
 const maxCostHintMicros = 1e9
 
 // sessionKeyDigits is the length of a session key that is written as a 64-bit hexadecimal number.
 const sessionKeyDigits = 16
 
-// singleHeaders are the headers of which a second would leave open which one an endpoint goes by.
+// singleHeaders are the headers that may occur only once in a request. With two values, it
+// would be ambiguous which one an endpoint uses.
 var singleHeaders = []string{requestIDHeader, classHeader, deadlineHeader, idempotencyKeyHeader}
 
 func checkSingleHeaders(header http.Header) error {
@@ -40,7 +41,7 @@
 	return nil
 }
 
-// timeoutOf returns how long a client waits: by its header, or else as long as its class says.
+// timeoutOf returns how long a client waits: the time in its X-Deadline-Ms header, or else the timeout of the request's class.
 func timeoutOf(header http.Header, classTimeout time.Duration) (time.Duration, error) {
 	timeout := classTimeout
 	if text := header.Get(deadlineHeader); text != "" {
@@ -56,7 +57,7 @@
 	return timeout, nil
 }
 
-// costHintOf returns the client's estimate of the work, 0 where it has none that can be believed.
+// costHintOf returns the client's estimate of the cost of its request, or 0 if it sent no credible one.
 func costHintOf(header http.Header) policy.Micros {
 	hint, err := strconv.ParseFloat(header.Get(costHintHeader), 64)
 	isCredible := err == nil && hint > 0 && hint < maxCostHintMicros
@@ -66,7 +67,8 @@
 	return policy.Micros(hint)
 }
 
-// sessionKey returns the 64 bits of the query's sid, or a hash of what else it holds; 0 where there is none.
+// sessionKey returns the session key of a query. This is the value of sid if it is a 64-bit hexadecimal number, or else a hash of the
+// value. It returns 0 if there is no sid.
 func sessionKey(query string) uint64 {
 	for query != "" {
 		var pair string
--- a/internal/proxy/request_ids.go
+++ b/internal/proxy/request_ids.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// requestIDSet holds the ids of the requests in flight. A second request under one of them would be a copy to an endpoint, and could be
-// handed the reply of the first.
+// requestIDSet holds the ids of the requests in flight. An endpoint would take a second request with the same id for a duplicate, and that
+// request could get the reply to the first.
 type requestIDSet struct {
 	mu       sync.Mutex
 	reserved map[string]bool
@@ -11,7 +11,7 @@
 
 func newRequestIDSet() *requestIDSet { return &requestIDSet{reserved: map[string]bool{}} }
 
-// reserve reports whether the id was free, and takes it if so.
+// reserve reserves an id if it is free, and reports whether it did.
 func (s *requestIDSet) reserve(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/round_trip.go
+++ b/internal/proxy/round_trip.go
@@ -23,7 +23,8 @@
 	receivedAt := time.Now().Add(-queueDelay(r))
 	defer p.openRequests.Add(-1)
 	if p.exceedsOpenRequests(p.openRequests.Add(1)) {
-		// As when the router is at its own limit: rejected before the router has it. This is overload, so nobody should be back soon.
+		// The request is rejected before the router gets it, as when the router is at its own limit. This is overload, so clients should not
+		// retry soon.
 		return replyResponse(agent.Reply{Rejected: true, RetryAfter: p.maxRetryAfter}, r), nil
 	}
 	requestID := r.Header.Get(requestIDHeader)
@@ -45,7 +46,7 @@
 	}
 }
 
-// exceedsOpenRequests tells whether so many open requests are too many. An admission loop bounds them itself.
+// exceedsOpenRequests reports whether there are too many open requests. An admission loop has its own limit.
 func (p *Proxy) exceedsOpenRequests(open int64) bool {
 	limit := min(p.maxOpenRequests, p.budget.MaxRequests())
 	if p.admission != nil || open <= int64(limit) {
@@ -58,7 +59,7 @@
 // receivedRequest is a client's request that has been read completely.
 type receivedRequest struct {
 	*clientRequest
-	target string // path and query as they were sent
+	target string // path and query as the client sent them
 	body   []byte
 }
 
@@ -96,12 +97,12 @@
 	encoded := protocol.EncodeRequest(r.Method, received.target, r.Host, r.Header, received.body)
 	request := agent.NewRequest(encoded, receivedAt.Add(received.timeout), onDone)
 	if p.isDraining.Load() && request.Deadline.After(p.drainDeadline) {
-		request.Deadline = p.drainDeadline // nobody will be there to answer it later
+		request.Deadline = p.drainDeadline // the process can't answer it later
 	}
 	return request
 }
 
-// forward hands a request to the admission loop, or to the event loop where there is none. It returns what cancels the request.
+// forward hands a request to the admission loop, or to the event loop if there is none. It returns a function that cancels the request.
 func (p *Proxy) forward(r *http.Request, received *receivedRequest, request *agent.Request, receivedAt time.Time) (cancel func()) {
 	event := policy.RequestArrived{
 		ID:       p.lastRequestID.Add(1),
@@ -135,7 +136,7 @@
 	return func() { p.admission.mailbox.Put(requestCancelled{event.ID}) }
 }
 
-// clientID tells the clients of a tenant apart.
+// clientID returns a number that identifies the client within its tenant, according to the configured ClientKey.
 func (p *Proxy) clientID(r *http.Request) uint64 {
 	if p.clientKey.Header != "" {
 		return protocol.Hash64(r.Header.Get(p.clientKey.Header))
@@ -146,8 +147,9 @@
 	return protocol.Hash64(r.RemoteAddr)
 }
 
-// limitWriteTime gives a client until some time after its deadline to take its response: one that does not take it holds a descriptor for
-// nothing. Until the deadline it has its time, however long that is, while the WriteTimeout of http.Server counts from the request.
+// limitWriteTime gives a client until requestTimeout after its deadline, or after now if that is later, to read its response: a client that
+// does not read it holds a descriptor for nothing. The WriteTimeout of http.Server is replaced because it counts from the request and may
+// end before the deadline.
 func limitWriteTime(r *http.Request, request *agent.Request) {
 	conn, ok := r.Context().Value(connKey{}).(*clientConn)
 	if !ok {
@@ -157,5 +159,5 @@
 	if request.Deadline.After(latest) {
 		latest = request.Deadline
 	}
-	_ = conn.SetWriteDeadline(latest.Add(requestTimeout)) // fails only where the connection is closed
+	_ = conn.SetWriteDeadline(latest.Add(requestTimeout)) // fails only if the connection is closed
 }
