--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// defaultLingerTimeout is how long a connection that ends with a response stays half open for the client to close it. A connection
-	// that is closed with bytes unread is reset by the system, and the reset may overtake the response. http.Server waits as long after
-	// its response to a head that is too long.
+	// defaultLingerTimeout is how long a connection stays half closed after its last response, so that the client can close it. The kernel
+	// resets a connection that is closed with unread bytes, and the reset may overtake the response. http.Server waits equally long after
+	// its response to an oversized head.
 	defaultLingerTimeout = 500 * time.Millisecond
-	// readAheadLimitBytes bounds what is kept of bytes that come before the response to the last request.
+	// readAheadLimitBytes bounds the buffer for bytes that a client sends before the response to its last request.
 	readAheadLimitBytes = 4 << 10
-	// readAheadChunkBytes is how much of them is read at a time.
+	// readAheadChunkBytes is the number of bytes that one read adds to that buffer at most.
 	readAheadChunkBytes = 256
-	// discardChunkBytes is how much is read at a time of what nobody waits for.
+	// discardChunkBytes is the size of the buffer for bytes that are read and discarded.
 	discardChunkBytes = 1 << 10
 )
 
-// clientConn is a client's connection. Whether it carries a request is known in the moment of the read: bytes are taken from the system
-// and the state is changed under one lock, so that no byte has been read from a connection that is retired.
+// clientConn is a client's connection. It reads bytes from the socket and changes its state while holding one lock, so that a connection
+// from which bytes of a request have been read is not retired.
 type clientConn struct {
 	*net.TCPConn
 	raw      syscall.RawConn
@@ -38,22 +38,22 @@
 	state         connState
 	stateSince    time.Time
 	requestStart  time.Time // when the first byte of the request was read
-	stateDeadline time.Time // when stateTimer is to act; zero: not at all
+	stateDeadline time.Time // when the state times out; zero: never
 	stateTimer    *time.Timer
-	timedOut      bool   // the request took too long
+	timedOut      bool   // the request took too long to arrive
 	readAhead     []byte // bytes that the client sent before the response to its last request
 	hasWritten    bool   // something was written since the connection was last idle
-	isHalfClosed  bool   // retired: the client has been notified of the end
-	isLingering   bool   // half closed, and waiting for the client to close
+	isHalfClosed  bool   // half closed by retire, so that the client is notified of the close
+	isLingering   bool   // half closed by Close, which waits for the client to close
 }
 
-// ReadFrom keeps net/http from handing the descriptor to the kernel for copying, which would bypass Write.
+// ReadFrom copies through Write. It hides the ReadFrom of net.TCPConn, which may have the kernel copy the data and bypass Write.
 func (c *clientConn) ReadFrom(r io.Reader) (int64, error) {
 	return io.Copy(struct{ io.Writer }{c}, r)
 }
 
-// Read reads bytes and changes the state in one step. While a request awaits its reply, Read keeps what comes and goes on reading:
-// net/http detects a disconnection with a read of one byte, and would see nothing behind a byte that came too early.
+// Read reads bytes and changes the state in one step. While a request awaits its reply, Read buffers what arrives and continues to read:
+// net/http detects a disconnection with a read of one byte, and would not detect one that follows an early byte of the next request.
 func (c *clientConn) Read(b []byte) (n int, err error) {
 	if len(b) == 0 {
 		return 0, nil
@@ -75,25 +75,26 @@
 	return 0, pollErr
 }
 
-// readAvailable reads without waiting. It reports whether Read is done, and not to be called again when more has come. The lock is held.
+// readAvailable reads without blocking. If isDone is false, Read has no result yet and has to call it again once the socket is readable.
+// The lock is held.
 func (c *clientConn) readAvailable(fd int, b []byte) (n int, isDone bool, err error) {
 	for {
-		keepsBytes := c.state == stateAwaiting || len(b) == 1
+		buffersInput := c.state == stateAwaiting || len(b) == 1
 		isReadAheadFull := len(c.readAhead) >= readAheadLimitBytes
-		handsOnReadAhead := len(c.readAhead) > 0 && (!keepsBytes || isReadAheadFull)
+		returnsReadAhead := len(c.readAhead) > 0 && (!buffersInput || isReadAheadFull)
 		switch {
 		case c.state == stateRetired:
 			return 0, true, io.EOF
 		case c.timedOut:
 			return 0, true, os.ErrDeadlineExceeded
-		case handsOnReadAhead:
+		case returnsReadAhead:
 			n = copy(b, c.readAhead)
 			c.readAhead = c.readAhead[n:]
 			c.startReading()
 			return n, true, nil
 		}
 		buffer := b
-		if keepsBytes {
+		if buffersInput {
 			buffer = make([]byte, readAheadChunkBytes)
 		}
 		n, err = unix.Read(fd, buffer)
@@ -105,7 +106,7 @@
 			return 0, true, c.readError(err)
 		case n == 0:
 			return 0, true, io.EOF
-		case keepsBytes:
+		case buffersInput:
 			c.readAhead = append(c.readAhead, buffer[:n]...)
 		default:
 			c.startReading()
@@ -125,7 +126,7 @@
 	}
 }
 
-// Write writes to the client, and records it: Close then half closes the connection first.
+// Write writes to the client, and records that it did, so that Close half closes the connection first.
 func (c *clientConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	c.hasWritten = true
@@ -133,18 +134,18 @@
 	return c.TCPConn.Write(b)
 }
 
-// Close ends a connection. Where something was written that the client may not have read yet, or a request may cross the end of an unused
-// connection, the connection is half closed first, until the client closes it too, the linger timeout is over, or another client needs its
-// descriptor. What comes meanwhile is read and dropped: a close with bytes unread is a reset, which may overtake a response, and from which
-// a client does not know that its request was not read.
+// Close closes a connection. If the client may not have read a response yet, or may send a request before it notices that its unused
+// connection was retired, the connection is only half closed at first. It is then closed when the client closes its side, when the linger
+// timeout is over, or when another client needs the descriptor. Bytes that arrive until then are read and discarded: closing with unread
+// bytes would send a reset, which may overtake a response and does not tell the client that its request was not read.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	if c.stateTimer != nil {
 		c.stateTimer.Stop()
 	}
 	c.stateDeadline = time.Time{}
-	mayCross := c.hasWritten || c.isHalfClosed // a response may be unread, or a request on its way
-	c.isLingering = mayCross && !c.isLingering
+	needsLinger := c.hasWritten || c.isHalfClosed // a response may be unread, or a request on its way
+	c.isLingering = needsLinger && !c.isLingering
 	wasRetired := c.isHalfClosed
 	c.setState(stateRetired)
 	isLingering := c.isLingering
@@ -155,7 +156,7 @@
 	return c.TCPConn.Close()
 }
 
-// linger half closes a connection, unless it was retired and is half closed already, and waits for the client to close it.
+// linger half closes a connection and waits for the client to close it. A connection that was retired is half closed already.
 func (c *clientConn) linger(wasRetired bool) {
 	if !wasRetired && c.CloseWrite() != nil {
 		return
@@ -163,18 +164,18 @@
 	c.setReadDeadline(time.Now().Add(c.listener.lingerTimeout))
 	dropped := c.discardUntilClosed()
 	if wasRetired && dropped > 0 {
-		ratelog.Warn("unread request", "a request crossed the end of an unused connection and was not read", "bytes", dropped)
+		ratelog.Warn("unread request", "request arrived on an unused connection that was closing; it was not read", "bytes", dropped)
 	}
 }
 
-// discardUntilClosed reads and drops what the client sends until it closes its side, or until the read deadline. It returns how many bytes
-// came.
+// discardUntilClosed reads and discards what the client sends until the client closes its side or the read deadline passes. It returns the
+// number of bytes.
 func (c *clientConn) discardUntilClosed() (dropped int) {
 	buffer := make([]byte, discardChunkBytes)
 	for {
 		n, err := c.TCPConn.Read(buffer)
 		dropped += n
-		if err != nil { // the client's end, a failed connection, or the deadline's
+		if err != nil { // EOF, a failed connection, or the read deadline
 			return dropped
 		}
 	}
--- a/internal/proxy/client_conn_test.go
+++ b/internal/proxy/client_conn_test.go
@@ -15,8 +15,8 @@
 	"switchfork/internal/tcpconn"
 )
 
-// Neither a shortage of descriptors nor the limit of idle connections nor a timeout ends a connection of which a byte has been read or
-// waits to be read. A connection that carries nothing is ended instead.
+// A shortage of descriptors, the limit of idle connections or a timeout never closes a connection if a byte of a request has been read
+// from it or waits to be read. A connection that carries nothing is closed instead.
 func TestRetireSparesStartedRequest(t *testing.T) {
 	server := newTestServer(t, false)
 	reading, silent := server.dial(t), server.dial(t)
@@ -33,24 +33,24 @@
 	silent.expectEOF()
 	reading.send(raw[5:])
 	reading.expectResponse(http.StatusServiceUnavailable, false)
-	// A byte has come that its reader has not read yet, as it waits for the lock.
+	// A byte arrives that the server's reader has not read yet, as it waits for the lock.
 	server.waitForState(t, reading, stateIdle)
 	conn := server.serverConn(t, reading)
 	conn.mu.Lock()
 	reading.send(raw[:1])
 	agenttest.Eventually(t, "the byte", func() bool { return !tcpconn.IsOpenWithoutInput(conn.TCPConn) })
-	free := conn.state == stateIdle && tcpconn.IsOpenWithoutInput(conn.TCPConn)
+	couldRetire := conn.state == stateIdle && tcpconn.IsOpenWithoutInput(conn.TCPConn)
 	conn.stateDeadline = time.Now().Add(-time.Second)
 	conn.mu.Unlock()
 	conn.stateDeadlinePassed()
-	if free || conn.retire() {
+	if couldRetire || conn.retire() {
 		t.Error("retired with a byte unread")
 	}
 	reading.send(rawRequest("lookup")[1:])
 	reading.expectResponse(http.StatusServiceUnavailable, false)
 }
 
-// A connection's last response is not overtaken by a reset, though the client goes on sending behind its request.
+// A connection's last response is not overtaken by a reset, even if the client continues to send after its request.
 func TestLastResponseIsNotReset(t *testing.T) {
 	server := newTestServer(t, true)
 	client := server.dial(t)
@@ -58,8 +58,8 @@
 	server.waitForState(t, client, stateAwaiting)
 	server.waitForRequests(t, 1)
 	conn := server.serverConn(t, client)
-	client.send(strings.Repeat("x", 32<<10)) // far more than is read ahead
-	waitForConn(t, "more than is read ahead", conn, func() bool {
+	client.send(strings.Repeat("x", 32<<10)) // far more than readAheadLimitBytes
+	waitForConn(t, "a full read-ahead buffer", conn, func() bool {
 		return len(conn.readAhead) >= readAheadLimitBytes-1 && !tcpconn.IsOpenWithoutInput(conn.TCPConn)
 	})
 	server.rejectAll()
@@ -86,7 +86,7 @@
 	}
 }
 
-// Bytes that come before a response are the start of the next request.
+// Bytes that arrive before a response are the start of the next request.
 func TestEarlyBytesStartNextRequest(t *testing.T) {
 	server := newTestServer(t, true)
 	client := server.dial(t)
@@ -107,8 +107,8 @@
 	client.expectResponse(http.StatusServiceUnavailable, false)
 }
 
-// A timeout may fire, or a connection be retired, when the last byte of a request has been read and net/http has not said so yet. The
-// request is served all the same: the read that follows waits for the client, and does not fail.
+// A timeout may fire, or a connection may be retired, after the last byte of a request has been read and before net/http has reported
+// that. The request is served nevertheless: the next read waits for the client and does not fail.
 func TestTimeoutAsLastByteArrives(t *testing.T) {
 	for name, expire := range map[string]func(conn *clientConn, read func()){
 		"head": func(conn *clientConn, read func()) {
@@ -127,9 +127,9 @@
 			read()
 			conn.headReceived()
 			conn.requestReceived()
-			conn.becomeIdle() // with the next request buffered behind the first
+			conn.becomeIdle() // with the next request in the buffer of net/http
 			if !conn.retire() {
-				t.Error("not retired")
+				t.Error("an idle connection was not retired")
 			}
 			conn.headReceived()
 			conn.requestReceived()
@@ -142,19 +142,19 @@
 				t.Fatal(err)
 			}
 			defer func() { _ = listener.Close() }()
-			far, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", listener.Addr().String())
+			client, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer func() { _ = far.Close() }()
-			near, err := listener.Accept()
+			defer func() { _ = client.Close() }()
+			accepted, err := listener.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			conn := server.proxy.listener.register(near.(*net.TCPConn))
+			conn := server.proxy.listener.register(accepted.(*net.TCPConn))
 			defer func() { _ = conn.Close() }()
 			expire(conn, func() {
-				if _, err := io.WriteString(far, "the last"); err != nil {
+				if _, err := io.WriteString(client, "the last"); err != nil {
 					t.Fatal(err)
 				}
 				if _, err := conn.Read(make([]byte, 100)); err != nil {
@@ -166,20 +166,20 @@
 				_, err := conn.Read(make([]byte, 1))
 				readError <- err
 			}()
-			// This byte is kept for the next request, and the read goes on.
-			if _, err := io.WriteString(far, "x"); err != nil {
+			// This byte is buffered for the next request, and the read continues.
+			if _, err := io.WriteString(client, "x"); err != nil {
 				t.Fatal(err)
 			}
 			waitForConn(t, "the byte", conn, func() bool { return len(conn.readAhead) == 1 })
-			_ = far.Close()
+			_ = client.Close()
 			if err := <-readError; !errors.Is(err, io.EOF) {
-				t.Errorf("the read that detects a disconnection got %v", err)
+				t.Errorf("the read that detects a disconnection got error %v, want EOF", err)
 			}
 		})
 	}
 }
 
-// expireState has the timer find that the state has lasted too long.
+// expireState makes the current state time out.
 func expireState(conn *clientConn) {
 	conn.mu.Lock()
 	conn.stateDeadline = time.Now().Add(-time.Second)
@@ -187,7 +187,7 @@
 	conn.stateDeadlinePassed()
 }
 
-// A client that sends requests and reads no response keeps its descriptor little longer than its deadline.
+// A client that sends requests and reads no response loses its descriptor soon after its deadline.
 func TestUnreadResponses(t *testing.T) {
 	server := newTestServer(t, false)
 	client := server.dial(t)
@@ -205,5 +205,5 @@
 			}
 		}
 	}()
-	server.waitForListener(t, "the connection's end", func(l *clientListener) bool { return len(l.conns) == 0 })
+	server.waitForListener(t, "the end of the connection", func(l *clientListener) bool { return len(l.conns) == 0 })
 }
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -14,30 +14,30 @@
 	"switchfork/internal/tcpconn"
 )
 
-// budgetRetryInterval is how often a client without a descriptor looks for connections that may end. It is a small part of any latency
-// objective.
+// budgetRetryInterval is how often the listener looks for connections to close while a client waits for a descriptor. It is a small
+// fraction of any latency objective.
 const budgetRetryInterval = 5 * time.Millisecond
 
-// clientListener accepts clients while the budget has descriptors, and keeps connections between requests until a descriptor is wanted. A
-// client that finds none left gets that of another: one response for each client that waits ends its connection. Otherwise clients with an
-// open connection would be served over and over while one in the kernel's queue waits unread until its deadline. Where no response does so
-// soon, the connections that have been idle longest are retired. Not every response ends its connection while few descriptors are left: all
-// clients would come back on new connections, which cost more than there is.
+// clientListener accepts clients while the budget has descriptors, and keeps connections open between requests until a descriptor is needed.
+// If none is left, one response for each waiting client closes its connection to free the descriptor. Otherwise clients with an open
+// connection would be served over and over, while a request of a client in the kernel's accept queue would not be read before its deadline.
+// If no response closes a connection soon, the connections that have been idle longest are retired. Not every response closes its connection
+// while few descriptors are left: all these clients would reconnect, and the agent can't afford so many new connections.
 type clientListener struct {
 	tcp    *net.TCPListener
 	budget *connlimit.Budget
 	loop   *agent.Loop
-	closed chan struct{} // closed with the listener
+	closed chan struct{} // closed when the listener is closed
 
-	waitingClients atomic.Int64  // clients that wait for the descriptor of another
-	lingerTimeout  time.Duration // how long a connection stays half open after its last response
+	waitingClients atomic.Int64  // clients that wait for another client's descriptor
+	lingerTimeout  time.Duration // how long a connection stays half closed after its last response
 
-	mu              sync.Mutex
-	conns           map[*clientConn]bool
-	idleSince       map[*clientConn]time.Time // some may have started a request meanwhile
-	trimRequestedAt time.Time                 // when endpoints were last asked to close connections that they don't use
-	closesWhenEmpty bool                      // the listener closes when no client is connected and none waits
-	closesSoon      bool                      // the listener closes as soon as none waits
+	mu                 sync.Mutex
+	conns              map[*clientConn]bool
+	idleSince          map[*clientConn]time.Time // as net/http reported it; some may have started a request since
+	trimRequestedAt    time.Time                 // when closing unused connections to endpoints was last requested
+	closesWhenEmpty    bool                      // the listener closes when no client is connected and the accept queue is empty
+	closesAfterBacklog bool                      // the listener closes when the accept queue is empty
 }
 
 func newClientListener(loop *agent.Loop, budget *connlimit.Budget) *clientListener {
@@ -54,11 +54,11 @@
 // Addr returns the listener's address.
 func (l *clientListener) Addr() net.Addr { return l.tcp.Addr() }
 
-// Close is called by http.Server and does nothing: the listener is ended by closeWhenEmpty or shutdown.
+// Close is called by http.Server and does nothing. The listener is closed by closeWhenEmpty, closeAfterBacklog or shutdown.
 func (l *clientListener) Close() error { return nil }
 
-// Accept waits for a client and then for a descriptor in the budget, so that none is wanted before a client is there. The connection that
-// it holds meanwhile is one of those that the process keeps beside the budget.
+// Accept waits for a client and then for a descriptor in the budget, so that no descriptor is taken before there is a client for it. Until
+// then, the client's connection uses one of the descriptors that the process reserves outside the budget.
 func (l *clientListener) Accept() (net.Conn, error) {
 	for {
 		tcp, err := l.tcp.AcceptTCP()
@@ -78,7 +78,7 @@
 	}
 }
 
-// acquireDescriptor waits until the budget has a descriptor for one more client. It reports false where the listener is shut down before.
+// acquireDescriptor waits until the budget has a descriptor for one more client. It returns false if the listener is shut down before that.
 func (l *clientListener) acquireDescriptor() bool {
 	waitingSince := time.Now()
 	for !l.budget.AcquireClient() {
@@ -96,7 +96,7 @@
 	return true
 }
 
-// takeWaitingClient reports whether a connection is to end for a client that waits, once for each.
+// takeWaitingClient reports whether a connection is to be closed for a waiting client. It returns true once for each waiting client.
 func (l *clientListener) takeWaitingClient() bool {
 	for {
 		waiting := l.waitingClients.Load()
@@ -111,7 +111,7 @@
 
 func (l *clientListener) register(tcp *net.TCPConn) *clientConn {
 	c := &clientConn{TCPConn: tcp, listener: l}
-	c.raw, _ = tcp.SyscallConn() // fails only without a connection
+	c.raw, _ = tcp.SyscallConn() // fails only if tcp is nil
 	c.mu.Lock()
 	c.setState(stateNew)
 	c.setStateDeadline(c.stateSince.Add(firstByteTimeout))
@@ -122,7 +122,7 @@
 	return c
 }
 
-// connStateChanged is the ConnState hook of http.Server. A closed connection's descriptor goes back to the budget.
+// connStateChanged is the ConnState hook of http.Server. It returns the descriptor of a closed connection to the budget.
 func (l *clientListener) connStateChanged(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*clientConn)
 	if !ok {
@@ -132,7 +132,7 @@
 	defer l.mu.Unlock()
 	delete(l.idleSince, c)
 	switch state {
-	case http.StateNew: // register has set its state already
+	case http.StateNew: // register has already set the connection's state
 	case http.StateActive:
 		c.headReceived()
 	case http.StateIdle:
--- a/internal/proxy/client_listener_test.go
+++ b/internal/proxy/client_listener_test.go
@@ -10,16 +10,16 @@
 	"switchfork/internal/agenttest"
 )
 
-// A client that has its last response and does not close keeps its descriptor only until another client needs it.
+// A client that has received its last response and does not close its connection keeps the descriptor only until another client needs it.
 func TestLingeringConnMakesRoom(t *testing.T) {
-	server := newLingeringServer(t, 2, false, 10*agenttest.WaitTimeout) // clients get one
-	stays := server.dial(t)
-	stays.send("GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: stays\r\nConnection: close\r\n\r\n")
-	stays.expectResponse(http.StatusServiceUnavailable, true)
+	server := newLingeringServer(t, 2, false, 10*agenttest.WaitTimeout) // of two descriptors, clients get one
+	lingering := server.dial(t)
+	lingering.send("GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: stays\r\nConnection: close\r\n\r\n")
+	lingering.expectResponse(http.StatusServiceUnavailable, true)
 	next := server.dial(t)
 	next.send(rawRequest("lookup"))
 	if response, err := next.readResponse(); err != nil || response.status != http.StatusServiceUnavailable {
-		t.Fatalf("the next client got %+v, %v", response, err)
+		t.Fatalf("the next client got response %+v, error %v; want status 503", response, err)
 	}
 }
 
@@ -28,9 +28,9 @@
 	server := newTestServer(t, false)
 	server.proxy.listener.shutdown()
 	if err := <-server.served; err != nil {
-		t.Errorf("serving ended with %v", err)
+		t.Errorf("Serve returned %v, want nil", err)
 	}
 	if _, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", server.proxy.listener.Addr().String()); err == nil || errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("dialed a closed listener: %v", err)
+		t.Errorf("dialing a closed listener got error %v, want a refusal", err)
 	}
 }
--- a/internal/proxy/conn_eviction.go
+++ b/internal/proxy/conn_eviction.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// silentConnTimeout is how long a connection may be silent while others wait: clients connect to send a request.
+	// silentConnTimeout is how long a new connection may stay silent while other clients wait. Clients connect in order to send a request.
 	silentConnTimeout = 250 * time.Millisecond
-	// responseWait is how long a client waits for a response to end a connection before an idle one is ended: its client may be about to
-	// use it, and a response costs it nothing.
+	// responseWait is how long a client waits for a response to close a connection before an idle connection is retired. The client of an
+	// idle connection may be about to use it, while a close that a response announces costs its client nothing.
 	responseWait = 4 * budgetRetryInterval
-	// minIdleTime keeps connections from being ended on which net/http may have a next request in its buffer.
+	// minIdleTime is how long a connection has to be idle before it is retired. Before that, net/http may have its next request in a buffer.
 	minIdleTime = budgetRetryInterval
-	// idleBatchParts bounds how many idle connections are ended at a time, as a part of all: some of those that wait get the descriptors
-	// of connections that end with their responses.
-	idleBatchParts = 8
+	// idleBatchDivisor bounds how many idle connections are retired at a time: one, plus one for each idleBatchDivisor of them. Some of the
+	// waiting clients get the descriptors of connections that close with their responses.
+	idleBatchDivisor = 8
 )
 
-// freeConnections makes room for clients that wait, the first of them for some time already: it ends lingering connections, retires those
-// that have sent nothing, or else those that have been idle longest, and has endpoints close connections that they don't use.
+// freeConnections frees descriptors for waiting clients. waited is how long the first of them has waited. It closes lingering connections
+// and retires those that have sent nothing. If there are none and the client has waited for responseWait, it retires the connections that
+// have been idle longest. It also has the event loop close unused connections to endpoints, at most once within upstream.TrimIdleAfter.
 func (l *clientListener) freeConnections(waiting int, waited time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,20 +35,21 @@
 	}
 	freed := 0
 	for c := range l.conns {
-		if c.endIfUnused(now) {
+		if c.endIfSilentOrLingering(now) {
 			freed++
 		}
 	}
 	retired := 0
 	if freed == 0 && waited >= responseWait {
-		retired = l.retireLongestIdle(min(waiting, 1+len(l.idleSince)/idleBatchParts), now)
+		retired = l.retireLongestIdle(min(waiting, 1+len(l.idleSince)/idleBatchDivisor), now)
 	}
 	ratelog.Warn("client descriptor", "no descriptor left for a client", "open", len(l.conns), "idle", len(l.idleSince),
 		"silent", freed, "retired", retired, "waiting", waiting)
 }
 
-// endIfUnused ends a connection that lingers, or that has sent nothing for some time, and reports whether it did.
-func (c *clientConn) endIfUnused(now time.Time) bool {
+// endIfSilentOrLingering ends a connection that lingers, or retires one that has sent nothing for silentConnTimeout. It reports whether it
+// did either.
+func (c *clientConn) endIfSilentOrLingering(now time.Time) bool {
 	c.mu.Lock()
 	isSilent := c.state == stateNew && now.Sub(c.stateSince) >= silentConnTimeout
 	isLingering := c.isLingering && now.Sub(c.stateSince) >= budgetRetryInterval
@@ -59,7 +61,7 @@
 	return isSilent && c.retire()
 }
 
-// retireLongestIdle retires at most limit of the connections that have been idle longest, and returns how many. The lock is held.
+// retireLongestIdle retires up to limit of the connections that have been idle longest, and returns how many. The lock is held.
 func (l *clientListener) retireLongestIdle(limit int, now time.Time) (retired int) {
 	idle := slices.SortedFunc(maps.Keys(l.idleSince), func(a, b *clientConn) int {
 		return l.idleSince[a].Compare(l.idleSince[b])
--- a/internal/proxy/conn_state.go
+++ b/internal/proxy/conn_state.go
@@ -6,26 +6,26 @@
 	"switchfork/internal/tcpconn"
 )
 
-// connState is the state of a client's connection. docs/design.md has a drawing of the transitions.
+// connState is the state of a client's connection. docs/design.md has a diagram of the transitions.
 type connState int
 
 const (
-	stateNew      connState = iota // accepted, and nothing of a request has been read
+	stateNew      connState = iota // accepted; no byte of a request has been read
 	stateIdle                      // all requests that were read have been answered
-	stateReading                   // at least a byte of a request has been read
+	stateReading                   // at least one byte of a request has been read
 	stateAwaiting                  // a request has been read completely and waits for its reply
-	stateRetired                   // no request is read any more; the connection is half closed or about to be closed
+	stateRetired                   // no further request is read; the connection is half closed or about to be closed
 )
 
-// A connection that is silent, or has sent half of something, has to be closed within 3 s. The timeouts are well inside that.
+// A connection that is silent or has sent an incomplete request has to be closed within 3 s. The timeouts are well below that.
 const (
 	firstByteTimeout = 1500 * time.Millisecond // from accepting the connection to the first byte
 	headTimeout      = 1500 * time.Millisecond // from the first byte of a request to the end of its head
 	requestTimeout   = 2 * time.Second         // from the first byte of a request to the end of its body
 )
 
-// IdleTimeout is how long a connection is kept without a request. The protocol sets it as the time after which such a connection may be
-// closed; keeping it no longer frees the descriptors of clients that send one request and stay connected.
+// IdleTimeout is how long a connection without a request is kept open. The protocol allows an agent to close such a connection after this
+// time. Keeping it no longer frees the descriptors of clients that send one request and stay connected.
 const IdleTimeout = 2 * time.Second
 
 // pastDeadline is a deadline that ends a pending read at once.
@@ -37,7 +37,7 @@
 	c.stateSince = time.Now()
 }
 
-// setStateDeadline sets the time at which the present state has lasted too long. The lock is held.
+// setStateDeadline sets the time at which the current state times out. The lock is held.
 func (c *clientConn) setStateDeadline(deadline time.Time) {
 	c.stateDeadline = deadline
 	if c.stateTimer == nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// startReading notes that bytes of a request have been read. The lock is held.
+// startReading records that bytes of a request have been read. The lock is held.
 func (c *clientConn) startReading() {
 	if c.isUnused() {
 		c.startRequest()
@@ -61,8 +61,8 @@
 	c.requestStart = c.stateSince
 }
 
-// headReceived is called when net/http has read a request's head. A retired connection of which it had a complete request buffered is
-// served after all.
+// headReceived is called when net/http has read a request's head. If the connection was retired while net/http had the request in its
+// buffer, the request is served nevertheless.
 func (c *clientConn) headReceived() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,16 +73,16 @@
 	c.setStateDeadline(c.requestStart.Add(requestTimeout))
 }
 
-// clearTimeout takes a timeout back, as what net/http has buffered came in time after all. The timer may find a state to have lasted too
-// long, or the listener may retire the connection, when the bytes that end that state have been read and net/http has not said so yet.
-// Its next read would fail then, which it takes for the client's disconnection, and a request that was accepted would have no reply. The
-// lock is held.
+// clearTimeout undoes a timeout of the state or the retirement of the connection, as the bytes in net/http's buffer arrived in time. The
+// timer may fire, or the listener may retire the connection, after the bytes that end the state have been read and before net/http has
+// reported that. The next read of net/http would then fail. It would take that for the client's disconnection, and a request that was
+// accepted would get no reply. The lock is held.
 func (c *clientConn) clearTimeout() {
 	c.timedOut = false
 	c.setReadDeadline(time.Time{})
 }
 
-// requestReceived is called when a request has been read completely. What it waits for now has no bound here.
+// requestReceived is called when a request has been read completely. The wait for its reply has no state deadline.
 func (c *clientConn) requestReceived() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +94,7 @@
 	}
 }
 
-// becomeIdle is called when net/http has written a response. What the client sent before that is the start of its next request.
+// becomeIdle is called when net/http has written a response. Bytes that the client sent before that are the start of its next request.
 func (c *clientConn) becomeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,7 +107,7 @@
 	c.setStateDeadline(c.stateSince.Add(IdleTimeout))
 }
 
-// stateDeadlinePassed is called by the timer. It ends a state that has lasted too long.
+// stateDeadlinePassed is called by the timer. If the state has timed out, it ends the pending read or retires the connection.
 func (c *clientConn) stateDeadlinePassed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,7 +116,7 @@
 		c.timedOut = true
 		c.setReadDeadline(pastDeadline)
 	}
-	if !isStale && c.isUnused() && !c.retireLocked() { // its reader is about to find a byte
+	if !isStale && c.isUnused() && !c.retireLocked() { // an unread byte has arrived, which the reader is about to read
 		c.setStateDeadline(time.Now().Add(headTimeout))
 	}
 }
@@ -124,18 +124,18 @@
 // isUnused reports whether a connection carries no request. The lock is held.
 func (c *clientConn) isUnused() bool { return c.state == stateNew || c.state == stateIdle }
 
-// isUnusedFor reports whether a connection has carried no request for some time.
+// isUnusedFor reports whether a connection has carried no request for at least minIdle.
 func (c *clientConn) isUnusedFor(minIdle time.Duration, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.isUnused() && now.Sub(c.stateSince) >= minIdle
 }
 
-// retire ends a connection that carries no request, and reports whether it did. A connection with unread bytes is left alone.
+// retire half closes a connection that carries no request, and reports whether it did. It leaves a connection with unread bytes open.
 //
-// The client has to learn of the end at once: in whatever time passes between the look for unread bytes and the end, it finds the
-// connection open and sends a request that nobody reads. So the look and the end are one step, and are not left to the reader, which would
-// come milliseconds later.
+// The client has to be notified of the close at once. Between the check for unread bytes and the half close, the client finds the connection
+// open and may send a request that nobody reads. So the check and the half close are one step. They are not left to the goroutine that
+// reads from the connection, which would run milliseconds later.
 func (c *clientConn) retire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,5 +155,5 @@
 
 // setReadDeadline sets the deadline of pending and later reads.
 func (c *clientConn) setReadDeadline(deadline time.Time) {
-	_ = c.SetReadDeadline(deadline) // fails only where the connection is closed, and then there is no read to end
+	_ = c.SetReadDeadline(deadline) // fails only on a closed connection, which has no read to end
 }
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// lateArrivalWindow is set by the protocol: new connections and requests on their way still arrive for so long after SIGTERM.
+	// lateArrivalWindow is how long new connections and requests still arrive after SIGTERM. The protocol sets it.
 	lateArrivalWindow = 700 * time.Millisecond
-	// finalReplyWindow is how long before the end of a drain open requests are answered: time enough to write the responses.
+	// finalReplyWindow is how long before the end of a drain open requests are answered. It leaves enough time to write the responses.
 	finalReplyWindow = 100 * time.Millisecond
-	// refusalWindow is how long before the end of a drain new connections are refused, so that the requests of those that waited can be read
-	// and answered on a busy machine too.
+	// refusalWindow is how long before the end of a drain new connections are refused. It leaves enough time, on a busy machine too, to read
+	// and answer the requests of connections that wait in the accept queue.
 	refusalWindow = 400 * time.Millisecond
-	// unboundedDrain stands in for the deadline of a drain whose context has none.
+	// unboundedDrain is the time limit of a drain whose context has no deadline.
 	unboundedDrain = time.Hour
 )
 
-// Drain serves what still arrives, closes each connection with its next response, and returns when no client is connected any more. A
-// connection that carries no request stays open for its next one: clients use the connections that they have until these end. One that
-// stays silent ends with its idle timeout, or when the drain's time has nearly run out.
+// Drain serves requests that still arrive, closes each connection with its next response, and returns when no client is connected any more.
+// A connection that carries no request stays open for its next one, as clients use their connections until these are closed. A connection
+// that stays silent is closed by its idle timeout, or when the drain's time has nearly run out.
 //
-// Requests that are open then are answered, as nobody will be there to answer them later, and new connections are refused: clients that go
-// on connecting would otherwise have requests on their way when the process ends, which resets them.
+// At that time, requests that are still open are answered, as the process can't answer them later, and new connections are refused. Clients
+// that keep connecting would otherwise have requests in transit when the process exits, which resets their connections.
 //
-// http.Server.Shutdown is not used: it closes connections of which half a head has been read, and drops without an answer a request that
-// was read completely after it began.
+// http.Server.Shutdown is not used: it closes connections of which half a head has been read, and drops a request without an answer if the
+// request was read completely after Shutdown began.
 func (p *Proxy) Drain(ctx context.Context) error {
 	p.startDrain(ctx)
 	deadlineTimer := time.NewTimer(time.Until(p.drainDeadline))
@@ -35,17 +35,17 @@
 	refusal := time.NewTimer(max(lateArrivalWindow, time.Until(p.drainDeadline)+finalReplyWindow-refusalWindow))
 	defer refusal.Stop()
 	listenerClosed := p.listener.closed
-	var empty <-chan struct{} // closed when the closed listener has no connection left
+	var empty <-chan struct{} // closed when the listener is closed and no client is connected
 	for {
 		select {
 		case <-lateArrivals.C:
 			p.listener.closeWhenEmpty()
 		case <-refusal.C:
-			p.listener.closeSoon()
+			p.listener.closeAfterBacklog()
 		case <-deadlineTimer.C:
 			close(p.drainExpired)
-			p.listener.endIdle(drainIdleTime)
-			p.listener.closeSoon()
+			p.listener.retireIdle(drainMinIdleTime)
+			p.listener.closeAfterBacklog()
 		case <-listenerClosed:
 			listenerClosed = nil
 			empty = p.listener.whenEmpty(ctx)
@@ -58,7 +58,7 @@
 	}
 }
 
-// startDrain sets the time at which open requests are answered, and has the proxy and the admission loop go by it.
+// startDrain sets the time at which open requests are answered, and announces the drain to the HTTP handlers and to the admission loop.
 func (p *Proxy) startDrain(ctx context.Context) {
 	p.drainDeadline = time.Now().Add(unboundedDrain)
 	if deadline, ok := ctx.Deadline(); ok {
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -13,8 +13,8 @@
 	"switchfork/internal/policy"
 )
 
-// A request of which half the head was read when the drain starts is answered whenever its rest comes, on a kept connection as on a new
-// one. A connection that stays silent ends by itself, without a reset.
+// A request of which half the head was read when the drain starts is answered once the rest arrives, on a kept connection as well as on a
+// new one. A connection that stays silent is closed by its idle timeout, without a reset.
 func TestDrainAnswersPartialHead(t *testing.T) {
 	server := newTestServer(t, false)
 	kept, fresh, silent := server.dial(t), server.dial(t), server.dial(t)
@@ -43,7 +43,7 @@
 	server.assertReleased(t, done)
 }
 
-// A client that connects before the listener closes is served: a connection in the system's queue would be reset.
+// A client that connects before the listener closes is served. Left in the kernel's accept queue, its connection would be reset.
 func TestDrainAcceptsLateConnections(t *testing.T) {
 	server := newTestServer(t, true)
 	first := server.dial(t)
@@ -63,8 +63,8 @@
 	server.assertReleased(t, done)
 }
 
-// A response may be written as one that keeps its connection just as the drain starts. The client's next request on it is answered as on
-// every kept connection, and its response ends the connection; where no request comes, the connection ends by itself within the drain.
+// A response that keeps its connection open may be written just as the drain starts. The client's next request on the connection is
+// answered, and that response closes the connection. If no request follows, the idle timeout closes the connection during the drain.
 func TestDrainStartsDuringResponse(t *testing.T) {
 	server := newTestServer(t, false)
 	active, silent := server.dial(t), server.dial(t)
@@ -75,26 +75,26 @@
 	conn := server.serverConn(t, silent)
 	start := time.Now()
 	done := server.startDrain(t, agenttest.WaitTimeout)
-	time.Sleep(lateArrivalWindow) // past what the drain does at its start
+	time.Sleep(lateArrivalWindow) // until after what the drain does at its start
 	active.send(rawRequest("lookup"))
 	active.expectResponse(http.StatusServiceUnavailable, true)
 	active.expectEOF()
 	_ = active.Close()
 	silent.expectEOF()
 	if took := time.Since(start); took > IdleTimeout+time.Second {
-		t.Errorf("the connection without a request ended after %v", took)
+		t.Errorf("the connection without a request was closed after %v, want at most IdleTimeout and 1 s", took)
 	}
 	_ = silent.Close()
 	server.assertReleased(t, done)
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if conn.state != stateRetired {
-		t.Errorf("in state %d", conn.state)
+		t.Errorf("got state %d, want stateRetired", conn.state)
 	}
 }
 
-// Where the drain's time is shorter than the idle timeout, a connection without a request is ended before the process is, so that its client
-// finds an end and not a reset.
+// If the drain is shorter than the idle timeout, a connection without a request is closed before the process exits, so that its client
+// reads EOF and does not get a reset.
 func TestDrainEndsIdleConnectionsInTime(t *testing.T) {
 	server := newTestServer(t, false)
 	client := server.dial(t)
@@ -104,21 +104,21 @@
 	server.startDrain(t, 400*time.Millisecond)
 	client.expectEOF()
 	if took := time.Since(start); took > IdleTimeout/2 {
-		t.Errorf("ended after %v", took)
+		t.Errorf("the connection was closed after %v, want at most half of IdleTimeout", took)
 	}
 }
 
-// Clients that go on connecting do not keep the listener open to the end of the drain: it closes when open requests are answered, early
-// enough for what has arrived to be answered as well.
+// Clients that keep connecting do not keep the listener open until the end of the drain. It closes when open requests are answered, early
+// enough to answer the requests that have arrived as well.
 func TestDrainClosesListenerBeforeItsEnd(t *testing.T) {
 	server := newTestServer(t, false)
-	stays := server.dial(t)
-	stays.send(rawRequest("lookup")[:9]) // half a head: it stays connected
-	server.waitForState(t, stays, stateReading)
+	unfinished := server.dial(t)
+	unfinished.send(rawRequest("lookup")[:9]) // half a head: it stays connected
+	server.waitForState(t, unfinished, stateReading)
 	const within = 600 * time.Millisecond
 	start := time.Now()
 	done := server.startDrain(t, within)
-	for connected := true; connected; { // until it is refused
+	for connected := true; connected; { // until a connection is refused
 		conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", server.proxy.listener.Addr().String())
 		if connected = err == nil; !connected {
 			break
@@ -127,34 +127,34 @@
 		_ = conn.SetDeadline(time.Now().Add(agenttest.WaitTimeout))
 		client.send(rawRequest("lookup"))
 		if _, err := client.readResponse(); err != nil {
-			t.Errorf("sent %v after the drain's start, got %v", time.Since(start), err)
+			t.Errorf("reading a response %v after the start of the drain failed: %v", time.Since(start), err)
 		}
 		_ = conn.Close()
 	}
 	if took := time.Since(start); took < within-finalReplyWindow || took >= within {
-		t.Errorf("refuses connections after %v", took)
+		t.Errorf("connections were refused %v after the start of the drain, want a refusal in its last 100 ms", took)
 	}
-	if err := <-done; err != nil && !errors.Is(err, context.DeadlineExceeded) { // half a head is left
-		t.Errorf("the drain ended with %v", err)
+	if err := <-done; err != nil && !errors.Is(err, context.DeadlineExceeded) { // the client with half a head is still connected
+		t.Errorf("Drain returned %v, want nil or an exceeded deadline", err)
 	}
 }
 
-// A request that crosses the end of an idle connection is dropped with the connection, and its client reads an end, not a reset.
-func TestRequestCrossesTheEnd(t *testing.T) {
+// A request that a client sends while its idle connection is being closed is dropped, and the client reads EOF and does not get a reset.
+func TestRequestOnRetiredConnection(t *testing.T) {
 	server := newTestServer(t, false)
 	client := server.dial(t)
 	client.send(rawRequest("lookup"))
 	client.expectResponse(http.StatusServiceUnavailable, false)
 	server.waitForState(t, client, stateIdle)
 	if !server.serverConn(t, client).retire() {
-		t.Fatal("not retired")
+		t.Fatal("an idle connection was not retired")
 	}
-	client.send(rawRequest("lookup")) // its client has not looked since
+	client.send(rawRequest("lookup")) // the client has not noticed the half close
 	client.expectEOF()
 	_ = client.Close()
 	server.assertReleased(t, server.startDrain(t, agenttest.WaitTimeout))
 	if requests := agenttest.Events[policy.RequestArrived](server.Router); len(requests) != 1 {
-		t.Errorf("%d requests reached the router", len(requests))
+		t.Errorf("%d requests reached the router, want 1", len(requests))
 	}
 }
 
@@ -169,17 +169,17 @@
 	_ = client.Close()
 	select {
 	case err := <-done:
-		// The time is over before late arrivals have stopped, or the last connection is seen to close.
+		// The context may end before late arrivals have stopped, or before the last connection is seen to close.
 		if err != nil && !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("the drain ended with %v", err)
+			t.Errorf("Drain returned %v, want nil or an exceeded deadline", err)
 		}
 	case <-time.After(agenttest.WaitTimeout):
-		t.Fatal("the drain does not end")
+		t.Fatal("Drain did not return")
 	}
 	agenttest.Eventually(t, "the cancellation", func() bool { return len(agenttest.Events[policy.RequestCancelled](server.Router)) == 1 })
 	server.proxy.requestIDs.mu.Lock()
 	defer server.proxy.requestIDs.mu.Unlock()
 	if len(server.proxy.requestIDs.reserved) != 0 {
-		t.Error("its id is still reserved")
+		t.Error("the id of the cancelled request is still reserved")
 	}
 }
--- a/internal/proxy/listener_shutdown.go
+++ b/internal/proxy/listener_shutdown.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// finalAcceptWait is how long the listener waits for one more client before it closes: a connection that is in the system's queue
-	// then is reset without a response.
+	// finalAcceptWait is how long the listener waits for one more client before it closes. The close resets connections in the kernel's
+	// accept queue without a response.
 	finalAcceptWait = 20 * time.Millisecond
-	// drainIdleTime is for how long a connection has been unused that the end of a drain ends.
-	drainIdleTime = 50 * time.Millisecond
-	// emptyPollInterval is how often a closed listener looks whether its last connections have ended.
+	// drainMinIdleTime is how long a connection has to be unused to be retired at the end of a drain.
+	drainMinIdleTime = 50 * time.Millisecond
+	// emptyPollInterval is how often a closed listener checks whether its last connections are closed.
 	emptyPollInterval = 2 * time.Millisecond
 )
 
-// endIdle ends the connections that have carried no request for some time. It is for the end of a drain: a connection that is ended while
-// its client still uses it may lose the client's next request, which would have been answered with a response that announces the end. One that
-// was just accepted is about to get a request.
-func (l *clientListener) endIdle(minIdle time.Duration) {
+// retireIdle retires the connections that have carried no request for minIdle. It is meant for the end of a drain. Retiring a connection
+// that its client still uses may lose the client's next request, which would otherwise get a response that announces the close. A
+// connection that was just accepted is about to receive a request.
+func (l *clientListener) retireIdle(minIdle time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -31,7 +31,7 @@
 	}
 }
 
-// closeWhenEmpty closes the listener once no client is connected and none waits.
+// closeWhenEmpty closes the listener once no client is connected and the accept queue is empty.
 func (l *clientListener) closeWhenEmpty() {
 	l.mu.Lock()
 	l.closesWhenEmpty = true
@@ -39,26 +39,26 @@
 	l.setAcceptDeadline()
 }
 
-// closeSoon closes the listener once it has accepted all that wait, whoever is connected. On a busy machine somebody waits at any moment, so
-// that no more are accepted.
-func (l *clientListener) closeSoon() {
+// closeAfterBacklog closes the listener once it has accepted all connections in the accept queue, even if clients are connected. It has the
+// kernel admit no more connections to the queue, as on a busy machine the queue would never be empty otherwise.
+func (l *clientListener) closeAfterBacklog() {
 	tcpconn.RefuseNew(l.tcp)
 	l.mu.Lock()
-	l.closesSoon = true
+	l.closesAfterBacklog = true
 	l.mu.Unlock()
 	l.setAcceptDeadline()
 }
 
-// shouldClose reports whether the listener is to close. The system resets the connections that wait when it closes.
+// shouldClose reports whether the listener is to close. The accept queue has to be empty, as the close resets the connections in it.
 func (l *clientListener) shouldClose() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	isEmpty := len(l.conns) == 0
-	isDone := l.closesSoon || (l.closesWhenEmpty && isEmpty)
+	isDone := l.closesAfterBacklog || (l.closesWhenEmpty && isEmpty)
 	return isDone && tcpconn.AcceptBacklog(l.tcp) == 0
 }
 
-// whenEmpty returns a channel that is closed once no client is connected any more; the context ends the wait.
+// whenEmpty returns a channel that is closed once no client is connected any more. If the context ends first, it stays open.
 func (l *clientListener) whenEmpty(ctx context.Context) <-chan struct{} {
 	empty := make(chan struct{})
 	go func() {
@@ -79,9 +79,9 @@
 	return len(l.conns) == 0
 }
 
-// setAcceptDeadline ends a pending accept if no client comes soon.
+// setAcceptDeadline ends a pending accept if no client connects within finalAcceptWait.
 func (l *clientListener) setAcceptDeadline() {
-	_ = l.tcp.SetDeadline(time.Now().Add(finalAcceptWait)) // fails only where the listener is closed already
+	_ = l.tcp.SetDeadline(time.Now().Add(finalAcceptWait)) // fails only if the listener is already closed
 }
 
 // shutdown closes the listener.
@@ -91,7 +91,7 @@
 	select {
 	case <-l.closed:
 	default:
-		_ = l.tcp.Close() // nothing is left to be done where it fails
+		_ = l.tcp.Close() // nothing can be done about an error
 		close(l.closed)
 	}
 }
--- a/internal/proxy/random_clients_test.go
+++ b/internal/proxy/random_clients_test.go
@@ -25,7 +25,7 @@
 	unsent    string // what is left to send of the next request
 	requests  int    // sent completely
 	responses atomic.Int64
-	ended     chan struct{} // closed when no response can come any more
+	ended     chan struct{} // closed when no further response can arrive
 }
 
 // newRandomClient connects a client and starts to read responses.
@@ -50,12 +50,13 @@
 // hasStartedRequest reports whether a part of a request has been sent.
 func (c *randomClient) hasStartedRequest() bool { return len(c.unsent) < len(rawRequest("lookup")) }
 
-// sendBytes sends some bytes of the next request and waits until the server has read them: until then they cross whatever follows.
+// sendBytes sends some bytes of the next request and waits until the server has read them. Without the wait, the server might read them
+// before or after the next step.
 func (c *randomClient) sendBytes(t *testing.T, server *testServer, count int) {
 	t.Helper()
 	count = min(len(c.unsent), count)
 	if _, err := io.WriteString(c, c.unsent[:count]); err != nil {
-		return // retired
+		return // the connection was retired
 	}
 	conn := server.serverConn(t, c.testClient)
 	waitForConn(t, "the bytes", conn, func() bool { return conn.state == stateReading || conn.state == stateAwaiting })
@@ -66,7 +67,7 @@
 	}
 }
 
-// randomClients is the state of one random sequence.
+// randomClients holds the clients of one random sequence.
 type randomClients struct {
 	server       *testServer
 	open         []*randomClient
@@ -89,7 +90,7 @@
 	r.disconnected++
 }
 
-// step has an open client do something.
+// step performs a random action of a random open client.
 func (r *randomClients) step(t *testing.T, rt *rapid.T) {
 	t.Helper()
 	index := rapid.IntRange(0, len(r.open)-1).Draw(rt, "which")
@@ -100,7 +101,7 @@
 			return // one request at a time
 		}
 		client.sendBytes(t, r.server, rapid.SampledFrom([]int{1, 20, 1000}).Draw(rt, "bytes"))
-	case 2, 3: // disconnects, also with a reset
+	case 2, 3: // disconnects, with or without a reset
 		if rapid.Bool().Draw(rt, "reset") {
 			_ = client.Conn.(*net.TCPConn).SetLinger(0)
 		}
@@ -110,21 +111,22 @@
 			return
 		}
 		if client.hasStartedRequest() {
-			rt.Fatal("retired with a request started")
+			rt.Fatal("a connection with a started request was retired")
 		}
 		agenttest.Eventually(t, "the responses to all its requests", client.hasAllResponses)
-		r.disconnect(index) // without a request; what it sends from now on crosses the close
+		r.disconnect(index) // its connection carries no request, and the server would not read another
 	case 5:
 		r.server.rejectAll()
 	}
 }
 
-// startDrain does as Drain, without the wait for late arrivals and for the end of its time. The channel reports the end.
+// startDrain does what Drain does, but waits neither for late arrivals nor for the drain's deadline. The channel receives a value when the
+// listener is closed.
 func (r *randomClients) startDrain() chan error {
 	proxy := r.server.proxy
 	proxy.drainDeadline = time.Now().Add(agenttest.WaitTimeout)
 	proxy.isDraining.Store(true)
-	proxy.listener.endIdle(0)
+	proxy.listener.retireIdle(0)
 	proxy.listener.closeWhenEmpty()
 	done := make(chan error, 1)
 	go func() {
@@ -139,7 +141,7 @@
 	for _, client := range r.open {
 		if client.hasStartedRequest() {
 			if _, err := io.WriteString(client, client.unsent); err != nil {
-				rt.Fatalf("closed within a request: %v", err)
+				rt.Fatalf("connection closed in the middle of a request: %v", err)
 			}
 			client.requests++
 		} else if client.requests == 0 {
@@ -148,7 +150,7 @@
 	}
 }
 
-// checkOpen answers the clients that have stayed and checks that each has all its responses.
+// checkOpen answers the requests of the clients that stayed connected, and checks that each client has all its responses.
 func (r *randomClients) checkOpen(rt *rapid.T) {
 	for _, client := range r.open {
 		for isOpen := true; isOpen; {
@@ -161,7 +163,7 @@
 		}
 		_ = client.Close()
 		if !client.hasAllResponses() {
-			rt.Fatalf("a client that stayed sent %d requests and got %d responses", client.requests, client.responses.Load())
+			rt.Fatalf("a client that stayed connected sent %d requests and got %d responses", client.requests, client.responses.Load())
 		}
 	}
 }
@@ -178,8 +180,8 @@
 	}
 }
 
-// Whatever clients do, in any order, each accepted request has one complete response or a client that disconnected, a client that stays
-// gets as many responses as it sent requests, and all descriptors and request ids are released.
+// For any sequence of clients' actions, each accepted request has one complete response or a client that disconnected. A client that stays
+// connected gets as many responses as it sent requests. At the end, all descriptors and request ids are released.
 func TestRandomClientSequences(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		clients := &randomClients{server: newTestServer(t, true)}
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -18,7 +18,7 @@
 	"switchfork/internal/policy"
 )
 
-// testServer is a proxy on a loopback listener before a router that rejects requests: at once, or when the test calls rejectAll.
+// testServer is a proxy on a loopback listener, with a router that rejects requests either at once or when the test calls rejectAll.
 type testServer struct {
 	*agenttest.Rig
 	proxy  *Proxy
@@ -26,7 +26,7 @@
 	served chan error
 }
 
-// testDescriptors is the number of descriptors of a newTestServer.
+// testDescriptors is the descriptor limit of a server that newTestServer starts.
 const testDescriptors = 64
 
 // newTestServer starts a proxy. With holdsRequests, requests stay open until rejectAll.
@@ -35,7 +35,7 @@
 	return newLingeringServer(t, testDescriptors, holdsRequests, defaultLingerTimeout)
 }
 
-// newLingeringServer starts a proxy with so many descriptors, whose connections stay half open for so long after their last response.
+// newLingeringServer starts a proxy with a descriptor limit and a linger timeout of its connections.
 func newLingeringServer(t *testing.T, descriptors int, holdsRequests bool, lingerTimeout time.Duration) *testServer {
 	t.Helper()
 	server := &testServer{Rig: agenttest.NewRig(t, time.Second), budget: connlimit.NewBudget(descriptors), served: make(chan error, 1)}
@@ -76,7 +76,7 @@
 // rejectAll has the router reject all requests that it holds.
 func (s *testServer) rejectAll() { s.Loop.Enqueue(policy.GossipReceived{}) }
 
-// waitForRequests waits until the router has so many requests.
+// waitForRequests waits until the router has received n requests.
 func (s *testServer) waitForRequests(t *testing.T, n int) {
 	t.Helper()
 	agenttest.Eventually(t, "the request", func() bool { return len(agenttest.Events[policy.RequestArrived](s.Router)) == n })
@@ -96,15 +96,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close() }) // closed twice where the test has closed it
+	t.Cleanup(func() { _ = c.Close() }) // a second close if the test has closed it
 	_ = c.SetDeadline(time.Now().Add(agenttest.WaitTimeout))
 	return &testClient{c, t, bufio.NewReader(c)}
 }
 
-// lastTestID numbers requests, so that no two have one id.
+// lastTestID numbers requests, so that no two have the same id.
 var lastTestID atomic.Uint64
 
-// rawRequest encodes a request with an id of its own. All requests for one path have the same length.
+// rawRequest encodes a request with a new id. All requests for one path have the same length.
 func rawRequest(path string) string {
 	return fmt.Sprintf("GET /%s HTTP/1.1\r\nHost: x\r\nX-Request-Id: %08x\r\n\r\n", path, lastTestID.Add(1))
 }
@@ -117,10 +117,10 @@
 	}
 }
 
-// testResponse is what the tests look at of a response.
+// testResponse holds the properties of a response that tests check.
 type testResponse struct {
 	status int
-	isLast bool // it ends its connection
+	isLast bool // the response closes its connection
 }
 
 // readResponse reads one response with its body.
@@ -129,17 +129,17 @@
 	if err != nil {
 		return testResponse{}, err
 	}
-	defer func() { _ = response.Body.Close() }() // read whole, or the connection has failed
+	defer func() { _ = response.Body.Close() }() // the body was read completely, or the connection has failed
 	_, err = io.Copy(io.Discard, response.Body)
 	return testResponse{response.StatusCode, response.Close}, err
 }
 
-// expectResponse reads one response, which has to have a status and, if isLast, to end its connection.
+// expectResponse reads one response and checks its status and whether it closes its connection.
 func (c *testClient) expectResponse(status int, isLast bool) {
 	c.t.Helper()
 	response, err := c.readResponse()
 	if want := (testResponse{status, isLast}); err != nil || response != want {
-		c.t.Fatalf("got response %+v, %v; want %+v", response, err, want)
+		c.t.Fatalf("got response %+v, error %v; want %+v", response, err, want)
 	}
 }
 
@@ -147,7 +147,7 @@
 func (c *testClient) expectEOF() {
 	c.t.Helper()
 	if b, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		c.t.Fatalf("got %q, %v, want the end of the connection", b, err)
+		c.t.Fatalf("got byte %q, error %v; want EOF", b, err)
 	}
 }
 
@@ -208,17 +208,17 @@
 func (s *testServer) assertReleased(t *testing.T, done chan error) {
 	t.Helper()
 	if err := <-done; err != nil {
-		t.Errorf("the drain ended with %v", err)
+		t.Errorf("Drain returned %v, want nil", err)
 	}
 	if err := <-s.served; err != nil {
-		t.Errorf("serving ended with %v", err)
+		t.Errorf("Serve returned %v, want nil", err)
 	}
 	s.Loop.Flush(t.Context())
 	clients, _ := s.budget.InUse()
 	s.proxy.requestIDs.mu.Lock()
 	defer s.proxy.requestIDs.mu.Unlock()
 	if clients != 0 || len(s.proxy.requestIDs.reserved) != 0 || len(s.proxy.listener.conns) != 0 || len(s.proxy.listener.idleSince) != 0 {
-		t.Errorf("left: %d descriptors, %d ids, %d connections, %d idle", clients, len(s.proxy.requestIDs.reserved), len(s.proxy.listener.conns),
+		t.Errorf("got %d descriptors, %d ids, %d connections and %d idle ones left, want none", clients, len(s.proxy.requestIDs.reserved), len(s.proxy.listener.conns),
 			len(s.proxy.listener.idleSince))
 	}
 }
