--- a/internal/connlimit/budget.go
+++ b/internal/connlimit/budget.go
@@ -3,14 +3,14 @@
 import "sync"
 
 const (
-	// clientShare is the most of the limit that connections to clients may hold. Endpoints get what clients leave, two fifths at least.
-	// Clients with an open request hold at most a third, each of these requests has at most one attempt in flight, and what is left
-	// beside that admits further clients, if only to reject their requests.
+	// clientShare is the largest part of the limit that connections to clients may hold. Connections to endpoints get what clients leave, at
+	// least two fifths. Clients with an open request hold at most a third, each of these requests has at most one attempt in flight, and
+	// what is left beside that admits further clients, if only to reject their requests.
 	clientShare = 0.6
 
 	// reservedShare is the part of the clients' connections that is kept free of open requests, so that a client that waits to connect
-	// is accepted and learns at once that the agent is full. Without it all connections fill with requests that the router holds, and
-	// those that wait in the kernel's queue stay unread until their deadlines.
+	// is accepted and is told at once that the agent is full. Without it, all connections would carry requests that the router holds, and
+	// requests on connections in the kernel's accept queue would not be read until their deadlines.
 	reservedShare = 0.125
 
 	// freeShare is the part of the limit that is kept free of idle connections to clients, for connections to endpoints.
@@ -23,10 +23,10 @@
 	limit         int
 	clientConns   int
 	upstreamConns int
-	freed         chan struct{} // holds a token after a connection was given back
+	freed         chan struct{} // holds a token after a descriptor was released
 }
 
-// NewBudget makes a budget of so many descriptors, none of which is in use.
+// NewBudget returns a budget of limit descriptors, none of which is in use.
 func NewBudget(limit int) *Budget {
 	return &Budget{limit: limit, freed: make(chan struct{}, 1)}
 }
@@ -36,7 +36,7 @@
 	return int((1 - reservedShare) * clientShare * float64(b.limit))
 }
 
-// IsShort reports whether so few descriptors are free that connections to clients should not be kept between two requests.
+// IsShort reports whether so few descriptors are free that connections to clients should not be kept open between requests.
 func (b *Budget) IsShort() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,13 +74,13 @@
 	return true
 }
 
-// Freed returns a channel that holds a token after a connection was given back.
+// Freed returns a channel that holds a token after a descriptor was released.
 func (b *Budget) Freed() <-chan struct{} { return b.freed }
 
-// ReleaseClient gives the descriptor of a closed connection to a client back.
+// ReleaseClient releases the descriptor of a closed connection to a client.
 func (b *Budget) ReleaseClient() { b.release(&b.clientConns) }
 
-// ReleaseUpstream gives the descriptor of a closed connection to an endpoint back.
+// ReleaseUpstream releases the descriptor of a closed connection to an endpoint.
 func (b *Budget) ReleaseUpstream() { b.release(&b.upstreamConns) }
 
 func (b *Budget) release(inUse *int) {
@@ -93,7 +93,7 @@
 	}
 }
 
-// InUse returns how many connections clients and endpoints have.
+// InUse returns how many descriptors connections to clients and to endpoints hold.
 func (b *Budget) InUse() (clients, upstreams int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/connlimit/budget_test.go
+++ b/internal/connlimit/budget_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Clients leave endpoints two fifths of the descriptors, and get no more until one of theirs is given back.
+// Clients leave two fifths of the descriptors to endpoints. When they hold their share, they get another descriptor only after one of
+// theirs is released.
 func TestBudget(t *testing.T) {
 	b := NewBudget(20)
 	for range 12 {
@@ -11,11 +12,11 @@
 		}
 	}
 	if b.AcquireClient() || b.MaxRequests() != 10 {
-		t.Errorf("clients got more than their share, or %d requests may be open", b.MaxRequests())
+		t.Errorf("clients got more than their share, or MaxRequests is %d, want 10", b.MaxRequests())
 	}
 	for range 8 {
 		if !b.AcquireUpstream() {
-			t.Error("endpoints did not get what clients leave")
+			t.Error("endpoints did not get the descriptors that clients leave")
 		}
 	}
 	if b.AcquireUpstream() {
--- a/internal/streamclient/http_client.go
+++ b/internal/streamclient/http_client.go
@@ -11,7 +11,7 @@
 )
 
 // NewHTTPClient returns a client for streams, and for calls so rare that a connection for each avoids stale ones. It follows no redirects
-// and bounds the size of a response's head. A connection has to come up within dialTimeout; unless unread is nil, it keeps count of the
+// and bounds the size of a response's head. A connection has to be established within dialTimeout. Unless unread is nil, it tracks the
 // connections while they are open.
 func NewHTTPClient(dialTimeout time.Duration, unread *tcpconn.UnreadTracker) *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
--- a/internal/streamclient/retry.go
+++ b/internal/streamclient/retry.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// StatusError is the status of a response that is neither a list nor a stream. Callers tell overload by it: see BackoffReason.
+// StatusError is an error for a response with a status other than 200. BackoffReason recognizes an overloaded server by it.
 type StatusError int
 
 // Error implements error.
@@ -26,12 +26,12 @@
 	return fmt.Sprintf("got status %d, want %d", int(e), http.StatusOK)
 }
 
-// isOverload tells whether the server reports that it has too much to do.
+// isOverload reports whether the status says that the server is overloaded.
 func (e StatusError) isOverload() bool {
 	return e == http.StatusServiceUnavailable || e == http.StatusTooManyRequests
 }
 
-// BackoffReason tells a server that reports overload, with a StatusError, from one that can't be reached: any other error, or none.
+// BackoffReason returns Overloaded for a StatusError with which a server reports overload, and Unreachable for any other error or nil.
 func BackoffReason(err error) backoff.Reason {
 	if status := StatusError(0); errors.As(err, &status) && status.isOverload() {
 		return backoff.Overloaded
--- a/internal/streamclient/retry_test.go
+++ b/internal/streamclient/retry_test.go
@@ -11,7 +11,7 @@
 	"switchfork/internal/backoff"
 )
 
-// Only a status of overload is one, also where it is wrapped.
+// Only the statuses 503 and 429 count as overload, also if the StatusError is wrapped.
 func TestBackoffReason(t *testing.T) {
 	for _, c := range []struct {
 		err  error
@@ -24,7 +24,7 @@
 		{fmt.Errorf("opening the watch: %w", StatusError(http.StatusTooManyRequests)), backoff.Overloaded},
 	} {
 		if got := BackoffReason(c.err); got != c.want {
-			t.Errorf("%v: reason %v, want %v", c.err, got, c.want)
+			t.Errorf("error %v: got reason %v, want %v", c.err, got, c.want)
 		}
 	}
 }
@@ -35,6 +35,6 @@
 	start := time.Now()
 	Sleep(ctx, time.Hour.Microseconds())
 	if took := time.Since(start); took > time.Minute {
-		t.Errorf("slept %v", took)
+		t.Errorf("Sleep took %v after its context had ended, want at most a minute", took)
 	}
 }
--- a/internal/tcpconn/input.go
+++ b/internal/tcpconn/input.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// IsOpenWithoutInput tells whether a connection is open and nothing has arrived on it that is not read. It is false for a connection that
-// it can't look at.
+// IsOpenWithoutInput reports whether a connection is open and has no unread input. It returns false if it has no access to the
+// connection's descriptor.
 func IsOpenWithoutInput(conn any) bool {
 	withSyscalls, ok := conn.(syscall.Conn)
 	if !ok {
@@ -23,8 +23,8 @@
 	return err == nil && isOpen
 }
 
-// HalfCloseIfNoInput ends sending on a connection that is open and has nothing unread, and tells whether it did. The look and the end are
-// one step that waits for nothing: only bytes that arrive within it can still cross the end.
+// HalfCloseIfNoInput half closes a connection that is open and has no unread input, and reports whether it did. The half close follows the
+// check at once, without blocking, so that only bytes that arrive between these two system calls are missed.
 func HalfCloseIfNoInput(conn syscall.RawConn) bool {
 	isEnded := false
 	err := conn.Control(func(fd uintptr) {
@@ -35,7 +35,7 @@
 	return err == nil && isEnded
 }
 
-// isSocketOpenWithoutInput looks for a first byte, which stays unread. The end of the connection would be found as well as a byte.
+// isSocketOpenWithoutInput peeks at the first unread byte. The call returns EAGAIN only if there is no such byte and the connection is open.
 func isSocketOpenWithoutInput(fd uintptr) bool {
 	var first [1]byte
 	_, _, err := unix.Recvfrom(int(fd), first[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
--- a/internal/tcpconn/refuse_new.go
+++ b/internal/tcpconn/refuse_new.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// RefuseNew has the system take next to no further connections on a listener: one more only where none waits. Those that wait can still be
-// accepted. What else asks for a connection gets no answer until the listener is closed, and is refused then. Without it a busy listener
-// can't be closed without resetting connections that have just come up.
+// RefuseNew has the kernel establish almost no further connections on a listener: one more, and only if none waits to be accepted.
+// Connections that wait can still be accepted. Further connection attempts get no answer until the listener is closed, and are refused then.
+// Without RefuseNew, a busy listener can't be closed without resetting connections that have just been established.
 func RefuseNew(listener syscall.Conn) {
 	raw, err := listener.SyscallConn()
 	if err != nil {
--- a/internal/tcpconn/reset_conn.go
+++ b/internal/tcpconn/reset_conn.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// ResetConn is a connection that is reset where it is closed before the first byte of a response to what was written has come. Closed as
-// usual, the system would go on sending the rest by itself for a quarter of an hour: a request or a vote that was given up was delivered
-// seconds or minutes later, out of a path that had dropped everything, when nothing waited for it any more. It also catches what a full
-// send window holds back. It may harm where the other side reads slowly: what it has not read by then it never sees, which a call that
-// was given up may suffer.
+// ResetConn is a connection that Close resets if nothing has been read since the last write. After an ordinary close, the kernel continues
+// to send the unacknowledged data for a quarter of an hour: requests and votes that had been given up were delivered seconds or minutes
+// later, over a path that had dropped all packets before, when nothing waited for them any more. The reset also discards data that a full
+// send window holds back. Its drawback is that a peer that reads slowly never sees the data that it has not read before the reset. That is
+// acceptable for a call that was given up.
 type ResetConn struct {
 	tcp        *net.TCPConn
-	unanswered atomic.Bool    // something was written and nothing has come since
-	isReading  atomic.Bool    // a reader waits in Read: all that it has read before is handed on
+	unanswered atomic.Bool    // something was written and nothing has been read since
+	isReading  atomic.Bool    // a reader is in Read, and has handed on all that it read before
 	tracker    *UnreadTracker // nil: not tracked
 }
 
@@ -54,7 +54,7 @@
 	return c.tcp.Write(b)
 }
 
-// Close implements net.Conn. It resets the connection where the last write has no response.
+// Close implements net.Conn. It resets the connection if nothing has been read since the last write.
 func (c *ResetConn) Close() error {
 	if c.unanswered.Load() {
 		_ = c.tcp.SetLinger(0) // fails only on a closed connection, which Close reports
--- a/internal/tcpconn/reset_conn_test.go
+++ b/internal/tcpconn/reset_conn_test.go
@@ -24,8 +24,8 @@
 	return err
 }
 
-// The connection of a request that was given up ends with a reset, so that the system sends nothing of it any more. That of one that was
-// answered ends as usual.
+// Closing the connection of an unanswered request resets it, so that the kernel does not continue to send the request. The connection of an
+// answered request is closed without a reset.
 func TestUnansweredConnectionIsReset(t *testing.T) {
 	ended := make(chan error, 8)
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
--- a/internal/tcpconn/unread_tracker.go
+++ b/internal/tcpconn/unread_tracker.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// UnreadTracker reports whether any connection of a set has received input that its reader has not handed on. It may be used by any
-// goroutine.
+// UnreadTracker tracks a set of connections and reports whether any of them has input that its reader has not handed on. It may be used by
+// any goroutine.
 type UnreadTracker struct {
 	mu   sync.Mutex
 	open map[*ResetConn]bool
@@ -12,7 +12,8 @@
 // NewUnreadTracker returns a tracker without connections. Dial adds them.
 func NewUnreadTracker() *UnreadTracker { return &UnreadTracker{open: map[*ResetConn]bool{}} }
 
-// HasUnread reports whether input has arrived on any of the connections that its reader has not handed on.
+// HasUnread reports whether any of the connections may have input that its reader has not handed on. This is so if its reader is not in
+// Read, or if input is unread.
 func (t *UnreadTracker) HasUnread() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
