--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -31,7 +31,7 @@
 		server.waitForState(t, client, stateReading)
 	}
 	done := server.startDrain(t, agenttest.WaitTimeout)
-	server.waitForListener(t, "closing when empty", func(l *clientListener) bool { return l.closesWhenEmpty })
+	server.waitForListener(t, "the call of closeWhenEmpty", func(l *clientListener) bool { return l.closesWhenEmpty })
 	for i, client := range []*testClient{kept, fresh} {
 		client.send(rest[i])
 		client.expectResponse(http.StatusServiceUnavailable, true)
@@ -50,7 +50,7 @@
 	first.send(rawRequest("lookup"))
 	server.waitForState(t, first, stateAwaiting)
 	done := server.startDrain(t, agenttest.WaitTimeout)
-	server.waitForListener(t, "closing when empty", func(l *clientListener) bool { return l.closesWhenEmpty })
+	server.waitForListener(t, "the call of closeWhenEmpty", func(l *clientListener) bool { return l.closesWhenEmpty })
 	late := server.dial(t)
 	late.send(rawRequest("lookup"))
 	server.waitForRequests(t, 2)
--- a/internal/proxy/random_clients_test.go
+++ b/internal/proxy/random_clients_test.go
@@ -176,7 +176,7 @@
 		answered += int(client.responses.Load())
 	}
 	if answered > accepted || answered+r.disconnected < accepted {
-		rt.Fatalf("%d requests accepted, %d answered, %d clients disconnected", accepted, answered, r.disconnected)
+		rt.Fatalf("%d requests accepted, %d answered, %d clients disconnected; want either one for each request", accepted, answered, r.disconnected)
 	}
 }
 
