--- a/internal/tcpconn/reset_conn.go
+++ b/internal/tcpconn/reset_conn.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// ResetConn is a connection that is reset where it is closed before the first byte of a response to what was written has come. Closed as
-// usual, the system would go on sending the rest by itself for a quarter of an hour: a request or a vote that was given up was delivered
-// seconds or minutes later, out of a path that had dropped everything, when nothing waited for it any more. It also catches what a full
-// send window holds back. It may harm where the other side reads slowly: what it has not read by then it never sees, which a call that
-// was given up may suffer.
+// ResetConn is a connection that Close resets if nothing has been read since the last write. After an ordinary close, the kernel continues
+// to send the unacknowledged data for a quarter of an hour: requests and votes that had been given up were delivered seconds or minutes
+// later, over a path that had dropped all packets before, when nothing waited for them any more. The reset also discards data that a full
+// send window holds back. Its drawback is that a peer that reads slowly never sees the data that it has not read before the reset. That is
+// acceptable for a call that was given up.
 type ResetConn struct {
 	tcp        *net.TCPConn
-	unanswered atomic.Bool  // something was written and nothing has come since
-	isReading  atomic.Bool  // a reader waits in Read: all that it has read before is handed on
-	gauge      *UnreadGauge // nil: it is in none
+	unanswered atomic.Bool    // something was written and nothing has been read since
+	isReading  atomic.Bool    // a reader is in Read, and has handed on all that it read before
+	tracker    *UnreadTracker // nil: not tracked
 }
 
-// Dial opens a ResetConn. gauge counts it while it is open; nil where none is to.
-func Dial(ctx context.Context, dialer *net.Dialer, address string, gauge *UnreadGauge) (net.Conn, error) {
+// Dial opens a ResetConn. Unless tracker is nil, it tracks the connection until the connection is closed.
+func Dial(ctx context.Context, dialer *net.Dialer, address string, tracker *UnreadTracker) (net.Conn, error) {
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
@@ -30,9 +30,9 @@
 	if !ok {
 		return conn, nil
 	}
-	reset := &ResetConn{tcp: tcp, gauge: gauge}
-	if gauge != nil {
-		gauge.add(reset)
+	reset := &ResetConn{tcp: tcp, tracker: tracker}
+	if tracker != nil {
+		tracker.add(reset)
 	}
 	return reset, nil
 }
@@ -54,13 +54,13 @@
 	return c.tcp.Write(b)
 }
 
-// Close implements net.Conn. It resets the connection where the last write has no response.
+// Close implements net.Conn. It resets the connection if nothing has been read since the last write.
 func (c *ResetConn) Close() error {
 	if c.unanswered.Load() {
 		_ = c.tcp.SetLinger(0) // fails only on a closed connection, which Close reports
 	}
-	if c.gauge != nil {
-		c.gauge.remove(c)
+	if c.tracker != nil {
+		c.tracker.remove(c)
 	}
 	return c.tcp.Close()
 }
