--- a/internal/cluster/election/acceptor.go
+++ b/internal/cluster/election/acceptor.go
@@ -43,8 +43,8 @@
 // isLeaseInForce reports whether a lease that was accepted, by whomever, still runs.
 func (a *acceptor) isLeaseInForce(now Micros) bool { return now < a.leaseUntil }
 
-// isOvertaken reports whether a higher ballot than this one is promised.
-func (a *acceptor) isOvertaken(ballot uint64) bool { return ballot < a.highestPromised }
+// isSuperseded reports whether a higher ballot than this one is promised.
+func (a *acceptor) isSuperseded(ballot uint64) bool { return ballot < a.highestPromised }
 
 // promise promises a candidate its ballot, unless another's lease is in force or a higher ballot is promised. released is the
 // ballot up to which the candidate knows leases to be given up.
@@ -75,7 +75,7 @@
 
 // accept accepts the lease of a ballot, unless a higher ballot is promised or the lease was released since.
 func (a *acceptor) accept(now Micros, holder int, ballot uint64) bool {
-	if a.isAbstaining(now) || a.isOvertaken(ballot) || ballot <= a.highestReleased {
+	if a.isAbstaining(now) || a.isSuperseded(ballot) || ballot <= a.highestReleased {
 		return false
 	}
 	a.highestPromised = ballot
@@ -97,7 +97,7 @@
 
 // acknowledgesMembers reports whether members that a leader with this ballot has stamped may be acknowledged.
 func (a *acceptor) acknowledgesMembers(now Micros, ballot uint64) bool {
-	return !a.isAbstaining(now) && !a.isOvertaken(ballot)
+	return !a.isAbstaining(now) && !a.isSuperseded(ballot)
 }
 
 // releaseLease ends the accepted lease, whose holder gives it up; ballot is the one by which the holder got it. It reports whether
--- a/internal/cluster/election/acceptor_test.go
+++ b/internal/cluster/election/acceptor_test.go
@@ -19,7 +19,7 @@
 	if !a.promise(second, firstCandidate, high, 0) {
 		t.Fatal("the first ballot is not promised")
 	}
-	if a.promise(second, secondCandidate, low, 0) || !a.isOvertaken(low) {
+	if a.promise(second, secondCandidate, low, 0) || !a.isSuperseded(low) {
 		t.Error("a lower ballot is promised")
 	}
 	if !a.promise(second, firstCandidate, high, 0) {
--- a/internal/cluster/election/candidate.go
+++ b/internal/cluster/election/candidate.go
@@ -47,9 +47,9 @@
 // replica has promised.
 func (c *candidate) canWin(now Micros, members Members, promised uint64) bool {
 	isPending := c.isOpen && !c.hasWon
-	isOvertaken := max(promised, c.highestSeen) > c.ballot
+	isSuperseded := max(promised, c.highestSeen) > c.ballot
 	isTimedOut := now >= c.startedAt+c.settings.ballotTimeout()
-	return isPending && c.members == members && !isOvertaken && !isTimedOut
+	return isPending && c.members == members && !isSuperseded && !isTimedOut
 }
 
 func (c *candidate) isResendDue(now Micros) bool {
--- a/internal/cluster/election/candidate_test.go
+++ b/internal/cluster/election/candidate_test.go
@@ -14,8 +14,8 @@
 func TestCandidateCountsQuorums(t *testing.T) {
 	members := InitialMembers(3)
 	c := startedCandidate()
-	const stranger = 9
-	for _, from := range []int{0, 0, stranger} {
+	const nonMember = 9
+	for _, from := range []int{0, 0, nonMember} {
 		if c.addPromise(from, testBallot, members) {
 			t.Errorf("one member's promise counts as a quorum, with the one from %d", from)
 		}
--- a/internal/cluster/election/handlers.go
+++ b/internal/cluster/election/handlers.go
@@ -69,7 +69,7 @@
 		return
 	}
 	isRemote := from != e.id
-	if isRemote && e.acceptor.isOvertaken(m.Ballot) {
+	if isRemote && e.acceptor.isSuperseded(m.Ballot) {
 		// Without the answer, a replica that has campaigned alone would never take part again: its ballots are higher than the
 		// leader's, so it rejects those.
 		e.sendNack(from)
--- a/internal/cluster/election/leader_election.go
+++ b/internal/cluster/election/leader_election.go
@@ -44,7 +44,7 @@
 		e.membership.adopt(config.State.Members)
 	}
 	if config.IsFresh && !config.DisabledGuards.LeaseTimeout {
-		e.acceptor.abstain(config.Now + config.Settings.memoryLossWindow())
+		e.acceptor.abstain(config.Now + config.Settings.stateLossWindow())
 	}
 	e.campaigns.reset(config.Now)
 	return e
--- a/internal/cluster/election/membership_test.go
+++ b/internal/cluster/election/membership_test.go
@@ -7,17 +7,17 @@
 
 // A set is a quorum with more than half of the members; replicas that are no members don't count.
 func TestQuorum(t *testing.T) {
-	const stranger = 63
+	const nonMember = 63
 	for _, tc := range []struct {
 		members  int
 		replicas []int
 		want     bool
 	}{
 		{1, []int{0}, true},
-		{1, []int{stranger}, false},
+		{1, []int{nonMember}, false},
 		{2, []int{0}, false},
 		{3, []int{0, 2}, true},
-		{3, []int{0, stranger}, false},
+		{3, []int{0, nonMember}, false},
 		{4, []int{0, 1}, false},
 		{4, []int{0, 1, 3}, true},
 	} {
--- a/internal/cluster/election/settings.go
+++ b/internal/cluster/election/settings.go
@@ -117,9 +117,9 @@
 	return Micros(recastLifetimeFraction * float64(s.VoteLifetime))
 }
 
-// memoryLossWindow returns how long a replica that has lost its state abstains: a leader that it has accepted may cast for one more
+// stateLossWindow returns how long a replica that has lost its state abstains: a leader that it has accepted may cast for one more
 // lease, and its votes count for the window after.
-func (s Settings) memoryLossWindow() Micros {
+func (s Settings) stateLossWindow() Micros {
 	return s.driftUpperBound(s.Lease + s.MaxVoteDelay + s.VoteLifetime)
 }
 
--- a/internal/cluster/election/vote_caster.go
+++ b/internal/cluster/election/vote_caster.go
@@ -72,12 +72,12 @@
 }
 
 // runDue replicates what the recommendations ask for, and casts it once a quorum knows it.
-func (v *voteCaster) runDue(now Micros, by leadership, out *outbox) {
+func (v *voteCaster) runDue(now Micros, current leadership, out *outbox) {
 	if !v.rollout.isActive {
 		return
 	}
 	wanted := v.rollout.decision(v.recommendations.verdict(v.rollout, now))
-	if v.log.pending.Term != by.lease.term || v.log.pending.Decision != wanted {
+	if v.log.pending.Term != current.lease.term || v.log.pending.Decision != wanted {
 		v.log.discardPending()
 	}
 	isPending := v.log.hasPending()
@@ -88,27 +88,27 @@
 		return
 	case !isPending:
 		v.log.append(v.id, Record{
-			Term:     by.lease.term,
+			Term:     current.lease.term,
 			Decision: wanted,
 			Prior:    v.history.contraryVerdict(wanted, now),
 		})
-		v.sendPending(now, by, out)
+		v.sendPending(now, current, out)
 	case v.log.isSendDue(now):
-		v.sendPending(now, by, out)
+		v.sendPending(now, current, out)
 	}
-	v.castPending(now, by, out)
+	v.castPending(now, current, out)
 }
 
-func (v *voteCaster) sendPending(now Micros, by leadership, out *outbox) {
+func (v *voteCaster) sendPending(now Micros, current leadership, out *outbox) {
 	v.log.sentAt = now
-	out.broadcast(by.members, Message{Kind: Replicate, Ballot: by.ballot, Record: v.log.pending})
+	out.broadcast(current.members, Message{Kind: Replicate, Ballot: current.ballot, Record: v.log.pending})
 }
 
 // castPending casts the pending vote if a quorum knows it and the lease lasts long enough for it to be written.
-func (v *voteCaster) castPending(now Micros, by leadership, out *outbox) {
-	writeBefore := by.lease.until - v.settings.driftUpperBound(v.settings.retryInterval())
-	isReplicated := v.log.isReplicated(by.members) || v.disabled.QuorumBeforeCast
-	if !isReplicated || !by.lease.allowsWriteBefore(writeBefore, now) {
+func (v *voteCaster) castPending(now Micros, current leadership, out *outbox) {
+	writeBefore := current.lease.until - v.settings.driftUpperBound(v.settings.retryInterval())
+	isReplicated := v.log.isReplicated(current.members) || v.disabled.QuorumBeforeCast
+	if !isReplicated || !current.lease.allowsWriteBefore(writeBefore, now) {
 		return
 	}
 	record := v.log.pending
--- a/internal/cluster/election/vote_caster_test.go
+++ b/internal/cluster/election/vote_caster_test.go
@@ -26,17 +26,17 @@
 // A vote is cast when a quorum has acknowledged its record, once, and names a time before the lease's end until which it may be written.
 func TestVoteIsCastWhenReplicated(t *testing.T) {
 	const leaseUntil = 3 * second
-	v, by := leaderForTest(leaseUntil, DisabledGuards{})
+	v, current := leaderForTest(leaseUntil, DisabledGuards{})
 	out := &outbox{}
-	v.runDue(second, by, out)
+	v.runDue(second, current, out)
 	if len(out.commands) != 2 || len(castVotes(out.commands)) != 0 {
 		t.Fatalf("before a quorum knows the record: %+v, want it sent to two replicas", out.commands)
 	}
 	record := v.log.pending
 	v.log.acknowledge(1, record)
 	out.reset()
-	v.runDue(second+ms, by, out)
-	v.runDue(second+2*ms, by, out)
+	v.runDue(second+ms, current, out)
+	v.runDue(second+2*ms, current, out)
 	casts := castVotes(out.commands)
 	if len(casts) != 1 || casts[0].Record != record || casts[0].WriteBefore >= leaseUntil {
 		t.Errorf("cast %+v, want %+v once, with a time before %d", casts, record, leaseUntil)
@@ -59,13 +59,13 @@
 		"replicated, lease long enough":  {leaseUntil: 3 * second, isReplicated: true, want: 1},
 		"quorum guard off, lease is not": {leaseUntil: tooShort, disabled: DisabledGuards{QuorumBeforeCast: true}},
 	} {
-		v, by := leaderForTest(tc.leaseUntil, tc.disabled)
+		v, current := leaderForTest(tc.leaseUntil, tc.disabled)
 		out := &outbox{}
-		v.runDue(second, by, out)
+		v.runDue(second, current, out)
 		if tc.isReplicated {
 			v.log.acknowledge(1, v.log.pending)
 		}
-		v.runDue(second, by, out)
+		v.runDue(second, current, out)
 		if casts := castVotes(out.commands); len(casts) != tc.want {
 			t.Errorf("%s: cast %+v, want %d", name, casts, tc.want)
 		}
@@ -74,14 +74,14 @@
 
 // A decision that changes, or a rollout that moves on, before its record is replicated is never cast.
 func TestPendingVoteIsDiscarded(t *testing.T) {
-	v, by := leaderForTest(3*second, DisabledGuards{})
+	v, current := leaderForTest(3*second, DisabledGuards{})
 	out := &outbox{}
-	v.runDue(second, by, out)
+	v.runDue(second, current, out)
 	advanceRecord := v.log.pending
 	v.recommendations.put(0, testRecord(Rollback).Decision, second)
-	v.runDue(second, by, out)
+	v.runDue(second, current, out)
 	v.log.acknowledge(1, advanceRecord)
-	v.runDue(second, by, out)
+	v.runDue(second, current, out)
 	if v.log.pending.Verdict != Rollback || len(castVotes(out.commands)) != 0 {
 		t.Errorf("pending %+v, cast %+v", v.log.pending, castVotes(out.commands))
 	}
