--- a/internal/cluster/election/acceptor.go
+++ b/internal/cluster/election/acceptor.go
@@ -1,18 +1,19 @@
 package election
 
-// acceptor is the replica in Paxos's role of that name: it decides which ballots are promised and which leases are accepted, from
-// the ballots that it has seen and the lease that it has accepted. [leaderElection] asks it for each Prepare, Propose, Replicate,
-// CommitMembers and TransferLease message, its own included; [Replica] persists what it holds before any answer leaves.
+// acceptor is the replica in the Paxos role of acceptor. It decides which ballots to promise and which leases to accept, from the
+// ballots that it has seen and the lease that it has accepted. [leaderElection] asks it for each Prepare, Propose, Replicate,
+// CommitMembers and TransferLease message, including those of this replica. [Replica] persists its state before any answer is
+// sent.
 type acceptor struct {
 	settings Settings
 	disabled DisabledGuards
 
 	highestPromised uint64
 	highestAccepted uint64
-	highestReleased uint64 // leases up to this ballot were given up by their holders
-	leaseHolder     int    // whose lease was accepted; noReplica: nobody's
+	highestReleased uint64 // leases of ballots up to this one were released by their holders
+	leaseHolder     int    // the replica whose lease was accepted; noReplica: none
 	leaseUntil      Micros // end of the accepted lease, by this replica's clock
-	abstainUntil    Micros // before then nothing is promised or accepted
+	abstainUntil    Micros // nothing is promised or accepted before this time
 }
 
 func newAcceptor(config Config) acceptor {
@@ -23,8 +24,8 @@
 	}
 }
 
-// restore takes over what the replica persisted before it was started again. How much of the accepted lease is left is not known
-// any more: it counts as new.
+// restore loads the state that the replica persisted before it was restarted. How much of the accepted lease is left is unknown,
+// so the lease counts as accepted just now.
 func (a *acceptor) restore(state DurableState, now Micros) {
 	a.highestPromised = state.Promised
 	a.highestAccepted = state.Accepted
@@ -40,14 +41,15 @@
 
 func (a *acceptor) isAbstaining(now Micros) bool { return now < a.abstainUntil }
 
-// isLeaseInForce reports whether a lease that was accepted, by whomever, still runs.
+// isLeaseInForce reports whether an accepted lease, whoever holds it, has not ended yet.
 func (a *acceptor) isLeaseInForce(now Micros) bool { return now < a.leaseUntil }
 
-// isSuperseded reports whether a higher ballot than this one is promised.
+// isSuperseded reports whether a higher ballot than this one has been promised.
 func (a *acceptor) isSuperseded(ballot uint64) bool { return ballot < a.highestPromised }
 
-// promise promises a candidate its ballot, unless another's lease is in force or a higher ballot is promised. released is the
-// ballot up to which the candidate knows leases to be given up.
+// promise promises a candidate its ballot, and reports whether it did. It refuses while the replica abstains, while an unreleased
+// lease of another replica is in force, and if a higher ballot has been promised. released is the ballot up to which the
+// candidate knows leases to be released.
 func (a *acceptor) promise(now Micros, candidate int, ballot, released uint64) bool {
 	isBlocked := a.isLeasedToOther(now, candidate) && a.highestAccepted > released
 	if a.isAbstaining(now) || isBlocked || !a.canPromise(candidate, ballot) {
@@ -58,13 +60,14 @@
 	return true
 }
 
-// isLeasedToOther reports whether a lease of another replica than the candidate is in force here. While it is, nobody else
-// is promised anything, so that a partitioned replica that comes back can't disturb the leader.
+// isLeasedToOther reports whether a lease of a replica other than the candidate is in force. While it is, other candidates are
+// promised nothing, so that a partitioned replica that reconnects can't disturb the leader.
 func (a *acceptor) isLeasedToOther(now Micros, candidate int) bool {
 	return !a.disabled.PromiseAfterLease && a.isLeaseInForce(now) && a.leaseHolder != candidate
 }
 
-// canPromise reports whether a ballot is higher than the one that was promised, or is the same, sent again by its owner.
+// canPromise reports whether a ballot is higher than the highest promised one, or is that same ballot sent again by its owner
+// before it was accepted.
 func (a *acceptor) canPromise(candidate int, ballot uint64) bool {
 	if ballot > a.highestPromised {
 		return true
@@ -73,7 +76,8 @@
 	return isResent && ballot > a.highestAccepted
 }
 
-// accept accepts the lease of a ballot, unless a higher ballot is promised or the lease was released since.
+// accept accepts the lease of a ballot, and reports whether it did. It refuses while the replica abstains, if a higher ballot has
+// been promised, and if the lease has been released since.
 func (a *acceptor) accept(now Micros, holder int, ballot uint64) bool {
 	if a.isAbstaining(now) || a.isSuperseded(ballot) || ballot <= a.highestReleased {
 		return false
@@ -85,8 +89,8 @@
 	return true
 }
 
-// acknowledgesRecord reports whether a record of a leader with this ballot may be acknowledged. It promises the ballot, so that no
-// older leader's record is acknowledged afterwards.
+// acknowledgesRecord reports whether a record of a leader with this ballot may be acknowledged. If so, it also promises the
+// ballot, so that no older leader's record is acknowledged afterwards.
 func (a *acceptor) acknowledgesRecord(now Micros, ballot uint64) bool {
 	if !a.acknowledgesMembers(now, ballot) {
 		return false
@@ -95,13 +99,14 @@
 	return true
 }
 
-// acknowledgesMembers reports whether members that a leader with this ballot has stamped may be acknowledged.
+// acknowledgesMembers reports whether members stamped by a leader with this ballot may be acknowledged.
 func (a *acceptor) acknowledgesMembers(now Micros, ballot uint64) bool {
 	return !a.isAbstaining(now) && !a.isSuperseded(ballot)
 }
 
-// releaseLease ends the accepted lease, whose holder gives it up; ballot is the one by which the holder got it. It reports whether
-// that was the lease that is accepted here.
+// releaseLease ends the accepted lease when its holder releases it, and reports whether it did. ballot is the one by which the
+// holder got the lease. releaseLease does nothing if the accepted lease is another replica's or a newer one, or while this replica
+// abstains.
 func (a *acceptor) releaseLease(now Micros, holder int, ballot uint64) bool {
 	if a.leaseHolder != holder || a.highestAccepted > ballot || a.isAbstaining(now) {
 		return false
@@ -110,7 +115,7 @@
 	return true
 }
 
-// transferLease gives up the lease that this replica itself holds, and promises the successor's ballot.
+// transferLease releases the lease that this replica itself holds, and promises the successor's ballot.
 func (a *acceptor) transferLease(now Micros, ballot, successorBallot uint64) {
 	a.highestPromised = successorBallot
 	a.endLease(now, ballot)
--- a/internal/cluster/election/campaign.go
+++ b/internal/cluster/election/campaign.go
@@ -2,13 +2,14 @@
 
 import "math/rand"
 
-// campaignTimer decides when a replica that does not lead may campaign: after a random delay, and later than a candidate that it
-// has promised. [leaderElection] asks it whenever time has passed; a renewal of the replica's own lease does not depend on it.
+// campaignTimer decides when a replica that does not lead may campaign for the leadership. It waits for a random delay, and
+// longer after the replica has promised another candidate's ballot. [leaderElection] asks it whenever time has passed. Renewals
+// of the replica's own lease do not depend on it.
 type campaignTimer struct {
 	settings Settings
 	random   *rand.Rand
 	nextAt   Micros
-	// deferredAt is when the campaign was last postponed for a candidate, by that one's number; 0: never.
+	// deferredAt is when the campaign was last deferred to a candidate, indexed by the candidate's number; 0: never.
 	deferredAt [MaxReplicas]Micros
 }
 
@@ -18,11 +19,12 @@
 
 func (t *campaignTimer) isDue(now Micros) bool { return now >= t.nextAt }
 
-// reset postpones the campaign by a random delay.
+// reset schedules the next campaign after a random delay.
 func (t *campaignTimer) reset(now Micros) { t.nextAt = now + t.delay() }
 
-// deferTo postpones the campaign for as long as another candidate's ballot may last. It does so once in an interval only: a
-// candidate whose ballots never come through must not hold this replica off for good.
+// deferTo postpones the campaign until another candidate's ballot has timed out, and by a random delay from then. For each
+// candidate it does so only once in a deferral interval, because a candidate whose ballots never get through must not keep this
+// replica from ever campaigning.
 func (t *campaignTimer) deferTo(candidate int, now Micros) {
 	last := t.deferredAt[candidate]
 	if last != 0 && now < last+t.settings.deferralInterval() {
@@ -32,7 +34,7 @@
 	t.nextAt = max(t.nextAt, now+t.settings.ballotTimeout()+t.delay())
 }
 
-// delay returns a random delay, which keeps replicas from campaigning at the same time.
+// delay returns a random delay, so that replicas rarely campaign at the same time.
 func (t *campaignTimer) delay() Micros {
 	return t.settings.minCampaignDelay() + t.random.Int63n(max(1, t.settings.maxCampaignJitter()))
 }
--- a/internal/cluster/election/candidate.go
+++ b/internal/cluster/election/candidate.go
@@ -1,30 +1,30 @@
 package election
 
-// candidate is the replica as the one that asks for a lease, or for its renewal: its present ballot and who has answered it. It
-// decides when the ballot is proposed, whether it has won, and whether it is worth sending again. [leaderElection] starts a ballot
-// when a campaign is due and passes on each Promise, Accepted and Nack.
+// candidate is the replica in the role that asks for a lease or its renewal. It holds the replica's own ballot and the answers to
+// it, and decides when to propose the lease, whether the ballot has won, and whether to send it again. [leaderElection] starts a
+// ballot when a campaign is due, and passes on each Promise, Accepted and Nack message.
 type candidate struct {
 	settings Settings
 	disabled DisabledGuards
 
 	ballot      uint64
-	members     Members // that were in force when the ballot was started
-	startedAt   Micros  // the lease counts from here, however often the ballot is sent
+	members     Members // members in force when the ballot was started
+	startedAt   Micros  // the lease counts from this time, even if the ballot is sent again
 	sentAt      Micros
 	promises    replicaSet
 	acceptances replicaSet
-	isOpen      bool // answers count: the ballot was started and is not void
+	isOpen      bool // the ballot was started and not abandoned, so answers to it count
 	hasProposed bool
 	hasWon      bool
 
-	highestSeen uint64 // of the ballots that Nack and TransferLease messages have named
+	highestSeen uint64 // highest ballot named in a received Nack or TransferLease message
 }
 
 func newCandidate(config Config) candidate {
 	return candidate{settings: config.Settings, disabled: config.DisabledGuards}
 }
 
-// start begins a ballot in place of the one before.
+// start begins a new ballot, which replaces the previous one.
 func (c *candidate) start(ballot uint64, members Members, now Micros) {
 	*c = candidate{
 		settings:    c.settings,
@@ -37,13 +37,13 @@
 	}
 }
 
-// abandon makes the ballot void: answers to it have no effect any more.
+// abandon gives up the ballot. Later answers to it have no effect.
 func (c *candidate) abandon() { c.isOpen = false }
 
-// observe remembers a ballot of which another replica has told.
+// observe records a ballot that another replica has named.
 func (c *candidate) observe(ballot uint64) { c.highestSeen = max(c.highestSeen, ballot) }
 
-// canWin reports whether the ballot may still bring a useful lease among the members; promised is the highest ballot that this
+// canWin reports whether the ballot may still win a useful lease among the members. promised is the highest ballot that this
 // replica has promised.
 func (c *candidate) canWin(now Micros, members Members, promised uint64) bool {
 	isPending := c.isOpen && !c.hasWon
@@ -60,7 +60,7 @@
 	return now >= c.startedAt+c.settings.renewalInterval()
 }
 
-// messageToSend returns the Prepare or the Propose of the ballot, which is sent to all members now.
+// messageToSend returns the Prepare or Propose message of the ballot, and records that it is sent to all members now.
 func (c *candidate) messageToSend(now Micros, released uint64) Message {
 	c.sentAt = now
 	if c.disabled.LeaseFromStart {
@@ -72,7 +72,7 @@
 	return Message{Kind: Prepare, Ballot: c.ballot, ReleasedBallot: released}
 }
 
-// addPromise counts a promise, and reports whether the lease has to be proposed now, as a quorum has promised.
+// addPromise counts a promise. It reports whether this promise completes a quorum, so that the lease has to be proposed now.
 func (c *candidate) addPromise(from int, ballot uint64, members Members) bool {
 	if ballot != c.ballot || !c.isOpen {
 		return false
@@ -85,7 +85,7 @@
 	return true
 }
 
-// addAcceptance counts an acceptance, and reports whether the ballot has won a lease that still runs.
+// addAcceptance counts an acceptance, and reports whether the ballot has won a lease that has not ended yet.
 func (c *candidate) addAcceptance(now Micros, from int, ballot uint64, members Members) bool {
 	if ballot != c.ballot || !c.isOpen {
 		return false
@@ -98,8 +98,8 @@
 	return true
 }
 
-// leaseEnd is when the lease of the ballot is over. It is counted from before anybody was asked, and shortened by the clocks' drift:
-// whoever accepts holds the lease for longer.
+// leaseEnd returns when the lease of the ballot ends. The lease counts from before the first request was sent, and is shortened by
+// the clock drift, so every replica that accepts the lease holds it for longer than that.
 func (c *candidate) leaseEnd() Micros {
 	return c.startedAt + c.settings.driftLowerBound(c.settings.Lease)
 }
--- a/internal/cluster/election/command.go
+++ b/internal/cluster/election/command.go
@@ -1,25 +1,27 @@
 package election
 
-// Command is one of [SendMessage], [CastVote], [Persist] and [SelfStop]. The commands of a call have to be carried out in order. Only
-// this package can add another.
+// Command is one of [SendMessage], [CastVote], [Persist] and [SelfStop]. The commands of a call must be carried out in order.
+// Other packages can't define further commands.
 type Command interface{ isCommand() }
 
 type (
-	// SendMessage sends a message to another replica. It may be lost, delayed, duplicated or reordered.
+	// SendMessage sends a message to another replica. The message may be lost, delayed, duplicated or reordered.
 	SendMessage struct {
 		To int
 		Message
 	}
-	// CastVote writes a vote, unless the time is past WriteBefore by then: the process may have stood still in between.
+	// CastVote sends a vote to the rollout controller, unless the time has reached WriteBefore. The time has to be checked just
+	// before the vote is written, because the process may have been paused since the command was issued.
 	CastVote struct {
 		Record
 		WriteBefore Micros
 	}
-	// Persist has to be on stable storage, where there is any, before a later command of the same call is carried out.
+	// Persist stores the durable state. The state must be on stable storage, if there is any, before a later command of the
+	// same call is carried out.
 	Persist struct{ DurableState }
-	// SelfStop is ordered while this replica's analyzer recommends a rollback and no leader is known. With Stop the replica
-	// stops its own requests to the build, which is the safe direction; without, the analyzer asks for something else or the
-	// rollout has moved on, and requests may go on.
+	// SelfStop stops or resumes the requests of this replica's own agent to a build. With Stop set the agent stops them, which
+	// is the safe direction: its analyzer recommends a rollback and no leader is known. Otherwise the requests may resume,
+	// because the analyzer recommends something else or the rollout has moved on.
 	SelfStop struct {
 		Decision
 		Stop bool
--- a/internal/cluster/election/decision.go
+++ b/internal/cluster/election/decision.go
@@ -1,9 +1,9 @@
 package election
 
-// Verdict of a vote on a release.
+// Verdict is what a vote on a release asks the rollout controller to do.
 type Verdict uint8
 
-// The verdicts; NoVote is the absence of one.
+// The verdicts. NoVote stands for the absence of a verdict.
 const (
 	NoVote Verdict = iota
 	Advance
@@ -23,13 +23,13 @@
 	return d.Build == other.Build && d.Stage == other.Stage
 }
 
-// Record is an entry of the vote log: a decision that a quorum has to know before it is cast.
+// Record is an entry of the vote log. A quorum must know it before its decision is cast as a vote.
 type Record struct {
-	Term  uint64 // the ballot by which its leader got the leadership
+	Term  uint64 // the ballot by which the leader that wrote the record got the leadership
 	Index uint32
 	Decision
-	// Prior is another verdict that the same leader has cast on this build and stage and that may still count, in case no later
-	// vote took effect.
+	// Prior is another verdict that the same leader has cast on this build and stage. It may still count if no later vote has
+	// taken effect. NoVote means that there is none.
 	Prior Verdict
 }
 
@@ -37,7 +37,7 @@
 
 func (r Record) revision() revision { return revision{r.Term, r.Index} }
 
-// DurableState is what a replica must not forget: one that restarts with it may take part at once.
+// DurableState is the state that a replica must keep across restarts. A replica that restarts with it may take part at once.
 type DurableState struct {
 	Promised, Accepted, Released uint64
 	LeaseHolder                  int32
--- a/internal/cluster/election/handlers.go
+++ b/internal/cluster/election/handlers.go
@@ -11,12 +11,12 @@
 	e.dispatch(from, m)
 }
 
-// isMember reports whether a sender is a member, or knows of newer members, which this replica has yet to adopt.
+// isMember reports whether a sender is a member, or knows newer members that this replica has not adopted yet.
 func (e *leaderElection) isMember(sender int, known Members) bool {
 	return e.membership.current.Contains(sender) || known.isNewerThan(e.membership.current)
 }
 
-// dispatch passes a message to the step for its kind.
+// dispatch passes a message to the handler for its kind.
 func (e *leaderElection) dispatch(from int, m Message) {
 	switch m.Kind {
 	case Prepare:
@@ -44,15 +44,15 @@
 	}
 }
 
-// rejectNonMember answers the Prepare of a replica that is not a member with the present members.
+// rejectNonMember answers the Prepare of a replica that is not a member with a Nack that carries the current members.
 func (e *leaderElection) rejectNonMember(from int) {
 	if !e.acceptor.isAbstaining(e.now) {
 		e.out.send(from, e.membership.attach(Message{Kind: Nack}))
 	}
 }
 
-// adoptMembers takes newer members over. A ballot that was started among others is void, and so is a lease that another leader's
-// change of the members has overtaken.
+// adoptMembers adopts newer members. This replica's own ballot is then abandoned, because it was started among other members. Its
+// lease is revoked if the members were stamped in another term, by another leader.
 func (e *leaderElection) adoptMembers(members Members) {
 	if !e.membership.adopt(members) {
 		return
@@ -63,19 +63,20 @@
 	}
 }
 
-// handlePrepare answers a candidate with a promise, or with what stands against its ballot.
+// handlePrepare answers a candidate with a Promise, or with a Nack if its ballot or its members are out of date. If only another
+// replica's lease prevents the promise, the candidate gets no answer.
 func (e *leaderElection) handlePrepare(from int, m Message) {
 	if e.acceptor.isAbstaining(e.now) {
 		return
 	}
 	isRemote := from != e.id
 	if isRemote && e.acceptor.isSuperseded(m.Ballot) {
-		// Without the answer, a replica that has campaigned alone would never take part again: its ballots are higher than the
-		// leader's, so it rejects those.
+		// The Nack makes the leader choose a higher ballot. Otherwise, a replica that has campaigned alone would never take part
+		// again: the ballots that it has promised to itself are higher than the leader's, so it rejects those.
 		e.sendNack(from)
 	}
 	if isRemote && e.membership.current.isNewerThan(m.Members) {
-		// A quorum of older members may have no replica in common with a quorum of these.
+		// A quorum of the older members may have no replica in common with a quorum of the current ones.
 		e.sendNack(from)
 		return
 	}
@@ -92,7 +93,7 @@
 	e.out.send(to, e.membership.attach(Message{Kind: Nack, Ballot: e.acceptor.highestPromised}))
 }
 
-// reply sends an answer with the members, or handles it at once where this replica has asked itself.
+// reply sends an answer that carries the current members. An answer to this replica itself is handled at once.
 func (e *leaderElection) reply(to int, m Message) {
 	m = e.membership.attach(m)
 	if to == e.id {
@@ -111,7 +112,8 @@
 	e.handle(e.id, e.membership.attach(Message{Kind: Propose, Ballot: e.candidate.ballot}))
 }
 
-// handlePropose accepts a candidate's lease, unless it was got among older members. A lease of this replica's own is over then.
+// handlePropose accepts a candidate's lease, unless the candidate knows only older members. If it accepts the lease of another
+// replica, this replica's own lease is revoked.
 func (e *leaderElection) handlePropose(from int, m Message) {
 	if e.membership.current.isNewerThan(m.Members) || !e.acceptor.accept(e.now, from, m.Ballot) {
 		return
@@ -122,13 +124,14 @@
 	e.reply(from, Message{Kind: Accepted, Ballot: m.Ballot, Record: e.votes.log.newest})
 }
 
-// handleAccepted takes the lease once a quorum has accepted it.
+// handleAccepted begins or renews this replica's lease once a quorum has accepted it.
 func (e *leaderElection) handleAccepted(from int, m Message) {
 	if !e.candidate.addAcceptance(e.now, from, m.Ballot, e.membership.current) {
 		return
 	}
 	if !e.lease.isValid(e.now) {
-		// Also after a leadership of its own that has lapsed: another replica may have led in between.
+		// A new term begins even if this replica led before and its lease has lapsed, because another replica may have led in
+		// between.
 		e.lease.startTerm(e.candidate.ballot)
 		e.membership.startTerm()
 		e.votes.startTerm(e.now)
@@ -136,23 +139,24 @@
 	e.lease.grant(e.candidate.leaseEnd(), e.candidate.members)
 }
 
-// handleReplicate acknowledges a record that handle has taken into the log.
+// handleReplicate acknowledges a record, which handle has already added to the log.
 func (e *leaderElection) handleReplicate(from int, m Message) {
 	if e.acceptor.acknowledgesRecord(e.now, m.Ballot) {
 		e.out.send(from, Message{Kind: Replicated, Ballot: m.Ballot, Record: m.Record})
 	}
 }
 
-// handleCommitMembers acknowledges members that handle has taken over.
+// handleCommitMembers acknowledges members, which handle has already adopted if they are newer.
 func (e *leaderElection) handleCommitMembers(from int, m Message) {
 	if m.Members == e.membership.current && e.acceptor.acknowledgesMembers(e.now, m.Ballot) {
 		e.out.send(from, e.membership.attach(Message{Kind: MembersCommitted, Ballot: m.Ballot}))
 	}
 }
 
-// handleTransferLease releases the lease of a leader that leaves, and makes way for its successor.
+// handleTransferLease releases the lease of a leader that leaves, and promises the successor's ballot. If this replica is the
+// successor, it starts that ballot.
 func (e *leaderElection) handleTransferLease(from int, m Message) {
-	// A renewal that others have promised already would otherwise make them reject this replica's next ballot.
+	// The ballot may be a renewal that other replicas have promised already. They would reject a lower ballot of this replica.
 	e.candidate.observe(m.Ballot)
 	if !e.acceptor.releaseLease(e.now, from, m.Ballot) {
 		return
@@ -160,15 +164,15 @@
 	successorBallot := m.successorBallot()
 	switch successor := ballotOwner(successorBallot); {
 	case successorBallot <= e.acceptor.highestPromised:
-		// Another ballot has come in between: the successor has to be elected.
+		// This replica has promised another ballot in the meantime, so the successor has to campaign like any other replica.
 		e.campaigns.reset(e.now)
 	case successor != e.id:
-		// The successor goes first: two candidates at once hinder each other.
+		// This replica postpones its own campaign, because two candidates at the same time hinder each other.
 		e.campaigns.reset(e.now)
 		e.handle(successor, e.membership.attach(Message{Kind: Prepare, Ballot: successorBallot, ReleasedBallot: m.Ballot}))
 	case !e.isLeaving && e.membership.current.Contains(e.id):
 		e.startBallot(successorBallot)
-		// The message carries the promise of the replica that leaves.
+		// The message stands for the promise of the replica that leaves.
 		e.handle(from, Message{Kind: Promise, Ballot: successorBallot, Record: m.Record, Members: m.Members})
 	}
 }
--- a/internal/cluster/election/leader_election.go
+++ b/internal/cluster/election/leader_election.go
@@ -1,29 +1,29 @@
 package election
 
-// leaderElection decides who leads and among whom, by the messages of Paxos. It passes each message to the part that decides on it, and
-// sends what follows:
+// leaderElection decides which replica leads, and among which members, with the messages of Paxos. It passes each message to the
+// part that decides on it, and sends the resulting messages. The parts decide on the following:
 //
 //   - membership: which members are in force;
-//   - acceptor: what is promised and accepted;
-//   - campaignTimer: when to ask for the leadership;
-//   - candidate: how this replica's own ballot stands;
+//   - acceptor: which ballots are promised and which leases are accepted;
+//   - campaignTimer: when to campaign for the leadership;
+//   - candidate: the state of this replica's own ballot;
 //   - lease: whether this replica leads.
 //
-// A replica asks itself, too, when it campaigns; it handles such a message at once, in the place where others' answers come later.
-// [Replica] calls it, and keeps the time.
+// A replica that campaigns also asks itself for a promise and an acceptance. It handles these messages and the answers to them at
+// once, through the same handlers as those of other replicas. [Replica] calls leaderElection and tells it the time of each call.
 type leaderElection struct {
 	id       int
 	settings Settings
-	now      Micros // of the call in progress
+	now      Micros // time of the call in progress
 	out      *outbox
-	votes    *voteCaster // whose newest record goes along with messages
+	votes    *voteCaster // its newest record is added to messages
 
 	membership membership
 	acceptor   acceptor
 	campaigns  campaignTimer
 	candidate  candidate
 	lease      lease
-	isLeaving  bool // this replica has handed its leadership over for good
+	isLeaving  bool // this replica has given up the leadership for good
 }
 
 func newLeaderElection(config Config, votes *voteCaster, out *outbox) leaderElection {
@@ -50,8 +50,8 @@
 	return e
 }
 
-// setTime tells the time of the call that begins. A gap of half a lease between two calls counts as a lost leadership: what happened
-// during it is not known yet.
+// setTime sets the time of the call that begins. A gap of more than half a lease between two calls ends the leadership of this
+// replica, because it does not know yet what has happened in the meantime.
 func (e *leaderElection) setTime(now Micros) {
 	if now-e.now > e.settings.maxCallGap() {
 		e.lease.revoke()
@@ -59,14 +59,14 @@
 	e.now = max(e.now, now)
 }
 
-// withdraw ends this replica's part for good: it promises and accepts nothing any more, and its own ballot is void.
+// withdraw ends this replica's participation for good. It promises and accepts nothing any more, and abandons its own ballot.
 func (e *leaderElection) withdraw() {
 	e.lease.release()
 	e.candidate.abandon()
 	e.acceptor.abstain(forever)
 }
 
-// shouldCampaign reports whether a lease has to be renewed now, or may be asked for.
+// shouldCampaign reports whether this replica has to renew its lease now or, without a lease, may campaign for one.
 func (e *leaderElection) shouldCampaign() bool {
 	isLeading := e.lease.isGranted()
 	switch {
@@ -80,9 +80,9 @@
 	return !e.acceptor.isLeasedToOther(e.now, e.id)
 }
 
-// campaign starts a ballot, also to renew a lease. A ballot that may still come through is sent again instead: where a message
-// takes a tenth of a lease, a ballot lasts longer than the pause between two renewals, and replicas would overtake their own
-// ballots, and each other's, before any came through.
+// campaign starts a ballot for a lease or its renewal. If the current ballot may still win, campaign sends it again instead. When
+// a message takes a tenth of a lease, a ballot takes longer than the interval between two renewals. With a new ballot at each
+// interval, replicas would supersede their own and each other's ballots before any could win.
 func (e *leaderElection) campaign() {
 	if !e.candidate.canWin(e.now, e.membership.current, e.acceptor.highestPromised) {
 		highest := max(e.acceptor.highestPromised, e.acceptor.highestAccepted, e.candidate.ballot, e.candidate.highestSeen)
@@ -102,17 +102,18 @@
 	e.handle(e.id, e.membership.attach(Message{Kind: Prepare, Ballot: ballot, ReleasedBallot: e.acceptor.highestReleased}))
 }
 
-// sendBallot sends the present ballot to all other members.
+// sendBallot sends the current ballot to all other members.
 func (e *leaderElection) sendBallot() {
 	m := e.candidate.messageToSend(e.now, e.acceptor.highestReleased)
 	e.out.broadcast(e.membership.current, e.membership.attach(m))
 }
 
-// leave gives the leadership up for good, to the next member in turn, at the true time of the call.
+// leave gives up the leadership for good. If the lease has not ended at now, the time that the caller passed, leave transfers the
+// leadership to the next member.
 func (e *leaderElection) leave(now Micros) {
 	wasLeading := e.lease.remaining(now) > 0
 	e.lease.release()
-	e.candidate.abandon() // an answer to the last ballot must not bring a lease any more
+	e.candidate.abandon() // a late answer to the last ballot must not begin a new lease
 	e.isLeaving = true
 	if successor := e.membership.current.next(e.id); wasLeading && successor != e.id {
 		e.transferLeadership(successor)
@@ -128,7 +129,8 @@
 	e.out.broadcast(e.membership.current, e.membership.attach(transfer))
 }
 
-// changeMembers puts the members of a mask in force, or returns why they can't be. Those that are out are told.
+// changeMembers puts the members of mask in force, or returns why it can't. It also sends the new members to the replicas that are
+// removed.
 func (e *leaderElection) changeMembers(mask uint64) error {
 	if err := e.membership.checkChange(mask, e.lease.members); err != nil {
 		return err
@@ -139,7 +141,7 @@
 	return nil
 }
 
-// commitMembers stamps the members in a new term, and sends the stamp again until a quorum knows it.
+// commitMembers stamps the members once in a new term, and sends them again until a quorum has acknowledged them.
 func (e *leaderElection) commitMembers() {
 	if !e.membership.isSendDue(e.now) {
 		return
@@ -152,7 +154,7 @@
 	}
 }
 
-// stampMembers stamps members with the present term, and renews the lease among them.
+// stampMembers stamps the members of mask with the current term, sends them, and renews the lease among them.
 func (e *leaderElection) stampMembers(mask uint64) {
 	e.membership.stamp(e.lease.term, mask, e.id)
 	e.sendMembers()
@@ -164,8 +166,8 @@
 	e.out.broadcast(e.membership.current, e.commitMembersMessage())
 }
 
-// commitMembersMessage carries the newest record, too: one that a quorum of the members before knows need not be known to a
-// quorum of those after the next change.
+// commitMembersMessage returns the message that sends the members. It carries the newest record, too, because a record known to a
+// quorum of the previous members need not be known to a quorum of the members after the next change.
 func (e *leaderElection) commitMembersMessage() Message {
 	return e.membership.attach(Message{Kind: CommitMembers, Ballot: e.candidate.ballot, Record: e.votes.log.newest})
 }
--- a/internal/cluster/election/lease.go
+++ b/internal/cluster/election/lease.go
@@ -1,27 +1,28 @@
 package election
 
-// lease is the leadership that this replica holds: until when, in which term, and among which members. It decides whether the
-// replica may act as the leader at a time, from what a quorum has accepted and from this replica's own clock. [leaderElection]
-// grants it, and ends it whenever another replica may lead; [Replica] asks it before anything that only a leader does.
+// lease is this replica's own lease of the leadership: its end, its term, and the members among which it was granted. It decides
+// whether the replica may act as the leader at a given time, from what a quorum has accepted and from this replica's own clock.
+// [leaderElection] grants it, and ends it whenever another replica may lead. [Replica] checks it before any action that only a
+// leader may take.
 type lease struct {
 	disabled DisabledGuards
 
-	until   Micros  // 0: there is none
-	members Members // among whom it was granted
-	term    uint64  // the ballot by which the leadership was got; renewals keep it
+	until   Micros  // end of the lease; 0: there is none
+	members Members // members among which the lease was granted
+	term    uint64  // the ballot by which the replica became the leader; renewals keep it
 }
 
-// isGranted reports whether there is a lease, whose end may have gone by unnoticed.
+// isGranted reports whether there is a lease. One that has run out counts until expire is called.
 func (l *lease) isGranted() bool { return l.until > 0 }
 
-// isValid reports whether the replica leads.
+// isValid reports whether the replica leads at a time.
 func (l *lease) isValid(now Micros) bool {
 	return now < l.until || l.disabled.LeaseTimeout && l.isGranted()
 }
 
 func (l *lease) remaining(now Micros) Micros { return max(0, l.until-now) }
 
-// currentTerm returns the term of the lease; 0 without one.
+// currentTerm returns the term of the lease, or 0 without a lease.
 func (l *lease) currentTerm() uint64 {
 	if !l.isGranted() {
 		return 0
@@ -29,7 +30,7 @@
 	return l.term
 }
 
-// grant begins or renews the lease. A renewal leaves the term as it is; [lease.startTerm] changes it.
+// grant begins or renews the lease. It does not change the term; see [lease.startTerm].
 func (l *lease) grant(until Micros, members Members) {
 	l.until = until
 	l.members = members
@@ -47,7 +48,7 @@
 	}
 }
 
-// expire ends a lease whose time is over, and reports whether there was one.
+// expire ends a lease that has run out, and reports whether there was one.
 func (l *lease) expire(now Micros) bool {
 	if !l.isGranted() || now < l.until || l.disabled.LeaseTimeout {
 		return false
@@ -56,7 +57,7 @@
 	return true
 }
 
-// allowsWriteBefore reports whether a vote that has to be written before a time can still be.
+// allowsWriteBefore reports whether a vote that has to be written before deadline may still be written.
 func (l *lease) allowsWriteBefore(deadline, now Micros) bool {
 	return now < deadline || l.disabled.LeaseTimeout
 }
--- a/internal/cluster/election/members.go
+++ b/internal/cluster/election/members.go
@@ -2,21 +2,21 @@
 
 import "math/bits"
 
-// MaxReplicas is how many replica numbers there are, from 0.
+// MaxReplicas is the number of replica numbers. They start at 0.
 const MaxReplicas = 64
 
-// noReplica stands for a replica's number where there is none.
+// noReplica is used in place of a replica number when there is no replica.
 const noReplica = -1
 
-// Members are the replicas that vote. The leader that changes them stamps them with its term; the newest that a replica has
-// received are in force for it at once.
+// Members is the set of replicas that take part in the quorums. The leader that changes the members stamps them with its term.
+// The newest members that a replica has received are in force for it at once.
 type Members struct {
 	Term    uint64
-	Version uint32
-	Mask    uint64 // one bit a replica, by its number
+	Version uint32 // numbers the sets stamped in the same term, from 1
+	Mask    uint64 // bit i stands for replica number i
 }
 
-// InitialMembers returns the members with the numbers below count, before any change.
+// InitialMembers returns the members before any change: the replicas with numbers below count.
 func InitialMembers(count int) Members { return Members{Mask: 1<<count - 1} }
 
 // Contains reports whether a replica is a member.
@@ -31,7 +31,8 @@
 
 func (m Members) revision() revision { return revision{m.Term, m.Version} }
 
-// next returns the member after a replica, in turn; the replica itself where there is no other.
+// next returns the member with the next higher number after a replica, or the lowest if no number is higher. Without another
+// member, next returns the replica itself.
 func (m Members) next(after int) int {
 	for i := 1; i <= MaxReplicas; i++ {
 		if candidate := (after + i) % MaxReplicas; m.Contains(candidate) {
@@ -41,7 +42,7 @@
 	return after
 }
 
-// without returns the members that are not among others.
+// without returns the members that are not in others.
 func (m Members) without(others Members) Members {
 	m.Mask &^= others.Mask
 	return m
--- a/internal/cluster/election/membership.go
+++ b/internal/cluster/election/membership.go
@@ -5,26 +5,27 @@
 	"math/bits"
 )
 
-// Errors of ChangeMembers.
+// Errors returned by [Replica.ChangeMembers].
 var (
 	ErrNotLeader       = errors.New("this agent does not lead")
 	ErrMembersPending  = errors.New("the members are not settled with a majority yet")
 	ErrNotSingleChange = errors.New("members join and leave one at a time, and one must stay")
 )
 
-// membership is which members are in force here, and, while this replica leads, how far its own stamp on them is known. It decides
-// whether they may change, from the stamp's acknowledgements and the members among whom the lease was granted. [leaderElection]
-// passes on the members of each message, and lets a leader stamp them and repeat the stamp.
+// membership holds the members that are in force on this replica. While this replica leads, it also tracks which replicas have
+// acknowledged the members as stamped with the current term. It decides whether the members may change, from these
+// acknowledgements and from the members among which the lease was granted. [leaderElection] passes it the members of each
+// message; on the leader, it has membership stamp the members, and sends them until a quorum has acknowledged them.
 type membership struct {
 	settings Settings
 
-	current     Members // the newest that were received
-	isStamped   bool    // the present term has stamped them
-	committedBy replicaSet
-	sentAt      Micros
+	current     Members    // newest members known to this replica
+	isStamped   bool       // this replica, as the leader, has stamped current in the current term
+	committedBy replicaSet // replicas that have acknowledged current since it was stamped
+	sentAt      Micros     // when this replica, as the leader, last sent current
 }
 
-// adopt takes newer members over, and reports whether these were newer.
+// adopt replaces the members if the given ones are newer, and reports whether they were.
 func (m *membership) adopt(members Members) bool {
 	if !members.isNewerThan(m.current) {
 		return false
@@ -34,14 +35,15 @@
 	return true
 }
 
-// startTerm makes the stamp of the term before void.
+// startTerm begins a new term, in which the members have to be stamped again.
 func (m *membership) startTerm() { m.isStamped = false }
 
-// checkChange returns why the members can't be replaced by those of a mask; nil: they can.
+// checkChange returns why the members can't be replaced by those of mask, or nil if they can.
 //
-// Quorums of two sets that differ in one replica have a replica in common; quorums of sets that differ in more need not. So
-// the change before, and this term's own stamp, have to be known to a quorum first, and the lease has to be renewed among
-// them: a lease that was given by replicas that are out binds nobody who is in.
+// If two sets of members differ in one replica, any quorum of one has a replica in common with any quorum of the other. This
+// need not hold if they differ in more. Before a change, a quorum must therefore know the members as stamped in the current
+// term, and with them the previous change. The lease must also have been granted among the current members: a lease granted by
+// replicas that have been removed does not bind those that are members now.
 func (m *membership) checkChange(mask uint64, leaseMembers Members) error {
 	switch {
 	case mask == 0 || bits.OnesCount64(mask^m.current.Mask) != 1:
@@ -52,7 +54,7 @@
 	return nil
 }
 
-// stamp puts the members of a mask in force, with the term of the leader that does it.
+// stamp puts the members of mask in force, and stamps them with the leader's term.
 func (m *membership) stamp(term uint64, mask uint64, leader int) {
 	next := Members{Term: term, Version: 1, Mask: mask}
 	if m.current.Term == term {
@@ -63,24 +65,24 @@
 	m.committedBy = newReplicaSet(leader)
 }
 
-// acknowledge counts a replica that knows the members, if these are the present ones.
+// acknowledge counts a replica that knows the members, if they are the current ones.
 func (m *membership) acknowledge(from int, members Members) {
 	if m.isStamped && members == m.current {
 		m.committedBy = m.committedBy.with(from)
 	}
 }
 
-// isCommitted reports whether a quorum knows the members with the stamp of the present term.
+// isCommitted reports whether a quorum knows the members as stamped in the current term.
 func (m *membership) isCommitted() bool {
 	return m.isStamped && m.committedBy.isQuorumOf(m.current)
 }
 
-// isSendDue reports whether the stamp may be sent, or sent again.
+// isSendDue reports whether the members may be sent, or sent again.
 func (m *membership) isSendDue(now Micros) bool {
 	return now-m.sentAt >= m.settings.retryInterval()
 }
 
-// attach adds the members that are in force to a message.
+// attach returns the message with the current members added to it.
 func (m *membership) attach(message Message) Message {
 	message.Members = m.current
 	return message
--- a/internal/cluster/election/message.go
+++ b/internal/cluster/election/message.go
@@ -7,33 +7,34 @@
 const (
 	Prepare          Kind = iota + 1 // asks for a promise of the ballot
 	Promise                          // promises the ballot, and carries the newest record that the sender knows
-	Propose                          // asks to accept the lease of the ballot
+	Propose                          // asks for acceptance of the ballot's lease
 	Accepted                         // accepts the lease
-	Replicate                        // asks to remember the record
+	Replicate                        // asks the receiver to store the record
 	Replicated                       // acknowledges the record
 	Recommend                        // carries the verdict that the sender's release analyzer recommends
 	TransferLease                    // releases the lease and appoints the successor
-	Nack                             // rejects a ballot: names the higher one that was promised, or newer members
-	CommitMembers                    // asks to remember the members
+	Nack                             // rejects a ballot, and carries the higher ballot that was promised or newer members
+	CommitMembers                    // asks the receiver to store the members
 	MembersCommitted                 // acknowledges the members
 )
 
 // IsValid reports whether k is one of the kinds.
 func (k Kind) IsValid() bool { return k >= Prepare && k <= MembersCommitted }
 
-// Message from one replica to another. Every field is small, so that a message fits into a datagram many times over.
+// Message is sent from one replica to another. Every field is small, so a message takes up only a fraction of a datagram.
 type Message struct {
 	Kind   Kind
 	Ballot uint64
-	// ReleasedBallot, of a Prepare, is the ballot up to which leases were given up by their holders. A TransferLease has its successor's
-	// ballot here: newTransferLease and successorBallot.
+	// ReleasedBallot of a Prepare is the ballot up to which leases were released by their holders. In a TransferLease the field
+	// holds the successor's ballot; see newTransferLease and successorBallot.
 	ReleasedBallot uint64
-	Record         Record   // of a Promise, Accepted, Replicate, Replicated, TransferLease or CommitMembers
-	Recommendation Decision // of a Recommend
-	Members        Members  // that the sender knows; of all kinds but Recommend, Replicate and Replicated
+	Record         Record   // set in Promise, Accepted, Replicate, Replicated, TransferLease and CommitMembers
+	Recommendation Decision // set in Recommend
+	Members        Members  // newest members that the sender knows; set in all kinds but Recommend, Replicate and Replicated
 }
 
-// newTransferLease makes the message by which a leader releases the lease of its ballot, having promised the successor's.
+// newTransferLease returns the message with which a leader releases the lease of its ballot. The leader has already promised
+// successorBallot.
 func newTransferLease(ballot, successorBallot uint64, newest Record) Message {
 	return Message{Kind: TransferLease, Ballot: ballot, ReleasedBallot: successorBallot, Record: newest}
 }
@@ -42,12 +43,13 @@
 func (m Message) successorBallot() uint64 { return m.ReleasedBallot }
 
 const (
-	// ballotOwnerBits are the low bits of a ballot; they hold its owner's number, so that no two replicas share a ballot.
+	// ballotOwnerBits is the number of low bits of a ballot. They hold the number of the replica that owns the ballot, so that
+	// no two replicas use the same one.
 	ballotOwnerBits = 8
 	ballotOwnerMask = 1<<ballotOwnerBits - 1
 )
 
-// nextBallot returns the lowest ballot of an owner in the round after that of a ballot.
+// nextBallot returns the owner's ballot in the round that follows the round of another ballot.
 func nextBallot(after uint64, owner int) uint64 {
 	round := after>>ballotOwnerBits + 1
 	return round<<ballotOwnerBits | uint64(owner)
--- a/internal/cluster/election/recommendation.go
+++ b/internal/cluster/election/recommendation.go
@@ -1,29 +1,30 @@
 package election
 
-// recommendations are what the replicas' release analyzers ask for. They decide which verdict that comes to on a stage, from each
-// replica's newest recommendation and its age. [voteCaster] asks while its replica leads.
+// recommendations holds the newest recommendation of each replica's release analyzer. It decides which verdict on a stage results
+// from them, depending on their age. [voteCaster] asks it while this replica leads.
 type recommendations struct {
 	self      int
 	settings  Settings
 	byReplica [MaxReplicas]recommendation
 }
 
-// recommendation is the decision that a replica's release analyzer asks for.
+// recommendation is the decision that a replica's release analyzer recommends.
 type recommendation struct {
 	Decision
 	receivedAt Micros // 0: never
 }
 
-// put takes a replica's recommendation in place of its earlier one.
+// put stores a replica's recommendation in place of its earlier one.
 func (r *recommendations) put(replica int, recommended Decision, now Micros) {
 	r.byReplica[replica] = recommendation{recommended, now}
 }
 
-// own returns what this replica's analyzer asks for.
+// own returns the decision that this replica's analyzer recommends.
 func (r *recommendations) own() Decision { return r.byReplica[r.self].Decision }
 
-// verdict returns what the recommendations come to: a rollback where enough replicas ask for it; else what this replica's analyzer
-// asks for. While any replica asks for a rollback nobody votes to advance.
+// verdict returns the verdict that results from the recommendations for the current stage. This is a rollback if enough replicas
+// recommend it, and otherwise the verdict that this replica's analyzer recommends. While any replica recommends a rollback, the
+// result is never to advance.
 func (r *recommendations) verdict(rollout rolloutPosition, now Micros) Verdict {
 	rollbacks := r.countRollbacks(rollout, now)
 	own := r.own()
@@ -38,8 +39,8 @@
 	return own.Verdict
 }
 
-// countRollbacks returns how many replicas ask for a rollback of the present stage. Others' recommendations expire; this
-// replica's own holds until its analyzer changes it.
+// countRollbacks returns how many replicas recommend a rollback on the current stage. The recommendations of other replicas
+// expire. This replica's own counts until its analyzer changes it.
 func (r *recommendations) countRollbacks(rollout rolloutPosition, now Micros) int {
 	wanted := rollout.decision(Rollback)
 	count := 0
--- a/internal/cluster/election/replica.go
+++ b/internal/cluster/election/replica.go
@@ -1,7 +1,8 @@
 package election
 
-// Replica is one member's part of the protocol: it begins and ends each call, and passes events on to leaderElection, which decides who
-// leads, to voteCaster, which decides on the votes, and to selfStop. It is not safe for concurrent use.
+// Replica runs the protocol for one replica. It begins and ends each call, and passes events on to leaderElection, which decides
+// who leads, to voteCaster, which decides on the votes, and to selfStop, which decides whether this replica's agent stops its own
+// requests to a build. It is not safe for concurrent use.
 type Replica struct {
 	out           outbox
 	election      leaderElection
@@ -10,7 +11,7 @@
 	lastPersisted DurableState
 }
 
-// New makes a replica.
+// New returns a replica with the given configuration.
 func New(config Config) *Replica {
 	r := &Replica{
 		out:   outbox{self: config.ID},
@@ -36,7 +37,7 @@
 // IsLeader reports whether this replica may cast votes now.
 func (r *Replica) IsLeader(now Micros) bool { return r.election.lease.isValid(now) }
 
-// Status returns the state at a time.
+// Status returns the state of the replica at a time.
 func (r *Replica) Status(now Micros) Status {
 	s := Status{
 		IsLeader:          r.IsLeader(now),
@@ -57,22 +58,23 @@
 	return s
 }
 
-// StopParticipating withdraws the replica after its stable storage has failed: it promises and accepts nothing any more. Its own
-// ballot is void, too: an acceptance that is on its way would make it leader, and it would cast votes of which it keeps no record.
+// StopParticipating withdraws the replica after its stable storage has failed. The replica promises and accepts nothing any more.
+// It also abandons its own ballot: otherwise an acceptance still in transit could make it the leader, and it would cast votes
+// whose records it does not store.
 func (r *Replica) StopParticipating(now Micros) {
 	r.beginCall(now)
 	r.election.withdraw()
 	r.votes.log.discardPending()
 }
 
-// UpdateRollout tells the position of the newest build.
+// UpdateRollout sets the newest build, its stage, and whether it is under evaluation.
 func (r *Replica) UpdateRollout(now Micros, build, stage int32, isActive bool) []Command {
 	r.beginCall(now)
 	r.votes.updateRollout(rolloutPosition{build: build, stage: stage, isActive: isActive})
 	return r.runDue()
 }
 
-// Recommend takes the recommendation of this replica's release analyzer, and sends it to the other members.
+// Recommend sets the recommendation of this replica's release analyzer, and sends it to the other members.
 func (r *Replica) Recommend(now Micros, recommended Decision) []Command {
 	r.beginCall(now)
 	r.votes.recommendations.put(r.election.id, recommended, now)
@@ -80,25 +82,25 @@
 	return r.runDue()
 }
 
-// ResolveVote tells that the rollout controller has answered the vote of a record: it took effect, or never will.
+// ResolveVote records that the rollout controller has answered the vote of a record: the vote took effect, or never will.
 func (r *Replica) ResolveVote(now Micros, record Record) []Command {
 	r.beginCall(now)
 	r.votes.history.resolve(record)
 	return r.runDue()
 }
 
-// Tick has to be called at the time that NextTick returned, or later.
+// Tick runs the steps that are due. It must be called at the time that NextTick returned, or later.
 func (r *Replica) Tick(now Micros) []Command {
 	r.beginCall(now)
 	return r.runDue()
 }
 
-// NextTick returns when to call Tick, unless another call comes first.
+// NextTick returns when to call Tick, unless another method is called before then.
 func (r *Replica) NextTick() Micros {
 	return r.election.now + max(1, r.election.settings.retryInterval())
 }
 
-// Receive takes a message from another replica.
+// Receive handles a message from another replica.
 func (r *Replica) Receive(now Micros, from int, m Message) []Command {
 	r.beginCall(now)
 	if from >= 0 && from < MaxReplicas && from != r.election.id {
@@ -107,8 +109,8 @@
 	return r.runDue()
 }
 
-// ChangeMembers puts other members in force, one more or one fewer. Only the leader can, and only when the change before is
-// known to a quorum.
+// ChangeMembers puts the members of mask in force, which must be one more or one fewer. Only the leader can change the members,
+// and only once a quorum knows the previous change.
 func (r *Replica) ChangeMembers(now Micros, mask uint64) ([]Command, error) {
 	r.beginCall(now)
 	if !r.IsLeader(now) {
@@ -120,22 +122,22 @@
 	return r.runDue(), nil
 }
 
-// Leave hands the leadership over for good: this replica casts nothing any more and never campaigns again, but still answers
-// others. The next member in turn gets this replica's promise with the message that releases the lease, and the others'
-// promises as soon as they receive it.
+// Leave gives up the leadership for good. This replica casts no more votes and never campaigns again, but still answers other
+// replicas. The message that releases its lease also gives the next member this replica's promise. The other members send the
+// next member their promises as soon as they receive that message.
 func (r *Replica) Leave(now Micros) []Command {
 	r.beginCall(now)
 	r.election.leave(now)
 	return r.endCall()
 }
 
-// beginCall starts a call at a time.
+// beginCall starts a call: it sets the time, and drops the commands of the previous call.
 func (r *Replica) beginCall(now Micros) {
 	r.election.setTime(now)
 	r.out.reset()
 }
 
-// runDue does whatever is due at the present time, and ends the call.
+// runDue runs the steps that are due at the current time, and ends the call.
 func (r *Replica) runDue() []Command {
 	now := r.election.now
 	if r.election.lease.expire(now) {
@@ -163,7 +165,8 @@
 	}
 }
 
-// endCall returns the commands of the call. Changed durable state is persisted before any command that depends on it.
+// endCall returns the commands of the call. If the durable state has changed, the first command persists it, before any command
+// that depends on it.
 func (r *Replica) endCall() []Command {
 	if state := r.durableState(); state != r.lastPersisted {
 		r.lastPersisted = state
--- a/internal/cluster/election/replica_set.go
+++ b/internal/cluster/election/replica_set.go
@@ -2,12 +2,12 @@
 
 import "math/bits"
 
-// replicaSet is a set of replicas, such as those that have acknowledged something: one bit a replica, by its number.
+// replicaSet is a set of replicas, such as those that have acknowledged a record. Bit i stands for replica number i.
 type replicaSet uint64
 
 func newReplicaSet(replica int) replicaSet { return replicaSet(0).with(replica) }
 
-// with returns the set with one replica more.
+// with returns the set with a replica added.
 func (s replicaSet) with(replica int) replicaSet { return s | 1<<replica }
 
 // isQuorumOf reports whether the set holds more than half of the members.
--- a/internal/cluster/election/revision.go
+++ b/internal/cluster/election/revision.go
@@ -1,7 +1,6 @@
 package election
 
-// revision is the place of a record, or of a set of members, among all that leaders have issued: by the term, and by the number
-// within the term.
+// revision orders the records, or the sets of members, that leaders have issued: by term, and within a term by number.
 type revision struct {
 	term   uint64
 	number uint32
--- a/internal/cluster/election/self_stop.go
+++ b/internal/cluster/election/self_stop.go
@@ -1,13 +1,14 @@
 package election
 
-// selfStop decides what a replica does on its own account while no leader is known: it stops this agent's requests to a build that its
-// release analyzer wants rolled back, which is the safe direction. [Replica] calls update at the end of each call.
+// selfStop decides whether this replica's agent stops its own requests to a build while no leader is known. The agent stops them
+// if its release analyzer recommends rolling the build back, which is the safe direction. [Replica] calls update at the end of
+// each call.
 type selfStop struct {
-	stopped Decision // the rollback for which requests are stopped; the zero value: none
+	stopped Decision // the recommended rollback for which requests are stopped; the zero value: none
 }
 
-// update returns the command to stop or to resume, and whether there is one. A leader that appears does not lift the stop: it will
-// roll the build back, or this replica's analyzer comes to ask for something else.
+// update returns the command to stop or to resume, and whether there is one. A new leader does not end the stop: either the leader
+// rolls the build back, or this replica's analyzer changes its recommendation.
 func (s *selfStop) update(own Decision, wantsRollback, isLeaderKnown bool) (SelfStop, bool) {
 	isStopped := s.stopped.Verdict != NoVote
 	switch {
--- a/internal/cluster/election/settings.go
+++ b/internal/cluster/election/settings.go
@@ -6,45 +6,47 @@
 // forever is later than any time.
 const forever Micros = 1 << 62
 
-// Settings are the parameters that all replicas have to agree on.
+// Settings holds the parameters that must be the same on all replicas.
 type Settings struct {
 	Lease          Micros  // how long a leadership lasts unless it is renewed
-	ClockDrift     float64 // bounds how much faster or slower any clock runs, as a fraction
-	MaxVoteDelay   Micros  // a vote that was written takes effect within this time, or never
-	VoteLifetime   Micros  // how long a vote counts after it took effect
-	RollbackQuorum int     // how many replicas have to recommend a rollback
+	ClockDrift     float64 // upper bound of how much faster or slower any clock runs, as a fraction
+	MaxVoteDelay   Micros  // a vote takes effect within this time after it was written, or never
+	VoteLifetime   Micros  // how long a vote counts after it has taken effect
+	RollbackQuorum int     // how many replicas must recommend a rollback
 }
 
-// Config describes one replica at its start.
+// Config configures one replica.
 type Config struct {
 	ID             int           // the replica's number, below MaxReplicas
-	Members        Members       // in force unless State holds newer ones
-	State          *DurableState // that the replica last persisted; nil: none
+	Members        Members       // members at the start, unless State holds newer ones
+	State          *DurableState // the state that the replica last persisted; nil: none
 	Settings       Settings
 	DisabledGuards DisabledGuards
-	// IsFresh: the replica has no state although it may have run before. It abstains until nothing can count any more that it
-	// may have answered for.
+	// IsFresh marks a replica that has no state although it may have run before. It abstains until no lease that it may have
+	// accepted, and no vote cast under such a lease, can count any more.
 	IsFresh bool
-	Now     Micros // by the replica's own clock
-	Seed    int64  // of the random delays before campaigns
+	Now     Micros // current time by the replica's own clock
+	Seed    int64  // seed of the random delays before campaigns
 }
 
-// DisabledGuards switches safety guards off, so that a checker can be seen to find what they prevent.
+// DisabledGuards turns safety guards off. Tests use it to show that a checker finds the violations that a guard prevents. Each
+// field, when set, turns off the guard that its comment describes.
 type DisabledGuards struct {
-	// LeaseTimeout: a leader stops casting when its lease is over or when it may have paused, as another may lead by then.
+	// LeaseTimeout: a leader stops casting when its lease has ended or when the process may have been paused, because another
+	// replica may lead by then.
 	LeaseTimeout bool
 	// QuorumBeforeCast: a vote is cast only after a quorum knows its record, so that the next leader knows it.
 	QuorumBeforeCast bool
-	// WaitForEarlierVotes: a contrary vote waits until earlier ones can't count any more.
+	// WaitForEarlierVotes: a contrary vote waits until earlier votes can't count any more.
 	WaitForEarlierVotes bool
-	// PromiseAfterLease: a replica promises nothing to others until the lease that it has accepted is over.
+	// PromiseAfterLease: a replica promises nothing to other replicas until the lease that it has accepted has ended.
 	PromiseAfterLease bool
-	// LeaseFromStart: a lease counts from the beginning of its ballot, not from when the ballot was sent again: the promises and
-	// acceptances may answer the first sending.
+	// LeaseFromStart: a lease counts from the start of its ballot, even if the ballot was sent again later, because promises and
+	// acceptances may be answers to the first message.
 	LeaseFromStart bool
 }
 
-// leaseFraction is a duration as a part of a lease, by what the lease is divided by.
+// leaseFraction is a duration expressed as a fraction of a lease. The value is the divisor.
 type leaseFraction Micros
 
 const (
@@ -58,39 +60,41 @@
 func (f leaseFraction) of(lease Micros) Micros { return lease / Micros(f) }
 
 const (
-	// renewalFraction leaves a leader time for two more tries after the first renewal that fails.
+	// renewalFraction is the interval between renewals of a lease. If a renewal fails, the leader has time for two more tries.
 	renewalFraction = thirdOfLease
-	// ballotResendFraction of a lease after it was sent, an unanswered ballot is sent again: twice in the interval between two
-	// renewals.
+	// ballotResendFraction is the time after which an unanswered ballot is sent again. This happens twice in the interval
+	// between two renewals.
 	ballotResendFraction = sixthOfLease
-	// ballotTimeoutFraction of a lease after its beginning a ballot is given up; a later one would bring a lease that is mostly over.
+	// ballotTimeoutFraction is the time from its start after which a ballot is abandoned. If it won later, most of its lease
+	// would be over.
 	ballotTimeoutFraction = halfLease
-	// maxCallGapFraction: a longer gap between two calls counts as a pause of the process.
+	// maxCallGapFraction is the longest gap between two calls that does not count as a pause of the process.
 	maxCallGapFraction = halfLease
-	// retryFraction is how often an unanswered message is sent again, and how often a replica wants a tick.
+	// retryFraction is the interval at which an unanswered message is sent again and at which a replica needs a tick.
 	retryFraction = fifteenthOfLease
-	// minCampaignDelayFraction is the least that a campaign waits.
+	// minCampaignDelayFraction is the shortest delay before a campaign.
 	minCampaignDelayFraction = thirtiethOfLease
-	// maxCampaignJitterFraction bounds the random part that comes on top.
+	// maxCampaignJitterFraction bounds the random delay that is added to the shortest one.
 	maxCampaignJitterFraction = thirdOfLease
 )
 
 const (
-	// deferralIntervalLeases bounds how often a replica postpones its own campaign for another candidate, in leases, so that a
-	// candidate whose ballots never come through can't hold it off for good.
+	// deferralIntervalLeases is the minimum time, in leases, between two deferrals of a replica's own campaign in favor of the
+	// same candidate. Without this limit, a candidate whose ballots never get through could keep the replica from ever
+	// campaigning.
 	deferralIntervalLeases = 2
-	// recommendationLeases is how long a recommendation counts; replicas repeat theirs twice a lease.
+	// recommendationLeases is how long a recommendation counts, in leases. Replicas repeat theirs twice per lease.
 	recommendationLeases = 2
-	// recastLifetimeFraction of a vote's lifetime is over when the vote is cast again.
+	// recastLifetimeFraction is the fraction of a vote's lifetime after which the vote is cast again.
 	recastLifetimeFraction = 0.66
 )
 
-// driftUpperBound returns a duration by this clock after which span is surely over by any other clock.
+// driftUpperBound returns a duration by this clock after which span has surely ended by any other clock.
 func (s Settings) driftUpperBound(span Micros) Micros {
 	return Micros(float64(span) * (1 + 2*s.ClockDrift))
 }
 
-// driftLowerBound returns a duration by this clock after which span is surely not over by any other clock.
+// driftLowerBound returns a duration by this clock after which span has surely not ended by any other clock.
 func (s Settings) driftLowerBound(span Micros) Micros {
 	return Micros(float64(span) * (1 - 2*s.ClockDrift))
 }
@@ -117,14 +121,15 @@
 	return Micros(recastLifetimeFraction * float64(s.VoteLifetime))
 }
 
-// stateLossWindow returns how long a replica that has lost its state abstains: a leader that it has accepted may cast for one more
-// lease, and its votes count for the window after.
+// stateLossWindow returns how long a replica that has lost its state abstains. A leader whose lease it has accepted may cast
+// votes for one more lease, and the last of them may take effect and count for its lifetime after that.
 func (s Settings) stateLossWindow() Micros {
 	return s.driftUpperBound(s.Lease + s.MaxVoteDelay + s.VoteLifetime)
 }
 
-// effectDelay returns how long a vote that was cast may still take effect.
+// effectDelay returns how long after it was cast a vote may still take effect.
 func (s Settings) effectDelay() Micros { return s.driftUpperBound(s.MaxVoteDelay) }
 
-// effectWindow returns how long a vote that was cast may still count: it may take effect late, and counts for its lifetime.
+// effectWindow returns how long after it was cast a vote may still count. It may take effect late, and then counts for its
+// lifetime.
 func (s Settings) effectWindow() Micros { return s.driftUpperBound(s.MaxVoteDelay + s.VoteLifetime) }
--- a/internal/cluster/election/vote_caster.go
+++ b/internal/cluster/election/vote_caster.go
@@ -1,9 +1,9 @@
 package election
 
-// voteCaster decides which vote a leader casts and when: it takes the decision from the recommendations, waits until nothing contrary
-// may count, has a quorum know the record, and then casts it if the lease lasts long enough. [Replica] calls runDue while it leads,
-// and tells the position of the rollout and this replica's recommendation at any time; [leaderElection] passes on the records and
-// recommendations of others.
+// voteCaster decides which vote a leader casts and when. It derives the decision from the recommendations, waits until no contrary
+// vote may count, replicates the record to a quorum, and then casts the vote if enough of the lease is left. [Replica] calls
+// runDue while it leads; it passes on the position of the rollout and this replica's recommendation at any time.
+// [leaderElection] passes on the records and recommendations of other replicas.
 type voteCaster struct {
 	id       int
 	settings Settings
@@ -15,21 +15,21 @@
 	history         voteHistory
 }
 
-// rolloutPosition is the newest build and its stage.
+// rolloutPosition is the newest build and its current stage.
 type rolloutPosition struct {
 	build, stage int32
 	isActive     bool // the build is under evaluation
 }
 
-// decision returns a verdict on the position.
+// decision returns the decision with a verdict on the position's build and stage.
 func (p rolloutPosition) decision(verdict Verdict) Decision {
 	return Decision{Build: p.build, Stage: p.stage, Verdict: verdict}
 }
 
-// leadership is what a leader casts by.
+// leadership holds the lease, the ballot and the members with which a leader casts votes.
 type leadership struct {
 	lease   *lease
-	ballot  uint64 // of the last renewal
+	ballot  uint64 // ballot of the last renewal
 	members Members
 }
 
@@ -48,7 +48,7 @@
 	return v
 }
 
-// updateRollout takes the position of the newest build. Votes name their stage, so a decision on another one is dropped.
+// updateRollout sets the position of the rollout. A vote applies to one stage, so a pending decision on another stage is dropped.
 func (v *voteCaster) updateRollout(position rolloutPosition) {
 	v.rollout = position
 	if !v.log.pending.isSameStage(position.decision(NoVote)) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// startTerm begins a new leadership of this replica.
+// startTerm begins a new term of this replica as the leader.
 func (v *voteCaster) startTerm(now Micros) {
 	v.history.startTerm(v.log.newest, now)
 	v.log.discardPending()
@@ -66,12 +66,12 @@
 	return v.log.hasPending() || v.history.hasUnresolved()
 }
 
-// wantsRollback reports whether this replica's own release analyzer asks to roll the build under evaluation back.
+// wantsRollback reports whether this replica's own release analyzer recommends rolling back the build under evaluation.
 func (v *voteCaster) wantsRollback() bool {
 	return v.rollout.isActive && v.recommendations.own() == v.rollout.decision(Rollback)
 }
 
-// runDue replicates what the recommendations ask for, and casts it once a quorum knows it.
+// runDue replicates the decision that results from the recommendations, and casts the vote once a quorum knows the record.
 func (v *voteCaster) runDue(now Micros, current leadership, out *outbox) {
 	if !v.rollout.isActive {
 		return
@@ -104,7 +104,7 @@
 	out.broadcast(current.members, Message{Kind: Replicate, Ballot: current.ballot, Record: v.log.pending})
 }
 
-// castPending casts the pending vote if a quorum knows it and the lease lasts long enough for it to be written.
+// castPending casts the pending vote if a quorum knows its record and enough of the lease is left to write the vote.
 func (v *voteCaster) castPending(now Micros, current leadership, out *outbox) {
 	writeBefore := current.lease.until - v.settings.driftUpperBound(v.settings.retryInterval())
 	isReplicated := v.log.isReplicated(current.members) || v.disabled.QuorumBeforeCast
--- a/internal/cluster/election/vote_history.go
+++ b/internal/cluster/election/vote_history.go
@@ -1,24 +1,24 @@
 package election
 
-// voteHistory is what was cast and may still count: by this replica in the present term, and by the leaders before it. It decides
-// whether a vote would contradict any of that, from the times at which votes were cast and from the rollout controller's answers.
-// [voteCaster] asks it before a vote begins to be replicated.
+// voteHistory holds the votes that were cast and may still count: those of this replica in the current term, and those of earlier
+// leaders. It decides whether a new vote would be contrary to any of them, from the times at which they were cast and from the
+// rollout controller's answers. [voteCaster] asks it before it starts to replicate the record of a vote.
 type voteHistory struct {
 	settings Settings
 	disabled DisabledGuards
 
-	lastCast         Record // of the present term; the zero value: none
+	lastCast         Record // record of the last vote cast in the current term; the zero value: none
 	lastCastAt       Micros
-	lastCastResolved bool // the rollout controller has answered
+	lastCastResolved bool // the rollout controller has answered the last vote
 
-	prior      Verdict // the last verdict cast that differs from lastCast's
-	priorUntil Micros  // until then it may count
+	prior      Verdict // the last verdict cast before that differs from lastCast's
+	priorUntil Micros  // the vote with the prior verdict may count until then
 
 	predecessor      Record // the newest record of earlier leaders when the term began
-	predecessorUntil Micros // until then something that an earlier leader has cast may count
+	predecessorUntil Micros // votes of earlier leaders may count until then
 }
 
-// startTerm begins a new leadership. Whatever its predecessors have cast counts from now on as if it had been cast right now.
+// startTerm begins a new term of this replica as the leader. The votes of earlier leaders are treated as if they were cast now.
 func (h *voteHistory) startTerm(predecessor Record, now Micros) {
 	h.predecessor = predecessor
 	h.predecessorUntil = now + h.settings.effectWindow()
@@ -27,7 +27,7 @@
 	h.priorUntil = 0
 }
 
-// addCast remembers a vote that is cast now.
+// addCast records a vote that is cast now.
 func (h *voteHistory) addCast(record Record, now Micros) {
 	if h.lastCast.Term != 0 && h.lastCast.Verdict != record.Verdict {
 		h.prior = h.lastCast.Verdict
@@ -38,7 +38,7 @@
 	h.lastCastResolved = false
 }
 
-// resolve remembers that the rollout controller has answered the vote of a record.
+// resolve records that the rollout controller has answered the vote of a record. It ignores all but the last vote.
 func (h *voteHistory) resolve(record Record) {
 	if record == h.lastCast {
 		h.lastCastResolved = true
@@ -55,7 +55,7 @@
 	return max(0, h.predecessorUntil-now)
 }
 
-// isRecent reports whether a decision was the last to be cast, so lately that it need not be cast again.
+// isRecent reports whether a decision was the last one cast, and so recently that it need not be cast again.
 func (h *voteHistory) isRecent(d Decision, now Micros) bool {
 	return h.lastCast.Decision == d && now-h.lastCastAt < h.settings.recastInterval()
 }
@@ -65,7 +65,8 @@
 	return h.lastCast.Term != 0 && h.lastCast.isSameStage(d)
 }
 
-// contraryVerdict returns the verdict other than the decision's that was cast in this term on its stage and may still count.
+// contraryVerdict returns a verdict other than the decision's that was cast on its stage in this term and may still count, or
+// NoVote if there is none.
 func (h *voteHistory) contraryVerdict(d Decision, now Micros) Verdict {
 	switch {
 	case !h.hasCastOn(d):
@@ -78,7 +79,7 @@
 	return NoVote
 }
 
-// allows reports whether nothing contrary to a decision may count.
+// allows reports whether no vote that is contrary to a decision may still count.
 func (h *voteHistory) allows(wanted Decision, now Micros) bool {
 	if h.disabled.WaitForEarlierVotes {
 		return true
@@ -86,8 +87,8 @@
 	return !h.mustWaitForPredecessor(wanted, now) && !h.mustWaitForOwnVote(wanted, now)
 }
 
-// mustWaitForPredecessor reports whether a contrary vote of an earlier leader may still take effect or be in force, unless it
-// was on another stage.
+// mustWaitForPredecessor reports whether a contrary vote of an earlier leader on the same stage may still take effect or be in
+// force.
 func (h *voteHistory) mustWaitForPredecessor(wanted Decision, now Micros) bool {
 	earlier := h.predecessor
 	if earlier.Term == 0 || now >= h.predecessorUntil || !earlier.isSameStage(wanted) {
@@ -97,14 +98,15 @@
 	return earlier.Verdict != wanted.Verdict || isPriorContrary
 }
 
-// mustWaitForOwnVote reports whether the last vote of this term is contrary and neither answered nor too old to take effect.
+// mustWaitForOwnVote reports whether the last vote of this term is contrary, has not been answered, and may still take effect.
+// After a vote to roll back, an advance waits longer than that.
 func (h *voteHistory) mustWaitForOwnVote(wanted Decision, now Micros) bool {
 	switch {
 	case !h.hasCastOn(wanted) || h.lastCast.Verdict == wanted.Verdict:
 		return false
 	case h.lastCast.Verdict == Rollback && wanted.Verdict == Advance:
-		// Evidence may alternate, votes may not: a build that was to be rolled back advances only when that vote's lifetime is
-		// over, if at all.
+		// The recommendations may alternate, but the votes must not. After a vote to roll back, a build advances only once that
+		// vote can't count any more, if at all.
 		return now < h.lastCastAt+h.settings.effectWindow()
 	}
 	return !h.lastCastResolved && now < h.lastCastAt+h.settings.effectDelay()
--- a/internal/cluster/election/vote_log.go
+++ b/internal/cluster/election/vote_log.go
@@ -1,26 +1,26 @@
 package election
 
-// voteLog is the replicated log of decisions, of which a replica keeps the newest record. It decides whether a leader's own record is
-// known to a quorum, from the acknowledgements. [voteCaster] appends to it; [leaderElection] passes on the records of
-// all messages.
+// voteLog is the replicated log of decisions. A replica keeps only the newest record. The log decides from the acknowledgements
+// whether a quorum knows a leader's own record. [voteCaster] appends to it, and [leaderElection] passes on the records of all
+// messages.
 type voteLog struct {
 	settings Settings
 
-	newest       Record     // by any leader
-	pending      Record     // of this replica as the leader, not cast yet; the zero value: none
-	replicatedTo replicaSet // who knows the pending record
+	newest       Record     // the newest known record of any leader
+	pending      Record     // record of this replica as the leader, not cast yet; the zero value: none
+	replicatedTo replicaSet // replicas that know the pending record
 	sentAt       Micros     // when the pending record was last sent
 	lastIndex    uint32
 }
 
-// learn remembers a record if it is the newest.
+// learn keeps a record if it is newer than the newest one known.
 func (l *voteLog) learn(record Record) {
 	if record.isNewerThan(l.newest) {
 		l.newest = record
 	}
 }
 
-// append makes a record that a quorum has to know before it is cast.
+// append gives a record the next index and makes it the pending one. A quorum has to know it before it is cast.
 func (l *voteLog) append(leader int, record Record) {
 	l.lastIndex++
 	record.Index = l.lastIndex
@@ -31,10 +31,10 @@
 
 func (l *voteLog) hasPending() bool { return l.pending.Term != 0 }
 
-// discardPending gives the pending record up. What was only replicated was never cast.
+// discardPending drops the pending record. If it has not been cast by then, it never will be.
 func (l *voteLog) discardPending() { l.pending = Record{} }
 
-// acknowledge counts a replica that knows a record, if it is the pending one.
+// acknowledge counts a replica that knows a record, if the record is the pending one.
 func (l *voteLog) acknowledge(from int, record Record) {
 	if record == l.pending {
 		l.replicatedTo = l.replicatedTo.with(from)
