--- a/internal/cluster/election/acceptor_test.go
+++ b/internal/cluster/election/acceptor_test.go
@@ -9,77 +9,77 @@
 
 func newTestAcceptor() acceptor { return newAcceptor(Config{Settings: testSettings()}) }
 
-// ballotOf returns the ballot of an owner in a round.
+// ballotOf returns the owner's ballot in a round.
 func ballotOf(round uint64, owner int) uint64 { return round<<ballotOwnerBits | uint64(owner) }
 
-// Only rising ballots are promised, and the same one again to its owner until it is accepted.
+// Only rising ballots are promised. The same ballot is promised again to its owner until it is accepted.
 func TestAcceptorPromisesRisingBallots(t *testing.T) {
 	a := newTestAcceptor()
 	high, low := ballotOf(2, firstCandidate), ballotOf(1, secondCandidate)
 	if !a.promise(second, firstCandidate, high, 0) {
-		t.Fatal("the first ballot is not promised")
+		t.Fatal("the first ballot was not promised")
 	}
 	if a.promise(second, secondCandidate, low, 0) || !a.isSuperseded(low) {
-		t.Error("a lower ballot is promised")
+		t.Error("a lower ballot was promised or does not count as superseded")
 	}
 	if !a.promise(second, firstCandidate, high, 0) {
-		t.Error("a ballot that was sent again is not promised")
+		t.Error("a ballot that was sent again was not promised")
 	}
 	if a.promise(second, secondCandidate, high, 0) {
-		t.Error("a ballot is promised to another than its owner")
+		t.Error("a ballot was promised to a replica other than its owner")
 	}
 	if a.accept(second, secondCandidate, low) || !a.accept(second, firstCandidate, high) {
-		t.Error("accepted a ballot below the one promised, or not that one")
+		t.Error("a ballot below the promised one was accepted, or the promised one was not")
 	}
 	if a.promise(second, firstCandidate, high, 0) {
-		t.Error("a ballot is promised that was accepted already")
+		t.Error("a ballot was promised again after it was accepted")
 	}
 }
 
-// While an accepted lease runs nobody else is promised anything, unless its holder has given it up.
+// While an accepted lease is in force, only its holder is promised a ballot, unless the holder has released the lease.
 func TestAcceptorKeepsLease(t *testing.T) {
 	first, next := ballotOf(1, firstCandidate), ballotOf(2, secondCandidate)
 	accepted := func() acceptor {
 		a := newTestAcceptor()
 		if !a.promise(second, firstCandidate, first, 0) || !a.accept(second, firstCandidate, first) {
-			t.Fatal("the first lease is not accepted")
+			t.Fatal("the first lease was not accepted")
 		}
 		return a
 	}
 	end := second + testSettings().Lease
 	a := accepted()
 	if a.promise(end-1, secondCandidate, next, 0) || !a.isLeaseInForce(end-1) {
-		t.Error("another candidate is promised its ballot while the lease runs")
+		t.Error("another candidate was promised its ballot while the lease should be in force, or the lease ended early")
 	}
 	if !a.promise(end, secondCandidate, next, 0) {
-		t.Error("no promise after the lease's end")
+		t.Error("no promise to another candidate after the lease has ended")
 	}
 	a = accepted()
 	if !a.promise(end-1, firstCandidate, ballotOf(2, firstCandidate), 0) {
-		t.Error("the holder is not promised its renewal")
+		t.Error("the holder of the lease was not promised a renewal")
 	}
 	a = accepted()
 	if !a.promise(second, secondCandidate, next, first) {
-		t.Error("no promise to a candidate that knows the lease to be given up")
+		t.Error("no promise to a candidate that knows the lease to be released")
 	}
 	if a.accept(second, firstCandidate, first) {
-		t.Error("a lease is accepted that was given up")
+		t.Error("a lease was accepted after it had been released")
 	}
 	a = accepted()
 	if a.releaseLease(second, secondCandidate, first) || !a.isLeaseInForce(second) {
-		t.Error("another than the holder has released the lease")
+		t.Error("a replica other than the holder released the lease")
 	}
 	if !a.releaseLease(second, firstCandidate, first) || a.isLeaseInForce(second) || !a.promise(second, secondCandidate, next, 0) {
-		t.Error("the lease runs after its holder has released it")
+		t.Error("the lease is still in force or prevents a promise after its holder has released it")
 	}
 	a = accepted()
 	a.disabled.PromiseAfterLease = true
 	if !a.promise(second, secondCandidate, next, 0) {
-		t.Error("with the guard off no promise while the lease runs")
+		t.Error("no promise while the lease is in force, although the guard is off")
 	}
 }
 
-// An acceptor that abstains answers nothing.
+// An acceptor that abstains promises, accepts, acknowledges and releases nothing.
 func TestAcceptorAbstains(t *testing.T) {
 	a := newTestAcceptor()
 	a.abstain(2 * second)
@@ -87,39 +87,39 @@
 	now := 2*second - 1
 	if a.promise(now, firstCandidate, ballot, 0) || a.accept(now, firstCandidate, ballot) || a.acknowledgesRecord(now, ballot) ||
 		a.acknowledgesMembers(now, ballot) || a.releaseLease(now, noReplica, ballot) {
-		t.Errorf("it takes part while it abstains: %+v", a)
+		t.Errorf("the acceptor takes part while it abstains: %+v", a)
 	}
 	if !a.promise(now+1, firstCandidate, ballot, 0) {
-		t.Error("no promise when it no longer abstains")
+		t.Error("no promise after the acceptor has stopped abstaining")
 	}
 }
 
-// Acknowledging a record promises its ballot, so that an older leader's record is not acknowledged after it; acknowledging members
+// Acknowledging a record promises its ballot, so that an older leader's record is not acknowledged after it. Acknowledging members
 // promises nothing.
 func TestAcceptorAcknowledges(t *testing.T) {
 	a := newTestAcceptor()
 	older, newer := ballotOf(1, firstCandidate), ballotOf(2, secondCandidate)
 	if !a.acknowledgesMembers(second, newer) || !a.acknowledgesRecord(second, older) {
-		t.Error("nothing is promised, and it does not acknowledge")
+		t.Error("a record or members were not acknowledged, although nothing was promised")
 	}
 	if !a.acknowledgesRecord(second, newer) || a.acknowledgesRecord(second, older) || a.acknowledgesMembers(second, older) {
-		t.Error("it acknowledges an older leader after a newer one")
+		t.Error("a newer leader was not acknowledged, or an older one was acknowledged after it")
 	}
 }
 
-// After a restart the accepted lease counts as new, by the slowest clock, unless it was given up before.
+// After a restart, the accepted lease is in force for a full lease by the slowest clock, unless it was released before.
 func TestAcceptorRestore(t *testing.T) {
 	state := DurableState{Promised: ballotOf(3, firstCandidate), Accepted: ballotOf(2, firstCandidate), LeaseHolder: firstCandidate}
 	a := newTestAcceptor()
 	a.restore(state, second)
 	end := second + testSettings().driftUpperBound(testSettings().Lease)
 	if !a.isLeaseInForce(end-1) || a.isLeaseInForce(end) || a.leaseHolder != firstCandidate || a.highestPromised != state.Promised {
-		t.Errorf("restored as %+v", a)
+		t.Errorf("got the acceptor %+v, want the promise and the holder restored and a full lease in force", a)
 	}
 	state.Released = state.Accepted
 	a = newTestAcceptor()
 	a.restore(state, second)
 	if a.isLeaseInForce(second) {
-		t.Error("a lease that was given up runs again")
+		t.Error("a released lease is in force again after the restart")
 	}
 }
--- a/internal/cluster/election/candidate_test.go
+++ b/internal/cluster/election/candidate_test.go
@@ -10,53 +10,53 @@
 	return c
 }
 
-// A ballot is proposed once, when a quorum has promised, and wins when a quorum has accepted.
+// A lease is proposed once, when a quorum has promised, and the ballot wins when a quorum has accepted.
 func TestCandidateCountsQuorums(t *testing.T) {
 	members := InitialMembers(3)
 	c := startedCandidate()
 	const nonMember = 9
 	for _, from := range []int{0, 0, nonMember} {
 		if c.addPromise(from, testBallot, members) {
-			t.Errorf("one member's promise counts as a quorum, with the one from %d", from)
+			t.Errorf("one member's promise counts as a quorum after the promise from replica %d", from)
 		}
 	}
 	if c.addPromise(1, testBallot+1, members) {
 		t.Error("a promise of another ballot counts")
 	}
 	if m := c.messageToSend(second, 7); m != (Message{Kind: Prepare, Ballot: testBallot, ReleasedBallot: 7}) {
-		t.Errorf("before a quorum has promised it sends %+v", m)
+		t.Errorf("got the message %+v before a quorum has promised, want a Prepare", m)
 	}
 	if !c.addPromise(1, testBallot, members) || c.addPromise(2, testBallot, members) {
-		t.Error("not proposed once")
+		t.Error("the lease was not proposed exactly once")
 	}
 	if m := c.messageToSend(second, 7); m != (Message{Kind: Propose, Ballot: testBallot}) {
-		t.Errorf("when a quorum has promised it sends %+v", m)
+		t.Errorf("got the message %+v after a quorum has promised, want a Propose", m)
 	}
 	if c.addAcceptance(second, 0, testBallot, members) || !c.addAcceptance(second, 1, testBallot, members) {
-		t.Error("the ballot does not win by a quorum of acceptances")
+		t.Error("the ballot did not win exactly with a quorum of acceptances")
 	}
 	if c.canWin(second, members, testBallot) {
-		t.Error("a ballot that has won is pending")
+		t.Error("a ballot that has won still counts as pending")
 	}
 }
 
-// Answers to a ballot that is void, or whose lease would be over, bring no lease.
+// Answers to a ballot that was abandoned, or whose lease would be over, bring no lease.
 func TestCandidateLateAnswers(t *testing.T) {
 	members := InitialMembers(1)
 	c := startedCandidate()
 	if c.addAcceptance(c.leaseEnd(), 0, testBallot, members) {
-		t.Error("a lease that is over is won")
+		t.Error("the ballot won a lease that is over")
 	}
 	if end := second + testSettings().driftLowerBound(testSettings().Lease); c.leaseEnd() != end || end >= second+testSettings().Lease {
-		t.Errorf("the lease ends at %d, want %d", c.leaseEnd(), end)
+		t.Errorf("the lease ends at %d us, want %d us, before a full lease has passed", c.leaseEnd(), end)
 	}
 	c.abandon()
 	if c.addPromise(0, testBallot, members) || c.addAcceptance(second, 0, testBallot, members) {
-		t.Error("an answer to a void ballot counts")
+		t.Error("an answer to an abandoned ballot counts")
 	}
 }
 
-// A ballot is worth sending again until half a lease is over, other members are in force, or a higher ballot is known.
+// A ballot may win until half a lease has passed, other members are in force, a higher ballot is known, or it is abandoned.
 func TestCandidateCanWin(t *testing.T) {
 	members := InitialMembers(3)
 	timeout := testSettings().ballotTimeout()
@@ -80,13 +80,13 @@
 			tc.change(&c)
 		}
 		if got := c.canWin(tc.now, tc.members, tc.promised); got != tc.want {
-			t.Errorf("%s: can win is %t", name, got)
+			t.Errorf("%s: canWin is %t, want the opposite", name, got)
 		}
 	}
 }
 
-// The lease counts from the ballot's beginning, however often it is sent, unless that guard is off. A new ballot keeps what others have
-// told of higher ones.
+// The lease counts from the start of the ballot, even if the ballot is sent again, unless that guard is off. A new ballot keeps the
+// highest ballot that other replicas have named.
 func TestCandidateSentAgain(t *testing.T) {
 	for _, isDisabled := range []bool{false, true} {
 		c := newCandidate(Config{Settings: testSettings(), DisabledGuards: DisabledGuards{LeaseFromStart: isDisabled}})
@@ -95,18 +95,18 @@
 		before := c.leaseEnd()
 		c.messageToSend(second+ms, 0)
 		if moved := c.leaseEnd() != before; moved != isDisabled {
-			t.Errorf("guard off %t: sent again, the lease's end has moved: %t", isDisabled, moved)
+			t.Errorf("guard off %t: the end of the lease moved when the ballot was sent again: %t", isDisabled, moved)
 		}
 		if c.isResendDue(second+ms) || !c.isResendDue(second+ms+testSettings().ballotResendInterval()) {
-			t.Error("the ballot is not sent again at its interval")
+			t.Error("sending the ballot again is not due exactly after the resend interval")
 		}
 		if c.highestSeen != 1000 {
-			t.Errorf("the highest ballot seen is %d", c.highestSeen)
+			t.Errorf("the highest ballot seen is %d, want 1000", c.highestSeen)
 		}
 	}
 }
 
-// A campaign comes after a random delay of a thirtieth to a bit over a third of a lease.
+// A campaign starts after a random delay of a thirtieth of a lease to a little over a third.
 func TestCampaignDelay(t *testing.T) {
 	minDelay, jitter := testSettings().minCampaignDelay(), testSettings().maxCampaignJitter()
 	for seed := range int64(100) {
@@ -114,26 +114,26 @@
 		timer.reset(second)
 		delay := timer.nextAt - second
 		if delay < minDelay || delay >= minDelay+jitter {
-			t.Fatalf("seed %d: a delay of %d us", seed, delay)
+			t.Fatalf("seed %d: got a delay of %d us, want the shortest delay plus less than the jitter", seed, delay)
 		}
 		if timer.isDue(timer.nextAt-1) || !timer.isDue(timer.nextAt) {
-			t.Fatalf("seed %d: not due at %d us", seed, timer.nextAt)
+			t.Fatalf("seed %d: the campaign is not due exactly from %d us on", seed, timer.nextAt)
 		}
 	}
 }
 
-// A replica defers its campaign to each candidate once in two leases, and never makes it earlier.
+// A replica defers its campaign to each candidate at most once in two leases. A deferral never makes the campaign earlier.
 func TestCampaignIsDeferredOnce(t *testing.T) {
 	settings := testSettings()
 	timer := newCampaignTimer(Config{Settings: settings})
 	timer.deferTo(firstCandidate, second)
 	first := timer.nextAt
 	if first < second+settings.ballotTimeout() {
-		t.Errorf("deferred until %d us only", first)
+		t.Errorf("deferred until %d us, want at least until the candidate's ballot has timed out", first)
 	}
 	timer.deferTo(firstCandidate, second+settings.deferralInterval()-1)
 	if timer.nextAt != first {
-		t.Error("deferred to the same candidate twice in the interval")
+		t.Error("deferred to the same candidate twice in one deferral interval")
 	}
 	timer.deferTo(secondCandidate, second+settings.Lease)
 	if timer.nextAt <= first {
@@ -141,6 +141,6 @@
 	}
 	timer.deferTo(firstCandidate, second+settings.deferralInterval())
 	if timer.nextAt < second+settings.deferralInterval()+settings.ballotTimeout() {
-		t.Error("not deferred to the same candidate after the interval")
+		t.Error("not deferred to the same candidate again after the deferral interval")
 	}
 }
--- a/internal/cluster/election/cluster_test.go
+++ b/internal/cluster/election/cluster_test.go
@@ -21,16 +21,16 @@
 	clusterSize = 3
 	// tickInterval is how often the replicas of a cluster get a tick.
 	tickInterval = 20 * ms
-	// electionDone is a time by which a cluster has elected its first leader.
+	// electionDone is a time at which every test cluster has elected its first leader.
 	electionDone = 3 * second
 )
 
-// cluster is three replicas whose messages are delivered at once unless a replica is partitioned, and whose votes are resolved
-// at once.
+// cluster is a group of three replicas. Messages are delivered at once unless the sender or the receiver is partitioned. Votes are
+// resolved at once.
 type cluster struct {
 	replicas      []*Replica
 	isPartitioned map[int]bool
-	votes         map[int][]CastVote // by replica
+	votes         map[int][]CastVote // votes cast by each replica
 	now           Micros
 }
 
@@ -53,8 +53,8 @@
 	return c
 }
 
-// execute carries out the commands of a replica. Delivering a message calls replicas again, and a replica reuses the slice of its
-// commands: hence the copy.
+// execute carries out the commands of a replica. It copies them first, because delivering a message calls replicas again, and a
+// replica reuses the slice of its commands.
 func (c *cluster) execute(from int, commands []Command) {
 	for _, command := range append([]Command(nil), commands...) {
 		switch command := command.(type) {
@@ -106,18 +106,18 @@
 	return votes[len(votes)-1].Verdict
 }
 
-// A partitioned leader loses its leadership and casts nothing more, and the next leader delays a contrary vote until nothing of
-// the first one can count.
+// A partitioned leader loses its leadership and casts no more votes. The next leader delays a contrary vote until no vote of the
+// first one can count.
 func TestNewLeaderDelaysContraryVote(t *testing.T) {
 	c := newCluster(false)
 	c.runUntil(electionDone)
 	oldLeader := c.leader()
 	if oldLeader < 0 {
-		t.Fatal("no leader")
+		t.Fatal("no leader was elected")
 	}
 	c.recommend(oldLeader, Advance)
 	if len(c.votes[oldLeader]) != 1 || c.votes[oldLeader][0].Verdict != Advance {
-		t.Fatalf("the first leader cast %+v, want one vote to advance", c.votes)
+		t.Fatalf("the cluster cast %+v, want one vote of the first leader to advance", c.votes)
 	}
 	c.isPartitioned[oldLeader] = true
 	partitionedAt := c.now
@@ -126,53 +126,55 @@
 	c.runUntil(c.now + 4*second)
 	newLeader := c.leader()
 	if newLeader < 0 || newLeader == oldLeader {
-		t.Fatalf("the leader after the partition is %d, was %d", newLeader, oldLeader)
+		t.Fatalf("the leader after the partition is replica %d, want one other than %d", newLeader, oldLeader)
 	}
 	if len(c.votes[oldLeader]) != votesBefore {
-		t.Errorf("the partitioned leader cast %+v", c.votes[oldLeader][votesBefore:])
+		t.Errorf("the partitioned leader cast %+v, want no further vote", c.votes[oldLeader][votesBefore:])
 	}
 	for c.now < partitionedAt+12*second && len(c.votes[newLeader]) == 0 {
 		c.recommendByAll(Rollback)
 		c.runUntil(c.now + tickInterval)
 	}
 	if len(c.votes[newLeader]) == 0 || c.votes[newLeader][0].Verdict != Rollback {
-		t.Fatalf("the new leader cast %+v, want a rollback", c.votes[newLeader])
+		t.Fatalf("the new leader cast %+v, want a rollback first", c.votes[newLeader])
 	}
 	if c.now < partitionedAt+testSettings().VoteLifetime+testSettings().MaxVoteDelay {
-		t.Errorf("contrary vote after %d us, when the first one may still count", c.now-partitionedAt)
+		t.Errorf("the contrary vote was cast %d us after the partition, when the first vote may still count", c.now-partitionedAt)
 	}
 }
 
-// After a restart without durable state a replica answers nothing until nothing can count that it may have answered for.
+// After a restart without durable state, a replica abstains until no lease that it may have accepted, and no vote cast under such
+// a lease, can count.
 func TestFreshReplicasAbstain(t *testing.T) {
 	c := newCluster(true)
 	c.runUntil(second + testSettings().Lease + testSettings().MaxVoteDelay + testSettings().VoteLifetime)
 	if leader := c.leader(); leader >= 0 {
-		t.Errorf("replica %d leads by the promises of fresh replicas", leader)
+		t.Errorf("replica %d leads while all replicas should abstain", leader)
 	}
 	c.runUntil(c.now + 3*second)
 	if c.leader() < 0 {
-		t.Error("no leader when all replicas may answer again")
+		t.Error("no leader was elected after the replicas had stopped abstaining")
 	}
 }
 
-// A leader that leaves makes the next replica in turn the leader at once, and casts nothing more.
+// When a leader leaves, the replica with the next number leads at once, and the old leader casts no more votes.
 func TestLeaveTransfersLeadership(t *testing.T) {
 	c := newCluster(false)
 	c.runUntil(electionDone)
 	oldLeader := c.leader()
 	c.execute(oldLeader, c.replicas[oldLeader].Leave(c.now))
 	if newLeader := c.leader(); newLeader != (oldLeader+1)%clusterSize {
-		t.Errorf("replica %d leads after %d has left", newLeader, oldLeader)
+		t.Errorf("replica %d leads after replica %d has left, want the one with the next number", newLeader, oldLeader)
 	}
 	c.recommend(oldLeader, Advance)
 	c.runUntil(c.now + second)
 	if len(c.votes[oldLeader]) > 0 {
-		t.Errorf("the replica that has left cast %+v", c.votes[oldLeader])
+		t.Errorf("the replica that has left cast %+v, want no votes", c.votes[oldLeader])
 	}
 }
 
-// With evidence that alternates every tenth of a second a rollback is cast at once, and nothing advances during its lifetime.
+// When the recommendation alternates every tenth of a second, a rollback is cast at once, and no advance is cast during the
+// rollback's lifetime.
 func TestAlternatingRecommendations(t *testing.T) {
 	c := newCluster(false)
 	c.runUntil(electionDone)
@@ -197,11 +199,11 @@
 		c.runUntil(c.now + 100*ms)
 	}
 	if got := c.lastVerdict(leader); got != Advance {
-		t.Errorf("with nothing but good evidence since, the last verdict cast is %v", got)
+		t.Errorf("the last verdict cast is %v after only advances were recommended, want an advance", got)
 	}
 }
 
-// A recommendation to roll back from any replica prevents an advance, also where a rollback needs more of them.
+// A recommendation to roll back from any replica prevents an advance, even if a rollback needs recommendations of more replicas.
 func TestRollbackRecommendationBlocksAdvance(t *testing.T) {
 	settings := testSettings()
 	settings.RollbackQuorum = 2
@@ -211,11 +213,11 @@
 	c.recommend((leader+1)%clusterSize, Rollback)
 	c.recommend(leader, Advance)
 	if len(c.votes[leader]) != 0 {
-		t.Errorf("cast %+v against a recommendation to roll back", c.votes[leader])
+		t.Errorf("cast %+v although one replica recommends a rollback, want no vote", c.votes[leader])
 	}
 	c.recommend((leader+2)%clusterSize, Rollback)
 	c.runUntil(c.now + 100*ms)
 	if got := c.lastVerdict(leader); got != Rollback {
-		t.Errorf("with two of two recommendations to roll back, the last verdict cast is %v", got)
+		t.Errorf("the last verdict cast is %v after two replicas, which are enough, recommended a rollback, want a rollback", got)
 	}
 }
--- a/internal/cluster/election/decision_test.go
+++ b/internal/cluster/election/decision_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Logs and the commands show verdicts by these words.
+// Logs and the command line show verdicts by these names, so they must not change.
 func TestVerdictString(t *testing.T) {
 	for verdict, want := range map[Verdict]string{NoVote: "none", Advance: "advance", Hold: "hold", Rollback: "rollback"} {
 		if got := verdict.String(); got != want {
--- a/internal/cluster/election/golden_test.go
+++ b/internal/cluster/election/golden_test.go
@@ -9,10 +9,12 @@
 	"switchfork/internal/golden"
 )
 
-// goldenSteps of a scenario: enough for leaders to be lost, replaced and elected again, and for members to change.
+// goldenSteps is the number of steps in a scenario. They are enough for leaders to be lost, replaced and elected again, and for
+// members to change.
 const goldenSteps = 20000
 
-// faultScenario is a group whose messages are lost, late, duplicated and reordered, and whose replicas pause, restart and leave.
+// faultScenario is a group of replicas under faults: messages are lost, delayed, duplicated and reordered, and replicas pause,
+// restart and leave.
 type faultScenario struct {
 	random         *rand.Rand
 	digest         *golden.Digest
@@ -28,7 +30,8 @@
 	lastSeed     int64
 }
 
-// newFaultScenario starts one replica more than the initial members. number counts the scenarios from 0.
+// newFaultScenario starts one replica more than there are initial members. number is the number of the scenario, from 0; it
+// determines the seeds.
 func newFaultScenario(number, initialMembers int, disabled DisabledGuards) *faultScenario {
 	s := &faultScenario{
 		random:         rand.New(rand.NewSource(int64(number + 1))),
@@ -147,7 +150,7 @@
 	s.digest.Add(s.replicas[observed].Status(s.now))
 }
 
-// step draws the next event. The draws and their order are part of the golden file.
+// step draws the next event at random and runs it. The golden file depends on the draws and on their order.
 func (s *faultScenario) step() {
 	i := s.random.Intn(len(s.replicas))
 	switch n := s.random.Intn(1000); {
@@ -172,7 +175,8 @@
 	}
 }
 
-// The same calls give the same commands as ever: the golden file was made before names and shape of this package changed.
+// The same calls result in the same commands as before. The golden file was written before this package was restructured and its
+// names were changed.
 func TestGoldenDecisions(t *testing.T) {
 	scenarios := []DisabledGuards{
 		{},
@@ -191,7 +195,7 @@
 			for range goldenSteps {
 				s.step()
 			}
-			fmt.Fprintf(&out, "members %d night %d: %d orders %s\n", members, number+1, s.commandCount, s.digest)
+			fmt.Fprintf(&out, "members %d scenario %d: %d commands %s\n", members, number+1, s.commandCount, s.digest)
 		}
 	}
 	golden.Check(t, "decisions.golden", out.String())
--- a/internal/cluster/election/model_test.go
+++ b/internal/cluster/election/model_test.go
@@ -8,30 +8,31 @@
 )
 
 const (
-	// modelReplicas of a model; those from modelInitialMembers on join by a change of members only.
+	// modelReplicas is the number of replicas. Those with numbers from modelInitialMembers on become members only by a change of
+	// the members.
 	modelReplicas       = 4
 	modelInitialMembers = 3
-	// maxInFlight messages are kept; more are lost.
+	// maxInFlight is how many messages may be in flight. Further messages are lost.
 	maxInFlight = 400
-	// modelStep is the time between two ticks of a model.
+	// modelStep is the time between two ticks.
 	modelStep = 50 * ms
 )
 
-// modelCluster is a group of replicas with one true time, whose messages may be reordered, duplicated or lost.
+// modelCluster is a group of replicas whose clocks all agree, and whose messages may be reordered, duplicated or lost.
 type modelCluster struct {
 	replicas  []*Replica
-	persisted []*DurableState // by replica; nil: nothing yet
+	persisted []*DurableState // last persisted state of each replica; nil: none yet
 	isPaused  []bool
 	inFlight  []envelope
 	now       Micros
 	votes     []observedVote
 	lastSeed  int64
 
-	quorumViolation string // a vote that was cast before a quorum knew it; empty: none
-	memberChanges   int    // how many changes of members were accepted
+	quorumViolation string // describes a vote that was cast before a quorum knew its record; empty: none
+	memberChanges   int    // number of accepted changes of the members
 }
 
-// envelope is a message on its way.
+// envelope is a message in flight.
 type envelope struct {
 	from, to int
 	message  Message
@@ -95,7 +96,7 @@
 // persisted its state.
 func (c *modelCluster) observeVote(caster int, vote CastVote) {
 	if c.persisted[caster] == nil {
-		panic("a vote of a replica that has persisted nothing")
+		panic("a replica cast a vote before it persisted any state")
 	}
 	c.votes = append(c.votes, observedVote{caster, vote, c.now})
 	members := c.replicas[caster].election.membership.current
@@ -106,12 +107,12 @@
 		}
 	}
 	if 2*knownBy <= members.Count() {
-		c.quorumViolation = fmt.Sprintf("%+v was cast, known by %d of %d members", vote, knownBy, members.Count())
+		c.quorumViolation = fmt.Sprintf("%+v was cast when only %d of %d members knew its record", vote, knownBy, members.Count())
 	}
 }
 
-// checkInvariants fails the test unless one replica leads at most, the last vote is contrary to no other replica's vote that may
-// count, and each vote was replicated before it was cast.
+// checkInvariants fails the test unless at most one replica leads, the last vote is not contrary to a vote of another replica that
+// may still count, and the record of each vote was replicated before the vote was cast.
 func (c *modelCluster) checkInvariants(t *rapid.T) {
 	leaders := []int{}
 	for i, replica := range c.replicas {
@@ -120,13 +121,13 @@
 		}
 	}
 	if len(leaders) > 1 {
-		t.Fatalf("at %d us replicas %v lead", c.now, leaders)
+		t.Fatalf("at %d us replicas %v lead at the same time", c.now, leaders)
 	}
 	for _, earlier := range c.votes {
 		last := c.votes[len(c.votes)-1]
 		isContrary := earlier.replica != last.replica && earlier.isSameStage(last.Decision) && earlier.Verdict != last.Verdict
 		if isContrary && last.at < earlier.at+testSettings().MaxVoteDelay+testSettings().VoteLifetime {
-			t.Fatalf("%+v counts beside %+v", last, earlier)
+			t.Fatalf("%+v was cast while the contrary vote %+v may still count", last, earlier)
 		}
 	}
 	if c.quorumViolation != "" {
@@ -140,7 +141,7 @@
 	}
 }
 
-// runFor lets time pass without delivering anything.
+// runFor lets time pass without delivering messages.
 func (c *modelCluster) runFor(t *rapid.T, steps int) {
 	for range steps {
 		c.now += modelStep
@@ -153,7 +154,7 @@
 	}
 }
 
-// runReliably lets time pass and delivers everything in order: without such periods no replica would ever lead.
+// runReliably lets time pass and delivers all messages in order. Without such periods, no replica would ever lead.
 func (c *modelCluster) runReliably(t *rapid.T, steps int) {
 	for range steps {
 		c.runFor(t, 1)
@@ -196,7 +197,7 @@
 	}
 }
 
-// changeMember lets a replica in, or out, by whoever leads.
+// changeMember has the leader add or remove any one replica.
 func (c *modelCluster) changeMember(t *rapid.T) {
 	for i, replica := range c.replicas {
 		if c.isPaused[i] || !replica.IsLeader(c.now) {
@@ -219,7 +220,7 @@
 
 func anyReplica() *rapid.Generator[int] { return rapid.IntRange(0, modelReplicas-1) }
 
-// actions are what may happen to a cluster. After each of them the invariants are checked.
+// actions returns the events that may happen to a cluster. The invariants are checked after each of them.
 func (c *modelCluster) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"runReliably": func(t *rapid.T) { c.runReliably(t, rapid.IntRange(1, 40).Draw(t, "steps")) },
@@ -238,8 +239,8 @@
 	}
 }
 
-// Whatever is lost, duplicated, late or reordered, whichever replica pauses, restarts from its durable state, joins or leaves:
-// the invariants hold.
+// The invariants hold when messages are lost, duplicated, delayed or reordered, and when replicas pause, restart from their durable
+// state, join or leave.
 func TestClusterInvariants(t *testing.T) {
 	voteCount, changeCount := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -249,6 +250,6 @@
 		changeCount += c.memberChanges
 	})
 	if voteCount == 0 || changeCount == 0 {
-		t.Errorf("%d votes and %d changes of members: nothing was checked", voteCount, changeCount)
+		t.Errorf("got %d votes and %d changes of members, want at least one of each, or the checks prove nothing", voteCount, changeCount)
 	}
 }
--- a/internal/cluster/election/recommendation_test.go
+++ b/internal/cluster/election/recommendation_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A rollback needs enough replicas; without them this replica's own recommendation on the stage holds, and no advance is voted for
-// while anybody asks for a rollback.
+// A rollback needs the recommendation of enough replicas. Otherwise this replica's own recommendation for the stage decides, but
+// the verdict is never to advance while any replica recommends a rollback.
 func TestRecommendedVerdict(t *testing.T) {
 	rollout := rolloutPosition{build: 4, stage: 1, isActive: true}
 	otherStage := rolloutPosition{build: 4, stage: 2, isActive: true}
@@ -11,7 +11,7 @@
 	for name, tc := range map[string]struct {
 		quorum        int
 		own           Verdict
-		others        []Verdict // of replica 1 and on
+		others        []Verdict // recommended by replicas 1, 2 and so on
 		ownOtherStage bool
 		now           Micros
 		want          Verdict
@@ -44,7 +44,7 @@
 			r.put(i+1, rollout.decision(verdict), second)
 		}
 		if got := r.verdict(rollout, tc.now); got != tc.want {
-			t.Errorf("%s: %v, want %v", name, got, tc.want)
+			t.Errorf("%s: got the verdict %v, want %v", name, got, tc.want)
 		}
 	}
 }
--- a/internal/cluster/election/self_stop_test.go
+++ b/internal/cluster/election/self_stop_test.go
@@ -14,8 +14,8 @@
 	return stops
 }
 
-// Without a leader, a replica whose release analyzer asks for a rollback stops its own requests to the build, and resumes when
-// the analyzer asks for something else. While another replica leads it leaves that to the leader.
+// Without a leader, a replica whose release analyzer recommends a rollback stops its own agent's requests to the build, and resumes
+// them when the analyzer recommends something else. While another replica leads, it stops nothing: the leader casts the votes.
 func TestSelfStopWithoutLeader(t *testing.T) {
 	replica := New(Config{Members: InitialMembers(clusterSize), Settings: testSettings(), Now: second, Seed: 1})
 	rollback := Decision{Build: 8, Stage: 1, Verdict: Rollback}
@@ -23,7 +23,7 @@
 	stops = append(stops, selfStops(replica.UpdateRollout(second, rollback.Build, rollback.Stage, true))...)
 	stops = append(stops, selfStops(replica.Recommend(second, Decision{Build: 8, Stage: 1, Verdict: Advance}))...)
 	if len(stops) != 0 {
-		t.Fatalf("%+v without a bad build", stops)
+		t.Fatalf("got %+v without a recommendation to roll back, want no commands", stops)
 	}
 	stops = append(stops, selfStops(replica.Recommend(2*second, rollback))...)
 	stops = append(stops, selfStops(replica.Tick(2*second+100*ms))...)
@@ -39,7 +39,7 @@
 			continue
 		}
 		for _, stop := range selfStops(replica.Recommend(c.now, Decision{Build: 1, Stage: 0, Verdict: Rollback})) {
-			t.Errorf("replica %d commands %+v while another leads", i, stop)
+			t.Errorf("replica %d issued %+v while another replica leads", i, stop)
 		}
 	}
 }
--- a/internal/cluster/election/storage_failure_test.go
+++ b/internal/cluster/election/storage_failure_test.go
@@ -2,10 +2,11 @@
 
 import "testing"
 
-// A replica whose storage has failed never leads again. What happened: a candidate's disk fails between the promises and the acceptances of
-// its ballot. The replica withdraws, which made it promise nothing more but left its ballot in hand; a late Accepted won that ballot, and
-// since the coordinator stores nothing once a save has failed, the replica cast votes of which no record is kept. A trial showed IsLeader and
-// a CastVote. After a restart such a replica could answer the same vote differently, which is what the election promises never to do.
+// A replica whose storage has failed never leads again. The failure that this test guards against: the disk of a candidate fails
+// between the promises and the acceptances of its ballot. The replica withdrew and promised nothing more, but its ballot stayed
+// open, so that a late Accepted message won it. The coordinator stores nothing once a save has failed, so the replica then led and
+// cast votes whose records were not stored. After a restart, it could have cast a different verdict for the same vote, which the
+// election must never allow.
 func TestFailedStorageVoidsBallot(t *testing.T) {
 	const peer = 1
 	replica := New(Config{Members: InitialMembers(clusterSize), Settings: testSettings(), Now: second, Seed: 1})
@@ -17,7 +18,7 @@
 	ballot := replica.election.candidate.ballot
 	replica.Receive(now, peer, Message{Kind: Promise, Ballot: ballot, Members: replica.election.membership.current})
 	if !replica.election.candidate.hasProposed {
-		t.Fatal("the ballot has not been proposed")
+		t.Fatal("the lease was not proposed after a quorum had promised")
 	}
 	replica.StopParticipating(now)
 	var casts []CastVote
@@ -30,12 +31,12 @@
 	}
 	collect(replica.Receive(now+ms, peer, Message{Kind: Accepted, Ballot: ballot, Members: replica.election.membership.current}))
 	if replica.IsLeader(now + ms) {
-		t.Error("leads by a ballot from before its storage failed")
+		t.Error("the replica leads by a ballot that it started before its storage failed")
 	}
 	collect(replica.Recommend(now+ms, Decision{Build: 1, Stage: 0, Verdict: Rollback}))
 	record := replica.votes.log.newest
 	collect(replica.Receive(now+2*ms, peer, Message{Kind: Replicated, Ballot: ballot, Record: record}))
 	if len(casts) > 0 {
-		t.Errorf("cast %+v without a stored record", casts)
+		t.Errorf("got the votes %+v, which have no stored record, want none", casts)
 	}
 }
--- a/internal/cluster/election/vote_history_test.go
+++ b/internal/cluster/election/vote_history_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Nothing contrary to an earlier leader's newest record is cast on its stage until that can't count any more; the record's prior vote
-// counts, too.
+// No vote that is contrary to an earlier leader's newest record, or to the prior verdict in that record, is cast on the same stage
+// until the earlier leader's votes can't count any more.
 func TestVoteHistoryWaitsForPredecessor(t *testing.T) {
 	end := second + testSettings().effectWindow()
 	for name, tc := range map[string]struct {
@@ -24,17 +24,17 @@
 		h := voteHistory{settings: testSettings()}
 		h.startTerm(tc.earlier, second)
 		if got := h.allows(testRecord(tc.wanted).Decision, tc.now); got != tc.want {
-			t.Errorf("%s: allowed is %t", name, got)
+			t.Errorf("%s: the vote is allowed: got %t, want the opposite", name, got)
 		}
 		h.disabled.WaitForEarlierVotes = true
 		if !h.allows(testRecord(tc.wanted).Decision, tc.now) {
-			t.Errorf("%s: not allowed with the guard off", name)
+			t.Errorf("%s: the vote is not allowed with the guard off", name)
 		}
 	}
 }
 
-// A leader's own contrary vote waits until the one before is answered or can't take effect any more; an advance after a rollback waits
-// for the rollback's lifetime in any case.
+// A contrary vote of the same leader waits until the previous vote is answered or can't take effect any more. An advance after a
+// rollback waits in any case until the rollback can't count any more.
 func TestVoteHistoryWaitsForOwnVote(t *testing.T) {
 	settings := testSettings()
 	for name, tc := range map[string]struct {
@@ -58,47 +58,47 @@
 			h.resolve(testRecord(tc.cast))
 		}
 		if h.hasUnresolved() == tc.isResolved {
-			t.Errorf("%s: unresolved is %t", name, h.hasUnresolved())
+			t.Errorf("%s: hasUnresolved is %t, want the opposite", name, h.hasUnresolved())
 		}
 		if got := h.allows(testRecord(tc.wanted).Decision, second+tc.after); got != tc.want {
-			t.Errorf("%s: allowed is %t", name, got)
+			t.Errorf("%s: the vote is allowed: got %t, want the opposite", name, got)
 		}
 	}
 }
 
-// A record carries the other verdict that its leader has cast on the stage, as long as that may count.
+// The prior verdict of a record is the other verdict that its leader has cast on the stage, as long as that vote may count.
 func TestVoteHistoryContraryVerdict(t *testing.T) {
 	settings := testSettings()
 	h := voteHistory{settings: settings}
 	hold, rollback := testRecord(Hold), testRecord(Rollback)
 	if got := h.contraryVerdict(hold.Decision, second); got != NoVote {
-		t.Errorf("before any vote: %v", got)
+		t.Errorf("before any vote: got %v, want none", got)
 	}
 	h.addCast(hold, second)
 	if got := h.contraryVerdict(rollback.Decision, second); got != Hold {
-		t.Errorf("after a hold: %v", got)
+		t.Errorf("after a hold: got %v, want hold", got)
 	}
 	h.addCast(rollback, 2*second)
 	end := second + settings.effectWindow()
 	if got := h.contraryVerdict(rollback.Decision, end-1); got != Hold {
-		t.Errorf("while the hold may count: %v", got)
+		t.Errorf("while the hold may count: got %v, want hold", got)
 	}
 	if got := h.contraryVerdict(rollback.Decision, end); got != NoVote {
-		t.Errorf("when the hold can't count: %v", got)
+		t.Errorf("when the hold can't count: got %v, want none", got)
 	}
 	otherStage := Decision{Build: 4, Stage: 2, Verdict: Advance}
 	if got := h.contraryVerdict(otherStage, 2*second); got != NoVote {
-		t.Errorf("on another stage: %v", got)
+		t.Errorf("on another stage: got %v, want none", got)
 	}
 }
 
-// The same vote is cast again when two thirds of its lifetime are nearly over.
+// The same vote is cast again after a little less than two thirds of its lifetime.
 func TestVoteHistoryRecast(t *testing.T) {
 	h := voteHistory{settings: testSettings()}
 	h.addCast(testRecord(Hold), second)
 	interval := testSettings().recastInterval()
 	if !h.isRecent(testRecord(Hold).Decision, second+interval-1) || h.isRecent(testRecord(Hold).Decision, second+interval) {
-		t.Error("not cast again at its interval")
+		t.Error("the vote is not due to be cast again exactly after the recast interval")
 	}
 	if h.isRecent(testRecord(Rollback).Decision, second) {
 		t.Error("another verdict counts as recent")
