--- a/internal/cluster/storage/damaged_bucket_test.go
+++ b/internal/cluster/storage/damaged_bucket_test.go
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// openEnv names the folder that the test's own process opens as a child.
-const openEnv = "SWITCHFORK_TEST_OPEN"
+// openFolderEnv is the environment variable with the folder that a child process of TestBucketOutsideFileIsRefused opens.
+const openFolderEnv = "SWITCHFORK_TEST_OPEN"
 
-// A file whose bucket points outside the file is refused and does not end the process. What happened: bbolt checks a file's pages in a
-// goroutine of its own, which the guard against faults of the mapped memory does not cover; a page number beyond the mapping ended the agent
-// at its start with "unexpected fault address", and the file was not moved aside, so that every further start ended alike.
+// A file whose bucket points outside the file is refused and does not end the process. bbolt checks the pages of a file in a
+// goroutine of its own, in which guardMappedMemory can't catch a memory fault. A page number beyond the mapped file once ended the
+// agent at its start with "unexpected fault address". The file was not renamed, so every further start failed in the same way.
 func TestBucketOutsideFileIsRefused(t *testing.T) {
-	if folder := os.Getenv(openEnv); folder != "" {
+	if folder := os.Getenv(openFolderEnv); folder != "" {
 		if _, _, err := Open(folder, testGroup, testAgent); !errors.Is(err, ErrCorrupt) {
-			t.Errorf("opened with %v", err)
+			t.Errorf("opening the folder: got %v, want ErrCorrupt", err)
 		}
 		return
 	}
@@ -46,20 +46,20 @@
 		pointed++
 	}
 	if pointed == 0 {
-		t.Fatal("the file names no bucket")
+		t.Fatal("the file holds no name of a bucket to damage")
 	}
 	if err = os.WriteFile(path, content, fileMode); err != nil {
 		t.Fatal(err)
 	}
 	child := exec.CommandContext(t.Context(), os.Args[0], "-test.run=^TestBucketOutsideFileIsRefused$")
-	child.Env = append(os.Environ(), openEnv+"="+folder)
+	child.Env = append(os.Environ(), openFolderEnv+"="+folder)
 	if output, err := child.CombinedOutput(); err != nil {
-		t.Errorf("the process that opens it ends with %v: %.300s", err, output)
+		t.Errorf("the process that opens the folder ended with %v: %.300s", err, output)
 	}
 }
 
-// The check of a refused file is over when the file is closed. What happened: only the first damage that bbolt's check reports was taken;
-// its goroutine went on, and read pages of a file that was about to be unmapped.
+// The check of a refused file has ended when the file is closed. checkPages once received only the first damage that bbolt's check
+// reports, so that the goroutine of the check went on, and read pages of a file that was about to be unmapped.
 func TestCheckEndsBeforeClose(t *testing.T) {
 	folder := t.TempDir()
 	store, _ := openForTest(t, folder)
@@ -76,18 +76,18 @@
 	pageSize := os.Getpagesize()
 	for page := 0; page+pageSize <= len(content); page += pageSize {
 		if binary.LittleEndian.Uint16(content[page+8:]) == freeListFlag {
-			binary.LittleEndian.PutUint16(content[page+10:], 0) // an empty free list: each free page is damage of its own
+			binary.LittleEndian.PutUint16(content[page+10:], 0) // with an empty free list, each free page is reported as damage
 		}
 	}
 	if err = os.WriteFile(path, content, fileMode); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err = Open(folder, testGroup, testAgent); !errors.Is(err, ErrCorrupt) {
-		t.Fatalf("opened with %v", err)
+		t.Fatalf("opening the damaged file: got %v, want ErrCorrupt", err)
 	}
-	time.Sleep(100 * time.Millisecond) // a goroutine that has ended takes a moment to go
+	time.Sleep(100 * time.Millisecond) // a goroutine that is ending takes a moment to disappear from the stacks
 	stacks := make([]byte, 1<<20)
 	if text := string(stacks[:runtime.Stack(stacks, true)]); strings.Contains(text, "bbolt.(*Tx).check") {
-		t.Errorf("the check still runs: %s", text)
+		t.Errorf("the check still runs after the file was closed: %s", text)
 	}
 }
--- a/internal/cluster/storage/errors.go
+++ b/internal/cluster/storage/errors.go
@@ -6,13 +6,13 @@
 )
 
 var (
-	// ErrCorrupt marks a file that can't be relied on: damaged, or another agent's.
+	// ErrCorrupt marks a file that must not be used, because it is damaged or belongs to another agent.
 	ErrCorrupt = errors.New("damaged")
 	// ErrLocked marks a file that another process has open.
 	ErrLocked = errors.New("another process has it open")
 )
 
-// FileTooLargeError tells that the file has outgrown its bound, so that nothing more is written to it.
+// FileTooLargeError reports that the file is larger than allowed, so that nothing more is written to it.
 type FileTooLargeError struct{ Size int64 }
 
 func (e *FileTooLargeError) Error() string {
@@ -27,17 +27,17 @@
 
 func (o Owner) String() string { return fmt.Sprintf("agent %d of group %016x", o.Agent, o.Group) }
 
-// WrongOwnerError tells that a file holds the state of another agent or group. It wraps ErrCorrupt.
+// WrongOwnerError reports that a file holds the state of another agent or group. It wraps ErrCorrupt.
 type WrongOwnerError struct{ Stored, Expected Owner }
 
 func (e *WrongOwnerError) Error() string {
-	return fmt.Sprintf("%v: it belongs to %v, expected %v", ErrCorrupt, e.Stored, e.Expected)
+	return fmt.Sprintf("%v: the file belongs to %v, expected %v", ErrCorrupt, e.Stored, e.Expected)
 }
 
-// Unwrap makes the error one of a file that can't be relied on.
+// Unwrap returns ErrCorrupt.
 func (e *WrongOwnerError) Unwrap() error { return ErrCorrupt }
 
-// QuarantinedError tells that a file was refused and moved aside, so that a later start begins without it.
+// QuarantinedError reports that a file was refused and renamed, so that a later start begins without it.
 type QuarantinedError struct {
 	Path    string
 	MovedTo string
@@ -45,7 +45,7 @@
 }
 
 func (e *QuarantinedError) Error() string {
-	return fmt.Sprintf("%s: %v; it is now %s", e.Path, e.Reason, e.MovedTo)
+	return fmt.Sprintf("%s: %v; moved to %s", e.Path, e.Reason, e.MovedTo)
 }
 
 // Unwrap returns why the file was refused.
--- a/internal/cluster/storage/file.go
+++ b/internal/cluster/storage/file.go
@@ -13,11 +13,11 @@
 
 const (
 	fileMode = 0o600
-	// lockTimeout is short: another process that has the file open does not close it soon.
+	// lockTimeout is short because another process that has the file open is not expected to close it soon.
 	lockTimeout = time.Second
 )
 
-// openFile opens and checks a file, and reads its record; nil if there is none. A file that is refused is closed again.
+// openFile opens and checks a file, and reads its record, which is nil if there is none. A file that is refused is closed again.
 func openFile(path string, readOnly bool) (*bbolt.DB, *record, error) {
 	if err := checkNotEmpty(path); err != nil {
 		return nil, nil, err
@@ -40,26 +40,26 @@
 	return db, stored, nil
 }
 
-// guardMappedMemory calls a function that reads a file that may be damaged. Damage may show as an error, as a panic within bbolt, or as
-// a fault of the mapped memory, which is made a panic here; a panic becomes an error.
+// guardMappedMemory calls a function that reads a file that may be damaged. The damage may show as an error, as a panic within
+// bbolt, or as a memory fault in the mapped file. guardMappedMemory turns a memory fault into a panic, and a panic into an error.
 func guardMappedMemory(read func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if reason := recover(); reason != nil {
-			err = fmt.Errorf("%w: reading its pages: %v", ErrCorrupt, reason)
+			err = fmt.Errorf("%w: reading the pages: %v", ErrCorrupt, reason)
 		}
 	}()
 	return read()
 }
 
-// closeDamaged closes a file that is refused anyway; bbolt may panic on its pages.
+// closeDamaged closes a file that is refused. bbolt may panic on the pages of such a file.
 func closeDamaged(db *bbolt.DB) {
 	if db != nil {
-		_ = guardMappedMemory(db.Close) // the file has been refused for its first fault
+		_ = guardMappedMemory(db.Close) // the file has already been refused for an earlier error
 	}
 }
 
-// checkNotEmpty refuses an empty file, of which bbolt would make a new database. A file that doesn't exist is fine.
+// checkNotEmpty refuses an empty file, because bbolt would turn it into a new database. It accepts a file that doesn't exist.
 func checkNotEmpty(path string) error {
 	if info, err := os.Stat(path); err == nil && info.Size() == 0 {
 		return fmt.Errorf("%w: the file is empty", ErrCorrupt)
@@ -77,6 +77,6 @@
 	case errors.Is(err, os.ErrPermission):
 		return nil, err
 	default:
-		return nil, fmt.Errorf("%w: opening it as a bbolt database: %w", ErrCorrupt, err)
+		return nil, fmt.Errorf("%w: opening the file as a bbolt database: %w", ErrCorrupt, err)
 	}
 }
--- a/internal/cluster/storage/golden_test.go
+++ b/internal/cluster/storage/golden_test.go
@@ -11,7 +11,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// goldenState is what the file of testdata holds; an earlier version of the program wrote it.
+// goldenState is the state in the file in testdata, which an earlier version of the program wrote.
 var goldenState = election.DurableState{
 	Promised: 0x0b02, Accepted: 0x0a01, Released: 0x0901, LeaseHolder: 2,
 	Newest:  election.Record{Term: 0x0a01, Index: 7, Decision: election.Decision{Build: 42, Stage: 3, Verdict: election.Rollback}, Prior: election.Advance},
@@ -23,7 +23,7 @@
 	goldenAgent = 4
 )
 
-// A state file of an earlier version is read, and written again.
+// A state file of an earlier version can be read and written.
 func TestGoldenStateFile(t *testing.T) {
 	content, err := os.ReadFile(filepath.Join("testdata", fileName))
 	if err != nil {
@@ -35,21 +35,21 @@
 	}
 	contents, err := Inspect(folder)
 	if err != nil || contents.Group != goldenGroup || contents.Agent != goldenAgent || contents.State == nil || *contents.State != goldenState {
-		t.Fatalf("inspected as %+v, %v", contents, err)
+		t.Fatalf("Inspect: got %+v and the error %v, want the golden state", contents, err)
 	}
 	store, state, err := Open(folder, goldenGroup, goldenAgent)
 	if err != nil || state == nil || *state != goldenState {
-		t.Fatalf("opened as %+v, %v", state, err)
+		t.Fatalf("Open: got %+v and the error %v, want the golden state", state, err)
 	}
 	defer closeForTest(t, store)
 	next := goldenState
 	next.Promised++
 	if err = store.Save(next); err != nil {
-		t.Errorf("not written again: %v", err)
+		t.Errorf("saving to the golden file: %v", err)
 	}
 }
 
-// The record's bytes stay as an earlier version wrote them, so that it can read them too.
+// A record is encoded in the same bytes as by an earlier version, so that the earlier version can read it too.
 func TestGoldenRecord(t *testing.T) {
 	db, stored, err := openFile(filepath.Join("testdata", fileName), true)
 	if err != nil {
@@ -62,11 +62,11 @@
 	}
 	err = db.View(func(tx *bbolt.Tx) error {
 		if raw := tx.Bucket([]byte("decider")).Get([]byte("memory")); !bytes.Equal(raw, encoded) {
-			t.Errorf("the file holds %x, encoded now as %x", raw, encoded)
+			t.Errorf("the golden file holds the record %x, but it is now encoded as %x", raw, encoded)
 		}
 		return nil
 	})
 	if err != nil || stored == nil || stored.State != goldenState {
-		t.Errorf("read as %+v, %v", stored, err)
+		t.Errorf("reading the record: got %+v and the error %v, want the golden state", stored, err)
 	}
 }
--- a/internal/cluster/storage/inspect.go
+++ b/internal/cluster/storage/inspect.go
@@ -8,17 +8,17 @@
 	"switchfork/internal/cluster/election"
 )
 
-// noAgent stands for the number of the agent in Contents without a record.
+// noAgent is the agent number in Contents if the file holds no record.
 const noAgent = -1
 
-// Contents is what a folder holds.
+// Contents is the content of a state folder.
 type Contents struct {
 	Group uint64
 	Agent int                    // -1: nothing was ever saved
 	State *election.DurableState // nil: nothing was ever saved
 }
 
-// Inspect reads a folder without changing anything in it. A folder without a state file is an error that wraps fs.ErrNotExist.
+// Inspect reads a state folder without changing anything in it. If the folder has no state file, the error wraps fs.ErrNotExist.
 func Inspect(folder string) (Contents, error) {
 	path := filepath.Join(folder, fileName)
 	if _, err := os.Stat(path); err != nil {
--- a/internal/cluster/storage/inspect_test.go
+++ b/internal/cluster/storage/inspect_test.go
@@ -7,23 +7,23 @@
 	"testing"
 )
 
-// A folder in which nothing was ever saved has no state and no agent; one without a file, and one that an agent has open, are errors of
-// their own.
+// Inspect returns no state and no agent for a folder in which nothing was ever saved. A folder without a file and a folder that an
+// agent has open give different errors.
 func TestInspectWithoutState(t *testing.T) {
 	dir := t.TempDir()
 	if _, err := Inspect(dir); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("an empty folder gives %v", err)
+		t.Errorf("an empty folder: got %v, want fs.ErrNotExist", err)
 	}
 	if entries, err := os.ReadDir(dir); err != nil || len(entries) != 0 {
-		t.Errorf("inspecting has left %v, %v", entries, err)
+		t.Errorf("after Inspect the empty folder holds %v, error %v, want no files", entries, err)
 	}
 	store, _ := openForTest(t, dir)
 	if _, err := Inspect(dir); !errors.Is(err, ErrLocked) {
-		t.Errorf("a folder that is open gives %v", err)
+		t.Errorf("a folder that is open: got %v, want ErrLocked", err)
 	}
 	closeForTest(t, store)
 	contents, err := Inspect(dir)
 	if want := (Contents{Agent: noAgent}); err != nil || contents != want {
-		t.Errorf("a folder in which nothing was saved gives %+v, %v", contents, err)
+		t.Errorf("a folder in which nothing was saved: got %+v and the error %v, want no state and no agent", contents, err)
 	}
 }
--- a/internal/cluster/storage/integrity.go
+++ b/internal/cluster/storage/integrity.go
@@ -10,10 +10,10 @@
 // readRecord checks all pages of the file before it reads the record.
 func readRecord(tx *bbolt.Tx) (*record, error) {
 	if err := touchBuckets(tx); err != nil {
-		return nil, fmt.Errorf("%w: reading its buckets: %w", ErrCorrupt, err)
+		return nil, fmt.Errorf("%w: reading the buckets: %w", ErrCorrupt, err)
 	}
 	if err := checkPages(tx); err != nil {
-		return nil, fmt.Errorf("%w: checking its pages: %w", ErrCorrupt, err)
+		return nil, fmt.Errorf("%w: checking the pages: %w", ErrCorrupt, err)
 	}
 	bucket := tx.Bucket([]byte(bucketName))
 	if bucket == nil {
@@ -26,8 +26,9 @@
 	return decodeRecord(raw)
 }
 
-// touchBuckets reads whatever the file's buckets refer to. It comes before checkPages, whose goroutine belongs to bbolt: a page number
-// beyond the mapped file faults here, where the fault becomes a panic that guardMappedMemory recovers, and not there, where it ends the process.
+// touchBuckets touches every key and value in the buckets of the file. It must be called before checkPages, which reads the pages
+// in a goroutine of bbolt. A page number beyond the mapped file causes a memory fault. In touchBuckets the fault becomes a panic,
+// from which guardMappedMemory recovers. In bbolt's goroutine the fault would end the process.
 func touchBuckets(tx *bbolt.Tx) error {
 	return tx.ForEach(func(_ []byte, bucket *bbolt.Bucket) error { return touchBucket(bucket) })
 }
@@ -43,18 +44,19 @@
 	})
 }
 
-// touched keeps the compiler from dropping the reads of touch.
+// touched keeps the compiler from removing the reads in touch.
 var touched atomic.Uint32
 
-// touch reads the first and the last byte of what a page refers to; no part between them is longer than the file.
+// touch reads the first and the last byte of a key or a value. It need not read the bytes between them, because they never span
+// more than the file.
 func touch(content []byte) {
 	if len(content) > 0 {
 		touched.Store(uint32(content[0]) + uint32(content[len(content)-1]))
 	}
 }
 
-// checkPages returns the first damage that bbolt finds. It takes all that is reported: the goroutine that reports reads the mapped file,
-// and has to be over before the file is closed.
+// checkPages returns the first damage that bbolt finds. It receives all reports, because the goroutine of bbolt that sends them
+// reads the mapped file, and must have ended before the file is closed.
 func checkPages(tx *bbolt.Tx) (first error) {
 	for damage := range tx.Check() {
 		if first == nil {
--- a/internal/cluster/storage/record.go
+++ b/internal/cluster/storage/record.go
@@ -14,7 +14,7 @@
 	checksumBytes = crc32.Size
 )
 
-// record is what the file holds: these fields in little-endian order without gaps, and a CRC-32 of them.
+// record is the content of the file. It is stored as these fields in little-endian order without gaps, followed by their CRC-32.
 type record struct {
 	Format uint32
 	Group  uint64
@@ -22,7 +22,7 @@
 	State  election.DurableState
 }
 
-// durableState returns the state of a record; nil without a record.
+// durableState returns the state of a record, or nil without a record.
 func (r *record) durableState() *election.DurableState {
 	if r == nil {
 		return nil
@@ -44,17 +44,17 @@
 	r := &record{}
 	bodyBytes := binary.Size(r)
 	if len(raw) != bodyBytes+checksumBytes {
-		return nil, fmt.Errorf("%w: a record of %d bytes, expected %d", ErrCorrupt, len(raw), bodyBytes+checksumBytes)
+		return nil, fmt.Errorf("%w: the record has %d bytes, expected %d", ErrCorrupt, len(raw), bodyBytes+checksumBytes)
 	}
 	body := raw[:bodyBytes]
 	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(raw[bodyBytes:]) {
-		return nil, fmt.Errorf("%w: the record's checksum is wrong", ErrCorrupt)
+		return nil, fmt.Errorf("%w: the checksum of the record does not match", ErrCorrupt)
 	}
 	if _, err := binary.Decode(body, binary.LittleEndian, r); err != nil {
 		return nil, fmt.Errorf("%w: decoding the record: %w", ErrCorrupt, err)
 	}
 	if r.Format != recordFormat {
-		return nil, fmt.Errorf("%w: a record of format %d, expected %d", ErrCorrupt, r.Format, recordFormat)
+		return nil, fmt.Errorf("%w: the record has format %d, expected %d", ErrCorrupt, r.Format, recordFormat)
 	}
 	return r, nil
 }
--- a/internal/cluster/storage/store.go
+++ b/internal/cluster/storage/store.go
@@ -1,8 +1,9 @@
 // Package storage keeps a replica's durable state in a folder, in one bbolt file that is synced before Save returns. It refuses
-// a file that is damaged as a whole, since a replica that forgets a promise may break the election's safety.
+// a damaged file completely instead of using the parts that can be read, because a replica that forgets a promise may break the
+// election's safety.
 //
-// A Store belongs to the goroutine that runs the replica. While it is open it holds a lock on the file, so that two processes
-// can't share a folder.
+// A Store belongs to the goroutine that runs the replica. While open, it holds a lock on the file, so that two processes can't
+// share a folder.
 package storage
 
 import (
@@ -20,28 +21,29 @@
 const (
 	fileName = "decider.db"
 	dirMode  = 0o700
-	// maxFileBytes is ample for one small record that is written again and again, because bbolt reuses its free pages.
+	// maxFileBytes is far more than one small record needs, even though it is written again and again, because bbolt reuses free
+	// pages.
 	maxFileBytes = 1 << 20
 )
 
-// Names within the bbolt file; they are part of its format.
+// Names within the bbolt file. They are part of the file format.
 const (
 	bucketName = "decider"
 	recordKey  = "memory"
 )
 
-// Store is an open folder.
+// Store is an open state folder.
 type Store struct {
 	db    *bbolt.DB
 	owner Owner
 }
 
-// Open opens a replica's folder, which it makes if need be, and reads the state stored there; nil if nothing was ever saved. A file
-// that is damaged or belongs to another agent is moved aside and refused: the error wraps ErrCorrupt. One that another process has
-// open is ErrLocked.
+// Open opens a replica's folder, which it creates if necessary, and reads the state stored there, which is nil if nothing was ever
+// saved. A file that is damaged or belongs to another agent is refused and renamed, and the error wraps ErrCorrupt. If another
+// process has the file open, the error wraps ErrLocked.
 func Open(folder string, group uint64, agent int) (*Store, *election.DurableState, error) {
 	if err := os.MkdirAll(folder, dirMode); err != nil {
-		return nil, nil, fmt.Errorf("making the state folder: %w", err)
+		return nil, nil, fmt.Errorf("creating the state folder: %w", err)
 	}
 	path := filepath.Join(folder, fileName)
 	owner := Owner{Group: group, Agent: agent}
@@ -68,16 +70,16 @@
 	return db, stored, nil
 }
 
-// quarantine renames a refused file, so that a later start begins without it, and returns the reason with the new name.
+// quarantine renames a refused file, so that a later start begins without it. It returns an error with the reason and the new name.
 func quarantine(path string, reason error) error {
 	refused := fmt.Sprintf("%s.refused-%d", path, time.Now().UnixNano())
 	if err := os.Rename(path, refused); err != nil {
-		return fmt.Errorf("opening the state file %s: %w; moving it aside: %w", path, reason, err)
+		return fmt.Errorf("opening the state file %s: %w; renaming the file: %w", path, reason, err)
 	}
 	return &QuarantinedError{Path: path, MovedTo: refused, Reason: reason}
 }
 
-// Save writes the state. It is on disk when Save returns without an error.
+// Save writes the state. The state is on disk when Save returns without an error.
 func (s *Store) Save(state election.DurableState) error {
 	raw, err := encodeRecord(record{
 		Format: recordFormat,
@@ -106,5 +108,5 @@
 	return bucket.Put([]byte(recordKey), raw)
 }
 
-// Close closes the file and gives up its lock.
+// Close closes the file and releases its lock.
 func (s *Store) Close() error { return s.db.Close() }
--- a/internal/cluster/storage/store_test.go
+++ b/internal/cluster/storage/store_test.go
@@ -56,50 +56,50 @@
 	}
 }
 
-// A state is read again as it was saved; a folder of another agent is refused, and its file stays beside.
+// A state is read as it was saved. A folder of another agent is refused, and its file is renamed.
 func TestSaveAndOpen(t *testing.T) {
 	dir := t.TempDir()
 	store, state := openForTest(t, dir)
 	if state != nil {
-		t.Fatalf("a new folder gives %v", state)
+		t.Fatalf("a new folder: got the state %v, want none", state)
 	}
 	const saves = 300
 	for n := range uint64(saves) {
 		saveForTest(t, store, n+1)
 	}
 	if _, _, err := Open(dir, testGroup, testAgent); !errors.Is(err, ErrLocked) || errors.Is(err, ErrCorrupt) {
-		t.Errorf("a folder that is open gives %v", err)
+		t.Errorf("a folder that is open: got %v, want ErrLocked and not ErrCorrupt", err)
 	}
 	closeForTest(t, store)
 	if info, err := os.Stat(filepath.Join(dir, fileName)); err != nil || info.Size() > 256<<10 {
-		t.Errorf("after %d syncs the file has %d bytes, %v", saves, info.Size(), err)
+		t.Errorf("after %d saves the file has %d bytes, want at most 256 KiB; error %v", saves, info.Size(), err)
 	}
 	contents, err := Inspect(dir)
 	if err != nil || contents.Group != testGroup || contents.Agent != testAgent || contents.State == nil || *contents.State != numberedState(saves) {
-		t.Errorf("inspected as %+v %v", contents, err)
+		t.Errorf("Inspect: got %+v and the error %v, want the last saved state", contents, err)
 	}
 	store, state = openForTest(t, dir)
 	if state == nil || *state != numberedState(saves) {
-		t.Fatalf("opened as %v", state)
+		t.Fatalf("Open: got the state %v, want the last saved state", state)
 	}
 	closeForTest(t, store)
 	_, _, err = Open(dir, testGroup, testAgent+1)
 	if !errors.Is(err, ErrCorrupt) || !strings.Contains(err.Error(), "agent 1") {
-		t.Errorf("another agent's folder gives %v", err)
+		t.Errorf("another agent's folder: got %v, want ErrCorrupt that names agent 1", err)
 	}
 	stored, expected := Owner{testGroup, testAgent}, Owner{testGroup, testAgent + 1}
 	var wrong *WrongOwnerError
 	if !errors.As(err, &wrong) || wrong.Stored != stored || wrong.Expected != expected {
-		t.Errorf("another agent's folder gives %#v", wrong)
+		t.Errorf("another agent's folder: got %#v, want the stored and the expected owner", wrong)
 	}
 	var quarantined *QuarantinedError
 	refused, _ := filepath.Glob(filepath.Join(dir, fileName+".refused-*"))
 	if len(refused) != 1 || !errors.As(err, &quarantined) || quarantined.MovedTo != refused[0] {
-		t.Errorf("moved aside: %v, the error is %v", refused, err)
+		t.Errorf("got the renamed files %v and the error %v, want one file, named in the error", refused, err)
 	}
 }
 
-// A file that is cut off at any length, or has any page damaged, is refused or holds exactly what was saved.
+// A file that is truncated at any length, or has any page damaged, is refused or gives a state that was saved.
 func TestDamagedFiles(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := openForTest(t, dir)
@@ -107,7 +107,7 @@
 		saveForTest(t, store, n+1)
 	}
 	closeForTest(t, store)
-	whole, err := os.ReadFile(filepath.Join(dir, fileName))
+	intact, err := os.ReadFile(filepath.Join(dir, fileName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,25 +124,25 @@
 		case err != nil:
 			t.Errorf("%s: %v", damage, err)
 		case state == nil || *state != numberedState(5) && *state != numberedState(4):
-			t.Errorf("%s: opened as %v", damage, state)
+			t.Errorf("%s: got the state %v, want one of the last two saved", damage, state)
 		}
 		if err == nil {
 			closeForTest(t, store)
 		}
 	}
-	for size := 0; size < len(whole); size += 1024 {
-		try(fmt.Sprintf("cut off at %d", size), whole[:size])
+	for size := 0; size < len(intact); size += 1024 {
+		try(fmt.Sprintf("truncated to %d bytes", size), intact[:size])
 	}
 	if refused == 0 {
-		t.Error("no file that was cut off was refused")
+		t.Error("no truncated file was refused")
 	}
 	refused = 0
-	for at := 0; at+64 <= len(whole); at += 512 {
-		content := slices.Clone(whole)
+	for at := 0; at+64 <= len(intact); at += 512 {
+		content := slices.Clone(intact)
 		for i := range 64 {
 			content[at+i] ^= 0xa5
 		}
-		try(fmt.Sprintf("damaged at %d", at), content)
+		try(fmt.Sprintf("damaged from byte %d on", at), content)
 	}
 	if refused == 0 {
 		t.Error("no damaged file was refused")
@@ -150,8 +150,9 @@
 	try("foreign", []byte(strings.Repeat("a page of something else", 4096)))
 }
 
-// The machine stops after the nth byte of a write: the pages of the new state have got to the disk up to there, in the order in
-// which the store writes them, data before the meta page that makes it count. What opens is the old state or the new.
+// If the machine stops during a write, the file opens with the old state or with the new one. The test simulates a stop after each
+// byte: the pages of the new state have reached the disk up to that byte, in the order in which the store writes them. The data is
+// written before the meta page that makes it valid.
 func TestTornWriteOpensOldOrNewState(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, fileName)
@@ -189,7 +190,7 @@
 		}
 		store, state, err := Open(tornDir, testGroup, testAgent)
 		if err != nil {
-			t.Fatalf("stopped after %d of %d bytes: %v", stop, len(order), err)
+			t.Fatalf("stopped after %d of %d bytes: opening the folder: %v", stop, len(order), err)
 		}
 		switch *state {
 		case numberedState(2):
@@ -197,16 +198,16 @@
 		case numberedState(3):
 			opensNew++
 		default:
-			t.Errorf("stopped after %d bytes: %v", stop, *state)
+			t.Errorf("stopped after %d bytes: got %v, want the old or the new state", stop, *state)
 		}
 		closeForTest(t, store)
 	}
 	if opensOld == 0 || opensNew == 0 {
-		t.Errorf("%d opened as the old state, %d as the new", opensOld, opensNew)
+		t.Errorf("%d files opened with the old state and %d with the new one, want at least one of each", opensOld, opensNew)
 	}
 }
 
-// writeOrder lists the bytes that differ, those of the two meta pages at the file's start last.
+// writeOrder lists the offsets of the bytes that differ. Those in the two meta pages at the start of the file come last.
 func writeOrder(before, after []byte) (order []int) {
 	metaSize := 2 * os.Getpagesize()
 	for _, isMeta := range []bool{false, true} {
@@ -219,10 +220,10 @@
 	return order
 }
 
-// childDirVariable names the folder in which a child process of TestKilledWhileSaving saves.
-const childDirVariable = "STORAGE_TEST_CHILD_DIR"
+// childDirEnv is the environment variable with the folder in which a child process of TestKilledWhileSaving saves.
+const childDirEnv = "STORAGE_TEST_CHILD_DIR"
 
-// saveUntilKilled saves one state after another, and prints each number once it is saved.
+// saveUntilKilled saves one numbered state after another, and prints each number once its state is saved.
 func saveUntilKilled(dir string) {
 	store, state, err := Open(dir, testGroup, testAgent)
 	if err != nil {
@@ -242,27 +243,27 @@
 	}
 }
 
-// A process that is killed while it saves one state after another has lost none that it had reported as saved.
+// A process that is killed while it saves one state after another loses no state that it has reported as saved.
 func TestKilledWhileSaving(t *testing.T) {
-	if dir := os.Getenv(childDirVariable); dir != "" {
+	if dir := os.Getenv(childDirEnv); dir != "" {
 		saveUntilKilled(dir)
 	}
 	dir := t.TempDir()
 	reported := uint64(0)
-	for round, killed := 0, 0; killed < 5; round++ { // rounds in which it was killed before it saved anything don't count
+	for round, killed := 0, 0; killed < 5; round++ { // rounds in which the child saved nothing before it was killed don't count
 		if round > 60 {
-			t.Fatal("the child never comes to save anything")
+			t.Fatal("the child process saved a state in too few of 60 rounds")
 		}
 		child := exec.CommandContext(t.Context(), os.Args[0], "-test.run=TestKilledWhileSaving")
-		child.Env = append(os.Environ(), childDirVariable+"="+dir)
+		child.Env = append(os.Environ(), childDirEnv+"="+dir)
 		var out strings.Builder
 		child.Stdout = &out
 		if err := child.Start(); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Duration(60+37*round) * time.Millisecond)
-		_ = child.Process.Kill() // it may have ended by itself, which its output shows
-		_ = child.Wait()         // it was killed
+		_ = child.Process.Kill() // fails if the child has ended by itself, which its output shows
+		_ = child.Wait()         // reports that the child was killed
 		if out.Len() > 0 {
 			killed++
 		}
@@ -270,22 +271,22 @@
 		for _, text := range printed[:len(printed)-1] {
 			var n uint64
 			if _, err := fmt.Sscan(text, &n); err != nil {
-				t.Fatalf("round %d: the child says %q", round, text)
+				t.Fatalf("round %d: the child printed %q, want a number", round, text)
 			}
 			reported = max(reported, n)
 		}
 		store, state, err := Open(dir, testGroup, testAgent)
 		if err != nil {
-			t.Fatalf("round %d: %v", round, err)
+			t.Fatalf("round %d: opening the folder: %v", round, err)
 		}
 		closeForTest(t, store)
 		if state != nil && state.Promised < reported || state == nil && reported > 0 {
-			t.Fatalf("round %d: reported %d, stored %v", round, reported, state)
+			t.Fatalf("round %d: state %d was reported as saved, but the stored state is %v", round, reported, state)
 		}
 	}
 }
 
-// Nothing is saved to a file that has outgrown its bound.
+// Nothing is saved to a file that is larger than allowed.
 func TestFileTooLarge(t *testing.T) {
 	store, _ := openForTest(t, t.TempDir())
 	defer closeForTest(t, store)
@@ -298,6 +299,6 @@
 	}
 	var tooLarge *FileTooLargeError
 	if err = store.Save(numberedState(2)); !errors.As(err, &tooLarge) || tooLarge.Size <= maxFileBytes {
-		t.Errorf("saving to a file of over %d bytes gives %v", maxFileBytes, err)
+		t.Errorf("saving to a file of over %d bytes: got %v, want FileTooLargeError with the size", maxFileBytes, err)
 	}
 }
