--- a/internal/cluster/election/storage_failure_test.go
+++ b/internal/cluster/election/storage_failure_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// A replica whose storage has failed never leads again. The failure that this test guards against: the disk of a candidate fails
+// A replica whose storage has failed never leads again. The test guards against a failure in which the disk of a candidate failed
 // between the promises and the acceptances of its ballot. The replica withdrew and promised nothing more, but its ballot stayed
-// open, so that a late Accepted message won it. The coordinator stores nothing once a save has failed, so the replica then led and
-// cast votes whose records were not stored. After a restart, it could have cast a different verdict for the same vote, which the
+// open, and a late Accepted message won it. The replica then led and cast a vote. The coordinator stores nothing once a save has
+// failed, so no record of such votes is kept. After a restart, the replica could answer the same vote differently, which the
 // election must never allow.
 func TestFailedStorageVoidsBallot(t *testing.T) {
 	const peer = 1
--- a/internal/cluster/storage/golden_test.go
+++ b/internal/cluster/storage/golden_test.go
@@ -23,7 +23,7 @@
 	goldenAgent = 4
 )
 
-// A state file of an earlier version can be read and written.
+// A state file of an earlier version can be read, and a new state can be saved to it.
 func TestGoldenStateFile(t *testing.T) {
 	content, err := os.ReadFile(filepath.Join("testdata", fileName))
 	if err != nil {
