--- a/internal/cluster/election/settings.go
+++ b/internal/cluster/election/settings.go
@@ -29,8 +29,8 @@
 	Seed    int64  // seed of the random delays before campaigns
 }
 
-// DisabledGuards turns safety guards off. Tests use it to show that a checker finds the violations that a guard prevents. Each
-// field, when set, turns off the guard that its comment describes.
+// DisabledGuards turns safety guards off, which shows whether a checker finds the violations that the guards prevent. Each field,
+// when set, turns off the guard that its comment describes.
 type DisabledGuards struct {
 	// LeaseTimeout: a leader stops casting when its lease has ended or when the process may have been paused, because another
 	// replica may lead by then.
