--- a/internal/policy/dispatcher.go
+++ b/internal/policy/dispatcher.go
@@ -8,17 +8,19 @@
 )
 
 const (
-	busyTickInterval = 10 * millisecond // with pending requests; well inside the shortest latency objective and grace
-	idleTickInterval = 50 * millisecond // for votes and ejected endpoints
+	// busyTickInterval applies while requests are pending. It is far below the shortest latency objective and grace period.
+	busyTickInterval = 10 * millisecond
+	// idleTickInterval applies otherwise. Votes and ejected endpoints are updated at ticks.
+	idleTickInterval = 50 * millisecond
 )
 
-// trafficSalt differs from ringSalt: with one salt the keys that go to the canary would crowd one segment of the ring. It is the
-// same on all agents.
+// trafficSalt is mixed into the hash that decides which build a request tries first. It differs from ringSalt, because with a
+// shared salt all keys that go to the canary would lie in one segment of the ring. It is the same on all agents.
 const trafficSalt = 0x51ce
 
-// dispatcher takes a request from its arrival to its final answer. It decides in which order pending requests are tried, which
-// of the builds is tried first, and what follows from an attempt's result; what it asks for that stands in the parts that it
-// holds. The router calls it with requests, results, rollout updates and ticks.
+// dispatcher handles each request from its arrival to its final answer. It decides in which order pending requests are retried,
+// which build is tried first, and what follows from an attempt's result. The rules behind these decisions are in the components
+// that it holds. The router passes it requests, results, cancellations, rollout updates and ticks.
 type dispatcher struct {
 	messageQueue
 	*sharedState
@@ -27,7 +29,7 @@
 	classes        []RequestClass
 	loadReport     LoadReportFormat
 	requests       requestTable
-	pending        []*request // that no endpoint may take now
+	pending        []*request // requests that no endpoint may take at present
 	rollout        *rolloutState
 	builds         *buildSelector
 	exposure       *exposureGuard
@@ -39,7 +41,7 @@
 	traffic        *trafficEstimate
 	clients        *rejectedClients
 	tenants        *tenantErrorRates
-	maxClientDelay Micros // the longest time that a rejected client is waited for
+	maxClientDelay Micros // how long after a rejection the client is still expected to return
 }
 
 func newDispatcher(
@@ -103,7 +105,8 @@
 			d.requests.close(req)
 		}
 	case RolloutUpdate:
-		d.rollout.apply(msg) // a lower cap binds at once, and what was sent before still counts: never too much
+		// A lower cap applies at once, and earlier attempts still count towards it, so the exposure never gets too high.
+		d.rollout.apply(msg)
 	case tick:
 		d.clients.expire(d.now - d.maxClientDelay)
 		d.retryPending()
@@ -120,8 +123,8 @@
 	if req.CostHint > 0 {
 		d.traffic.recordCost(req.CostHint)
 	}
-	// To a client that returns after a rejection the request is the same one, so its time runs from the first try.
-	req.acceptedAt = d.clients.returned(req.clientHash, req.acceptedAt)
+	// For a client that returns after a rejection this is still the same request, so its time runs from the first try.
+	req.acceptedAt = d.clients.firstArrival(req.clientHash, req.acceptedAt)
 	d.traffic.recordArrival(req.acceptedAt)
 	req.ringPosition = d.placement.ringPosition(req)
 	d.requests[arrived.ID] = req
@@ -129,8 +132,8 @@
 	d.routeRequest(req)
 }
 
-// retryPending sends itself one message for each pending request, by priority weight: endpoints process their messages in
-// between, or all requests would go to one endpoint.
+// retryPending enqueues one message for each pending request, in descending order of priority weight. Endpoints process their
+// messages in between; without that, all requests would go to the same endpoint.
 func (d *dispatcher) retryPending() {
 	priority := func(i int) float64 { return d.classes[d.pending[i].Class].PriorityWeight }
 	sort.SliceStable(d.pending, func(i, j int) bool { return priority(i) > priority(j) })
@@ -147,9 +150,9 @@
 	return idleTickInterval
 }
 
-// routeRequest sends a request to an endpoint, or keeps it pending, or gives it up.
+// routeRequest sends a request to an endpoint, keeps it pending or gives it up.
 func (d *dispatcher) routeRequest(req *request) {
-	if !d.requests.isOpen(req) || req.attemptAt != nil {
+	if !d.requests.isOpen(req) || req.attemptEndpoint != nil {
 		return
 	}
 	if d.retries.isTooLate(req) {
@@ -169,7 +172,7 @@
 	d.giveUp(req)
 }
 
-// findEndpoint returns the endpoint for the request's next attempt, or nil where there is none now.
+// findEndpoint returns the endpoint for the request's next attempt, or nil if there is none at present.
 func (d *dispatcher) findEndpoint(req *request) *endpointRecord {
 	if d.retries.hasTooManyErrors(req) {
 		return nil
@@ -182,12 +185,13 @@
 	return nil
 }
 
-// sendAttempt sends the request to an endpoint, if the rules allow it. They do, as findEndpoint has asked them.
+// sendAttempt sends the request to an endpoint if the rules allow it. The check is a safeguard: findEndpoint returns only
+// endpoints that the rules allow.
 func (d *dispatcher) sendAttempt(req *request, e *endpointRecord) {
 	if !d.rules.mayAttempt(req, e) {
 		return
 	}
-	req.attemptAt = e
+	req.attemptEndpoint = e
 	req.sentAt = d.now
 	req.attempts++
 	d.exposure.recordAttempt(req.Class, e.Build)
@@ -199,7 +203,7 @@
 	})
 }
 
-// finishAttempt updates the records by an attempt's result, and routes the request again if it has no final answer.
+// finishAttempt updates the records with an attempt's result, and routes the request again if it has no final answer.
 func (d *dispatcher) finishAttempt(result AttemptResult) {
 	e := d.endpoints.byID[result.EndpointID]
 	if e == nil {
@@ -223,13 +227,13 @@
 	if mayHaveRun(result.Outcome) {
 		req.markMayHaveRun(e, &d.classes[req.Class])
 	}
-	req.attemptAt = nil
+	req.attemptEndpoint = nil
 	req.triedEndpoints = append(req.triedEndpoints, e)
 	d.enqueue(req)
 }
 
-// requestOf returns the request of an attempt's result, or nil where it was over before. A good answer binds the request's key
-// to the endpoint's build, also after the request was closed.
+// requestOf returns the request that an attempt's result belongs to, or nil if the request was already over. A successful
+// answer binds the request's key to the endpoint's build even if the request was closed in the meantime.
 func (d *dispatcher) requestOf(result AttemptResult, e *endpointRecord) *request {
 	req := d.requests[result.RequestID]
 	if req == nil {
@@ -245,7 +249,8 @@
 	return req
 }
 
-// newOutcome returns a result with what endpoints and analyzer need of its request, which may be nil.
+// newOutcome returns a result together with the properties of its request that the endpoints and the analyzer need. The request
+// may be nil.
 func (d *dispatcher) newOutcome(result AttemptResult, e *endpointRecord, req *request) attemptOutcome {
 	outcome := attemptOutcome{
 		AttemptResult:    result,
@@ -262,7 +267,7 @@
 	return outcome
 }
 
-// recordOutcome passes an outcome on to all that learn from it.
+// recordOutcome passes an outcome to the endpoint, the analyzer and the zone limits, which learn from it.
 func (d *dispatcher) recordOutcome(outcome attemptOutcome) {
 	e := outcome.endpoint
 	e.enqueue(outcome)
@@ -273,7 +278,7 @@
 	d.zones.update(e.Zone, outcome)
 }
 
-// giveUp gives the final answer of a request that did not succeed.
+// giveUp closes a request that did not succeed and sends its final answer.
 func (d *dispatcher) giveUp(req *request) {
 	d.requests.close(req)
 	d.analyzer.enqueue(requestRejected{})
@@ -281,7 +286,7 @@
 	d.emit(d.retries.finalAnswer(req))
 }
 
-// reportedInFlight returns the requests in flight of a load report, below 0 where it does not hold them.
+// reportedInFlight returns the number of requests in flight from a load report, or -1 if the report does not contain it.
 func (f LoadReportFormat) reportedInFlight(load []float32) float64 {
 	if f.InFlight <= 0 || f.InFlight > len(load) {
 		return -1
--- a/internal/policy/endpoint_poller.go
+++ b/internal/policy/endpoint_poller.go
@@ -5,13 +5,13 @@
 	maxPollDoublings = 3
 )
 
-// endpointPoller decides when the endpoint list is asked for, where discovery has to be polled: at the start, and again after
-// each failed call, with exponential backoff and jitter. The router calls it with endpoint updates and ticks.
+// endpointPoller decides when to request the endpoint list if discovery has to be polled: at the start, and again after each
+// failed call, with exponential backoff and jitter. The router passes it endpoint updates and ticks.
 type endpointPoller struct {
 	messageQueue
 	*sharedState
 	isEnabled     bool
-	pollAt        Micros // -1: a call is in progress, or the watch is open
+	pollAt        Micros // time of the next call; -1 while a call is in progress or the watch is open
 	failuresInRow int
 }
 
--- a/internal/policy/rejected_clients.go
+++ b/internal/policy/rejected_clients.go
@@ -3,9 +3,9 @@
 import "switchfork/internal/stats"
 
 const (
-	returnRateWeight  = 0.1 // of one rejected client in the moving mean
+	returnRateWeight  = 0.1 // weight of one rejected client in the moving mean
 	initialReturnRate = 0.5
-	clientReturnGrace = 500 * millisecond // added to the longest wait that clients follow
+	clientReturnGrace = 500 * millisecond // added to the longest Retry-After that clients honor
 )
 
 // rejectedClient is a client that was rejected and has not come back yet.
@@ -15,26 +15,28 @@
 	clientHash uint64
 }
 
-// rejectedClients decides which request is a rejected client's retry, and keeps how many rejected clients come back. Retries and
-// attempt timeouts depend on it. The dispatcher feeds it.
+// rejectedClients decides which requests are retries by rejected clients, and tracks how many of these clients come back.
+// Retries and attempt timeouts depend on it. The dispatcher updates it.
 type rejectedClients struct {
 	byHash     map[uint64]rejectedClient
-	queue      []rejectedClient // in order of time
-	returnRate float64          // moving mean of those who come back
+	queue      []rejectedClient // by time of rejection, oldest first
+	returnRate float64          // share of rejected clients that come back, as a moving mean
 }
 
 func newRejectedClients() *rejectedClients {
 	return &rejectedClients{byHash: map[uint64]rejectedClient{}, returnRate: initialReturnRate}
 }
 
-// reject records that a client's request was given up. One that got a final failure counts too, though few of these come back.
+// reject records that a client's request was given up. A client whose request failed for good counts too, although few of these
+// come back.
 func (c *rejectedClients) reject(client rejectedClient) {
 	c.byHash[client.clientHash] = client
 	c.queue = append(c.queue, client)
 }
 
-// returned is when the client of a new request first sent it: before now where it was rejected since.
-func (c *rejectedClients) returned(clientHash uint64, arrivedAt Micros) Micros {
+// firstArrival returns when a client first sent a request that arrives now: arrivedAt, or an earlier time if the request was
+// rejected before. It records that such a client has come back.
+func (c *rejectedClients) firstArrival(clientHash uint64, arrivedAt Micros) Micros {
 	client, hasReturned := c.byHash[clientHash]
 	if !hasReturned {
 		return arrivedAt
@@ -44,7 +46,7 @@
 	return client.acceptedAt
 }
 
-// expire counts the clients that were rejected before the given time and have not come back.
+// expire forgets the clients that were rejected before the given time. Those that have not come back lower the return rate.
 func (c *rejectedClients) expire(before Micros) {
 	for len(c.queue) > 0 && c.queue[0].rejectedAt < before {
 		client := c.queue[0]
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -6,16 +6,16 @@
 type request struct {
 	RequestArrived
 	acceptedAt      Micros  // when the client first sent it
-	sentAt          Micros  // the last attempt
-	trafficFraction float64 // by its key, 0 to 1: below the newest build's share the request goes there
+	sentAt          Micros  // when the last attempt was sent
+	trafficFraction float64 // hash of its key or ID, 0 to 1; below the newest build's share the request tries that build first
 	ringPosition    uint64
-	clientHash      uint64          // of its key, class and tenant
-	attemptAt       *endpointRecord // where an attempt is in flight
+	clientHash      uint64          // hash of its key or ID, class and tenant
+	attemptEndpoint *endpointRecord // endpoint of the attempt in flight
 	attempts        int
 	serverErrors    int
-	isClosed        bool      // answered or abandoned, with an attempt in flight
-	mayHaveRunAt    *Endpoint // where it may have run first
-	dedupUntil      Micros    // when the deduplication of what may have run ends; 0: there is none
+	isClosed        bool      // answered or abandoned; an attempt may still be in flight
+	mayHaveRunOn    *Endpoint // first endpoint at which it may have run
+	dedupUntil      Micros    // when the first run that may have happened is no longer deduplicated; 0: it never is
 	triedEndpoints  []*endpointRecord
 }
 
@@ -23,23 +23,24 @@
 
 // markMayHaveRun records the first endpoint at which the request may have run.
 func (r *request) markMayHaveRun(e *endpointRecord, class *RequestClass) {
-	if r.mayHaveRunAt == nil {
-		ranAt := e.Endpoint
-		r.mayHaveRunAt = &ranAt
+	if r.mayHaveRunOn == nil {
+		ranOn := e.Endpoint
+		r.mayHaveRunOn = &ranOn
 		r.dedupUntil = class.dedupUntil(r.sentAt)
 	}
 }
 
-// requestTable holds the requests of an agent by their ids.
+// requestTable holds the requests of an agent by their IDs.
 type requestTable map[uint64]*request
 
-// isOpen reports whether a request still needs an answer. One that another request with its id has replaced does not.
+// isOpen reports whether a request still needs an answer. A request that was replaced by another one with the same ID does not.
 func (t requestTable) isOpen(r *request) bool { return !r.isClosed && t[r.ID] == r }
 
-// close forgets a request. One with an attempt in flight is kept: its answer may still bind its key to a build.
+// close marks a request as closed and forgets it. A request with an attempt in flight is kept in the table, because the answer
+// may still bind its key to a build.
 func (t requestTable) close(r *request) {
 	r.isClosed = true
-	if r.attemptAt == nil {
+	if r.attemptEndpoint == nil {
 		delete(t, r.ID)
 	}
 }
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -1,21 +1,24 @@
 package policy
 
 const (
-	// lowFleetReturnRate of rejected clients: below it, ending late attempts frees more capacity than the retries cost.
+	// lowFleetReturnRate is the share of rejected clients that return, over all agents. Below it, ending late attempts frees
+	// more capacity than the retries cost.
 	lowFleetReturnRate = 0.3
-	// pendingShare of its latency objective is how long a request may stay pending.
+	// pendingShare is the share of its latency objective for which a request may stay pending.
 	pendingShare = 0.5
-	// overloadDuration after a request was given up the agent counts as overloaded.
+	// overloadDuration is how long the agent counts as overloaded after it gave up a request that no endpoint could take.
 	overloadDuration = 1 * second
-	// maxServerErrors at different endpoints are the request's own fault: one may be the build's or the endpoint's.
+	// maxServerErrors is the number of server errors after which a request is not retried. A single one may be the fault of the
+	// build or the endpoint; this many, at different endpoints, are the fault of the request.
 	maxServerErrors = 3
-	// maxServerErrorsOfFailingTenant: each retry uses up exposure that other tenants could have.
+	// maxServerErrorsOfFailingTenant applies to tenants with a high error rate, because each of their retries uses up exposure
+	// that other tenants could use.
 	maxServerErrorsOfFailingTenant = 1
 )
 
-// retryPolicy decides when an attempt times out, when a request gets no other attempt, and what its final answer is: from its
-// deadline, its latency objective, its attempts so far and the agent's overload. The dispatcher asks it for each request that it
-// routes.
+// retryPolicy decides when an attempt times out, when a request gets no further attempt, and what its final answer is. It goes
+// by the request's deadline, latency objective and attempts so far, and by the overload of the agent. The dispatcher consults it
+// for each request that it routes.
 type retryPolicy struct {
 	*sharedState
 	endpoints    *endpointSet
@@ -25,11 +28,11 @@
 	classes      []RequestClass
 	limits       RetryLimits
 	agents       int
-	overloadedAt Micros // when a request was last given up as no endpoint could take it in time
+	overloadedAt Micros // when a request was last given up because no endpoint could take it in time
 }
 
-// attemptTimeout is how long an attempt may take: 0, that is until the deadline, or until the latency objective where rejected
-// clients do not return.
+// attemptTimeout returns how long an attempt may take. If few rejected clients return, that is until the latency objective.
+// Otherwise, or if the latency objective has passed, it is 0, which means until the deadline.
 func (p *retryPolicy) attemptTimeout(req *request) Micros {
 	left := req.acceptedAt + p.classes[req.Class].LatencyObjective - p.now
 	if p.clients.returnRate >= p.lowReturnRate() || left <= 0 {
@@ -38,13 +41,14 @@
 	return min(left, req.Deadline-p.now)
 }
 
-// lowReturnRate is the rate below which few clients return, as one agent sees it: clients that are spread over a zone's agents come
-// back to any of them.
+// lowReturnRate returns the return rate at one agent below which few clients return. It is lower than the rate over all agents,
+// because clients that are spread over the agents of a zone may come back to any of them.
 func (p *retryPolicy) lowReturnRate() float64 {
 	return lowFleetReturnRate * min(1, float64(p.endpoints.zoneCount)/float64(p.agents))
 }
 
-// isTooLate reports whether any attempt would be load for no value: a late retry, or a late attempt under overload.
+// isTooLate reports whether an attempt would cause load for no value: the latency objective has passed, and either the request
+// has been attempted before or the agent is overloaded.
 func (p *retryPolicy) isTooLate(req *request) bool {
 	if p.now < req.acceptedAt+p.classes[req.Class].LatencyObjective {
 		return false
@@ -52,18 +56,19 @@
 	return req.attempts > 0 || p.now-p.overloadedAt < overloadDuration
 }
 
-// recordOverload notes that a request is given up as no endpoint could take it.
+// recordOverload records that a request is given up because no endpoint could take it.
 func (p *retryPolicy) recordOverload() { p.overloadedAt = p.now }
 
-// mustGiveUp reports whether a request that no endpoint may take now is not kept pending: no endpoint will in time.
+// mustGiveUp reports whether a request that no endpoint may take at present is given up instead of kept pending, because no
+// endpoint will be able to take it in time.
 func (p *retryPolicy) mustGiveUp(req *request) bool {
-	if p.rules.hasUsedAttempts(req) || p.hasTooManyErrors(req) || !p.rules.isRepeatable(req, true) {
+	if p.rules.hasUsedAllAttempts(req) || p.hasTooManyErrors(req) || !p.rules.isRepeatable(req, true) {
 		return true
 	}
 	return p.now >= p.pendingUntil(req)
 }
 
-// pendingUntil is how long a request is kept pending, at the most until just before its deadline.
+// pendingUntil returns the time until which a request is kept pending, at the latest just before its deadline.
 func (p *retryPolicy) pendingUntil(req *request) Micros {
 	pendingTime := Micros(pendingShare * float64(p.classes[req.Class].LatencyObjective))
 	return min(req.Deadline-2*busyTickInterval, req.acceptedAt+pendingTime)
@@ -77,8 +82,8 @@
 	return req.serverErrors >= limit
 }
 
-// finalAnswer of a request that did not succeed is a rejection where a retry does no harm, with the longest wait, as the
-// overload would not be gone any sooner.
+// finalAnswer returns the final answer to a request that did not succeed: a rejection if a retry does no harm, or else a
+// failure. A rejection asks for the longest wait, because an overload does not pass any sooner.
 func (p *retryPolicy) finalAnswer(req *request) Command {
 	isDeduplicated := p.classes[req.Class].DedupScope == DedupAll
 	if p.rules.isRepeatable(req, isDeduplicated) {
--- a/internal/policy/tenant_errors.go
+++ b/internal/policy/tenant_errors.go
@@ -3,24 +3,24 @@
 import "switchfork/internal/stats"
 
 const (
-	tenantErrorWeight = 0.05 // of one result in a tenant's moving mean
-	tenantErrorExcess = 0.2  // over the best tenant's error rate: a bad build or endpoint fails less
-	maxTenants        = 1000 // beyond it all are forgotten
+	tenantErrorWeight = 0.05 // weight of one result in a tenant's moving mean
+	tenantErrorExcess = 0.2  // above the lowest error rate of any tenant; a bad build or endpoint fails less
+	maxTenants        = 1000 // above this number all tenants are forgotten
 )
 
-// tenantErrorRates decides whose fault a server error is. It guards healthy endpoints against tenants whose requests fail
-// wherever they go: such errors would eject all endpoints. An endpoint that fails everything may be spared while few tenants are
-// well. The dispatcher feeds it with the result of each attempt.
+// tenantErrorRates decides whose fault a server error is. It protects healthy endpoints from tenants whose requests fail at
+// every endpoint: such errors would eject all endpoints. As a side effect, an endpoint that fails every request may stay in use
+// while only few tenants have a low error rate. The dispatcher passes it the result of each attempt.
 type tenantErrorRates struct {
 	rates map[int]float64 // moving means, by tenant
 }
 
 func newTenantErrorRates() *tenantErrorRates { return &tenantErrorRates{rates: map[int]float64{}} }
 
-// classify records a tenant's result, and reports whether it is an error that is more likely the tenant's than the endpoint's.
-// The errors of a build in evaluation are its own and do not count.
+// classify records a tenant's result, and reports whether it is an error that is more likely the tenant's fault than the
+// endpoint's. Errors of a build in evaluation are the fault of the build and are not recorded.
 func (t *tenantErrorRates) classify(tenant int, outcome Outcome, onCanary bool) bool {
-	t.bound()
+	t.clearIfFull()
 	isError := outcome == ServerError
 	isClientError := isError && t.isFailing(tenant)
 	if !onCanary && (isError || outcome == OK) {
@@ -29,12 +29,12 @@
 	return isClientError
 }
 
-// isFailing reports whether a tenant has far more errors than the best one.
+// isFailing reports whether a tenant has a far higher error rate than the tenant with the lowest one.
 func (t *tenantErrorRates) isFailing(tenant int) bool {
 	return t.rates[tenant]-t.lowest() > tenantErrorExcess
 }
 
-func (t *tenantErrorRates) bound() {
+func (t *tenantErrorRates) clearIfFull() {
 	if len(t.rates) > maxTenants {
 		clear(t.rates)
 	}
@@ -44,7 +44,7 @@
 	t.rates[tenant] = stats.MovingMean(t.rates[tenant], stats.Indicator(isError), tenantErrorWeight)
 }
 
-// lowest is the least error rate of any tenant, 1 where none is known.
+// lowest returns the lowest error rate of any tenant, or 1 if no tenant is known.
 func (t *tenantErrorRates) lowest() float64 {
 	least := 1.0
 	for _, rate := range t.rates {
--- a/internal/policy/tenant_errors_test.go
+++ b/internal/policy/tenant_errors_test.go
@@ -11,13 +11,13 @@
 		isClientError = tenants.classify(failing, ServerError, false)
 	}
 	if !isClientError {
-		t.Error("the errors of a tenant that fails alone are blamed on the endpoint")
+		t.Error("a server error of the only failing tenant is not classified as the tenant's fault")
 	}
 	if tenants.classify(healthy, ServerError, false) {
-		t.Error("an error of a healthy tenant is its own")
+		t.Error("a server error of a healthy tenant is classified as the tenant's fault")
 	}
 	if tenants.classify(failing, TimedOut, false) {
-		t.Error("a timeout is a client error")
+		t.Error("a timeout is classified as the tenant's fault")
 	}
 }
 
@@ -26,7 +26,7 @@
 	for range 50 {
 		tenants.classify(1, OK, false)
 		if tenants.classify(2, ServerError, true) {
-			t.Fatal("errors of a build in evaluation are blamed on the tenant")
+			t.Fatal("a server error of a build in evaluation is classified as the tenant's fault")
 		}
 	}
 }
@@ -36,7 +36,7 @@
 	for tenant := range 5 * maxTenants {
 		tenants.classify(tenant, OK, false)
 		if len(tenants.rates) > maxTenants+1 {
-			t.Fatalf("%d tenants are kept, want %d at most", len(tenants.rates), maxTenants+1)
+			t.Fatalf("tenants with an error rate: got %d, want at most %d", len(tenants.rates), maxTenants+1)
 		}
 	}
 }
