--- a/internal/policy/build_selector.go
+++ b/internal/policy/build_selector.go
@@ -1,46 +1,47 @@
 package policy
 
-// capUtilization of the exposure cap is used on purpose; the rest leaves room for retries.
+// capUtilization is the part of the exposure cap that the newest build's share of requests may use. The rest is left for retries.
 const capUtilization = 0.8
 
-// buildRank is the order of precedence by which an endpoint's build is looked for.
+// buildRank groups builds by their role in the rollout. A request tries the ranks one after the other.
 type buildRank int
 
 const (
-	newestBuild  buildRank = iota // the newest build in the list, in evaluation or released last
-	earlierBuild                  // the builds to use otherwise
-	leavingBuild                  // builds that were rolled back or are being replaced
+	newestBuild  buildRank = iota // the newest build in the list: in evaluation, released last or not announced yet
+	earlierBuild                  // all builds that have no other rank
+	leavingBuild                  // builds that were rolled back, or are in evaluation although a newer one is ready
 	buildRankCount
 )
 
-// buildSelector decides which builds a request tries, in which order: from the rollout's state, the capacity of each build's
-// ready endpoints and the request's place in the traffic. The dispatcher calls it for each request that it routes.
+// buildSelector decides which builds a request tries and in which order. It goes by the rollout's state, the capacity of each
+// build's ready endpoints and the request's trafficFraction. The dispatcher calls it for each request that it routes.
 type buildSelector struct {
 	rollout     *rolloutState
 	endpoints   *endpointSet
 	budget      *slowStartBudget
-	newest      int     // the newest build that is ready
-	newestShare float64 // share of requests that go to it
+	newest      int     // the newest build with a ready endpoint that was not rolled back
+	newestShare float64 // share of requests that try the newest build first
 }
 
-// rankOf is the rank of a build, where newest is the newest one.
+// rankOf returns the rank of a build, given the newest build.
 func (b *buildSelector) rankOf(build, newest int) buildRank {
 	isEvaluated := build == b.rollout.build && b.rollout.phase == Evaluating
 	isSuperseded := isEvaluated && build < newest
 	if b.rollout.rolledBack[build] || isSuperseded {
 		return leavingBuild
 	}
-	isAnnounced := build >= b.rollout.build && build > 0
-	if build == newest && isAnnounced {
+	isRolloutBuildOrLater := build >= b.rollout.build && build > 0
+	if build == newest && isRolloutBuildOrLater {
 		return newestBuild
 	}
 	return earlierBuild
 }
 
-// rank is the rank of a build by the last update.
+// rank returns the rank of a build as of the last call of updateShare.
 func (b *buildSelector) rank(build int) buildRank { return b.rankOf(build, b.newest) }
 
-// updateShare finds the newest build and the share of requests that go to it: its part of the capacity, within the cap.
+// updateShare updates the newest build and the share of requests that try it first: its part of the capacity, limited by its
+// exposure cap.
 func (b *buildSelector) updateShare() {
 	newest := b.endpoints.highestBuild(b.rollout.rolledBack)
 	capacity := b.capacityByRank(newest)
@@ -70,7 +71,7 @@
 	return capacity
 }
 
-// ranksFor is the order in which a request tries the ranks.
+// ranksFor returns the ranks in the order in which a request tries them.
 func (b *buildSelector) ranksFor(req *request) [buildRankCount]buildRank {
 	if req.trafficFraction < b.newestShare {
 		return [...]buildRank{newestBuild, earlierBuild, leavingBuild}
--- a/internal/policy/endpoint_selector.go
+++ b/internal/policy/endpoint_selector.go
@@ -3,13 +3,18 @@
 import "math"
 
 const (
-	loadBound       = 1.25    // of the mean load, as usual for consistent hashing with bounded loads
-	crossZoneFactor = 40.0    // by how much more than its cost another zone shrinks its segments of the ring
-	penaltyFactor   = 1 << 20 // of the distance to an endpoint that is loaded, or was tried: behind nearly all others
+	// loadBound is the highest load of an endpoint relative to the mean, as usual for consistent hashing with bounded loads.
+	loadBound = 1.25
+	// crossZoneFactor times crossZoneCost is the relative increase of the distance to endpoints in other zones, which shrinks
+	// their segments of the ring.
+	crossZoneFactor = 40.0
+	// penaltyFactor multiplies the distance to an endpoint that is loaded or was tried, which puts it behind nearly all others.
+	penaltyFactor = 1 << 20
 )
 
-// endpointSelector decides to which endpoint of a build's rank a request goes: on a consistent-hash ring whose segments are
-// scaled by capacity, with bounded load, its own zone first. The dispatcher calls it for each rank that a request tries.
+// endpointSelector decides to which endpoint of a build rank a request goes. It uses a consistent-hash ring with bounded loads,
+// whose segments are scaled by capacity, and prefers endpoints in the agent's own zone. The dispatcher calls it for each rank
+// that a request tries.
 type endpointSelector struct {
 	endpoints     *endpointSet
 	builds        *buildSelector
@@ -17,17 +22,18 @@
 	budget        *slowStartBudget
 	zones         *zoneLimits
 	ownZone       int
-	crossZoneCost float64 // of an attempt in another zone, as a part of the result
+	crossZoneCost float64 // cost of an attempt in another zone, as a part of the result
 }
 
-// candidateSet is the endpoints that a request may go to, with this agent's attempts in flight there and their capacity.
+// candidateSet holds the endpoints that a request may go to, with the sums of this agent's attempts in flight there and of their
+// capacities.
 type candidateSet struct {
 	endpoints []*endpointRecord
 	inFlight  float64
 	capacity  float64
 }
 
-// pick returns the candidate of a rank that is nearest on the ring, or nil where there is none.
+// pick returns the candidate of a rank that is nearest on the ring, or nil if there is none.
 func (s *endpointSelector) pick(req *request, rank buildRank) *endpointRecord {
 	if !s.rules.mayStartAttempt(req) || !s.zones.anyOpen() || !s.endpoints.hasFreeConcurrency() {
 		return nil
@@ -57,19 +63,20 @@
 	return e.isAvailable() && s.zones.get(e.Zone).isOpen() && s.rules.mayUseEndpoint(req, e)
 }
 
-// distance is how far an endpoint is from the request's place on the ring, with what speaks against it.
+// distance returns the distance of an endpoint from the request's position on the ring, scaled by the endpoint's capacity and
+// by penalties.
 func (s *endpointSelector) distance(req *request, e *endpointRecord, among candidateSet) float64 {
 	distance := e.ringDistance(req.ringPosition) / e.capacity()
 	switch {
 	case s.budget.usesSlots(e):
-		distance = 0 // its slot is short, and the next key in its segment may come too late
+		distance = 0 // the slot is short, and may be over before the next key in the endpoint's segment arrives
 	case e.Zone != s.ownZone:
 		distance *= 1 + crossZoneFactor*s.crossZoneCost
 	}
 	if among.isLoaded(e) {
 		distance *= penaltyFactor
 	}
-	if req.hasTried(e) || s.endpoints.isCalledOverloaded(e) {
+	if req.hasTried(e) || s.endpoints.isReportedOverloaded(e) {
 		distance *= penaltyFactor
 	}
 	return distance
@@ -80,7 +87,7 @@
 	return float64(e.inFlight) >= math.Ceil(loadBound*(c.inFlight+1)*e.capacity()/c.capacity)
 }
 
-// nearest returns the first endpoint with the least distance, or nil where there is none.
+// nearest returns the first endpoint with the least distance, or nil if there is none.
 func (c candidateSet) nearest(distanceTo func(*endpointRecord) float64) *endpointRecord {
 	var nearest *endpointRecord
 	least := math.Inf(1)
@@ -93,14 +100,14 @@
 	return nearest
 }
 
-// hasFreeConcurrency reports whether all endpoints together take one more attempt. Where limits are below one each, an attempt
-// of each agent would together still be a queue.
+// hasFreeConcurrency reports whether the concurrency limits of all endpoints together allow one more attempt. An endpoint takes
+// one attempt even if its limit is below one; if every agent sent one to each such endpoint, queues would form.
 func (s *endpointSet) hasFreeConcurrency() bool {
 	inFlight, limit := s.openAttempts()
 	return inFlight+1 <= max(1, limit)
 }
 
-// isCalledOverloaded reports whether the evaluators' last digest names an endpoint, as long as it is valid.
-func (s *endpointSet) isCalledOverloaded(e *endpointRecord) bool {
+// isReportedOverloaded reports whether the evaluators' last digest is still valid and marks the endpoint as overloaded.
+func (s *endpointSet) isReportedOverloaded(e *endpointRecord) bool {
 	return s.now-s.digestReceivedAt < digestLifetime && hasDigestBit(s.overloadDigest, e.ID)
 }
--- a/internal/policy/exposure.go
+++ b/internal/policy/exposure.go
@@ -5,18 +5,18 @@
 const (
 	// windowMargin is added to the configured window, so that the rounding of its ends does not matter.
 	windowMargin = 2 * busyTickInterval
-	// capRounding is subtracted from a cap as its part: the announced cap has seven digits.
+	// capRounding is the fraction by which a cap below 1 is reduced, because the announced cap has only seven digits.
 	capRounding = 1e-6
 )
 
-// buildLimit is what binds the attempts at a build.
+// buildLimit is the limit on the exposure of a build.
 type buildLimit struct {
-	share    float64 // of the requests
+	share    float64 // highest share of the requests
 	stage    int
-	isCapped bool // false: any share may go there, and share and stage say nothing
+	isCapped bool // false: there is no limit, and share and stage are not set
 }
 
-// limitOf is the limit of a build. One that was not announced yet is bound as in the first stage.
+// limitOf returns the limit of a build. A build that was not announced yet is limited as in the first stage.
 func (s *rolloutState) limitOf(build int) buildLimit {
 	switch {
 	case build > s.build:
@@ -30,15 +30,16 @@
 // isCapped reports whether the exposure of a build is limited.
 func (s *rolloutState) isCapped(build int) bool { return s.limitOf(build).isCapped }
 
-// exposureGuard decides whether a request may go to a build (rule 5): by the exposure cap over the window, the guarded stages,
-// and the build to which its key is bound. The rules ask it for each attempt; the dispatcher records requests and attempts.
+// exposureGuard decides whether a request may go to a build (rule 5). It goes by the exposure cap over the window, the guarded
+// stages, and the build to which the request's key is bound. attemptRules consults it for each attempt; the dispatcher records
+// requests and attempts in it.
 type exposureGuard struct {
 	*sharedState
 	rollout   *rolloutState
 	classes   []RequestClass
 	limit     ExposureLimit
-	windows   []*exposure.Window // by class; without PerClass the first serves all
-	keyBuilds map[uint64]int     // the latest build that answered a key, where keys never go back
+	windows   []*exposure.Window // by class; only the first one is used without PerClass
+	keyBuilds map[uint64]int     // the highest build that answered each key; only filled with KeysNeverGoBack
 }
 
 func newExposureGuard(shared *sharedState, rollout *rolloutState, config Config) *exposureGuard {
@@ -69,7 +70,8 @@
 	return g.fitsKey(req.Key, build)
 }
 
-// fitsKey reports whether a key may go to a build: to no earlier one than answered it, unless that was rolled back.
+// fitsKey reports whether a key may go to a build. It may not go to an earlier build than the one that answered it, unless that
+// one was rolled back.
 func (g *exposureGuard) fitsKey(key uint64, build int) bool {
 	if key == 0 {
 		return true
@@ -78,7 +80,7 @@
 	return build >= bound || g.rollout.rolledBack[bound]
 }
 
-// bindKey records that a build answered a key, 0 for none.
+// bindKey records that a build answered a key. Key 0 stands for no key.
 func (g *exposureGuard) bindKey(key uint64, build int) {
 	if key == 0 || !g.rollout.plan.KeysNeverGoBack {
 		return
@@ -88,9 +90,10 @@
 	}
 }
 
-// isWithinCap holds the cap over every window that begins within the last one, whatever comes later.
+// isWithinCap reports whether one more attempt keeps a build within its cap over every span of time that begins within the
+// exposure window and ends now. So the cap holds whatever arrives later.
 func (g *exposureGuard) isWithinCap(class, build int, share float64) bool {
-	if share < 1 { // a whole one is exact
+	if share < 1 { // a cap of 1 is exact
 		share *= 1 - capRounding
 	}
 	return g.windowOf(class).Fits(build, share, g.limit.Allowance)
@@ -100,14 +103,14 @@
 	g.windowOf(class).RecordRequest(g.now, g.windowStart())
 }
 
-// recordAttempt counts an attempt, where the build's exposure is limited.
+// recordAttempt counts an attempt if the build's exposure is limited.
 func (g *exposureGuard) recordAttempt(class, build int) {
 	if g.rollout.isCapped(build) {
 		g.windowOf(class).RecordAttempt(g.now, g.windowStart(), build)
 	}
 }
 
-// windowOf is the exposure count that applies to a class.
+// windowOf returns the exposure window that applies to a class.
 func (g *exposureGuard) windowOf(class int) *exposure.Window {
 	if g.limit.PerClass {
 		return g.windows[class]
@@ -115,5 +118,5 @@
 	return g.windows[0]
 }
 
-// windowStart is the time from which on the exposure counts.
+// windowStart returns the time from which on requests and attempts count.
 func (g *exposureGuard) windowStart() Micros { return g.now - g.limit.Window - windowMargin }
--- a/internal/policy/key_placement.go
+++ b/internal/policy/key_placement.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// ringSalt is the same on all agents.
+	// ringSalt is mixed into the hashes of ring positions. It is the same on all agents.
 	ringSalt = 0x2176
-	// pointsPerEndpoint on the ring.
+	// pointsPerEndpoint is the number of points that an endpoint has on the ring.
 	pointsPerEndpoint = 64
-	// hotKeyShare of an endpoint is the most that one key should fill, as its segment carries other keys too.
+	// hotKeyShare is the largest share of an endpoint's capacity that one key should use, because the endpoint's segment holds
+	// other keys too.
 	hotKeyShare = 0.3
 )
 
-// keyPlacement decides where on the ring a request stands: by its key where endpoints serve the keys that they know faster, or
-// else by its id. A hot key gets several places. The dispatcher calls it once for each request.
+// keyPlacement decides the position of a request on the ring. It goes by the request's key if endpoints are faster with keys
+// that they served recently, or else by its ID. A hot key gets several positions. The dispatcher calls it once for each request.
 type keyPlacement struct {
 	*sharedState
 	traffic     *trafficEstimate
@@ -37,27 +38,28 @@
 
 func (p *keyPlacement) ringPosition(req *request) uint64 {
 	if p.keyAffinity && req.Key != 0 {
-		return hashing.Mix64(hashing.Mix64(req.Key^ringSalt) - 1 - p.replicaOf(req.Key)) // never an endpoint's own point
+		// The offset is subtracted because endpointPoints adds its own: a key that equals an endpoint's ID must not hit its points.
+		return hashing.Mix64(hashing.Mix64(req.Key^ringSalt) - 1 - p.replicaOf(req.Key))
 	}
 	return hashing.Mix64(req.ID ^ ringSalt)
 }
 
-// replicaOf is which of its key's places a request takes, from 0 on. A key gets a place for each request in the time in which
-// all agents, alike, fill hotKeyShare of an endpoint.
+// replicaOf returns which of its key's positions a request takes, counted from 0. A key has one position for each request in a
+// window. In the time of a window, one request for the key by each agent uses hotKeyShare of an endpoint's capacity.
 func (p *keyPlacement) replicaOf(key uint64) uint64 {
 	window := p.traffic.meanCost * float64(p.agents) / hotKeyShare
 	usage := p.usages.record(key, p.now, window)
 	return (usage.arrivals - 1) % uint64(math.Ceil(usage.recentLoad))
 }
 
-// keyUsage is how often a key was requested lately.
+// keyUsage holds how often a key was requested recently.
 type keyUsage struct {
 	recentLoad float64 // requests in the window, decaying linearly
 	arrivals   uint64
 	lastSeenAt Micros
 }
 
-// keyUsages keeps the usage of the keys of two windows at the most.
+// keyUsages holds the usage of the keys that were requested in the current window or the one before.
 type keyUsages struct {
 	recent   map[uint64]keyUsage
 	previous map[uint64]keyUsage
--- a/internal/policy/key_placement_test.go
+++ b/internal/policy/key_placement_test.go
@@ -6,19 +6,19 @@
 	shared := &sharedState{}
 	traffic := &trafficEstimate{meanCost: float64(10 * millisecond)}
 	placement := newKeyPlacement(shared, traffic, Instance{KeyAffinity: true, Agents: 1})
-	placesOf := func(key uint64, interval Micros) int {
-		places := map[uint64]bool{}
+	countPositions := func(key uint64, interval Micros) int {
+		positions := map[uint64]bool{}
 		for range 100 {
 			shared.now += interval
-			places[placement.ringPosition(&request{RequestArrived: RequestArrived{Key: key}})] = true
+			positions[placement.ringPosition(&request{RequestArrived: RequestArrived{Key: key}})] = true
 		}
-		return len(places)
+		return len(positions)
 	}
-	if got := placesOf(1, second); got != 1 {
-		t.Errorf("a key that is requested once a second has %d places, want 1", got)
+	if got := countPositions(1, second); got != 1 {
+		t.Errorf("a key that is requested once per second has %d ring positions, want 1", got)
 	}
-	if got := placesOf(2, 5*millisecond); got < 3 {
-		t.Errorf("a key that would fill half of an endpoint has %d places, want several", got)
+	if got := countPositions(2, 5*millisecond); got < 3 {
+		t.Errorf("a key that would use half of an endpoint has %d ring positions, want at least 3", got)
 	}
 }
 
@@ -27,6 +27,6 @@
 	first := placement.ringPosition(&request{RequestArrived: RequestArrived{ID: 1, Key: 5}})
 	second := placement.ringPosition(&request{RequestArrived: RequestArrived{ID: 2, Key: 5}})
 	if first == second {
-		t.Error("two requests with one key have one place, though endpoints gain nothing by keys")
+		t.Error("two requests with the same key have the same ring position, want different ones without key affinity")
 	}
 }
--- a/internal/policy/ring.go
+++ b/internal/policy/ring.go
@@ -7,10 +7,10 @@
 	"switchfork/internal/hashing"
 )
 
-// unitInterval maps a hash to a number from 0 up to 1.
+// unitInterval maps a hash to a number from 0 to below 1.
 func unitInterval(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
-// endpointPoints returns the places of an endpoint on the ring, sorted.
+// endpointPoints returns the points of an endpoint on the ring, sorted.
 func endpointPoints(id uint32, count int, salt uint64) []uint64 {
 	points := make([]uint64, count)
 	for i := range points {
