--- a/internal/policy/capacity.go
+++ b/internal/policy/capacity.go
@@ -3,15 +3,15 @@
 import "switchfork/internal/stats"
 
 const (
-	endpointReportWeight = 0.1  // of one load report in the moving means of its endpoint
-	fleetReportWeight    = 0.01 // of one load report in the mean over all endpoints
-	minUtilization       = 0.15 // of an endpoint, for its report to tell the capacity
-	maxCapacityRatio     = 3.0  // of the capacity that reports give an endpoint, to the mean of all
-	minCapacity          = 1e-9 // so that it can be divided by
+	endpointReportWeight = 0.1  // weight of one load report in the moving means of its endpoint
+	fleetReportWeight    = 0.01 // weight of one load report in the mean over all endpoints
+	minUtilization       = 0.15 // lowest utilization at which a load report shows the capacity
+	maxCapacityRatio     = 3.0  // largest factor, up or down, from the mean of all endpoints to one endpoint's reported capacity
+	minCapacity          = 1e-9 // avoids a division by 0
 )
 
-// capacity decides how much of the traffic an endpoint gets, in requests a second or the list's own unit: the configured
-// weight, or else what load reports show, times the warm-up factor.
+// capacity returns the capacity of an endpoint, by which traffic is distributed. It is the weight in the endpoint list, or else
+// the requests per second that load reports show, times the warm-up factor.
 func (e *endpointRecord) capacity() float64 {
 	capacity := e.Weight
 	if mean := e.endpoints.meanCapacity; !e.endpoints.hasWeights && mean > 0 {
@@ -32,9 +32,9 @@
 	}
 }
 
-// loadAverage is what an endpoint's load reports show: moving means, while it is warm.
+// loadAverage holds the moving means of the load reports that an endpoint sends while it is warm.
 type loadAverage struct {
-	rate        float64 // requests a second
+	rate        float64 // requests per second
 	utilization float64
 }
 
@@ -43,16 +43,17 @@
 	a.utilization = stats.MovingMean(a.utilization, utilization, endpointReportWeight)
 }
 
-// capacity is the rate that the endpoint serves, by how busy that makes it, within bounds around the mean of all.
+// capacity returns the rate that the endpoint could serve at full utilization, kept within bounds around the mean of all
+// endpoints. It is the mean itself if the utilization is too low to tell.
 func (a *loadAverage) capacity(mean float64) float64 {
 	if a.utilization < minUtilization {
 		return mean
 	}
-	shown := a.rate / a.utilization
-	return min(max(shown, mean/maxCapacityRatio), mean*maxCapacityRatio)
+	estimate := a.rate / a.utilization
+	return min(max(estimate, mean/maxCapacityRatio), mean*maxCapacityRatio)
 }
 
-// updateMeanCapacity adds one sample to the mean, which begins with the first one.
+// updateMeanCapacity adds one sample to the mean, which starts at the first sample.
 func (s *endpointSet) updateMeanCapacity(capacity float64) {
 	if s.meanCapacity == 0 {
 		s.meanCapacity = capacity
--- a/internal/policy/concurrency_limit.go
+++ b/internal/policy/concurrency_limit.go
@@ -3,21 +3,22 @@
 import "switchfork/internal/stats"
 
 const (
-	initialEndpointLimit  = 4.0  // two requests in work and two waiting, at an endpoint that is not known yet
-	quickAnswerFraction   = 0.25 // of the latency objective: below it the endpoint has free capacity
-	lateAnswerFraction    = 0.45 // of the latency objective: above it too much is open
+	initialEndpointLimit  = 4.0  // at a new endpoint: two requests being served and two waiting
+	quickAnswerFraction   = 0.25 // of the latency objective; a quicker answer shows free capacity
+	lateAnswerFraction    = 0.45 // of the latency objective; a later answer shows that too many attempts are open
 	limitDecreaseFactor   = 0.7
-	limitDecreaseInterval = 250 * millisecond // late answers of one overload are one sign
-	// silenceTimeoutFraction of the latency objective with attempts in flight and no answer: the endpoint gets no more until
-	// it answers.
+	limitDecreaseInterval = 250 * millisecond // late answers within this time count as one sign of overload
+	// silenceTimeoutFraction is the part of the latency objective after which an endpoint with attempts in flight and no answer
+	// counts as silent. It gets no more attempts until it answers.
 	silenceTimeoutFraction = 0.8
-	// inFlightReportWeight: reports are late and noisy, and set right what lost messages left.
+	// inFlightReportWeight is the weight of a report of the requests in flight. Reports are late and noisy, but they correct the
+	// errors in the count that lost messages cause.
 	inFlightReportWeight = 0.2
 )
 
-// isAvailable decides whether an endpoint may take one more attempt of this agent: it is not ejected, within its concurrency
-// limit and not silent. Silence tells of what hangs (frozen, cut off, stuck) before timeouts do; an endpoint with one long
-// request may be passed over. The endpoint selector asks for each candidate.
+// isAvailable reports whether an endpoint may take one more attempt of this agent: it is not ejected, within its concurrency
+// limit and not silent. Silence shows that an endpoint hangs (frozen, cut off, stuck) earlier than timeouts do. As a side
+// effect, an endpoint with one long request may be passed over. The endpoint selector calls it for each candidate.
 func (e *endpointRecord) isAvailable() bool {
 	if e.isChecking || e.isEjected() || e.now < e.rejectingUntil {
 		return false
@@ -32,17 +33,17 @@
 	return float64(e.now-e.waitingSince) >= silenceTimeoutFraction*float64(e.lastObjective)
 }
 
-// minLimitPerCore is the lowest concurrency limit of one core: one open attempt of all agents together.
+// minLimitPerCore returns an agent's lowest concurrency limit for one core. All agents together may have one open attempt there.
 func minLimitPerCore(agents int) float64 { return 1 / float64(agents) }
 
-// minLimit is the lowest concurrency limit of the endpoint, by what it serves at one time.
+// minLimit returns the lowest concurrency limit of the endpoint, scaled by the number of requests that it serves at one time.
 func (e *endpointRecord) minLimit() float64 {
 	return e.endpoints.minLimitPerCore * e.endpoints.warmConcurrency
 }
 
-// updateLimit adjusts the concurrency limit by a result. It guards against any endpoint that answers too slowly (slowed,
-// overloaded, warming up, a heavy build): requests then go elsewhere. A class whose own work takes almost its latency objective
-// may be held back.
+// updateLimit adjusts the concurrency limit by an attempt's outcome. It guards against endpoints that answer too slowly (slowed
+// down, overloaded, warming up, with a slow build): requests then go elsewhere. As a side effect, a class whose requests always
+// take almost their latency objective may be held back.
 func (e *endpointRecord) updateLimit(outcome attemptOutcome) {
 	switch {
 	case outcome.isQuick() && e.isHalfFull():
@@ -52,14 +53,14 @@
 	}
 }
 
-// isHalfFull reports whether the limit is used enough for a higher one to matter.
+// isHalfFull reports whether about half of the limit is in use, so that a higher limit matters.
 func (e *endpointRecord) isHalfFull() bool { return float64(e.inFlight+1) >= e.limit.Value/2 }
 
 func (o attemptOutcome) isQuick() bool {
 	return o.Outcome == OK && float64(o.Elapsed) < quickAnswerFraction*float64(o.latencyObjective)
 }
 
-// isOverloadSign reports whether an outcome tells that too much is open at its endpoint.
+// isOverloadSign reports whether an outcome shows that too many attempts are open at its endpoint.
 func (o attemptOutcome) isOverloadSign() bool {
 	switch o.Outcome {
 	case OK:
@@ -73,7 +74,8 @@
 	return false
 }
 
-// updateTotalInFlight counts down by one of all agents' requests that ended, and follows a report, if any.
+// updateTotalInFlight subtracts a request that ended from the count of all agents' requests, and moves the count towards the
+// reported one. A negative value means that there is no report.
 func (e *endpointRecord) updateTotalInFlight(reported float64) {
 	e.totalInFlight = max(0, e.totalInFlight-1)
 	if reported >= 0 {
--- a/internal/policy/endpoint_record.go
+++ b/internal/policy/endpoint_record.go
@@ -5,7 +5,7 @@
 	"switchfork/internal/ramp"
 )
 
-// endpointRecord is what is known of one endpoint, kept by the messages that it receives.
+// endpointRecord holds what is known about one endpoint. It is updated by the messages that it receives.
 type endpointRecord struct {
 	messageQueue
 	*sharedState
@@ -15,35 +15,35 @@
 	inList         bool
 	isQueued       bool // in the sharedState's pendingEndpoints
 	ringPoints     []uint64
-	healthChecks   bool // an ejected endpoint comes back by a health check
+	healthChecks   bool // health checks are allowed: an endpoint gets one after its ejection
 	slowStart      SlowStart
 	inFlight       int             // this agent's attempts without a result
 	recentAttempts []recentAttempt // this agent's attempts within OverloadAfter
 }
 
-// endpointHealth is what is known of one process. A new process under the same id starts afresh.
+// endpointHealth holds what is known about one process. It is reset when a new process starts under the endpoint's ID.
 type endpointHealth struct {
 	evidence       endpointEvidence
-	limit          aimd.Limit // of this agent's attempts in flight
+	limit          aimd.Limit // limits this agent's attempts in flight
 	errorRate      float64    // moving mean
-	waitingSince   Micros     // no answer since then, with attempts in flight
+	waitingSince   Micros     // since when attempts are in flight and none has ended
 	lastObjective  Micros     // latency objective of the last attempt
-	silentOutcomes int        // outcomes in a row that were no answer
+	silentOutcomes int        // number of outcomes in a row without an answer
 	lastAnswerAt   Micros
-	rejectingUntil Micros // it rejected an attempt and is given time
+	rejectingUntil Micros // end of the pause after a rejected attempt
 	ejectedUntil   Micros // 0: not ejected
 	load           loadAverage
-	totalInFlight  float64 // requests of all agents, as far as is known
+	totalInFlight  float64 // requests of all agents in flight, as far as is known
 	isChecking     bool    // a health check is in progress
 }
 
-// recentAttempt is an attempt that an endpoint may still be at work on.
+// recentAttempt is an attempt that an endpoint may still be working on.
 type recentAttempt struct {
 	sentAt Micros
 	cost   float64 // µs of work
 }
 
-// enqueue also queues the endpoint for the loop, so that emptying the queues does not cost a look at each endpoint.
+// enqueue also adds the endpoint to pendingEndpoints, so that the router's loop does not have to check every endpoint.
 func (e *endpointRecord) enqueue(msg message) {
 	e.messageQueue.enqueue(msg)
 	if !e.isQueued {
@@ -76,7 +76,7 @@
 	}
 }
 
-// updateEntry takes over the endpoint's entry in the list.
+// updateEntry stores the endpoint's new entry in the list. It resets the endpoint's health if the process is new or has gone.
 func (e *endpointRecord) updateEntry(entry Endpoint) {
 	isNewProcess := entry.Started != e.Started || entry.Build != e.Build || e.limit.Value == 0
 	if isNewProcess || entry.State == Gone {
@@ -116,15 +116,15 @@
 
 func (e *endpointRecord) isEjected() bool { return e.now < e.ejectedUntil }
 
-// hasUnfinishedWork reports whether a result is still to come, or a message waits.
+// hasUnfinishedWork reports whether an attempt has no result yet, or a message is not processed yet.
 func (e *endpointRecord) hasUnfinishedWork() bool { return e.inFlight > 0 || e.isQueued }
 
-// warmUp is the configured growth of a starting endpoint's capacity.
+// warmUp returns the configured growth of a starting endpoint's capacity.
 func (s SlowStart) warmUp() ramp.Linear {
 	return ramp.Linear{Initial: s.InitialCapacity, Duration: s.Duration}
 }
 
-// read returns the figures of a load report, and whether it has them.
+// read returns utilization and rate from a load report. isReported is false if the report does not contain both.
 func (f LoadReportFormat) read(load []float32) (utilization, rate float64, isReported bool) {
 	if f.Utilization == 0 || f.Rate == 0 || len(load) < max(f.Utilization, f.Rate) {
 		return 0, 0, false
--- a/internal/policy/endpoint_set.go
+++ b/internal/policy/endpoint_set.go
@@ -13,14 +13,14 @@
 	all               []*endpointRecord
 	healthChecks      bool
 	slowStart         SlowStart
-	minLimitPerCore   float64 // the lowest concurrency limit of one core
-	warmConcurrency   float64 // requests that a warm endpoint serves at one time: one where no report shows more
-	overloadDigest    []byte  // the endpoints that the evaluators last called overloaded
+	minLimitPerCore   float64 // this agent's lowest concurrency limit for one core
+	warmConcurrency   float64 // requests that a warm endpoint serves at one time; 1 unless load reports show more
+	overloadDigest    []byte  // the endpoints that the evaluators last reported as overloaded
 	digestReceivedAt  Micros
-	hasWeights        bool    // the list has the endpoints' capacities
-	meanCapacity      float64 // requests a second that an endpoint can serve, by the reports; 0: not known
+	hasWeights        bool    // the list gives the endpoints' capacities
+	meanCapacity      float64 // requests per second that an endpoint can serve, by load reports; 0: not known
 	zoneCount         int     // zones seen in the list so far
-	pointsPerEndpoint int     // on the ring
+	pointsPerEndpoint int     // number of points of each endpoint on the ring
 	ringSalt          uint64
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// forwardTick passes a tick on to the endpoints that wait for a time.
+// forwardTick passes a tick to the endpoints that were ejected or have recent attempts, as both expire.
 func (s *endpointSet) forwardTick(msg tick) {
 	for _, e := range s.all {
 		if e.ejectedUntil > 0 || len(e.recentAttempts) > 0 {
@@ -60,8 +60,8 @@
 	}
 }
 
-// update adds and removes records as the list says, and sends each endpoint its own entry. An endpoint that leaves has its entry
-// still to process, so its record goes with the next list.
+// update adds and removes records according to the list, and sends each endpoint its entry. The record of an endpoint that
+// leaves is removed with the next list, because the endpoint still has to process its last entry.
 func (s *endpointSet) update(list EndpointUpdate) {
 	if list.Full {
 		for _, e := range s.all {
@@ -121,16 +121,16 @@
 	}
 }
 
-// newestStart is the last start among a build's ready endpoints, long ago where there are none.
+// newestStart returns the latest start among a build's ready endpoints, or a time long ago if there are none.
 func (s *endpointSet) newestStart(build int) Micros {
-	newest := Micros(math.MinInt64 / 2) // so that a difference to it does not overflow
+	newest := Micros(math.MinInt64 / 2) // halved, so that a difference to it does not overflow
 	for e := range s.readyWith(build) {
 		newest = max(newest, e.Started)
 	}
 	return newest
 }
 
-// highestBuild is the highest build that is ready on any endpoint, but for the excepted ones.
+// highestBuild returns the highest build of any ready endpoint, leaving out the builds in except.
 func (s *endpointSet) highestBuild(except map[int]bool) int {
 	highest := 0
 	for _, e := range s.all {
@@ -141,7 +141,7 @@
 	return highest
 }
 
-// readyCount is the number of a build's ready endpoints.
+// readyCount returns the number of a build's ready endpoints.
 func (s *endpointSet) readyCount(build int) int {
 	count := 0
 	for range s.readyWith(build) {
@@ -150,7 +150,7 @@
 	return count
 }
 
-// warmCapacity is the number of ready endpoints that are not ejected, each counted by its warm-up factor.
+// warmCapacity returns the sum of the warm-up factors of the ready endpoints that are not ejected.
 func (s *endpointSet) warmCapacity() float64 {
 	capacity := 0.0
 	for _, e := range s.all {
@@ -161,7 +161,7 @@
 	return capacity
 }
 
-// meanWarmUpFactor is the mean over a build's ready endpoints, 1 where there are none.
+// meanWarmUpFactor returns the mean over a build's ready endpoints, or 1 if there are none.
 func (s *endpointSet) meanWarmUpFactor(build int) float64 {
 	sum := 0.0
 	count := 0.0
@@ -175,7 +175,7 @@
 	return sum / count
 }
 
-// endpointsPerAgent is this agent's share of a zone's ready endpoints, were all agents alike.
+// endpointsPerAgent returns this agent's share of a zone's ready endpoints, as if all agents had equal shares.
 func (s *endpointSet) endpointsPerAgent(zone, agents int) float64 {
 	count := 0
 	for _, e := range s.all {
@@ -186,7 +186,7 @@
 	return float64(count) / float64(agents)
 }
 
-// totalLoad is what all ready endpoints have in flight of all agents, and their capacity.
+// totalLoad returns the number of all agents' requests in flight at ready endpoints, and the capacity of these endpoints.
 func (s *endpointSet) totalLoad() (inFlight, capacity float64) {
 	for _, e := range s.all {
 		if e.isReady() {
@@ -197,7 +197,8 @@
 	return inFlight, capacity
 }
 
-// openAttempts sums up this agent's attempts in flight, and the limits, over ready endpoints that are not ejected.
+// openAttempts returns the sums of this agent's attempts in flight and of its concurrency limits, over the ready endpoints that
+// are not ejected.
 func (s *endpointSet) openAttempts() (inFlight, limit float64) {
 	for _, e := range s.all {
 		if e.isReady() && !e.isEjected() {
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -3,19 +3,20 @@
 import "switchfork/internal/stats"
 
 const (
-	ejectionTime   = 1 * second // the order of a restart's first signs
+	ejectionTime   = 1 * second // about the time that a restart takes to show its first signs
 	ejectionJitter = 500 * millisecond
 	// rejectionBackoff is about the time in which a full endpoint completes a request.
 	rejectionBackoff = 300 * millisecond
-	// maxSilentOutcomes in a row are the endpoint's own: one timeout may be a heavy request, one break the connection's.
+	// maxSilentOutcomes is the number of outcomes in a row without an answer that eject an endpoint. A single timeout may be due
+	// to a heavy request, and a single lost connection to the connection itself.
 	maxSilentOutcomes = 2
-	errorRateWeight   = 0.2  // of one result in an endpoint's moving mean
-	ejectErrorRate    = 0.45 // three errors in a row
-	elevatedErrorRate = 0.3  // two errors in a row
+	errorRateWeight   = 0.2  // weight of one result in an endpoint's moving mean
+	ejectErrorRate    = 0.45 // exceeded after three errors in a row
+	elevatedErrorRate = 0.3  // exceeded after two errors in a row
 )
 
-// updateHealth decides whether an endpoint is ejected: it cannot be reached, falls silent or answers with errors. It is called
-// for the result of each attempt of this agent.
+// updateHealth ejects an endpoint that cannot be reached, does not answer or answers with errors. It is called with the outcome
+// of each attempt of this agent.
 func (e *endpointRecord) updateHealth(outcome attemptOutcome) {
 	switch outcome.Outcome {
 	case OK:
@@ -30,7 +31,7 @@
 		if e.lastAnswerAt < e.now-outcome.Elapsed {
 			e.silentOutcomes++
 		}
-	case ConnectionLost: // a dead process breaks the next connection too, or refuses it
+	case ConnectionLost: // if the process is dead, the next connection is lost or refused too
 		e.silentOutcomes++
 	case ConnectFailed, Cancelled, NotAttempted:
 	}
@@ -39,8 +40,8 @@
 	}
 }
 
-// recordError ejects an endpoint with many errors: one that fails fast looks idle and draws ever more requests. On the canary
-// the release analyzer gets its evidence first.
+// recordError ejects an endpoint with many errors: an endpoint that fails fast looks idle and would get more and more requests.
+// Server errors eject an endpoint of the canary only once its evidence is conclusive, so that the release analyzer gets it.
 func (e *endpointRecord) recordError(outcome attemptOutcome) {
 	if outcome.isClientError {
 		return
@@ -56,15 +57,15 @@
 	}
 }
 
-// eject takes an endpoint out of use for a while. It comes back for one request at a time, as health checks may pass beside a
-// stuck queue.
+// eject takes an endpoint out of use for a while. Afterwards the endpoint gets one request at a time at first, because health
+// checks may pass while its queue is stuck.
 func (e *endpointRecord) eject() {
 	e.silentOutcomes = maxSilentOutcomes - 1
 	e.limit.Value = e.minLimit()
 	e.ejectedUntil = e.now + ejectionTime + e.randomBelow(ejectionJitter)
 }
 
-// startHealthCheck has an ejected endpoint come back by a health check, where these are allowed.
+// startHealthCheck starts a health check of an endpoint whose ejection has expired, if health checks are allowed.
 func (e *endpointRecord) startHealthCheck() {
 	wasEjected := e.ejectedUntil > 0 && !e.isEjected()
 	if !e.healthChecks || !wasEjected || e.isChecking || !e.isReady() {
@@ -74,8 +75,8 @@
 	e.emit(CheckHealth{EndpointID: e.ID})
 }
 
-// finishHealthCheck brings the endpoint back, or ejects it again. An error is an answer too, as health checks may fail where
-// requests succeed.
+// finishHealthCheck puts the endpoint back into use, or ejects it again. A server error counts as an answer, because health
+// checks may fail where requests succeed.
 func (e *endpointRecord) finishHealthCheck(outcome Outcome) {
 	e.ejectedUntil = 0
 	if e.isChecking && outcome != OK && outcome != ServerError {
--- a/internal/policy/slow_start.go
+++ b/internal/policy/slow_start.go
@@ -7,18 +7,20 @@
 )
 
 const (
-	// overloadMargin of the configured overload multiple is used; the rest is for what the cost estimates miss.
+	// overloadMargin is the part of the configured overload multiple that is used. The rest allows for errors in the cost
+	// estimates.
 	overloadMargin = 0.8
-	// slotLoad is the load that slots give an endpoint in slow start: what a busy fleet carries.
+	// slotLoad is the load that slots put on an endpoint in slow start. It is the load of a busy fleet.
 	slotLoad = 0.6
-	// slotCapacityLoss: with slots an endpoint gets less than its segment of the ring, and warm ones would get the rest.
+	// slotCapacityLoss is the part by which the build selector reduces the capacity of an endpoint with slots. Such an endpoint
+	// gets fewer requests than its segment of the ring holds, and the warm endpoints would get the rest.
 	slotCapacityLoss = 0.7
-	// minSlotChance is the least chance, to divide by, that an agent has a request in its slot.
+	// minSlotChance is the least chance that an agent has a request in its slot. It avoids a division by 0.
 	minSlotChance = 1e-9
 )
 
-// warmUpFactor is the share of its capacity that a starting endpoint has at the least. It is 1 where the configuration gives no
-// time after which overload brings one down.
+// warmUpFactor returns the least share of its capacity that a starting endpoint has. It is 1 if the configuration has no time
+// after which overload brings an endpoint down.
 func (e *endpointRecord) warmUpFactor() float64 {
 	if e.Started <= 0 || e.slowStart.Duration <= 0 || e.slowStart.OverloadAfter <= 0 {
 		return 1
@@ -28,8 +30,8 @@
 
 func (e *endpointRecord) isWarmingUp() bool { return e.warmUpFactor() < 1 }
 
-// slowStartBudget decides how much work an agent may give an endpoint in slow start, and whether that is less than a request, so
-// that agents take turns in slots. The build selector and the endpoint selector ask it for each endpoint.
+// slowStartBudget decides how much work an agent may send to an endpoint in slow start. If that is less than one request, the
+// agents take turns in time slots. The build selector and the endpoint selector consult it for each endpoint.
 type slowStartBudget struct {
 	endpoints *endpointSet
 	traffic   *trafficEstimate
@@ -37,20 +39,21 @@
 	agents    int
 }
 
-// of is an agent's share, in µs of work within OverloadAfter, of what an endpoint takes before it falls over.
+// of returns an agent's share of the work that an endpoint can take before overload brings it down, in µs of work within
+// OverloadAfter.
 func (b *slowStartBudget) of(e *endpointRecord) float64 {
 	overload := overloadMargin * b.limits.OverloadMultiple * e.warmUpFactor()
 	total := overload * float64(b.limits.OverloadAfter) * b.endpoints.warmConcurrency
 	return total / float64(b.agents)
 }
 
-// usesSlots reports whether agents take turns at an endpoint, as their budgets are below one request.
+// usesSlots reports whether agents take turns at an endpoint because their budgets are below one request.
 func (b *slowStartBudget) usesSlots(e *endpointRecord) bool {
 	return e.isWarmingUp() && b.of(e) < b.traffic.meanCost
 }
 
-// slowStartRule decides whether one more attempt of a request fits an endpoint in slow start (rule 4): each agent keeps to its
-// share of what the endpoint takes before it falls over. The rules ask it for each candidate.
+// slowStartRule decides whether one more attempt of a request fits an endpoint in slow start (rule 4). Each agent keeps to its
+// share of the work that the endpoint can take before overload brings it down. attemptRules consults it for each candidate.
 type slowStartRule struct {
 	*sharedState
 	endpoints  *endpointSet
@@ -76,8 +79,9 @@
 	return cost <= r.budget.of(e)
 }
 
-// isInSlot guards an endpoint against all agents together, also with hot keys and moved traffic: one request in an agent's slot,
-// by the agents' indices and for OverloadAfter. It may leave the endpoint idle.
+// isInSlot reports whether this agent has an unused slot at an endpoint now. A slot is for one request and lasts for
+// OverloadAfter; its time depends on the agent's index. Slots protect the endpoint from all agents together, also with hot keys
+// and moved traffic, but may leave it idle.
 func (r *slowStartRule) isInSlot(e *endpointRecord) bool {
 	if r.hasUsedSlot(e) {
 		return false
@@ -97,8 +101,8 @@
 	return count > 0 && e.recentAttempts[count-1].sentAt > r.now-r.limits.OverloadAfter
 }
 
-// slotLoad is the load, in requests at one time, by which slots follow one another. Of agents with little traffic few have a
-// request in their slot, so more slots may overlap.
+// slotLoad returns the load, in requests at one time, that determines how quickly slots follow one another. If agents have
+// little traffic, few of them have a request in their slot, so more slots may overlap.
 func (r *slowStartRule) slotLoad(e *endpointRecord) float64 {
 	share := r.builds.newestShare
 	if r.builds.rank(e.Build) != newestBuild {
--- a/internal/policy/traffic_estimate.go
+++ b/internal/policy/traffic_estimate.go
@@ -3,19 +3,19 @@
 import "switchfork/internal/stats"
 
 const (
-	// trafficMeanWeight of one request in the moving means.
+	// trafficMeanWeight is the weight of one request in the moving means.
 	trafficMeanWeight = 0.02
-	// initialCostShare of the longest latency objective is the mean cost before the first request.
+	// initialCostShare is the mean cost before the first request, as a share of the longest latency objective.
 	initialCostShare = 0.25
-	// maxArrivalInterval bounds what one pause in the traffic counts.
+	// maxArrivalInterval is the longest interval that counts, which bounds the effect of one pause in the traffic.
 	maxArrivalInterval = 10 * second
 )
 
-// trafficEstimate estimates what a request costs and how often one arrives, from the requests and results of this agent. Slow
-// start, key placement and capacity are scaled by it. The dispatcher feeds it.
+// trafficEstimate estimates the cost of a request and the time between two requests, from the requests and results of this
+// agent. Slow start, key placement and capacity are scaled by it. The dispatcher updates it.
 type trafficEstimate struct {
-	meanCost        float64 // µs: moving mean of the cost hints, or else of answer times
-	arrivalInterval float64 // µs: moving mean of the time between two requests
+	meanCost        float64 // in µs; moving mean of the cost hints, or of response times where there is no hint
+	arrivalInterval float64 // in µs; moving mean of the time between two requests
 	lastArrivalAt   Micros
 }
 
@@ -37,7 +37,8 @@
 	t.lastArrivalAt = acceptedAt
 }
 
-// expectedCost is never below the mean: hints that are too small would overfill the budget of an endpoint in slow start.
+// expectedCost returns a request's cost hint, but at least the mean cost. Hints that are too small would exceed the budget of an
+// endpoint in slow start.
 func (t *trafficEstimate) expectedCost(req *request) float64 {
 	return max(float64(req.CostHint), t.meanCost)
 }
--- a/internal/policy/zone_limits.go
+++ b/internal/policy/zone_limits.go
@@ -3,29 +3,29 @@
 import "switchfork/internal/stats"
 
 const (
-	slowShareWeight       = 0.05 // of one result in a zone's moving mean
-	maxSlowShare          = 0.25 // of late results; a healthy busy zone has a tenth
-	zoneLimitDecrease     = 0.03 // of the limit in use, a late result
-	zoneLimitGrowthFactor = 3    // how many times as fast a limit rises
-	minOpenPerEndpoint    = 4.0  // attempts of all agents together that leave no queue
-	openPerConcurrency    = 2.0  // the same, by what the endpoint serves at one time
-	unlimitedAttempts     = 1e6  // as good as no limit
+	slowShareWeight       = 0.05 // weight of one result in a zone's moving mean
+	maxSlowShare          = 0.25 // share of late results above which the limit falls; a healthy busy zone has a tenth
+	zoneLimitDecrease     = 0.03 // fraction of the limit in use by which one result lowers it
+	zoneLimitGrowthFactor = 3    // how many times as fast a limit rises as it falls
+	minOpenPerEndpoint    = 4.0  // open attempts of all agents at one endpoint that cause no queue
+	openPerConcurrency    = 2.0  // the same, for each request that the endpoint serves at one time
+	unlimitedAttempts     = 1e6  // in effect no limit
 )
 
-// zoneLimits decides how many attempts this agent has open in each zone, by the share of late results there. It guards against
-// what loads a zone or the fleet (moved traffic, retries), where one agent meets no endpoint often enough: requests use another
-// zone, or wait and are rejected. Requests that are late by themselves may be held back. The dispatcher counts attempts in it;
-// the endpoint selector asks it.
+// zoneLimits decides how many attempts this agent may have open in each zone, by the share of late results there. It guards
+// against overload of a zone or of the fleet (moved traffic, retries) where one agent uses each endpoint too rarely for limits
+// on single endpoints to help: requests then use another zone, or wait and are rejected. As a side effect, requests that are
+// late for reasons of their own may be held back. The dispatcher counts attempts in it; the endpoint selector consults it.
 type zoneLimits struct {
 	endpoints *endpointSet
 	agents    int
-	zones     []*zoneState // by their index
+	zones     []*zoneState // by zone index
 }
 
-// zoneState is what this agent knows of a zone's endpoints together.
+// zoneState is what this agent knows about a zone as a whole.
 type zoneState struct {
-	limit     float64 // of this agent's attempts in flight
-	slowShare float64 // moving mean of late results
+	limit     float64 // limit on this agent's attempts in flight
+	slowShare float64 // share of late results, as a moving mean
 	inFlight  int
 }
 
@@ -36,7 +36,7 @@
 	return z.zones[zone]
 }
 
-// anyOpen reports whether any zone may be sent more.
+// anyOpen reports whether any zone may get another attempt.
 func (z *zoneLimits) anyOpen() bool {
 	for zone := range z.endpoints.zoneCount {
 		if z.get(zone).isOpen() {
@@ -46,23 +46,24 @@
 	return false
 }
 
-// update adjusts a zone's limit by a result that tells of its load.
+// update adjusts a zone's limit by an outcome, if this may depend on the zone's load.
 func (z *zoneLimits) update(zone int, outcome attemptOutcome) {
-	if outcome.latencyObjective <= 0 || !outcome.tellsOfLoad() {
+	if outcome.latencyObjective <= 0 || !outcome.dependsOnLoad() {
 		return
 	}
 	isSlow := outcome.Outcome != OK || outcome.Elapsed > outcome.latencyObjective
 	z.get(zone).adjustLimit(isSlow, z.minLimit(zone))
 }
 
-// minLimit is this agent's share of the attempts that leave no queue in the zone.
+// minLimit returns this agent's share of the open attempts that cause no queue in the zone.
 func (z *zoneLimits) minLimit(zone int) float64 {
 	open := max(minOpenPerEndpoint, openPerConcurrency*z.endpoints.warmConcurrency)
 	return max(1, open*z.endpoints.endpointsPerAgent(zone, z.agents))
 }
 
-// tellsOfLoad reports whether an outcome may come of load: an error has other causes, and what was not sent has met none.
-func (o attemptOutcome) tellsOfLoad() bool {
+// dependsOnLoad reports whether an outcome may depend on load. Errors have other causes, and an attempt that was not sent has
+// met no load.
+func (o attemptOutcome) dependsOnLoad() bool {
 	switch o.Outcome {
 	case OK, Rejected, TimedOut, ConnectFailed, ConnectionLost, Cancelled:
 		return true
--- a/internal/policy/zone_limits_test.go
+++ b/internal/policy/zone_limits_test.go
@@ -9,16 +9,16 @@
 		zone.adjustLimit(true, minLimit)
 	}
 	if zone.limit != minLimit {
-		t.Errorf("after late results alone the limit is %v, want %v", zone.limit, minLimit)
+		t.Errorf("limit after late results only: got %v, want %v", zone.limit, minLimit)
 	}
 	if zone.isOpen() {
-		t.Error("a zone with 100 attempts in flight is open at its lowest limit")
+		t.Error("isOpen is true with 100 attempts in flight at the lowest limit, want false")
 	}
 	for range 1000 {
 		zone.adjustLimit(false, minLimit)
 	}
 	if zone.limit != unlimitedAttempts {
-		t.Errorf("after timely results alone the limit is %v, want none", zone.limit)
+		t.Errorf("limit after timely results only: got %v, want unlimitedAttempts", zone.limit)
 	}
 }
 
@@ -30,6 +30,6 @@
 		}
 	}
 	if got := limits.get(0).slowShare; got != 0 {
-		t.Errorf("the share of late results is %v, want 0", got)
+		t.Errorf("share of late results: got %v, want 0", got)
 	}
 }
