--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -5,13 +5,14 @@
 // before the next event. A Router does no I/O, reads no clock and starts no goroutine: the same events give the same commands.
 // It owns all its state and is not safe for concurrent use; one goroutine calls it, in the order in which things happen.
 //
-// docs/architecture.md says which file decides what. router.go connects the parts and holds no decision; gossip_codec.go encodes gossip.
+// docs/architecture.md says which file decides what. router.go connects the components and decides nothing by itself;
+// gossip_codec.go encodes gossip.
 package policy
 
 // Micros is a time or a duration in whole microseconds.
 type Micros = int64
 
-// Router is one agent's decisions. Handle answers each event with the commands that follow from it.
+// Router makes the decisions of one agent. Handle processes an event and returns the commands that follow from it.
 type Router interface {
 	Handle(now Micros, ev Event) []Command
 }
@@ -20,7 +21,8 @@
 type Event any
 
 type (
-	// EndpointUpdate is a change of the endpoint list. Full replaces all that was known; Failed says that the call failed.
+	// EndpointUpdate is a change of the endpoint list. Full means that it replaces the whole list, Failed that the call for the
+	// list failed.
 	EndpointUpdate struct {
 		Full, Failed bool
 		Endpoints    []Endpoint
@@ -44,9 +46,9 @@
 		Deadline  Micros
 		CostHint  Micros // expected work; 0: not known
 		IsRetry   bool   // the client says that it has tried before
-		ArrivedAt Micros // when it came, where it waited before it got here; 0: now
+		ArrivedAt Micros // when the agent received it, if it has waited since; 0: now
 	}
-	// ResponseStarted reports that a streamed response has started. The policy takes no notice of it.
+	// ResponseStarted reports that a streamed response has started. The policy ignores it.
 	ResponseStarted struct{ RequestID uint64 }
 	// AttemptResult is the outcome of one attempt.
 	AttemptResult struct {
@@ -54,12 +56,12 @@
 		EndpointID  uint32
 		Outcome     Outcome
 		Elapsed     Micros
-		RequestDone bool // the request has its final answer
-		Load        []float32
+		RequestDone bool      // the request has its final answer
+		Load        []float32 // load report; LoadReportFormat gives the positions of its figures
 	}
 	// RequestCancelled reports that the client has disconnected.
 	RequestCancelled struct{ RequestID uint64 }
-	// TimerFired is the timer that a SetTimer asked for.
+	// TimerFired reports that the time of a SetTimer has come.
 	TimerFired struct{ Token uint64 }
 	// HealthCheckResult answers a CheckHealth.
 	HealthCheckResult struct {
@@ -73,7 +75,7 @@
 		From    int
 		Payload []byte
 	}
-	// RolloutUpdate is the rollout controller's state, sent by itself or as the answer to a vote.
+	// RolloutUpdate is the rollout controller's state, sent unprompted or as the answer to a vote.
 	RolloutUpdate struct {
 		Build, Stage int
 		Phase        Phase
@@ -82,7 +84,7 @@
 		Cap          float64
 		Age          Micros
 	}
-	// MetricsReport is the rollout controller's count for one build and class.
+	// MetricsReport holds the rollout controller's counts for one build and class.
 	MetricsReport struct {
 		Build, Class, Requests, Failures int
 		MeanLatency, Age                 Micros
@@ -147,12 +149,12 @@
 type Command interface{ isCommand() }
 
 type (
-	// SendAttempt sends a request to an endpoint. A Timeout of 0 waits until its deadline.
+	// SendAttempt sends a request to an endpoint. A Timeout of 0 means to wait until the request's deadline.
 	SendAttempt struct {
 		RequestID   uint64
 		EndpointID  uint32
 		Timeout     Micros
-		WriteBefore Micros // its last byte must not leave later; 0: no such time
+		WriteBefore Micros // the request's last byte must not be sent later than this; 0: no limit
 	}
 	// CancelAttempt stops the wait for an attempt. The policy does not return it yet.
 	CancelAttempt struct {
--- a/internal/policy/benchmark_test.go
+++ b/internal/policy/benchmark_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// BenchmarkRequest measures a request from its arrival to its answer: the choice of an endpoint, among 75 warm ones, and what
-// its result changes.
+// BenchmarkRequest measures a request from its arrival to its answer: the choice among 75 warm endpoints and the processing of
+// the result.
 func BenchmarkRequest(b *testing.B) {
 	const (
 		endpointCount = 75
--- a/internal/policy/config.go
+++ b/internal/policy/config.go
@@ -1,9 +1,9 @@
 package policy
 
-// Config is what a Router is created with: the settings of the deployment and of this agent.
+// Config holds the settings of the deployment and of this agent, with which a Router is created.
 type Config struct {
 	Instance      Instance
-	Classes       []RequestClass // by RequestArrived.Class
+	Classes       []RequestClass // indexed by RequestArrived.Class
 	RolloutPlan   RolloutPlan
 	VotingRules   VotingRules
 	ExposureLimit ExposureLimit
@@ -13,17 +13,17 @@
 	CostWeights   CostWeights
 }
 
-// Idempotency tells how often a request of a class may run.
+// Idempotency says whether a request of a class may run more than once.
 type Idempotency int
 
 // The kinds of request classes.
 const (
 	Idempotent    Idempotency = iota // may run again
-	Keyed                            // carries an idempotency key by which a repeat is dropped
+	Keyed                            // carries an idempotency key, by which endpoints drop repeats
 	NonIdempotent                    // must never run twice
 )
 
-// DedupScope names the endpoints that drop one another's repeats.
+// DedupScope says which endpoints drop repeats of requests that one of them has run.
 type DedupScope int
 
 // The scopes of deduplication.
@@ -39,45 +39,45 @@
 // The voting rules.
 const (
 	AnyVote     VotingRule = iota // one vote advances a stage
-	VoteShare                     // a share of the agents must vote for it
-	TimedStages                   // stages advance by themselves; votes hold or roll back
+	VoteShare                     // a stage advances when a share of the agents has voted for it
+	TimedStages                   // stages advance on a timer; votes hold or roll back
 )
 
-// Instance is what an agent is configured with about itself.
+// Instance holds the settings of a single agent.
 type Instance struct {
-	Index       int // of this agent, from 0 on
-	Agents      int // in the deployment
+	Index       int // index of this agent, counted from 0
+	Agents      int // number of agents in the deployment
 	Zone        int
-	Seed        int64 // of its random source
-	KeyAffinity bool  // endpoints serve the keys that they served lately faster
-	HasWeights  bool  // the list has the capacities of endpoints
+	Seed        int64 // seed of the random source
+	KeyAffinity bool  // endpoints are faster with keys that they served recently
+	HasWeights  bool  // the endpoint list gives the capacities of endpoints
 	LoadReport  LoadReportFormat
 }
 
-// RequestClass is one kind of requests.
+// RequestClass holds the settings of one kind of request.
 type RequestClass struct {
 	Idempotency      Idempotency
 	DedupScope       DedupScope
-	DedupWindow      Micros // how long the endpoints of its scope remember a keyed request
+	DedupWindow      Micros // how long the endpoints in DedupScope remember a keyed request
 	LatencyObjective Micros
 	Timeout          Micros
 	PriorityWeight   float64
 	LateWeightShare  float64 // part of the priority weight that a late answer earns; no decision depends on it yet
 }
 
-// RolloutPlan is how releases are rolled out.
+// RolloutPlan describes how releases are rolled out.
 type RolloutPlan struct {
-	Caps            []float64 // by stage
-	Shares          []float64 // of the endpoints, by stage; no decision depends on them yet
-	GuardedStages   int       // first stages that only idempotent requests may use
-	KeysNeverGoBack bool      // an answered key goes to no earlier build
-	ReplacesInPlace bool      // the earlier endpoints leave as their successors start
+	Caps            []float64 // exposure caps by stage
+	Shares          []float64 // shares of the endpoints by stage; no decision depends on them yet
+	GuardedStages   int       // number of stages, from the first on, that only idempotent requests may use
+	KeysNeverGoBack bool      // a key that a build has answered goes to no earlier build
+	ReplacesInPlace bool      // endpoints of earlier builds leave as those of the new build start
 }
 
-// VotingRules are how votes are cast and counted.
+// VotingRules describe how votes are cast and counted.
 type VotingRules struct {
 	Rule            VotingRule
-	VoteLifetime    Micros // a vote lapses after this
+	VoteLifetime    Micros // how long a vote counts
 	CallTimeout     Micros // longest wait for the answer to a vote
 	CallsPerSecond  float64
 	VotesToAdvance  int    // votes that advance a stage
@@ -87,46 +87,46 @@
 
 // ExposureLimit bounds the attempts at a build that is in evaluation.
 type ExposureLimit struct {
-	Window    Micros  // over which attempts and requests are counted
-	Allowance float64 // attempts above the share of the requests
-	PerClass  bool    // each request class has a count of its own
+	Window    Micros  // time over which attempts and requests are counted
+	Allowance float64 // number of attempts allowed above the cap's share of the requests
+	PerClass  bool    // attempts and requests are counted for each class separately
 }
 
-// SlowStart is what a starting endpoint may be sent.
+// SlowStart describes how the capacity of a starting endpoint grows and which overload brings it down.
 type SlowStart struct {
-	InitialCapacity  float64 // share of its capacity that it starts with, at the least
-	Duration         Micros  // warm after this time at the latest
-	OverloadMultiple float64 // of its capacity at the time, which brings it down
-	OverloadAfter    Micros  // how long that has to last
+	InitialCapacity  float64 // least share of its capacity that an endpoint starts with
+	Duration         Micros  // time after which an endpoint is warm at the latest
+	OverloadMultiple float64 // load that brings an endpoint down, as a multiple of its capacity at the time
+	OverloadAfter    Micros  // how long this load has to last to bring an endpoint down
 }
 
 // RetryLimits are the bounds on attempts and waits.
 type RetryLimits struct {
-	DrainGrace    Micros // in which a draining endpoint may still get requests; none is sent, so no decision depends on it
-	AnswerGrace   Micros // in which an answer after its deadline counts; no decision depends on it
-	MaxAttempts   int    // of one request
-	MaxRetryAfter Micros // longest wait that clients follow; 0 where they get none
+	DrainGrace    Micros // how long a draining endpoint may still get requests; none is sent, so no decision depends on it
+	AnswerGrace   Micros // how long after its deadline an answer still counts; no decision depends on it
+	MaxAttempts   int    // attempts per request
+	MaxRetryAfter Micros // longest Retry-After that clients honor; 0: they honor none
 }
 
 // Capabilities are what the deployment permits an agent to do.
 type Capabilities struct {
 	HealthChecks   bool
-	Cancellation   bool // of attempts whose client has gone; no decision depends on it yet
+	Cancellation   bool // attempts whose client has gone may be cancelled; no decision depends on it yet
 	Gossip         bool // agents may send each other messages
-	PollsEndpoints bool // discovery has to be asked for the endpoint list
+	PollsEndpoints bool // the agent has to request the endpoint list from discovery
 }
 
-// LoadReportFormat tells the place of a figure in a load report, from 1 on; 0 where it is not reported.
+// LoadReportFormat gives the position of each figure in a load report, counted from 1. It is 0 for a figure that is not reported.
 type LoadReportFormat struct {
-	Utilization int // how busy its cores are
-	Rate        int // the requests that it serves each second
-	InFlight    int // the requests that it has in flight
+	Utilization int // how busy the endpoint's cores are
+	Rate        int // requests that the endpoint serves per second
+	InFlight    int // requests that the endpoint has in flight
 }
 
 // CostWeights are the costs of actions, as parts of the result.
 type CostWeights struct {
-	CrossZone   float64 // of an attempt in another zone
-	Waste       float64 // of an attempt whose answer nobody gets; no decision depends on it yet
-	HealthCheck float64 // no decision depends on it yet
-	Gossip      float64 // of a message; no decision depends on it yet
+	CrossZone   float64 // cost of an attempt in another zone
+	Waste       float64 // cost of an attempt whose answer nobody gets; no decision depends on it yet
+	HealthCheck float64 // cost of a health check; no decision depends on it yet
+	Gossip      float64 // cost of a message; no decision depends on it yet
 }
--- a/internal/policy/messages.go
+++ b/internal/policy/messages.go
@@ -11,13 +11,13 @@
 type message any
 
 type (
-	// tick has a component look at the time.
+	// tick makes a component do what has become due.
 	tick struct{}
-	// failureStep moves an endpoint's evidence on failures, not below minRatio.
+	// failureStep is added to an endpoint's evidence on failures, which does not go below minRatio.
 	failureStep struct{ step, minRatio float64 }
-	// latenessStep moves an endpoint's evidence on lateness; what is floored does not go below minRatio.
+	// latenessStep is added to an endpoint's evidence on lateness. The floored figure does not go below minRatio.
 	latenessStep struct{ step, minRatio float64 }
-	// evidenceReset tells an endpoint that another build or stage is evaluated: its evidence starts afresh.
+	// evidenceReset makes an endpoint discard its evidence, because another build or stage is evaluated.
 	evidenceReset struct{}
 	// peerVerdict is an evaluator's verdict on a build.
 	peerVerdict struct {
@@ -36,7 +36,7 @@
 	requestRejected struct{ fromPeer bool }
 	// attemptStarted reports an attempt by this agent to its endpoint.
 	attemptStarted struct {
-		cost             float64 // µs of work that is expected
+		cost             float64 // expected work in µs
 		latencyObjective Micros
 	}
 	// attemptOutcome is an attempt's result, by this agent or by a peer, with the record of its endpoint.
@@ -44,17 +44,18 @@
 		AttemptResult
 		endpoint         *endpointRecord
 		class            int     // -1: the request is over and forgotten
-		onCanary         bool    // its build is in evaluation
-		fromPeer         bool    // a peer had it
-		reportedInFlight float64 // requests that the endpoint reports; below 0: it does not report them
-		isClientError    bool    // an error is more likely the tenant's than the endpoint's
+		onCanary         bool    // the endpoint's build is in evaluation
+		fromPeer         bool    // the attempt was made by a peer
+		reportedInFlight float64 // requests in flight that the endpoint reports; below 0: not reported
+		isClientError    bool    // a server error that is more likely the tenant's fault than the endpoint's
 		latencyObjective Micros
 	}
 )
 
-// messageQueue holds the messages to a component, first in, first out. It is not for concurrency: the router's goroutine empties all
-// queues within one call of Handle. It keeps an order: a component finishes a message before what follows from it is
-// processed, by itself or by another, and endpoints take in theirs before any component decides again.
+// messageQueue holds the messages to a component, first in, first out. It is not there for concurrency: the router's goroutine
+// empties all queues within one call of Handle. It is there for the order of processing: a component finishes a message before
+// any component processes the messages that follow from it, and endpoints process their messages before any other component
+// makes its next decision.
 type messageQueue struct {
 	messages []message
 	read     int
@@ -62,7 +63,7 @@
 
 func (q *messageQueue) enqueue(msg message) { q.messages = append(q.messages, msg) }
 
-// dequeue returns the oldest message, or nil where there is none.
+// dequeue returns the oldest message, or nil if there is none.
 func (q *messageQueue) dequeue() message {
 	if q.read < len(q.messages) {
 		msg := q.messages[q.read]
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -15,16 +15,16 @@
 	analyzer   *releaseAnalyzer
 	poller     *endpointPoller
 	components []component
-	timerAt    Micros // the timer that was asked for last
+	timerAt    Micros // time of the timer that was requested last
 }
 
 // sharedState is what all components share: the time, the source of randomness and the commands to carry out.
 type sharedState struct {
 	now              Micros
-	startedAt        Micros // -1: no event yet
+	startedAt        Micros // time of the first event; -1 before it
 	random           *rand.Rand
 	commands         []Command
-	pendingEndpoints []*endpointRecord // those with messages to process
+	pendingEndpoints []*endpointRecord // endpoints with messages to process
 }
 
 func (r *sharedState) emit(command Command) { r.commands = append(r.commands, command) }
@@ -49,12 +49,13 @@
 	}
 }
 
-// Handle passes an event to the components, empties the queues, and sees to it that a timer is asked for.
+// Handle passes an event to the components, processes messages until the queues are empty, and makes sure that a timer for the
+// next tick is requested.
 func (r *router) Handle(now Micros, event Event) []Command {
 	r.now, r.commands = now, nil
 	isTick := r.isTickDue(event)
 	for _, c := range r.components {
-		c.enqueue(event) // each takes what concerns it
+		c.enqueue(event) // a component ignores events that do not concern it
 		if isTick {
 			c.enqueue(tick{})
 		}
@@ -69,7 +70,7 @@
 	return r.commands
 }
 
-// isTickDue reports whether the event brings a tick: the first event does, then each timer that is not early.
+// isTickDue reports whether the event triggers a tick. The first event does, and so does each timer that does not fire early.
 func (r *router) isTickDue(event Event) bool {
 	if r.startedAt < 0 {
 		r.startedAt = r.now
@@ -79,8 +80,8 @@
 	return isTimer && r.now >= r.timerAt
 }
 
-// processNext processes one message and reports whether there was one. Endpoints come first, so that no choice reads a record
-// with messages waiting.
+// processNext processes one message and reports whether there was one. Endpoints come first, so that no decision reads an
+// endpoint's record while messages to it are waiting.
 func (r *router) processNext() bool {
 	for len(r.pendingEndpoints) > 0 {
 		e := r.pendingEndpoints[0]
--- a/internal/policy/state_test.go
+++ b/internal/policy/state_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Keys that are always new and endpoints that come and go leave nothing behind.
+// TestStateStaysBounded checks that the router does not accumulate records of keys, requests and endpoints where each key is
+// new and endpoints come and go.
 func TestStateStaysBounded(t *testing.T) {
 	r := New(Config{
 		Instance:      Instance{Agents: 3, Seed: 7, KeyAffinity: true},
@@ -34,6 +35,6 @@
 		}
 	}
 	if most > 1000 {
-		t.Errorf("%d records are kept", most)
+		t.Errorf("records kept: got up to %d, want at most 1000", most)
 	}
 }
