--- a/internal/aimd/aimd.go
+++ b/internal/aimd/aimd.go
@@ -1,4 +1,4 @@
-// Package aimd keeps a concurrency limit by additive increase and multiplicative decrease.
+// Package aimd adjusts a concurrency limit by additive increase and multiplicative decrease.
 //
 // A Limit belongs to its caller and is not safe for concurrent use. Times are in whole microseconds.
 package aimd
@@ -9,11 +9,11 @@
 	decreasedAt int64
 }
 
-// Increase raises the limit after a good answer: by one for each limit's worth of answers, and at most to the double.
+// Increase raises the limit after a good answer: by about one for as many answers as the limit, and at most to twice its value.
 func (l *Limit) Increase() { l.Value += min(l.Value, 1/l.Value) }
 
-// Decrease lowers the limit after a bad answer to the factor's part of it, not below the minimum. It does nothing before the
-// interval has passed since the last decrease, so that one burst of late answers counts once.
+// Decrease multiplies the limit by the factor after a bad answer, but does not lower it below the minimum. It does nothing before
+// the interval has passed since the last decrease, so that one burst of late answers counts once.
 func (l *Limit) Decrease(now int64, minimum, factor float64, interval int64) {
 	if now >= l.decreasedAt+interval {
 		l.Value, l.decreasedAt = max(minimum, l.Value*factor), now
--- a/internal/aimd/aimd_test.go
+++ b/internal/aimd/aimd_test.go
@@ -8,12 +8,12 @@
 		limit.Increase()
 	}
 	if limit.Value < 4.8 || limit.Value > 5 {
-		t.Errorf("a round of good answers raised 4 to %v, want about 5", limit.Value)
+		t.Errorf("limit of 4 after 4 good answers: got %v, want 4.8 to 5", limit.Value)
 	}
 	limit = Limit{Value: 0.25}
 	limit.Increase()
 	if limit.Value != 0.5 {
-		t.Errorf("a limit below one rose from 0.25 to %v, want the double", limit.Value)
+		t.Errorf("limit of 0.25 after a good answer: got %v, want 0.5", limit.Value)
 	}
 }
 
@@ -22,10 +22,10 @@
 	limit.Decrease(1000, 1, 0.5, 100)
 	limit.Decrease(1099, 1, 0.5, 100)
 	if limit.Value != 5 {
-		t.Errorf("two decreases within the interval left %v, want 5", limit.Value)
+		t.Errorf("limit after two decreases within the interval: got %v, want 5", limit.Value)
 	}
 	limit.Decrease(1100, 4, 0.5, 100)
 	if limit.Value != 4 {
-		t.Errorf("a decrease went to %v, want the minimum of 4", limit.Value)
+		t.Errorf("limit after a decrease: got %v, want the minimum of 4", limit.Value)
 	}
 }
--- a/internal/exposure/exposure.go
+++ b/internal/exposure/exposure.go
@@ -4,7 +4,7 @@
 // A Window belongs to its caller and is not safe for concurrent use. Times are in whole microseconds.
 package exposure
 
-// arrival marks an entry that is a request, and no attempt at a build.
+// arrival marks an entry that is the arrival of a request and not an attempt at a build.
 const arrival = -1
 
 type entry struct {
@@ -12,25 +12,25 @@
 	build      int
 }
 
-// check is one question to the window. The answer holds until the next entry.
-type check struct {
+// query holds the arguments of a call of Fits. The result is valid until the next entry.
+type query struct {
 	build     int
 	share     float64
 	allowance float64
 }
 
-// Window holds the entries of the latest time.
+// Window holds the requests and attempts within a sliding window of time.
 type Window struct {
 	entries   []entry
-	lastCheck check
-	isChecked bool // lastCheck holds: nothing was recorded since
+	lastQuery query
+	isCached  bool // lastFits is valid for lastQuery: nothing was recorded since
 	lastFits  bool
 }
 
-// RecordRequest enters a request that has arrived, and forgets what was recorded before the given time.
+// RecordRequest records the arrival of a request, and removes the entries from before the given time.
 func (w *Window) RecordRequest(now, forgetBefore int64) { w.record(now, forgetBefore, arrival) }
 
-// RecordAttempt enters an attempt at a build, and forgets what was recorded before the given time.
+// RecordAttempt records an attempt at a build, and removes the entries from before the given time.
 func (w *Window) RecordAttempt(now, forgetBefore int64, build int) {
 	w.record(now, forgetBefore, build)
 }
@@ -40,35 +40,35 @@
 		w.entries = w.entries[1:]
 	}
 	w.entries = append(w.entries, entry{now, build})
-	w.isChecked = false
+	w.isCached = false
 }
 
 // Fits reports whether one more attempt at the build keeps its attempts, over every window that ends now, within the share
 // of the requests plus the allowance.
 //
-// The answer is kept until something is recorded: under overload every held request asks again at every tick, and at a
-// thousand requests a second the window has thousands of entries.
+// The result is cached until the next entry: under overload every pending request calls Fits again at every tick, and at a
+// thousand requests per second the window has thousands of entries.
 func (w *Window) Fits(build int, share, allowance float64) bool {
-	asked := check{build, share, allowance}
-	if !w.isChecked || w.lastCheck != asked {
-		w.lastCheck, w.isChecked, w.lastFits = asked, true, w.fits(asked)
+	q := query{build, share, allowance}
+	if !w.isCached || w.lastQuery != q {
+		w.lastQuery, w.isCached, w.lastFits = q, true, w.fits(q)
 	}
 	return w.lastFits
 }
 
-func (w *Window) fits(asked check) bool {
+func (w *Window) fits(q query) bool {
 	balance := 1.0
 	for i := len(w.entries) - 1; i >= 0; i-- {
 		isBoundary := i < len(w.entries)-1 && w.entries[i].recordedAt != w.entries[i+1].recordedAt
-		if isBoundary && balance > asked.allowance {
-			break // no window separates what was recorded at one time
+		if isBoundary && balance > q.allowance {
+			break // entries of the same time belong to the same windows
 		}
 		switch w.entries[i].build {
-		case asked.build:
+		case q.build:
 			balance++
 		case arrival:
-			balance -= asked.share
+			balance -= q.share
 		}
 	}
-	return asked.share > 0 && balance <= asked.allowance
+	return q.share > 0 && balance <= q.allowance
 }
--- a/internal/hashing/hashing_test.go
+++ b/internal/hashing/hashing_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Mix64 returns the numbers that the generator's reference implementation draws from a seed.
+// TestMix64ReturnsReferenceValues checks Mix64 against the numbers that the reference implementation of SplitMix64 draws from a
+// seed.
 func TestMix64ReturnsReferenceValues(t *testing.T) {
 	for seed, want := range map[uint64][]uint64{
 		0:       {0xe220a8397b1dcdaf, 0x6e789e6aa1b965f4, 0x06c45d188009454f},
--- a/internal/hashring/ring.go
+++ b/internal/hashring/ring.go
@@ -1,13 +1,13 @@
 // Package hashring is a consistent-hash ring: it holds the points of endpoints on a circle of 64-bit hashes and finds the owners
-// of the next points clockwise from a position, weighted if wanted. It knows nothing of why an endpoint may or may not be
-// chosen; its caller says so by weight.
+// of the next points clockwise from a position, weighted if wanted. It does not know why an endpoint may or may not be chosen;
+// the caller expresses that by a weight.
 //
 // No package imports it yet. The routing policy searches the points of each endpoint separately, at a cost that grows with the
 // number of endpoints; this ring is the groundwork for a larger ring there.
 //
 // The points lie in buckets by their highest bits, so that a lookup reads a bucket instead of searching all points, and a
-// change of one endpoint touches the buckets of its own points only. A Ring is for one goroutine; it does no I/O and reads
-// no clock.
+// change of one endpoint affects only the buckets of its points. A Ring is not safe for concurrent use; it does no I/O and
+// reads no clock.
 package hashring
 
 import (
@@ -17,7 +17,7 @@
 	"slices"
 )
 
-// Point is a position on the ring and its owner: 16 bytes with the alignment.
+// Point is a position on the ring and its owner. It takes 16 bytes with padding.
 type Point struct {
 	Hash  uint64
 	Owner uint32
@@ -37,7 +37,7 @@
 	maxMeanBucketSize = 8
 	// minMeanBucketSize is the mean number of points in a bucket below which the number of buckets shrinks.
 	minMeanBucketSize = 1
-	// minBuckets is a power of two, as any number of buckets.
+	// minBuckets is the lowest number of buckets. The number of buckets is always a power of two.
 	minBuckets = 16
 	// hashBits is the width of a point's hash.
 	hashBits = 64
@@ -58,7 +58,7 @@
 	return cmp.Compare(a.Owner, b.Owner)
 }
 
-// Add adds points of an owner. A point that is there already is not added again.
+// Add adds points of an owner. A point that is already on the ring is not added again.
 func (r *Ring) Add(owner uint32, hashes []uint64) {
 	for _, hash := range hashes {
 		point := Point{hash, owner}
@@ -73,7 +73,7 @@
 	}
 }
 
-// Remove removes points of an owner. A point that is not there is passed over.
+// Remove removes points of an owner. A point that is not on the ring is ignored.
 func (r *Ring) Remove(owner uint32, hashes []uint64) {
 	for _, hash := range hashes {
 		bucket := &r.buckets[hash>>r.shift]
@@ -87,7 +87,7 @@
 	}
 }
 
-// resize distributes all points over a number of buckets that is the next power of two above the given one.
+// resize distributes all points over a new number of buckets, which is the next power of two above bucketCount.
 func (r *Ring) resize(bucketCount int) {
 	bucketBits := uint(bits.Len(uint(bucketCount)))
 	previous := r.buckets
@@ -101,8 +101,8 @@
 	}
 }
 
-// Walk goes clockwise from a position once round the ring and passes each point's owner and distance to visit. It ends early
-// where visit returns false.
+// Walk goes clockwise from a position once around the ring and passes each point's owner and distance to visit. It ends early
+// if visit returns false.
 func (r *Ring) Walk(position uint64, visit func(owner uint32, distance float64) bool) {
 	if r.pointCount == 0 {
 		return
@@ -125,11 +125,12 @@
 	}
 }
 
-// Nearest returns the owner with the least distance over its weight, and that weighted distance; of equal ones, the one met
-// first. weight returns an owner's weight, 0 for one that must not be chosen, and never more than maxWeight.
+// Nearest returns the owner with the least distance divided by its weight, and that weighted distance. Of owners with the same
+// weighted distance it returns the first one clockwise. weight returns an owner's weight, which is 0 for an owner that must not
+// be chosen, and never more than maxWeight.
 //
-// An owner's first point is its nearest one, and the walk's distances never decrease. Once the distance is so long that not
-// even maxWeight would make up for it, no later owner can win and the walk ends.
+// An owner's first point is its nearest one, and the distances of the walk never decrease. Once the distance is too long even
+// for an owner with maxWeight, no later owner can be nearer and the walk ends.
 func (r *Ring) Nearest(position uint64, maxWeight float64, weight func(owner uint32) float64) (owner uint32, weightedDistance float64, found bool) {
 	weightedDistance = math.Inf(1)
 	r.Walk(position, func(candidate uint32, distance float64) bool {
--- a/internal/hashring/ring_test.go
+++ b/internal/hashring/ring_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// referenceRing is the slow reference: it holds each owner's sorted points apart and searches all of them, as the routing policy
-// does.
+// referenceRing is a slow reference implementation: it holds the sorted points of each owner separately and searches all of
+// them, as the routing policy does.
 type referenceRing map[uint32][]uint64
 
 func (r referenceRing) nearest(position uint64, weight func(uint32) float64) (owner uint32, weightedDistance float64) {
@@ -32,8 +32,8 @@
 	return owner, weightedDistance
 }
 
-// After any changes and at any weights, the ring finds the same nearest distance as the reference, and it holds exactly the points
-// that were added.
+// TestRingMatchesReference checks that after any changes and with any weights the ring finds the same nearest distance as the
+// reference, and holds exactly the points that were added and not removed.
 func TestRingMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ring, reference, weights := New(), referenceRing{}, map[uint32]float64{}
@@ -60,7 +60,7 @@
 				weight := func(owner uint32) float64 { return weights[owner] }
 				_, distance, found := ring.Nearest(position, 1, weight)
 				if _, want := reference.nearest(position, weight); distance != want || found == math.IsInf(want, 1) {
-					t.Fatalf("the nearest owner is at %g, want %g", distance, want)
+					t.Fatalf("weighted distance of the nearest owner: got %g, want %g", distance, want)
 				}
 				count := 0
 				for _, points := range reference {
@@ -69,20 +69,21 @@
 				seen, previous := 0, 0.0
 				ring.Walk(position, func(_ uint32, distance float64) bool {
 					if distance < previous {
-						t.Fatalf("the walk goes back from %g to %g", previous, distance)
+						t.Fatalf("Walk passed distance %g and then %g, want ascending distances", previous, distance)
 					}
 					seen, previous = seen+1, distance
 					return true
 				})
 				if seen != count || ring.Points() != count {
-					t.Fatalf("a walk visits %d of %d points, Points returns %d", seen, count, ring.Points())
+					t.Fatalf("Walk visited %d points, want %d; Points returned %d, want the same", seen, count, ring.Points())
 				}
 			},
 		})
 	})
 }
 
-// When one of many owners is removed, only the positions that it owned move to others.
+// TestRemovalMovesOnlyTheOwnersPositions checks that when one of many owners is removed, only the positions that it owned move
+// to other owners.
 func TestRemovalMovesOnlyTheOwnersPositions(t *testing.T) {
 	ring, points := newFilledRing(100)
 	random := rand.New(rand.NewSource(2))
@@ -99,13 +100,13 @@
 		switch owner, _, _ := ring.Nearest(position, 1, equalWeight); {
 		case owner == before[i]:
 		case before[i] != 7:
-			t.Fatalf("a position moved from owner %d to %d when 7 was removed", before[i], owner)
+			t.Fatalf("a position moved from owner %d to owner %d when owner 7 was removed", before[i], owner)
 		default:
 			moved++
 		}
 	}
 	if movedFraction := float64(moved) / float64(len(positions)); movedFraction < 0.005 || movedFraction > 0.02 {
-		t.Errorf("%.4f of the positions moved, want about 0.01", movedFraction)
+		t.Errorf("share of positions that moved: got %.4f, want 0.005 to 0.02", movedFraction)
 	}
 }
 
--- a/internal/ramp/ramp.go
+++ b/internal/ramp/ramp.go
@@ -1,5 +1,5 @@
-// Package ramp describes capacity that grows linearly after a start. Its values are constants of their caller; times are in
-// whole microseconds.
+// Package ramp describes capacity that grows linearly after a start. The caller sets the parameters; times are in whole
+// microseconds.
 package ramp
 
 // Linear is a share that grows from Initial at age 0 to 1 at age Duration.
@@ -13,7 +13,7 @@
 	return min(1, l.Initial+(1-l.Initial)*float64(max(0, age))/float64(l.Duration))
 }
 
-// Integral returns the share summed up from age 0 to the given one, which lies within Duration.
+// Integral returns the integral of the share from age 0 to the given age, which must be within Duration.
 func (l Linear) Integral(age float64) float64 {
 	return age * (l.Initial + (1-l.Initial)*age/2/float64(l.Duration))
 }
