--- a/internal/policy/gossip_codec.go
+++ b/internal/policy/gossip_codec.go
@@ -7,7 +7,7 @@
 	"switchfork/internal/hashing"
 )
 
-// recordKind is the outcome of an attempt, or one of the kinds below.
+// recordKind is the Outcome of an attempt, or one of the kinds below.
 type recordKind byte
 
 const (
@@ -16,35 +16,35 @@
 	rejectionKind recordKind = 0xff
 )
 
-// Agents write records of recordBytes each: endpoint, build, class, kind, whole milliseconds, and the requests in flight that the
-// endpoint reports. That of a verdict holds build, stage and verdict.
+// recordBytes is the size of a record. A record holds the endpoint, its build, the class, the kind, the elapsed time in whole
+// milliseconds, and the requests in flight that the endpoint reports. A verdict's record holds build, stage, verdict and kind.
 const recordBytes = 10
 
-// The places of a record's fields. The first four bytes are the endpoint's id, or a verdict's build.
+// Offsets of the fields of a record. The first four bytes are the endpoint's id or, in a verdict, the build.
 const (
 	buildByte    = 4
-	stageByte    = 4 // of a verdict
-	verdictByte  = 5 // of a verdict
+	stageByte    = 4 // in a verdict
+	verdictByte  = 5 // in a verdict
 	classByte    = 5
 	kindByte     = 6
 	elapsedByte  = 7 // two bytes
 	inFlightByte = 9
 )
 
-// digestBytes is not divisible by recordBytes, so that a digest is known by its length.
+// digestBytes is the size of a digest. It is not divisible by recordBytes, so that a digest is recognized by its length.
 const digestBytes = 64
 
-// gossipRecord is what an agent tells the evaluators of an attempt or a request.
+// gossipRecord is what an agent reports to the evaluators about an attempt or a request.
 type gossipRecord struct {
 	kind       recordKind
 	endpointID uint32
 	build      int
 	class      int
 	elapsed    Micros
-	inFlight   float64 // that the endpoint reports; below 0: it does not report them
+	inFlight   float64 // requests in flight that the endpoint reports; below 0: not reported
 }
 
-// outcomeRecord is the record of an attempt's outcome.
+// outcomeRecord returns the record of an attempt's outcome.
 func outcomeRecord(outcome attemptOutcome) gossipRecord {
 	return gossipRecord{
 		kind:       recordKind(outcome.Outcome),
@@ -56,15 +56,15 @@
 	}
 }
 
-// attemptRecord is the record of an attempt that was sent.
+// attemptRecord returns the record of an attempt that was sent.
 func attemptRecord(to Endpoint) gossipRecord {
 	return gossipRecord{kind: attemptKind, endpointID: to.ID, build: to.Build}
 }
 
-// rejectionRecord is the record of a request that was rejected.
+// rejectionRecord returns the record of a request that was rejected or failed.
 func rejectionRecord() gossipRecord { return gossipRecord{kind: rejectionKind} }
 
-// appendTo encodes the record behind those that the buffer holds.
+// appendTo appends the encoded record to a buffer.
 func (r gossipRecord) appendTo(buffer []byte) []byte {
 	buffer = binary.LittleEndian.AppendUint32(buffer, r.endpointID)
 	buffer = append(buffer, byte(r.build), byte(r.class), byte(r.kind))
@@ -79,14 +79,14 @@
 	return append(record, byte(stage), byte(verdict), byte(verdictKind), 0, 0, 0)
 }
 
-// gossipCodec turns what peers write into messages of the analyzer.
+// gossipCodec decodes the records of peers into messages to the analyzer.
 type gossipCodec struct {
 	*sharedState
 	endpoints *endpointSet
 	classes   []RequestClass
 }
 
-// decode decodes a peer's records. It skips those of endpoints and classes that are not known here.
+// decode decodes a peer's records. It skips records of endpoints and classes that this agent does not know.
 func (c *gossipCodec) decode(gossip GossipReceived) (messages []message) {
 	payload := gossip.Payload
 	for ; len(payload) >= recordBytes; payload = payload[recordBytes:] {
@@ -126,8 +126,8 @@
 	e := c.endpointOf(record)
 	class := int(record[classByte])
 	outcome := Outcome(record[kindByte])
-	isOfEndpoint := e != nil && byte(e.Build) == record[buildByte]
-	if !isOfEndpoint || class >= len(c.classes) || outcome > Malformed {
+	isKnownEndpoint := e != nil && byte(e.Build) == record[buildByte]
+	if !isKnownEndpoint || class >= len(c.classes) || outcome > Malformed {
 		return nil
 	}
 	elapsed := Micros(binary.LittleEndian.Uint16(record[elapsedByte:])) * millisecond
@@ -141,15 +141,15 @@
 	}
 }
 
-// endpointOf is the endpoint of a record, nil where it is not known here.
+// endpointOf returns the endpoint of a record, or nil if this agent does not know it.
 func (c *gossipCodec) endpointOf(record []byte) *endpointRecord {
 	return c.endpoints.byID[binary.LittleEndian.Uint32(record)]
 }
 
-// digestBit returns the place of an endpoint's bit in a digest.
+// digestBit returns the position of an endpoint's bit in a digest.
 func digestBit(id uint32) (index int, bit byte) {
-	place := hashing.Mix64(uint64(id)) % (8 * digestBytes)
-	return int(place / 8), 1 << (place % 8)
+	position := hashing.Mix64(uint64(id)) % (8 * digestBytes)
+	return int(position / 8), 1 << (position % 8)
 }
 
 func setDigestBit(digest []byte, id uint32) {
@@ -157,7 +157,7 @@
 	digest[index] |= bit
 }
 
-// hasDigestBit reports whether an endpoint's bit is set. In anything else than a digest none is.
+// hasDigestBit reports whether an endpoint's bit is set. It returns false if the bytes are not a digest.
 func hasDigestBit(digest []byte, id uint32) bool {
 	index, bit := digestBit(id)
 	return len(digest) == digestBytes && digest[index]&bit != 0
--- a/internal/policy/outcome_sharing.go
+++ b/internal/policy/outcome_sharing.go
@@ -1,12 +1,12 @@
 package policy
 
 const (
-	batchInterval = 500 * millisecond // after which a batch goes out
-	maxBatchBytes = 256 - recordBytes // from here on a batch goes out at once
+	batchInterval = 500 * millisecond // age at which a batch is sent
+	maxBatchBytes = 256 - recordBytes // a longer batch is sent at once
 )
 
-// outcomeSharing decides when an agent sends what it saw of its attempts to the evaluators: in batches, or at once where these
-// follow what is in flight. The analyzer adds records and calls it at each tick.
+// outcomeSharing decides when an agent sends records of its attempts and requests to the evaluators: in batches, or at once where
+// the evaluators count the requests in flight. The analyzer adds records and calls it at each tick.
 type outcomeSharing struct {
 	*sharedState
 	evaluators     *evaluatorGroup
@@ -14,7 +14,7 @@
 	batchStartedAt Micros
 }
 
-// add adds a record to the batch, where there are evaluators.
+// add adds a record to the batch, if there are evaluators.
 func (s *outcomeSharing) add(record gossipRecord) {
 	if !s.evaluators.exist() {
 		return
@@ -28,7 +28,7 @@
 	}
 }
 
-// sendIfDue sends a batch that has waited for its time.
+// sendIfDue sends the batch if it has reached batchInterval.
 func (s *outcomeSharing) sendIfDue() {
 	if len(s.batch) > 0 && s.now >= s.batchStartedAt+batchInterval {
 		s.send()
--- a/internal/policy/overload_digest.go
+++ b/internal/policy/overload_digest.go
@@ -1,13 +1,13 @@
 package policy
 
 const (
-	digestInterval = 1 * second // of each evaluator, in turn
-	digestLifetime = 1 * second // so that four of the last five may be lost
+	digestInterval = 1 * second // between digests of one evaluator; the evaluators take turns
+	digestLifetime = 1 * second // four of the last five digests may be lost
 )
 
-// overloadDigest decides which endpoints all agents avoid: those with more than their share in flight. Where an agent meets each
-// endpoint once a minute, no limit of its own can tell; the evaluators see the attempts of all. A digest may be a second old. The
-// analyzer calls it at each tick.
+// overloadDigest decides which endpoints all agents avoid: those with more than their share of the requests in flight. An agent
+// that uses each endpoint about once a minute cannot find them by its own limits, but the evaluators see the attempts of all
+// agents. A digest in use may be a second old. The analyzer calls overloadDigest at each tick.
 type overloadDigest struct {
 	*sharedState
 	evaluators *evaluatorGroup
@@ -15,14 +15,14 @@
 	sentAt     Micros
 }
 
-// announceIfDue broadcasts a digest, as an evaluator whose turn it is, and applies it to this agent too.
+// announceIfDue broadcasts a digest if this agent is an evaluator and its turn has come, and applies the digest to this agent.
 func (d *overloadDigest) announceIfDue() {
 	if !d.evaluators.isMember || !d.evaluators.sharesInFlight || d.now < d.sentAt+digestInterval {
 		return
 	}
 	if d.sentAt == 0 {
-		place := Micros(d.evaluators.indexOf(d.evaluators.agentIndex))
-		d.sentAt = d.now - digestInterval*place/evaluatorCount
+		turn := Micros(d.evaluators.indexOf(d.evaluators.agentIndex))
+		d.sentAt = d.now - digestInterval*turn/evaluatorCount
 		return
 	}
 	digest := d.encode()
--- a/internal/policy/release_state.go
+++ b/internal/policy/release_state.go
@@ -3,14 +3,14 @@
 // establishTime is how long after its release a build becomes a part of the baseline.
 const establishTime = 25 * second
 
-// releaseState is what the parts of the release analyzer share: the rollout's state, and since when its stage runs.
+// releaseState is what the parts of the release analyzer share: the rollout's state and the start of its stage.
 type releaseState struct {
 	*sharedState
 	*rolloutState
-	stageStartedAt Micros // or this agent's start, if that was later
+	stageStartedAt Micros // this agent's start, if that was later
 }
 
-// isEstablished reports whether the release has been out for a while, or since before this agent started.
+// isEstablished reports whether the evaluation of the build ended more than establishTime ago, or before this agent started.
 func (r *releaseState) isEstablished() bool {
 	if r.phase == Evaluating {
 		return false
@@ -18,5 +18,5 @@
 	return r.stageStartedAt <= r.startedAt || r.now-r.stageStartedAt > establishTime
 }
 
-// isBaselineBuild reports whether what a build does tells of what the canary is compared with.
+// isBaselineBuild reports whether a build belongs to the baseline, with which the canary is compared.
 func (r *releaseState) isBaselineBuild(build int) bool { return build < r.build || r.isEstablished() }
--- a/internal/policy/rollout_state.go
+++ b/internal/policy/rollout_state.go
@@ -1,7 +1,7 @@
 package policy
 
-// rolloutState is what a component knows of the current rollout. The dispatcher and the analyzer keep one each: an update takes
-// effect in a component when the component processes it.
+// rolloutState is what a component knows about the current rollout. The dispatcher and the analyzer keep one each, so that an
+// update takes effect in a component when the component processes it.
 type rolloutState struct {
 	plan       RolloutPlan
 	build      int
@@ -15,8 +15,8 @@
 	return &rolloutState{rolledBack: map[int]bool{}, plan: plan}
 }
 
-// apply takes over an update and reports whether build, stage or phase have changed. The answer to a vote that failed tells
-// nothing.
+// apply applies an update and reports whether build, stage or phase have changed. It ignores the reply to a vote that failed,
+// which does not hold the rollout's state.
 func (s *rolloutState) apply(update RolloutUpdate) bool {
 	if update.IsVoteReply && update.Outcome != OK {
 		return false
--- a/internal/policy/verdict_exchange.go
+++ b/internal/policy/verdict_exchange.go
@@ -1,16 +1,16 @@
 package policy
 
 const (
-	verdictInterval = 1 * second // at which an evaluator repeats its verdict
-	verdictLifetime = 3 * second // so that two messages in a row may be lost
+	verdictInterval = 1 * second // between repetitions of an evaluator's verdict
+	verdictLifetime = 3 * second // two messages in a row may be lost
 )
 
-// verdictExchange decides what the evaluators hold of a stage: what a majority of them said lately. The analyzer passes their
-// verdicts on; the voter asks for the majority and announces this agent's own.
+// verdictExchange decides which verdict on a stage the evaluators have agreed on: the one that a majority of them announced
+// lately. The analyzer passes on the evaluators' verdicts; the voter asks for the majority and announces this agent's verdict.
 type verdictExchange struct {
 	release     *releaseState
 	evaluators  *evaluatorGroup
-	verdicts    []peerVerdict // the last of each evaluator
+	verdicts    []peerVerdict // the last verdict of each evaluator
 	announced   Verdict
 	announcedAt Micros
 }
@@ -21,14 +21,14 @@
 	}
 }
 
-// receive takes in an evaluator's verdict; that of any other agent does not count.
+// receive records an evaluator's verdict. It ignores the verdict of any other agent.
 func (x *verdictExchange) receive(verdict peerVerdict) {
 	if index := x.evaluators.indexOf(verdict.from); index >= 0 {
 		x.verdicts[index] = verdict
 	}
 }
 
-// majority is the verdict of most evaluators on this stage, and whether there is one.
+// majority returns the verdict of most evaluators on this stage, and whether there is one.
 func (x *verdictExchange) majority() (Verdict, bool) {
 	var counts [Rollback + 1]int
 	for _, peer := range x.verdicts {
@@ -44,20 +44,21 @@
 	return NoVote, false
 }
 
-// isValid reports whether a verdict is recent and of this stage. To roll back holds for all stages of a build.
+// isValid reports whether a verdict is recent and about this stage. A verdict to roll back holds for all stages of a build.
 func (x *verdictExchange) isValid(peer peerVerdict) bool {
-	isOfStage := peer.stage == x.release.stage || peer.verdict == Rollback
-	if peer.build != x.release.build || !isOfStage {
+	isAboutStage := peer.stage == x.release.stage || peer.verdict == Rollback
+	if peer.build != x.release.build || !isAboutStage {
 		return false
 	}
 	isKnown := peer.verdict >= NoVote && peer.verdict <= Rollback
 	return isKnown && x.release.now-peer.receivedAt < verdictLifetime
 }
 
-// announce broadcasts this evaluator's verdict: at once where it is new, and once a verdictInterval.
+// announce broadcasts this evaluator's verdict: at once if it has changed, and once per verdictInterval while it is a vote or the
+// build is in evaluation.
 func (x *verdictExchange) announce(verdict Verdict) {
-	isOfInterest := verdict != NoVote || x.release.phase == Evaluating
-	isDue := isOfInterest && x.release.now >= x.announcedAt+verdictInterval
+	isRepeated := verdict != NoVote || x.release.phase == Evaluating
+	isDue := isRepeated && x.release.now >= x.announcedAt+verdictInterval
 	if verdict == x.announced && !isDue {
 		return
 	}
