--- a/internal/policy/analyzer.go
+++ b/internal/policy/analyzer.go
@@ -1,8 +1,8 @@
 package policy
 
-// releaseAnalyzer compares the canary build with the baseline and votes. It takes the messages and passes each on to the parts
-// that learn from it; what they decide stands with them. The router calls it with gossip, rollout updates, reports and ticks,
-// the dispatcher with what became of attempts and requests.
+// releaseAnalyzer compares the canary build with the baseline and votes on the release. It receives messages and passes each to
+// the parts that use it; the parts make the decisions. The router sends it gossip, rollout updates, reports and ticks; the
+// dispatcher sends it the attempts, their outcomes and the rejected requests.
 type releaseAnalyzer struct {
 	messageQueue
 	*sharedState
@@ -95,15 +95,15 @@
 	a.slowdown.recordFinishedAttempt()
 	switch {
 	case outcome.fromPeer:
-		outcome.endpoint.enqueue(outcome) // for what it has in flight
+		outcome.endpoint.enqueue(outcome) // updates the endpoint's count of requests in flight
 	case !outcome.isClientError && outcome.class >= 0:
 		a.sharing.add(outcomeRecord(outcome))
 	}
 	a.recordOutcome(outcome)
 }
 
-// recordOutcome passes on what an outcome says of its build. A timeout says that something is overloaded, not what, and is no
-// evidence of failure.
+// recordOutcome adds an outcome to the evidence on its build and to the slowdown detector. A timeout shows that something is
+// overloaded but not what, so it is not evidence of failure.
 func (a *releaseAnalyzer) recordOutcome(outcome attemptOutcome) {
 	isOK := outcome.Outcome == OK
 	isError := outcome.Outcome == ServerError
@@ -123,10 +123,10 @@
 	a.slowdown.recordBuild(outcome.endpoint.Build)
 }
 
-// isLatenessEvidence reports whether lateness at an endpoint tells of its build: a slow build still answers, but late. Only
-// while the baseline has most of the traffic, and at endpoints that are warm.
+// isLatenessEvidence reports whether lateness at an endpoint is evidence on its build: a slow build still answers, but late.
+// It is evidence only while the baseline has most of the traffic, and only at warm endpoints.
 func (a *releaseAnalyzer) isLatenessEvidence(e *endpointRecord) bool {
-	return a.evaluators.decidesItself() && a.slowdown.canaryShare < maxLatenessCanaryShare && !e.isWarmingUp()
+	return a.evaluators.evaluatesReleases() && a.slowdown.canaryShare < maxLatenessCanaryShare && !e.isWarmingUp()
 }
 
 func (a *releaseAnalyzer) receiveAttempt(attempt attemptSent) {
@@ -145,7 +145,7 @@
 
 func (a *releaseAnalyzer) receiveUpdate(update RolloutUpdate) {
 	if update.IsVoteReply && update.Outcome != OK {
-		a.voter.delay(update.Outcome)
+		a.voter.backOff(update.Outcome)
 	}
 	isSameStage := update.Stage == a.release.stage || a.reports.areUsed()
 	keepsEvidence := update.Build == a.release.build && isSameStage
--- a/internal/policy/controller_reports.go
+++ b/internal/policy/controller_reports.go
@@ -7,35 +7,36 @@
 )
 
 const (
-	reportDecay   = 0.7  // of earlier reports' counts, an interval
-	maxReportStep = 2.0  // that one interval adds: one alone does not decide
-	badSlowFactor = 1.6  // times the expected latency is a slow build
-	goodFactor    = 1.15 // times the baseline's latency is a good one beside warm endpoints
+	reportDecay       = 0.7  // factor on the counts of earlier reports at each interval
+	maxReportStep     = 2.0  // most that one interval adds to the ratio, so that one alone does not decide
+	badLatencyFactor  = 1.6  // a slow build's latency, as a multiple of the expected latency
+	goodLatencyFactor = 1.15 // a good build's latency next to warm endpoints, as a multiple of the baseline's
 )
 
-// controllerReports decides what the rollout controller's counts say of the canary: failures and latencies by class over all
-// agents in an interval, the same for all, against earlier builds in the same interval. They stand in for what agents without
-// gossip cannot tell each other. The analyzer passes reports on and has them evaluated at a tick; the voter and the slowdown
+// controllerReports turns the rollout controller's reports into evidence on the canary. A report holds the requests, failures and
+// mean latency of a build and class over all agents in an interval; all agents get the same reports. The canary is compared with
+// earlier builds in the same interval, to which earlier intervals are added with decaying weight. The reports are used where
+// agents cannot exchange outcomes by gossip. The analyzer adds reports and evaluates them at a tick; the voter and the slowdown
 // detector read the result.
 type controllerReports struct {
-	release        *releaseState
-	endpoints      *endpointSet
-	evaluators     *evaluatorGroup
-	classes        []RequestClass
-	interval       Micros // 0: no reports
-	pending        []MetricsReport
-	hasReceived    bool
-	baselineTotals []classTotals // of earlier builds, by class, decaying
-	build          int           // that ratio is about
-	ratio          float64       // log likelihood ratio against the build
-	slowdown       float64       // mean latency over the baseline's
-	canaryShare    float64       // of the requests
+	release         *releaseState
+	endpoints       *endpointSet
+	evaluators      *evaluatorGroup
+	classes         []RequestClass
+	interval        Micros          // between reports; 0: no reports
+	pending         []MetricsReport // not evaluated yet
+	hasReceived     bool
+	baselineTotals  []classTotals // of earlier builds, by class
+	build           int           // the build that ratio is about
+	ratio           float64       // log likelihood ratio against the build
+	relativeLatency float64       // mean latency divided by the baseline's
+	canaryShare     float64       // the canary's share of the requests
 }
 
-// classTotals are a class's decaying counts.
+// classTotals are the counts of a class, which decay at each interval. The latency is in µs.
 type classTotals struct{ requests, failures, totalLatency float64 }
 
-// intervalReports are the reports of an interval, taken apart.
+// intervalReports are the canary's reports of an interval, and the numbers of requests of the baseline and of all builds.
 type intervalReports struct {
 	canary           []MetricsReport
 	baselineRequests float64
@@ -55,7 +56,7 @@
 	}
 }
 
-// areUsed reports whether the reports stand in for gossip.
+// areUsed reports whether the reports are used in place of gossip.
 func (r *controllerReports) areUsed() bool { return r.hasReceived && !r.evaluators.exist() }
 
 func (r *controllerReports) arePending() bool { return len(r.pending) > 0 }
@@ -75,7 +76,7 @@
 	return report.Build <= r.release.build && !r.release.rolledBack[report.Build]
 }
 
-// startBuild forgets the evidence on another build than the one in evaluation.
+// startBuild clears the evidence if it is about another build than the given one, which is now in evaluation.
 func (r *controllerReports) startBuild(build int) {
 	if build != r.build {
 		r.build = build
@@ -83,16 +84,16 @@
 	}
 }
 
-// evaluate weighs the pending reports and returns their requests.
+// evaluate adds the pending reports to the evidence and returns the number of their requests.
 func (r *controllerReports) evaluate(latencies *latencyComparison) (requests float64) {
 	interval := r.takePending(latencies)
 	if step := r.step(interval.canary); interval.baselineRequests >= minOutcomes && !r.release.isEstablished() {
-		r.ratio = max(r.ratio+step, -maxSavedEvidence)
+		r.ratio = max(r.ratio+step, -maxGoodEvidence)
 	}
 	return interval.requests
 }
 
-// step is how far the reports on the canary move the ratio.
+// step returns how far the reports on the canary move the ratio.
 func (r *controllerReports) step(canary []MetricsReport) float64 {
 	failureSum := 0.0
 	latenessSum := 0.0
@@ -102,14 +103,15 @@
 		mean := totals.meanLatency() / r.endpoints.meanWarmUpFactor(r.release.build)
 		test := newRateTest(r.expectedFailureRate(report.Class, mean), badFailureFactor)
 		failureSum += float64(report.Failures)*test.Failure() + good*test.Success()
-		if expected := goodFactor * mean; expected > 0 {
-			latenessSum += sprt.ExponentialMean(good, float64(report.MeanLatency), expected, badSlowFactor)
+		if expected := goodLatencyFactor * mean; expected > 0 {
+			latenessSum += sprt.ExponentialMean(good, float64(report.MeanLatency), expected, badLatencyFactor)
 		}
 	}
 	return min(failureSum+max(0, latenessSum), maxReportStep)
 }
 
-// expectedFailureRate is what a class's baseline fails, or what its mean latency alone would have end too late.
+// expectedFailureRate returns the failure rate of a class's baseline or, if higher, the share of requests that would miss the
+// latency objective with the given mean latency alone, were latencies exponentially distributed.
 func (r *controllerReports) expectedFailureRate(class int, meanLatency float64) float64 {
 	totals := &r.baselineTotals[class]
 	objective := float64(r.classes[class].LatencyObjective)
@@ -117,7 +119,8 @@
 	return max(minFailureRate, totals.failures/max(1, totals.requests), lateShare)
 }
 
-// takePending takes the pending reports over: the baseline's into its totals, all into the slowdown and the canary's share.
+// takePending empties the pending reports. It adds the baseline's reports to its totals, and computes the slowdown and the
+// canary's share of the requests from all reports.
 func (r *controllerReports) takePending(latencies *latencyComparison) intervalReports {
 	r.decayTotals()
 	var interval intervalReports
@@ -143,7 +146,7 @@
 		}
 	}
 	r.pending = r.pending[:0]
-	r.slowdown = latency / max(1, baselineLatency)
+	r.relativeLatency = latency / max(1, baselineLatency)
 	r.canaryShare = canaryRequests / interval.requests
 	return interval
 }
@@ -158,7 +161,7 @@
 	}
 }
 
-// meanLatency is in µs, of the requests that did not fail.
+// meanLatency returns the mean latency, in µs, of the requests that did not fail.
 func (t *classTotals) meanLatency() float64 { return t.totalLatency / max(1, t.requests-t.failures) }
 
 func (t *classTotals) add(report MetricsReport) {
--- a/internal/policy/endpoint_evidence.go
+++ b/internal/policy/endpoint_evidence.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// endpointEvidence is what the outcomes at one endpoint say against its build in this stage, as log likelihood ratios.
+// endpointEvidence is the evidence from one endpoint against its build in the current stage, in log likelihood ratios.
 type endpointEvidence struct {
 	failureRatio    float64
-	failureCusum    float64 // the same, but never below 0
+	failureCusum    float64 // cumulative sum of the same steps that never falls below 0
 	latenessRatio   float64
-	flooredLateness float64 // the same with less saved up: what counts where most endpoints are late
+	flooredLateness float64 // sum of the same steps with a higher floor; it counts where most endpoints are late
 	hasAny          bool
 }
 
@@ -27,12 +27,12 @@
 	if msg.step == 0 {
 		return
 	}
-	v.latenessRatio = max(v.latenessRatio+msg.step, -maxSavedEvidence)
+	v.latenessRatio = max(v.latenessRatio+msg.step, -maxGoodEvidence)
 	v.flooredLateness = max(v.flooredLateness+msg.step, msg.minRatio)
 	v.hasAny = true
 }
 
-// combined counts lateness only where that speaks for the build.
+// combined returns the evidence on failures, and on lateness where that is in favor of the build.
 func (v *endpointEvidence) combined() float64 { return v.failureRatio + min(0, v.flooredLateness) }
 
 // isFailing reports whether failures at the endpoint alone would hold the build back.
@@ -43,26 +43,26 @@
 	return v.failureRatio+v.flooredLateness >= decisionThreshold
 }
 
-// collectedEvidence is the evidence of several endpoints, one figure each.
+// collectedEvidence is the evidence of several endpoints; each slice has one element per endpoint.
 type collectedEvidence struct {
 	failure         []float64
 	lateness        []float64
 	flooredLateness []float64
 	combined        []float64
-	failingCount    int // endpoints
+	failingCount    int // endpoints for which isFailing holds
 }
 
-func collectEvidence(endpoints []*endpointRecord) (seen collectedEvidence) {
+func collectEvidence(endpoints []*endpointRecord) (collected collectedEvidence) {
 	for _, e := range endpoints {
-		seen.failure = append(seen.failure, e.evidence.failureRatio)
-		seen.lateness = append(seen.lateness, e.evidence.latenessRatio)
-		seen.flooredLateness = append(seen.flooredLateness, e.evidence.flooredLateness)
-		seen.combined = append(seen.combined, e.evidence.combined())
+		collected.failure = append(collected.failure, e.evidence.failureRatio)
+		collected.lateness = append(collected.lateness, e.evidence.latenessRatio)
+		collected.flooredLateness = append(collected.flooredLateness, e.evidence.flooredLateness)
+		collected.combined = append(collected.combined, e.evidence.combined())
 		if e.evidence.isFailing() {
-			seen.failingCount++
+			collected.failingCount++
 		}
 	}
-	return seen
+	return collected
 }
 
 // isEarlierBuildFailing reports whether a ready endpoint with an earlier build has more than the given error rate.
@@ -72,7 +72,8 @@
 	})
 }
 
-// evidenceCount is the number of ready endpoints with the same build that have evidence, the given one among them.
+// evidenceCount returns the number of ready endpoints that have evidence and the same build as the given endpoint. It always
+// counts the given endpoint.
 func (s *endpointSet) evidenceCount(of *endpointRecord) int {
 	count := 0
 	for _, e := range s.all {
@@ -83,8 +84,8 @@
 	return count
 }
 
-// withEvidence returns a build's ready endpoints that have evidence. Where endpoints with an earlier build fail too, it leaves
-// out those with an elevated error rate.
+// withEvidence returns a build's ready endpoints that have evidence. If endpoints with an earlier build fail too, it leaves out
+// endpoints with an elevated error rate.
 func (s *endpointSet) withEvidence(build int, isEarlierFailing bool) []*endpointRecord {
 	var found []*endpointRecord
 	for e := range s.readyWith(build) {
@@ -96,7 +97,7 @@
 	return found
 }
 
-// byAge returns the endpoints in order of their start, without those whose start is not known.
+// byAge returns the endpoints in order of their start, without endpoints whose start is unknown.
 func byAge(endpoints []*endpointRecord) []*endpointRecord {
 	known := slices.DeleteFunc(slices.Clone(endpoints), func(e *endpointRecord) bool { return e.Started <= 0 })
 	slices.SortStableFunc(known, func(a, b *endpointRecord) int { return cmp.Compare(a.Started, b.Started) })
--- a/internal/policy/endpoint_evidence_test.go
+++ b/internal/policy/endpoint_evidence_test.go
@@ -11,8 +11,8 @@
 		evidence.addFailureStep(failureStep{step: -0.5, minRatio: -2})
 		evidence.addLatenessStep(latenessStep{step: -0.5, minRatio: -1})
 	}
-	if evidence.failureRatio != -2 || evidence.flooredLateness != -1 || evidence.latenessRatio != -maxSavedEvidence {
-		t.Errorf("good outcomes alone give %+v, want the floors -2, -1 and %d", evidence, -maxSavedEvidence)
+	if evidence.failureRatio != -2 || evidence.flooredLateness != -1 || evidence.latenessRatio != -maxGoodEvidence {
+		t.Errorf("good outcomes alone give %+v, want the floors -2, -1 and %d", evidence, -maxGoodEvidence)
 	}
 	if evidence.isFailing() || evidence.isConclusive() {
 		t.Error("good outcomes speak against a build")
--- a/internal/policy/evaluator_group.go
+++ b/internal/policy/evaluator_group.go
@@ -7,23 +7,23 @@
 	"switchfork/internal/hashing"
 )
 
-// evaluatorCount is how many agents evaluate for all: some are left when agents restart in numbers, and notifying them costs
-// little.
+// evaluatorCount is the number of agents that evaluate releases for all. Some of them remain when many agents restart, and it
+// costs little to notify them.
 const evaluatorCount = 5
 
-// evaluatorGroup decides which agents evaluate releases for all, where gossip is allowed: the same ones on every agent. All parts
-// of the analyzer ask it whether this agent is one of them.
+// evaluatorGroup decides which agents evaluate releases for all agents, where gossip is allowed. Every agent selects the same
+// evaluators. All parts of the analyzer ask it whether this agent is an evaluator.
 type evaluatorGroup struct {
 	*sharedState
 	agentIndex     int
 	agentCount     int
-	members        []int // none where each agent evaluates by itself
-	isMember       bool  // this agent is one of them
-	sharesInFlight bool  // agents report to the evaluators what is in flight at endpoints
+	members        []int // indices of the evaluators; empty where each agent evaluates by itself
+	isMember       bool  // this agent is an evaluator
+	sharesInFlight bool  // agents report each attempt to the evaluators, which count the requests in flight at endpoints
 }
 
-// newEvaluatorGroup selects the evaluators where there are more agents than are needed. A single agent sees too few outcomes, and
-// among hundreds the one with the most extreme sample would decide.
+// newEvaluatorGroup selects evaluators if there are more agents than an evaluator group needs. Without them each agent would see
+// too few outcomes, and among hundreds of agents the one with the most extreme sample would decide.
 func newEvaluatorGroup(shared *sharedState, config Config) *evaluatorGroup {
 	instance := config.Instance
 	group := &evaluatorGroup{sharedState: shared, agentIndex: instance.Index, agentCount: instance.Agents}
@@ -41,11 +41,11 @@
 
 func (g *evaluatorGroup) isEvaluator(agent int) bool { return slices.Contains(g.members, agent) }
 
-// indexOf is an agent's place among the evaluators, -1 where it has none.
+// indexOf returns the index of an agent among the evaluators, or -1 if it is not one.
 func (g *evaluatorGroup) indexOf(agent int) int { return slices.Index(g.members, agent) }
 
-// decidesItself reports whether this agent evaluates: alone, or as one of the evaluators.
-func (g *evaluatorGroup) decidesItself() bool { return !g.exist() || g.isMember }
+// evaluatesReleases reports whether this agent evaluates releases, either by itself or as one of the evaluators.
+func (g *evaluatorGroup) evaluatesReleases() bool { return !g.exist() || g.isMember }
 
 // broadcast sends a message to all other agents.
 func (g *evaluatorGroup) broadcast(payload []byte) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// selectAgents draws some of the agents' indices, the same on every agent.
+// selectAgents returns count of the agents' indices, selected by hash, so that every agent selects the same ones.
 func selectAgents(agents, count int) []int {
 	all := make([]int, agents)
 	for i := range all {
--- a/internal/policy/evidence.go
+++ b/internal/policy/evidence.go
@@ -7,36 +7,36 @@
 	"switchfork/internal/stats"
 )
 
-// Thresholds of the log likelihood ratio between "the build is bad" and "the build is as the baseline".
+// The evidence on a build is the log likelihood ratio between "the build is bad" and "the build is like the baseline".
 const (
-	minOutcomes       = 10                    // before evidence decides; fewer where several votes are needed to roll back
-	decisionThreshold = 3                     // from here on the build is bad, from the negative on good
+	minOutcomes       = 10                    // outcomes before the evidence decides; fewer where a rollback needs several votes
+	decisionThreshold = 3                     // at or above it the build is bad, at or below its negative the build is good
 	holdThreshold     = 1                     // above it the build does not advance
-	maxSavedEvidence  = decisionThreshold + 1 // that good outcomes save up at the most: a build may turn bad late
+	maxGoodEvidence   = decisionThreshold + 1 // limit on the evidence from good outcomes, as a build may turn bad late
 )
 
 const (
-	minFailureRate     = 0.01  // of a baseline
-	badFailureFactor   = 3.0   // times the baseline's rate is a bad build
-	maxBadRate         = 0.95  // so that a good outcome still counts
-	minRateRatio       = 1.05  // of a bad rate to the baseline's, so that they differ
-	failureDecay       = 0.997 // of the baseline's counts, an outcome
-	minEndpointAge     = 2 * second
-	largeBuildSize     = 24  // endpoints; above it failures are one sum over the build
-	evidenceQuorum     = 4   // one in so many endpoints must speak against a build, for the sum to be conclusive
-	maxEndpointSum     = 2.0 // what one of several endpoints adds
-	oldestFailingShare = 0.6 // of the oldest endpoints, for these to speak alone
-	minEndpoints       = 3   // of a build: what fewer show may be theirs alone
+	minFailureRate     = 0.01       // lowest failure rate that is assumed of a baseline
+	badFailureFactor   = 3.0        // a bad build's failure rate, as a multiple of the baseline's
+	maxBadRate         = 0.95       // highest rate that is assumed of a bad build, so that a good outcome still counts
+	minRateRatio       = 1.05       // lowest ratio of a bad rate to the baseline's, so that they differ
+	failureDecay       = 0.997      // factor on the baseline's failure counts at each outcome
+	minEndpointAge     = 2 * second // a canary endpoint's outcomes are not evidence before this age
+	largeBuildSize     = 24         // endpoints; in a larger build the failures of all endpoints go into one sum
+	evidenceQuorum     = 4          // one in this many endpoints must have evidence against a build for the sum to be conclusive
+	maxEndpointSum     = 2.0        // most evidence against a build that one of several endpoints adds
+	oldestFailingShare = 0.6        // share of the oldest endpoints that must be failing for these to count by themselves
+	minEndpoints       = 3          // endpoints of a build; evidence from fewer may be due to these endpoints alone
 )
 
-// buildEvidence decides from the outcomes of attempts how strongly they speak against the canary: a sequential probability ratio
-// test against the baseline, on failures and on lateness. The analyzer adds outcomes; the voter asks for the ratio.
+// buildEvidence measures how strong the evidence against the canary is. It runs a sequential probability ratio test against the
+// baseline on failures and another on lateness. The analyzer adds outcomes; the voter asks for the ratio.
 type buildEvidence struct {
 	release           *releaseState
 	endpoints         *endpointSet
 	evaluators        *evaluatorGroup
-	outcomeCount      int     // on the canary since the last reset; an answer counts for failure and for lateness
-	buildFailureRatio float64 // log likelihood ratio by failures, over all of the build's endpoints
+	outcomeCount      int     // outcomes of the canary since the last reset; an answer may count for failure and for lateness
+	buildFailureRatio float64 // log likelihood ratio of failures, over all endpoints of the canary
 	baselineFailures  outcomeCounts
 	baselineLateness  outcomeCounts
 }
@@ -51,15 +51,15 @@
 
 func (c *outcomeCounts) count() float64 { return c.good + c.bad }
 
-// rate is the share of bad outcomes, at least the given floor.
+// rate returns the share of bad outcomes, or the floor if that is higher.
 func (c *outcomeCounts) rate(floor float64) float64 { return max(floor, c.bad/max(1, c.good+c.bad)) }
 
-// newRateTest compares a baseline rate with one that is factor times as high.
+// newRateTest returns a test of a baseline rate against a bad rate that is factor times as high.
 func newRateTest(baselineRate, factor float64) sprt.Test {
 	return sprt.NewTest(baselineRate, factor, sprt.Bounds{MaxBadRate: maxBadRate, MinRatio: minRateRatio})
 }
 
-// reset forgets the evidence on the canary, as another build or stage is evaluated. The baseline's counts stay.
+// reset clears the evidence on the canary when another build or stage is evaluated. The baseline's counts stay.
 func (b *buildEvidence) reset() {
 	for _, e := range b.endpoints.all {
 		e.enqueue(evidenceReset{})
@@ -68,22 +68,24 @@
 	b.buildFailureRatio = 0
 }
 
-// addFailure takes in an answer of an endpoint, good or failed.
+// addFailure adds an endpoint's answer, good or failed, to the evidence on failures.
 func (b *buildEvidence) addFailure(e *endpointRecord, isFailed bool) {
 	if !b.isEvidence(e, &b.baselineFailures, isFailed, failureDecay) {
 		return
 	}
 	b.outcomeCount++
 	step := newRateTest(b.baselineFailures.rate(minFailureRate), badFailureFactor).Step(isFailed)
-	e.enqueue(failureStep{step: step, minRatio: -maxSavedEvidence / b.evidenceShares(e)})
-	// An endpoint of a large build adds one error at the most; past it, its good outcomes do not count either.
+	e.enqueue(failureStep{step: step, minRatio: -maxGoodEvidence / b.goodEvidenceShares(e)})
+	// In the sum over the build, each endpoint counts for at most one error. While its own sum is above that, its good outcomes
+	// do not count either.
 	maxStep := math.Log(badFailureFactor)
 	cusum := e.evidence.failureCusum
 	change := min(cusum+step, maxStep)
-	b.buildFailureRatio = max(b.buildFailureRatio+change-min(cusum, maxStep), -maxSavedEvidence)
+	b.buildFailureRatio = max(b.buildFailureRatio+change-min(cusum, maxStep), -maxGoodEvidence)
 }
 
-// isEvidence reports whether an outcome is evidence on the canary. The baseline's go into the counts.
+// isEvidence reports whether an outcome is evidence on the canary. An outcome of an earlier build is added to the baseline's
+// counts instead.
 func (b *buildEvidence) isEvidence(e *endpointRecord, counts *outcomeCounts, isBad bool, decay float64) bool {
 	if b.release.rolledBack[e.Build] || e.Build > b.release.build {
 		return false
@@ -95,75 +97,79 @@
 	return e.Started <= 0 || b.release.now-e.Started >= minEndpointAge
 }
 
-// evidenceShares divides the evidence that good outcomes save up: among a build's ready endpoints, so that all must speak for an
-// early advance; of a large build among those that have evidence, as one agent meets few of them. ratio counts a build as large
-// by the endpoints that have evidence: only they are in its sums.
-func (b *buildEvidence) evidenceShares(e *endpointRecord) float64 {
+// goodEvidenceShares returns the number of endpoints among which the limit on evidence from good outcomes is divided. In a small
+// build it is divided among all ready endpoints, so that an early advance needs good outcomes from all of them. In a large build
+// it is divided among the ready endpoints that have evidence, as one agent uses few endpoints of a large build. In contrast, ratio
+// decides by the endpoints that have evidence whether a build is large, because only these are in its sums.
+func (b *buildEvidence) goodEvidenceShares(e *endpointRecord) float64 {
 	if count := b.endpoints.readyCount(e.Build); count <= largeBuildSize {
 		return float64(max(1, count))
 	}
 	return float64(b.endpoints.evidenceCount(e))
 }
 
-// ratio adds up the evidence of the build's endpoints, on failures and lateness apart, each bounded: a bad build fails, or is
-// late, on most alike. Where earlier builds fail too, failing endpoints are no evidence against the build.
+// ratio returns the log likelihood ratio against the canary. It sums the evidence of the build's endpoints on failures and on
+// lateness separately. Each endpoint's part is bounded, as a bad build fails, or is late, on most of its endpoints. Where
+// endpoints with earlier builds fail too, failing endpoints are not evidence against the canary.
 func (b *buildEvidence) ratio() float64 {
 	isEarlierFailing := b.endpoints.isEarlierBuildFailing(b.release.build, ejectErrorRate)
-	found := b.endpoints.withEvidence(b.release.build, isEarlierFailing)
-	seen := collectEvidence(found)
-	isLarge := len(found) > largeBuildSize
-	late := b.lateRatio(seen)
+	evaluated := b.endpoints.withEvidence(b.release.build, isEarlierFailing)
+	collected := collectEvidence(evaluated)
+	isLarge := len(evaluated) > largeBuildSize
+	lateness := b.latenessRatio(collected)
 	if isLarge {
-		failing := b.largeBuildRatio(seen, found)
-		if failing > 0 {
-			late = max(late, 0) // quick answers do not speak for a build that fails
+		failureRatio := b.largeBuildRatio(collected, evaluated)
+		if failureRatio > 0 {
+			lateness = max(lateness, 0) // quick answers do not make up for failures
 		}
-		return failing + late
+		return failureRatio + lateness
 	}
-	failing := boundedSum(seen.failure)
+	failureRatio := boundedSum(collected.failure)
 	switch {
-	case failing > 0:
-		return failing + max(late, 0)
-	case late <= 0:
-		return boundedSum(seen.combined) // quick answers do not speak twice for a build that does not fail
+	case failureRatio > 0:
+		return failureRatio + max(lateness, 0)
+	case lateness <= 0:
+		return boundedSum(collected.combined) // one bound for both, so that a quick answer does not count twice
 	}
-	return failing + late
+	return failureRatio + lateness
 }
 
-// largeBuildRatio is the evidence on failures of a build with many endpoints. By endpoint each would save up a small part of an
-// error, and of errors that come everywhere most would count as failing.
-func (b *buildEvidence) largeBuildRatio(seen collectedEvidence, found []*endpointRecord) float64 {
-	failing := b.buildFailureRatio
-	if evidenceQuorum*seen.failingCount < len(found) {
-		failing = min(failing, holdThreshold) // a few endpoints' own, however often
+// largeBuildRatio returns the evidence on failures of a build with many endpoints. It is not summed by endpoint: the good outcomes
+// of each endpoint could then make up for only a small part of an error, and errors that are spread over the whole fleet would
+// make most endpoints count as failing.
+func (b *buildEvidence) largeBuildRatio(collected collectedEvidence, endpoints []*endpointRecord) float64 {
+	ratio := b.buildFailureRatio
+	if evidenceQuorum*collected.failingCount < len(endpoints) {
+		ratio = min(ratio, holdThreshold) // too few endpoints fail for a decision, however often they fail
 	}
-	if oldest := oldestEndpointsRatio(found); oldest > 0 {
-		failing = max(failing, oldest)
+	if oldest := oldestEndpointsRatio(endpoints); oldest > 0 {
+		ratio = max(ratio, oldest)
 	}
-	return failing
+	return ratio
 }
 
-// oldestEndpointsRatio adds up the evidence of the oldest of a build's endpoints, the most over any number of them: a build that
-// decays fails there first, while all good outcomes of the younger are against it in the sum. Where the oldest fail by
-// themselves it speaks against a good build.
-func oldestEndpointsRatio(found []*endpointRecord) float64 {
+// oldestEndpointsRatio returns the highest sum of evidence on failures over the n oldest endpoints of a build, for any n from
+// minEndpoints on for which enough of the n endpoints are failing. A build that decays fails on its oldest endpoints first, while
+// the good outcomes of the younger endpoints outweigh these failures in the sum over all. Where the oldest endpoints fail for
+// reasons of their own, the result is wrongly evidence against a good build.
+func oldestEndpointsRatio(endpoints []*endpointRecord) float64 {
 	highest := 0.0
 	sum := 0.0
-	failing := 0.0
-	for i, e := range byAge(found) {
+	failingCount := 0.0
+	for i, e := range byAge(endpoints) {
 		if e.evidence.isFailing() {
-			failing++
+			failingCount++
 		}
 		sum += min(e.evidence.failureRatio, maxEndpointSum)
 		count := float64(i + 1)
-		if count >= minEndpoints && failing >= oldestFailingShare*count {
+		if count >= minEndpoints && failingCount >= oldestFailingShare*count {
 			highest = max(highest, sum)
 		}
 	}
 	return highest
 }
 
-// boundedSum adds up the evidence of endpoints, each within its bounds.
+// boundedSum sums the evidence of endpoints, each within bounds. A single endpoint has no upper bound.
 func boundedSum(ratios []float64) float64 {
 	sum := 0.0
 	count := float64(len(ratios))
@@ -171,7 +177,7 @@
 		if count > 1 {
 			ratio = min(ratio, maxEndpointSum, evidenceQuorum*decisionThreshold/count)
 		}
-		sum += max(ratio, -maxSavedEvidence/count)
+		sum += max(ratio, -maxGoodEvidence/count)
 	}
 	return sum
 }
--- a/internal/policy/latency_comparison.go
+++ b/internal/policy/latency_comparison.go
@@ -3,18 +3,19 @@
 import "switchfork/internal/stats"
 
 const (
-	latencyWindowSize          = 30  // answers that the median is taken of
-	evaluatorLatencyWindowSize = 300 // the same for an evaluator, which gets the answers of all agents
-	baselineLatencyWeight      = 0.02
+	latencyWindowSize          = 30   // answers over which the median is taken
+	evaluatorLatencyWindowSize = 300  // the same for an evaluator, which gets the answers of all agents
+	baselineLatencyWeight      = 0.02 // lowest weight of one answer in its class's baseline mean
 )
 
-// latencyComparison compares answers with the mean latency of their class in the baseline. The slowdown detector feeds it.
+// latencyComparison compares the latency of answers with the mean latency of their class in the baseline. The slowdown detector
+// adds the answers.
 type latencyComparison struct {
-	baselineMeans  []float64 // µs, by class
-	baselineCounts []float64 // answers, by class
-	relative       []float64 // the last answers over their class's baseline
-	windowSize     int
-	baselineMedian float64 // of the relative latencies; 0: not known
+	baselineMeans     []float64 // µs, by class
+	baselineCounts    []float64 // answers in the baseline, by class
+	relativeLatencies []float64 // latencies of the last answers, each divided by the baseline mean of its class
+	windowSize        int       // answers
+	baselineMedian    float64   // median relative latency in the baseline; 0: unknown
 }
 
 func newLatencyComparison(classCount int, isEvaluator bool) latencyComparison {
@@ -34,38 +35,38 @@
 	return c.baselineCounts[class] >= minOutcomes
 }
 
-// addToBaseline moves a class's baseline by an answer: a plain mean at first, then a moving one.
+// addToBaseline adds an answer to the baseline mean of its class, which is a plain mean at first and then a moving one.
 func (c *latencyComparison) addToBaseline(class int, elapsed float64) {
 	c.baselineCounts[class]++
 	weight := max(baselineLatencyWeight, 1/c.baselineCounts[class])
 	c.baselineMeans[class] = stats.MovingMean(c.baselineMeans[class], elapsed, weight)
 }
 
-// add compares an answer with its class's baseline, where that is known.
+// add adds the relative latency of an answer to the window, if the baseline of its class is known.
 func (c *latencyComparison) add(class int, elapsed float64) {
 	if !c.hasBaseline(class) {
 		return
 	}
-	c.relative = append(c.relative, elapsed/c.baselineMeans[class])
-	c.relative = c.relative[max(0, len(c.relative)-c.windowSize):]
+	c.relativeLatencies = append(c.relativeLatencies, elapsed/c.baselineMeans[class])
+	c.relativeLatencies = c.relativeLatencies[max(0, len(c.relativeLatencies)-c.windowSize):]
 }
 
 // isWindowFull reports whether there are enough answers for a median.
-func (c *latencyComparison) isWindowFull() bool { return len(c.relative) >= c.windowSize }
+func (c *latencyComparison) isWindowFull() bool { return len(c.relativeLatencies) >= c.windowSize }
 
-// median is the median relative latency, 0 without enough answers. The first one begins the baseline's.
+// median returns the median relative latency, or 0 if there are too few answers. The first median initializes the baseline's.
 func (c *latencyComparison) median() float64 {
 	if !c.isWindowFull() {
 		return 0
 	}
-	median := stats.Median(c.relative)
+	median := stats.Median(c.relativeLatencies)
 	if c.baselineMedian == 0 {
 		c.baselineMedian = median
 	}
 	return median
 }
 
-// addMedianToBaseline moves the baseline's median by one that is known.
+// addMedianToBaseline moves the baseline's median towards the given one, unless that is 0 (unknown).
 func (c *latencyComparison) addMedianToBaseline(median, weight float64) {
 	if median > 0 {
 		c.baselineMedian = stats.MovingMean(c.baselineMedian, median, weight)
--- a/internal/policy/lateness_evidence.go
+++ b/internal/policy/lateness_evidence.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	minLateRate    = 0.1 // of a baseline
-	badLateFactor  = 4.0 // times the baseline's rate is a bad build; lateness is common, so it must differ by more
-	latenessDecay  = 0.98
-	fullWeightFrom = 20 // outcomes of a stage: the first late ones may all be of one queue
+	minLateRate    = 0.1  // lowest rate of late answers that is assumed of a baseline
+	badLateFactor  = 4.0  // a bad build's rate, as a multiple of the baseline's; it is high because lateness is common
+	latenessDecay  = 0.98 // factor on the baseline's lateness counts at each outcome
+	fullWeightFrom = 20   // outcomes of a stage; with fewer, lateness counts less, as the first late answers may come from one queue
 
-	// An evaluator gets the outcomes of all agents.
+	// The same for an evaluator, which gets the outcomes of all agents.
 	evaluatorLatenessDecay  = 0.998
 	evaluatorFullWeightFrom = 200
 
-	// maxLatenessCanaryShare of the traffic at the canary: above it lateness may be the load that it took over.
+	// maxLatenessCanaryShare is the canary's share of the traffic from which lateness is not evidence on the build: it may come
+	// from the load that the canary has taken over.
 	maxLatenessCanaryShare = 0.25
 )
 
-// addLateness takes in whether an answer of an endpoint was late.
+// addLateness adds an endpoint's answer, late or on time, to the evidence on lateness.
 func (b *buildEvidence) addLateness(e *endpointRecord, isLate bool) {
 	decay := latenessDecay
 	fullWeight := fullWeightFrom
@@ -37,25 +38,26 @@
 	b.outcomeCount++
 	step := newRateTest(b.baselineLateness.rate(minLateRate), badLateFactor).Step(isLate)
 	step *= min(1, float64(b.outcomeCount)/float64(fullWeight))
-	// It saves up half of its share of what the ratio counts, so that failures beside it are still seen.
-	e.enqueue(latenessStep{step: step, minRatio: -maxSavedEvidence / 2 / b.evidenceShares(e)})
+	// Answers on time add up to at most half of the endpoint's share of the limit, so that they do not hide failures.
+	e.enqueue(latenessStep{step: step, minRatio: -maxGoodEvidence / 2 / b.goodEvidenceShares(e)})
 }
 
-// lateRatio is the evidence on lateness, over all endpoints that have evidence.
-func (b *buildEvidence) lateRatio(seen collectedEvidence) float64 {
-	late := boundedSum(seen.flooredLateness)
-	if b.isLateOnFew(seen.lateness) {
-		late = min(late, 0)
+// latenessRatio returns the evidence on lateness over the given endpoints.
+func (b *buildEvidence) latenessRatio(collected collectedEvidence) float64 {
+	ratio := boundedSum(collected.flooredLateness)
+	if b.isLateOnFew(collected.lateness) {
+		ratio = min(ratio, 0)
 	}
-	// All follow an evaluator's verdict, and endpoints that have just warmed up are late too.
-	if b.evaluators.isMember && late > 0 {
-		late = max(0, late-math.Log(float64(b.evaluators.agentCount)))
+	// All agents follow the evaluators, and endpoints that have just warmed up are late too. So lateness must be stronger evidence
+	// on an evaluator.
+	if b.evaluators.isMember && ratio > 0 {
+		ratio = max(0, ratio-math.Log(float64(b.evaluators.agentCount)))
 	}
-	return late
+	return ratio
 }
 
-// isLateOnFew reports whether enough is known to say that half of the endpoints are not late: then lateness is that of some
-// endpoints, or their load.
+// isLateOnFew reports whether there are enough outcomes to say that half of the endpoints are not late. Lateness then belongs to
+// the other endpoints, or to their load, and not to the build.
 func (b *buildEvidence) isLateOnFew(latenessRatios []float64) bool {
 	count := len(latenessRatios)
 	if count <= 1 {
--- a/internal/policy/slowdown.go
+++ b/internal/policy/slowdown.go
@@ -2,40 +2,44 @@
 
 import "switchfork/internal/stats"
 
-// A slowdown is told from other changes by several signs together. More traffic lowers the share on time and raises the
-// completions, less traffic lowers only the completions.
+// Several signs together tell a slowdown from other changes. More traffic lowers the share of requests on time but raises the
+// completion rate; less traffic lowers only the completion rate. The completion rate counts the requests on time.
+//
+// So slowdownFactor counts only with slowdownCompletions, farLessOnTime only with fewerCompletions, and lessOnTime only with
+// collapsedCompletions. To pause a stage, slowdownFactor or farLessOnTime alone is enough for an evaluator.
 const (
-	slowdownFactor       = 1.3  // times the baseline's median latency: with slowdownCompletions, for an evaluator also alone
-	slowdownCompletions  = 0.8  // of the baseline's rate on time
-	farLessOnTime        = 0.6  // of the baseline's share on time, with fewerCompletions
-	lessOnTime           = 0.85 // of the baseline's share on time, with collapsedCompletions
-	fewerCompletions     = 0.85 // of the baseline's rate on time
-	collapsedCompletions = 0.5  // of the baseline's rate on time: need not be told apart from other faults
-	isolatedSlowdown     = 1.6  // times the baseline's median latency: needs no drop
-	isolatedWeight       = 0.7  // of the time of an isolated slowdown
-	wholeFleetShare      = 0.85 // of the baseline's warm capacity; with less the others are slow for that reason
-	slowdownRecovery     = 4.0  // µs of slow time that are taken off for each µs without a slowdown
-	minBaselineMedian    = 1e-9 // so that it can be divided by
+	slowdownFactor       = 1.3  // multiple of the baseline's median latency
+	slowdownCompletions  = 0.8  // fraction of the baseline's completion rate
+	farLessOnTime        = 0.6  // fraction of the baseline's share of requests on time
+	lessOnTime           = 0.85 // fraction of the baseline's share of requests on time
+	fewerCompletions     = 0.85 // fraction of the baseline's completion rate
+	collapsedCompletions = 0.5  // fraction of the baseline's completion rate; so low that lost capacity need not be ruled out
+	isolatedSlowdown     = 1.6  // multiple of the baseline's median latency that counts without a drop in completions
+	isolatedWeight       = 0.7  // factor on the time of an isolated slowdown
+	completeFleetShare   = 0.85 // fraction of the baseline's warm capacity; below it the remaining endpoints are slow for that reason
+	slowdownRecovery     = 4.0  // µs of slow time that are subtracted for each µs without a slowdown
+	minBaselineMedian    = 1e-9 // avoids a division by 0
 )
 
-// Where the outcomes of all agents are known, a slowdown with a certain canary share and without more arrivals came with the
-// build.
+// Where the outcomes of all agents are known, a slowdown is attributed to the build if the canary has enough of the traffic and
+// arrivals have not increased.
 const (
-	stepCanaryShare   = 0.1
-	stepArrivalFactor = 1.2 // times the baseline's attempts
-	stepWeight        = 3.0 // of the time of such a slowdown
+	stepCanaryShare   = 0.1 // lowest share of the traffic
+	stepArrivalFactor = 1.2 // multiple of the baseline's arrival rate from which more traffic may be the reason
+	stepWeight        = 3.0 // factor on the time of such a slowdown
 )
 
 const (
-	completionWindow  = 3 * second  // that rates are averaged over
-	baselineWindow    = 10 * second // that the baseline's rates are averaged over
-	canaryShareWeight = 0.02        // of one outcome
-	onTimeShareWeight = 0.02        // of one outcome
+	completionWindow  = 3 * second  // window over which rates are averaged
+	baselineWindow    = 10 * second // window over which the baseline's rates are averaged
+	canaryShareWeight = 0.02        // weight of one outcome in the moving mean
+	onTimeShareWeight = 0.02        // weight of one outcome in the moving mean
 )
 
-// slowdownDetector decides for how long the fleet has been slow since a release began: a build may slow old and new builds alike.
-// It compares the median latency, the rate of requests on time and their share with the baseline, the time before the release. A
-// good build may be held responsible for a long overload of the fleet. The analyzer feeds it; the voter asks.
+// slowdownDetector measures for how long the fleet has been slow since a release began, as a build may slow down endpoints with
+// old and new builds alike. It compares the median latency, the rate of requests on time and their share of all requests with the
+// baseline, which is the time before the release. A good build may be blamed for a long overload of the fleet. The analyzer adds
+// the measurements; the voter reads the result.
 type slowdownDetector struct {
 	release    *releaseState
 	endpoints  *endpointSet
@@ -44,30 +48,30 @@
 	latencies  latencyComparison
 
 	completedOnTime        float64 // requests since the last tick
-	completionRate         float64 // requests on time a µs
+	completionRate         float64 // requests on time per µs
 	baselineCompletionRate float64
 	onTimeShare            float64
 	baselineOnTimeShare    float64
-	finishedAttempts       float64 // of all that ended since the last tick
-	arrivalRate            float64 // of these a µs, or a report's requests
+	finishedAttempts       float64 // attempts of this agent and its peers that ended since the last tick
+	arrivalRate            float64 // finished attempts per µs; with controller reports, the requests of the last interval
 	baselineArrivalRate    float64
-	baselineCapacity       float64 // warm endpoints
-	canaryShare            float64 // of the traffic
+	baselineCapacity       float64 // in warm endpoints
+	canaryShare            float64 // the canary's share of the traffic
 	lastTickAt             Micros
 
-	slowTime float64 // µs, weighted, that the fleet has been slow
-	// ratio compares latencies with those of the baseline, 0 where that is not known: an evaluator's median of relative latencies
-	// with the baseline's median, the controller's mean latencies with the baseline's means, or else an agent's median of relative
-	// latencies alone.
-	ratio float64
+	slowTime float64 // weighted time, in µs, for which the fleet has been slow
+	// latencyRatio compares latencies with those of the baseline; 0: unknown. On an evaluator it is the median of the relative
+	// latencies over the baseline's median. With controller reports it is the mean latency over the baseline's. Otherwise it is
+	// the median of the relative latencies alone.
+	latencyRatio float64
 }
 
-// tickMeasurement is what a tick measures.
+// tickMeasurement is what is measured at one tick.
 type tickMeasurement struct {
 	elapsed  float64 // µs since the last tick
-	rate     float64 // requests on time a µs
-	capacity float64 // warm endpoints
-	median   float64 // relative latency; 0: not known
+	rate     float64 // requests on time per µs
+	capacity float64 // in warm endpoints
+	median   float64 // median relative latency; 0: unknown
 }
 
 func newSlowdownDetector(
@@ -84,7 +88,7 @@
 	}
 }
 
-// isBaselinePeriod reports whether what is measured now belongs to the baseline.
+// isBaselinePeriod reports whether current measurements belong to the baseline.
 func (s *slowdownDetector) isBaselinePeriod() bool {
 	return s.slowTime == 0 && (s.release.build == 0 || s.release.isEstablished())
 }
@@ -107,7 +111,7 @@
 	}
 }
 
-// recordBuild counts an outcome for the canary's share of the traffic.
+// recordBuild counts an outcome of a build towards the canary's share of the traffic.
 func (s *slowdownDetector) recordBuild(build int) {
 	if build == s.release.build {
 		s.canaryShare += canaryShareWeight
@@ -115,56 +119,57 @@
 	s.canaryShare *= 1 - canaryShareWeight
 }
 
-// update measures the time since the last tick and adds it to the slow time, by the build's share of the traffic.
+// update measures the time since the last tick and adds it to the slow time if the fleet is slow. The time is weighted by the
+// canary's share of the traffic, or by stepWeight if the slowdown is attributed to the build.
 func (s *slowdownDetector) update() {
 	measured := s.measure()
-	isFleetWhole := measured.capacity >= wholeFleetShare*s.baselineCapacity
-	weight := s.canaryShare // before reports replace it: the share of the time that has passed
-	s.ratio = measured.median
-	if s.evaluators.isMember { // it gets enough outcomes to compare medians
-		s.ratio = measured.median / max(s.latencies.baselineMedian, minBaselineMedian)
+	isFleetComplete := measured.capacity >= completeFleetShare*s.baselineCapacity
+	weight := s.canaryShare // the share during the elapsed time, read before reports replace it
+	s.latencyRatio = measured.median
+	if s.evaluators.isMember { // an evaluator gets enough outcomes to compare medians
+		s.latencyRatio = measured.median / max(s.latencies.baselineMedian, minBaselineMedian)
 	} else if s.reports.areUsed() {
-		s.ratio = s.reports.slowdown
+		s.latencyRatio = s.reports.relativeLatency
 		s.canaryShare = s.reports.canaryShare
 	}
-	if !isFleetWhole {
-		s.ratio = 0
+	if !isFleetComplete {
+		s.latencyRatio = 0
 	}
 	if s.isStep() {
 		weight = stepWeight
 	}
-	s.addSlowTime(measured.elapsed*weight, measured.elapsed, isFleetWhole)
+	s.addSlowTime(measured.elapsed*weight, measured.elapsed, isFleetComplete)
 }
 
-// addSlowTime adds the weighted time of a tick where the fleet is slow, or forgets some where it is not.
-func (s *slowdownDetector) addSlowTime(weighted, elapsed float64, isFleetWhole bool) {
+// addSlowTime adds the weighted time of a tick to the slow time if the fleet is slow, and lowers the slow time if it is not.
+func (s *slowdownDetector) addSlowTime(weighted, elapsed float64, isFleetComplete bool) {
 	switch {
-	case s.hasFewerCompletions(isFleetWhole):
+	case s.hasFewerCompletions(isFleetComplete):
 		s.slowTime += weighted
-	case s.ratio >= isolatedSlowdown:
+	case s.latencyRatio >= isolatedSlowdown:
 		s.slowTime += weighted * isolatedWeight
 	default:
 		s.slowTime = max(0, s.slowTime-slowdownRecovery*elapsed)
 	}
 }
 
-// isStep reports whether a slowdown would have come with the build.
+// isStep reports whether a slowdown, if there is one, is attributed to the build.
 func (s *slowdownDetector) isStep() bool {
 	knowsAllOutcomes := s.evaluators.isMember || s.reports.areUsed()
 	hasMoreArrivals := s.arrivalRate >= stepArrivalFactor*s.baselineArrivalRate
 	return knowsAllOutcomes && s.canaryShare >= stepCanaryShare && !hasMoreArrivals
 }
 
-// hasFewerCompletions reports whether fewer requests are completed on time for another reason than traffic that ends.
-func (s *slowdownDetector) hasFewerCompletions(isFleetWhole bool) bool {
-	if s.ratio >= slowdownFactor && s.isCompletionBelow(slowdownCompletions) {
+// hasFewerCompletions reports whether fewer requests are completed on time, for another reason than less traffic.
+func (s *slowdownDetector) hasFewerCompletions(isFleetComplete bool) bool {
+	if s.latencyRatio >= slowdownFactor && s.isCompletionBelow(slowdownCompletions) {
 		return true
 	}
 	isLessOnTime := s.onTimeShare < lessOnTime*s.baselineOnTimeShare
 	if isLessOnTime && s.isCompletionBelow(collapsedCompletions) {
 		return true
 	}
-	return isFleetWhole && s.isFarLessOnTime() && s.isCompletionBelow(fewerCompletions)
+	return isFleetComplete && s.isFarLessOnTime() && s.isCompletionBelow(fewerCompletions)
 }
 
 func (s *slowdownDetector) isCompletionBelow(share float64) bool {
@@ -175,7 +180,7 @@
 	return s.onTimeShare < farLessOnTime*s.baselineOnTimeShare
 }
 
-// measure takes what was completed and begun since the last tick, and moves the rates by it.
+// measure returns the measurements since the last tick and updates the moving rates with them.
 func (s *slowdownDetector) measure() tickMeasurement {
 	elapsed := float64(s.release.now - s.lastTickAt)
 	measured := tickMeasurement{
@@ -198,7 +203,7 @@
 	return measured
 }
 
-// tickWeight is a tick's weight in a mean over a window, or over the time since the start while that is shorter.
+// tickWeight returns the weight of a tick in a mean over a window, or over the time since the start while that is shorter.
 func (s *slowdownDetector) tickWeight(elapsed float64, window Micros) float64 {
 	age := float64(s.release.now-s.release.startedAt) + 1
 	return min(1, max(elapsed/float64(window), elapsed/age))
--- a/internal/policy/voter.go
+++ b/internal/policy/voter.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	advanceAfter    = 3 * second  // of a stage, with good evidence
-	stageTimeout    = 5 * second  // of a stage, without
-	renewalFraction = 0.66        // of a vote's lifetime, so that a third is left for a lost answer
-	noBaselineDelay = 10 * second // gives others, who have a latency baseline, time to see a slowdown
-	noMajorityDelay = 5 * second  // without the evaluators' majority the others advance later
-	voteRetryDelay  = 250 * millisecond
-	voteRejectDelay = 1 * second // the rollout controller has too many calls
-	// Slow time, weighted, from which a release is held back, a stage before it is paused, or the build is rolled back, which
-	// outlives most overloads that pass.
+	advanceAfter    = 3 * second        // stage time after which good evidence advances the stage
+	stageTimeout    = 5 * second        // stage time after which the stage advances without good evidence
+	renewalFraction = 0.66              // part of a vote's lifetime after which it is renewed; a third is left for a lost reply
+	noBaselineDelay = 10 * second       // extra stage time without a full latency window; other agents may see a slowdown meanwhile
+	noMajorityDelay = 5 * second        // extra stage time of agents that are not evaluators, while the evaluators have no majority
+	voteRetryDelay  = 250 * millisecond // shortest wait after a failed vote
+	voteRejectDelay = 1 * second        // shortest wait after the rollout controller rejected a vote, as it has too many calls
+	// Weighted slow time from which the release is held back, an earlier stage is paused, or the build is rolled back. For a
+	// rollback it is longer than most temporary overloads.
 	releaseHoldSlowTime = 500 * millisecond
 	stagePauseSlowTime  = 200 * millisecond
 	rollbackSlowTime    = 9 * second
-	// pauseCanaryShare of the traffic: with less a slowdown is more likely another overload.
+	// pauseCanaryShare is the canary's share of the traffic from which a slowdown pauses a stage before the last. With a smaller
+	// share a slowdown is more likely an overload that the canary did not cause.
 	pauseCanaryShare = 0.15
-	// minOnTimeShare of the requests is needed for a release, also where there is no baseline.
+	// minOnTimeShare is the share of requests on time that a release needs, even without a baseline.
 	minOnTimeShare = 0.6
 )
 
-// voter decides what this agent votes on the build in evaluation, and when: from the evidence, the slowdown, the reports and the
-// evaluators' majority. The analyzer calls it at each tick, and after a vote that failed.
+// voter decides what this agent votes on the build in evaluation, and when. It uses the evidence, the slowdown, the controller's
+// reports and the evaluators' majority. The analyzer calls it at each tick, and after a vote that failed.
 type voter struct {
 	release      *releaseState
 	endpoints    *endpointSet
@@ -36,11 +37,11 @@
 	slowdown     *slowdownDetector
 	reports      *controllerReports
 	rules        VotingRules
-	wanted       Verdict
+	wanted       Verdict // current verdict, sent or not
 	wantedSince  Micros
-	lastVote     Verdict
+	lastVote     Verdict // NoVote after a failed vote and when the rollout changes
 	lastVoteAt   Micros
-	backoffUntil Micros // no vote before then
+	backoffUntil Micros // no vote is sent before this time
 }
 
 // vote sends the current verdict, if a vote is due.
@@ -57,9 +58,9 @@
 	}
 }
 
-// isDue reports whether a verdict is to be sent: it is new, or its vote has to be renewed.
+// isDue reports whether a verdict is to be sent as a vote, because it is new or because its vote has to be renewed.
 func (v *voter) isDue(verdict Verdict) bool {
-	if v.release.now < max(v.backoffUntil, v.wantedSince+v.spread()) {
+	if v.release.now < max(v.backoffUntil, v.wantedSince+v.spreadDelay()) {
 		return false
 	}
 	renewAfter := Micros(renewalFraction * float64(v.rules.VoteLifetime))
@@ -67,8 +68,8 @@
 	return verdict != v.lastVote || needsRenewal
 }
 
-// delay puts the next vote off after a failed call, not all agents in step.
-func (v *voter) delay(outcome Outcome) {
+// backOff delays the next vote after a failed one, by a random time so that agents do not retry in step.
+func (v *voter) backOff(outcome Outcome) {
 	v.lastVote = NoVote
 	v.backoffUntil = v.release.now + voteRetryDelay + v.release.randomBelow(v.period()+1)
 	if outcome == Rejected {
@@ -76,7 +77,8 @@
 	}
 }
 
-// period is the time in which all voters can vote at the configured rate of calls to the controller.
+// period returns the time in which all voters can vote at the configured rate of calls to the rollout controller, at most the
+// lifetime of a vote.
 func (v *voter) period() Micros {
 	if v.rules.CallsPerSecond <= 0 {
 		return 0 // not configured
@@ -89,16 +91,18 @@
 	return min(v.rules.VoteLifetime, period)
 }
 
-// spread delays the votes of those who vote for silent evaluators, over the period: a few suffice.
-func (v *voter) spread() Micros {
-	if v.evaluators.decidesItself() {
+// spreadDelay returns the delay of this agent's vote. It spreads the votes that agents cast in place of silent evaluators over the
+// period, as a few of these votes are enough.
+func (v *voter) spreadDelay() Micros {
+	if v.evaluators.evaluatesReleases() {
 		return 0
 	}
 	hash := hashing.Mix64(uint64(v.evaluators.agentIndex) ^ uint64(v.release.build+v.release.stage)<<20)
 	return Micros(unitInterval(hash) * float64(v.period()))
 }
 
-// currentVerdict is the agent's own verdict, or that of most evaluators; to advance also takes its time.
+// currentVerdict returns this agent's own verdict or, on an agent that is not an evaluator, the evaluators' majority. To advance,
+// the stage must also have run long enough.
 func (v *voter) currentVerdict() Verdict {
 	ratio := v.evidence.ratio()
 	verdict := v.evidenceVerdict(ratio)
@@ -114,10 +118,10 @@
 	return verdict
 }
 
-// isTimeToAdvance reports whether the stage has run for long enough: less where the evidence is good.
+// isTimeToAdvance reports whether the stage has run long enough. With good evidence less time is enough.
 func (v *voter) isTimeToAdvance(ratio float64, hasMajority bool) bool {
 	if v.endpoints.readyCount(v.release.build) == 0 {
-		return false // its list is out of date: to advance unseen takes away the endpoints that it knows of
+		return false // the list is out of date, and each stage removes endpoints that this agent still knows
 	}
 	sinceStart := v.release.now - v.endpoints.newestStart(v.release.build)
 	elapsed := v.stageTime(sinceStart, hasMajority)
@@ -128,23 +132,23 @@
 	return isGood && min(elapsed, sinceStart) >= advanceAfter
 }
 
-// stageTime is the time that counts for an advance. The last stage releases: there it also runs from the newest start. Elsewhere
-// delay costs more.
+// stageTime returns the time that counts towards an advance. In the last stage, which releases the build, it counts from the
+// newest start of an endpoint if that is later than the start of the stage. In other stages that delay would cost more.
 func (v *voter) stageTime(sinceStart Micros, hasMajority bool) Micros {
 	elapsed := v.release.now - v.release.stageStartedAt
 	if v.release.isLastStage() {
 		elapsed = min(elapsed, sinceStart)
 		if !v.slowdown.latencies.isWindowFull() && v.rules.VotesToAdvance <= 1 {
-			elapsed -= noBaselineDelay // it cannot see a slowdown; where one vote is enough, others may
+			elapsed -= noBaselineDelay // this agent cannot see a slowdown; others may, and its vote alone is enough
 		}
 	}
-	if !v.evaluators.decidesItself() && !hasMajority {
+	if !v.evaluators.evaluatesReleases() && !hasMajority {
 		elapsed -= noMajorityDelay
 	}
 	return elapsed
 }
 
-// evidenceVerdict is the verdict without regard to the time.
+// evidenceVerdict returns this agent's verdict without regard to the stage time.
 func (v *voter) evidenceVerdict(ratio float64) Verdict {
 	if v.release.build == 0 || v.release.rolledBack[v.release.build] {
 		return NoVote
@@ -161,8 +165,8 @@
 		}
 		return NoVote
 	}
-	doReportsObject := v.reports.areUsed() && v.reports.ratio > holdThreshold
-	if ratio > holdThreshold || doReportsObject || v.isPausedBySlowdown() {
+	isHeldByReports := v.reports.areUsed() && v.reports.ratio > holdThreshold
+	if ratio > holdThreshold || isHeldByReports || v.isPausedBySlowdown() {
 		return NoVote
 	}
 	return Advance
@@ -177,11 +181,12 @@
 	if isReported && ratio >= holdThreshold {
 		return true
 	}
-	isWatched := !v.release.isEstablished() && v.evaluators.decidesItself()
-	return isWatched && v.slowdown.slowTime >= float64(rollbackSlowTime)
+	countsSlowdown := !v.release.isEstablished() && v.evaluators.evaluatesReleases()
+	return countsSlowdown && v.slowdown.slowTime >= float64(rollbackSlowTime)
 }
 
-// rollbackThreshold is higher for one of many who decide alone, and lower where many must agree.
+// rollbackThreshold returns the evidence that a rollback needs. It is higher where one of many agents decides alone, and lower
+// where many must agree.
 func (v *voter) rollbackThreshold() float64 {
 	switch {
 	case v.evaluators.isMember:
@@ -192,7 +197,7 @@
 	return max(holdThreshold, decisionThreshold-math.Log(float64(max(1, v.rules.VotesToRollback))))
 }
 
-// isPausedBySlowdown reports whether the build does not advance as the fleet is slow.
+// isPausedBySlowdown reports whether the build must not advance because the fleet is slow.
 func (v *voter) isPausedBySlowdown() bool {
 	slowTime := 0.0
 	if !v.release.isEstablished() {
@@ -204,8 +209,8 @@
 	if v.slowdown.canaryShare < pauseCanaryShare {
 		return false
 	}
-	// An evaluator gets all outcomes, and sees them slow with the build's share: it need not wait.
-	isSlowNow := v.slowdown.ratio >= slowdownFactor || v.slowdown.isFarLessOnTime()
+	// An evaluator gets the outcomes of all agents and finds them slow while the canary has enough traffic: it need not wait.
+	isSlowNow := v.slowdown.latencyRatio >= slowdownFactor || v.slowdown.isFarLessOnTime()
 	if v.evaluators.isMember && isSlowNow {
 		return true
 	}
