--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -9,7 +9,7 @@
 	"switchfork/internal/golden"
 )
 
-// goldenDeployment is one set of settings that a random stream of events is played against.
+// goldenDeployment is one set of settings with which a router processes a random stream of events.
 type goldenDeployment struct {
 	name          string
 	classes       []RequestClass
@@ -45,7 +45,7 @@
 	}
 }
 
-// goldenStream makes random events that fit the commands that the router has given so far.
+// goldenStream generates random events that are consistent with the commands that the router has returned so far.
 type goldenStream struct {
 	random       *rand.Rand
 	deployment   goldenDeployment
@@ -63,7 +63,8 @@
 	stage        int
 }
 
-// goldenEvents of a stream: enough for releases to begin, be voted on and be rolled back several times.
+// goldenEvents is the number of events in a stream. It is enough for releases to begin, be voted on and be rolled back several
+// times.
 const goldenEvents = 12000
 
 func newGoldenStream(deployment goldenDeployment, seed int64) *goldenStream {
@@ -133,7 +134,7 @@
 	}
 }
 
-// oneIn is true once in count times.
+// oneIn returns true with a probability of 1/count.
 func (s *goldenStream) oneIn(count int) bool { return s.random.Intn(count) == 0 }
 
 func (s *goldenStream) randomBelow(limit Micros) Micros { return s.random.Int63n(limit) }
@@ -187,7 +188,7 @@
 	return []float32{s.random.Float32(), s.random.Float32() * 100, float32(s.random.Intn(9))}
 }
 
-// randomGossip returns random bytes, or some random records.
+// randomGossip returns random bytes or, more often, random records.
 func (s *goldenStream) randomGossip() []byte {
 	if s.oneIn(8) {
 		payload := make([]byte, []int{digestBytes, 7, 25}[s.random.Intn(3)])
@@ -327,7 +328,8 @@
 	s.handle(update)
 }
 
-// The same events give the same commands as ever: the golden file is older than the names and the shape of this package.
+// TestGoldenDecisions guards against changes of behaviour in a refactoring: the same events must give the same commands as when the
+// golden file was written, before the package got its present names and structure.
 func TestGoldenDecisions(t *testing.T) {
 	var out strings.Builder
 	for _, deployment := range goldenDeployments() {
@@ -340,7 +342,7 @@
 	golden.Check(t, "decisions.golden", out.String())
 }
 
-// What agents write to each other stays as it was, byte by byte.
+// TestGoldenGossip checks that the encoding of gossip stays as it was when the golden file was written, byte by byte.
 func TestGoldenGossip(t *testing.T) {
 	var out strings.Builder
 	for i, record := range []gossipRecord{
--- a/internal/policy/scenario_events_test.go
+++ b/internal/policy/scenario_events_test.go
@@ -7,16 +7,16 @@
 	"strings"
 )
 
-// outcomeNamed is an outcome by its word in the notation.
-func outcomeNamed(word string) Outcome {
+// parseOutcome returns the outcome that a word of the notation stands for.
+func parseOutcome(word string) Outcome {
 	return map[string]Outcome{
 		"ok": OK, "error": ServerError, "rejected": Rejected, "timeout": TimedOut, "connect-failed": ConnectFailed,
 		"connection-lost": ConnectionLost, "cancelled": Cancelled, "not-attempted": NotAttempted, "malformed": Malformed,
 	}[word]
 }
 
-// playEvent plays an event line, without its time.
-func (s *scenario) playEvent(kind string, words []string) {
+// runEvent runs an event line, which is given without its time.
+func (s *scenario) runEvent(kind string, words []string) {
 	switch kind {
 	case "wait":
 	case "endpoints":
@@ -30,11 +30,11 @@
 			s.requestArrives(uint64(id), parseOptions(words[2:]))
 		}
 	case "result":
-		s.attemptsEnd(words[0], outcomeNamed(words[1]), s.duration(parseOptions(words[2:]), "elapsed", 50))
+		s.attemptsEnd(words[0], parseOutcome(words[1]), s.duration(parseOptions(words[2:]), "elapsed", 50))
 	case "cancel":
 		s.handle(RequestCancelled{RequestID: uint64(s.number(words[0]))})
 	case "health-check":
-		s.handle(HealthCheckResult{EndpointID: uint32(s.number(words[0])), Outcome: outcomeNamed(words[1])})
+		s.handle(HealthCheckResult{EndpointID: uint32(s.number(words[0])), Outcome: parseOutcome(words[1])})
 	case "gossip-outcome", "gossip-attempt", "gossip-digest", "gossip-verdict":
 		s.receiveGossip(kind, words)
 	case "metrics-report": // BUILD CLASS REQUESTS FAILURES elapsed=
@@ -49,11 +49,11 @@
 	case "traffic":
 		s.runTraffic(parseOptions(words))
 	default:
-		s.test.Fatalf("%s: no event %q", s.position, kind)
+		s.test.Fatalf("%s: unknown event %q", s.position, kind)
 	}
 }
 
-// updateEndpoints plays a list. A row FIRST..LAST/BUILD/ZONE stands for one row for each id.
+// updateEndpoints sends an endpoint update. A row FIRST..LAST/BUILD/ZONE stands for one row per id.
 func (s *scenario) updateEndpoints(kind string, rows []string) {
 	update := EndpointUpdate{Full: kind == "full", Failed: kind == "failed"}
 	for _, row := range rows {
@@ -70,7 +70,7 @@
 	s.handle(update)
 }
 
-// endpoint parses ID/BUILD/ZONE, then - for draining or ! for gone, then @ and the milliseconds of its start.
+// endpoint parses ID/BUILD/ZONE, followed by - for draining or ! for gone, and by @ and the start time in milliseconds.
 func (s *scenario) endpoint(row string) Endpoint {
 	row, started, _ := strings.Cut(row, "@")
 	endpoint := Endpoint{State: Ready, Weight: 1}
@@ -89,14 +89,14 @@
 	return endpoint
 }
 
-// updateRollout plays BUILD STAGE PHASE CAP, then an outcome if it answers a vote.
+// updateRollout sends a rollout update from BUILD STAGE PHASE CAP, followed by an outcome if the update is the reply to a vote.
 func (s *scenario) updateRollout(words []string) {
 	phases := map[string]Phase{"evaluating": Evaluating, "rolling-back": RollingBack, "released": Released, "rolled-back": RolledBack}
 	update := RolloutUpdate{
 		Build: int(s.number(words[0])), Stage: int(s.number(words[1])), Cap: s.number(words[3]), Phase: phases[words[2]],
 	}
 	if len(words) > 4 {
-		update.IsVoteReply, update.Outcome = true, outcomeNamed(words[4])
+		update.IsVoteReply, update.Outcome = true, parseOutcome(words[4])
 	}
 	s.handle(update)
 }
@@ -110,7 +110,7 @@
 	})
 }
 
-// attemptsEnd ends the attempt of the request ID, or those of ID..LAST that are in flight.
+// attemptsEnd ends the attempts in flight of request ID or of requests ID..LAST.
 func (s *scenario) attemptsEnd(ids string, outcome Outcome, elapsed Micros) {
 	first, last, isRange := strings.Cut(ids, "..")
 	if !isRange {
@@ -132,26 +132,26 @@
 	})
 }
 
-// receiveGossip plays what peers tell.
+// receiveGossip sends messages from peers.
 func (s *scenario) receiveGossip(kind string, words []string) {
 	switch kind {
-	case "gossip-outcome": // ENDPOINT OUTCOME TIMES elapsed=: results of a peer
+	case "gossip-outcome": // ENDPOINT OUTCOME TIMES elapsed=: outcomes of a peer's attempts
 		id := uint32(s.number(words[0]))
 		s.receiveRecords(s.number(words[2]), gossipRecord{
-			kind:       recordKind(outcomeNamed(words[1])),
+			kind:       recordKind(parseOutcome(words[1])),
 			endpointID: id,
 			build:      s.builds[id],
 			elapsed:    s.duration(parseOptions(words), "elapsed", 50),
 		})
-	case "gossip-attempt": // ENDPOINT TIMES: attempts of a peer
+	case "gossip-attempt": // ENDPOINT TIMES: attempts that a peer sent
 		s.receiveRecords(s.number(words[1]), attemptRecord(Endpoint{ID: uint32(s.number(words[0]))}))
-	case "gossip-digest": // EVALUATOR ID,ID..: the endpoints that an evaluator calls overloaded
+	case "gossip-digest": // EVALUATOR ID,ID..: the endpoints that an evaluator reports as overloaded
 		payload := make([]byte, digestBytes)
 		for _, id := range strings.Split(words[1], ",") {
 			setDigestBit(payload, uint32(s.number(id)))
 		}
 		s.handle(GossipReceived{From: s.agentIndex(words[0]), Payload: payload})
-	case "gossip-verdict": // EVALUATOR BUILD STAGE VERDICT: a verdict; a number past the evaluators is another agent
+	case "gossip-verdict": // EVALUATOR BUILD STAGE VERDICT: the verdict of an evaluator, or of another agent (see agentIndex)
 		from := s.agentIndex(words[0])
 		verdict := map[string]Verdict{"none": NoVote, "advance": Advance, "rollback": Rollback, "9": 9}[words[3]]
 		build, stage := byte(s.number(words[1])), byte(s.number(words[2]))
@@ -166,7 +166,7 @@
 	}
 }
 
-// runTraffic plays requests that are answered at once: until=ms every=ms failing-build=build failing-endpoint=id
+// runTraffic sends requests that are answered at once: until=ms every=ms failing-build=build failing-endpoint=id
 // slow-build=build slow-endpoints=id,id error-every=count keys=count tenants=count failing-tenant=tenant elapsed=ms
 // rates=id:rate,.. utilization=.
 func (s *scenario) runTraffic(given options) {
@@ -186,7 +186,7 @@
 	s.eventStart = eventStart
 }
 
-// answerAttempts answers the attempts of a request until there are no more.
+// answerAttempts answers the attempts of a request until none is in flight.
 func (s *scenario) answerAttempts(requestID uint64, given options, failsOnce bool) {
 	failingBuild, failingEndpoint := s.count(given, "failing-build", -1), uint32(s.option(given, "failing-endpoint", 0))
 	failsForTenant := s.count(given, "tenant", 0) == s.count(given, "failing-tenant", -1)
@@ -204,7 +204,7 @@
 	}
 }
 
-// loadReport is what an endpoint among rates=ID:RATE,.. reports, none for the others.
+// loadReport returns the load report of an endpoint that rates=ID:RATE,.. lists, and nil for any other endpoint.
 func (s *scenario) loadReport(id uint32, given options) (load []float32) {
 	for _, rate := range strings.Split(given["rates"], ",") {
 		endpoint, served, isRate := strings.Cut(rate, ":")
--- a/internal/policy/scenario_notation_test.go
+++ b/internal/policy/scenario_notation_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// wordTable gives the present word for each word of the older notation.
+// wordTable maps words of the older notation to words of the current one.
 type wordTable map[string]string
 
-// notation is the words that have been renamed, by where they stand.
+// notation holds the renamed words, by their place in a line.
 type notation struct {
 	lines          wordTable
 	events         wordTable
@@ -65,8 +65,8 @@
 	}
 }
 
-// present is the present form of a word; an option's value stays.
-func (t wordTable) present(word string) string {
+// current returns the current form of a word. The value of an option stays as it is.
+func (t wordTable) current(word string) string {
 	key, value, hasValue := strings.Cut(word, "=")
 	if renamed, isOld := t[key]; isOld {
 		key = renamed
@@ -77,58 +77,59 @@
 	return key
 }
 
-func (t wordTable) allPresent(words []string) []string {
-	var present []string
+func (t wordTable) translateAll(words []string) []string {
+	var current []string
 	for _, word := range words {
-		present = append(present, t.present(word))
+		current = append(current, t.current(word))
 	}
-	return present
+	return current
 }
 
-// presentLine is the present form of a line's words.
-func (n notation) presentLine(words []string) []string {
-	line := append([]string{n.lines.present(words[0])}, words[1:]...)
+// translateLine returns the words of a line in their current form.
+func (n notation) translateLine(words []string) []string {
+	line := append([]string{n.lines.current(words[0])}, words[1:]...)
 	switch line[0] {
 	case "agent":
-		for i, word := range n.agentOptions.allPresent(line[1:]) {
+		for i, word := range n.agentOptions.translateAll(line[1:]) {
 			line[1+i] = strings.Replace(word, "index=BENCH", "index=EVALUATOR", 1)
 		}
 		return line
 	case "class":
-		line[1] = n.classKinds.present(line[1])
-		return append(line[:2], n.classOptions.allPresent(line[2:])...)
+		line[1] = n.classKinds.current(line[1])
+		return append(line[:2], n.classOptions.translateAll(line[2:])...)
 	case ">":
 		command := 1
 		if line[1] == "no" {
 			command = 2
 		}
-		line[command] = n.commands.present(line[command])
-		return append(line[:command+1], n.commandOptions.allPresent(line[command+1:])...)
+		line[command] = n.commands.current(line[command])
+		return append(line[:command+1], n.commandOptions.translateAll(line[command+1:])...)
 	}
-	line[1] = n.events.present(line[1])
-	n.presentEvent(line[1], line[2:])
+	line[1] = n.events.current(line[1])
+	n.translateEvent(line[1], line[2:])
 	return line
 }
 
-// presentEvent puts the words of an event into their present form.
-func (n notation) presentEvent(kind string, words []string) {
+// translateEvent replaces the words of an event by their current form.
+func (n notation) translateEvent(kind string, words []string) {
 	switch kind {
 	case "rollout": // BUILD STAGE PHASE CAP [OUTCOME]
-		words[2] = n.phases.present(words[2])
+		words[2] = n.phases.current(words[2])
 		if len(words) > 4 {
-			words[4] = n.outcomes.present(words[4])
+			words[4] = n.outcomes.current(words[4])
 		}
 	case "result", "health-check", "gossip-outcome": // ID OUTCOME OPTIONS
-		words[1] = n.outcomes.present(words[1])
-		copy(words[2:], n.eventOptions.allPresent(words[2:]))
+		words[1] = n.outcomes.current(words[1])
+		copy(words[2:], n.eventOptions.translateAll(words[2:]))
 	case "gossip-verdict": // EVALUATOR BUILD STAGE VERDICT
-		words[3] = n.verdicts.present(words[3])
+		words[3] = n.verdicts.current(words[3])
 	case "request", "requests", "metrics-report", "traffic":
-		copy(words, n.eventOptions.allPresent(words))
+		copy(words, n.eventOptions.translateAll(words))
 	}
 }
 
-// Scenarios in the older notation play as those of the same name in the present one.
+// TestOldNotationIsRead checks that scenarios in the older notation give the same commands as the scenarios of the same name in
+// the current notation.
 func TestOldNotationIsRead(t *testing.T) {
 	files, err := filepath.Glob("testdata/old-notation/*.txt")
 	if err != nil {
@@ -140,12 +141,13 @@
 	for _, file := range files {
 		name := filepath.Base(file)
 		t.Run(name, func(t *testing.T) {
-			old, present := playScenario(t, file), playScenario(t, filepath.Join("testdata", name))
-			if !reflect.DeepEqual(old.commands, present.commands) {
-				t.Error("the older notation gives other commands")
+			old, current := runScenario(t, file), runScenario(t, filepath.Join("testdata", name))
+			if !reflect.DeepEqual(old.commands, current.commands) {
+				t.Error("the older and the current notation give different commands")
 			}
-			if old.checks == 0 || old.checks != present.checks {
-				t.Errorf("the older notation has %d checks, the present one %d", old.checks, present.checks)
+			if old.checks == 0 || old.checks != current.checks {
+				t.Errorf("the older notation has %d checks, want as many as the current one (%d) and more than 0",
+					old.checks, current.checks)
 			}
 		})
 	}
--- a/internal/policy/scenario_test.go
+++ b/internal/policy/scenario_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// The notation: see testdata/README. One player plays every scenario, twice, and wants the same commands.
+// TestScenarios runs each scenario in testdata twice and checks that both runs give the same commands. testdata/README describes
+// the notation.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil {
@@ -22,18 +23,18 @@
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
-			first, second := playScenario(t, file), playScenario(t, file)
+			first, second := runScenario(t, file), runScenario(t, file)
 			if !reflect.DeepEqual(first.commands, second.commands) {
-				t.Error("the same events gave other commands")
+				t.Error("two runs with the same events gave different commands")
 			}
 			if first.checks == 0 {
-				t.Error("the scenario expects nothing")
+				t.Error("the scenario has no expectations, want at least one line with '>'")
 			}
 		})
 	}
 }
 
-// scenario plays the lines of one file.
+// scenario runs the lines of one file against a router.
 type scenario struct {
 	test       *testing.T
 	notation   notation
@@ -44,14 +45,14 @@
 	now        Micros
 	timers     []Micros
 	builds     map[uint32]int    // by endpoint
-	endpointOf map[uint64]uint32 // by request: where its attempt is in flight
-	load       []float32         // the load report that comes with results
+	endpointOf map[uint64]uint32 // by request, the endpoint of its attempt in flight
+	load       []float32         // load report that is sent with results
 	commands   []Command
-	eventStart int // the first command since the last event line
+	eventStart int // index of the first command since the last event line
 	checks     int
 }
 
-// options are the words KEY=VALUE of a line. A word without a value is 1.
+// options are the KEY=VALUE words of a line. A word without a value has the value 1.
 type options map[string]string
 
 func parseOptions(words []string) options {
@@ -66,7 +67,7 @@
 	return parsed
 }
 
-func playScenario(t *testing.T, file string) *scenario {
+func runScenario(t *testing.T, file string) *scenario {
 	t.Helper()
 	content, err := os.ReadFile(file)
 	if err != nil {
@@ -78,7 +79,7 @@
 		s.position = fmt.Sprintf("%s:%d", filepath.Base(file), number)
 		statement, _, _ := strings.Cut(lines.Text(), "#")
 		if words := strings.Fields(statement); len(words) > 0 {
-			s.play(s.notation.presentLine(words))
+			s.runLine(s.notation.translateLine(words))
 		}
 	}
 	if err := lines.Err(); err != nil {
@@ -87,7 +88,7 @@
 	return s
 }
 
-func (s *scenario) play(words []string) {
+func (s *scenario) runLine(words []string) {
 	switch words[0] {
 	case "agent":
 		s.settings = parseOptions(words[1:])
@@ -97,7 +98,7 @@
 		s.expect(words[1:])
 	default:
 		s.advanceTo(s.milliseconds(words[0]))
-		s.playEvent(words[1], words[2:])
+		s.runEvent(words[1], words[2:])
 	}
 }
 
@@ -111,7 +112,7 @@
 
 func (s *scenario) milliseconds(token string) Micros { return Micros(s.number(token)) * millisecond }
 
-// option returns a number among the options, or a default where it is not given.
+// option returns a numeric option, or the default if it is not given.
 func (s *scenario) option(from options, key string, byDefault float64) float64 {
 	if value, isGiven := from[key]; isGiven {
 		return s.number(value)
@@ -119,7 +120,7 @@
 	return byDefault
 }
 
-// duration returns an option that is in milliseconds.
+// duration returns an option that is given in milliseconds.
 func (s *scenario) duration(from options, key string, byDefault float64) Micros {
 	return Micros(s.option(from, key, byDefault)) * millisecond
 }
@@ -141,7 +142,7 @@
 	}
 }
 
-// start makes the router from the settings.
+// start creates the router from the settings.
 func (s *scenario) start() {
 	given := s.settings
 	var caps []float64
@@ -180,7 +181,8 @@
 	})
 }
 
-// agentIndex is the index of an evaluator. A number past the evaluators is another agent's index.
+// agentIndex returns the agent index of the evaluator with the given number. A number from evaluatorCount on is itself an agent
+// index.
 func (s *scenario) agentIndex(token string) int {
 	number := int(s.number(token))
 	evaluators := selectAgents(s.count(s.settings, "agents", 1), evaluatorCount)
@@ -203,7 +205,7 @@
 	}
 }
 
-// advanceTo moves the time on and fires the timers that are due before.
+// advanceTo advances the time and fires the timers that are due by then.
 func (s *scenario) advanceTo(at Micros) {
 	if s.router == nil {
 		s.start()
@@ -216,7 +218,7 @@
 	s.now = at
 }
 
-// describe gives a command's name in the notation, and the figures that a scenario may ask for.
+// describe returns a command's name in the notation, and the figures that a scenario may check.
 func (s *scenario) describe(command Command) (token string, figures map[string]float64) {
 	switch c := command.(type) {
 	case SendAttempt:
@@ -242,36 +244,36 @@
 	case LogMessage:
 		return "log", nil
 	}
-	s.test.Fatalf("%s: no word for %T", s.position, command)
+	s.test.Fatalf("%s: the notation has no word for command %T", s.position, command)
 	return "", nil
 }
 
-// expect checks how many commands since the last event line fit a description.
+// expect checks how many commands since the last event line match a description.
 func (s *scenario) expect(words []string) {
 	s.checks++
-	least, most := 1, 1<<30
+	minCount, maxCount := 1, 1<<30
 	if words[0] == "no" {
-		least, most, words = 0, 0, words[1:]
+		minCount, maxCount, words = 0, 0, words[1:]
 	}
 	kind, wanted := words[0], parseOptions(words[1:])
 	if wanted["at-most"] != "" {
-		least, most = 0, int(s.number(wanted["at-most"]))
+		minCount, maxCount = 0, int(s.number(wanted["at-most"]))
 	}
-	least = s.count(wanted, "at-least", float64(least))
+	minCount = s.count(wanted, "at-least", float64(minCount))
 	count := 0
 	recent := s.commands[s.eventStart:]
 	for _, command := range recent {
-		if s.fits(command, kind, wanted) {
+		if s.matches(command, kind, wanted) {
 			count++
 		}
 	}
-	if count < least || count > most {
-		s.test.Errorf("%s: %s came %d times, want %d to %d, of %d commands: %.600s",
-			s.position, strings.Join(words, " "), count, least, most, len(recent), fmt.Sprintf("%+v", recent))
+	if count < minCount || count > maxCount {
+		s.test.Errorf("%s: %s: got %d matching commands, want %d to %d; all %d commands: %.600s",
+			s.position, strings.Join(words, " "), count, minCount, maxCount, len(recent), fmt.Sprintf("%+v", recent))
 	}
 }
 
-func (s *scenario) fits(command Command, kind string, wanted options) bool {
+func (s *scenario) matches(command Command, kind string, wanted options) bool {
 	token, figures := s.describe(command)
 	if token != kind {
 		return false
--- a/internal/policy/verdict_exchange_test.go
+++ b/internal/policy/verdict_exchange_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// newTestVerdicts returns an exchange of a release of build 2, stage 1, in a fleet with evaluators.
-func newTestVerdicts() *verdictExchange {
+// newTestVerdictExchange returns an exchange for a release of build 2 in stage 1, in a fleet with evaluators.
+func newTestVerdictExchange() *verdictExchange {
 	shared := &sharedState{now: 100 * second}
 	group := newEvaluatorGroup(shared, Config{
 		Instance: Instance{Agents: 50}, Capabilities: Capabilities{Gossip: true},
@@ -29,21 +29,21 @@
 		{"unknown", peerVerdict{build: 2, stage: 1, verdict: Rollback + 1, receivedAt: 99 * second}, 5, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			exchange := newTestVerdicts()
+			exchange := newTestVerdictExchange()
 			for _, member := range exchange.evaluators.members[:c.count] {
 				c.verdict.from = member
 				exchange.receive(c.verdict)
 			}
 			got, hasMajority := exchange.majority()
 			if hasMajority != c.hasMajority || hasMajority && got != c.verdict.verdict {
-				t.Errorf("the majority is %v, %v; want %v, %v", got, hasMajority, c.verdict.verdict, c.hasMajority)
+				t.Errorf("majority() = %v, %v; want %v, %v", got, hasMajority, c.verdict.verdict, c.hasMajority)
 			}
 		})
 	}
 }
 
 func TestVerdictsOfOtherAgentsDoNotCount(t *testing.T) {
-	exchange := newTestVerdicts()
+	exchange := newTestVerdictExchange()
 	for agent := range exchange.evaluators.agentCount {
 		if exchange.evaluators.isEvaluator(agent) {
 			continue
@@ -51,6 +51,6 @@
 		exchange.receive(peerVerdict{from: agent, build: 2, stage: 1, verdict: Rollback, receivedAt: 99 * second})
 	}
 	if verdict, hasMajority := exchange.majority(); hasMajority {
-		t.Errorf("agents that are no evaluators reach the majority for %v", verdict)
+		t.Errorf("agents that are not evaluators reach a majority for verdict %v, want none", verdict)
 	}
 }
