--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -336,7 +336,7 @@
 		for seed := int64(1); seed <= 3; seed++ {
 			s := newGoldenStream(deployment, seed)
 			s.run()
-			fmt.Fprintf(&out, "%s seed %d: %d orders %s\n", deployment.name, seed, s.commandCount, s.digest)
+			fmt.Fprintf(&out, "%s seed %d: %d commands %s\n", deployment.name, seed, s.commandCount, s.digest)
 		}
 	}
 	golden.Check(t, "decisions.golden", out.String())
@@ -357,10 +357,10 @@
 		rejectionRecord(),
 		attemptRecord(Endpoint{ID: 77}),
 	} {
-		fmt.Fprintf(&out, "line %d: %x\n", i, record.appendTo(nil))
+		fmt.Fprintf(&out, "record %d: %x\n", i, record.appendTo(nil))
 	}
 	for verdict := NoVote; verdict <= Rollback; verdict++ {
-		fmt.Fprintf(&out, "word %d: %x\n", verdict, encodeVerdict(300, 4, verdict))
+		fmt.Fprintf(&out, "verdict %d: %x\n", verdict, encodeVerdict(300, 4, verdict))
 	}
 	for _, id := range []uint32{0, 1, 77, 0xffffffff} {
 		index, bit := digestBit(id)
