--- a/internal/sprt/sprt.go
+++ b/internal/sprt/sprt.go
@@ -1,15 +1,15 @@
-// Package sprt gives the steps of Wald's sequential probability ratio test: how far one outcome moves the logarithm of the
-// likelihood ratio between "the rate is bad" and "the rate is the baseline's".
+// Package sprt computes the steps of Wald's sequential probability ratio test. A step is how far one outcome moves the logarithm
+// of the likelihood ratio between "the rate is bad" and "the rate is the baseline's".
 //
-// A Test is a value without state; the caller keeps the sum and its thresholds.
+// A Test is an immutable value; the caller keeps the sum of the steps and its thresholds.
 package sprt
 
 import "math"
 
 // Bounds keep the two rates of a test apart and inside (0, 1).
 type Bounds struct {
-	MaxBadRate float64 // the bad rate is no higher than this
-	MinRatio   float64 // the baseline is at least this many times below the bad rate
+	MaxBadRate float64 // highest bad rate
+	MinRatio   float64 // lowest ratio of the bad rate to the baseline rate
 }
 
 // Test compares a baseline failure rate with a bad one.
@@ -17,7 +17,7 @@
 	baseline, bad float64
 }
 
-// NewTest returns the test of a baseline rate against one that is factor times as high.
+// NewTest returns the test of a baseline rate against a bad rate that is factor times as high, both within bounds.
 func NewTest(baseline, factor float64, bounds Bounds) Test {
 	bad := min(factor*baseline, bounds.MaxBadRate)
 	return Test{baseline: min(baseline, bad/bounds.MinRatio), bad: bad}
@@ -37,8 +37,8 @@
 	return t.Success()
 }
 
-// ExponentialMean returns the step of count exponentially distributed durations with the given mean, where factor times the
-// expected mean is the bad one.
+// ExponentialMean returns the step of count exponentially distributed durations with the given sample mean, in a test of the
+// expected mean against one that is factor times as high.
 func ExponentialMean(count, mean, expected, factor float64) float64 {
 	return count * (mean/expected*(1-1/factor) - math.Log(factor))
 }
--- a/internal/sprt/sprt_test.go
+++ b/internal/sprt/sprt_test.go
@@ -27,9 +27,9 @@
 
 func TestExponentialMean(t *testing.T) {
 	if got := ExponentialMean(10, 1, 1, 1.6); got >= 0 {
-		t.Errorf("durations as expected move the ratio by %v, want less than 0", got)
+		t.Errorf("durations with the expected mean move the ratio by %v, want less than 0", got)
 	}
 	if got := ExponentialMean(10, 1.6, 1, 1.6); got <= 0 {
-		t.Errorf("durations as long as the bad ones move the ratio by %v, want more than 0", got)
+		t.Errorf("durations with the bad mean move the ratio by %v, want more than 0", got)
 	}
 }
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -4,13 +4,13 @@
 
 func TestMovingMean(t *testing.T) {
 	if got := MovingMean(10, 20, 0.25); got != 12.5 {
-		t.Errorf("a quarter of the way from 10 to 20 is %v, want 12.5", got)
+		t.Errorf("MovingMean(10, 20, 0.25) = %v, want 12.5", got)
 	}
 }
 
 func TestIndicator(t *testing.T) {
 	if Indicator(true) != 1 || Indicator(false) != 0 {
-		t.Error("an indicator is 1 for true and 0 for false")
+		t.Error("want Indicator(true) = 1 and Indicator(false) = 0")
 	}
 }
 
@@ -32,7 +32,7 @@
 			t.Errorf("LowerMedian(%v) = %v, want %v", test.samples, got, test.lower)
 		}
 		if test.samples[0] != first {
-			t.Errorf("the samples were reordered: %v", test.samples)
+			t.Errorf("Median or LowerMedian reordered the samples: %v", test.samples)
 		}
 	}
 }
