--- a/internal/cluster/coordinator/admin_client.go
+++ b/internal/cluster/coordinator/admin_client.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	// adminHost stands in the requests' URLs; the client connects to a Unix socket whatever the host.
+	// adminHost is the scheme and host of request URLs. The host is never resolved: the client connects to the Unix socket.
 	adminHost = "http://agent"
-	// maxReasonBytes of a refusal are read.
+	// maxReasonBytes bounds how much of a refusal's body is read.
 	maxReasonBytes = 256
 )
 
-// StatusCodeError tells that an agent has not answered a query with its status.
+// StatusCodeError reports that an agent answered a status query with an HTTP status other than 200.
 type StatusCodeError struct{ Status string }
 
 func (e *StatusCodeError) Error() string { return "the agent answers " + e.Status }
 
-// MemberChangeError tells why an agent has refused a change of the members, in the agent's own text.
+// MemberChangeError reports that an agent refused to add or remove a member. Reason is the text that the agent sent.
 type MemberChangeError struct{ Reason string }
 
 func (e *MemberChangeError) Error() string { return e.Reason }
 
-// QueryStatus asks the agent whose admin address is given for its status. An agent that can't tell is a *StatusCodeError.
+// QueryStatus asks the agent that serves the admin socket at path for its status. It returns a *StatusCodeError if the agent can't
+// report its status.
 func QueryStatus(path string) (StatusReport, error) {
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodGet, adminHost+statusPath, http.NoBody)
 	if err != nil {
@@ -50,8 +51,8 @@
 	return report, nil
 }
 
-// RequestMemberChange asks the agent whose admin address is given, which has to be the leader, to add or remove a member. A refusal is
-// a *MemberChangeError.
+// RequestMemberChange asks the agent that serves the admin socket at path to add or remove a member. That agent has to be the leader.
+// A refusal is returned as a *MemberChangeError.
 func RequestMemberChange(path string, change MemberChange) error {
 	form := url.Values{agentParameter: {strconv.Itoa(change.Agent)}}
 	resource := adminHost + memberPath + string(change.Kind)
@@ -68,11 +69,11 @@
 	if response.StatusCode == http.StatusOK {
 		return nil
 	}
-	reason, _ := io.ReadAll(io.LimitReader(response.Body, maxReasonBytes)) // a part of the reason is better than none
+	reason, _ := io.ReadAll(io.LimitReader(response.Body, maxReasonBytes)) // if reading fails, the part that was read is reported
 	return &MemberChangeError{string(reason)}
 }
 
-// adminClient speaks HTTP over a Unix socket.
+// adminClient returns an HTTP client that connects to the Unix socket at path.
 func adminClient(path string) *http.Client {
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", path)
@@ -84,5 +85,5 @@
 }
 
 func closeBody(response *http.Response) {
-	_ = response.Body.Close() // it was read as far as it is used
+	_ = response.Body.Close() // nothing more is read from it, so an error has no consequence
 }
--- a/internal/cluster/coordinator/admin_server.go
+++ b/internal/cluster/coordinator/admin_server.go
@@ -15,33 +15,34 @@
 )
 
 const (
-	// adminTimeout bounds each step of a conversation at the admin address.
+	// adminTimeout bounds how long the server waits for the headers of a request or for the next request, how long a client's
+	// request may take, and how long a connection to the socket may take to open.
 	adminTimeout = 2 * time.Second
-	// adminSocketMode: only the agent's own user may ask it.
+	// adminSocketMode lets only the agent's own user connect to the socket.
 	adminSocketMode = 0o600
-	// privateFolderPattern and privateSocketName name where the socket is made. They are short, as the path of a socket may have some
-	// hundred bytes only.
+	// privateFolderPattern and privateSocketName name the temporary folder in which the socket is created, and the socket there. They
+	// are short because the path of a Unix socket is limited to about a hundred bytes.
 	privateFolderPattern = ".a*"
 	privateSocketName    = "s"
 )
 
-// Resources of the admin address.
+// URL paths of the admin address, and the form parameter of a member change.
 const (
 	statusPath     = "/lead"
-	memberPath     = "/members/" // followed by the MemberChangeKind
+	memberPath     = "/members/" // followed by a MemberChangeKind
 	metricsPath    = "/metrics"
 	agentParameter = "agent"
 )
 
-// AdminAddressInUseError tells that another process serves the admin address.
+// AdminAddressInUseError reports that another process serves the admin address.
 type AdminAddressInUseError struct{ Path string }
 
 func (e *AdminAddressInUseError) Error() string {
 	return fmt.Sprintf("opening the admin socket %s: another process serves it", e.Path)
 }
 
-// ServeAdmin begins to serve the admin address, a Unix socket, and returns; it is served until the context ends. A socket that an
-// ended agent has left behind is replaced, one that a process still serves is not.
+// ServeAdmin starts serving the admin address, a Unix socket at path, and returns. The address is served until the context ends. A
+// socket left behind by an agent that has ended is replaced; a socket that a process still serves is not.
 func (c *Coordinator) ServeAdmin(ctx context.Context, path string) error {
 	listener, err := listenAdmin(ctx, path)
 	if err != nil {
@@ -53,21 +54,21 @@
 		IdleTimeout:       adminTimeout,
 	}
 	context.AfterFunc(ctx, func() {
-		_ = server.Close() // the agent ends
+		_ = server.Close() // the agent is shutting down, so an error has no consequence
 	})
 	go func() {
-		_ = server.Serve(listener) // without its admin address an agent serves on
+		_ = server.Serve(listener) // an agent continues to run without its admin address
 	}()
 	return nil
 }
 
-// listenAdmin opens the Unix socket.
+// listenAdmin opens the Unix socket at path. It replaces a socket that no process serves.
 func listenAdmin(ctx context.Context, path string) (net.Listener, error) {
 	if isServed(ctx, path) {
 		return nil, &AdminAddressInUseError{path}
 	}
 	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
-		_ = os.Remove(path) // if it stays, Listen says why the address can't be used
+		_ = os.Remove(path) // if this fails, listenPrivately reports why the address can't be used
 	}
 	listener, err := listenPrivately(ctx, path)
 	if err != nil {
@@ -76,20 +77,21 @@
 	return listener, nil
 }
 
-// listenPrivately opens a Unix socket that only the agent's own user can ever have connected to. The system makes a socket with the
-// permissions of the umask, so it is made in a folder that is closed to others, and moved to its path when its mode is set.
+// listenPrivately opens a Unix socket to which only the agent's own user can connect, from its creation on. The system creates a
+// socket with the permissions that the umask leaves. The socket is therefore created in a temporary folder that other users can't
+// enter, and moved to path after its mode is set.
 func listenPrivately(ctx context.Context, path string) (net.Listener, error) {
 	folder, err := os.MkdirTemp(filepath.Dir(path), privateFolderPattern)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // it is empty, or the error says why not
+	defer func() { _ = os.RemoveAll(folder) }() // a folder that remains is empty, or the returned error says why not
 	private := filepath.Join(folder, privateSocketName)
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "unix", private)
 	if err != nil {
 		return nil, err
 	}
-	listener.(*net.UnixListener).SetUnlinkOnClose(false) // it would remove the name that the socket had at first
+	listener.(*net.UnixListener).SetUnlinkOnClose(false) // closing would remove the path at which the socket was created
 	if err = os.Chmod(private, adminSocketMode); err == nil {
 		err = os.Rename(private, path)
 	}
@@ -100,13 +102,14 @@
 	return &movedListener{listener, path}, nil
 }
 
-// movedListener removes the name that its socket was moved to when it is closed.
+// movedListener listens on a Unix socket that was moved to path after its creation.
 type movedListener struct {
 	net.Listener
 	path string
 }
 
-// Close closes the listener. Only its first call removes the name, which may be another process's by the next.
+// Close closes the listener and removes the socket from its path. Only the first call removes it, because the path may belong to
+// another process by the time of a further call.
 func (l *movedListener) Close() error {
 	err := l.Listener.Close()
 	if err == nil {
@@ -115,8 +118,8 @@
 	return err
 }
 
-// isServed tells whether a process accepts connections at the socket. An ended context would look like a socket that nobody
-// serves, so it doesn't count here.
+// isServed reports whether a process accepts connections at the socket. It ignores the end of the context, because a dial that fails
+// for that reason would look like a socket that nobody serves.
 func isServed(ctx context.Context, path string) bool {
 	dialer := net.Dialer{Timeout: adminTimeout}
 	conn, err := dialer.DialContext(context.WithoutCancel(ctx), "unix", path)
@@ -149,7 +152,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(NewStatusReport(s.coordinator.index, status)) // fails only if the client has gone
+	_ = json.NewEncoder(w).Encode(NewStatusReport(s.coordinator.index, status)) // fails only if the client has disconnected
 }
 
 func (s *adminServer) handleMetrics(w http.ResponseWriter, _ *http.Request) {
@@ -167,7 +170,7 @@
 	}
 }
 
-// InvalidAgentError tells that a request names no agent.
+// InvalidAgentError reports that the agent parameter of a request is not a valid agent number.
 type InvalidAgentError struct{ Value string }
 
 func (e *InvalidAgentError) Error() string {
--- a/internal/cluster/coordinator/commands.go
+++ b/internal/cluster/coordinator/commands.go
@@ -9,8 +9,8 @@
 	"switchfork/internal/policy"
 )
 
-// execute carries the replica's commands out in order. It works on a copy, since the replica uses its slice again at the next
-// call. Messages and votes behind a Persist rely on the state being stored, and are dropped where it is not.
+// execute carries out the replica's commands in order. It iterates over a copy, because the replica reuses the slice in its next call.
+// Messages and votes that follow a Persist rely on the state being stored, and are dropped if it was not stored.
 func (c *Coordinator) execute(commands []election.Command) {
 	isStored := true
 	for _, command := range slices.Clone(commands) {
@@ -26,14 +26,14 @@
 			if isStored && !c.state.hasFailed {
 				c.cast(command)
 			}
-		case election.SelfStop: // concerns this agent alone
+		case election.SelfStop: // affects this agent alone, so it does not depend on stored state
 			c.trafficStop.execute(command)
 		}
 	}
 }
 
-// persist saves the state, and reports whether the messages and votes after it may go out. Once a save has failed the replica takes no
-// part any more.
+// persist saves the state, and reports whether the messages and votes that follow it may be sent. Once a save has failed, the replica
+// no longer participates in the election.
 func (c *Coordinator) persist(state election.DurableState) bool {
 	if c.state.hasFailed {
 		return false
@@ -45,7 +45,7 @@
 	return true
 }
 
-// cast has a vote written, and reports back through the mailbox when it is resolved.
+// cast has a vote written to the rollout controller, and puts a voteResolved message into the mailbox when the vote is resolved.
 func (c *Coordinator) cast(command election.CastVote) {
 	record := command.Record
 	slog.Info("vote decided", "term", record.Term, "index", record.Index, "build", record.Build, "stage", record.Stage,
--- a/internal/cluster/coordinator/coordinator.go
+++ b/internal/cluster/coordinator/coordinator.go
@@ -1,10 +1,11 @@
-// Package coordinator runs this agent's replica of the leader election and connects it to the rest of the agent: it passes on
-// what the release analyzer recommends, what the rollout controller reports and what other agents send, and executes the
+// Package coordinator runs this agent's replica of the leader election and connects it to the rest of the agent. It passes on to the
+// replica what the release analyzer recommends, what the rollout controller reports and what other agents send, and executes the
 // commands that the replica returns. Every decision is made in package election; this package keeps the clock, the mailbox, the
 // timer and the metrics, and serves the admin address.
 //
 // The goroutine that calls Coordinator.Serve owns the replica and all state that depends on it. All other methods may be called
-// from any goroutine: they put a message into the mailbox, which never waits, and where they return a result they wait for the answer.
+// from any goroutine. Those that concern the replica put a message into a queue, which never blocks; if they return a result, they
+// then wait for the answer.
 package coordinator
 
 import (
@@ -18,7 +19,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Transport sends encoded messages to another agent. Delivery is best effort: a message may be lost, delayed or doubled.
+// Transport sends encoded messages to another agent. Delivery is best effort: a message may be lost, delayed or duplicated.
 type Transport interface{ Send(to int, frame []byte) }
 
 // Store keeps the replica's durable state. The state is on disk when Save returns without an error.
@@ -27,10 +28,10 @@
 	Close() error
 }
 
-// Callbacks are what the coordinator calls in the rest of the agent.
+// Callbacks are the functions of the rest of the agent that the coordinator calls.
 type Callbacks struct {
-	// CastVote sends a vote to the rollout controller, unless it can't be written before the given time. resolved is called once
-	// the vote is known to have been carried out, or known never to be; written tells whether it was sent at all.
+	// CastVote sends a vote to the rollout controller, unless it can't be written before the time writeBefore. It calls resolved once
+	// the vote is known to have been carried out, or known never to be; written reports whether the vote was sent at all.
 	CastVote func(vote policy.Vote, writeBefore time.Time, resolved func(written bool))
 	// UpdateRollout gives the routing policy the state of a rollout.
 	UpdateRollout func(policy.RolloutUpdate)
@@ -40,13 +41,13 @@
 type Config struct {
 	Index    int
 	Members  election.Members
-	State    *election.DurableState // nil: nothing was ever stored
+	State    *election.DurableState // nil: no state has been stored yet
 	Settings election.Settings
-	Group    uint64
+	Group    uint64 // group of agents; messages of another group are dropped
 	Seed     int64
 }
 
-// frameQueueCapacity bounds the frames of other agents that wait; beyond it they are dropped.
+// frameQueueCapacity is how many received frames may wait to be handled. Further frames are dropped.
 const frameQueueCapacity = 1024
 
 // Coordinator drives one replica.
@@ -56,8 +57,8 @@
 	transport Transport
 	castVote  func(vote policy.Vote, writeBefore time.Time, resolved func(written bool))
 	clock     clock
-	mailbox   *mailbox.Mailbox[message] // what this agent's own parts say: they must not wait, and say little
-	frames    chan []byte               // of other agents
+	mailbox   *mailbox.Mailbox[message] // from other parts of this agent, which must not wait; unbounded, as they send few
+	frames    chan []byte               // received from other agents
 	metrics   *replicaMetrics
 
 	// Owned by the goroutine of Serve.
@@ -68,7 +69,7 @@
 	leadership     leadershipObserver
 }
 
-// New makes a coordinator; store is nil where this agent has no state folder. A replica without stored state abstains at first,
+// New returns a coordinator. store is nil if this agent has no state folder. A replica without stored state abstains at first,
 // because the agent may have run before.
 func New(config Config, transport Transport, store Store, callbacks Callbacks) *Coordinator {
 	replicaClock := startClock()
@@ -99,10 +100,10 @@
 	}
 }
 
-// Metrics returns the set with the coordinator's metrics.
+// Metrics returns the set that holds the coordinator's metrics.
 func (c *Coordinator) Metrics() *metrics.Set { return c.metrics.set }
 
-// Serve handles timer, mailbox and frames until the context ends, and then closes the store.
+// Serve handles the timer, the mailbox and received frames until the context ends, and then closes the store.
 func (c *Coordinator) Serve(ctx context.Context) {
 	defer c.state.close()
 	timer := time.NewTimer(0)
@@ -125,7 +126,7 @@
 	}
 }
 
-// tick runs what is due.
+// tick lets the replica do what is due, and repeats the recommendation if that is due.
 func (c *Coordinator) tick() {
 	c.execute(c.replica.Tick(c.clock.now()))
 	if c.recommendation.isDue() {
@@ -133,7 +134,7 @@
 	}
 }
 
-// recommend gives the replica what this agent's release analyzer asks for.
+// recommend gives the replica the decision that this agent's release analyzer recommends.
 func (c *Coordinator) recommend(decision election.Decision) {
 	c.recommendation.set(decision)
 	c.execute(c.replica.Recommend(c.clock.now(), decision))
--- a/internal/cluster/coordinator/leadership.go
+++ b/internal/cluster/coordinator/leadership.go
@@ -6,11 +6,11 @@
 	"switchfork/internal/cluster/election"
 )
 
-// leadershipObserver exports the remaining lease, and logs and counts when this agent begins or ceases to lead.
+// leadershipObserver exports the remaining lease as a metric, and logs and counts when this agent gains or loses the leadership.
 type leadershipObserver struct {
 	metrics *replicaMetrics
-	term    uint64 // in which this agent leads; 0: it does not
-	hasLeft bool   // this agent was told to hand its leadership over
+	term    uint64 // term in which this agent is the leader; 0: it is not
+	hasLeft bool   // this agent was asked to hand over its leadership
 }
 
 func (o *leadershipObserver) observe(status election.Status) {
--- a/internal/cluster/coordinator/messages.go
+++ b/internal/cluster/coordinator/messages.go
@@ -9,11 +9,11 @@
 	"switchfork/internal/policy"
 )
 
-// ErrNoStateDir refuses a change of the members. An agent that restarts without stored state would count quorums among its
-// configured members, who could then agree without any of the current ones.
+// ErrNoStateDir is the refusal of a member change by an agent without a state folder. An agent that restarts without stored state
+// counts quorums among its configured members. After a member change these could agree without any of the current members.
 var ErrNoStateDir = errors.New("members change only where each agent has a state folder")
 
-// message is anything that the mailbox holds. Its handle method runs on the goroutine of Serve.
+// message is an entry of the mailbox. Its handle method runs on the goroutine of Serve.
 type message interface {
 	handle(*Coordinator)
 }
@@ -28,13 +28,13 @@
 	// voteResolved reports that a vote was carried out, or never will be.
 	voteResolved struct{ record election.Record }
 
-	// leaveRequest has this agent hand its lease over.
+	// leaveRequest asks this agent to hand over its lease. done is closed when the handover has been sent.
 	leaveRequest struct{ done chan<- struct{} }
 
 	// statusRequest asks for the replica's status.
 	statusRequest struct{ answer chan<- election.Status }
 
-	// memberChangeRequest asks for a change of the members.
+	// memberChangeRequest asks for a member to be added or removed. The answer is nil, or the reason for a refusal.
 	memberChangeRequest struct {
 		change MemberChange
 		answer chan<- error
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// receive handles a frame of another agent.
+// receive handles a frame from another agent.
 func (c *Coordinator) receive(frame []byte) {
 	now := c.clock.now()
 	from, decoded, err := transport.Decode(c.group, frame)
--- a/internal/cluster/coordinator/metrics.go
+++ b/internal/cluster/coordinator/metrics.go
@@ -10,29 +10,29 @@
 
 const (
 	metricsPrefix = "switchfork_election_"
-	// deprecatedPrefix begins the earlier names of the same metrics.
+	// deprecatedPrefix is the prefix of the earlier names of the same metrics.
 	deprecatedPrefix = "switchfork_decider_"
 	leaseGauge       = "lease_seconds"
 )
 
-// replicaMetrics are what the admin address exports. They may be read and changed from any goroutine.
+// replicaMetrics holds the metrics that the admin address exports. They may be read and changed from any goroutine.
 type replicaMetrics struct {
 	set      *metrics.Set
-	counters []namedCounter // all of them
+	counters []namedCounter // all counters below
 
 	electionsWon     *metrics.Counter // terms in which this agent has led
-	handOvers        *metrics.Counter // leases handed over at the agent's end
+	handOvers        *metrics.Counter // leases handed over when the agent shut down
 	votesCast        *metrics.Counter
 	votesRefused     *metrics.Counter // not written, because it was too late or the controller could not be reached
 	messagesReceived *metrics.Counter
 	messagesSent     *metrics.Counter
-	messagesDropped  *metrics.Counter // received, and not used
+	messagesDropped  *metrics.Counter // received but not used
 	stateSyncs       *metrics.Counter
 
 	leaseRemaining atomic.Int64 // microseconds
 }
 
-// namedCounter is a counter with its name after the prefix.
+// namedCounter is a counter and its name without the prefix.
 type namedCounter struct {
 	name    string
 	counter *metrics.Counter
@@ -63,7 +63,7 @@
 	return float64(m.leaseRemaining.Load()) / microsPerSecond
 }
 
-// writeDeprecated exports every metric by its earlier name, too, for the dashboards that still read it.
+// writeDeprecated exports every metric under its earlier name as well, for dashboards that still read that name.
 func (m *replicaMetrics) writeDeprecated(w io.Writer) {
 	for _, named := range m.counters {
 		writeDeprecation(w, named.name, "counter")
@@ -73,7 +73,8 @@
 	metrics.WriteGaugeFloat64(w, deprecatedPrefix+leaseGauge, m.leaseSeconds())
 }
 
-// writeDeprecation writes the metadata of a metric's earlier name. A write that fails has lost its reader.
+// writeDeprecation writes the HELP and TYPE lines for a metric's earlier name. A write error is ignored: it means that the reader has
+// disconnected.
 func writeDeprecation(w io.Writer, name, kind string) {
 	earlier := deprecatedPrefix + name
 	_, _ = fmt.Fprintf(w, "# HELP %s Deprecated: use %s.\n# TYPE %s %s\n", earlier, metricsPrefix+name, earlier, kind)
--- a/internal/cluster/coordinator/recommendation.go
+++ b/internal/cluster/coordinator/recommendation.go
@@ -6,10 +6,11 @@
 	"switchfork/internal/cluster/election"
 )
 
-// recommendationsPerLease is how often a recommendation is repeated, since other agents' replicas let an old one expire.
+// recommendationsPerLease is how often a recommendation is repeated within the duration of a lease. It is repeated because other agents'
+// replicas drop a recommendation that is not renewed in time.
 const recommendationsPerLease = 2
 
-// repeatedRecommendation is what this agent's release analyzer asks for, and when the replica was last given it.
+// repeatedRecommendation is the decision that this agent's release analyzer recommends, and when it was last given to the replica.
 type repeatedRecommendation struct {
 	interval time.Duration
 	decision election.Decision // the zero value: none yet
@@ -21,7 +22,7 @@
 	r.givenAt = time.Now()
 }
 
-// isDue reports whether the replica has to be given the recommendation again.
+// isDue reports whether the recommendation has to be given to the replica again.
 func (r *repeatedRecommendation) isDue() bool {
 	return r.decision != (election.Decision{}) && time.Since(r.givenAt) >= r.interval
 }
--- a/internal/cluster/coordinator/requests.go
+++ b/internal/cluster/coordinator/requests.go
@@ -7,7 +7,7 @@
 	"switchfork/internal/policy"
 )
 
-// Receive takes an encoded message of another agent. It is dropped if too many wait.
+// Receive queues an encoded message from another agent. The message is dropped if the queue is full.
 func (c *Coordinator) Receive(frame []byte) {
 	select {
 	case c.frames <- frame:
@@ -16,16 +16,16 @@
 	}
 }
 
-// Recommend takes the vote that this agent's release analyzer would cast. It never waits, as the whole agent stands still while the
-// event loop, which calls it, does.
+// Recommend gives the replica the vote that this agent's release analyzer would cast. It never blocks, because the event loop calls
+// it and the whole agent waits while the event loop is blocked.
 func (c *Coordinator) Recommend(vote policy.Vote) { c.mailbox.Put(voteRecommendation{vote}) }
 
-// UpdateRollout takes the rollout controller's report.
+// UpdateRollout passes a report of the rollout controller to the replica.
 func (c *Coordinator) UpdateRollout(update policy.RolloutUpdate) {
 	c.mailbox.Put(rolloutUpdate{update})
 }
 
-// Leave hands the lease over, if this agent holds it, and returns when the handover has been sent to the other agents, or the context ends.
+// Leave hands over the lease if this agent holds it. It returns when the handover has been sent to the other agents or the context ends.
 func (c *Coordinator) Leave(ctx context.Context) {
 	done := make(chan struct{})
 	c.mailbox.Put(leaveRequest{done})
@@ -42,7 +42,7 @@
 	return await(ctx, answer)
 }
 
-// ChangeMembers adds a member or removes one. Only the leader's coordinator can.
+// ChangeMembers adds or removes a member. It returns an error unless this agent is the leader.
 func (c *Coordinator) ChangeMembers(ctx context.Context, change MemberChange) error {
 	answer := make(chan error, 1)
 	c.mailbox.Put(memberChangeRequest{change, answer})
@@ -53,7 +53,7 @@
 	return refusal
 }
 
-// await returns the answer to a message, or the context's error if it ends before.
+// await waits for the answer to a message. It returns the context's error if the context ends first.
 func await[T any](ctx context.Context, answer <-chan T) (T, error) {
 	select {
 	case value := <-answer:
--- a/internal/cluster/coordinator/state_writer.go
+++ b/internal/cluster/coordinator/state_writer.go
@@ -8,8 +8,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// stateWriter saves the replica's durable state. Once a save has failed it saves nothing any more: the replica has been withdrawn, and
-// what it would save later must not look like what it promised before.
+// stateWriter saves the replica's durable state. Nothing is saved after a save has failed: the replica has stopped participating, and
+// state saved later must not be mistaken for what the replica promised before.
 type stateWriter struct {
 	store     Store // nil: this agent has no state folder
 	hasFailed bool
@@ -18,14 +18,14 @@
 
 func (w *stateWriter) hasStore() bool { return w.store != nil }
 
-// save returns without an error when the state is on disk, or where there is no store. It must not be called after a save has failed.
+// save returns nil once the state is on disk, or if there is no store. It must not be called after a save has failed.
 func (w *stateWriter) save(state election.DurableState) error {
 	if !w.hasStore() {
 		return nil
 	}
 	if err := w.store.Save(state); err != nil {
 		w.hasFailed = true
-		slog.Error("replica withdrawn: state not saved", "err", err)
+		slog.Error("state not saved; replica stopped participating", "err", err)
 		return err
 	}
 	w.syncs.Inc()
@@ -34,6 +34,6 @@
 
 func (w *stateWriter) close() {
 	if w.hasStore() {
-		_ = w.store.Close() // every Save was synced, nothing can be lost any more
+		_ = w.store.Close() // every saved state was synced, so nothing can be lost
 	}
 }
--- a/internal/cluster/coordinator/status.go
+++ b/internal/cluster/coordinator/status.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// noDecision stands in a report whose agent knows of no decision.
+	// noDecision is reported as the newest decision by an agent that knows of none.
 	noDecision = "none"
-	// wireAdvance and wireRollback are the admin address's words for the two verdicts; commands of any version read them.
+	// wireAdvance and wireRollback are the words for the two verdicts at the admin address. They must not change, because commands of
+	// any version read them.
 	wireAdvance  = "on"
 	wireRollback = "back"
 )
 
-// StatusReport is the admin address's answer to a status query: the leader and its lease, as this agent knows them. The keys are
-// part of the protocol between the agent and the commands of any version.
+// StatusReport is the answer to a status query at the admin address. It describes the leader and its lease as far as this agent knows
+// them. The JSON keys are part of the protocol between the agent and commands of any version.
 type StatusReport struct {
 	Replica                int    `json:"me"`
 	IsLeader               bool   `json:"leads"`
@@ -24,9 +25,9 @@
 	Term                   uint64 `json:"term"`
 	LeaseRemainingMS       int64  `json:"left_ms"`
 	HasUnresolvedVote      bool   `json:"unresolved"`
-	EarlierVotesExpireInMS int64  `json:"waits_ms"`    // until no vote of an earlier leader can count
-	AbstainsForMS          int64  `json:"abstains_ms"` // until this agent takes part again
-	NewestDecision         string `json:"newest"`      // that it knows, in the words of the admin address
+	EarlierVotesExpireInMS int64  `json:"waits_ms"`    // time until no vote of an earlier leader can count any more
+	AbstainsForMS          int64  `json:"abstains_ms"` // time until this agent participates again
+	NewestDecision         string `json:"newest"`      // newest decision that this agent knows of, in the words of the admin address
 	Members                []int  `json:"members"`
 }
 
@@ -46,7 +47,7 @@
 	}
 }
 
-// DescribeNewestDecision returns the newest decision for people to read.
+// DescribeNewestDecision returns the newest decision for people to read, with the verdict named as in the log.
 func (r StatusReport) DescribeNewestDecision() string {
 	if rest, found := strings.CutSuffix(r.NewestDecision, " "+wireAdvance); found {
 		return fmt.Sprintf("%s %v", rest, election.Advance)
@@ -57,7 +58,7 @@
 	return r.NewestDecision
 }
 
-// describeRecord returns a decision in the words of the admin address.
+// describeRecord formats a decision in the words of the admin address.
 func describeRecord(record election.Record) string {
 	if record.Term == 0 {
 		return noDecision
--- a/internal/cluster/coordinator/traffic_stop.go
+++ b/internal/cluster/coordinator/traffic_stop.go
@@ -7,24 +7,24 @@
 	"switchfork/internal/policy"
 )
 
-// trafficStop carries out the replica's SelfStop commands: while one is in force the routing policy is given a traffic cap of zero for
-// the build, in this agent alone. It keeps the last rollout update, which the policy gets again at the stop's end.
+// trafficStop carries out the replica's SelfStop commands. While a stop is in force, the routing policy of this agent alone has a traffic
+// cap of zero for the build. trafficStop keeps the last rollout update, and gives it to the policy again when the stop ends.
 type trafficStop struct {
 	updatePolicy func(policy.RolloutUpdate)
 
 	rollout    policy.RolloutUpdate
-	hasRollout bool               // an update was received
-	stopped    *election.Decision // the build to which this agent has stopped sending; nil: none
+	hasRollout bool               // an update has been received
+	stopped    *election.Decision // names the build to which this agent has stopped sending requests; nil: none
 }
 
-// observe remembers the state of a rollout, which the policy has been given already.
+// observe records a rollout update, which the policy has already been given.
 func (s *trafficStop) observe(update policy.RolloutUpdate) {
 	s.rollout = update
-	s.rollout.IsVoteReply = false // it may be given to the policy once more, where it answers no vote
+	s.rollout.IsVoteReply = false // when the policy is given it once more, it does not answer a vote
 	s.hasRollout = true
 }
 
-// reapply stops the traffic again after an update of the stopped stage, which has set the traffic cap.
+// reapply stops the traffic again after an update of the stopped stage, because the update has set the traffic cap.
 func (s *trafficStop) reapply(update policy.RolloutUpdate) {
 	if s.stopped != nil && int(s.stopped.Build) == update.Build && int(s.stopped.Stage) == update.Stage {
 		s.stop(*s.stopped)
@@ -39,10 +39,10 @@
 	}
 }
 
-// stop sets the traffic cap of a build on trial to zero.
+// stop sets the traffic cap of a build under evaluation to zero.
 func (s *trafficStop) stop(d election.Decision) {
 	if s.stopped == nil {
-		slog.Warn("sending to the build stopped: no leader known", "build", d.Build, "stage", d.Stage)
+		slog.Warn("requests to the build stopped: no leader known", "build", d.Build, "stage", d.Stage)
 	}
 	s.stopped = &d
 	s.updatePolicy(policy.RolloutUpdate{
--- a/internal/cluster/coordinator/verdict.go
+++ b/internal/cluster/coordinator/verdict.go
@@ -5,9 +5,9 @@
 	"switchfork/internal/policy"
 )
 
-// The policy and the election each have a type for verdicts, as neither imports the other; package coordinator knows both.
+// Packages policy and election each have a type for verdicts, because neither imports the other. This package converts between them.
 
-// electionVerdict converts a verdict of the policy.
+// electionVerdict converts a verdict of package policy to one of package election.
 func electionVerdict(verdict policy.Verdict) election.Verdict {
 	switch verdict {
 	case policy.Advance:
@@ -21,7 +21,7 @@
 	return election.NoVote
 }
 
-// policyVerdict converts a verdict of the election.
+// policyVerdict converts a verdict of package election to one of package policy.
 func policyVerdict(verdict election.Verdict) policy.Verdict {
 	switch verdict {
 	case election.Advance:
