--- a/internal/cluster/coordinator/admin_mode_test.go
+++ b/internal/cluster/coordinator/admin_mode_test.go
@@ -9,19 +9,19 @@
 	"testing"
 )
 
-// The admin socket is never open to other users, not for a moment. What happened: the socket was opened with the permissions of the umask,
-// and its mode was changed after that; between the two calls another local user could connect, and a connection outlives the change.
+// Other users can't connect to the admin socket at any moment. Guards against opening the socket with the permissions that the umask
+// leaves and changing its mode afterwards: between the two calls another local user could connect, and a connection outlives the change.
 func TestAdminSocketIsNeverOpenToOthers(t *testing.T) {
 	const opens = 300
 	earlier := syscall.Umask(0)
 	defer syscall.Umask(earlier)
 	path := filepath.Join(t.TempDir(), "admin.sock")
 	var exposed atomic.Int64
-	watched, stop := context.WithCancel(t.Context())
+	watchCtx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		for watched.Err() == nil {
+		for watchCtx.Err() == nil {
 			if info, err := os.Lstat(path); err == nil && info.Mode().Perm() != adminSocketMode {
 				exposed.Add(1)
 			}
@@ -39,6 +39,6 @@
 	stop()
 	<-ended
 	if n := exposed.Load(); n > 0 {
-		t.Errorf("seen %d times with other permissions than %o", n, adminSocketMode)
+		t.Errorf("admin socket seen %d times with permissions other than %o", n, adminSocketMode)
 	}
 }
--- a/internal/cluster/coordinator/admin_scenario_test.go
+++ b/internal/cluster/coordinator/admin_scenario_test.go
@@ -19,11 +19,11 @@
 )
 
 // The fault scenarios of package faulttest cover what several replicas do together: a leader that stalls or leaves, a replica that
-// is cut off, members that come and go, and a network that loses, doubles and delays. This file covers what an operator sees
-// at the admin address of an agent meanwhile.
+// is cut off, members that are added and removed, and a network that loses, duplicates and delays messages. This file covers what an
+// operator sees at the admin address of a running agent.
 
-// queried is played with TCP between the agents and a state folder for each.
-const queried = `agents 3
+// queryScenario runs three agents that use TCP between them and have a state folder each.
+const queryScenario = `agents 3
 appliances 4 slots=8 work=5ms
 talk tcp
 decider lease=600ms
@@ -38,19 +38,19 @@
 expect settled >= 0.9 of=others:lead
 `
 
-// withoutStateDir is the same with datagrams and without state folders; the agent that led is started again.
+// withoutStateDir is the same scenario with datagrams and without state folders. At its end the first leader is started again.
 var withoutStateDir = strings.NewReplacer(
 	"talk tcp", "talk datagrams",
 	"lease=600ms", "lease=600ms no-folders",
 	"check queried", "check refused",
 	"check state-folder", "start agent:lead\n+0s check abstains",
-).Replace(queried)
+).Replace(queryScenario)
 
-// leaderName is what the scenarios call the agent that led first.
+// leaderName is the name of the first leader in the scenarios.
 const leaderName = "lead"
 
-// A running agent reports who leads and its metrics, and the state folder that it leaves is intact. Without state folders the
-// members can't be changed, and an agent that was started again abstains.
+// A running agent reports the leader and its own metrics, and its state folder is intact after it ends. Without state folders a member
+// change is refused, and an agent that is started again abstains.
 func TestAdminOfRunningAgents(t *testing.T) {
 	t.Parallel()
 	program, err := fakes.BuildAgent(t.TempDir(), "switchfork", "-race")
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	ctx := t.Context()
-	playing := faulttest.RunOptions{
+	options := faulttest.RunOptions{
 		Programs: map[string]string{"": program},
 		Keep:     t.TempDir(),
 		Checks: map[string]func(faulttest.CheckTarget) error{
@@ -68,16 +68,16 @@
 			"abstains":     checkAbstains,
 		},
 	}
-	for name, text := range map[string]string{"queried": queried, "without-state-dir": withoutStateDir} {
+	for name, text := range map[string]string{"queried": queryScenario, "without-state-dir": withoutStateDir} {
 		t.Run(name, func(t *testing.T) {
 			scenario, err := faulttest.ParseScenario(name, text)
 			if err == nil {
-				err = scenario.CheckRunnable(playing)
+				err = scenario.CheckRunnable(options)
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
-			if verdict := faulttest.Run(t.Context(), scenario, playing); !verdict.Passed {
+			if verdict := faulttest.Run(t.Context(), scenario, options); !verdict.Passed {
 				timeline, err := os.ReadFile(verdict.Folder + "/timeline.txt")
 				t.Error(errors.Join(errors.New(strings.Join(verdict.Failures(), "\n")), err), string(timeline))
 			}
@@ -89,10 +89,10 @@
 	admin := agents.Admin[agents.Names[leaderName]]
 	out, err := exec.CommandContext(ctx, agents.Program, "lead", "--admin", admin).CombinedOutput()
 	if err != nil {
-		return fmt.Errorf("switchfork lead says %s: %w", out, err)
+		return fmt.Errorf("switchfork lead printed %s: %w", out, err)
 	}
 	if !bytes.Contains(out, []byte("leads, term")) {
-		return fmt.Errorf("switchfork lead says %s", out)
+		return fmt.Errorf("switchfork lead printed %s, want a line with \"leads, term\"", out)
 	}
 	text, err := fetchMetrics(ctx, admin)
 	if err != nil {
@@ -100,7 +100,7 @@
 	}
 	for _, metric := range []string{"switchfork_election_terms_total 1", "switchfork_decider_terms_total 1"} {
 		if !bytes.Contains(text, []byte(metric)) {
-			return fmt.Errorf("metrics are %s, expected %s", text, metric)
+			return fmt.Errorf("got metrics %s, want a line with %s", text, metric)
 		}
 	}
 	return nil
@@ -128,7 +128,7 @@
 func checkStateFolder(ctx context.Context, agents faulttest.CheckTarget) error {
 	folder := agents.State[agents.Names[leaderName]]
 	if out, err := exec.CommandContext(ctx, agents.Program, "state", "verify", folder).CombinedOutput(); err != nil {
-		return fmt.Errorf("state verify says %s, %w", out, err)
+		return fmt.Errorf("switchfork state verify printed %s: %w", out, err)
 	}
 	return nil
 }
@@ -140,14 +140,14 @@
 		Agent: (leader + 1) % 3,
 	})
 	if err == nil || !strings.Contains(err.Error(), "state folder") {
-		return fmt.Errorf("a change of members without state folders is answered with %q", fmt.Sprint(err))
+		return fmt.Errorf("member change without state folders: got error %q, want one that mentions the state folder", fmt.Sprint(err))
 	}
 	report, err := coordinator.QueryStatus(agents.Admin[leader])
 	if err != nil {
-		return fmt.Errorf("after it was refused: %w", err)
+		return fmt.Errorf("status after the refused member change: %w", err)
 	}
 	if len(report.Members) != 3 {
-		return fmt.Errorf("after it was refused: %+v", report)
+		return fmt.Errorf("status after the refused member change: got %+v, want 3 members", report)
 	}
 	return nil
 }
@@ -155,10 +155,10 @@
 func checkAbstains(agents faulttest.CheckTarget) error {
 	report, err := coordinator.QueryStatus(agents.Admin[agents.Names[leaderName]])
 	if err != nil {
-		return fmt.Errorf("asking an agent started again: %w", err)
+		return fmt.Errorf("status of the restarted agent: %w", err)
 	}
 	if report.AbstainsForMS <= 0 {
-		return fmt.Errorf("an agent started again without stored state reports %+v", report)
+		return fmt.Errorf("status of the agent restarted without stored state: got %+v, want AbstainsForMS above 0", report)
 	}
 	return nil
 }
--- a/internal/cluster/coordinator/admin_test.go
+++ b/internal/cluster/coordinator/admin_test.go
@@ -17,7 +17,7 @@
 
 func (discardTransport) Send(int, []byte) {}
 
-// startCoordinator runs replica 0 of three, which stays without a leader, and without a store.
+// startCoordinator runs replica 0 of three, without a store. No leader is ever elected, because its messages are discarded.
 func startCoordinator(ctx context.Context) *coordinator.Coordinator {
 	c := coordinator.New(coordinator.Config{
 		Members:  election.InitialMembers(3),
@@ -27,7 +27,7 @@
 	return c
 }
 
-// The JSON of the admin address keeps its keys, and refusals keep their text.
+// The JSON keys of the status and the texts of refusals stay as they are.
 func TestAdminAnswers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "admin.sock")
 	if err := startCoordinator(t.Context()).ServeAdmin(t.Context(), path); err != nil {
@@ -38,13 +38,13 @@
 		t.Fatal(err)
 	}
 	if report.AbstainsForMS <= 0 {
-		t.Errorf("without stored state it does not abstain: %+v", report)
+		t.Errorf("status without stored state: got %+v, want AbstainsForMS above 0", report)
 	}
 	report.AbstainsForMS = 1
 	text, err := json.Marshal(report)
 	const want = `{"me":0,"leads":false,"owner":-1,"term":0,"left_ms":0,"unresolved":false,"waits_ms":0,"abstains_ms":1,"newest":"none","members":[0,1,2]}`
 	if err != nil || string(text) != want {
-		t.Errorf("status is %s, %v, want %s", text, err, want)
+		t.Errorf("got status %s, error %v, want %s", text, err, want)
 	}
 	for agent, reason := range map[int]string{
 		1:  coordinator.ErrNoStateDir.Error() + "\n",
@@ -55,7 +55,7 @@
 			var refused *coordinator.MemberChangeError
 			err := coordinator.RequestMemberChange(path, coordinator.MemberChange{Kind: kind, Agent: agent})
 			if !errors.As(err, &refused) || refused.Reason != reason {
-				t.Errorf("%s %d gives %v, want %q", kind, agent, err, reason)
+				t.Errorf("%s agent %d: got error %v, want %q", kind, agent, err, reason)
 			}
 		}
 	}
@@ -74,13 +74,13 @@
 	}
 	c := startCoordinator(t.Context())
 	if err = c.ServeAdmin(t.Context(), path); err != nil {
-		t.Fatalf("an abandoned socket: %v", err)
+		t.Fatalf("serving at an abandoned socket: %v", err)
 	}
 	var inUse *coordinator.AdminAddressInUseError
 	if err = c.ServeAdmin(t.Context(), path); !errors.As(err, &inUse) || inUse.Path != path {
-		t.Errorf("a socket in use gives %v", err)
+		t.Errorf("serving at a socket in use: got %v, want an AdminAddressInUseError with its path", err)
 	}
 	if _, err = coordinator.QueryStatus(path); err != nil {
-		t.Errorf("after that the first is not served: %v", err)
+		t.Errorf("the first server does not answer after the second was refused: %v", err)
 	}
 }
--- a/internal/cluster/coordinator/blocking_test.go
+++ b/internal/cluster/coordinator/blocking_test.go
@@ -8,7 +8,7 @@
 	"switchfork/internal/policy"
 )
 
-// returnsSoon reports whether a call returns, and does not wait for somebody to empty the mailbox.
+// returnsSoon reports whether call returns within 2 s, without waiting for the mailbox to be emptied.
 func returnsSoon(call func()) bool {
 	done := make(chan struct{})
 	go func() {
@@ -23,9 +23,9 @@
 	}
 }
 
-// What the rest of the agent tells the coordinator never makes it wait. What happened: all messages shared one channel with room for 1,024,
-// and behind so many frames of other agents Recommend, which the event loop calls, waited for room: a trial had it blocked after 500 ms.
-// While the event loop waits the whole agent stands still, and once Serve has ended it waits for good.
+// The rest of the agent never blocks when it passes something to the coordinator. Guards against one channel, with room for 1,024, for all
+// messages: when it was full of frames from other agents, Recommend waited for room, and in a trial was blocked after 500 ms. The event
+// loop calls Recommend, and the whole agent waits while the event loop is blocked; after the end of Serve it would wait forever.
 func TestCallersNeverWait(t *testing.T) {
 	var resolve func(written bool)
 	c, _ := newTestCoordinator(nil, Callbacks{CastVote: func(_ policy.Vote, _ time.Time, resolved func(bool)) { resolve = resolved }})
@@ -39,7 +39,7 @@
 		"a vote's reply": func() { resolve(true) },
 	} {
 		if !returnsSoon(call) {
-			t.Errorf("%s waits behind frames of other agents", name)
+			t.Errorf("%s blocked while the frame queue was full", name)
 		}
 	}
 }
--- a/internal/cluster/coordinator/metrics_test.go
+++ b/internal/cluster/coordinator/metrics_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Every metric is exported by its name and, for dashboards that were made before, by its earlier one, whose help line calls it deprecated.
-// Both give the same value.
+// Every metric is exported under its name and, for older dashboards, under its earlier name with the same value. The HELP line of the
+// earlier name calls it deprecated.
 func TestDeprecatedMetricNames(t *testing.T) {
 	m := newReplicaMetrics()
 	m.votesCast.Add(3)
@@ -36,11 +36,11 @@
 			"# HELP switchfork_decider_" + name + " Deprecated: use switchfork_election_" + name + ".",
 		} {
 			if count[want] != 1 {
-				t.Errorf("%d lines are %q, want 1", count[want], want)
+				t.Errorf("got %d lines %q, want 1", count[want], want)
 			}
 		}
 	}
 	if got, want := strings.Count(out.String(), "\nswitchfork_")+1, 2*len(metrics); got != want {
-		t.Errorf("%d metrics, want %d:\n%s", got, want, out.String())
+		t.Errorf("got %d metrics, want %d:\n%s", got, want, out.String())
 	}
 }
