--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -1,5 +1,5 @@
 // Package transport carries the replicas' messages between agents. A message is encoded as one frame of fixed size, which travels
-// either as a datagram of the agents' gossip or over TCP. This package reads nothing into a message and answers none.
+// either as a datagram of the agents' gossip or over TCP. This package neither interprets nor answers messages.
 //
 // Encode, Decode and IsFrame are pure functions. A TCP value may be used from any goroutine; it runs one goroutine for each peer
 // that it writes to and one for each connection that it reads from.
@@ -14,19 +14,19 @@
 	"switchfork/internal/cluster/election"
 )
 
-// frameMark begins every frame. The release analyzers' gossip shares the socket; it consists of lines of nine bytes, and frameBytes
-// is no multiple of nine.
-const frameMark = 0x5fd1c0a7
+// frameMagic begins every frame. The release analyzers' gossip shares the socket. It consists of lines of nine bytes, and frameBytes is
+// not a multiple of nine.
+const frameMagic = 0x5fd1c0a7
 
 const (
-	markBytes     = 4
+	magicBytes    = 4
 	checksumBytes = crc32.Size
 )
 
-// frame is a message as it is sent: these fields in little-endian order without gaps, and a CRC-32 of them.
+// frame is the encoded form of a message. It is sent as these fields, little-endian and without padding, followed by a CRC-32 of them.
 type frame struct {
-	Mark           uint32
-	Group          uint64 // of agents; a message of another group is ignored
+	Magic          uint32
+	Group          uint64 // group of agents; a message of another group is ignored
 	From           uint8
 	Kind           election.Kind
 	Ballot         uint64
@@ -36,31 +36,31 @@
 	Members        election.Members
 }
 
-// frameBytes includes the checksum: 85 bytes, of the 256 that a datagram of the gossip may have.
+// frameBytes is the size of a frame with its checksum: 85 bytes. A datagram of the gossip may have 256.
 var frameBytes = binary.Size(frame{}) + checksumBytes
 
 // FrameSize is the size of every frame in bytes.
 func FrameSize() int { return frameBytes }
 
 var (
-	// ErrForeign marks bytes that are no frame, or a frame of another group.
+	// ErrForeign marks bytes that are not a frame, or are a frame of another group.
 	ErrForeign = errors.New("not a message of this group of replicas")
 	// ErrCorrupt marks a frame that was damaged, or that holds an impossible value.
 	ErrCorrupt = errors.New("damaged message")
 )
 
-// What Decode finds. The errors are made once, as anybody may send any number of bad datagrams.
+// Errors that Decode returns. They are created once, not for each datagram, because anybody may send any number of bad datagrams.
 var (
-	errNoFrame      = fmt.Errorf("%w: not the mark and the length of a frame", ErrForeign)
-	errOtherGroup   = fmt.Errorf("%w: a frame of another group", ErrForeign)
-	errChecksum     = fmt.Errorf("%w: its checksum is wrong", ErrCorrupt)
+	errNotFrame     = fmt.Errorf("%w: wrong magic number or length", ErrForeign)
+	errOtherGroup   = fmt.Errorf("%w: frame of another group", ErrForeign)
+	errChecksum     = fmt.Errorf("%w: checksum mismatch", ErrCorrupt)
 	errInvalidField = fmt.Errorf("%w: a field has a value that no replica sends", ErrCorrupt)
 )
 
-// Encode encodes a message of the agent from.
+// Encode returns the frame of a message that the agent from sends to others of its group.
 func Encode(group uint64, from int, m election.Message) []byte {
 	f := frame{
-		Mark:           frameMark,
+		Magic:          frameMagic,
 		Group:          group,
 		From:           uint8(from),
 		Kind:           m.Kind,
@@ -77,15 +77,15 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.ChecksumIEEE(b))
 }
 
-// IsFrame tells whether a datagram is a frame of some group, by its mark.
+// IsFrame reports whether a datagram begins with the magic number of a frame. The frame may be of any group.
 func IsFrame(b []byte) bool {
-	return len(b) >= markBytes && binary.LittleEndian.Uint32(b) == frameMark
+	return len(b) >= magicBytes && binary.LittleEndian.Uint32(b) == frameMagic
 }
 
-// Decode decodes a frame, and returns its sender and message. Nothing of a damaged frame is used.
+// Decode decodes a frame of the group, and returns its sender and message. It returns no part of a damaged frame.
 func Decode(group uint64, b []byte) (from int, m election.Message, err error) {
 	if !IsFrame(b) || len(b) != frameBytes {
-		return 0, m, errNoFrame
+		return 0, m, errNotFrame
 	}
 	bodyBytes := frameBytes - checksumBytes
 	body := b[:bodyBytes]
@@ -105,7 +105,7 @@
 	return int(f.From), f.message(), nil
 }
 
-// isValid tells whether all values are ones that a replica may send.
+// isValid reports whether all fields have values that a replica may send.
 func (f frame) isValid() bool {
 	for _, verdict := range []election.Verdict{f.Record.Verdict, f.Record.Prior, f.Recommendation.Verdict} {
 		if verdict > election.Rollback {
--- a/internal/cluster/transport/length_prefix.go
+++ b/internal/cluster/transport/length_prefix.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// lengthBytes is what the length before each message takes on a TCP connection, in big-endian order.
+	// lengthBytes is the size of the big-endian length that precedes each message on a TCP connection.
 	lengthBytes = 2
-	// maxMessageBytes bounds what is written and read; a longer message that comes all the same ends its connection.
+	// maxMessageBytes bounds the messages that are written and read. Receiving a longer message ends its connection.
 	maxMessageBytes = 1 << 10
-	// writeTimeout: a message that takes longer is of no use to a lease of some seconds.
+	// writeTimeout bounds the writing of a message. A message that takes longer is of no use to a lease of some seconds.
 	writeTimeout = 500 * time.Millisecond
 )
 
-// messageSizeError tells of a message with a length that none may have. It ends a connection on which one is announced; none is sent.
+// messageSizeError reports a message with a length that is not allowed. Such a message is not sent. If a peer announces one, the connection
+// ends.
 type messageSizeError struct{ size int }
 
 func (e *messageSizeError) Error() string {
@@ -31,19 +32,19 @@
 	return nil
 }
 
-// writeMessage writes a message with its length before it, in one call. One that no reader takes is not written: a length over 16 bits would
-// be cut, and the rest of the message be read as the next ones.
+// writeMessage writes a message, preceded by its length, in one call. It does not write a message of a length that readers reject: a length
+// over 16 bits would be truncated, and the rest of the message would be read as further messages.
 func writeMessage(conn net.Conn, message []byte) error {
 	if err := checkMessageSize(len(message)); err != nil {
 		return err
 	}
-	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, as writing does then
+	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, on which Write fails too
 	buffer := binary.BigEndian.AppendUint16(nil, uint16(len(message)))
 	_, err := conn.Write(append(buffer, message...))
 	return err
 }
 
-// readMessage reads one message with its length before it.
+// readMessage reads one message and the length that precedes it.
 func readMessage(r io.Reader) ([]byte, error) {
 	var length [lengthBytes]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
--- a/internal/cluster/transport/link.go
+++ b/internal/cluster/transport/link.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// maxQueuedMessages is what a replica sends to one peer in some leases.
+	// maxQueuedMessages bounds the queue of a link. It is as many messages as a replica sends to one peer in several leases.
 	maxQueuedMessages = 64
-	// minRetryDelay and maxRetryDelay bound the exponential backoff between connections that fail.
+	// minRetryDelay and maxRetryDelay bound the exponential backoff between failed attempts to connect.
 	minRetryDelay = 20 * time.Millisecond
 	maxRetryDelay = time.Second
 )
@@ -22,8 +22,8 @@
 // dialFunc opens a connection to an address.
 type dialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// link is the outgoing connection to one peer, with what waits to be sent on it. Any goroutine may enqueue; the connection belongs to the
-// goroutine of run.
+// link is the outgoing connection to one peer, with the queue of messages to be sent on it. Any goroutine may call enqueue; the connection
+// belongs to the goroutine of run.
 type link struct {
 	address string
 	dial    dialFunc
@@ -34,7 +34,7 @@
 	retry *backoff.ExponentialBackOff
 }
 
-// startLink makes a link whose goroutine runs until its stop is called or the context ends.
+// startLink returns a link whose goroutine runs until stop is called or the context ends.
 func startLink(ctx context.Context, address string, dial dialFunc) *link {
 	ctx, stop := context.WithCancel(ctx)
 	retry := backoff.NewExponentialBackOff()
@@ -51,7 +51,7 @@
 	return l
 }
 
-// enqueue adds a message to the queue, and drops the oldest one if it is full.
+// enqueue adds a message to the queue. If the queue is full, it drops the oldest message.
 func (l *link) enqueue(message []byte) {
 	for {
 		select {
@@ -66,7 +66,7 @@
 	}
 }
 
-// run writes what is queued until the context ends, and connects when there is something to write.
+// run sends queued messages until the context ends. It connects only when there is a message to send.
 func (l *link) run(ctx context.Context) {
 	defer l.disconnect()
 	for {
@@ -79,7 +79,8 @@
 	}
 }
 
-// send writes a message. One for which there is no connection is dropped: it would come late.
+// send writes a message to the connection. If there is no connection and none can be opened, the message is dropped, because it would
+// arrive late.
 func (l *link) send(ctx context.Context, message []byte) {
 	if l.conn == nil && !l.connect(ctx) {
 		return
@@ -90,11 +91,11 @@
 	case errors.As(err, &wrongSize):
 		slog.Error("message to a replica not sent", "to", l.address, "bytes", len(message), "err", err)
 	case err != nil:
-		l.disconnect() // a part of the message may have been sent: the next one needs a new connection
+		l.disconnect() // part of the message may have been sent, so the next one needs a new connection
 	}
 }
 
-// connect opens the connection, or waits before the next attempt and reports false.
+// connect opens the connection, and reports whether it succeeded. After a failure it waits for the retry delay before it returns.
 func (l *link) connect(ctx context.Context) bool {
 	conn, err := l.dial(ctx, l.address)
 	if err != nil {
@@ -103,7 +104,7 @@
 	}
 	l.retry.Reset()
 	l.conn = conn
-	go closeOnHangUp(conn)
+	go closeWhenPeerCloses(conn)
 	return true
 }
 
@@ -122,8 +123,9 @@
 	}
 }
 
-// closeOnHangUp notices that the peer has closed the connection, on which it never writes.
-func closeOnHangUp(conn net.Conn) {
-	_, _ = io.Copy(io.Discard, conn) // however it ends, the connection is over
+// closeWhenPeerCloses closes the connection once the peer has closed it. It reads from the connection to notice that; the peer never writes
+// on it.
+func closeWhenPeerCloses(conn net.Conn) {
+	_, _ = io.Copy(io.Discard, conn) // with or without an error, the connection has ended
 	discard(conn)
 }
--- a/internal/cluster/transport/tcp.go
+++ b/internal/cluster/transport/tcp.go
@@ -13,39 +13,40 @@
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	// acceptRetryDelay is the pause after a connection that could not be accepted.
+	// acceptRetryDelay is the pause after a failed Accept.
 	acceptRetryDelay = 20 * time.Millisecond
-	// idleTimeout ends the connection of a peer that is silent; replicas send several times a lease.
+	// idleTimeout is how long a peer may send nothing before its connection is closed. Replicas send several times a lease.
 	idleTimeout = 2 * time.Minute
-	// maxInboundConnections bounds the connections that others have open here.
+	// maxInboundConnections bounds the open connections that others have made to this agent.
 	maxInboundConnections = 128
 )
 
-// TCP sends messages over one connection to each peer, on which nothing is read, and reads the connections of others. What can't
-// be sent soon is dropped, the oldest message first: a replica repeats what matters, and an old message is worth less than a new
-// one.
+// TCP sends messages over one connection to each peer, and receives messages on the connections that others open. Each connection carries
+// messages in one direction only. Messages that can't be sent soon are dropped, the oldest first: a replica repeats what matters, and an
+// old message is worth less than a new one.
 //
 // One goroutine, which ends with the context of Listen, starts and stops the links to the peers.
 type TCP struct {
 	listener net.Listener
-	dial     dialFunc // the place for TLS
+	dial     dialFunc // TLS would be added here
 	receive  func(message []byte)
-	inbound  chan struct{} // holds one value for each connection that is read
+	inbound  chan struct{} // semaphore: holds one value for each connection that is read
 	updates  chan peerUpdate
-	ended    chan struct{} // closed when no more updates are taken
+	ended    chan struct{} // closed when no more updates are accepted
 
 	mu    sync.Mutex
-	links map[int]*link // by the peer's index; changed by the goroutine of serveLinks only
+	links map[int]*link // by the peer's index; changed only by the goroutine of serveLinks
 }
 
-// peerUpdate asks for links to the peers at these addresses, by their indices, and to no others. applied is closed when they are set.
+// peerUpdate asks for links to exactly the peers at these addresses, which are keyed by the peers' indices. applied is closed once the links
+// are set.
 type peerUpdate struct {
 	addresses map[int]string
 	applied   chan<- struct{}
 }
 
-// Listen opens the listener, which is closed with all connections when the context ends. Messages that arrive are given to
-// receive, from several goroutines.
+// Listen starts to listen for connections of other replicas. The listener and all connections are closed when the context ends. Messages
+// that arrive are passed to receive, which is called from several goroutines.
 func Listen(ctx context.Context, address string, receive func(message []byte)) (*TCP, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
@@ -68,11 +69,11 @@
 	return t, nil
 }
 
-// Addr returns the listener's address, with the port that the system chose where the configured one was 0.
+// Addr returns the listener's address, with the port that the system chose if the configured port was 0.
 func (t *TCP) Addr() string { return t.listener.Addr().String() }
 
-// SetPeers sets the peers' addresses by their indices. Connections to addresses that are not among them end. When it returns, Send
-// reaches the new peers. It has no effect after the context of Listen has ended.
+// SetPeers sets the addresses of the peers, keyed by their indices. Links to other addresses end. Once SetPeers has returned, Send
+// reaches the new peers. SetPeers has no effect after the context of Listen has ended.
 func (t *TCP) SetPeers(addresses map[int]string) {
 	applied := make(chan struct{})
 	select {
@@ -82,13 +83,13 @@
 	}
 }
 
-// serveLinks starts and stops links until the context ends, which ends the links, too, and then closes the listener.
+// serveLinks starts and stops links until the context ends, and then closes the listener. The links end with the same context.
 func (t *TCP) serveLinks(ctx context.Context) {
 	defer close(t.ended)
 	for {
 		select {
 		case <-ctx.Done():
-			_ = t.listener.Close() // the agent ends
+			_ = t.listener.Close() // the agent is shutting down, so an error has no consequence
 			return
 		case update := <-t.updates:
 			t.setLinks(ctx, update.addresses)
@@ -142,18 +143,18 @@
 	}
 }
 
-// read hands over the messages of one connection until it or the context ends.
+// read passes the messages of one connection to receive until the connection or the context ends.
 func (t *TCP) read(ctx context.Context, conn net.Conn) {
 	defer func() {
 		discard(conn)
 		<-t.inbound
 	}()
-	// A goroutine that waits for the context would outlive the connection.
+	// AfterFunc is used because a goroutine that waits for the context would outlive the connection.
 	stop := context.AfterFunc(ctx, func() { discard(conn) })
 	defer stop()
 	reader := bufio.NewReaderSize(conn, 2*maxMessageBytes)
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(idleTimeout)) // fails only on a closed connection, as reading does then
+		_ = conn.SetReadDeadline(time.Now().Add(idleTimeout)) // fails only on a closed connection, on which reading fails too
 		message, err := readMessage(reader)
 		var wrongSize *messageSizeError
 		if errors.As(err, &wrongSize) {
