--- a/internal/cluster/transport/frame_test.go
+++ b/internal/cluster/transport/frame_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// What is encoded is decoded as it was, fits into a datagram, can't be taken for gossip of nine-byte lines, and is refused with
-// any byte changed.
+// An encoded message decodes to the same message, fits into a datagram, can't be mistaken for gossip of nine-byte lines, and is refused
+// if any of its bytes is changed.
 func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		message := anyMessage(t)
@@ -45,31 +45,31 @@
 		group := rapid.Uint64().Draw(t, "group")
 		b := Encode(group, sender, message)
 		if len(b) > 256 || len(b)%9 == 0 || !IsFrame(b) {
-			t.Fatalf("%d bytes", len(b))
+			t.Fatalf("frame of %d bytes, want at most 256, no multiple of 9, and the magic number in front", len(b))
 		}
 		from, decoded, err := Decode(group, b)
 		if err != nil || from != sender || decoded != message {
-			t.Fatalf("%+v became %+v from %d, %v", message, decoded, from, err)
+			t.Fatalf("%+v decoded to %+v from %d, error %v", message, decoded, from, err)
 		}
 		if _, _, err = Decode(group+1, b); !errors.Is(err, ErrForeign) {
-			t.Fatalf("another group's message gives %v", err)
+			t.Fatalf("message of another group: got error %v, want ErrForeign", err)
 		}
 		at := rapid.IntRange(0, len(b)-1).Draw(t, "damaged byte")
 		b[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "flipped bits"))
 		if _, _, err = Decode(group, b); err == nil {
-			t.Fatalf("byte %d damaged, and it was decoded", at)
+			t.Fatalf("frame was decoded although byte %d was changed", at)
 		}
 	})
 }
 
-// Any bytes are decoded without a panic, and what is accepted encodes to the same bytes.
+// Decode does not panic on any bytes, and a message that it accepts encodes to the same bytes.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(7, 2, election.Message{Kind: election.TransferLease, Ballot: 513, ReleasedBallot: 770}))
 	f.Add([]byte{0xa7, 0xc0, 0xd1, 0x5f})
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if from, m, err := Decode(7, b); err == nil && !bytes.Equal(Encode(7, from, m), b) {
-			t.Errorf("%x decodes as %+v, which encodes otherwise", b, m)
+			t.Errorf("%x decodes to %+v, which encodes to other bytes", b, m)
 		}
 	})
 }
--- a/internal/cluster/transport/golden_test.go
+++ b/internal/cluster/transport/golden_test.go
@@ -9,7 +9,7 @@
 	"switchfork/internal/golden"
 )
 
-// Agents of two versions of the program talk to each other: the bytes of each kind of message stay as they were.
+// Agents of different versions of the program exchange messages, so the encoding of each kind of message must not change.
 func TestGoldenFrames(t *testing.T) {
 	var out strings.Builder
 	for kind := election.Prepare; kind.IsValid(); kind++ {
--- a/internal/cluster/transport/tcp_test.go
+++ b/internal/cluster/transport/tcp_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// A message is read whole or not at all, and none is longer than allowed.
+// A message is read in full or not at all, and is never longer than allowed.
 func FuzzReadMessage(f *testing.F) {
 	f.Add([]byte{0, 3, 1, 2, 3})
 	f.Add([]byte{0xff, 0xff, 1})
@@ -25,12 +25,12 @@
 		}
 		size := len(message)
 		if size == 0 || size > maxMessageBytes || size != int(binary.BigEndian.Uint16(b)) || !bytes.Equal(message, b[2:2+size]) {
-			t.Errorf("%x reads as %x", b, message)
+			t.Errorf("%x was read as message %x, which does not match its length prefix", b, message)
 		}
 	})
 }
 
-// recorder keeps the messages that arrive.
+// recorder records the messages that arrive.
 type recorder struct {
 	mu       sync.Mutex
 	messages [][]byte
@@ -42,7 +42,7 @@
 	r.messages = append(r.messages, message)
 }
 
-// last returns the newest message, nil without one.
+// last returns the newest message, or nil if none has arrived.
 func (r *recorder) last() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,13 +71,13 @@
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("never: " + what)
+			t.Fatal("timed out waiting for " + what)
 		}
 	}
 }
 
-// A peer goes and comes back at the same address: what is sent later arrives, on a new connection. Meanwhile the queue stays
-// within its bound, and Send does not wait.
+// After a peer has stopped and returned at the same address, messages sent to it arrive on a new connection. In the meantime the queue
+// stays within its bound, and Send does not block.
 func TestReconnects(t *testing.T) {
 	ctx := t.Context()
 	sender := listenForTest(ctx, t, ignore)
@@ -105,14 +105,14 @@
 		}
 		sender.mu.Lock()
 		if queued := len(sender.links[1].queue); queued > maxQueuedMessages {
-			t.Errorf("%d are queued", queued)
+			t.Errorf("%d messages are queued, more than the queue may hold", queued)
 		}
 		sender.mu.Unlock()
 		returned, err := Listen(ctx, peer.Addr(), received.receive)
 		if err != nil {
 			t.Skip("the address was taken meanwhile: ", err)
 		}
-		eventually(t, "a message after its return", func() bool {
+		eventually(t, "a message after the peer's return", func() bool {
 			sender.Send(1, []byte("new"))
 			return string(received.last()) == "new"
 		})
@@ -122,7 +122,7 @@
 	}
 }
 
-// Connections that come and go leave no goroutine and no place behind.
+// Connections that have been opened and closed again leave no goroutine behind, and don't count as inbound connections any more.
 func TestConnectionsAreReleased(t *testing.T) {
 	tcp := listenForTest(t.Context(), t, ignore)
 	before := runtime.NumGoroutine()
@@ -136,7 +136,7 @@
 	eventually(t, "as few goroutines as before", func() bool { return runtime.NumGoroutine() < before+20 && len(tcp.inbound) == 0 })
 }
 
-// A message that is too long ends its connection, and nothing of it is handed on.
+// A message that is too long ends its connection, and no part of it is passed on.
 func TestOversizedMessageEndsConnection(t *testing.T) {
 	received := &recorder{}
 	tcp := listenForTest(t.Context(), t, received.receive)
@@ -153,12 +153,12 @@
 		t.Fatal(err)
 	}
 	if _, err = conn.Read(make([]byte, 1)); err == nil || isTimeout(err) {
-		t.Errorf("the connection gives %v", err)
+		t.Errorf("reading after an oversized message: got error %v, want the end of the connection", err)
 	}
 	received.mu.Lock()
 	defer received.mu.Unlock()
 	if len(received.messages) != 1 || string(received.messages[0]) != "ok" {
-		t.Errorf("received %q", received.messages)
+		t.Errorf("received %q, want only the message \"ok\"", received.messages)
 	}
 }
 
@@ -167,9 +167,10 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// A message that is longer than any reader takes is not sent. What happened: its length was cut to 16 bits, so that one over 64 KiB would
-// have been read as a short one, and what was left of it as the next; one between 1 KiB and 64 KiB ended the connection at the reader. Today's
-// messages have 85 bytes whatever the number of members; a form for more members would have met this first in a large fleet.
+// A message that is longer than readers accept is not sent. Guards against truncating its length to 16 bits: a message over 64 KiB would
+// have been read as a short one, and the rest of it as further messages; one between 1 KiB and 64 KiB ended the connection at the reader.
+// Messages now have 85 bytes, whatever the number of members. An encoding that grows with the members would have shown the
+// fault first in a large fleet.
 func TestLongMessageIsNotSent(t *testing.T) {
 	near, far := net.Pipe()
 	defer func() { _ = near.Close() }()
@@ -181,12 +182,12 @@
 	for _, size := range []int{maxMessageBytes + 1, 1<<16 + 3} {
 		var wrongSize *messageSizeError
 		if err := writeMessage(near, make([]byte, size)); !errors.As(err, &wrongSize) || wrongSize.size != size {
-			t.Errorf("a message of %d bytes: %v", size, err)
+			t.Errorf("writing a message of %d bytes: got error %v, want a messageSizeError with its size", size, err)
 		}
 	}
 	_ = far.Close()
 	if n := <-received; n != 0 {
-		t.Errorf("%d bytes were sent", n)
+		t.Errorf("%d bytes were sent, want none", n)
 	}
 }
 
@@ -203,7 +204,7 @@
 		return received.last() != nil
 	})
 	stop()
-	eventually(t, "no goroutine more than before", func() bool { return runtime.NumGoroutine() <= before })
+	eventually(t, "the goroutines to end", func() bool { return runtime.NumGoroutine() <= before })
 	if conn, err := dial(t.Context(), sender.Addr()); err == nil {
 		discard(conn)
 		t.Error("the listener is open after the context has ended")
@@ -213,7 +214,7 @@
 	sender.Send(2, []byte("late"))
 }
 
-// A link to an address that is not among the peers any more ends, and so does its connection; the others stay.
+// A link to an address that is no longer among the peers ends, and so does its connection. The other links stay.
 func TestSetPeersEndsLinks(t *testing.T) {
 	ctx := t.Context()
 	sender := listenForTest(ctx, t, ignore)
@@ -229,11 +230,11 @@
 	sender.SetPeers(map[int]string{1: keptPeer.Addr()})
 	sender.mu.Lock()
 	if len(sender.links) != 1 || sender.links[1] != keptLink {
-		t.Errorf("the links are %v", sender.links)
+		t.Errorf("links are %v, want only the unchanged link to peer 1", sender.links)
 	}
 	sender.mu.Unlock()
 	eventually(t, "the end of the connection to the peer that was removed", func() bool { return len(removedPeer.inbound) == 0 })
 	if len(keptPeer.inbound) != 1 {
-		t.Errorf("%d connections to the peer that stayed", len(keptPeer.inbound))
+		t.Errorf("%d connections to the peer that stayed, want 1", len(keptPeer.inbound))
 	}
 }
