--- a/internal/gossip/messenger.go
+++ b/internal/gossip/messenger.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	// maxDatagramBytes is the protocol's bound on a message.
+	// maxDatagramBytes is the protocol's limit on the size of a message.
 	maxDatagramBytes = 256
-	// broadcastIndex is the peer index, as 32 bits, of a message to all agents.
+	// broadcastIndex is the peer index that stands for all agents, as an unsigned 32-bit number.
 	broadcastIndex = math.MaxUint32
 )
 
-// Messenger exchanges messages with the other agents. Without an address to listen on it drops what it is given.
+// Messenger exchanges messages with the other agents. Without an address to listen on, it drops the messages that it is asked to send.
 type Messenger struct {
 	loop        *agent.Loop
 	mailbox     *mailbox.Mailbox[policy.SendGossip]
 	socket      *net.UDPConn     // nil: no address to listen on
-	peers       []netip.AddrPort // by the agents' indices
+	peers       []netip.AddrPort // of the agents, by their indices
 	broadcast   netip.AddrPort
 	interceptor func([]byte) bool // nil: none
 }
 
-// Config has the agents' addresses, host:port each.
+// Config holds the agents' addresses, each an IP address and a port.
 type Config struct {
-	Listen    string   // this agent's own; empty: it exchanges no messages
+	Listen    string   // this agent's own address; empty: it exchanges no messages
 	Peers     []string // by the agents' indices
-	Broadcast string   // reaches all agents; may be empty
+	Broadcast string   // address that reaches all agents; may be empty
 }
 
-// NewMessenger returns a messenger, with its socket open.
+// NewMessenger returns a messenger. Its socket is open if there is an address to listen on.
 func NewMessenger(loop *agent.Loop, config Config) (*Messenger, error) {
 	m := &Messenger{loop: loop, mailbox: mailbox.New[policy.SendGossip]()}
 	if config.Listen == "" {
@@ -57,7 +57,7 @@
 	return m, nil
 }
 
-// parsePeers sets the addresses that messages go to.
+// parsePeers sets the addresses to which messages are sent.
 func (m *Messenger) parsePeers(config Config) error {
 	for _, peer := range config.Peers {
 		address, err := netip.ParseAddrPort(peer)
@@ -77,23 +77,23 @@
 	return nil
 }
 
-// Intercept has interceptor look at each datagram before the router does; those for which it returns true are its own. It has to be called
-// before Serve.
+// Intercept has each datagram from an agent passed to interceptor first. A datagram for which interceptor returns true is not passed to
+// the event loop. Intercept must be called before Serve.
 func (m *Messenger) Intercept(interceptor func([]byte) bool) { m.interceptor = interceptor }
 
-// Send sends a payload to an agent by its index.
+// Send sends a payload to the agent with the given index.
 func (m *Messenger) Send(to int, payload []byte) {
 	m.SendCommand(policy.SendGossip{To: to, Payload: payload})
 }
 
-// SendCommand carries a command of the router out.
+// SendCommand carries out a command of the router.
 func (m *Messenger) SendCommand(command policy.SendGossip) { m.mailbox.Put(command) }
 
-// Serve sends what the mailbox holds, and hands on what comes, until the context ends.
+// Serve sends the messages in the mailbox, and passes received datagrams to the event loop, until the context ends.
 func (m *Messenger) Serve(ctx context.Context) {
 	if m.socket != nil {
 		go m.receive()
-		defer func() { _ = m.socket.Close() }() // nothing is sent after it
+		defer func() { _ = m.socket.Close() }() // nothing is sent after this, so an error has no consequence
 	}
 	for {
 		select {
@@ -119,7 +119,7 @@
 	}
 }
 
-// address returns where messages to an index are sent. It is not valid where there is no such agent.
+// address returns the address to which messages for an index are sent. It is not valid if there is no agent with that index.
 func (m *Messenger) address(index int) netip.AddrPort {
 	switch {
 	case uint32(index) == broadcastIndex:
@@ -130,14 +130,14 @@
 	return netip.AddrPort{}
 }
 
-// receive hands datagrams on until the socket is closed. Senders are told apart by their addresses; what does not come from an agent, or is
-// too long, is dropped.
+// receive passes datagrams on until the socket is closed. It identifies a sender by its address. A datagram that does not come from an
+// agent, or is too long, is dropped.
 func (m *Messenger) receive() {
 	buffer := make([]byte, maxDatagramBytes+1) // one byte more, to detect a datagram that is too long
 	for {
 		size, sender, err := m.socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
-			return // the socket is closed: reading datagrams has no other error
+			return // the socket is closed; reading datagrams returns no other error
 		}
 		from := slices.Index(m.peers, netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port()))
 		if from < 0 || size > maxDatagramBytes {
--- a/internal/gossip/messenger_test.go
+++ b/internal/gossip/messenger_test.go
@@ -10,9 +10,9 @@
 	"switchfork/internal/policy"
 )
 
-// Datagrams are attributed to their sender. Those of strangers and those that are too long are dropped.
+// Datagrams are attributed to their sender. Those from unknown senders and those that are too long are dropped.
 func TestDatagramsOfPeers(t *testing.T) {
-	own, peer, stranger := listenUDP(t), listenUDP(t), listenUDP(t)
+	own, peer, unknown := listenUDP(t), listenUDP(t), listenUDP(t)
 	ownAddress := own.LocalAddr().String()
 	if err := own.Close(); err != nil {
 		t.Fatal(err)
@@ -30,15 +30,15 @@
 	}
 	n, from, err := peer.ReadFrom(buffer)
 	if err != nil || string(buffer[:n]) != "hello" {
-		t.Fatalf("got %q, %v", buffer[:n], err)
+		t.Fatalf("peer received %q, error %v, want \"hello\"", buffer[:n], err)
 	}
-	send(t, stranger, []byte("who"), from)
+	send(t, unknown, []byte("who"), from)
 	send(t, peer, make([]byte, 257), from)
 	send(t, peer, []byte("yes"), from)
 	agenttest.Eventually(t, "the message", func() bool { return len(agenttest.Events[policy.GossipReceived](r.Router)) > 0 })
 	got := agenttest.Events[policy.GossipReceived](r.Router)
 	if len(got) != 1 || got[0].From != 1 || string(got[0].Payload) != "yes" {
-		t.Errorf("received %+v", got)
+		t.Errorf("received %+v, want only \"yes\" from agent 1", got)
 	}
 }
 
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // closed twice where the test has closed it
+	t.Cleanup(func() { _ = conn.Close() }) // fails if the test has closed it already
 	return conn
 }
 
