--- a/internal/upstream/attempts.go
+++ b/internal/upstream/attempts.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// start gives an exchange a connection: the idle one that was used last, or a new one.
+// start sends an exchange on the idle connection that was used last, or dials a new one. The exchange ends as not sent if its deadline
+// has passed, if the endpoint is removed or, for an attempt, draining, or if no descriptor is left.
 func (w *worker) start(exchange *httpExchange) {
 	wait := time.Until(exchange.Deadline)
 	isRefused := w.isRemoved || w.isDraining && !exchange.isHealthCheck
@@ -51,21 +52,22 @@
 	switch {
 	case exchange.isFinished:
 	case exchange.connection == nil:
-		// Nothing has been written, and the dial is still within its own timeout: no evidence about the endpoint's health.
+		// Nothing has been written, and the dial has not timed out yet. This says nothing about the endpoint's health.
 		w.finish(exchange, protocol.NotSent, nil)
 	default:
 		w.finish(exchange, protocol.TimedOut, nil)
 	}
 }
 
-// expireUnconnected ends an exchange that has no connection at the time after which its request must not be written.
+// expireUnconnected ends an exchange that still has no connection at its write deadline.
 func (w *worker) expireUnconnected(exchange *httpExchange) {
 	if !exchange.isFinished && exchange.connection == nil {
 		w.finish(exchange, protocol.NotSent, nil)
 	}
 }
 
-// finish reports how an exchange ended, after its connection is idle or closed: so there are never two attempts at once.
+// finish ends an exchange and reports its result. The exchange's connection is made idle or closed before the report, so that a request
+// never has two attempts at once.
 func (w *worker) finish(exchange *httpExchange, result protocol.Result, response *protocol.Response) {
 	exchange.isFinished = true
 	exchange.stopTimer()
@@ -87,7 +89,7 @@
 	w.reportAttempt(exchange, result, response, elapsed)
 }
 
-// releaseConnection makes the connection of an exchange idle where it can carry another one, and closes it elsewhere.
+// releaseConnection makes the connection of an exchange idle if it can carry another exchange, and closes it otherwise.
 func (w *worker) releaseConnection(exchange *httpExchange, response *protocol.Response) {
 	conn := exchange.connection
 	conn.exchange = nil
@@ -99,7 +101,7 @@
 	w.makeIdle(conn)
 }
 
-// makeIdle keeps a connection for the next exchange, unless it leads to a process that was replaced or removed.
+// makeIdle keeps a connection for the next exchange. It closes a connection to a process that was replaced or removed.
 func (w *worker) makeIdle(conn *connection) {
 	if conn.isClosed || !w.isCurrent(conn) {
 		w.idle.close(conn)
@@ -108,12 +110,12 @@
 	w.idle.add(conn)
 }
 
-// isCurrent tells whether a connection leads to the process that the list has.
+// isCurrent reports whether a connection leads to the process in the latest list entry and the endpoint has not been removed.
 func (w *worker) isCurrent(conn *connection) bool { return !w.isRemoved && conn.process == w.process }
 
-// suspectsIdleConnections tells whether a result says that the process or the path to it is or was gone. Idle connections may then be
-// dead unnoticed, and each would cost an attempt that may have run. Closing them costs a handshake each where only the one
-// connection had ended.
+// suspectsIdleConnections reports whether a result indicates that the process or the network path to it is or was unavailable. Idle
+// connections may then be dead without any sign of it on this side, and each of them would cost an attempt that may have run. If only
+// the one connection had ended, closing the idle ones costs a handshake for each.
 func suspectsIdleConnections(exchange *httpExchange, result protocol.Result) bool {
 	switch result {
 	case protocol.LostAfterSent, protocol.LostBeforeSent, protocol.ConnectTimeout, protocol.ConnectionRefused:
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -7,23 +7,23 @@
 	"switchfork/internal/tcpconn"
 )
 
-// connection carries one exchange at a time. Its reader's goroutine lives as long as it does, and touches nothing but Conn and readNext.
+// connection carries one exchange at a time. The goroutine that runs read ends with the connection and uses only Conn and readNext.
 type connection struct {
 	net.Conn
-	process   process       // that it was dialed to
-	exchange  *httpExchange // nil while it is idle
-	wasUsed   bool          // an exchange ended well on it
+	process   process       // the process that was dialed
+	exchange  *httpExchange // nil while the connection is idle
+	wasUsed   bool          // it has carried an exchange up to a complete response
 	isClosed  bool
 	idleSince time.Time
-	readNext  chan struct{} // each token lets the reader take one response; closed with the connection
+	readNext  chan struct{} // each value lets read take one response; closed with the connection
 }
 
-// hasNothingUnread tells whether nothing has arrived on an idle connection: neither its end nor anything after the last response, which
-// would be taken for the response to the next request.
-func (conn *connection) hasNothingUnread() bool { return tcpconn.IsOpenWithoutInput(conn.Conn) }
+// isOpenWithoutInput reports whether an idle connection is open and nothing has arrived on it after the last response. Such input would
+// be taken for the response to the next request.
+func (conn *connection) isOpenWithoutInput() bool { return tcpconn.IsOpenWithoutInput(conn.Conn) }
 
-// read reports one response, or the connection's end, for each exchange. Between exchanges it reads nothing: what an endpoint sends
-// after a response never becomes the response to the next request.
+// read reports one response, or the error that ended reading, for each exchange. Between exchanges it reads nothing, so what an endpoint
+// sends after a response never becomes the response to the next request.
 func (conn *connection) read(loadReportFields []string, report func(message)) {
 	reader := newResponseReader(conn.Conn)
 	for range conn.readNext {
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -10,7 +10,7 @@
 	"switchfork/internal/tcpconn"
 )
 
-// dial opens a connection for an exchange, in a goroutine that goes on as the connection's reader. A descriptor has been acquired.
+// dial opens a connection for an exchange, in a goroutine that then becomes the connection's reader. The caller has acquired a descriptor.
 func (w *worker) dial(exchange *httpExchange) {
 	w.inFlight.dials++
 	w.events.DialStarted()
@@ -45,7 +45,8 @@
 	w.finish(exchange, result, nil)
 }
 
-// dialErrorResult tells an endpoint that refuses from one that does not answer, and both from an agent that can open no connection.
+// dialErrorResult distinguishes an endpoint that refuses the connection, an endpoint that does not answer, and an agent that can't open
+// any connection.
 func dialErrorResult(err error) protocol.Result {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED), errors.Is(err, syscall.ECONNRESET):
@@ -57,7 +58,8 @@
 	}
 }
 
-// connected uses a new connection. One to a process that has been replaced or removed meanwhile is closed.
+// connected writes an exchange's request on its new connection, or makes the connection idle if the exchange has finished meanwhile. It
+// closes a connection to a process that has been replaced or removed meanwhile.
 func (w *worker) connected(conn *connection, exchange *httpExchange) {
 	switch {
 	case !w.isCurrent(conn):
@@ -66,7 +68,7 @@
 			w.finish(exchange, protocol.NotSent, nil)
 		}
 	case exchange.isFinished:
-		w.makeIdle(conn) // the next exchange finds it ready
+		w.makeIdle(conn) // for the next exchange
 	default:
 		w.write(conn, exchange)
 	}
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -5,17 +5,17 @@
 	"switchfork/internal/protocol"
 )
 
-// Endpoint is one server that requests are forwarded to. Its methods hand their work to the endpoint's own goroutine, the worker, in the
-// order in which they are called; any goroutine may call them, and they do not block.
+// Endpoint is one server that requests are forwarded to. Its methods put messages into the mailbox of its worker, a goroutine that handles
+// them in the order of the calls. Any goroutine may call the methods. They do not block.
 type Endpoint struct {
 	id      uint32
 	mailbox *mailbox.Mailbox[message]
 }
 
-// ID is the endpoint's number in the list.
+// ID returns the number that identifies the endpoint to the policy.
 func (e *Endpoint) ID() uint32 { return e.id }
 
-// Update applies the latest list entry of the endpoint.
+// Update applies the endpoint's latest entry in the endpoint list.
 func (e *Endpoint) Update(entry protocol.ListEntry) { e.mailbox.Put(listUpdate{entry}) }
 
 // Remove stops the endpoint once none of its attempts is in flight.
@@ -30,5 +30,5 @@
 // CheckHealth starts a health check.
 func (e *Endpoint) CheckHealth() { e.mailbox.Put(healthCheckRequest{}) }
 
-// TrimIdle closes connections that present traffic does not need.
+// TrimIdle closes the connections that have been idle for at least TrimIdleAfter.
 func (e *Endpoint) TrimIdle() { e.mailbox.Put(trimRequest{}) }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -12,10 +12,10 @@
 	Encoded     *protocol.EncodedRequest
 	DecidedAt   time.Time // when the policy chose the endpoint
 	Deadline    time.Time
-	WriteBefore time.Time // the request's last byte must not leave later; zero: no such time
+	WriteBefore time.Time // the request's last byte must be sent before this time; zero: no limit
 }
 
-// writeDeadline is the time after which nothing of the request may be written.
+// writeDeadline returns the time after which no part of the request may be written.
 func (a *Attempt) writeDeadline() time.Time {
 	if !a.WriteBefore.IsZero() && a.WriteBefore.Before(a.Deadline) {
 		return a.WriteBefore
@@ -23,9 +23,9 @@
 	return a.Deadline
 }
 
-// isOutdated tells whether it is too late to write the request. The process may have stalled since the policy chose this
-// endpoint, and the list may have changed by now: what is older than the time in which a connection comes up, and a stall that is no
-// longer noticed, is chosen again. It may cost a request that waited on a starved core another turn.
+// isOutdated reports whether it is too late to write the request. The process may have stalled since the policy chose this endpoint, and
+// the endpoint list may have changed. An attempt is therefore outdated once it is older than a dial and a stall below the detection
+// threshold can explain, and the policy chooses an endpoint again. On a starved core, this may cost a waiting request another turn.
 func (a *Attempt) isOutdated(dialTimeout time.Duration) bool {
 	now := time.Now()
 	if now.Sub(a.DecidedAt) > dialTimeout+StallThreshold {
@@ -34,19 +34,19 @@
 	return !a.WriteBefore.IsZero() && !now.Before(a.WriteBefore)
 }
 
-// httpExchange is an attempt or a health check that has not ended: a request and its response on one connection.
+// httpExchange is an attempt or a health check: a request and its response on one connection.
 type httpExchange struct {
 	Attempt
 	isHealthCheck bool
-	connection    *connection     // nil while it waits for one
-	isWritten     bool            // the request's last byte is written
-	lostResult    protocol.Result // how the connection ended before the write's result came; Succeeded: it has not
+	connection    *connection     // nil while the exchange waits for one
+	isWritten     bool            // the request is written completely
+	lostResult    protocol.Result // result of a read error that came before the write ended; Succeeded: none came
 	isFinished    bool
 	timer         *time.Timer // fires at the deadline
 }
 
-// startTimers starts the timer of the deadline, which is to fire after a wait, and, where the request has to be written earlier, the one
-// of that time. They put their messages with put.
+// startTimers starts the deadline timer, which fires after wait. If the request has to be written before the deadline, it also starts a
+// timer for the write deadline. Each timer passes its message to put.
 func (x *httpExchange) startTimers(wait time.Duration, put func(message)) {
 	x.timer = time.AfterFunc(wait, func() { put(deadlineTimer{x}) })
 	if writeDeadline := x.writeDeadline(); writeDeadline.Before(x.Deadline) {
@@ -54,14 +54,15 @@
 	}
 }
 
-// stopTimer stops the timer of the deadline, where it was started.
+// stopTimer stops the deadline timer if it was started.
 func (x *httpExchange) stopTimer() {
 	if x.timer != nil {
 		x.timer.Stop()
 	}
 }
 
-// resultOf is what a response says of the exchange. A health check's client error is the endpoint's: it is up, but does not know the check.
+// resultOf returns the result of the exchange for a response. A client error in response to a health check counts as a server error: the
+// endpoint is up but does not support the check.
 func (x *httpExchange) resultOf(response *protocol.Response) protocol.Result {
 	if x.isHealthCheck && response.Result == protocol.ClientError {
 		return protocol.ServerError
--- a/internal/upstream/health_check.go
+++ b/internal/upstream/health_check.go
@@ -8,13 +8,13 @@
 	"switchfork/internal/protocol"
 )
 
-// The targets of health checks.
+// Request targets of health checks.
 const (
 	pingTarget       = "/ping"
 	loadReportTarget = "/_load" // the response's body is a load report
 )
 
-// startHealthCheck sends a health check, which has a dial's time for its response.
+// startHealthCheck sends a health check. It has to end, with its response, within the dial timeout.
 func (w *worker) startHealthCheck() {
 	w.inFlight.healthChecks++
 	now := time.Now()
@@ -28,7 +28,7 @@
 	})
 }
 
-// healthCheckRequest asks for the load report where endpoints have one.
+// healthCheckRequest encodes a health check. It requests the load report if load report fields are configured.
 func (w *worker) healthCheckRequest() *protocol.EncodedRequest {
 	target := pingTarget
 	if len(w.pool.config.LoadReportFields) > 0 {
--- a/internal/upstream/idle_pool.go
+++ b/internal/upstream/idle_pool.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// TrimIdleAfter is how long a connection may be idle while descriptors are short: those idle for longer are more than present traffic
-// needs.
+// TrimIdleAfter is how long a connection may be idle while descriptors are short. Connections that have been idle for longer are more than
+// current traffic needs.
 const TrimIdleAfter = 500 * time.Millisecond
 
 const (
-	// Connections are closed once they have been idle for the idle timeout divided by idleSafetyFactor. That keeps well clear of the
-	// moment at which the endpoint closes them: a request that crosses its close ends as a reset.
+	// idleSafetyFactor divides the idle timeout: connections are closed once they have been idle for the quotient. This is well before the
+	// endpoint closes them. A request that is written while the endpoint closes its connection ends as a reset.
 	idleSafetyFactor = 2
-	// sweepsPerIdleTimeout is how often in an idle timeout the idle connections are looked at.
+	// sweepsPerIdleTimeout is how many times per idle timeout the idle connections are checked for expiry.
 	sweepsPerIdleTimeout = 8
 )
 
-// idlePool has the idle connections of one endpoint. It decides which of them carries the next exchange and which have been idle for too
-// long, and it is where connections of the endpoint are closed, so that each descriptor is released once. It belongs to the worker's
-// goroutine.
+// idlePool holds the idle connections of one endpoint. It decides which of them carries the next exchange and which have been idle for too
+// long. It also closes all connections of the endpoint, so that each descriptor is released once. Only the worker's goroutine uses it.
 type idlePool struct {
 	config         *Config
-	requestSweep   func()        // has sweep called by the worker's goroutine; may be called by any goroutine
+	requestSweep   func()        // makes the worker's goroutine call sweep; any goroutine may call it
 	idle           []*connection // sorted by idleSince; the last one is used first
 	sweepScheduled bool
 }
 
-// take takes the usable connection that was used last, and closes those found unusable on the way; nil where there is none.
+// take removes and returns the usable connection that was used last, or returns nil if there is none. It closes the unusable connections
+// that it finds on the way and skips those that are still settling.
 func (p *idlePool) take() *connection {
 	settleCutoff := time.Now().Add(-p.config.SettleTime)
 	for _, conn := range slices.Backward(slices.Clone(p.idle)) {
 		switch {
-		case conn.idleSince.After(settleCutoff): // it may still bring a second response
+		case conn.idleSince.After(settleCutoff): // a second response may still arrive on it
 		case p.isExpired(conn):
-			p.close(conn) // the sweep is late: the process has stalled
-		case conn.hasNothingUnread():
-			p.forget(conn)
+			p.close(conn) // the sweep is late because the process has stalled
+		case conn.isOpenWithoutInput():
+			p.remove(conn)
 			return conn
 		default:
 			p.close(conn)
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// acquireDescriptor reserves a descriptor for a new connection. Where none is left, the connection that has been idle for longest is
-// closed for it: at this point all idle connections are still settling.
+// acquireDescriptor reserves a descriptor for a new connection. If none is left, it closes the connection that has been idle longest. It is
+// called when take has found no usable connection, so all idle connections are still settling.
 func (p *idlePool) acquireDescriptor() bool {
 	if p.config.Budget.AcquireUpstream() {
 		return true
@@ -74,22 +74,22 @@
 	close(conn.readNext)
 	_ = conn.Close() // it is not used any more, whatever the error
 	p.config.Budget.ReleaseUpstream()
-	p.forget(conn)
+	p.remove(conn)
 }
 
-func (p *idlePool) forget(conn *connection) {
+func (p *idlePool) remove(conn *connection) {
 	if i := slices.Index(p.idle, conn); i >= 0 {
 		p.idle = slices.Delete(p.idle, i, i+1)
 	}
 }
 
-// isExpired tells whether the endpoint may be about to close an idle connection.
+// isExpired reports whether a connection has been idle so long that the endpoint may be about to close it.
 func (p *idlePool) isExpired(conn *connection) bool {
 	idleTimeout := p.config.IdleTimeout
 	return idleTimeout > 0 && time.Since(conn.idleSince) >= idleTimeout/idleSafetyFactor
 }
 
-// closeIdleFor closes the connections that have been idle for at least a time.
+// closeIdleFor closes the connections that have been idle for at least minIdle.
 func (p *idlePool) closeIdleFor(minIdle time.Duration) {
 	for _, conn := range slices.Clone(p.idle) {
 		if time.Since(conn.idleSince) >= minIdle {
@@ -101,7 +101,7 @@
 // closeAll closes all idle connections.
 func (p *idlePool) closeAll() { p.closeIdleFor(0) }
 
-// scheduleSweep starts the sweep timer where there are idle connections that may expire.
+// scheduleSweep starts the sweep timer if it is not running and there are idle connections that may expire.
 func (p *idlePool) scheduleSweep() {
 	idleTimeout := p.config.IdleTimeout
 	if len(p.idle) == 0 || p.sweepScheduled || idleTimeout <= 0 {
@@ -111,7 +111,7 @@
 	time.AfterFunc(idleTimeout/sweepsPerIdleTimeout, p.requestSweep)
 }
 
-// sweep closes the connections that the endpoint may be about to close.
+// sweep closes the connections that the endpoint may be about to close, and schedules the next sweep.
 func (p *idlePool) sweep() {
 	p.sweepScheduled = false
 	p.closeIdleFor(p.config.IdleTimeout / idleSafetyFactor)
--- a/internal/upstream/idle_pool_test.go
+++ b/internal/upstream/idle_pool_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// dialTest returns a connection with a descriptor of the pool's budget, and its other end.
-func (p *idlePool) dialTest(t *testing.T) (conn *connection, server net.Conn) {
+// openConnection opens a connection that holds a descriptor of the pool's budget. It returns both ends.
+func (p *idlePool) openConnection(t *testing.T) (conn *connection, server net.Conn) {
 	t.Helper()
 	if !p.acquireDescriptor() {
 		t.Fatal("no descriptor left")
@@ -28,20 +28,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = listener.Close() }() // its connection is accepted by then
+	defer func() { _ = listener.Close() }() // the connection has been accepted by then
 	client, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = client.Close() }) // closed twice where the pool has closed it
+	t.Cleanup(func() { _ = client.Close() }) // fails only if the pool has closed it already
 	if server, err = listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = server.Close() }) // closed twice where the test has closed it
+	t.Cleanup(func() { _ = server.Close() }) // fails only if the test has closed it already
 	return &connection{Conn: client, readNext: make(chan struct{}, 1)}, server
 }
 
-// upstreamsInUse returns how many descriptors the pool's connections have.
+// upstreamsInUse returns the number of descriptors that the pool's connections hold.
 func (p *idlePool) upstreamsInUse() int {
 	_, upstreams := p.config.Budget.InUse()
 	return upstreams
@@ -50,8 +50,8 @@
 // The connection that was used last is taken first, and none twice.
 func TestLastUsedConnectionIsTakenFirst(t *testing.T) {
 	pool := newTestIdlePool(4)
-	first, _ := pool.dialTest(t)
-	second, _ := pool.dialTest(t)
+	first, _ := pool.openConnection(t)
+	second, _ := pool.openConnection(t)
 	pool.add(first)
 	pool.add(second)
 	for i, want := range []*connection{second, first, nil} {
@@ -64,13 +64,13 @@
 	}
 }
 
-// A connection with input that nobody asked for, or one that the endpoint may be about to close, is closed in place of being taken. One that
-// still settles is kept.
+// A connection with unrequested input and one that the endpoint may be about to close are closed instead of being taken. A connection that
+// is still settling is kept.
 func TestUnusableConnectionsAreNotTaken(t *testing.T) {
 	pool := newTestIdlePool(4)
-	withInput, server := pool.dialTest(t)
-	expired, _ := pool.dialTest(t)
-	settling, _ := pool.dialTest(t)
+	withInput, server := pool.openConnection(t)
+	expired, _ := pool.openConnection(t)
+	settling, _ := pool.openConnection(t)
 	for _, conn := range []*connection{withInput, expired, settling} {
 		pool.add(conn)
 	}
@@ -80,29 +80,30 @@
 	if _, err := server.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	for deadline := time.Now().Add(5 * time.Second); withInput.hasNothingUnread() && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(5 * time.Second); withInput.isOpenWithoutInput() && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	if got := pool.take(); got != nil {
-		t.Errorf("took %p", got)
+		t.Errorf("took connection %p, want none", got)
 	}
 	if !withInput.isClosed || !expired.isClosed || settling.isClosed {
-		t.Errorf("closed: %v with input, %v expired, %v settling", withInput.isClosed, expired.isClosed, settling.isClosed)
+		t.Errorf("closed: %v with input, %v expired, %v settling; want the first two", withInput.isClosed, expired.isClosed, settling.isClosed)
 	}
 	if n := pool.upstreamsInUse(); n != 1 {
 		t.Errorf("%d descriptors in use, want that of the settling connection", n)
 	}
 }
 
-// A descriptor is released once, however often its connection is closed, and the longest idle connection gives its own to a new one.
+// A descriptor is released once, however often its connection is closed. If no descriptor is left, the connection that has been idle
+// longest is closed to free one.
 func TestDescriptorsAreReleasedOnce(t *testing.T) {
 	pool := newTestIdlePool(2)
-	oldest, _ := pool.dialTest(t)
-	other, _ := pool.dialTest(t)
+	oldest, _ := pool.openConnection(t)
+	other, _ := pool.openConnection(t)
 	pool.add(oldest)
 	pool.add(other)
 	if !pool.acquireDescriptor() || !oldest.isClosed || other.isClosed {
-		t.Errorf("closed for a new connection: %v the oldest, %v the other", oldest.isClosed, other.isClosed)
+		t.Errorf("closed for a new connection: %v the oldest, %v the other; want true, false and a descriptor", oldest.isClosed, other.isClosed)
 	}
 	pool.close(oldest)
 	pool.closeAll()
@@ -111,6 +112,6 @@
 		t.Errorf("%d descriptors in use, want that of the new connection", n)
 	}
 	if !pool.acquireDescriptor() || pool.acquireDescriptor() {
-		t.Error("without idle connections, a descriptor was refused that was free, or given that was not")
+		t.Error("without idle connections: want one descriptor to be acquired and the next one refused")
 	}
 }
--- a/internal/upstream/in_flight.go
+++ b/internal/upstream/in_flight.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// inFlight counts what has to end before a removed endpoint's goroutine may: attempts, health checks and dials. It belongs to the worker's
-// goroutine.
+// inFlight tracks the attempts, health checks and dials that have to end before the goroutine of a removed endpoint ends. Only the worker's
+// goroutine uses it.
 type inFlight struct {
-	attempts     map[uint64]*httpExchange // by request
+	attempts     map[uint64]*httpExchange // by request ID
 	healthChecks int
 	dials        int
 }
@@ -17,7 +17,7 @@
 
 func (f *inFlight) isEmpty() bool { return len(f.attempts) == 0 && f.healthChecks == 0 && f.dials == 0 }
 
-// unconnectedAttempts returns the attempts that wait for a connection, in the order of their requests.
+// unconnectedAttempts returns the attempts that wait for a connection, sorted by request ID.
 func (f *inFlight) unconnectedAttempts() []*httpExchange {
 	var unconnected []*httpExchange
 	for _, id := range slices.Sorted(maps.Keys(f.attempts)) {
--- a/internal/upstream/messages.go
+++ b/internal/upstream/messages.go
@@ -2,47 +2,47 @@
 
 import "switchfork/internal/protocol"
 
-// message is what an endpoint's mailbox holds. Its worker handles messages in the order in which they were put.
+// message is an entry of an endpoint's mailbox. The worker handles messages in the order in which they were put.
 type message interface{ isMessage() }
 
 type (
-	// listUpdate is the latest entry of the endpoint list.
+	// listUpdate has the endpoint's latest entry in the endpoint list.
 	listUpdate struct{ entry protocol.ListEntry }
 
-	// removalRequest says that the endpoint has left the list.
+	// removalRequest reports that the endpoint has left the list.
 	removalRequest struct{}
 
 	attemptRequest     struct{ attempt Attempt }
 	cancelRequest      struct{ requestID uint64 }
 	healthCheckRequest struct{}
 
-	// trimRequest asks for connections that present traffic does not need.
+	// trimRequest asks to close the connections that current traffic does not need.
 	trimRequest struct{}
 
-	// sweepTimer fires when idle connections have to be looked at.
+	// sweepTimer fires when the idle connections have to be checked for expiry.
 	sweepTimer struct{}
 
 	// deadlineTimer fires at an exchange's deadline.
 	deadlineTimer struct{ exchange *httpExchange }
 
-	// writeTimer fires at the time after which an exchange's request must not be written any more.
+	// writeTimer fires at an exchange's write deadline if that is before its deadline.
 	writeTimer struct{ exchange *httpExchange }
 
-	// dialResult has a new connection, or the error of its dial.
+	// dialResult has a new connection, or the error of the dial.
 	dialResult struct {
 		exchange   *httpExchange
 		connection *connection
 		err        error
 	}
 
-	// writeResult says that a request is written, or the error that ended its writing.
+	// writeResult reports that a request has been written, or the error that ended the write.
 	writeResult struct {
 		exchange   *httpExchange
 		connection *connection
 		err        error
 	}
 
-	// readResult has a connection's response, or the error that ended its reading.
+	// readResult has a response, or the error that ended reading from the connection.
 	readResult struct {
 		connection *connection
 		response   *protocol.Response
--- a/internal/upstream/response_reader.go
+++ b/internal/upstream/response_reader.go
@@ -11,16 +11,16 @@
 	"switchfork/internal/protocol"
 )
 
-// maxResponseGap is the longest that a response may pause once it has begun: an endpoint writes it in one piece, with no work between.
-// It guards against heads and bodies that do not end and lengths that are too long, which would else be waited for until the request's
-// deadline. One that comes slowly, byte by byte, has its attempt's time.
+// maxResponseGap is the longest pause within a response that has begun. An endpoint writes a response in one piece, without other work in
+// between. The bound guards against heads and bodies that do not end and against lengths that are too long, which the reader would
+// otherwise wait for until the request's deadline. A response that arrives slowly, byte by byte, may take as long as its attempt.
 const maxResponseGap = 300 * time.Millisecond
 
 const readBufferBytes = 4 << 10
 
-// Headers of responses that the protocol defines.
+// Response headers that the protocol defines.
 const (
-	headerNotRun     = "X-Not-Run" // notRun: the request was rejected before it ran
+	headerNotRun     = "X-Not-Run" // has the value notRun if the request was rejected before it ran
 	headerLoadReport = "X-Load"
 
 	notRun = "1"
@@ -28,12 +28,12 @@
 
 var errNoLength = errors.New("response has neither a length nor a transfer encoding")
 
-// responseReader reads the responses of one connection. Nothing that an endpoint sends takes more memory or time than a response may.
+// responseReader reads the responses of one connection. It bounds the memory and the time that each of them may take.
 type responseReader struct {
 	conn     net.Conn
 	limit    io.LimitedReader
 	buffered *bufio.Reader
-	hasBegun bool // a response's first byte has come
+	hasBegun bool // the first byte of a response has arrived
 }
 
 func newResponseReader(conn net.Conn) *responseReader {
@@ -43,7 +43,7 @@
 	return r
 }
 
-// Read waits as long as the attempt does for a response's first byte, and maxResponseGap for each further piece.
+// Read waits for the first byte of a response as long as the attempt lasts, and for each further piece at most maxResponseGap.
 func (r *responseReader) Read(b []byte) (int, error) {
 	if r.hasBegun {
 		_ = r.conn.SetReadDeadline(time.Now().Add(maxResponseGap)) // fails only on a closed connection, which Read reports
@@ -51,7 +51,8 @@
 	return r.conn.Read(b)
 }
 
-// next reads one response, after any interim responses. If more bytes follow, it is the connection's last.
+// next reads one response and skips interim responses before it. If more bytes follow the response, it is marked as the connection's
+// last.
 func (r *responseReader) next(loadReportFields []string) (*protocol.Response, error) {
 	r.limit.N = protocol.HeadLimit + protocol.BodyLimit
 	for {
@@ -72,7 +73,7 @@
 	}
 }
 
-// readError tells a response that is too long from the connection's end.
+// readError returns ErrBodyTooLong if the response has exceeded the limit, and err otherwise.
 func (r *responseReader) readError(err error) error {
 	if r.limit.N <= 0 {
 		return protocol.ErrBodyTooLong
@@ -80,7 +81,7 @@
 	return err
 }
 
-// readResponse reads one response; it is nil for an interim one.
+// readResponse reads one response. It returns nil for an interim response.
 func readResponse(from *bufio.Reader, loadReportFields []string) (*protocol.Response, error) {
 	r, err := http.ReadResponse(from, nil)
 	if err != nil {
@@ -101,7 +102,7 @@
 	if response.Body, err = protocol.ReadBody(r.Body, r.ContentLength); err != nil {
 		return nil, err
 	}
-	_ = r.Body.Close() // all of it has been read
+	_ = r.Body.Close() // the body has been read completely
 	response.Load = protocol.ParseLoadReport([]byte(r.Header.Get(headerLoadReport)), loadReportFields)
 	return response, nil
 }
--- a/internal/upstream/transfer.go
+++ b/internal/upstream/transfer.go
@@ -10,14 +10,14 @@
 	"switchfork/internal/protocol"
 )
 
-// maxInlineWriteBytes is the longest request that the worker's goroutine writes itself: it fits into the send buffer of a connection that
-// has nothing else outstanding, so that the write does not block. A longer one gets a goroutine.
+// maxInlineWriteBytes is the longest request that the worker's goroutine writes itself. Such a request fits into the send buffer of a
+// connection without other outstanding data, so the write does not block. A longer request is written by a goroutine of its own.
 const maxInlineWriteBytes = 8 << 10
 
 // write sends an exchange's request on a connection.
 func (w *worker) write(conn *connection, exchange *httpExchange) {
 	request := exchange.Encoded.Bytes(time.Until(exchange.Deadline))
-	conn.readNext <- struct{}{} // a response that comes before the last byte is written is read too
+	conn.readNext <- struct{}{} // also reads a response that arrives before the request is written completely
 	conn.exchange = exchange
 	exchange.connection, exchange.isWritten, exchange.lostResult = conn, false, protocol.Succeeded
 	if exchange.isOutdated(w.pool.dialer.Timeout) {
@@ -30,7 +30,7 @@
 		return
 	}
 	go func() {
-		// Both fail only on a closed connection, which Write and the reader report.
+		// SetWriteDeadline fails only on a closed connection, which Write and the reader report.
 		_ = conn.SetWriteDeadline(exchange.writeDeadline())
 		_, err := conn.Write(request)
 		_ = conn.SetWriteDeadline(time.Time{})
@@ -38,8 +38,9 @@
 	}()
 }
 
-// writeFinished handles the end of a write. A request that was not written completely has not run. Where a reused connection fails, the
-// endpoint may have closed it while the request was being written: that is no evidence about its health, and another connection is tried.
+// writeFinished handles the result of a write. A request that was not written completely has not run. If the write to a reused connection
+// fails, the endpoint may have closed the connection while the request was being written. That is no evidence about the endpoint's health,
+// and another connection is tried.
 func (w *worker) writeFinished(r writeResult) {
 	exchange := r.exchange
 	switch {
@@ -76,14 +77,14 @@
 		w.finish(exchange, readErrorResult(r.err), nil)
 	default:
 		exchange.lostResult = readErrorResult(r.err)
-		w.idle.close(conn) // the result of the write is still to come
+		w.idle.close(conn) // the exchange ends with the result of the write, which is still to come
 	}
 }
 
-// readErrorResult tells a connection's end from a response that can't be read.
+// readErrorResult distinguishes the end of a connection from a response that can't be read.
 func readErrorResult(err error) protocol.Result {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return protocol.Malformed // a response has begun, and then no more of it came
+		return protocol.Malformed // a response began and then paused for longer than maxResponseGap
 	}
 	var opError *net.OpError
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &opError) {
--- a/internal/upstream/worker.go
+++ b/internal/upstream/worker.go
@@ -7,15 +7,15 @@
 	"switchfork/internal/protocol"
 )
 
-// worker is the goroutine of one Endpoint and the state that only it touches. Its parts:
+// worker is the goroutine of one Endpoint, which runs serve, and the state that only this goroutine uses. Its parts:
 //
-//   - idlePool has the idle connections and closes connections (idle_pool.go).
-//   - inFlight has the attempts and counts what else has not ended (in_flight.go).
+//   - idlePool holds the idle connections and closes connections (idle_pool.go).
+//   - inFlight tracks the attempts, health checks and dials that have not ended (in_flight.go).
 //   - An httpExchange is a request and its response on a connection (exchange.go).
 //   - A connection carries one exchange at a time (connection.go).
 //
-// The worker's own methods stand by the step of an exchange: its start and end (attempts.go, health_check.go), its connection (dial.go),
-// and the request and response on it (transfer.go).
+// The worker's own methods are grouped by the step of an exchange: its start and end (attempts.go, health_check.go), its connection
+// (dial.go), and the transfer of its request and response (transfer.go).
 type worker struct {
 	pool    *Pool
 	events  Events
@@ -23,14 +23,14 @@
 	name    string
 	mailbox *mailbox.Mailbox[message]
 
-	process    process // as the list has it
-	isDraining bool    // it takes no new attempts
-	isRemoved  bool    // it has left the list
+	process    process // from the latest list entry
+	isDraining bool    // the endpoint takes no new attempts
+	isRemoved  bool    // the endpoint has left the list
 	inFlight   inFlight
 	idle       idlePool
 }
 
-// process identifies what listens at an endpoint: an address may return with another start time or another build.
+// process identifies the server process of an endpoint. The same address may be listed again with another start time or build.
 type process struct {
 	address     string
 	startedAtMs float64
@@ -52,7 +52,7 @@
 	}
 }
 
-// serve handles messages until the endpoint is removed and nothing of it is in flight.
+// serve handles messages until the endpoint is removed and has nothing in flight.
 func (w *worker) serve() {
 	var messages []message
 	for range w.mailbox.Ready() {
@@ -94,12 +94,12 @@
 	case sweepTimer:
 		w.idle.sweep()
 	default:
-		panic(fmt.Sprintf("no way to handle a message of type %T", m))
+		panic(fmt.Sprintf("upstream: unknown message type %T", m))
 	}
 }
 
-// update applies the list's latest entry. The idle connections of a process that was replaced are closed: a request
-// written to one of them would be reset.
+// update applies the endpoint's latest list entry. If the process was replaced, its idle connections are closed, because a request written
+// to one of them would be reset.
 func (w *worker) update(entry protocol.ListEntry) {
 	latest := process{address: entry.Address, startedAtMs: entry.StartedAtMs, build: entry.Build}
 	isReplaced := latest != w.process
@@ -114,16 +114,16 @@
 	}
 }
 
-// remove lets attempts that are written finish and accepts no others.
+// remove ends the attempts that wait for a connection, lets the others finish, and accepts no new ones.
 func (w *worker) remove() {
 	w.isRemoved, w.isDraining = true, true
 	w.idle.closeAll()
 	w.abandonUnconnected()
 }
 
-// abandonUnconnected ends the attempts that wait for a connection. They were decided before the list changed: written when the
-// connection comes up, up to a second later, they would reach a process that drains, or one of another build. They end as not sent,
-// and the policy chooses an endpoint anew.
+// abandonUnconnected ends the attempts that wait for a connection. They were decided before the list changed. When the connection comes up,
+// up to a second later, their requests would reach a process that is draining or has another build. The attempts end as not sent, and the
+// policy chooses an endpoint anew.
 func (w *worker) abandonUnconnected() {
 	for _, exchange := range w.inFlight.unconnectedAttempts() {
 		w.finish(exchange, protocol.NotSent, nil)
