--- a/internal/upstream/endpoint_test.go
+++ b/internal/upstream/endpoint_test.go
@@ -20,7 +20,7 @@
 	"switchfork/internal/upstream"
 )
 
-// holdDials has each dial wait before it connects, until release is called. Each sends on dialing when it starts to wait.
+// holdDials makes each dial wait before it connects until release is called. Each dial sends a value on dialing when it starts to wait.
 func holdDials(t *testing.T, r *agenttest.Rig) (dialing chan struct{}, release func()) {
 	t.Helper()
 	dialing, released := make(chan struct{}, 8), make(chan struct{})
@@ -34,8 +34,8 @@
 	return dialing, release
 }
 
-// sendRequest admits a request and has the policy send one attempt of it to the only endpoint as command says; the reply comes on the
-// channel. A request whose attempt does not succeed is failed.
+// sendRequest admits a request and returns the channel of its reply. The policy sends one attempt to the only endpoint, with the settings
+// of command, and fails the request if the attempt does not succeed.
 func sendRequest(r *agenttest.Rig, id uint64, encoded *protocol.EncodedRequest, command policy.SendAttempt) <-chan agent.Reply {
 	r.Respond(func(event policy.Event) []policy.Command {
 		switch event := event.(type) {
@@ -54,22 +54,22 @@
 	return request.Replies()
 }
 
-// wantNotAttempted waits for a request's reply and fails where its attempt was sent.
+// wantNotAttempted waits for a request's reply and fails the test if an attempt was sent.
 func wantNotAttempted(t *testing.T, r *agenttest.Rig, replies <-chan agent.Reply) {
 	t.Helper()
 	select {
 	case <-replies:
 	case <-time.After(agenttest.WaitTimeout / 2):
-		t.Fatal("its attempt still waits for the connection")
+		t.Fatal("no reply: the attempt still waits for its connection")
 	}
 	r.Loop.Flush(r.Context())
 	if results := agenttest.Events[policy.AttemptResult](r.Router); len(results) != 1 || results[0].Outcome != policy.NotAttempted {
-		t.Fatalf("ended as %+v", results)
+		t.Fatalf("got attempt results %+v, want one that was not attempted", results)
 	}
 }
 
-// The list may change while a connection is dialed. An attempt that was decided before is not written then: the process that answers may
-// be draining, may have been removed, or may be another.
+// The endpoint list may change while a connection is dialed. An attempt that was decided before the change is not written: the process that
+// answers may be draining, may have been removed, or may be a different one.
 func TestListChangesDuringDial(t *testing.T) {
 	before := agenttest.Entry("")
 	before.StartedAtMs, before.Build = 5, 1
@@ -94,22 +94,22 @@
 			r.Publish(protocol.List{Version: 2, Entries: []protocol.ListEntry{now}})
 			wantNotAttempted(t, r, replies)
 			release()
-			// A connection that comes up now carries nothing: the next request is the first that either server receives.
+			// A connection that comes up now does not carry the attempt: the next request is the first that either server receives.
 			next := before
 			next.Address, next.StartedAtMs, next.Build = other.Addr(), 7, 3
 			r.Publish(protocol.List{Version: 3, Entries: []protocol.ListEntry{next}})
 			if got := <-sendRequest(r, 2, agenttest.KeyedRequest, policy.SendAttempt{}); got.Response == nil {
-				t.Fatalf("the next request ended as %+v", got)
+				t.Fatalf("next request: got reply %+v, want a response", got)
 			}
 			if first, second := len(server.Requests()), len(other.Requests()); first != 0 || second != 1 {
-				t.Errorf("%d and %d requests arrived", first, second)
+				t.Errorf("got %d requests at the first server and %d at the other, want 0 and 1", first, second)
 			}
 		})
 	}
 }
 
-// A retry that its deduplication group would no longer drop is not written: neither when its connection comes up late, nor when its
-// message is handled late.
+// A retry is not written after its WriteBefore time, when its deduplication group would no longer drop it as a duplicate. This holds if its
+// connection comes up late and if its message is handled late.
 func TestRetryIsNotWrittenAfterWriteBefore(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, agenttest.WaitTimeout)
@@ -120,42 +120,42 @@
 	wantNotAttempted(t, r, replies)
 	release()
 	if got := <-sendRequest(r, 2, agenttest.KeyedRequest, policy.SendAttempt{WriteBefore: r.Loop.Clock().At(time.Now().Add(agenttest.WaitTimeout))}); got.Response == nil {
-		t.Fatalf("one that is in time ended as %+v", got)
+		t.Fatalf("request before its WriteBefore time: got reply %+v, want a response", got)
 	}
 	if got := <-sendRequest(r, 3, agenttest.KeyedRequest, policy.SendAttempt{WriteBefore: r.Loop.Clock().Now() - 1}); got.Response != nil {
-		t.Error("one that is too late succeeded")
+		t.Error("request after its WriteBefore time: got a response, want none")
 	}
 	if n := len(server.Requests()); n != 1 {
-		t.Errorf("%d requests arrived", n)
+		t.Errorf("got %d requests at the server, want 1", n)
 	}
 }
 
-// A second response that comes some time after the first never becomes the response to the next request: the connection settles first,
-// and is checked then.
+// A second response that arrives some time after the first never becomes the response to the next request. The connection settles first and
+// is checked for input then.
 func TestLateSecondResponse(t *testing.T) {
-	var first net.Conn // the first request's
-	server := agenttest.NewScriptedServer(t, func(own net.Conn, nth int) bool {
-		first = own
-		return fakes.Respond(fakes.OKResponse("first"))(own, nth)
+	var first net.Conn // connection of the first request
+	server := agenttest.NewScriptedServer(t, func(conn net.Conn, nth int) bool {
+		first = conn
+		return fakes.Respond(fakes.OKResponse("first"))(conn, nth)
 	})
 	r := agenttest.NewRig(t, time.Second)
 	r.Pool.SetSettleTime(agenttest.WaitTimeout)
 	r.PublishOne(server.Addr())
 	if got := <-sendRequest(r, 1, agenttest.KeyedRequest, policy.SendAttempt{}); string(got.Response.Body) != "first" {
-		t.Fatalf("the first got %q", got.Response.Body)
+		t.Fatalf("first request: got body %q, want \"first\"", got.Response.Body)
 	}
-	server.SetHandler(func(own net.Conn, nth int) bool {
+	server.SetHandler(func(conn net.Conn, nth int) bool {
 		if _, err := io.WriteString(first, fakes.OKResponse("first")); err != nil { // late, while the second request is in flight
 			t.Error(err)
 		}
-		return fakes.Respond(fakes.OKResponse("second"))(own, nth)
+		return fakes.Respond(fakes.OKResponse("second"))(conn, nth)
 	})
 	if got := <-sendRequest(r, 2, agenttest.KeyedRequest, policy.SendAttempt{}); got.Response == nil || string(got.Response.Body) != "second" {
-		t.Fatalf("the second got %+v", got)
+		t.Fatalf("second request: got reply %+v, want body \"second\"", got)
 	}
 }
 
-// Where no descriptor is left, a connection that is still settling is closed for a new one.
+// If no descriptor is left, a connection that is still settling is closed for a new one.
 func TestSettlingConnectionReleasesDescriptor(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, time.Second)
@@ -164,15 +164,16 @@
 	r.PublishOne(server.Addr())
 	for id := range uint64(3) {
 		if got := <-sendRequest(r, id+1, agenttest.KeyedRequest, policy.SendAttempt{}); got.Response == nil {
-			t.Fatalf("request %d ended as %+v", id+1, got)
+			t.Fatalf("request %d: got reply %+v, want a response", id+1, got)
 		}
 	}
 	if requests := server.Requests(); len(requests) != 3 || requests[2].Conn != 3 {
-		t.Errorf("arrived: %+v", requests)
+		t.Errorf("got requests %+v, want three, the last on the third connection", requests)
 	}
 }
 
-// A health check whose connection comes up after its address has another process is not sent: the response would be about the wrong one.
+// A health check is not sent if the endpoint's process is replaced while the connection is dialed: the response would be about the wrong
+// process.
 func TestHealthCheckWhileListChanges(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("{}")))
 	other := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("{}")))
@@ -191,29 +192,29 @@
 	<-dialing
 	entry.Address, entry.StartedAtMs = other.Addr(), 7
 	r.Publish(protocol.List{Version: 2, Entries: []protocol.ListEntry{entry}})
-	agenttest.Eventually(t, "the list", func() bool { return len(agenttest.Events[policy.EndpointUpdate](r.Router)) == 2 })
+	agenttest.Eventually(t, "the second list update", func() bool { return len(agenttest.Events[policy.EndpointUpdate](r.Router)) == 2 })
 	release()
-	agenttest.Eventually(t, "the health check's end", func() bool { return len(agenttest.Events[policy.HealthCheckResult](r.Router)) == 1 })
+	agenttest.Eventually(t, "the health check's result", func() bool { return len(agenttest.Events[policy.HealthCheckResult](r.Router)) == 1 })
 	if p := agenttest.Events[policy.HealthCheckResult](r.Router)[0]; p.Outcome != policy.NotAttempted || len(server.Requests())+len(other.Requests()) != 0 {
-		t.Errorf("ended as %+v, %d and %d requests", p, len(server.Requests()), len(other.Requests()))
+		t.Errorf("got result %+v with %d and %d requests, want not attempted and no requests", p, len(server.Requests()), len(other.Requests()))
 	}
 }
 
-// A response that comes slowly has its attempt's time; one that pauses in its middle ends soon.
+// A response that arrives slowly may take as long as its attempt. One that pauses in its middle ends soon, as malformed.
 func TestSlowResponse(t *testing.T) {
 	response := fakes.OKResponse(strings.Repeat("x", 20))
 	for _, test := range []struct {
-		stops int // after so many bytes; 0: does not
-		want  policy.Outcome
+		pauseAfter int // number of bytes; 0: the response does not pause
+		want       policy.Outcome
 	}{{0, policy.OK}, {30, policy.Malformed}} {
-		t.Run(fmt.Sprint(test.stops), func(t *testing.T) {
-			server := agenttest.NewScriptedServer(t, func(own net.Conn, _ int) bool {
+		t.Run(fmt.Sprint(test.pauseAfter), func(t *testing.T) {
+			server := agenttest.NewScriptedServer(t, func(conn net.Conn, _ int) bool {
 				for i := range response {
-					if i == test.stops && test.stops > 0 {
-						_, _ = io.Copy(io.Discard, own) // until the connection is closed
+					if i == test.pauseAfter && test.pauseAfter > 0 {
+						_, _ = io.Copy(io.Discard, conn) // until the connection is closed
 						return false
 					}
-					if _, err := io.WriteString(own, response[i:i+1]); err != nil {
+					if _, err := io.WriteString(conn, response[i:i+1]); err != nil {
 						return false
 					}
 					time.Sleep(2 * upstream.MaxResponseGap / time.Duration(len(response)))
@@ -225,14 +226,14 @@
 			<-sendRequest(r, 1, agenttest.KeyedRequest, policy.SendAttempt{})
 			r.Loop.Flush(context.Background())
 			if results := agenttest.Events[policy.AttemptResult](r.Router); len(results) != 1 || results[0].Outcome != test.want {
-				t.Errorf("ended as %+v, want %v", results, test.want)
+				t.Errorf("got attempt results %+v, want one with outcome %v", results, test.want)
 			}
 		})
 	}
 }
 
-// After a stall longer than an endpoint keeps idle connections, nothing is written on one of them, though the sweep has not run and the
-// endpoint's close has not arrived: the request would end as a reset.
+// After a stall longer than an endpoint keeps idle connections, no request is written to one of them, even though the sweep has not run and
+// the endpoint's close has not arrived. The request would end as a reset.
 func TestExpiredConnectionIsNotReused(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, time.Second)
@@ -240,17 +241,17 @@
 	r.PublishOne(server.Addr())
 	for id := range uint64(2) {
 		if got := <-sendRequest(r, id+1, agenttest.KeyedRequest, policy.SendAttempt{}); got.Response == nil {
-			t.Fatalf("request %d ended as %+v", id+1, got)
+			t.Fatalf("request %d: got reply %+v, want a response", id+1, got)
 		}
 	}
 	r.Loop.Flush(r.Context())
 	const idle = 20 * time.Millisecond
 	r.Pool.SetIdleTimeout(idle)
-	time.Sleep(idle) // the time that has to be over; more does not matter
+	time.Sleep(idle) // the connection has to be idle at least this long; longer does no harm
 	if got := <-sendRequest(r, 3, agenttest.KeyedRequest, policy.SendAttempt{}); got.Response == nil {
-		t.Fatalf("the third ended as %+v", got)
+		t.Fatalf("request 3: got reply %+v, want a response", got)
 	}
 	if requests := server.Requests(); len(requests) != 3 || requests[1].Conn != 1 || requests[2].Conn != 2 {
-		t.Errorf("arrived: %+v", requests)
+		t.Errorf("got requests %+v, want three: the second on the first connection, the third on the second", requests)
 	}
 }
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -9,7 +9,7 @@
 	"switchfork/internal/golden"
 )
 
-// The requests of health checks are byte for byte as recorded.
+// Encoded health check requests match the golden file byte for byte.
 func TestGoldenRequests(t *testing.T) {
 	var out strings.Builder
 	write := func(what, text string) { fmt.Fprintf(&out, "== %s\n%q\n", what, text) }
--- a/internal/upstream/in_flight_test.go
+++ b/internal/upstream/in_flight_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// Attempts that wait for a connection are found in the order of their requests, and each kind keeps the endpoint's goroutine.
+// Attempts that wait for a connection are returned sorted by request ID. An attempt, a health check or a dial alone counts as in flight.
 func TestInFlight(t *testing.T) {
 	flight := newInFlight()
 	if !flight.isEmpty() {
-		t.Error("a new one is not empty")
+		t.Error("a new inFlight is not empty")
 	}
 	for _, id := range []uint64{9, 3, 7, 5} {
 		flight.attempts[id] = &httpExchange{Attempt: Attempt{RequestID: id}}
@@ -25,7 +25,7 @@
 		"a dial":         {dials: 1},
 	} {
 		if flight.isEmpty() {
-			t.Errorf("empty with %s", name)
+			t.Errorf("reported as empty with %s in flight", name)
 		}
 	}
 }
--- a/internal/upstream/results_test.go
+++ b/internal/upstream/results_test.go
@@ -17,7 +17,7 @@
 	"switchfork/internal/upstream"
 )
 
-// Each way in which an attempt can end, the policy's outcome for it, and that exactly one request arrived.
+// Each way in which an attempt can end has the expected outcome for the policy, and exactly one request arrives.
 func TestAttemptResults(t *testing.T) {
 	notRun := "HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, test := range []struct {
@@ -58,46 +58,46 @@
 			got := r.Send(t, 1, agenttest.KeyedRequest, 400*time.Millisecond)
 			results := agenttest.Events[policy.AttemptResult](r.Router)
 			if len(results) != 1 || results[0].Outcome != test.want || results[0].RequestDone != (test.want == policy.OK || test.want == policy.NotAttempted) {
-				t.Errorf("ended as %+v, want outcome %d", results, test.want)
+				t.Errorf("got attempt results %+v, want one with outcome %d", results, test.want)
 			}
 			if test.want == policy.OK && (got.Response == nil || string(got.Response.Body) != "done") {
-				t.Errorf("client got %+v", got)
+				t.Errorf("got reply %+v, want body \"done\"", got)
 			}
 			if test.want == policy.NotAttempted && (got.Response == nil || got.Response.Status != 400) {
-				t.Errorf("client got %+v", got)
+				t.Errorf("got reply %+v, want status 400", got)
 			}
 			if requests := server.Requests(); len(requests) != test.requests || requests[0].Body != "body" {
-				t.Errorf("%d requests arrived: %+v", len(requests), requests)
+				t.Errorf("got %d requests at the server: %+v, want one with the request's body", len(requests), requests)
 			}
 			isLost := test.want == policy.TimedOut || test.want == policy.ConnectionLost || test.want == policy.Malformed
-			if isLost { // its connection is closed, so that there are never two attempts at once
+			if isLost { // the connection is closed, so that there are never two attempts at once
 				agenttest.Eventually(t, "the end of the connection", func() bool { return server.Closed() == 1 })
 			}
 		})
 	}
 }
 
-// An attempt never ran where no connection came up.
+// An attempt fails to connect, and has not run, if its connection is refused or does not come up in time.
 func TestConnectFailures(t *testing.T) {
 	closed := agenttest.Listen(t)
 	if err := closed.Close(); err != nil {
 		t.Fatal(err)
 	}
 	for name, test := range map[string]struct {
-		dial time.Duration
-		addr string
+		dialTimeout time.Duration
+		addr        string
 	}{"refused": {time.Second, closed.Addr().String()}, "never came up": {1, agenttest.Listen(t).Addr().String()}} {
-		r := agenttest.NewRig(t, test.dial)
+		r := agenttest.NewRig(t, test.dialTimeout)
 		r.PublishOne(test.addr)
 		r.Send(t, 1, agenttest.KeyedRequest, time.Second)
 		if results := agenttest.Events[policy.AttemptResult](r.Router); len(results) != 1 || results[0].Outcome != policy.ConnectFailed {
-			t.Errorf("%s: ended as %+v", name, results)
+			t.Errorf("%s: got attempt results %+v, want one that failed to connect", name, results)
 		}
 	}
 }
 
-// A connection is reused. One that is lost under a keyed request brings no second attempt, one that ended while idle costs nothing, and a
-// response that was not requested ends it.
+// A connection is reused. If it is lost during a keyed request, no second attempt follows. A connection that ended while idle does no harm
+// to the next request, and an unrequested response ends its connection.
 func TestConnectionReuse(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, time.Second)
@@ -107,7 +107,7 @@
 	r.Send(t, 2, agenttest.KeyedRequest, time.Second)
 	results, requests := agenttest.Events[policy.AttemptResult](r.Router), server.Requests()
 	if len(requests) != 2 || requests[1].Conn != 1 || results[1].Outcome != policy.ConnectionLost {
-		t.Fatalf("ended as %+v after requests %+v", results, requests)
+		t.Fatalf("got attempt results %+v after requests %+v, want the second one lost on the first connection", results, requests)
 	}
 	server.SetHandler(func(conn net.Conn, nth int) bool {
 		return fakes.Respond(fakes.OKResponse("done")+fakes.OKResponse("not asked for"))(conn, nth)
@@ -116,7 +116,7 @@
 	agenttest.Eventually(t, "the end of a connection with an unrequested response", func() bool { return server.Closed() == 2 })
 	server.SetHandler(fakes.Respond(fakes.OKResponse("done")))
 	if got := r.Send(t, 4, agenttest.KeyedRequest, time.Second); got.Response == nil || len(server.Requests()) != 4 || server.Requests()[3].Conn != 3 {
-		t.Errorf("got %+v after requests %+v", got, server.Requests())
+		t.Errorf("got reply %+v after requests %+v, want a response to the fourth request, on the third connection", got, server.Requests())
 	}
 }
 
@@ -139,14 +139,14 @@
 		for id := uint64(1); id <= 50; id++ {
 			got := r.Send(t, id, agenttest.KeyedRequest, time.Second)
 			if got.Response == nil || string(got.Response.Body) != fmt.Sprint(id) {
-				t.Fatalf("request %d got %+v", id, got)
+				t.Fatalf("request %d: got reply %+v, want the request's number as the body", id, got)
 			}
 			<-sentAfter
 		}
 	}
 }
 
-// An endpoint that returns with another address is the same one to the policy, and gets nothing at the old address.
+// An endpoint that is listed again with another address keeps its ID, and its old address receives no more requests.
 func TestEndpointAddressChanges(t *testing.T) {
 	before := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("a")))
 	after := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("b")))
@@ -162,11 +162,11 @@
 	lists := agenttest.Events[policy.EndpointUpdate](r.Router)
 	first, second := lists[0].Endpoints[0], lists[1].Endpoints[0]
 	if len(before.Requests()) != 1 || len(after.Requests()) != 1 || first.ID != second.ID || second.Build != 2 {
-		t.Errorf("%d and %d requests, lists %+v", len(before.Requests()), len(after.Requests()), lists)
+		t.Errorf("got %d and %d requests and lists %+v, want one each, the same ID and build 2", len(before.Requests()), len(after.Requests()), lists)
 	}
 }
 
-// A cancelled request ends its attempt once, and a health check brings its load report.
+// A cancelled request ends its attempt once, and the result of a health check has the load report of its response.
 func TestCancelAndHealthCheck(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.NeverRespond)
 	r := agenttest.NewRig(t, time.Second)
@@ -187,17 +187,17 @@
 	agenttest.Eventually(t, "the attempt", func() bool { return len(server.Requests()) == 1 })
 	server.SetHandler(fakes.Respond("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"queue\":3}"))
 	r.Loop.Enqueue(policy.RequestCancelled{RequestID: 7})
-	r.Loop.Enqueue(policy.RequestCancelled{RequestID: 7}) // reported once
+	r.Loop.Enqueue(policy.RequestCancelled{RequestID: 7}) // must not be reported again
 	agenttest.Eventually(t, "the health check's result", func() bool { return len(agenttest.Events[policy.HealthCheckResult](r.Router)) == 1 })
 	if p := agenttest.Events[policy.HealthCheckResult](r.Router)[0]; p.Outcome != policy.OK || len(p.Load) != 1 || p.Load[0] != 3 {
-		t.Errorf("checked as %+v", p)
+		t.Errorf("got health check result %+v, want OK with load 3", p)
 	}
 	results := agenttest.Events[policy.AttemptResult](r.Router)
 	if len(results) != 1 || results[0].Outcome != policy.Cancelled || !results[0].RequestDone || len(agenttest.Events[policy.RequestCancelled](r.Router)) != 1 {
-		t.Errorf("ended as %+v", results)
+		t.Errorf("got attempt results %+v, want one cancelled attempt and one cancellation", results)
 	}
 	if server.Requests()[1].RequestLine != "GET /_load" {
-		t.Errorf("checked by %s", server.Requests()[1].RequestLine)
+		t.Errorf("got health check request %q, want GET /_load", server.Requests()[1].RequestLine)
 	}
 }
 
@@ -207,7 +207,7 @@
 	r := agenttest.NewRig(t, 100*time.Millisecond)
 	r.PublishOne(server.Addr())
 	if got := r.Send(t, 1, agenttest.KeyedRequest, time.Second); got.Response == nil {
-		t.Fatalf("a fresh one got %+v", got)
+		t.Fatalf("fresh attempt: got reply %+v, want a response", got)
 	}
 	r.Loop.Flush(r.Context())
 	entry := agenttest.Entry(server.Addr())
@@ -224,7 +224,7 @@
 		endpoint.Send(upstream.Attempt{
 			RequestID: id, Encoded: agenttest.KeyedRequest, DecidedAt: now.Add(-attempt.age), Deadline: now.Add(agenttest.WaitTimeout),
 		})
-		agenttest.Eventually(t, "its result", func() bool {
+		agenttest.Eventually(t, "the attempt's result", func() bool {
 			for _, e := range agenttest.Events[policy.AttemptResult](r.Router) {
 				if e.RequestID == id {
 					return true
@@ -234,11 +234,12 @@
 		})
 	}
 	if n := len(server.Requests()); n != 2 {
-		t.Errorf("%d arrived, want the two fresh ones", n)
+		t.Errorf("got %d requests, want those of the two fresh attempts", n)
 	}
 }
 
-// Where one connection is lost, the idle ones beside it are not trusted: a machine that was cut off leaves them dead.
+// If a connection is lost, the endpoint's idle connections are closed too: they are dead if the endpoint's machine was cut off from the
+// network.
 func TestLostConnectionClosesIdleOnes(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, time.Second)
