--- a/internal/agent/activity.go
+++ b/internal/agent/activity.go
@@ -25,15 +25,15 @@
 	votesRejected     int
 }
 
-// activity counts what the agent has done since its last line in the log.
+// activity counts what the agent has done in the current interval of the activity log.
 type activity struct {
 	activityCounts
-	dials     atomic.Int64 // counted by other goroutines than the loop's, as listCalls
+	dials     atomic.Int64 // like listCalls, counted by other goroutines than the loop's
 	listCalls atomic.Int64
 	since     time.Time
 }
 
-// log writes a line when one is due, and none where nothing was done.
+// log ends the interval if it has lasted activityInterval. It writes a line unless nothing was done in the interval.
 func (a *activity) log(now time.Time) {
 	if a.since.IsZero() {
 		a.since = now
@@ -54,7 +54,7 @@
 	a.since = now
 }
 
-// hasActivity tells whether there is anything to log.
+// hasActivity reports whether any request arrived, or any attempt, health check or vote was made.
 func (c *activityCounts) hasActivity() bool {
 	return c.arrived+c.attempts+c.healthChecks+c.votes > 0
 }
--- a/internal/agent/activity_test.go
+++ b/internal/agent/activity_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The activity log has at most one line for each interval, and none while nothing was done.
+// The activity log has at most one line for each interval, and none for intervals in which nothing was done.
 func TestActivityLogIsBounded(t *testing.T) {
 	var out bytes.Buffer
 	old := slog.Default()
@@ -22,10 +22,10 @@
 		a.dials.Add(2)
 	}
 	if got := strings.Count(out.String(), "msg=activity"); got != 3 {
-		t.Errorf("%d lines in 20 s", got)
+		t.Errorf("got %d lines in 20 s, want 3", got)
 	}
 	if !strings.Contains(out.String(), " arrived=250 ") || !strings.Contains(out.String(), " dials=500 ") {
-		t.Errorf("counted as\n%s", out.String())
+		t.Errorf("got log\n%s\nwant arrived=250 and dials=500", out.String())
 	}
 	a.log(now.Add(activityInterval))
 	out.Reset()
@@ -34,6 +34,6 @@
 		now = now.Add(20 * time.Millisecond)
 	}
 	if out.Len() > 0 {
-		t.Errorf("idle, it logs\n%s", out.String())
+		t.Errorf("without activity: got log\n%s\nwant none", out.String())
 	}
 }
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -10,8 +10,8 @@
 	"switchfork/internal/upstream"
 )
 
-// commandExecutor carries out the policy's commands. It decides nothing, and it never waits: attempts, votes and gossip messages are
-// handed on to others. The loop's goroutine calls it with each command that the policy returns.
+// commandExecutor carries out the policy's commands. It makes no decisions and never blocks: attempts, votes and gossip messages are handed
+// on to other goroutines. The loop's goroutine calls it with each command that the policy returns.
 type commandExecutor struct {
 	clock     Clock
 	timers    *timerQueue
@@ -19,7 +19,7 @@
 	endpoints *endpointRegistry
 	activity  *activity
 
-	// reportAttempt takes the result of an attempt that can't be sent. It must not call the policy.
+	// reportAttempt receives the result of an attempt that can't be sent. It must not call the policy.
 	reportAttempt func(upstream.AttemptFinished)
 	castVote      func(policy.Vote)
 	sendGossip    func(policy.SendGossip)
@@ -50,12 +50,12 @@
 	case policy.LogMessage:
 		slog.Info("policy message", "text", command.Text)
 	default:
-		panic(fmt.Sprintf("agent: no handling of a command of type %T", command))
+		panic(fmt.Sprintf("agent: unknown command type %T", command))
 	}
 }
 
-// sendAttempt hands an attempt to its endpoint. It is reported as not sent where its request or endpoint is not known, or where the
-// request is answered or has an attempt in flight already.
+// sendAttempt hands an attempt to its endpoint. It reports the attempt as not sent if the request or the endpoint is unknown, or if the
+// request is already answered or has an attempt in flight.
 func (e *commandExecutor) sendAttempt(command policy.SendAttempt, decidedAt time.Time) {
 	request := e.requests.get(command.RequestID)
 	endpoint := e.endpoints.get(command.EndpointID)
@@ -86,7 +86,7 @@
 	endpoint.Send(attempt)
 }
 
-// attemptDeadline is when an attempt times out: after its own timeout, where it has one, but no later than its request.
+// attemptDeadline returns when an attempt times out: after its own timeout if it has one, but not after its request's deadline.
 func attemptDeadline(requestDeadline, decidedAt time.Time, timeout policy.Micros) time.Time {
 	if timeout == 0 {
 		return requestDeadline
@@ -98,9 +98,9 @@
 	return requestDeadline
 }
 
-// refuseAttempt reports an attempt that can't be sent as not sent; request is nil where it is not known.
+// refuseAttempt reports an attempt that can't be sent as not sent. request is nil if it is unknown.
 func (e *commandExecutor) refuseAttempt(command policy.SendAttempt, request *Request) {
-	slog.Error("attempt not possible", "request", command.RequestID, "endpoint", command.EndpointID)
+	slog.Error("attempt could not be sent", "request", command.RequestID, "endpoint", command.EndpointID)
 	e.reportAttempt(upstream.AttemptFinished{
 		AttemptResult: policy.AttemptResult{
 			RequestID:  command.RequestID,
@@ -110,11 +110,11 @@
 		Result: protocol.NotSent,
 	})
 	if request != nil {
-		request.inFlight++ // openRequests.finishAttempt decrements it with the result
+		request.inFlight++ // openRequests.finishAttempt decrements it when it handles the report
 	}
 }
 
-// cancelAttempt cancels the attempt of a request that is in flight.
+// cancelAttempt cancels the attempt of a request if one is in flight.
 func (e *commandExecutor) cancelAttempt(command policy.CancelAttempt) {
 	request := e.requests.get(command.RequestID)
 	if request == nil || request.inFlight == 0 {
--- a/internal/agent/commands_test.go
+++ b/internal/agent/commands_test.go
@@ -9,7 +9,8 @@
 	"switchfork/internal/upstream"
 )
 
-// An attempt that can't be sent is reported as not sent, once, and its request is as open as before once the report is handled.
+// An attempt that can't be sent is reported as not sent, once. After the report is handled, its request has as many attempts in flight as
+// before.
 func TestImpossibleAttemptIsReportedAsNotSent(t *testing.T) {
 	for name, prepare := range map[string]func(*Request){
 		"endpoint not listed":       func(*Request) {},
@@ -48,7 +49,7 @@
 	}
 }
 
-// An attempt ends by its own timeout, and with its request at the latest.
+// An attempt times out after its own timeout, and at its request's deadline at the latest.
 func TestAttemptDeadlineIsWithinRequest(t *testing.T) {
 	decidedAt := time.Now()
 	requestDeadline := decidedAt.Add(time.Second)
--- a/internal/agent/dispatch.go
+++ b/internal/agent/dispatch.go
@@ -6,7 +6,7 @@
 	"switchfork/internal/policy"
 )
 
-// dispatch handles one message of a mailbox.
+// dispatch handles one message from either mailbox.
 func (l *Loop) dispatch(m message) {
 	switch m := m.(type) {
 	case requestArrived:
@@ -19,7 +19,7 @@
 		result.RequestDone = l.requests.finishAttempt(m.AttemptFinished)
 		l.handle(result)
 	case EndpointList:
-		l.endpoints.update(m) // before the policy may send attempts to them
+		l.endpoints.update(m) // first, because the policy may send attempts to new endpoints at once
 		l.handle(m.EndpointUpdate)
 	case connectionsExhausted:
 		l.endpoints.trimIdle()
@@ -28,12 +28,12 @@
 	case policyEvent:
 		l.dispatchEvent(m.Event)
 	default:
-		panic(fmt.Sprintf("agent: no handling of a message of type %T", m))
+		panic(fmt.Sprintf("agent: unknown message type %T", m))
 	}
 }
 
-// dispatchEvent hands an event to the policy, after what the loop itself has to do for it. A cancelled request that is already answered
-// is not reported to the policy again.
+// dispatchEvent updates the loop's own state for an event and hands the event to the policy. It drops the cancellation of a request that is
+// unknown or already answered.
 func (l *Loop) dispatchEvent(event policy.Event) {
 	switch event := event.(type) {
 	case policy.RequestCancelled:
--- a/internal/agent/endpoint_registry.go
+++ b/internal/agent/endpoint_registry.go
@@ -8,11 +8,11 @@
 	"switchfork/internal/upstream"
 )
 
-// endpointRegistry holds the endpoints of the endpoint list in force: it starts those that are new and removes those that have left.
-// The loop's goroutine owns it.
+// endpointRegistry holds the endpoints of the current endpoint list. It starts new endpoints and removes those that have left the list. The
+// loop's goroutine owns it.
 type endpointRegistry struct {
-	pool   *upstream.Pool  // where endpoints are made; set before the first update
-	events upstream.Events // what endpoints report to
+	pool   *upstream.Pool  // creates the endpoints; set before the first update
+	events upstream.Events // receives the endpoints' results
 	byID   map[uint32]*upstream.Endpoint
 	order  []*upstream.Endpoint // in the order in which they were added
 }
@@ -21,11 +21,11 @@
 	return endpointRegistry{events: events, byID: map[uint32]*upstream.Endpoint{}}
 }
 
-// get returns an endpoint; nil: it is not listed.
+// get returns an endpoint, or nil if it is not listed.
 func (r *endpointRegistry) get(id uint32) *upstream.Endpoint { return r.byID[id] }
 
-// update applies a change of the endpoint list: new endpoints are started, and all get their latest entry. Endpoints that have left
-// stop by themselves once none of their attempts is in flight; one that returns is started anew.
+// update applies a change of the endpoint list. It starts new endpoints and gives all listed endpoints their latest entry. An endpoint that
+// has left stops by itself once none of its attempts is in flight. If it is listed again, a new one is started.
 func (r *endpointRegistry) update(list EndpointList) {
 	isPresent := map[uint32]bool{}
 	for i, row := range list.Endpoints {
@@ -46,7 +46,7 @@
 	}
 }
 
-// updateEndpoint gives an endpoint its latest entry, and starts it where it is new.
+// updateEndpoint gives an endpoint its latest entry and starts it if it is new.
 func (r *endpointRegistry) updateEndpoint(id uint32, entry protocol.ListEntry) {
 	endpoint := r.byID[id]
 	if endpoint == nil {
@@ -57,7 +57,7 @@
 	endpoint.Update(entry)
 }
 
-// remove forgets an endpoint; one that is not known is ignored.
+// remove stops an endpoint and removes it from the registry. An unknown endpoint is ignored.
 func (r *endpointRegistry) remove(id uint32) {
 	endpoint := r.byID[id]
 	if endpoint == nil {
@@ -68,7 +68,7 @@
 	r.order = slices.DeleteFunc(r.order, func(other *upstream.Endpoint) bool { return other == endpoint })
 }
 
-// trimIdle lets all endpoints close the connections that they do not need.
+// trimIdle makes all endpoints close the connections that current traffic does not need.
 func (r *endpointRegistry) trimIdle() {
 	for _, endpoint := range r.order {
 		endpoint.TrimIdle()
--- a/internal/agent/export_test.go
+++ b/internal/agent/export_test.go
@@ -2,11 +2,11 @@
 
 import "switchfork/internal/policy"
 
-// ReaderGrace is how long readers get after a stall.
+// ReaderGrace is how long the loop waits for readers after a stall, at least.
 const ReaderGrace = readerGrace
 
 // Handle hands an event to the policy, as the loop's goroutine does.
 func (l *Loop) Handle(event policy.Event) { l.handle(event) }
 
-// EndpointRecords is the number of records that are kept of endpoints. The loop has to be idle.
+// EndpointRecords returns the number of records of endpoints in the registry. It must be called while the loop is idle.
 func (l *Loop) EndpointRecords() int { return len(l.endpoints.byID) + len(l.endpoints.order) }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -1,9 +1,9 @@
 // Package agent holds the event loop of an agent: the one goroutine that calls the routing policy.
 //
-// Everything that the policy is to know reaches it as a message in one of the loop's two mailboxes: requests from the proxy, results
-// from the endpoints, and, ahead of those, changes of the endpoint list and rollout updates. The commands that the policy returns are
-// carried out by the same goroutine, which hands them on to the endpoints, to the rollout controller's client and to the gossip
-// messenger without waiting for them. It waits in one case: after the process has stood still, for the readers of the endpoint list and
+// Other goroutines inform the policy by messages in the loop's two mailboxes. One has requests from the proxy and results from the
+// endpoints. The other, which is handled first, has changes of the endpoint list and rollout updates. The loop's goroutine also carries out
+// the commands that the policy returns: it hands them on to the endpoints, to the rollout controller's client and to the gossip messenger
+// without waiting for them. It blocks in one case only: after the process has stalled, it waits for the readers of the endpoint list and
 // of rollout updates (stall.go).
 //
 // The policy, the requests in flight, the endpoints and the timers belong to the goroutine that runs Loop.Serve. The methods that put
@@ -26,27 +26,27 @@
 // idleWait is how long the loop waits for a message before the policy has set its first timer.
 const idleWait = time.Hour
 
-// Loop calls the policy with one event after the other and carries out its commands. What waits is in its two mailboxes (messages.go)
-// and timers (timers.go); what is open, in its requests and endpoints (open_requests.go, endpoint_registry.go).
+// Loop calls the policy with one event after the other and carries out its commands. Events wait in its two mailboxes (messages.go) and
+// timers (timers.go). It keeps the open requests (open_requests.go) and the listed endpoints (endpoint_registry.go).
 type Loop struct {
 	router    policy.Router
 	clock     Clock
-	frozenNow policy.Micros // the time that the policy is given while it is not 0
+	frozenNow policy.Micros // if not 0, the time that the policy is given instead of the clock's
 
 	mailbox *mailbox.Mailbox[message]
-	urgent  *mailbox.Mailbox[message] // handled ahead of all that waits in mailbox
+	urgent  *mailbox.Mailbox[message] // handled ahead of all messages in mailbox
 	timers  timerQueue
 	stalls  stallGuard
 
 	requests  openRequests
 	endpoints endpointRegistry
 	executor  commandExecutor
-	voteSink  func(policy.Vote) // replaces the receiver of votes that Serve is given; nil: not replaced
+	voteSink  func(policy.Vote) // if not nil, receives the votes instead of the function that Serve is given
 
 	activity activity
 }
 
-// NewLoop makes the event loop of a policy. Messages wait in its mailboxes until Serve is called.
+// NewLoop creates the event loop of a policy. Messages wait in its mailboxes until Serve is called.
 func NewLoop(router policy.Router, clock Clock) *Loop {
 	l := &Loop{
 		router:  router,
@@ -71,18 +71,18 @@
 // RouteVotes replaces the receiver of the policy's votes that Serve is given. It must be called before Serve.
 func (l *Loop) RouteVotes(receive func(policy.Vote)) { l.voteSink = receive }
 
-// Clock is the clock that the policy's times are read from.
+// Clock returns the clock that the policy's times are read from.
 func (l *Loop) Clock() Clock { return l.clock }
 
-// UnreadInput is the gauge of the connections on which the endpoint list and rollout updates arrive.
+// UnreadInput returns the gauge of unread input on the connections on which the endpoint list and rollout updates arrive.
 func (l *Loop) UnreadInput() *tcpconn.UnreadGauge { return l.stalls.unread }
 
-// AddReader adds a goroutine that hands on the endpoint list or rollout updates. After a stall, flush is called with a barrier that the
-// reader has to answer once it has handed on all that it had read.
+// AddReader registers a goroutine that reads the endpoint list or rollout updates and hands them to the loop. After a stall, the loop calls
+// flush with a barrier. The reader has to close the barrier's channel once it has handed on all that it had read.
 func (l *Loop) AddReader(flush func(Barrier)) { l.stalls.addReader(flush) }
 
-// Serve runs the loop until ctx ends. Endpoints are made in pool; vote and gossip carry the policy's votes and gossip messages on and
-// must not wait.
+// Serve runs the loop until ctx ends. pool creates the endpoints. vote and gossip receive the policy's votes and gossip messages and must
+// not block.
 func (l *Loop) Serve(ctx context.Context, pool *upstream.Pool, vote func(policy.Vote), gossip func(policy.SendGossip)) {
 	l.endpoints.pool = pool
 	l.executor.castVote = vote
@@ -106,7 +106,7 @@
 	}
 }
 
-// waitForWork waits for a message or for the policy's first timer. It returns false where ctx has ended instead.
+// waitForWork waits for a message or for the policy's first timer. It returns false if ctx has ended instead.
 func (l *Loop) waitForWork(ctx context.Context, timer *time.Timer) bool {
 	if at, found := l.timers.next(); found {
 		timer.Reset(time.Duration(at-l.clock.Now()) * time.Microsecond)
@@ -121,9 +121,9 @@
 	return true
 }
 
-// handleConfigured handles the endpoint list and the rollout update that the agent was configured with. To the policy they come at one
-// moment: an update a few microseconds younger than its first event would read as a release made after the start, and the baseline
-// before the next release would not be recorded.
+// handleConfigured handles the endpoint list and the rollout update that the agent was configured with. The policy is given the same time
+// for both. A rollout update that came a few microseconds after the policy's first event would look like a release made after the start,
+// and the baseline before the next release would not be recorded.
 func (l *Loop) handleConfigured() {
 	l.frozenNow = l.clock.Now()
 	l.handleUrgent()
@@ -131,7 +131,7 @@
 }
 
 // handleUrgent handles endpoint list changes and rollout updates ahead of everything else. If the process has stalled, it first lets
-// their readers catch up, which takes this goroutine about maxReaderWait at most.
+// their readers catch up, which blocks this goroutine for about maxReaderWait at most.
 func (l *Loop) handleUrgent() {
 	l.stalls.waitAfterStall(&l.timers, l.clock)
 	for _, message := range l.urgent.Take(nil) {
@@ -139,7 +139,7 @@
 	}
 }
 
-// fireTimers gives the policy the timers that have expired. Those that expire meanwhile wait for the next turn of the loop.
+// fireTimers hands the expired timers to the policy. Timers that expire while it runs wait for the loop's next iteration.
 func (l *Loop) fireTimers() {
 	now := l.clock.Now()
 	for {
@@ -164,7 +164,7 @@
 	if now == 0 {
 		now = l.clock.Now()
 	}
-	// Read before the call: the commands are as old as what the policy knew when it gave them.
+	// Read before the call, because the commands reflect what the policy knew by then.
 	decidedAt := time.Now()
 	for _, command := range l.router.Handle(now, event) {
 		l.executor.execute(command, decidedAt)
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -21,7 +21,8 @@
 	"switchfork/internal/upstream"
 )
 
-// The configured endpoint list and rollout update have one time, or the update would read as younger than the agent.
+// The policy gets the same time for the configured endpoint list and rollout update. Otherwise the update would look like one made after
+// the agent's start.
 func TestConfiguredStateHasOneTime(t *testing.T) {
 	router := &agenttest.Router{}
 	loop := agent.NewLoop(router, agent.NewClock())
@@ -42,15 +43,15 @@
 	loop.Flush(ctx)
 	events, times := router.All()
 	if len(events) != 2 || times[0] != times[1] {
-		t.Fatalf("events %+v at %v", events, times)
+		t.Fatalf("got events %+v at %v, want two at the same time", events, times)
 	}
 	if update, ok := events[0].(policy.EndpointUpdate); !ok || !update.Full || len(update.Endpoints) != 1 {
-		t.Errorf("the first event is %+v", events[0])
+		t.Errorf("got first event %+v, want the full endpoint list with one endpoint", events[0])
 	}
 }
 
-// stallOnGossip has the policy find a timer long late after a gossip message, with a health check result waiting behind it. publish is
-// called at that moment.
+// stallOnGossip simulates a stall when the policy handles a gossip message: a health check result is put into the mailbox, publish is
+// called, and the policy sets a timer that is already one second late.
 func stallOnGossip(r *agenttest.Rig, publish func()) {
 	r.Respond(func(event policy.Event) []policy.Command {
 		if _, ok := event.(policy.GossipReceived); !ok {
@@ -58,25 +59,25 @@
 		}
 		r.Loop.Enqueue(policy.HealthCheckResult{})
 		publish()
-		return []policy.Command{policy.SetTimer{At: r.Loop.Clock().Now() - 1e6}} // as if that time had passed
+		return []policy.Command{policy.SetTimer{At: r.Loop.Clock().Now() - 1e6}} // as if the process had stalled for 1 s
 	})
 }
 
-// wantListBeforeOthers waits for three events and fails where the second is not the endpoint list.
+// wantListBeforeOthers waits for three events and fails the test if the second is not the endpoint list.
 func wantListBeforeOthers(t *testing.T, r *agenttest.Rig) {
 	t.Helper()
 	agenttest.Eventually(t, "three events", func() bool { events, _ := r.All(); return len(events) >= 3 })
 	events, _ := r.All()
 	if _, ok := events[1].(policy.EndpointUpdate); !ok {
-		t.Errorf("events came as %+v", events)
+		t.Errorf("got events %+v, want the endpoint list second", events)
 	}
 }
 
-// After a stall, changes of the endpoint list that come within the grace period go before the messages that came meanwhile. On a busy
-// machine the test's own timer may fire after the period: such a play shows nothing and is repeated.
+// After a stall, changes of the endpoint list that arrive within the grace period are handled before the messages that arrived during the
+// stall. On a busy machine, the test's own timer may fire after the grace period. Such a run shows nothing and is repeated.
 func TestEndpointListFirstAfterStall(t *testing.T) {
-	const maxPlays = 20
-	for range maxPlays {
+	const maxRuns = 20
+	for range maxRuns {
 		r := agenttest.NewRig(t, time.Second)
 		published := make(chan time.Duration, 1)
 		stallOnGossip(r, func() {
@@ -92,30 +93,30 @@
 			return
 		}
 	}
-	t.Errorf("in %d plays the list never came within the grace period", maxPlays)
+	t.Errorf("the list was not published within the grace period in any of %d runs", maxRuns)
 }
 
-// The readers get longer than the grace period where input has arrived that is not handed on yet.
+// The readers get longer than the grace period if input has arrived that they have not handed on yet.
 func TestUnreadEndpointListFirstAfterStall(t *testing.T) {
 	r := agenttest.NewRig(t, time.Second)
 	l := agenttest.Listen(t)
-	near, err := tcpconn.Dial(t.Context(), &net.Dialer{}, l.Addr().String(), r.Loop.UnreadInput())
+	reader, err := tcpconn.Dial(t.Context(), &net.Dialer{}, l.Addr().String(), r.Loop.UnreadInput())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = near.Close() }() // the test is over
-	far, err := l.Accept()
+	defer func() { _ = reader.Close() }() // the test is over
+	server, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = far.Close() }() // the test is over
-	if _, err := io.WriteString(far, "line"); err != nil {
+	defer func() { _ = server.Close() }() // the test is over
+	if _, err := io.WriteString(server, "line"); err != nil {
 		t.Fatal(err)
 	}
 	stallOnGossip(r, func() {
 		time.AfterFunc(8*agent.ReaderGrace, func() { // by then the grace period is long over
 			r.Publish(protocol.List{Version: 1, IsFull: true})
-			go func() { _, _ = io.Copy(io.Discard, near) }() // ends with the connection
+			go func() { _, _ = io.Copy(io.Discard, reader) }() // ends with the connection
 		})
 	})
 	r.Loop.Enqueue(policy.GossipReceived{})
@@ -123,21 +124,21 @@
 	agenttest.Eventually(t, "a reader that has caught up", func() bool { return !r.Loop.UnreadInput().HasUnread() })
 }
 
-// A panic of the policy is not hidden: the process ends with it.
+// A panic of the policy is not hidden: it ends the process.
 func TestPolicyPanicIsNotHidden(t *testing.T) {
 	router := &agenttest.Router{}
 	router.Respond(func(policy.Event) []policy.Command { panic("index out of range") })
 	loop := agent.NewLoop(router, agent.NewClock())
 	defer func() {
 		if p := recover(); p != "index out of range" {
-			t.Errorf("recovered %v", p)
+			t.Errorf("recovered %v, want the policy's panic", p)
 		}
 	}()
 	loop.Handle(policy.TimerFired{})
-	t.Error("went on")
+	t.Error("Handle returned after a panic of the policy")
 }
 
-// Endpoints that come and go leave no goroutine, connection or record behind, and stop only once their attempts have ended.
+// Removed endpoints leave no goroutine, connection or record behind, and stop only once their attempts have ended.
 func TestRemovedEndpointsAreReleased(t *testing.T) {
 	release := make(chan struct{})
 	server := agenttest.NewScriptedServer(t, func(c net.Conn, nth int) bool {
@@ -161,11 +162,11 @@
 	r.Publish(protocol.List{Version: 4, IsFull: true})
 	close(release)
 	if reply := <-replies; reply.Response == nil {
-		t.Errorf("the request in flight got %+v", reply)
+		t.Errorf("request in flight: got reply %+v, want a response", reply)
 	}
 	r.Loop.Flush(r.Context())
 	if n := r.Loop.EndpointRecords(); n != 0 {
-		t.Errorf("%d records are kept", n)
+		t.Errorf("got %d endpoint records, want none", n)
 	}
 	agenttest.Eventually(t, "the end of the connection and the goroutines", func() bool {
 		return server.Closed() == 1 && runtime.NumGoroutine() <= before+2
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -8,11 +8,11 @@
 	"switchfork/internal/upstream"
 )
 
-// message is what the loop's mailboxes hold.
+// message is an entry of one of the loop's mailboxes.
 type message interface{ isMessage() }
 
 type (
-	// policyEvent is an event that another goroutine has for the policy.
+	// policyEvent is an event for the policy from another goroutine.
 	policyEvent struct{ policy.Event }
 
 	// requestArrived is a new request with what is needed to answer it.
@@ -21,7 +21,7 @@
 		request *Request
 	}
 
-	// requestCoalesced is a client's retry that is to get the reply of the request that it repeats.
+	// requestCoalesced is a client's retry that gets the reply of the request that it repeats, the leader.
 	requestCoalesced struct {
 		leaderID uint64
 		request  *Request
@@ -30,7 +30,7 @@
 	// attemptFinished is an endpoint's result of an attempt.
 	attemptFinished struct{ upstream.AttemptFinished }
 
-	// connectionsExhausted says that no descriptor was left for a connection to an endpoint.
+	// connectionsExhausted reports that no descriptor was left for a connection to an endpoint.
 	connectionsExhausted struct{}
 )
 
@@ -64,10 +64,10 @@
 	l.mailbox.Put(requestCoalesced{leaderID, request})
 }
 
-// UpdateEndpoints applies a change of the endpoint list, ahead of all messages that wait.
+// UpdateEndpoints applies a change of the endpoint list, ahead of all messages that wait in the other mailbox.
 func (l *Loop) UpdateEndpoints(list EndpointList) { l.urgent.Put(list) }
 
-// UpdateRollout hands the state of a rollout to the policy, ahead of all messages that wait.
+// UpdateRollout hands the state of a rollout to the policy, ahead of all messages that wait in the other mailbox.
 func (l *Loop) UpdateRollout(update policy.RolloutUpdate) { l.urgent.Put(policyEvent{update}) }
 
 // AttemptFinished implements upstream.Events.
@@ -87,7 +87,7 @@
 // CountListCall counts a call to discovery for the activity log.
 func (l *Loop) CountListCall() { l.activity.listCalls.Add(1) }
 
-// Flush waits until all messages put into the mailbox before have been handled, or ctx ends.
+// Flush waits until all messages that were put into the mailbox before the call have been handled, or ctx ends.
 func (l *Loop) Flush(ctx context.Context) {
 	done := make(chan struct{})
 	l.mailbox.Put(Barrier{done})
--- a/internal/agent/open_requests.go
+++ b/internal/agent/open_requests.go
@@ -17,7 +17,7 @@
 	return openRequests{byID: map[uint64]*Request{}, activity: activity}
 }
 
-// get returns a request; nil: it is not known.
+// get returns a request, or nil if it is unknown.
 func (r *openRequests) get(id uint64) *Request { return r.byID[id] }
 
 // add adds a request that has arrived.
@@ -26,7 +26,7 @@
 	r.activity.arrived++
 }
 
-// coalesce adds a retry to those that wait for its request's reply.
+// coalesce adds a retry to those that wait for the reply of the request that they repeat, the leader.
 func (r *openRequests) coalesce(leaderID uint64, retry *Request) {
 	leader := r.byID[leaderID]
 	if leader == nil || leader.answered {
@@ -36,7 +36,7 @@
 	leader.coalesced = append(leader.coalesced, retry.replies)
 }
 
-// cancel ends a request whose client has gone. It returns false for one that is not known or already answered.
+// cancel ends a request whose client has gone. It returns false if the request is unknown or already answered.
 func (r *openRequests) cancel(id uint64) bool {
 	request := r.byID[id]
 	if request == nil || request.answered {
@@ -48,7 +48,7 @@
 	return true
 }
 
-// reply answers a request that has no answer yet with the policy's own reply.
+// reply answers a request with the policy's rejection or failure, unless the request is already answered.
 func (r *openRequests) reply(id uint64, reply Reply) {
 	request := r.byID[id]
 	if request == nil || request.answered {
@@ -65,8 +65,8 @@
 	r.finish(id, request)
 }
 
-// finishAttempt takes in the result of an attempt and returns whether its request needs no other one. The first successful response is
-// the client's, and so is a client error: no other endpoint would accept the request.
+// finishAttempt records the result of an attempt and reports whether its request needs no further attempt. The first successful response
+// goes to the client. So does a client error, because no other endpoint would accept the request.
 func (r *openRequests) finishAttempt(finished upstream.AttemptFinished) (requestDone bool) {
 	request := r.byID[finished.RequestID]
 	if request == nil {
@@ -86,7 +86,7 @@
 	return true
 }
 
-// finish marks a request as answered and forgets it once none of its attempts is in flight.
+// finish marks a request as answered and removes it once none of its attempts is in flight.
 func (r *openRequests) finish(id uint64, request *Request) {
 	request.answered = true
 	if request.inFlight > 0 {
--- a/internal/agent/open_requests_test.go
+++ b/internal/agent/open_requests_test.go
@@ -10,7 +10,7 @@
 	"switchfork/internal/upstream"
 )
 
-// testRequest is an open request that counts how often it was done.
+// testRequest is an open request that counts the calls of its OnDone.
 type testRequest struct {
 	*Request
 	doneCount int
@@ -26,7 +26,7 @@
 	return test
 }
 
-// attemptResult returns an attempt's end; without a response where it failed.
+// attemptResult returns the result of an attempt, without a response unless it succeeded.
 func attemptResult(id uint64, result protocol.Result) upstream.AttemptFinished {
 	finished := upstream.AttemptFinished{AttemptResult: policy.AttemptResult{RequestID: id}, Result: result}
 	if result == protocol.Succeeded {
@@ -35,20 +35,20 @@
 	return finished
 }
 
-// wantReply fails the test where the request has no reply or another one than wanted, or has not ended as wanted.
+// wantReply fails the test if the request has no reply, or if its reply or its result is not the wanted one.
 func wantReply(t *testing.T, name string, request *Request, wantRejected bool, wantResult admission.Result) {
 	t.Helper()
 	select {
 	case reply := <-request.Replies():
 		if reply.Rejected != wantRejected || request.Result() != wantResult {
-			t.Errorf("%s: the reply is %+v and the result %d, want rejected %t and %d", name, reply, request.Result(), wantRejected, wantResult)
+			t.Errorf("%s: got reply %+v and result %d, want rejected %t and %d", name, reply, request.Result(), wantRejected, wantResult)
 		}
 	default:
-		t.Errorf("%s: there is no reply", name)
+		t.Errorf("%s: got no reply", name)
 	}
 }
 
-// A request gets one final reply, whatever ends it first, and is forgotten with it.
+// A request gets one final reply, whatever ends it first, and is removed once none of its attempts is in flight.
 func TestRequestGetsOneFinalReply(t *testing.T) {
 	for name, test := range map[string]struct {
 		end          func(*openRequests)
@@ -72,15 +72,15 @@
 		}
 		if request.inFlight > 0 { // the reply came while the attempt was in flight
 			if requests.get(testRequestID) == nil || request.doneCount > 0 {
-				t.Errorf("%s: forgotten while an attempt is in flight", name)
+				t.Errorf("%s: removed or done while an attempt is in flight", name)
 			}
 			if !requests.finishAttempt(attemptResult(testRequestID, protocol.Succeeded)) {
-				t.Errorf("%s: an answered request is not done", name)
+				t.Errorf("%s: an answered request needs a further attempt", name)
 			}
 		}
 		wantReply(t, name, request.Request, test.wantRejected, test.wantResult)
 		if requests.get(testRequestID) != nil || request.doneCount != 1 || len(request.replies) > 0 {
-			t.Errorf("%s: %d requests are left, it was done %d times, %d more replies", name, len(requests.byID), request.doneCount, len(request.replies))
+			t.Errorf("%s: got %d open requests, %d calls of OnDone and %d more replies, want 0, 1 and 0", name, len(requests.byID), request.doneCount, len(request.replies))
 		}
 	}
 }
@@ -91,10 +91,10 @@
 	request := addTestRequest(&requests)
 	request.inFlight = 1
 	if requests.finishAttempt(attemptResult(testRequestID, protocol.NotSent)) || request.answered || request.doneCount > 0 {
-		t.Errorf("a failed attempt has ended its request: %+v", request.Request)
+		t.Errorf("a failed attempt ended its request: %+v", request.Request)
 	}
 	if !requests.finishAttempt(attemptResult(2, protocol.Succeeded)) {
-		t.Error("the result of an unknown request's attempt leaves it open")
+		t.Error("an unknown request needs a further attempt")
 	}
 }
 
@@ -109,15 +109,15 @@
 	select {
 	case reply := <-retry.Replies():
 		if reply.Rejected {
-			t.Errorf("the retry's reply is %+v, want its request's", reply)
+			t.Errorf("got reply %+v to the retry, want that of the request", reply)
 		}
 	default:
-		t.Error("the retry has no reply")
+		t.Error("got no reply to the retry")
 	}
 	late := NewRequest(nil, time.Now(), nil)
 	requests.coalesce(testRequestID, late)
 	if reply := <-late.Replies(); !reply.Rejected {
-		t.Errorf("a retry of an answered request gets %+v, want a rejection", reply)
+		t.Errorf("got reply %+v to a retry of an answered request, want a rejection", reply)
 	}
 }
 
@@ -126,7 +126,7 @@
 	requests := newOpenRequests(&activity{})
 	request := addTestRequest(&requests)
 	if !requests.cancel(testRequestID) || request.Result() != admission.ClientGone || request.doneCount != 1 || len(request.replies) > 0 {
-		t.Errorf("cancelled: result %d, done %d times, %d replies; want the client gone, once, none", request.Result(), request.doneCount, len(request.replies))
+		t.Errorf("cancelled: got result %d, %d calls of OnDone and %d replies, want ClientGone, 1 and 0", request.Result(), request.doneCount, len(request.replies))
 	}
 	if requests.cancel(testRequestID) {
 		t.Error("an unknown request was cancelled")
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -13,41 +13,41 @@
 type Reply struct {
 	Response   *protocol.Response // nil: rejected or failed
 	Rejected   bool               // the request never ran, so the client may retry it
-	RetryAfter policy.Micros      // after which a retry of a rejected request makes sense
+	RetryAfter policy.Micros      // how long the client should wait before it retries a rejected request
 }
 
-// Request is a client's request that is not answered yet or has an attempt in flight. One goroutine owns it at a time: the one that has
-// made it, then the one that it is handed to, such as the admission loop's, which may set the callbacks or deliver a rejection itself.
-// Loop.Admit and Loop.Coalesce hand it over for good to the loop's goroutine. The callbacks are called by the owner. Any goroutine may
-// read Encoded and Deadline, which do not change, and receive from Replies.
+// Request is a client's request that is not answered yet or has an attempt in flight. One goroutine owns it at a time: first the one that
+// creates it, then the one that it is handed to, such as that of the admission loop. The owner may set the callbacks or deliver a rejection
+// itself. Loop.Admit and Loop.Coalesce hand the request to the loop's goroutine, which stays its owner. The owner calls the callbacks. Any
+// goroutine may read Encoded and Deadline, which do not change, and receive from Replies.
 type Request struct {
 	Encoded        *protocol.EncodedRequest
 	Deadline       time.Time
-	OnDone         func() // called when it is answered and none of its attempts is in flight; nil: not called
-	OnFirstAttempt func() // called before its first attempt is sent; nil: not called
+	OnDone         func() // called once the request is answered and has no attempt in flight; nil: not called
+	OnFirstAttempt func() // called before the first attempt is sent; nil: not called
 
 	replies   chan Reply   // buffers the one final reply
-	coalesced []chan Reply // those of its retries, which get the same reply
-	answered  bool         // it has its final reply, or its client has gone
+	coalesced []chan Reply // channels of the coalesced retries, which get the same reply
+	answered  bool         // the final reply is given, or the client has gone
 	result    admission.Result
 	inFlight  int // attempts that have not ended
 	attempts  int
-	endpoint  *upstream.Endpoint // of the latest attempt
+	endpoint  *upstream.Endpoint // endpoint of the latest attempt
 }
 
-// NewRequest makes a request that has to be answered by a deadline. onDone is called when it is answered and none of its attempts is in
+// NewRequest creates a request that has to be answered by a deadline. onDone is called once it is answered and none of its attempts is in
 // flight.
 func NewRequest(encoded *protocol.EncodedRequest, deadline time.Time, onDone func()) *Request {
 	return &Request{Encoded: encoded, replies: make(chan Reply, 1), Deadline: deadline, OnDone: onDone}
 }
 
-// Replies is the channel of the one final reply.
+// Replies returns the channel of the one final reply.
 func (r *Request) Replies() <-chan Reply { return r.replies }
 
-// Result tells how an answered request ended. OnDone may call it.
+// Result returns how an answered request ended. OnDone may call it.
 func (r *Request) Result() admission.Result { return r.result }
 
-// Deliver gives the final reply to the client and to those of its retries. Only the goroutine that owns the request may call it, once.
+// Deliver gives the final reply to the client and to its coalesced retries. Only the goroutine that owns the request may call it, once.
 func (r *Request) Deliver(reply Reply) {
 	r.replies <- reply
 	for _, replies := range r.coalesced {
--- a/internal/agent/stall.go
+++ b/internal/agent/stall.go
@@ -13,17 +13,17 @@
 const (
 	// readerGrace is how long the readers of the endpoint list and of rollout updates get after a stall before requests are handled.
 	readerGrace = 20 * time.Millisecond
-	// maxReaderWait bounds the wait for readers while input that has arrived is not handed on yet: behind hundreds of requests on a
-	// full core, readerGrace alone is too short.
+	// maxReaderWait bounds the wait for readers that have not yet handed on input that has arrived. readerGrace alone is too short for
+	// readers that wait behind hundreds of requests on a full core.
 	maxReaderWait = 500 * time.Millisecond
-	// unreadPollInterval is how often the unread input is looked at meanwhile.
+	// unreadPollInterval is how often the connections are checked for unread input during that wait.
 	unreadPollInterval = time.Millisecond
 )
 
-// stallGuard notices that the process has stood still, by a timer that is late by more than a stall's time, and then waits until changes
-// of the endpoint list and rollout updates that arrived meanwhile have been handed on: requests must not be routed by what was true
-// before the stall. It guards against all that stops an agent, such as a frozen machine or a starved core, and costs a little where
-// the core is merely full.
+// stallGuard detects that the process has stalled, by a timer that is late by more than upstream.StallThreshold. It then waits until
+// changes of the endpoint list and rollout updates that arrived during the stall have been handed on, because requests must not be routed
+// by what was true before the stall. It guards against everything that stops an agent, such as a frozen machine or a starved core, and
+// costs a little time if the core is merely full.
 //
 // Readers may be added by any goroutine; the other methods are for the loop's goroutine, which sleeps in them after a stall.
 type stallGuard struct {
@@ -32,19 +32,19 @@
 	mutex   sync.Mutex
 	readers []func(Barrier) // the goroutines that read from those connections; guarded by mutex
 
-	lateTimer policy.Micros // the time of the late timer for which the readers were last waited for
+	lateTimer policy.Micros // due time of the late timer for which the loop last waited for the readers
 }
 
 func newStallGuard() stallGuard { return stallGuard{unread: tcpconn.NewUnreadGauge()} }
 
-// addReader adds a goroutine that hands on the endpoint list or rollout updates.
+// addReader registers a goroutine that hands on the endpoint list or rollout updates; see Loop.AddReader.
 func (g *stallGuard) addReader(flush func(Barrier)) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.readers = append(g.readers, flush)
 }
 
-// waitAfterStall waits for the readers where the next timer is late by more than a stall's time, once for each late timer.
+// waitAfterStall waits for the readers if the next timer is late by more than upstream.StallThreshold, once for each late timer.
 func (g *stallGuard) waitAfterStall(timers *timerQueue, clock Clock) {
 	at, found := timers.next()
 	if !found || at == g.lateTimer {
@@ -56,7 +56,7 @@
 	}
 }
 
-// waitForReaders waits until all input that had arrived is in the mailbox, at most about maxReaderWait.
+// waitForReaders waits until all input that had arrived before the call has been handed to the loop, for about maxReaderWait at most.
 func (g *stallGuard) waitForReaders() {
 	time.Sleep(readerGrace)
 	end := time.Now().Add(maxReaderWait)
--- a/internal/agent/stall_test.go
+++ b/internal/agent/stall_test.go
@@ -7,7 +7,7 @@
 	"switchfork/internal/upstream"
 )
 
-// The readers are waited for once for each timer that is late by more than a stall's time, and for no other.
+// The loop waits for the readers once for each timer that is late by more than upstream.StallThreshold, and for no other timer.
 func TestReadersAreWaitedForOncePerLateTimer(t *testing.T) {
 	clock := NewClock()
 	guard := newStallGuard()
--- a/internal/agent/timers_test.go
+++ b/internal/agent/timers_test.go
@@ -7,8 +7,8 @@
 	"switchfork/internal/policy"
 )
 
-// Timers with equal times fire in the order in which they were set. What happened: each was inserted before those of the same time, so
-// that they fired in reverse. The policy sets timers without a token, which can't be told apart; one with tokens would act out of order.
+// Timers with equal times fire in the order in which they were set. Each used to be inserted before those of the same time, so that they
+// fired in reverse order. The policy sets timers without a token, which can't be told apart, but one with tokens would act out of order.
 func TestEqualTimersKeepTheirOrder(t *testing.T) {
 	var timers timerQueue
 	for token, at := range []policy.Micros{20, 10, 20, 10, 20, 5} {
@@ -19,11 +19,11 @@
 		order = append(order, timer.Token)
 	}
 	if want := []uint64{5, 1, 3, 0, 2, 4}; !slices.Equal(order, want) {
-		t.Errorf("fire in the order %v, want %v", order, want)
+		t.Errorf("got timers in the order %v, want %v", order, want)
 	}
 }
 
-// A timer is taken out once it has expired, and not before.
+// A timer is removed from the queue once it has expired, and not before.
 func TestExpiredTimersAreTakenOut(t *testing.T) {
 	var timers timerQueue
 	if at, found := timers.next(); found {
