--- a/internal/agenttest/agenttest.go
+++ b/internal/agenttest/agenttest.go
@@ -1,5 +1,5 @@
-// Package agenttest holds what the tests of an agent's parts have in common: a scripted routing policy, an event loop with its endpoints
-// but without clients, fake servers, and waits that end as soon as what they wait for has come.
+// Package agenttest has helpers for the tests of an agent's parts: a scripted routing policy, an event loop with its endpoints but without
+// clients, fake servers, and waits that end as soon as their condition holds.
 package agenttest
 
 import (
@@ -13,7 +13,7 @@
 // WaitTimeout bounds each wait of a test. It is far longer than any expected event takes, so that no test result depends on it.
 const WaitTimeout = 20 * time.Second
 
-// pollInterval is how often a wait looks at what it waits for.
+// pollInterval is how often a wait checks its condition.
 const pollInterval = 2 * time.Millisecond
 
 // Zone is the one zone of the lists that the tests publish.
@@ -23,12 +23,12 @@
 var KeyedRequest = protocol.EncodeRequest(http.MethodPost, "/posting?sid=1", "service.internal",
 	http.Header{"Idempotency-Key": {"k"}}, []byte("body"))
 
-// Eventually waits until isDone returns true, and fails the test where it does not within WaitTimeout. what names it in the failure.
+// Eventually waits until isDone returns true. It fails the test after WaitTimeout. what names the expected event in the failure message.
 func Eventually(t *testing.T, what string, isDone func() bool) {
 	t.Helper()
 	for end := time.Now().Add(WaitTimeout); !isDone(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("%s did not come within %v", what, WaitTimeout)
+			t.Fatalf("timed out waiting for %s (%v)", what, WaitTimeout)
 		}
 	}
 }
--- a/internal/agenttest/rig.go
+++ b/internal/agenttest/rig.go
@@ -15,7 +15,7 @@
 	"switchfork/internal/upstream"
 )
 
-// The settings of a Rig's pool that no test depends on.
+// Settings of a Rig's pool. No test depends on their values.
 const (
 	idleTimeout = time.Minute
 	// connectionBudget is the number of descriptors for connections.
@@ -30,10 +30,10 @@
 	t    *testing.T
 }
 
-// Context ends with the test.
+// Context returns a context that ends with the test.
 func (r *Rig) Context() context.Context { return r.t.Context() }
 
-// NewRig starts a rig whose connections have to come up within dialTimeout. They are reused at once after a response.
+// NewRig starts a rig with a dial timeout. Its connections are reused at once after a response.
 func NewRig(t *testing.T, dialTimeout time.Duration) *Rig {
 	t.Helper()
 	r := &Rig{Router: &Router{}, t: t}
@@ -65,10 +65,10 @@
 	r.Loop.UpdateEndpoints(update)
 }
 
-// Host is the name of the endpoint that most tests have only one of.
+// Host is the name of the only endpoint of most tests.
 const Host = "box"
 
-// Entry is the list entry of Host at an address, which takes new attempts.
+// Entry returns the list entry of Host at an address. The endpoint takes new attempts.
 func Entry(address string) protocol.ListEntry {
 	return protocol.ListEntry{Host: Host, Address: address, Zone: Zone, Health: "active"}
 }
@@ -78,8 +78,8 @@
 	r.Publish(protocol.List{Version: 1, IsFull: true, Entries: []protocol.ListEntry{Entry(address)}})
 }
 
-// Send admits a request, has the policy send one attempt of it to the endpoint Host and returns the final reply. A request whose attempt
-// does not succeed is failed.
+// Send admits a request and returns its final reply. The policy sends one attempt to the endpoint Host and fails the request if the attempt
+// does not succeed.
 func (r *Rig) Send(t *testing.T, id uint64, encoded *protocol.EncodedRequest, timeout time.Duration) agent.Reply {
 	t.Helper()
 	r.Respond(func(event policy.Event) []policy.Command {
@@ -101,7 +101,7 @@
 	r.Loop.Admit(policy.RequestArrived{ID: id}, request)
 	select {
 	case reply := <-request.Replies():
-		r.Loop.Flush(r.Context()) // the router gets the result after the client
+		r.Loop.Flush(r.Context()) // the router gets the attempt's result after the client gets the reply
 		return reply
 	case <-time.After(WaitTimeout):
 		t.Fatalf("request %d has no final reply after %v", id, WaitTimeout)
--- a/internal/agenttest/router.go
+++ b/internal/agenttest/router.go
@@ -15,7 +15,7 @@
 	respond func(policy.Event) []policy.Command
 }
 
-// Handle records an event.
+// Handle records an event and returns the commands of the test's script for it.
 func (r *Router) Handle(now policy.Micros, event policy.Event) []policy.Command {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -27,14 +27,14 @@
 	return r.respond(event)
 }
 
-// Respond sets what is returned for each event from now on. It is called with the router locked.
+// Respond sets the function that returns the commands for each event from now on. The function is called with the router locked.
 func (r *Router) Respond(respond func(policy.Event) []policy.Command) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.respond = respond
 }
 
-// All returns the events so far, with the times at which they came.
+// All returns the events so far and the policy's time of each.
 func (r *Router) All() ([]policy.Event, []policy.Micros) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/agenttest/servers.go
+++ b/internal/agenttest/servers.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // closed twice where the test has closed it
+	t.Cleanup(func() { _ = listener.Close() }) // fails only if the test has closed it already
 	return listener
 }
 
@@ -26,10 +26,11 @@
 	return fakes.NewScriptedServer(Listen(t), respond)
 }
 
-// NewStreamServer starts a server of streams that writes keepAlive every so often, and to each call what first returns before.
-func NewStreamServer(t *testing.T, keepAlive string, every time.Duration, first func(target string) string) *fakes.StreamServer {
+// NewStreamServer starts a server of streams that is closed with the test. It answers each call with what answer returns for it, and writes
+// keepAlive to a stream on which it has written nothing for interval.
+func NewStreamServer(t *testing.T, keepAlive string, interval time.Duration, answer func(target string) string) *fakes.StreamServer {
 	t.Helper()
-	server := fakes.NewStreamServer(Listen(t), keepAlive, every, first)
+	server := fakes.NewStreamServer(Listen(t), keepAlive, interval, answer)
 	t.Cleanup(server.Close)
 	return server
 }
@@ -37,11 +38,12 @@
 const (
 	// maxCaptureBytes is how much of a connection Capture reads.
 	maxCaptureBytes = 4096
-	// maxCaptures is how many connections Capture keeps for next.
+	// maxCaptures is the number of connections of which Capture keeps the bytes until next is called.
 	maxCaptures = 64
 )
 
-// Capture accepts connections, keeps the first bytes of each, and closes it. next waits for those of the next connection.
+// Capture accepts connections, keeps the first bytes of each, and closes it. next waits for the next connection and returns its first
+// bytes, with HOST:PORT in place of the listener's address.
 func Capture(t *testing.T) (address string, next func() string) {
 	t.Helper()
 	listener := Listen(t)
@@ -54,7 +56,7 @@
 			}
 			raw := make([]byte, maxCaptureBytes)
 			_ = conn.SetReadDeadline(time.Now().Add(WaitTimeout)) // fails only on a closed connection, which Read reports
-			n, _ := conn.Read(raw)                                // what came before an error is what counts
+			n, _ := conn.Read(raw)                                // on an error, the bytes before it are kept
 			captured <- string(raw[:n])
 			_ = conn.Close() // it is not used any more
 		}
