--- a/internal/config/agent.go
+++ b/internal/config/agent.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// Defaults and minima of ResourceLimits. The defaults are what every machine of the platform has at least.
+// Defaults and minima of ResourceLimits. Every machine of the platform has at least the default resources.
 const (
 	defaultCores    = 1
 	defaultMemoryMB = 192
@@ -16,16 +16,16 @@
 )
 
 const (
-	seedBase = 16 // seeds are written in hexadecimal
+	seedBase = 16 // seeds are hexadecimal numbers
 	seedBits = 64
 )
 
-// Identity is the agent's name and the addresses that it serves on and connects to.
+// Identity is the agent's name, the address on which it serves clients, and the addresses to which it connects.
 type Identity struct {
 	Name      string
-	Listen    string // the address for clients
-	Discovery string
-	Rollout   string // the rollout controller
+	Listen    string // the address on which the agent serves clients
+	Discovery string // the discovery server's address
+	Rollout   string // the rollout controller's address
 }
 
 // ResourceLimits are the resources that the agent may use.
@@ -35,11 +35,11 @@
 	Sockets  int
 }
 
-// Peers is how agents reach each other; Listen is empty where they may not.
+// Peers are the addresses by which agents exchange messages. Listen is empty if they may not exchange any.
 type Peers struct {
 	Listen    string
-	Broadcast string   // the address that reaches all agents; empty where there is none
-	Addresses []string // by the agents' indices
+	Broadcast string   // the address that reaches all agents; empty if there is none
+	Addresses []string // the agents' addresses, in the order of their indices
 }
 
 // Identity reads the agent's name and addresses.
@@ -52,26 +52,26 @@
 	}
 }
 
-// ResourceLimits reads the limits, with defaults for those that the file leaves out.
+// ResourceLimits reads the limits. Limits that are missing in the file have defaults.
 func (f *File) ResourceLimits() ResourceLimits {
 	limits := ResourceLimits{
-		Cores:    f.figureOrDefault(keyCores, defaultCores),
-		MemoryMB: int(f.figureOrDefault(keyMemoryMB, defaultMemoryMB)),
-		Sockets:  int(f.figureOrDefault(keySockets, defaultSockets)),
+		Cores:    f.nonNegativeOrDefault(keyCores, defaultCores),
+		MemoryMB: int(f.nonNegativeOrDefault(keyMemoryMB, defaultMemoryMB)),
+		Sockets:  int(f.nonNegativeOrDefault(keySockets, defaultSockets)),
 	}
 	if limits.Cores <= 0 {
-		f.recordError(keyCores, "is %v", limits.Cores)
+		f.recordError(keyCores, "is %v, expected more than 0", limits.Cores)
 	}
 	if limits.MemoryMB < minMemoryMB {
-		f.recordError(keyMemoryMB, "is %d; an agent needs %d", limits.MemoryMB, minMemoryMB)
+		f.recordError(keyMemoryMB, "is %d, expected at least %d", limits.MemoryMB, minMemoryMB)
 	}
 	if limits.Sockets < minSockets {
-		f.recordError(keySockets, "is %d; an agent needs %d", limits.Sockets, minSockets)
+		f.recordError(keySockets, "is %d, expected at least %d", limits.Sockets, minSockets)
 	}
 	return limits
 }
 
-// Peers reads the addresses of the other agents, none where the deployment lets agents exchange no messages.
+// Peers reads the agents' addresses. It returns none if the deployment does not let agents exchange messages.
 func (f *File) Peers() Peers {
 	if !f.Deployment.boolean(keyGossip) || !f.isSet(keyPeerListen) {
 		return Peers{}
@@ -94,12 +94,12 @@
 	text := f.text(keySeed)
 	seed, err := strconv.ParseUint(text, seedBase, seedBits)
 	if err != nil {
-		f.recordError(keySeed, "is %q, not a hexadecimal number", text)
+		f.recordError(keySeed, "is %q, expected a hexadecimal number of up to 64 bits", text)
 	}
 	return seed
 }
 
-// environmentOr returns the variable's value, or the key's where the variable is not set.
+// environmentOr returns the variable's value, or the key's value if the variable is not set.
 func (f *File) environmentOr(variable, key string) string {
 	if value := f.getenv(variable); value != "" {
 		return value
@@ -107,7 +107,7 @@
 	return f.text(key)
 }
 
-// address checks that a value has the form host:port, and returns it as it is.
+// address checks that a key's value has the form host:port, and returns the value unchanged.
 func (f *File) address(key, value string) string {
 	if _, port, err := net.SplitHostPort(value); err != nil || port == "" {
 		f.recordError(key, "is %q, not host:port", value)
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -6,20 +6,20 @@
 	"switchfork/internal/policy"
 )
 
-// RequestClass is a class of requests as clients name it.
+// RequestClass is a request class, with the name by which requests select it.
 type RequestClass struct {
 	Name        string
 	Idempotency policy.Idempotency
 	Timeout     time.Duration
 }
 
-// ClassPriority is what admission control has to know of a request class.
+// ClassPriority is what admission control has to know of a request class, in addition to the fields of RequestClass.
 type ClassPriority struct {
 	LatencyObjective time.Duration
 	PriorityWeight   float64
 }
 
-// classSettings are the settings of one request class, by its index.
+// classSettings reads the settings of the request class with the given index.
 type classSettings struct {
 	*keyValues
 	index int
@@ -27,7 +27,7 @@
 
 func (s *Settings) class(index int) classSettings { return classSettings{s.keyValues, index} }
 
-// RequestClasses returns the classes in the order in which the router numbers them. Names are unique.
+// RequestClasses returns the classes in the order of the router's class numbers. Their names are unique.
 func (s *Settings) RequestClasses() []RequestClass {
 	classes := make([]RequestClass, s.integer(keyClassCount))
 	indexByName := map[string]int{}
@@ -37,11 +37,11 @@
 		other, isDuplicate := indexByName[class.Name]
 		switch {
 		case class.Name == "":
-			s.recordError(settings.key(classKeyName), "is empty; requests name their class by it")
+			s.recordError(settings.key(classKeyName), "is empty, expected the name by which requests select this class")
 		case isDuplicate:
-			s.recordError(settings.key(classKeyName), "is %q, like that of class %d; requests name their class by it", class.Name, other)
+			s.recordError(settings.key(classKeyName), "is %q, which is the name of class %d too; expected a unique name, because requests select their class by it", class.Name, other)
 		case class.Timeout <= 0:
-			s.recordError(settings.key(classKeyTimeout), "is 0; no answer could come in time")
+			s.recordError(settings.key(classKeyTimeout), "is 0, expected more than 0: no answer could be in time")
 		}
 		indexByName[class.Name] = i
 		classes[i] = class
@@ -58,7 +58,7 @@
 	return priorities
 }
 
-// policyClasses returns what the router has to know of the request classes, in the order of RequestClasses.
+// policyClasses returns the request classes as the router needs them, in the order of RequestClasses.
 func (s *Settings) policyClasses() []policy.RequestClass {
 	classes := make([]policy.RequestClass, s.integer(keyClassCount))
 	if len(classes) == 0 {
@@ -70,7 +70,7 @@
 	return classes
 }
 
-// key returns the full key of one of the class's settings.
+// key returns the full key of a setting of this class.
 func (c classSettings) key(name string) string { return classKey(c.index, name) }
 
 func (c classSettings) requestClass() RequestClass {
@@ -84,7 +84,7 @@
 func (c classSettings) priority() ClassPriority {
 	return ClassPriority{
 		LatencyObjective: c.duration(c.key(classKeyLatencyObjective)),
-		PriorityWeight:   c.figure(c.key(classKeyPriorityWeight)),
+		PriorityWeight:   c.nonNegative(c.key(classKeyPriorityWeight)),
 	}
 }
 
@@ -96,7 +96,7 @@
 	})
 }
 
-// policyClass reads a class as the router sees it. Only keyed requests have a scope and a window of deduplication.
+// policyClass reads the class as the router needs it. Only classes of keyed requests have a deduplication scope and window.
 func (c classSettings) policyClass() policy.RequestClass {
 	class := policy.RequestClass{Idempotency: c.idempotency()}
 	if class.Idempotency == policy.Keyed {
@@ -110,9 +110,9 @@
 	class.LatencyObjective = c.micros(c.key(classKeyLatencyObjective))
 	class.Timeout = c.micros(c.key(classKeyTimeout))
 	if class.LatencyObjective <= 0 {
-		c.recordError(c.key(classKeyLatencyObjective), "is 0; no answer could be in time")
+		c.recordError(c.key(classKeyLatencyObjective), "is 0, expected more than 0: no answer could be in time")
 	}
-	class.PriorityWeight = c.figure(c.key(classKeyPriorityWeight))
-	class.LateWeightShare = c.figureOrDefault(c.key(classKeyLateWeightShare), 0)
+	class.PriorityWeight = c.nonNegative(c.key(classKeyPriorityWeight))
+	class.LateWeightShare = c.nonNegativeOrDefault(c.key(classKeyLateWeightShare), 0)
 	return class
 }
--- a/internal/config/connections.go
+++ b/internal/config/connections.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// defaultMaxOpenRequests is in force where the deployment configures no bound.
+// defaultMaxOpenRequests applies if the deployment does not configure a limit.
 const defaultMaxOpenRequests = 20000
 
-// Modes of discovery: the agent has to poll the endpoint list, or receives its changes without polling.
+// Discovery modes. In the first, the agent has to poll the endpoint list. In the second, it receives changes without polling.
 const (
 	discoverySubscribe = "subscribe"
 	discoveryAutomatic = "automatic"
@@ -13,14 +13,14 @@
 
 // Connections are the limits of an agent's connections to endpoints and to the rollout controller.
 type Connections struct {
-	DialTimeout      time.Duration // within which a connection has to come up
-	IdleTimeout      time.Duration // after which an endpoint may close an idle connection
-	CallTimeout      time.Duration // of a call to the rollout controller
-	PollWithin       time.Duration // the agent polls the endpoint list at least this often; 0: it need not poll
-	MaxOpenRequests  int           // requests that the agent may have open at a time
+	DialTimeout      time.Duration // the longest time that establishing a connection may take
+	IdleTimeout      time.Duration // the time after which an endpoint may close an idle connection
+	CallTimeout      time.Duration // the timeout of a call to the rollout controller
+	PollWithin       time.Duration // the agent polls the endpoint list at least this often; 0: it does not have to poll
+	MaxOpenRequests  int           // the number of requests that the agent may have open at a time
 	MaxRetryAfter    time.Duration // the longest Retry-After that clients honor; 0: they honor none
 	HealthChecks     bool
-	LoadReportFields []string // the fields of a load report, none where there are no reports
+	LoadReportFields []string // the names of the fields of a load report; empty if there are no reports
 }
 
 // Connections reads the limits of connections.
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -1,10 +1,10 @@
 package config
 
-// Error is a setting that is missing, malformed or in contradiction to another one.
+// Error describes a setting that is missing or malformed, or that contradicts another setting.
 type Error struct {
-	Key    string // the setting's full key, as an operator finds it in the file
-	Reason string // a clause that goes on from the key: "is missing", "is 0; ..."
+	Key    string // the setting's full key, as it is written in the file
+	Reason string // what is wrong, worded to follow the key in a message: "is missing", "is 0; ..."
 }
 
-// Error names the setting and what is wrong with it.
+// Error returns the setting's key and what is wrong with it.
 func (e *Error) Error() string { return "setting " + e.Key + " " + e.Reason }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	fileName       = "config"          // stands for the file in keys and messages
-	deploymentName = "config.settings" // stands for its "settings" object
+	fileKey       = "config"          // represents the file in keys and messages
+	deploymentKey = "config.settings" // represents the file's "settings" object
 )
 
-// File is an agent's configuration: the JSON file that GW_CONFIG names, overridden by the GW_* variables. The embedded
-// Settings hold the file's own keys, Deployment those of its "settings" object.
+// File is an agent's configuration: the JSON file that GW_CONFIG names, with the values that the other GW_* variables
+// override. The embedded Settings hold the file's top-level keys, and Deployment holds the keys of its "settings" object.
 type File struct {
 	*Settings
 	Deployment *Settings
-	Endpoints  json.RawMessage // the endpoint list as the agent last knew it, in the discovery server's format
+	Endpoints  json.RawMessage // the last endpoint list that the agent received, in the discovery server's format
 	Rollout    json.RawMessage // the state of the latest rollout, in the rollout controller's format
 	getenv     func(string) string
 	addresses  UpstreamAddresses
 }
 
-// fileSections are the parts of the file that are handed on in their JSON form.
+// fileSections are the parts of the file that are kept as raw JSON.
 type fileSections struct {
 	Endpoints json.RawMessage `json:"known"`
 	Settings  json.RawMessage `json:"settings"`
@@ -34,7 +34,7 @@
 	Rollout json.RawMessage `json:"news"`
 }
 
-// Load reads the file that GW_CONFIG names.
+// Load reads the file that GW_CONFIG names. It gets environment variables from getenv.
 func Load(getenv func(string) string) (*File, error) {
 	path := getenv(envConfig)
 	if path == "" {
@@ -49,13 +49,13 @@
 		return nil, fmt.Errorf("%s %s: %w", envConfig, path, err)
 	}
 	f := &File{getenv: getenv, Endpoints: sections.Endpoints, Rollout: sections.Platform.Rollout}
-	if f.Settings, err = parseJSON(fileName, raw); err != nil {
+	if f.Settings, err = parseJSON(fileKey, raw); err != nil {
 		return nil, err
 	}
 	if len(sections.Settings) == 0 {
-		return nil, &Error{Key: deploymentName, Reason: "is missing"}
+		return nil, &Error{Key: deploymentKey, Reason: "is missing"}
 	}
-	if f.Deployment, err = parseJSON(deploymentName, sections.Settings); err != nil {
+	if f.Deployment, err = parseJSON(deploymentKey, sections.Settings); err != nil {
 		return nil, err
 	}
 	f.addresses = UpstreamAddresses{
@@ -68,7 +68,7 @@
 	return f, nil
 }
 
-// Validate reads everything that the agent reads at its start, and returns the first fault.
+// Validate reads every setting that the agent reads when it starts, and returns the first error.
 func (f *File) Validate() error {
 	f.Identity()
 	f.ResourceLimits()
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// writeConfig writes a complete configuration with some of the file's keys and of the deployment's settings replaced.
+// writeConfig writes a complete configuration file. The given keys replace top-level keys of the file, and the lines of
+// settings replace or add settings of the deployment.
 func writeConfig(t *testing.T, path string, keys map[string]any, settings string) {
 	t.Helper()
 	config := map[string]any{
@@ -76,9 +77,9 @@
 		want Error
 	}{
 		{map[string]any{"listen": "here"}, Error{"config.listen", `is "here", not host:port`}},
-		{map[string]any{"seed": "xyz"}, Error{"config.seed", `is "xyz", not a hexadecimal number`}},
-		{map[string]any{"limits": map[string]any{"memory_mb": 8}}, Error{"config.limits.memory_mb", "is 8; an agent needs 32"}},
-		{map[string]any{"limits": map[string]any{"sockets": 8}}, Error{"config.limits.sockets", "is 8; an agent needs 64"}},
+		{map[string]any{"seed": "xyz"}, Error{"config.seed", `is "xyz", expected a hexadecimal number of up to 64 bits`}},
+		{map[string]any{"limits": map[string]any{"memory_mb": 8}}, Error{"config.limits.memory_mb", "is 8, expected at least 32"}},
+		{map[string]any{"limits": map[string]any{"sockets": 8}}, Error{"config.limits.sockets", "is 8, expected at least 64"}},
 	} {
 		writeConfig(t, path, test.keys, "")
 		if file, err = loadFrom(path); err != nil {
@@ -86,7 +87,7 @@
 		}
 		var fault *Error
 		if err = file.Validate(); !errors.As(err, &fault) || *fault != test.want {
-			t.Errorf("%v: %v, want %v", test.keys, err, &test.want)
+			t.Errorf("%v: got %v, want %v", test.keys, err, &test.want)
 		}
 	}
 }
@@ -106,10 +107,10 @@
 	}
 	wantLeft := []string{"config.name", "config.settings.Limits.Cancel", "config.settings.Limits.OpenCap"}
 	if reloaded.Moved != (UpstreamAddresses{Discovery: "127.0.0.1:91"}) || !reflect.DeepEqual(reloaded.Unapplied, wantLeft) || reloaded.File == file {
-		t.Errorf("moved %+v, left %v", reloaded.Moved, reloaded.Unapplied)
+		t.Errorf("got moved addresses %+v and unapplied keys %v", reloaded.Moved, reloaded.Unapplied)
 	}
 	writeConfig(t, path, nil, "Limits.OpenCap=some\n")
 	if after, err := reloaded.File.Reload(); err == nil || after.File != nil || after.Moved != (UpstreamAddresses{}) || after.Unapplied != nil {
-		t.Errorf("a faulty file: %+v, %v", after, err)
+		t.Errorf("invalid file: got %+v, %v, want an error and no changes", after, err)
 	}
 }
--- a/internal/config/key_values.go
+++ b/internal/config/key_values.go
@@ -11,24 +11,25 @@
 )
 
 const (
-	maxInteger      = 1e6  // an upper bound for every count, well above any real one
-	maxMilliseconds = 1e12 // about 31 years
-	maxFigure       = 1e9  // an upper bound for every other number, such as a weight, a share or a rate
+	maxInteger      = 1e6  // upper bound for every integer, well above any realistic value
+	maxMilliseconds = 1e12 // upper bound for every duration; about 31 years
+	maxNumber       = 1e9  // upper bound for all other numbers, such as weights, shares and rates
 	microsPerMillis = 1000
 )
 
-// keyValues are flat key=value pairs. The accessors record the first fault that they meet and let the caller go on, so
-// that it can read a whole section and ask Err once at the end; what they return after a fault has no meaning.
+// keyValues are flat key=value pairs. An accessor that finds an error records it, unless an earlier one was recorded, and
+// returns as usual. The caller can thus read a whole section and call Err once at the end. Values that an accessor
+// returns after an error are meaningless.
 type keyValues struct {
-	prefix string // stands before each key in messages
+	prefix string // added in front of each key in messages
 	values map[string]string
-	err    error // the first fault
+	err    error // the first error
 }
 
-// Err returns the first fault that an accessor has met, an *Error, or nil if there was none.
+// Err returns the first error that an accessor has recorded, as an *Error, or nil if there is none.
 func (v *keyValues) Err() error { return v.err }
 
-// recordError keeps the first fault; later ones are often its consequences.
+// recordError records an error unless one was recorded before: later errors are often consequences of the first.
 func (v *keyValues) recordError(key, format string, args ...any) {
 	if v.err == nil {
 		v.err = &Error{Key: v.prefix + key, Reason: fmt.Sprintf(format, args...)}
@@ -48,7 +49,7 @@
 	return value
 }
 
-// textList is empty for an absent key.
+// textList splits a value at its commas. It returns nil for an absent key.
 func (v *keyValues) textList(key string) []string {
 	value := v.values[key]
 	if value == "" {
@@ -70,21 +71,21 @@
 	return number
 }
 
-// figure reads a number without a unit, from 0 on.
-func (v *keyValues) figure(key string) float64 {
+// nonNegative reads a number without a unit, from 0 to maxNumber.
+func (v *keyValues) nonNegative(key string) float64 {
 	number := v.float(key)
-	if number < 0 || number > maxFigure {
-		v.recordError(key, "is %v, expected a number from 0 to %v", number, maxFigure)
+	if number < 0 || number > maxNumber {
+		v.recordError(key, "is %v, expected a number from 0 to %v", number, maxNumber)
 		return 0
 	}
 	return number
 }
 
-func (v *keyValues) figureOrDefault(key string, fallback float64) float64 {
+func (v *keyValues) nonNegativeOrDefault(key string, fallback float64) float64 {
 	if !v.isSet(key) {
 		return fallback
 	}
-	return v.figure(key)
+	return v.nonNegative(key)
 }
 
 func (v *keyValues) integerOrDefault(key string, fallback int) int {
@@ -94,36 +95,36 @@
 	return v.integer(key)
 }
 
-// figureList reads the numbers of a list as figure does.
-func (v *keyValues) figureList(key string) []float64 {
+// nonNegativeList reads a list of numbers, each in the range that nonNegative accepts.
+func (v *keyValues) nonNegativeList(key string) []float64 {
 	var numbers []float64
 	for _, field := range strings.Split(v.text(key), listSeparator) {
 		number, err := strconv.ParseFloat(field, 64)
-		isFigure := err == nil && number >= 0 && number <= maxFigure // false for NaN too
-		if !isFigure {
-			v.recordError(key, "holds %q, expected numbers from 0 to %v", field, maxFigure)
+		isInRange := err == nil && number >= 0 && number <= maxNumber // false for NaN too
+		if !isInRange {
+			v.recordError(key, "holds %q, expected numbers from 0 to %v", field, maxNumber)
 		}
 		numbers = append(numbers, number)
 	}
 	return numbers
 }
 
-// integer reads a whole number from 0 on.
+// integer reads a whole number from 0 to maxInteger.
 func (v *keyValues) integer(key string) int {
 	number := v.float(key)
-	isCount := number == math.Trunc(number) && number >= 0 && number <= maxInteger
-	if !isCount {
-		v.recordError(key, "is %v, not a count", number)
+	isInRange := number == math.Trunc(number) && number >= 0 && number <= maxInteger
+	if !isInRange {
+		v.recordError(key, "is %v, expected a whole number from 0 to 1e6", number)
 		return 0
 	}
 	return int(number)
 }
 
-// micros reads a time in milliseconds, which may have decimals.
+// micros reads a duration in milliseconds, which may have decimals.
 func (v *keyValues) micros(key string) policy.Micros {
 	millis := v.float(key)
 	if millis < 0 || millis > maxMilliseconds {
-		v.recordError(key, "is %v, not a span of time", millis)
+		v.recordError(key, "is %v, expected a number of milliseconds from 0 to 1e12", millis)
 		return 0
 	}
 	return policy.Micros(math.Round(millis * microsPerMillis))
@@ -136,17 +137,17 @@
 func (v *keyValues) positiveDuration(key string) time.Duration {
 	duration := v.duration(key)
 	if duration == 0 {
-		v.recordError(key, "is 0, no time at all")
+		v.recordError(key, "is 0, expected more than 0 milliseconds")
 	}
 	return duration
 }
 
-// boolean is false for an absent key.
+// boolean reads true or false. It returns false for an absent key.
 func (v *keyValues) boolean(key string) bool {
 	return v.isSet(key) && enum(v, key, map[string]bool{"true": true, "false": false})
 }
 
-// enum reads one of a few known words.
+// enum reads a value that has to be one of the keys of known, and returns what known holds for it.
 func enum[T any](v *keyValues, key string, known map[string]T) T {
 	text := v.text(key)
 	value, isKnown := known[text]
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Environment variables of the agent. All but the first override a key of the file.
+// Environment variables that configure the agent. All but GW_CONFIG override a key of the file.
 const (
 	envConfig    = "GW_CONFIG"
 	envName      = "GW_NAME"
@@ -10,7 +10,7 @@
 	envDiscovery = "GW_DISCOVERY"
 )
 
-// Keys of the agent's own file, outside its "settings" object.
+// Keys of the agent's configuration file outside the "settings" object.
 const (
 	keyName            = "name"
 	keyListen          = "listen"
@@ -25,7 +25,7 @@
 	keySockets         = "limits.sockets"
 )
 
-// Keys of the deployment's settings, the same for an agent and for the simulator. Names that end in Ms hold
+// Keys of the deployment's settings, which agents and the simulator share. The values of keys that end in Ms are in
 // milliseconds.
 const (
 	keyAgentIndex    = "Me"
@@ -86,7 +86,7 @@
 	keyGossipCost      = "Charges.Peer"
 )
 
-// Keys of one request class, completed by classKey.
+// Keys of a request class. classKey adds the prefix and the index of the class.
 const (
 	classKeyName             = "Name"
 	classKeyIdempotency      = "Repeat"
@@ -98,7 +98,7 @@
 	classKeyLateWeightShare  = "LateValue"
 )
 
-// Keys of one tenant, completed by tenantKey.
+// Keys of a tenant. tenantKey adds the prefix and the index of the tenant.
 const (
 	tenantKeyName  = "Name"
 	tenantKeyShare = "Fraction"
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -2,17 +2,18 @@
 
 import "switchfork/internal/policy"
 
-// slowStart is how much an endpoint takes while it warms up, and when it counts as overloaded.
+// slowStart reads how much load an endpoint can take while it warms up, and when an endpoint counts as overloaded.
 func (s *Settings) slowStart() policy.SlowStart {
 	return policy.SlowStart{
-		InitialCapacity:  s.figure(keyInitialCapacity),
+		InitialCapacity:  s.nonNegative(keyInitialCapacity),
 		Duration:         s.micros(keySlowStartDuration),
-		OverloadMultiple: s.figure(keyOverloadMultiple),
+		OverloadMultiple: s.nonNegative(keyOverloadMultiple),
 		OverloadAfter:    s.micros(keyOverloadAfter),
 	}
 }
 
-// retryLimits bound a request's attempts and the Retry-After of their rejections.
+// retryLimits reads the limits on a request's attempts and on the Retry-After of a rejection. MaxRetryAfter is 0 if clients
+// do not honor Retry-After.
 func (s *Settings) retryLimits() policy.RetryLimits {
 	limits := policy.RetryLimits{
 		DrainGrace:  s.micros(keyDrainGrace),
@@ -25,7 +26,7 @@
 	return limits
 }
 
-// capabilities are what the deployment lets an agent do.
+// capabilities reads what the deployment lets an agent do.
 func (s *Settings) capabilities() policy.Capabilities {
 	return policy.Capabilities{
 		HealthChecks: s.boolean(keyHealthChecks),
@@ -38,12 +39,12 @@
 	}
 }
 
-// costWeights are the costs of actions, 0 where none is configured.
+// costWeights reads the costs of actions. Costs that are not configured are 0.
 func (s *Settings) costWeights() policy.CostWeights {
 	return policy.CostWeights{
-		CrossZone:   s.figureOrDefault(keyCrossZoneCost, 0),
-		Waste:       s.figureOrDefault(keyWasteCost, 0),
-		HealthCheck: s.figureOrDefault(keyHealthCheckCost, 0),
-		Gossip:      s.figureOrDefault(keyGossipCost, 0),
+		CrossZone:   s.nonNegativeOrDefault(keyCrossZoneCost, 0),
+		Waste:       s.nonNegativeOrDefault(keyWasteCost, 0),
+		HealthCheck: s.nonNegativeOrDefault(keyHealthCheckCost, 0),
+		Gossip:      s.nonNegativeOrDefault(keyGossipCost, 0),
 	}
 }
--- a/internal/config/load_report.go
+++ b/internal/config/load_report.go
@@ -2,7 +2,8 @@
 
 import "switchfork/internal/policy"
 
-// Words for how load reports come. The simulator's files and the operators' ones use different words for the same.
+// Ways in which endpoints send load reports: with their answers, with their responses to health checks, or not at all. Each
+// has two names, one in the simulator's files and one in the operators' files.
 const (
 	loadReportsInline          = "inline"
 	loadReportsAnswers         = "answers"
@@ -12,7 +13,7 @@
 	loadReportsNone            = "none"
 )
 
-// hasLoadReports reports whether answers carry load reports; an absent key means that they don't.
+// hasLoadReports reports whether endpoints send load reports with their answers. They do not if the key is absent.
 func (s *Settings) hasLoadReports() bool {
 	return s.isSet(keyLoadReportMode) && enum(s.keyValues, keyLoadReportMode, map[string]bool{
 		loadReportsInline:          true,
@@ -24,8 +25,8 @@
 	})
 }
 
-// loadReportFormat returns the positions of the figures that the router reads, under the simulator's names or the
-// operators' ones. Other figures are skipped.
+// loadReportFormat returns the positions of the load report fields that the router reads, and skips all other fields. The
+// simulator's files and the operators' files have different names for the same field.
 func (s *Settings) loadReportFormat() policy.LoadReportFormat {
 	var format policy.LoadReportFormat
 	if !s.hasLoadReports() {
@@ -45,7 +46,7 @@
 	return format
 }
 
-// hasWeights reports whether the endpoint list gives endpoints' weights. It does where the key is absent.
+// hasWeights reports whether the endpoint list holds the endpoints' weights. It does if the key is absent.
 func (s *Settings) hasWeights() bool {
 	return !s.isSet(keyWeights) || enum(s.keyValues, keyWeights, map[string]bool{
 		"off":     false,
--- a/internal/config/load_report_test.go
+++ b/internal/config/load_report_test.go
@@ -6,7 +6,7 @@
 	"switchfork/internal/policy"
 )
 
-// The simulator's pairs and an agent's file use different words for the same modes and figures; both are read.
+// The simulator's pairs and an agent's file use different words for the same modes and fields. Both are accepted.
 func TestLoadReportFormat(t *testing.T) {
 	file, err := parseJSON("config.settings", []byte(`{"Feedback":{"How":"answers","Fields":["util","heat","qps"]},"Weights":"none"}`))
 	if err != nil {
@@ -28,7 +28,7 @@
 	} {
 		format, hasWeights := test.settings.loadReportFormat(), test.settings.hasWeights()
 		if format != test.want || hasWeights != test.hasWeights || test.settings.Err() != nil {
-			t.Errorf("%s: %+v, weights %v, %v", test.name, format, hasWeights, test.settings.Err())
+			t.Errorf("%s: got format %+v, weights %v, error %v", test.name, format, hasWeights, test.settings.Err())
 		}
 	}
 }
--- a/internal/config/numbers_test.go
+++ b/internal/config/numbers_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// numericSettings has every number that the settings may hold, with a sensible value each.
+// numericSettings holds every numeric setting, each with a valid value.
 const numericSettings = validSettings + `Parties.count=1
 Parties.0.Name=acme
 Parties.0.Fraction=1
@@ -27,10 +27,10 @@
 Charges.Peer=0.1
 `
 
-// faultyNumbers are no sensible value of any key.
+// faultyNumbers are values that are valid for no numeric key.
 var faultyNumbers = []string{"-1", "NaN", "+Inf", "-Inf", "1e300", "1e13", "", "many"}
 
-// readAll reads all that an agent reads of the settings. A panic is returned as an error.
+// readAll reads every setting that an agent reads. It returns a panic as an error.
 func readAll(settings *Settings) (err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -51,9 +51,9 @@
 	return err
 }
 
-// No number in the settings ends the start with a panic; one that makes no sense is refused by its key. What happened: Parties.count was
-// converted as it stood, and a negative, infinite or huge count panicked in TenantShares with a stack trace that named no key. The numbers
-// without a unit were bounded nowhere, and in lists not even NaN was refused.
+// An invalid number in the settings must give an error that names its key, and must not cause a panic. Parties.count used to be converted
+// without a check: a negative, infinite or huge count made TenantShares panic, and the stack trace did not name the key. Numbers without a
+// unit had no bounds, and lists accepted even NaN.
 func TestFaultyNumbersNameTheirKey(t *testing.T) {
 	if err := readAll(ParsePairs(numericSettings)); err != nil {
 		t.Fatal(err)
@@ -75,7 +75,7 @@
 			isRefused := errors.As(err, &fault)
 			switch {
 			case err != nil && !isRefused:
-				t.Errorf("%s=%s: %v", key, replaced, err)
+				t.Errorf("%s=%s: got %v, want an *Error or none", key, replaced, err)
 			case number != "0" && (!isRefused || fault.Key != key):
 				t.Errorf("%s=%s: got %v, want an error that names the key", key, replaced, err)
 			}
@@ -83,7 +83,7 @@
 	}
 }
 
-// The same holds for the agent's own limits.
+// An invalid number among the agent's resource limits must give an error that names its key, too.
 func TestFaultyLimitsNameTheirKey(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	for _, key := range []string{"cores", "memory_mb", "sockets"} {
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -13,7 +13,7 @@
 	keyPathSeparator = "."
 )
 
-// ParsePairs reads settings from lines of key=value; other lines are ignored.
+// ParsePairs reads settings from lines of the form key=value, and ignores all other lines.
 func ParsePairs(text string) *Settings {
 	pairs := &keyValues{values: map[string]string{}}
 	for _, line := range strings.Split(text, "\n") {
@@ -24,15 +24,16 @@
 	return &Settings{pairs}
 }
 
-// parseJSON flattens a JSON object into the pairs that ParsePairs would read: names joined by dots, ".count" and ".0"
-// for lists of objects, commas between plain values.
+// parseJSON flattens a JSON object into the pairs that ParsePairs would read. The names of nested keys are joined by dots.
+// A list of objects becomes a pair with the key LIST.count and the pairs of each object under LIST.0, LIST.1 and so on. A
+// list of scalars becomes one value, separated by commas.
 func parseJSON(name string, raw []byte) (*Settings, error) {
 	var root any
 	if err := json.Unmarshal(raw, &root); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	if _, ok := root.(map[string]any); !ok {
-		return nil, fmt.Errorf("%s is not an object", name)
+		return nil, fmt.Errorf("%s is not a JSON object", name)
 	}
 	pairs := &keyValues{prefix: name + keyPathSeparator, values: map[string]string{}}
 	pairs.flatten("", root)
@@ -47,7 +48,7 @@
 		}
 	case []any:
 		v.flattenList(path, value)
-	case nil: // null is the same as an absent key
+	case nil: // null is treated as an absent key
 	default:
 		v.values[path] = formatScalar(value)
 	}
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -5,24 +5,24 @@
 	"strings"
 )
 
-// UpstreamAddresses are the addresses that a reload may change, as the file has them.
+// UpstreamAddresses are the addresses that a reload may change, as the file holds them.
 type UpstreamAddresses struct {
 	Discovery string
 	Rollout   string
 }
 
-// Reloaded is a file that was read again, and what differs from the one before.
+// Reloaded is a file that was read again, and its differences from the previous one.
 type Reloaded struct {
 	File *File
-	// Moved holds the addresses that have changed in the file, empty ones where they have not. File is compared with file: a
-	// GW_DISCOVERY that overrode the file at the start can't change any more, so it stays in force until the file names another
-	// address than it did then.
+	// Moved holds the addresses that have changed, and is empty for those that have not. Only the addresses in the files are
+	// compared. A GW_DISCOVERY that overrode the file at the start can't change while the process runs, so it stays in force
+	// until the address in the file changes.
 	Moved UpstreamAddresses
-	// Unapplied lists the other keys that have changed, which need a restart.
+	// Unapplied lists the other keys that have changed. They take effect at the next restart.
 	Unapplied []string
 }
 
-// Reload reads the file again for a running agent, and checks it as at the start. If it is at fault, the present one stays in force.
+// Reload reads the file again for a running agent, and validates it as at the start. After an error, f stays in force.
 func (f *File) Reload() (Reloaded, error) {
 	next, err := Load(f.getenv)
 	if err != nil {
@@ -43,7 +43,8 @@
 	return reloaded, nil
 }
 
-// changedKeys returns the full keys that need a restart and that differ, or that only one of the two has.
+// changedKeys returns the full keys that need a restart and whose values differ between previous and next, or that only one
+// of them has.
 func changedKeys(previous, next *Settings) []string {
 	var changed []string
 	for key, value := range previous.values {
@@ -61,8 +62,8 @@
 	return changed
 }
 
-// needsRestart is false for keys that a reload applies, for those that are compared as a section of their own, and for
-// those that describe only the moment of a start.
+// needsRestart returns false for keys that a reload applies, for the "settings" object, whose keys are compared separately,
+// and for keys that are used only at the start, such as the seed.
 func needsRestart(key string) bool {
 	switch key {
 	case keyDiscoveryServer, keySeed:
--- a/internal/config/rollout.go
+++ b/internal/config/rollout.go
@@ -2,22 +2,22 @@
 
 import "switchfork/internal/policy"
 
-// rolloutPlan is in which stages a new build replaces the earlier one.
+// rolloutPlan reads the stages in which a new build replaces the previous one.
 func (s *Settings) rolloutPlan() policy.RolloutPlan {
 	return policy.RolloutPlan{
-		Caps:            s.figureList(keyStageCaps),
-		Shares:          s.figureList(keyStageShares),
+		Caps:            s.nonNegativeList(keyStageCaps),
+		Shares:          s.nonNegativeList(keyStageShares),
 		GuardedStages:   s.integer(keyGuardedStages),
 		KeysNeverGoBack: s.boolean(keyKeysNeverGoBack),
 		ReplacesInPlace: enum(s.keyValues, keyReplacement, map[string]bool{"in_place": true, "beside": false}),
 	}
 }
 
-// exposureLimit bounds the attempts at a build that is in evaluation.
+// exposureLimit reads the limit on attempts at a build that is under evaluation.
 func (s *Settings) exposureLimit() policy.ExposureLimit {
 	return policy.ExposureLimit{
 		Window:    s.micros(keyExposureWindow),
-		Allowance: s.figure(keyExposureAllowance),
+		Allowance: s.nonNegative(keyExposureAllowance),
 		PerClass:  enum(s.keyValues, keyExposureScope, map[string]bool{"class": true, "all": false}),
 	}
 }
--- a/internal/config/router_test.go
+++ b/internal/config/router_test.go
@@ -39,7 +39,7 @@
 Limits.MaxAttempts=6
 `
 
-// The figures that are shared by all agents have to be valid, or the start fails with the key.
+// An agent does not start with an invalid call rate or number of agents, on which all agents depend. The error names the key.
 func TestNewRouterChecksRequiredSettings(t *testing.T) {
 	if _, err := ParsePairs(validSettings).NewRouter(1); err != nil {
 		t.Fatal(err)
@@ -59,16 +59,16 @@
 		_, err := ParsePairs(text).NewRouter(1)
 		var fault *Error
 		if !errors.As(err, &fault) || fault.Key != test.key || !strings.Contains(err.Error(), test.key+" ") {
-			t.Errorf("%q for %q: %v", test.replacement, test.line, err)
+			t.Errorf("%q for %q: got %v, want an error that names the key", test.replacement, test.line, err)
 		}
 	}
 }
 
-// Costs may be absent, but not negative.
+// Costs may be absent, but must not be negative.
 func TestNewRouterChecksCosts(t *testing.T) {
 	for _, key := range []string{"Charges.CrossZone", "Charges.Waste", "Charges.Probe", "Charges.Peer"} {
 		if _, err := ParsePairs(validSettings + key + "=-0.1\n").NewRouter(1); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("a negative cost: %v", err)
+			t.Errorf("negative cost: got %v, want an error that names the key", err)
 		}
 		if _, err := ParsePairs(validSettings + key + "=0.1\n").NewRouter(1); err != nil {
 			t.Error(err)
@@ -76,8 +76,8 @@
 	}
 }
 
-// Keys of a deployment's shape may be absent. Faulty ones fail the start with the key, and of two that contradict each
-// other the message names both.
+// Optional keys of a deployment may be absent. An agent does not start if one of them is invalid, or if two keys contradict
+// each other. The error names the key or both keys.
 func TestNewRouterChecksDeploymentShape(t *testing.T) {
 	for _, lines := range []string{
 		"",
@@ -99,14 +99,14 @@
 		"FamilyInfo.TallyEveryMs=2000\nFamilyInfo.TallySample=1.5\n":  "setting FamilyInfo.TallySample is 1.5",
 		"FamilyInfo.TallyEveryMs=2000\n":                              "setting FamilyInfo.TallySample is 0, but FamilyInfo.TallyEveryMs is 2000",
 		"Feedback.How=on_probe\nLimits.Probes=false\n":                `setting Feedback.How is "on_probe", but Limits.Probes is false`,
-		"Feedback.How=inline\n":                                       "setting Feedback.Fields names no figure, but Feedback.How",
+		"Feedback.How=inline\n":                                       "setting Feedback.Fields names no load report field, but Feedback.How",
 		"Limits.ParallelTries=true\nLimits.MaxAttempts=1\n":           "setting Limits.ParallelTries is true, but Limits.MaxAttempts is 1",
-		"Grades.0.SloMs=0\n":                                          "setting Grades.0.SloMs is 0; no answer could be in time",
+		"Grades.0.SloMs=0\n":                                          "setting Grades.0.SloMs is 0, expected more than 0: no answer could be in time",
 		"Grades.count=0\n":                                            "setting Grades has no request class",
 		"FamilyInfo.VoteMode=timer\n":                                 "setting FamilyInfo.VotesToGo is 1, but FamilyInfo.VoteMode is timer",
 	} {
 		if _, err := ParsePairs(validSettings + lines).NewRouter(1); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", lines, err, want)
+			t.Errorf("%q: got error %v, want %q", lines, err, want)
 		}
 	}
 }
--- a/internal/config/tenants.go
+++ b/internal/config/tenants.go
@@ -1,6 +1,6 @@
 package config
 
-// Tenants returns the tenants' names in the order of their numbers; none for a deployment without tenants.
+// Tenants returns the tenants' names in the order of their indices. It returns none for a deployment without tenants.
 func (s *Settings) Tenants() []string {
 	var names []string
 	for i := range s.integerOrDefault(keyTenantCount, 0) {
@@ -9,14 +9,15 @@
 	return names
 }
 
-// TenantShares returns the tenants' shares of the whole in the order of Tenants, equal ones where none is configured.
+// TenantShares returns the tenants' shares of the capacity, in the order of Tenants. A tenant without a configured share
+// gets 1 divided by the number of tenants.
 func (s *Settings) TenantShares() []float64 {
 	shares := make([]float64, s.integerOrDefault(keyTenantCount, 0))
 	for i := range shares {
 		key := tenantKey(i, tenantKeyShare)
-		shares[i] = s.figureOrDefault(key, 1/float64(len(shares)))
+		shares[i] = s.nonNegativeOrDefault(key, 1/float64(len(shares)))
 		if shares[i] <= 0 {
-			s.recordError(key, "is %v, no share", shares[i])
+			s.recordError(key, "is %v, expected a share above 0", shares[i])
 		}
 	}
 	return shares
--- a/internal/config/voting.go
+++ b/internal/config/voting.go
@@ -2,12 +2,12 @@
 
 import "switchfork/internal/policy"
 
-// votingTimer is the rule under which stages advance by themselves.
+// votingTimer is the rule under which stages advance after a time, without votes.
 const votingTimer = "timer"
 
-// Voting is how votes on a rollout are counted, and by how many agents they are cast.
+// Voting holds the number of agents that vote on rollouts, and the rules by which their votes are counted.
 type Voting struct {
-	Index           int // this agent's own
+	Index           int // this agent's index
 	Agents          int
 	Rule            policy.VotingRule
 	VotesToAdvance  int
@@ -16,7 +16,7 @@
 	VoteLifetime    policy.Micros
 }
 
-// Voting reads the rules of votes. Their faults are reported by NewRouter, which reads the same keys.
+// Voting reads the voting rules. NewRouter reads the same keys and returns their errors.
 func (s *Settings) Voting() Voting {
 	return Voting{
 		Index:           s.integer(keyAgentIndex),
@@ -41,7 +41,7 @@
 	return policy.VotingRules{
 		VoteLifetime:    s.micros(keyVoteLifetime),
 		CallTimeout:     s.micros(keyCallTimeout),
-		CallsPerSecond:  s.figure(keyCallsPerSecond),
+		CallsPerSecond:  s.nonNegative(keyCallsPerSecond),
 		VotesToAdvance:  s.integer(keyVotesToAdvance),
 		VotesToRollback: s.integer(keyVotesToRollback),
 		Rule:            s.votingRule(),
@@ -49,18 +49,18 @@
 	}
 }
 
-// metricsInterval is how often the rollout controller sends its metrics reports; 0 where it sends none.
+// metricsInterval reads how often the rollout controller sends its metrics reports. It returns 0 if none are sent.
 func (s *Settings) metricsInterval() policy.Micros {
 	var interval policy.Micros
 	if s.isSet(keyMetricsInterval) {
 		interval = s.micros(keyMetricsInterval)
 	}
-	sample := s.figureOrDefault(keyMetricsSample, 0)
+	sample := s.nonNegativeOrDefault(keyMetricsSample, 0)
 	if sample < 0 || sample > 1 {
-		s.recordError(keyMetricsSample, "is %v, not a share from 0 to 1", sample)
+		s.recordError(keyMetricsSample, "is %v, expected a share from 0 to 1", sample)
 	}
 	if interval > 0 && sample == 0 {
-		s.recordError(keyMetricsSample, "is 0, but %s%s is %v: counts of nothing", s.prefix, keyMetricsInterval, interval/microsPerMillis)
+		s.recordError(keyMetricsSample, "is 0, but %s%s is %v: the metrics reports would count nothing; expected more than 0", s.prefix, keyMetricsInterval, interval/microsPerMillis)
 	}
 	return interval
 }
