--- a/internal/options/errors.go
+++ b/internal/options/errors.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// FileError is one fault of a file.
+// FileError is an error in a line of a file.
 type FileError struct {
 	Path    string
 	Line    int
-	Keyword string // empty where the line could not be split into words
+	Keyword string // as it is written; empty if the line could not be split into words
 	Reason  string
 }
 
@@ -20,7 +20,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", e.Path, e.Line, e.Keyword, e.Reason)
 }
 
-// FileErrors are all faults of a file, in the order of its lines.
+// FileErrors are all errors of a file, in the order of its lines.
 type FileErrors []FileError
 
 func (e FileErrors) Error() string {
@@ -31,7 +31,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// valueError is a value that does not have a keyword's syntax.
+// valueError is the error for a value that does not match its keyword's syntax.
 type valueError struct {
 	value    string
 	expected string
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("is %q, expected %s", e.value, e.expected)
 }
 
-// duplicateError is a keyword that stands in the file already, by the same name or by another.
+// duplicateError is the error for a keyword that occurred on an earlier line, under the same name or under its other name.
 type duplicateError struct {
 	first   firstUse
 	written string
@@ -49,7 +49,7 @@
 
 func (e *duplicateError) Error() string {
 	if e.first.written != e.written {
-		return fmt.Sprintf("stands on line %d already, as %s", e.first.line, e.first.written)
+		return fmt.Sprintf("is already on line %d, as %s", e.first.line, e.first.written)
 	}
-	return fmt.Sprintf("stands on line %d already", e.first.line)
+	return fmt.Sprintf("is already on line %d", e.first.line)
 }
--- a/internal/options/keyword.go
+++ b/internal/options/keyword.go
@@ -9,24 +9,24 @@
 	"strings"
 )
 
-// Words with a meaning of their own among values.
+// Values with a special meaning.
 const (
 	valueOn   = "on"
 	valueOff  = "off"
-	valueAuto = "auto" // derived from what the platform configures
+	valueAuto = "auto" // the value is taken or derived from the platform's configuration
 	valueNone = "none"
 )
 
 const maxPort = 1<<16 - 1
 
-// keyword is one setting of the file.
+// keyword defines the syntax and the meaning of a keyword.
 type keyword struct {
-	syntax       string // its values, as messages give them
+	syntax       string // describes the values in error messages
 	maxValues    int    // the minimum is 1
-	isRepeatable bool   // may stand on several lines, each with another first value
-	isReloadable bool   // a reload puts it into force
+	isRepeatable bool   // may occur on several lines if the first values differ
+	isReloadable bool   // a reload applies changed values
 	parse        func(o *Options, values []string) error
-	format       func(o *Options) []string // the values of its lines in a file
+	format       func(o *Options) []string // returns the values that are written after the keyword, one element a line
 }
 
 func (k keyword) reloadable() keyword {
@@ -34,7 +34,7 @@
 	return k
 }
 
-// enumKeyword has one of a few words as its value.
+// enumKeyword defines a keyword whose value is one of the known words.
 func enumKeyword(field func(*Options) *string, known ...string) keyword {
 	return keyword{
 		syntax: strings.Join(known, "|"), maxValues: 1,
@@ -68,7 +68,7 @@
 	}
 }
 
-// countKeyword has a whole number in a range as its value.
+// countKeyword defines a keyword whose value is a whole number from least to most.
 func countKeyword(field func(*Options) *int, least, most int) keyword {
 	syntax := fmt.Sprintf("%d to %d", least, most)
 	return keyword{
@@ -85,7 +85,7 @@
 	}
 }
 
-// countOrAutoKeyword is a countKeyword with the further value auto, which is stored as the number autoNumber.
+// countOrAutoKeyword defines a countKeyword that also accepts the value auto, which is stored as autoNumber.
 func countOrAutoKeyword(field func(*Options) *int, least, most, autoNumber int) keyword {
 	count := countKeyword(field, least, most)
 	syntax := count.syntax + ", or auto"
@@ -110,7 +110,8 @@
 	}
 }
 
-// textKeyword has a checked text as its value, or none.
+// textKeyword defines a keyword whose value is a text for which isValid returns true, or the word none, which is stored as
+// an empty text.
 func textKeyword(expected string, field func(*Options) *string, isValid func(string) bool) keyword {
 	syntax := expected + ", or none"
 	return keyword{
@@ -148,7 +149,7 @@
 
 func isNotEmpty(text string) bool { return text != "" }
 
-// quoteIfNeeded quotes a text that would not be read back as one word.
+// quoteIfNeeded quotes a text that Parse would otherwise not read back as one word.
 func quoteIfNeeded(text string) string {
 	if strings.ContainsAny(text, " \t\"'#\\") {
 		return strconv.Quote(text)
--- a/internal/options/keywords.go
+++ b/internal/options/keywords.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	minLease = 200 * time.Millisecond // the delays of a busy machine would lose shorter ones
+	minLease = 200 * time.Millisecond // delays on a busy machine would let shorter leases expire
 	maxLease = time.Minute
 
-	maxAgents     = 64 // agents are numbered from 0 to 63
-	platformIndex = -1 // the agent's number is the one that the platform gives it
+	maxAgents     = 64 // agents have indices from 0 to 63
+	platformIndex = -1 // the agent has the index that the platform configures
 
 	maxQueues   = 65536
 	maxRequests = 1_000_000
 	maxWeight   = 1e6
 
-	// derived stands for a limit that is derived from the platform's ones.
+	// derived is the stored value of a limit that is derived from the platform's limits.
 	derived = 0
-	// weightSeparator stands between a tenant's name and its weight.
+	// weightSeparator is the word between a tenant's name and its weight.
 	weightSeparator = "share"
 )
 
-// keywords holds the definition of each keyword by its present name.
+// keywords maps the current name of each keyword to its definition.
 var keywords = map[string]keyword{
 	"log-level": enumKeyword(func(o *Options) *string { return &o.Log.Level }, "debug", "info", "warn", "error").reloadable(),
 	"log-form":  enumKeyword(func(o *Options) *string { return &o.Log.Format }, "text", "json").reloadable(),
@@ -48,14 +48,14 @@
 	"election-lease":  leaseKeyword(),
 	"election-listen": textKeyword("a host and port", func(o *Options) *string { return &o.Coordinator.Listen }, isAddress),
 	"election-peer":   peerKeyword().reloadable(),
-	"state-folder":    textKeyword("a folder's whole path", func(o *Options) *string { return &o.Coordinator.StateDir }, isAbsolutePath),
-	"admin":           textKeyword("a Unix socket's whole path", func(o *Options) *string { return &o.Coordinator.AdminSocket }, isAbsolutePath),
+	"state-folder":    textKeyword("the absolute path of a folder", func(o *Options) *string { return &o.Coordinator.StateDir }, isAbsolutePath),
+	"admin":           textKeyword("the absolute path of a Unix socket", func(o *Options) *string { return &o.Coordinator.AdminSocket }, isAbsolutePath),
 }
 
 func sortedKeywords() []string { return slices.Sorted(maps.Keys(keywords)) }
 
 func bytesKeyword() keyword {
-	const syntax = "a size as 512KiB or 8MiB, or auto"
+	const syntax = "a size such as 512KiB or 8MiB, or auto"
 	return keyword{
 		syntax: syntax, maxValues: 1,
 		parse: func(o *Options, values []string) error {
@@ -79,7 +79,7 @@
 	}
 }
 
-// parseSize reads a number of bytes with a binary unit.
+// parseSize reads a positive size with one of the units KiB, MiB and GiB, and returns it in bytes.
 func parseSize(text string) (size int64, ok bool) {
 	for unit, shift := range map[string]int{"KiB": 10, "MiB": 20, "GiB": 30} {
 		digits, hasUnit := strings.CutSuffix(text, unit)
@@ -113,7 +113,8 @@
 	}
 }
 
-// parseClientIdentity reads the values of a clientKeyword. The header's name is empty where no header tells clients apart.
+// parseClientIdentity reads the values of a clientKeyword. The header's name is empty unless clients are identified by a
+// header.
 func parseClientIdentity(values []string) (identity ClientIdentity, header string, isKnown bool) {
 	identity = ClientIdentity(values[0])
 	switch identity {
@@ -137,7 +138,7 @@
 			weight, err := strconv.ParseFloat(values[2], 64)
 			isPositive := weight > 0 // false for NaN
 			if err != nil || !isPositive || weight > maxWeight {
-				return fmt.Errorf("has the weight %q, expected a number over 0", values[2])
+				return fmt.Errorf("has the weight %q, expected a number above 0, up to 1e6", values[2])
 			}
 			o.Admission.Weights[values[0]] = weight
 			return nil
--- a/internal/options/options.go
+++ b/internal/options/options.go
@@ -1,10 +1,10 @@
-// Package options reads the file that an operator may give an agent: one setting a line, a keyword and its values, '#'
-// before a comment, quotes around a value that holds spaces. The keywords, their syntax and their defaults are defined
-// here, and all faults of a file are reported at once. A keyword that was renamed is still read by its old name, and the
-// options say which were.
+// Package options reads the operator's file, with which an operator may configure an agent. Each line holds a keyword and
+// its values. '#' begins a comment, and a value that contains spaces is quoted. The package defines the keywords with their
+// syntax and defaults, and reports all errors of a file at once. The old name of a renamed keyword is still accepted, and
+// Options.Renamed lists the old names that a file uses.
 //
-// The package only reads and writes: putting options into force is its caller's part. Options are not safe for
-// concurrent writes; callers treat them as immutable once they are parsed.
+// The package only reads and writes options. Its callers apply them. Options are not safe for concurrent writes; callers
+// treat them as immutable once they are parsed.
 package options
 
 import (
@@ -13,47 +13,47 @@
 	"time"
 )
 
-// Options are the settings that a file asks for, completed by the defaults.
+// Options are the settings of an operator's file, with defaults for those that the file does not hold.
 type Options struct {
-	Path        string // empty: no file, all defaults
+	Path        string // the file's path; empty: there is no file, and all options have defaults
 	Log         Log
 	Admission   Admission
 	Coordinator Coordinator
-	Renamed     []RenamedKeyword // the old keywords that the file holds, in its order
+	Renamed     []RenamedKeyword // the old keywords in the file, in the order of its lines
 }
 
-// Log is how the log is written.
+// Log is the lowest level of log messages that are written, and their format.
 type Log struct{ Level, Format string }
 
-// Admission is how admission control shares the agent's capacity.
+// Admission configures how admission control shares the agent's capacity among tenants and clients.
 type Admission struct {
 	Enabled         bool
-	Weights         map[string]float64 // by tenant; they override the platform's shares
-	ClientIdentity  ClientIdentity     // what tells clients apart
-	Header          string             // the header's name if ClientIdentity is ClientByHeader
-	Queues          int
-	Requests        int   // 0: derived from the platform's limits
-	Bytes           int64 // 0: derived from the platform's memory limit
+	Weights         map[string]float64 // by tenant name; a weight overrides the tenant's share in the platform's configuration
+	ClientIdentity  ClientIdentity     // what identifies a client
+	Header          string             // the name of the header that identifies clients, if ClientIdentity is ClientByHeader
+	Queues          int                // per tenant
+	Requests        int                // the limit on open requests; 0: derived from the platform's limits
+	Bytes           int64              // the limit on the total size of the bodies of open requests; 0: derived from the platform's memory limit
 	SendsRetryAfter bool
-	Coalesces       bool // identical requests in flight share one answer
+	Coalesces       bool // identical requests that are in flight at the same time share one answer
 }
 
-// Coordinator holds the settings of the election of the one agent that casts the votes for all.
+// Coordinator configures the election of the leader, the agent that casts the votes of all agents.
 type Coordinator struct {
 	Enabled     bool
-	Index       int            // -1: as the platform numbers the agents
-	Listen      string         // the TCP transport's address; empty: the platform's datagrams
-	Peers       map[int]string // TCP addresses by agent
-	StateDir    string         // the folder of the durable state; empty: nothing is stored
+	Index       int            // this agent's index; -1: the index that the platform configures
+	Listen      string         // the TCP transport's address; empty: messages are sent as the platform's datagrams
+	Peers       map[int]string // TCP addresses by the agent's index
+	StateDir    string         // the folder of the durable state; empty: no state is stored
 	Lease       time.Duration
 	Group       string
-	AdminSocket string // a Unix socket's path; empty: none
+	AdminSocket string // the path of the admin Unix socket; empty: there is none
 }
 
-// ClientIdentity names what tells the clients of a tenant apart in admission control.
+// ClientIdentity is what identifies a client of a tenant in admission control.
 type ClientIdentity string
 
-// The identities of clients.
+// A client is identified by its address, by its connection or by a request header.
 const (
 	ClientByAddress    ClientIdentity = "address"
 	ClientByConnection ClientIdentity = "connection"
@@ -66,7 +66,7 @@
 	defaultGroup  = "switchfork"
 )
 
-// Defaults returns the options that are in force without a file.
+// Defaults returns the options of an agent without an operator's file.
 func Defaults() *Options {
 	return &Options{
 		Log: Log{Level: "info", Format: "text"},
@@ -85,7 +85,7 @@
 	}
 }
 
-// UnknownTenants returns the tenants that have a weight here, but that the platform has not configured, in
+// UnknownTenants returns the tenants that have a weight in these options but are not among the configured ones, in
 // alphabetical order.
 func (o *Options) UnknownTenants(configured []string) []string {
 	var unknown []string
--- a/internal/options/parse.go
+++ b/internal/options/parse.go
@@ -14,10 +14,10 @@
 	"github.com/google/shlex"
 )
 
-// minSimilarity is the similarity above which a keyword is suggested for an unknown one.
+// minSimilarity is the Levenshtein similarity, from 0 to 1, above which a keyword is suggested for an unknown one.
 const minSimilarity = 0.5
 
-// Read reads the file at a path. The error is a FileErrors if the file could be opened, but has faults.
+// Read reads the file at path. The error is a FileErrors if the file could be read but its contents are invalid.
 func Read(path string) (*Options, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return Parse(path, bytes.NewReader(raw))
 }
 
-// Parse reads a file's text; path is what messages call it. The error is a FileErrors.
+// Parse reads the text of a file. Error messages refer to the file by path. The error is a FileErrors.
 func Parse(path string, text io.Reader) (*Options, error) {
 	p := parser{options: Defaults(), firstUses: map[string]firstUse{}}
 	p.options.Path = path
@@ -37,7 +37,7 @@
 	}
 	if lines.Err() != nil {
 		p.line++
-		p.recordError("", "a line is too long to be read")
+		p.recordError("", "the line is too long")
 	}
 	if len(p.errors) > 0 {
 		return nil, p.errors
@@ -45,17 +45,17 @@
 	return p.options, nil
 }
 
-// firstUse is where a keyword stands first.
+// firstUse is the first occurrence of a keyword.
 type firstUse struct {
 	line    int
-	written string // the keyword as it stands there: its present or its old name
+	written string // the name in that line: the keyword's current or old name
 }
 
-// parser reads one file.
+// parser holds the state of parsing one file.
 type parser struct {
 	options   *Options
 	line      int
-	firstUses map[string]firstUse // by present name, with the first value of a repeatable keyword
+	firstUses map[string]firstUse // by current name, followed by the first value if the keyword is repeatable
 	errors    FileErrors
 }
 
@@ -66,7 +66,7 @@
 func (p *parser) parseLine(text string) {
 	words, err := shlex.Split(text)
 	if err != nil {
-		p.recordError("", "a quote that does not end")
+		p.recordError("", "unterminated quote")
 		return
 	}
 	if len(words) == 0 {
@@ -84,7 +84,7 @@
 	name := currentName(written)
 	definition, ok := keywords[name]
 	if !ok {
-		return fmt.Errorf("no such keyword, %s", suggestKeyword(written))
+		return fmt.Errorf("unknown keyword, %s", suggestKeyword(written))
 	}
 	if len(values) == 0 || len(values) > definition.maxValues {
 		return fmt.Errorf("has %d values, expected %s", len(values), definition.syntax)
@@ -100,7 +100,7 @@
 	return definition.parse(p.options, values)
 }
 
-// recordRenamed records an old keyword where it stands first.
+// recordRenamed records an old keyword when it occurs for the first time.
 func (p *parser) recordRenamed(written string) {
 	current := currentName(written)
 	isRecorded := slices.ContainsFunc(p.options.Renamed, func(k RenamedKeyword) bool { return k.Written == written })
@@ -110,7 +110,8 @@
 	p.options.Renamed = append(p.options.Renamed, RenamedKeyword{Path: p.options.Path, Line: p.line, Written: written, Current: current})
 }
 
-// suggestKeyword names the keyword whose present or old name is most similar to an unknown one, or else all of them.
+// suggestKeyword suggests the keyword whose current or old name is most similar to an unknown one. If none is similar enough, it
+// lists all keywords.
 func suggestKeyword(unknown string) string {
 	nearest, similarity := "", minSimilarity
 	consider := func(name string) {
@@ -125,7 +126,7 @@
 		consider(name)
 	}
 	if nearest == "" {
-		return "known are " + strings.Join(sortedKeywords(), ", ")
+		return "expected one of " + strings.Join(sortedKeywords(), ", ")
 	}
-	return "the nearest is " + nearest
+	return "the most similar one is " + nearest
 }
--- a/internal/options/renamed.go
+++ b/internal/options/renamed.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// currentNames holds what each renamed keyword is called now, by its old name. Files with old names are still read.
+// currentNames maps the old names of renamed keywords to their current names. Files with old names are still accepted.
 var currentNames = map[string]string{
 	"door":           "admission-control",
 	"door-queues":    "admission-queues",
@@ -20,7 +20,7 @@
 	"decider-state":  "state-folder",
 }
 
-// currentName returns what a keyword is called now. It returns the names of unknown keywords as they are.
+// currentName returns the current name of a keyword. Any name that is not an old one is returned unchanged.
 func currentName(written string) string {
 	if current, isOld := currentNames[written]; isOld {
 		return current
@@ -28,7 +28,7 @@
 	return written
 }
 
-// RenamedKeyword is an old keyword of a file, with the line on which it stands first.
+// RenamedKeyword is an old keyword in a file, with the line of its first occurrence.
 type RenamedKeyword struct {
 	Path    string
 	Line    int
--- a/internal/options/renamed_test.go
+++ b/internal/options/renamed_test.go
@@ -26,7 +26,7 @@
 admin /run/switchfork/admin.sock
 `
 
-const fileWithPresentKeywords = `log-level warn
+const fileWithCurrentKeywords = `log-level warn
 admission-control on
 admission-queues 128
 admission-requests 900
@@ -46,58 +46,59 @@
 admin /run/switchfork/admin.sock
 `
 
-// A file with old keywords gives the same options, and says once for each what it is called now.
+// A file with old keywords gives the same options as one with current keywords. Each old keyword is recorded once, with its
+// current name.
 func TestOldKeywordsGiveTheSameOptions(t *testing.T) {
-	old, present := mustParse(t, fileWithOldKeywords), mustParse(t, fileWithPresentKeywords)
-	if present.Renamed != nil {
-		t.Errorf("present keywords are called renamed: %v", present.Renamed)
+	old, current := mustParse(t, fileWithOldKeywords), mustParse(t, fileWithCurrentKeywords)
+	if current.Renamed != nil {
+		t.Errorf("current keywords are reported as renamed: %v", current.Renamed)
 	}
 	if len(old.Renamed) != len(currentNames) {
-		t.Errorf("%d keywords are called renamed, want %d: %v", len(old.Renamed), len(currentNames), old.Renamed)
+		t.Errorf("got %d renamed keywords, want %d: %v", len(old.Renamed), len(currentNames), old.Renamed)
 	}
 	for _, k := range old.Renamed {
 		if currentNames[k.Written] != k.Current {
-			t.Errorf("%s is called %s, want %s", k.Written, k.Current, currentNames[k.Written])
+			t.Errorf("%s: got the current name %s, want %s", k.Written, k.Current, currentNames[k.Written])
 		}
 	}
 	const want = "op.conf:15: decider-peer: this keyword is called election-peer now"
 	if got := old.Renamed[len(old.Renamed)-2].String(); got != want {
-		t.Errorf("says %q, want %q", got, want)
+		t.Errorf("got the message %q, want %q", got, want)
 	}
 	old.Renamed = nil
-	if !reflect.DeepEqual(old, present) {
-		t.Errorf("%+v, want %+v", old, present)
+	if !reflect.DeepEqual(old, current) {
+		t.Errorf("got options %+v, want %+v", old, current)
 	}
-	var writtenOfOld, writtenOfPresent strings.Builder
-	old.Write(&writtenOfOld)
-	present.Write(&writtenOfPresent)
-	if writtenOfOld.String() != writtenOfPresent.String() {
-		t.Errorf("written as %s, want %s", writtenOfOld.String(), writtenOfPresent.String())
+	var writtenOld, writtenCurrent strings.Builder
+	old.Write(&writtenOld)
+	current.Write(&writtenCurrent)
+	if writtenOld.String() != writtenCurrent.String() {
+		t.Errorf("got the written options %s, want %s", writtenOld.String(), writtenCurrent.String())
 	}
 }
 
-// Each old name belongs to a keyword that exists, and is none itself.
+// Each old name maps to a keyword that exists, and is not itself the current name of a keyword.
 func TestRenamedKeywordsExist(t *testing.T) {
 	for old, current := range currentNames {
 		if _, exists := keywords[current]; !exists {
-			t.Errorf("%s is to be called %s, which is no keyword", old, current)
+			t.Errorf("the old name %s maps to %s, which is not a keyword", old, current)
 		}
 		if _, exists := keywords[old]; exists {
-			t.Errorf("%s is a keyword still", old)
+			t.Errorf("the old name %s is still the current name of a keyword", old)
 		}
 	}
 }
 
-// A keyword that stands in a file by its old and by its present name stands there twice.
+// A keyword that occurs under both its old and its current name is a duplicate.
 func TestOldAndPresentKeywordAreDuplicates(t *testing.T) {
 	for text, want := range map[string]string{
-		"door on\nadmission-control on\n":                    "op.conf:2: admission-control: stands on line 1 already, as door",
-		"retry-after on\n\ncome-back off\n":                  "op.conf:3: come-back: stands on line 1 already, as retry-after",
-		"decider-peer 1 a:1\nelection-peer 1 b:1\n":          "op.conf:2: election-peer: stands on line 1 already, as decider-peer",
+		"door on\nadmission-control on\n":                    "op.conf:2: admission-control: is already on line 1, as door",
+		"retry-after on\n\ncome-back off\n":                  "op.conf:3: come-back: is already on line 1, as retry-after",
+		"decider-peer 1 a:1\nelection-peer 1 b:1\n":          "op.conf:2: election-peer: is already on line 1, as decider-peer",
 		"decider-peer 1 a:1\nelection-peer 2 b:1\ndoor oh\n": `op.conf:3: door: is "oh", expected on or off`,
 	} {
 		if _, err := Parse("op.conf", strings.NewReader(text)); err == nil || err.Error() != want {
-			t.Errorf("%q: %v, want %s", text, err, want)
+			t.Errorf("%q: got error %v, want %s", text, err, want)
 		}
 	}
 }
--- a/internal/options/write.go
+++ b/internal/options/write.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// Write writes the options as a file that Parse reads back, with every default.
+// Write writes all options, including those with default values, in the format that Parse reads.
 func (o *Options) Write(to io.Writer) {
 	for _, name := range sortedKeywords() {
 		for _, values := range keywords[name].format(o) {
-			// The output is for an operator's terminal: a failure there has no other place to be reported.
+			// The output goes to an operator's terminal. A failed write could not be reported elsewhere.
 			_, _ = fmt.Fprintf(to, "%s %s\n", name, values)
 		}
 	}
 }
 
-// ChangedKeywords returns the keywords that differ in other options and that a reload can't put into force.
+// ChangedKeywords returns the keywords whose values differ between o and other and which a reload can't apply.
 func (o *Options) ChangedKeywords(other *Options) []string {
 	var changed []string
 	for _, name := range sortedKeywords() {
