--- a/internal/cli/clitest/help.go
+++ b/internal/cli/clitest/help.go
@@ -1,4 +1,4 @@
-// Package clitest checks the command lines of the programs in their tests.
+// Package clitest holds checks of command lines for the programs' tests.
 package clitest
 
 import (
@@ -10,7 +10,8 @@
 	"github.com/spf13/cobra"
 )
 
-// withdrawnWords were once the programs' own words for what the field has terms for. No help text uses them.
+// withdrawnWords are regular expressions of words that the programs once used in place of common technical terms. Help texts
+// must not use them.
 var withdrawnWords = []string{
 	"txns?", "submissions?", "appliances?", "products?", "rosters?", "launchers?", "stand-?ins?", "deciders?", "doors?", "lead", "leads", "nights?", "trials?",
 	"ways?", "standstills?", "settled", "declined", "voided", "yielded", "judges?", "bench", "benches", "seats?", "tranches", "waves?", "lanes?", "crowds?",
@@ -19,10 +20,11 @@
 
 var withdrawn = regexp.MustCompile(`(?i)\b(` + strings.Join(withdrawnWords, "|") + `)\b`)
 
-// withdrawnWord returns the first withdrawn word of a line, or nothing.
+// withdrawnWord returns the first withdrawn word in a line, or an empty string.
 func withdrawnWord(line string) string { return withdrawn.FindString(line) }
 
-// CheckHelp checks the help of a command and of all that it holds for withdrawn words.
+// CheckHelp fails the test if the help of a command or of any of its subcommands contains a withdrawn word. Hidden commands are
+// skipped.
 func CheckHelp(t *testing.T, command *cobra.Command) {
 	t.Helper()
 	if command.Hidden {
@@ -31,11 +33,11 @@
 	var out bytes.Buffer
 	command.SetOut(&out)
 	if err := command.Help(); err != nil {
-		t.Errorf("help of %s: %v", command.CommandPath(), err)
+		t.Errorf("printing the help of %s: %v", command.CommandPath(), err)
 	}
 	for _, line := range strings.Split(out.String(), "\n") {
 		if word := withdrawnWord(line); word != "" {
-			t.Errorf("the help of %s holds the withdrawn word %q: %s", command.CommandPath(), word, line)
+			t.Errorf("the help of %s contains the withdrawn word %q: %s", command.CommandPath(), word, line)
 		}
 	}
 	for _, sub := range command.Commands() {
--- a/internal/cli/clitest/help_test.go
+++ b/internal/cli/clitest/help_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Words are found whole, in either case, and as parts of no other word.
+// Withdrawn words are found in upper and lower case, but not as parts of other words.
 func TestWithdrawnWord(t *testing.T) {
 	for line, want := range map[string]string{
 		"play nights: several agents among stand-ins": "nights",
@@ -11,7 +11,7 @@
 		"print the leader's lease; always verdicts":   "",
 	} {
 		if got := withdrawnWord(line); got != want {
-			t.Errorf("%q holds %q, want %q", line, got, want)
+			t.Errorf("%q: got the withdrawn word %q, want %q", line, got, want)
 		}
 	}
 }
--- a/internal/cli/renamed.go
+++ b/internal/cli/renamed.go
@@ -1,7 +1,7 @@
-// Package cli keeps withdrawn names of commands and flags working: they are hidden in the help, do what they did, and warn on
-// standard error what they are called now.
+// Package cli keeps the old names of renamed commands and flags working. Old names are hidden in the help. When one is used,
+// a warning on standard error gives the current name.
 //
-// It changes command lines while they are built, before they are executed; it holds no state of its own.
+// The package modifies commands while they are built, before they are executed. It holds no state of its own.
 package cli
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/spf13/cobra"
 )
 
-// RenamedCommand is a command whose name was withdrawn.
+// RenamedCommand holds the old and the current name of a renamed command.
 type RenamedCommand struct{ Old, Current string }
 
-// AddRenamedCommands adds the old names of a parent's commands. newCommands makes the parent's commands once more, as a command
-// has one name and one parent.
+// AddRenamedCommands adds a hidden command to parent for each old name. Because a cobra command has only one name and one
+// parent, newCommands has to create parent's commands anew at each call.
 func AddRenamedCommands(parent *cobra.Command, renamed []RenamedCommand, newCommands func() []*cobra.Command) {
 	for _, names := range renamed {
 		command := commandNamed(newCommands(), names.Current)
@@ -34,10 +34,10 @@
 			return command
 		}
 	}
-	panic("no command " + name)
+	panic("no command is named " + name)
 }
 
-// AddRenamedFlag adds the old name of a command's flag.
+// AddRenamedFlag adds a hidden flag with the old name, which sets the same value as the flag with the current name.
 func AddRenamedFlag(command *cobra.Command, old, current string) {
 	flag := *command.Flags().Lookup(current)
 	flag.Name = old
@@ -49,14 +49,14 @@
 	command.Flags().AddFlag(&flag)
 }
 
-// flagValue is the value of a flag, as its package defines it.
+// flagValue is the interface that package pflag defines for the value of a flag.
 type flagValue interface {
 	String() string
 	Set(text string) error
 	Type() string
 }
 
-// renamedValue warns when the flag is set by its old name.
+// renamedValue wraps the value of a flag and warns when the flag is set under its old name.
 type renamedValue struct {
 	flagValue
 	warn func()
@@ -67,7 +67,7 @@
 	return v.flagValue.Set(text)
 }
 
-// warn prints to standard error. There is no other place to report that it can't be written.
+// warn prints to the command's error output. A failed write is ignored, because there is nowhere else to report it.
 func warn(command *cobra.Command, message string) {
 	_, _ = fmt.Fprintf(command.ErrOrStderr(), "%s: %s\n", command.Root().Name(), message)
 }
--- a/internal/cli/renamed_test.go
+++ b/internal/cli/renamed_test.go
@@ -7,7 +7,8 @@
 	"github.com/spf13/cobra"
 )
 
-// newProgram returns a program whose command greet writes its flag and its arguments to done.
+// newProgram returns a program with the commands other and greet. The command greet writes the value of its flag and its
+// arguments to done.
 func newProgram(done *string) *cobra.Command {
 	newCommands := func() []*cobra.Command {
 		var name string
@@ -22,7 +23,7 @@
 	return root
 }
 
-// Old names do what the present ones do, and warn once each.
+// Old names do the same as current names, and each use of an old name prints one warning.
 func TestRenamedCommandsAndFlags(t *testing.T) {
 	for commandLine, want := range map[string]string{
 		"greet --name a hello": "",
@@ -37,12 +38,12 @@
 		program.SetErr(&warnings)
 		program.SetArgs(strings.Fields(commandLine))
 		if err := program.Execute(); err != nil || done != "a hello" || warnings.String() != want || out.String() != "" {
-			t.Errorf("%s: %v, did %q, warned %q, printed %q; want the warning %q", commandLine, err, done, warnings.String(), out.String(), want)
+			t.Errorf("%s: got error %v, effect %q, warning %q, output %q; want the warning %q", commandLine, err, done, warnings.String(), out.String(), want)
 		}
 	}
 }
 
-// The help shows present names alone.
+// The help shows only current names.
 func TestHelpHidesRenamed(t *testing.T) {
 	var done string
 	for _, commandLine := range []string{"--help", "greet --help"} {
@@ -54,7 +55,7 @@
 			t.Fatal(err)
 		}
 		if strings.Contains(out.String(), "hail") || strings.Contains(out.String(), "--who") || !strings.Contains(out.String(), "greet") {
-			t.Errorf("%s prints %s", commandLine, out.String())
+			t.Errorf("%s: want only current names, got %s", commandLine, out.String())
 		}
 	}
 }
