--- a/cmd/switchfork/admin.go
+++ b/cmd/switchfork/admin.go
@@ -14,24 +14,24 @@
 
 const defaultAdminSocket = "/run/switchfork/admin.sock"
 
-// adminCommands are the commands that ask a running agent, or inspect its state folder.
+// adminCommands holds what the commands share that query a running agent or inspect a state folder.
 type adminCommands struct {
 	out    io.Writer
 	socket string // the value of --admin
 }
 
-// newAdminCommands makes the commands leader, members and state.
+// newAdminCommands creates the commands leader, members and state.
 func newAdminCommands(out io.Writer) []*cobra.Command {
 	a := &adminCommands{out: out}
 	return []*cobra.Command{a.leaderCommand(), a.membersCommand(), a.stateCommand()}
 }
 
-// printf prints to the command's output.
+// printf prints to the commands' output.
 func (a *adminCommands) printf(format string, args ...any) {
-	_, _ = fmt.Fprintf(a.out, format, args...) // who closes the output doesn't want the rest
+	_, _ = fmt.Fprintf(a.out, format, args...) // a reader that closes the output does not want the rest
 }
 
-// withSocketFlag adds the flag that names the agent to ask.
+// withSocketFlag adds the flag --admin, which selects the agent that the command queries.
 func (a *adminCommands) withSocketFlag(command *cobra.Command) *cobra.Command {
 	command.Flags().StringVar(&a.socket, "admin", defaultAdminSocket, "path of the agent's admin socket")
 	return command
@@ -110,7 +110,7 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			agent, err := strconv.Atoi(args[0])
 			if err != nil || agent < 0 || agent >= election.MaxReplicas {
-				return usageError{fmt.Errorf("%q is no agent, expected a number from 0 to %d", args[0], election.MaxReplicas-1)}
+				return usageError{fmt.Errorf("agent is %q, expected a number from 0 to %d", args[0], election.MaxReplicas-1)}
 			}
 			return coordinator.RequestMemberChange(a.socket, coordinator.MemberChange{Kind: kind, Agent: agent})
 		},
--- a/cmd/switchfork/admission.go
+++ b/cmd/switchfork/admission.go
@@ -9,7 +9,7 @@
 	"switchfork/internal/proxy"
 )
 
-// enableAdmission puts the admission control that the operator asks for in front of the event loop.
+// enableAdmission creates the admission control that the operator's file configures, and puts it in front of the event loop.
 func (p *agentProcess) enableAdmission() {
 	opts := p.options.Admission
 	p.admission = proxy.NewAdmissionLoop(p.newAdmissionController(opts), p.clock, p.loop)
@@ -45,7 +45,8 @@
 	})
 }
 
-// admissionLimits are what fits into the agent's memory and connections, or less where the operator wants less.
+// admissionLimits derives the limits from the agent's memory and connections, and applies those of the operator's file. The operator
+// can lower the limit on requests but not raise it, and sets the limit on bytes freely.
 func (p *agentProcess) admissionLimits(opts options.Admission) admission.Limits {
 	openRequests := min(p.settings.connections.MaxOpenRequests, p.budget.MaxRequests())
 	limits := admission.LimitsFor(p.settings.limits.MemoryMB, openRequests, opts.Queues)
@@ -58,7 +59,7 @@
 	return limits
 }
 
-// tenantWeights are the tenants' configured shares, or what the operator has set in their place.
+// tenantWeights returns the weight of each tenant: the one that the operator's file sets, or else the tenant's configured share.
 func tenantWeights(opts options.Admission, tenants []string, shares []float64) []admission.Tenant {
 	var weights []admission.Tenant
 	for i, name := range tenants {
--- a/cmd/switchfork/coordinator.go
+++ b/cmd/switchfork/coordinator.go
@@ -20,25 +20,27 @@
 )
 
 const (
-	// clockDrift bounds how much faster or slower a machine's monotonic clock may run: ten times the error of a bad quartz.
+	// clockDrift is the largest relative error of a machine's monotonic clock that elections tolerate. It is ten times the error of a
+	// bad quartz oscillator.
 	clockDrift = 0.005
-	// voteProcessingTime is added to a call's timeout: a rollout controller that has read a vote may take so long to carry it out.
+	// voteProcessingTime is how long the rollout controller may take to apply a vote after reading it. It is added to the timeout of a
+	// call.
 	voteProcessingTime = 500 * time.Millisecond
-	// rollbackQuorum: one agent whose release analyzer asks for a roll-back is enough.
+	// rollbackQuorum is the number of agents whose release analyzers have to ask for a rollback.
 	rollbackQuorum = 1
 )
 
-// coordinatorWiring is this agent's coordinator with what carries its messages.
+// coordinatorWiring is this agent's coordinator and the TCP transport of its messages.
 type coordinatorWiring struct {
 	coordinator *coordinator.Coordinator
-	tcp         *lateTCP // nil: the agents' gossip carries the messages
+	tcp         *deferredTCP // nil: the messages are sent by the agents' gossip
 }
 
-// lateTCP is a TCP transport that listens when the agent begins to serve. It is nil until then, but the coordinator sends nothing
-// before it is started.
-type lateTCP struct{ *transport.TCP }
+// deferredTCP is a TCP transport that is not opened before the agent starts to serve. Until then it is nil. The coordinator sends no
+// messages before it is started.
+type deferredTCP struct{ *transport.TCP }
 
-// coordinatorConfig is what a coordinator is made of: what configures it, and the parts of the agent that it is connected to.
+// coordinatorConfig holds the configuration of a coordinator and the parts of the agent to which it is connected.
 type coordinatorConfig struct {
 	options options.Coordinator
 	peers   config.Peers
@@ -50,12 +52,12 @@
 	gossip  *gossip.Messenger
 }
 
-// wireCoordinator makes the coordinator that the operator asks for; nil without one. The votes that the policy asks for then go
-// through the coordinator, and it gets the rollout updates.
+// wireCoordinator creates the coordinator and connects it to the agent: the policy's votes go to the coordinator, and it receives the
+// rollout updates. It returns nil if the operator's file does not enable leader election, or the deployment does not allow it.
 func wireCoordinator(c coordinatorConfig) (*coordinatorWiring, error) {
 	if !c.options.Enabled {
 		if c.options.AdminSocket != "" {
-			slog.Warn("admin socket not opened: the coordinator is off")
+			slog.Warn("admin socket not opened: leader-election is off")
 		}
 		return nil, nil
 	}
@@ -71,12 +73,12 @@
 		return nil, err
 	}
 	wiring := &coordinatorWiring{}
-	var carrier coordinator.Transport = c.gossip
+	var replicaTransport coordinator.Transport = c.gossip
 	if c.options.Listen != "" {
-		wiring.tcp = &lateTCP{}
-		carrier = wiring.tcp
+		wiring.tcp = &deferredTCP{}
+		replicaTransport = wiring.tcp
 	}
-	wiring.coordinator = coordinator.New(replica, carrier, store, coordinatorCallbacks(c.loop, c.rollout))
+	wiring.coordinator = coordinator.New(replica, replicaTransport, store, coordinatorCallbacks(c.loop, c.rollout))
 	if wiring.tcp == nil {
 		c.gossip.Intercept(wiring.receiveGossip)
 	}
@@ -87,14 +89,14 @@
 	return wiring, nil
 }
 
-// canCoordinate tells whether this deployment lets one agent vote for all, and logs what is against it.
+// canCoordinate reports whether the deployment allows one agent to vote for all. It logs the reason if not.
 func canCoordinate(opts options.Coordinator, peers config.Peers, voting config.Voting) bool {
 	switch {
 	case voting.Rule != policy.AnyVote || voting.VotesToAdvance > 1 || voting.VotesToRollback > 1:
-		slog.Warn("coordinator disabled: the votes of several agents are counted, so that one can't vote for all")
+		slog.Warn("coordinator disabled: the deployment counts the votes of several agents, so one agent can't vote for all")
 		return false
 	case opts.Listen == "" && peers.Listen == "":
-		slog.Warn("coordinator disabled: agents may not exchange messages, and election-listen names no address")
+		slog.Warn("coordinator disabled: agents may not exchange messages, and election-listen is not set")
 		return false
 	case opts.Listen == "" && (voting.Agents > election.MaxReplicas || len(peers.Addresses) > election.MaxReplicas):
 		slog.Warn("coordinator disabled: too many agents", "agents", voting.Agents, "max_replicas", election.MaxReplicas)
@@ -103,14 +105,14 @@
 	return true
 }
 
-// replicaConfig describes this agent's replica, without the state that may be stored.
+// replicaConfig returns the configuration of this agent's replica, without the stored state.
 func replicaConfig(opts options.Coordinator, voting config.Voting, seed int64) (coordinator.Config, error) {
 	index := opts.Index
 	if index < 0 {
 		index = voting.Index
 	}
 	if index >= election.MaxReplicas {
-		return coordinator.Config{}, fmt.Errorf("leader-election: this is agent %d, numbers go from 0 to %d", index, election.MaxReplicas-1)
+		return coordinator.Config{}, fmt.Errorf("leader-election: this agent's index is %d, expected 0 to %d", index, election.MaxReplicas-1)
 	}
 	return coordinator.Config{
 		Index:   index,
@@ -127,8 +129,8 @@
 	}, nil
 }
 
-// initialMembers are all agents of the deployment, or those whose TCP addresses the operator names. An agent that is not among the
-// latter begins without members, and has to be added.
+// initialMembers returns all agents of the deployment or, if messages are sent over TCP, the agents whose TCP addresses the operator's
+// file sets. An agent that is not among the latter starts without members, and has to be added.
 func initialMembers(opts options.Coordinator, voting config.Voting, index int) election.Members {
 	if opts.Listen == "" {
 		return election.InitialMembers(voting.Agents)
@@ -143,14 +145,14 @@
 	return members
 }
 
-// groupID is what the messages of a group of agents carry in place of its name.
+// groupID returns the hash that represents the name of an election group in messages.
 func groupID(name string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name)) // a hash returns no error
 	return hash.Sum64()
 }
 
-// openStore opens the state folder, if the operator names one, and completes the replica's config by what is stored there.
+// openStore opens the state folder and sets replica.State to the stored state. It returns nil if the operator's file sets no folder.
 func openStore(dir string, replica *coordinator.Config) (coordinator.Store, error) {
 	if dir == "" {
 		return nil, nil
@@ -163,7 +165,8 @@
 	return store, nil
 }
 
-// coordinatorCallbacks connects the coordinator's results to the policy and to the rollout controller.
+// coordinatorCallbacks returns callbacks that send the coordinator's rollout updates to the policy, and its votes to the rollout
+// controller.
 func coordinatorCallbacks(loop *agent.Loop, rolloutClient *rollout.Client) coordinator.Callbacks {
 	return coordinator.Callbacks{
 		UpdateRollout: loop.UpdateRollout,
@@ -173,7 +176,8 @@
 	}
 }
 
-// receiveGossip takes a datagram that is a frame of the coordinator's, and leaves others to the gossip.
+// receiveGossip passes a datagram to the coordinator if it is one of the coordinator's frames, and reports whether it is. The gossip
+// handles all other datagrams.
 func (w *coordinatorWiring) receiveGossip(datagram []byte) bool {
 	if !transport.IsFrame(datagram) {
 		return false
@@ -182,7 +186,7 @@
 	return true
 }
 
-// serve opens the TCP transport and the admin address, where they are asked for, and starts the coordinator.
+// serve opens the TCP transport and the admin socket, if they are configured, and starts the coordinator.
 func (w *coordinatorWiring) serve(ctx context.Context, opts options.Coordinator) error {
 	if w.tcp != nil {
 		tcp, err := transport.Listen(ctx, opts.Listen, w.coordinator.Receive)
@@ -201,7 +205,7 @@
 	return nil
 }
 
-// setPeers puts other TCP addresses in force.
+// setPeers replaces the agents' TCP addresses, if messages are sent over TCP.
 func (w *coordinatorWiring) setPeers(addresses map[int]string) {
 	if w.tcp != nil {
 		w.tcp.SetPeers(addresses)
--- a/cmd/switchfork/drain.go
+++ b/cmd/switchfork/drain.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// A drain has to be over when SIGKILL comes: by the protocol no sooner than killDelay after the longest request timeout, which counts as
-// maxDrainTimeout where it is longer. drainReserve is left for the log, and for an exit that the system is slow to notice.
+// A drain has to end before SIGKILL. By the platform's protocol, the time from SIGTERM to SIGKILL is at least the longest request
+// timeout, of which at most maxDrainTimeout counts, plus killDelay. drainReserve leaves time for logging, and for a system that is slow
+// to notice the exit.
 const (
 	killDelay       = 700 * time.Millisecond
 	maxDrainTimeout = 3 * time.Second
 	drainReserve    = 100 * time.Millisecond
 )
 
-// drain lets open requests finish and passes the leadership on, in the time that is left before the process is killed.
+// drain lets open requests finish and hands the leadership over to another agent, within the time that is left before SIGKILL.
 func (p *agentProcess) drain(ctx context.Context) {
 	slog.Info("drain started")
 	ctx, cancel := context.WithTimeout(ctx, p.drainTimeout())
@@ -31,7 +32,7 @@
 	}
 }
 
-// drainTimeout is the longest that a drain may take.
+// drainTimeout returns how long a drain may take.
 func (p *agentProcess) drainTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range p.settings.classes {
@@ -40,8 +41,8 @@
 	return min(longest, maxDrainTimeout) + killDelay - drainReserve
 }
 
-// drainAndPassLeadership does both at the same time: a leadership that is slow to pass, behind a disk or agents that are silent, would
-// use up the time in which clients are still answered, and leave the requests that were accepted without an answer.
+// drainAndPassLeadership drains requests and hands the leadership over at the same time. A handover that is slow because of a disk or
+// of agents that do not answer would otherwise use up the time for the drain, and accepted requests would get no answer.
 func drainAndPassLeadership(ctx context.Context, passLeadership func(context.Context), drain func(context.Context) error) error {
 	passed := make(chan struct{})
 	go func() {
--- a/cmd/switchfork/drain_test.go
+++ b/cmd/switchfork/drain_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A leadership that is slow to pass does not hold the drain up, and the end waits for it within the time.
+// A slow handover of the leadership does not delay the drain of requests. drainAndPassLeadership waits for the handover until the
+// timeout.
 func TestDrainDoesNotWaitForLeadership(t *testing.T) {
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	defer stop()
@@ -15,7 +16,7 @@
 		select {
 		case <-began:
 		case <-ctx.Done():
-			t.Error("the drain waits for the leadership")
+			t.Error("the drain of requests waited for the handover of the leadership")
 		}
 		<-drained
 		hasPassed = true
@@ -25,13 +26,13 @@
 		return nil
 	})
 	if err != nil || !hasPassed {
-		t.Errorf("drained with %v, leadership passed on: %v", err, hasPassed)
+		t.Errorf("got error %v, leadership handed over: %v, want no error and true", err, hasPassed)
 	}
 	ctx, stop = context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer stop()
 	stuck := func(context.Context) { select {} }
 	drain := func(ctx context.Context) error { <-ctx.Done(); return ctx.Err() }
 	if err := drainAndPassLeadership(ctx, stuck, drain); err == nil {
-		t.Error("no error of a drain that ran out of time")
+		t.Error("got no error from a drain that timed out")
 	}
 }
--- a/cmd/switchfork/golden_test.go
+++ b/cmd/switchfork/golden_test.go
@@ -16,8 +16,8 @@
 	"github.com/spf13/cobra"
 )
 
-// help is what each command prints about itself, except hidden ones.
-func help(t *testing.T, c *cobra.Command, out *strings.Builder) {
+// writeHelp writes the help of a command and of its subcommands, except hidden ones.
+func writeHelp(t *testing.T, c *cobra.Command, out *strings.Builder) {
 	t.Helper()
 	if c.Hidden {
 		return
@@ -28,18 +28,19 @@
 		t.Fatal(err)
 	}
 	for _, sub := range c.Commands() {
-		help(t, sub, out)
+		writeHelp(t, sub, out)
 	}
 }
 
-// What operators and their scripts read stays as it was: the help, and what check makes of the shipped file.
+// Operators and their scripts read the help texts and the output of check, here for the shipped operator's file. Both must stay as
+// they are.
 func TestGoldenCommands(t *testing.T) {
 	t.Setenv("SWITCHFORK_OPERATOR", "")
 	var out strings.Builder
 	root := commands(&out)
 	root.InitDefaultHelpCmd()
 	root.InitDefaultCompletionCmd()
-	help(t, root, &out)
+	writeHelp(t, root, &out)
 	golden.Check(t, "help.golden", out.String())
 	text, err := run(t, "check", "../../deploy/operator.conf")
 	if err != nil {
@@ -55,13 +56,13 @@
 	clitest.CheckHelp(t, root)
 }
 
-type nowhere struct{}
+type discardTransport struct{}
 
-func (nowhere) Send(int, []byte) {}
+func (discardTransport) Send(int, []byte) {}
 
-// The metrics keep their names, also the deprecated ones.
+// The metrics keep their names. Deprecated names are still exported.
 func TestGoldenMetrics(t *testing.T) {
-	c := coordinator.New(coordinator.Config{Members: election.InitialMembers(3), Settings: election.Settings{Lease: 1e6}}, nowhere{}, nil,
+	c := coordinator.New(coordinator.Config{Members: election.InitialMembers(3), Settings: election.Settings{Lease: 1e6}}, discardTransport{}, nil,
 		coordinator.Callbacks{UpdateRollout: func(policy.RolloutUpdate) {}})
 	var out strings.Builder
 	c.Metrics().WritePrometheus(&out)
--- a/cmd/switchfork/main.go
+++ b/cmd/switchfork/main.go
@@ -1,9 +1,14 @@
-// Command switchfork is one agent of a fleet: it serves clients, routes their requests to endpoints and votes on rollouts as its routing
-// policy decides. Package config reads how the deployment configures it, package options what its operator wants of it.
+// Command switchfork is one agent of a fleet. It serves clients, routes their requests to endpoints and votes on rollouts, as its
+// routing policy decides. Package config reads the deployment's configuration, and package options reads the operator's file.
 //
-// main.go and admin.go hold the command line, serve.go how the parts of an agent are put together and started, settings.go and
-// operator_file.go what they are made of, admission.go and coordinator.go the parts that an operator may ask for, reload.go what a
-// SIGHUP changes, and drain.go how an agent ends.
+// The files of the command:
+//
+//   - main.go and admin.go: the command line
+//   - serve.go: the construction and the start of an agent
+//   - settings.go and operator_file.go: reading the configuration and the operator's file
+//   - admission.go and coordinator.go: the parts that an operator may enable
+//   - reload.go: what a SIGHUP changes
+//   - drain.go: the end of an agent
 package main
 
 import (
@@ -20,21 +25,21 @@
 	"github.com/spf13/cobra"
 )
 
-// The exit codes of a command that does not succeed.
+// Exit codes of commands that fail.
 const (
 	exitFailure = 1
 	exitUsage   = 2
 )
 
-// usageError is an error in the command line itself.
+// usageError marks an error in the command line.
 type usageError struct{ error }
 
-// renamedCommands are the commands whose names were withdrawn. Both forms are read.
+// renamedCommands are the renamed commands. Their old names are still accepted.
 var renamedCommands = []cli.RenamedCommand{
 	{Old: "lead", Current: "leader"},
 }
 
-// version may be set when the program is linked.
+// version can be set by the linker's flag -X.
 var version = ""
 
 func main() {
@@ -50,7 +55,7 @@
 	}
 }
 
-// commands is the command line, whose commands print to out.
+// commands returns the root of the command line. All commands print to out.
 func commands(out io.Writer) *cobra.Command {
 	var optionsPath string
 	serveAgent := func(*cobra.Command, []string) error { return serve(optionsPath) }
@@ -101,36 +106,37 @@
 
 func noArgs(c *cobra.Command, args []string) error {
 	if len(args) > 0 {
-		return usageError{fmt.Errorf("%q is no command of %s", args[0], c.CommandPath())}
+		return usageError{fmt.Errorf("%q is not a command of %s", args[0], c.CommandPath())}
 	}
 	return nil
 }
 
 func oneArg(c *cobra.Command, args []string) error {
 	if len(args) != 1 {
-		return usageError{fmt.Errorf("%s wants one file, not %d", c.CommandPath(), len(args))}
+		return usageError{fmt.Errorf("%s expects one argument, got %d", c.CommandPath(), len(args))}
 	}
 	return nil
 }
 
-// checkOptions reads an operator's file and prints what would be in force. Warnings go to warnings.
+// checkOptions reads an operator's file and prints the resulting options to out, and a warning for each renamed keyword to
+// warnings.
 func checkOptions(out, warnings io.Writer, path string) error {
 	opts, err := options.Read(path)
 	if err != nil {
 		return err
 	}
 	for _, keyword := range opts.Renamed {
-		_, _ = fmt.Fprintln(warnings, "switchfork:", keyword) // there is no other place to report that standard error can't be written
+		_, _ = fmt.Fprintln(warnings, "switchfork:", keyword) // a failed write to standard error can't be reported anywhere
 	}
 	opts.Write(out)
 	return nil
 }
 
 func printVersion(out io.Writer) {
-	_, _ = fmt.Fprintln(out, "switchfork", versionText()) // who closes the output doesn't want it
+	_, _ = fmt.Fprintln(out, "switchfork", versionText()) // a reader that closes the output does not want the version
 }
 
-// versionText is the version that was linked in, or else the commit or module version that the program was built from.
+// versionText returns the version that was set by the linker, or else the commit or module version from which the program was built.
 func versionText() string {
 	if version != "" {
 		return version
--- a/cmd/switchfork/operator_file_test.go
+++ b/cmd/switchfork/operator_file_test.go
@@ -7,7 +7,7 @@
 	"switchfork/internal/options"
 )
 
-// A reload warns only of the old keywords that were not in the file before, wherever they stand now.
+// A reload logs warnings only for old keywords that were not in the file before, whatever lines they are on now.
 func TestNewlyRenamed(t *testing.T) {
 	warned := []options.RenamedKeyword{{Line: 1, Written: "door", Current: "admission-control"}}
 	reloaded := []options.RenamedKeyword{
--- a/cmd/switchfork/reload.go
+++ b/cmd/switchfork/reload.go
@@ -8,19 +8,19 @@
 	"switchfork/internal/options"
 )
 
-// reloader reads the configuration and the operator's file again, and applies what may change while an agent serves. Only the goroutine
-// that calls run touches its fields.
+// reloader reads the configuration and the operator's file again, and applies the changes that do not need a restart. Only the goroutine
+// that calls run may access its fields.
 type reloader struct {
 	process *agentProcess
-	file    *config.File     // in force
-	options *options.Options // in force
+	file    *config.File     // the latest valid configuration
+	options *options.Options // the latest valid options
 }
 
 func (p *agentProcess) newReloader() *reloader {
 	return &reloader{process: p, file: p.file, options: p.options}
 }
 
-// run reloads at each signal.
+// run reloads both files at each signal.
 func (r *reloader) run(hangup <-chan os.Signal) {
 	for range hangup {
 		r.reloadConfig()
@@ -31,7 +31,7 @@
 	}
 }
 
-// reloadConfig applies the addresses that the configuration has changed. Other keys need a restart, and a faulty file changes nothing.
+// reloadConfig applies changed addresses. Other changed keys need a restart and are logged. An invalid file changes nothing.
 func (r *reloader) reloadConfig() {
 	reloaded, err := r.file.Reload()
 	if err != nil {
@@ -52,14 +52,15 @@
 	r.file = reloaded.File
 }
 
-// reloadOptions applies the operator's log settings and tenant weights. Other keywords need a restart, and a faulty file changes nothing.
+// reloadOptions applies log settings and tenant weights; run applies the addresses of election-peer. Other changed keywords need a restart
+// and are logged. An invalid file changes nothing.
 func (r *reloader) reloadOptions() {
 	if r.options.Path == "" {
 		return
 	}
 	next, err := options.Read(r.options.Path)
 	if err != nil {
-		slog.Error("options not reloaded: the old stays in force", "err", err)
+		slog.Error("options not reloaded: the old ones stay in force", "err", err)
 		return
 	}
 	setLogger(next.Log)
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	// reservedDescriptors are those that are not for connections to clients and endpoints: the listener, gossip, discovery, the rollout
-	// controller, the log and what the runtime holds, with some to spare.
+	// reservedDescriptors is the number of file descriptors that are not available for connections to clients and endpoints. The
+	// listener, gossip, discovery, the rollout controller, the log and the runtime need some of them, and some are spare.
 	reservedDescriptors = 32
 
-	// requestIDShift leaves 52 bits of the random number at which request IDs begin.
+	// requestIDShift reduces the random number at which request IDs begin to 52 bits.
 	requestIDShift = 12
 )
 
-// agentProcess is an agent with all its parts.
+// agentProcess holds an agent's configuration and its parts.
 type agentProcess struct {
 	file     *config.File
 	options  *options.Options
@@ -44,13 +44,13 @@
 	gossip      *gossip.Messenger
 	proxy       *proxy.Proxy
 	admission   *proxy.AdmissionLoop // nil: admission control is off
-	coordinator *coordinatorWiring   // nil: this agent's votes stand for itself alone
+	coordinator *coordinatorWiring   // nil: this agent votes only for itself
 }
 
-// serve runs an agent until it is told to end, and drains it.
+// serve runs an agent until SIGTERM or an interrupt, and then drains it.
 func serve(optionsPath string) error {
 	hangup := make(chan os.Signal, 1)
-	signal.Notify(hangup, syscall.SIGHUP) // first of all: a SIGHUP that is not caught ends the process
+	signal.Notify(hangup, syscall.SIGHUP) // before anything else, because a SIGHUP that is not caught ends the process
 	opts, err := readOptions(optionsPath)
 	if err != nil {
 		return err
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// newAgentProcess reads the configuration and builds an agent of it, which start starts.
+// newAgentProcess reads the configuration and builds the parts of an agent. They run only after start.
 func newAgentProcess(opts *options.Options) (*agentProcess, error) {
 	file, err := config.Load(os.Getenv)
 	if err != nil {
@@ -185,12 +185,12 @@
 	}
 }
 
-// firstRequestID is the number at which an agent's request IDs begin.
+// firstRequestID returns the random number, derived from seed, at which an agent's request IDs begin.
 func firstRequestID(seed uint64) uint64 {
 	return rand.New(rand.NewSource(int64(seed))).Uint64() >> requestIDShift
 }
 
-// start starts the agent's parts, which run until ctx ends, and opens its address to clients.
+// start starts the agent's parts, which run until ctx ends, and listens for clients.
 func (p *agentProcess) start(ctx context.Context) error {
 	if err := p.discovery.PublishInitial(p.file.Endpoints); err != nil {
 		return err
@@ -204,7 +204,7 @@
 		}
 	}
 	go p.loop.Serve(ctx, p.pool, p.rollout.Vote, p.gossip.SendCommand)
-	p.loop.Flush(ctx) // no request before the configured endpoint list and rollout update
+	p.loop.Flush(ctx) // the configured endpoint list and rollout update must be handled before the first request
 	go p.discovery.Serve(ctx)
 	go p.rollout.Serve(ctx)
 	go p.gossip.Serve(ctx)
--- a/cmd/switchfork/settings.go
+++ b/cmd/switchfork/settings.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// heapShare is the part of the agent's memory that the garbage collector's limit gets; the rest is for stacks, buffers and the
-	// program.
+	// heapShare is the garbage collector's memory limit, as a fraction of the agent's memory limit. The rest is left for stacks, buffers
+	// and the program itself.
 	heapShare = 0.7
-	// gcPercent lets garbage grow to several times the live data, which is a few MB, before collecting it is worth the time.
+	// gcPercent lets garbage grow to several times the live data before a collection. The live data is only a few MB, so earlier
+	// collections would not be worth their time.
 	gcPercent = 400
 )
 
-// deploymentSettings are the values of the configuration from which an agent is built.
+// deploymentSettings holds the values of the configuration from which an agent is built.
 type deploymentSettings struct {
 	identity        config.Identity
 	limits          config.ResourceLimits
@@ -30,7 +31,8 @@
 	connections     config.Connections
 }
 
-// readSettings reads the configuration's values, and checks them all.
+// readSettings reads the values of the configuration. It returns the first error in the file's top-level keys; errors in the
+// deployment's settings are returned by NewRouter.
 func readSettings(file *config.File) (deploymentSettings, error) {
 	settings := deploymentSettings{
 		identity:        file.Identity(),
@@ -47,7 +49,7 @@
 	return settings, file.Err()
 }
 
-// setRuntimeLimits fits the Go runtime to what the agent may use.
+// setRuntimeLimits limits the Go runtime to the resources that the agent may use.
 func setRuntimeLimits(limits config.ResourceLimits) {
 	const bytesPerMB = 1 << 20
 	runtime.GOMAXPROCS(int(max(1, math.Ceil(limits.Cores))))
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -10,8 +10,8 @@
 	"switchfork/internal/simprotocol"
 )
 
-// gcPercent lets the heap grow further than by default before a collection: most of it is the instances' endpoint lists
-// and hash rings, which live as long as the process.
+// gcPercent lets the heap grow further before a collection than by default. Most of the heap holds the instances' endpoint
+// lists and hash rings, which live as long as the process.
 const gcPercent = 400
 
 func main() {
