--- a/deploy/known_red_test.go
+++ b/deploy/known_red_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// Each entry of the list of known failures has a test that stands, a command, what was seen and an issue, and names no test twice. The
-// samples name tests of this package, so that a test renamed elsewhere does not change them.
+// .ci/known-red accepts a list only if each entry holds an existing test, a command, what was seen and an issue, and if no test is listed
+// twice. The entries of this test name tests of this package, so that renames in other packages do not affect them.
 func TestKnownRed(t *testing.T) {
 	const (
 		first  = "TestKnownRed ;; go test -run 'A|B' ./deploy; echo a, b ;; a fault in the answer ;; 43\n"
 		second = "TestKnownRedInForce ;; go test ./deploy ;; a third ;; 45\n"
 		soak   = "TestAgentLinksCLibrary/seed_7.1/late ;; go test ./deploy ;; a fourth ;; 46\n"
-		failed = "!" // in place of a pattern
+		failed = "!" // expected in place of a pattern if the script must fail
 	)
 	for _, c := range []struct{ list, pattern, stderr string }{
 		{"", "", ""},
@@ -49,19 +49,19 @@
 		err := cmd.Run()
 		pattern := strings.TrimSpace(stdout.String())
 		if shouldFail := c.pattern == failed; (err != nil) != shouldFail || err == nil && pattern != c.pattern {
-			t.Errorf("%q: %v, pattern %q, want %q", c.list, err, pattern, c.pattern)
+			t.Errorf("%q: got error %v, pattern %q, want %q", c.list, err, pattern, c.pattern)
 		}
 		if !strings.Contains(stderr.String(), c.stderr) {
-			t.Errorf("%q: standard error is %q, want %q", c.list, stderr.String(), c.stderr)
+			t.Errorf("%q: got standard error %q, want it to contain %q", c.list, stderr.String(), c.stderr)
 		}
 	}
 }
 
-// The list that is in force is valid.
+// The project's list of known failures is valid.
 func TestKnownRedInForce(t *testing.T) {
 	cmd := exec.CommandContext(t.Context(), "bash", ".ci/known-red")
 	cmd.Dir = ".."
 	if out, err := cmd.CombinedOutput(); err != nil {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf(".ci/known-red failed: %v: %s", err, out)
 	}
 }
--- a/deploy/linking_test.go
+++ b/deploy/linking_test.go
@@ -1,5 +1,5 @@
-// Package deploy holds the files by which the platform builds and starts the agent. Its tests check the program that they build,
-// and the list of known failures that CI uses.
+// Package deploy holds the files with which the platform builds and starts the agent. Its tests check the program that is built from
+// them, and CI's list of known test failures with the script that reads it.
 package deploy
 
 import (
@@ -14,29 +14,29 @@
 	"testing"
 )
 
-// checkDynamicLinking returns an error unless a program is linked against the C library at run time. The platform replaces calls
-// of that library by its own; a statically linked program would run and bypass them.
+// checkDynamicLinking returns an error unless a program is linked dynamically against the C library. The platform replaces functions of
+// that library by its own. A statically linked program would run, but would bypass them.
 func checkDynamicLinking(path string) error {
 	program, err := elf.Open(path)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	defer func() { _ = program.Close() }() // it was only read
+	defer func() { _ = program.Close() }() // the file was only read
 	isInterpreter := func(segment *elf.Prog) bool { return segment.Type == elf.PT_INTERP }
 	if !slices.ContainsFunc(program.Progs, isInterpreter) {
-		return fmt.Errorf("%s has no interpreter: it is linked statically; the build needs cgo on and -ldflags=-linkmode=external", path)
+		return fmt.Errorf("%s has no interpreter, so it is linked statically; expected a build with CGO_ENABLED=1 and -ldflags=-linkmode=external", path)
 	}
 	libraries, err := program.ImportedLibraries()
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	if !slices.ContainsFunc(libraries, func(name string) bool { return strings.HasPrefix(name, "libc.so") }) {
-		return fmt.Errorf("%s does not need the C library, only %q", path, libraries)
+		return fmt.Errorf("%s is not linked against the C library, only against %q", path, libraries)
 	}
 	return nil
 }
 
-// buildCommand returns the shell command by which the platform builds the agent.
+// buildCommand returns the shell command with which the platform builds the agent.
 func buildCommand(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("balancer.toml")
@@ -74,6 +74,6 @@
 		t.Fatalf("%v\n%s", err, out)
 	}
 	if err := checkDynamicLinking(filepath.Join(root, "static")); err == nil || !strings.Contains(err.Error(), "interpreter") {
-		t.Fatalf("a static program passes: %v", err)
+		t.Fatalf("static program: got error %v, want a missing interpreter", err)
 	}
 }
