--- a/cmd/switchfork/main.go
+++ b/cmd/switchfork/main.go
@@ -8,7 +8,7 @@
 //   - settings.go and operator_file.go: reading the configuration and the operator's file
 //   - admission.go and coordinator.go: the parts that an operator may enable
 //   - reload.go: what a SIGHUP changes
-//   - drain.go: the end of an agent
+//   - drain.go: the shutdown of an agent
 package main
 
 import (
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -68,7 +68,7 @@
 	return f, nil
 }
 
-// Validate reads every setting that the agent reads when it starts, and returns the first error.
+// Validate reads the settings that the agent reads when it starts, and returns the first error.
 func (f *File) Validate() error {
 	f.Identity()
 	f.ResourceLimits()
--- a/internal/config/key_values.go
+++ b/internal/config/key_values.go
@@ -26,7 +26,7 @@
 	err    error // the first error
 }
 
-// Err returns the first error that an accessor has recorded, as an *Error, or nil if there is none.
+// Err returns the first error that an accessor has recorded, which is an *Error, or nil if there is none.
 func (v *keyValues) Err() error { return v.err }
 
 // recordError records an error unless one was recorded before: later errors are often consequences of the first.
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -4,8 +4,8 @@
 // which all endpoints belong, whatever site the endpoint list assigns to them.
 func (s *Settings) Zones() []string {
 	zones := s.textList(keyZoneNames)
-	if own := s.integer(keyZone); len(zones) > 0 && own >= len(zones) {
-		s.recordError(keyZone, "is %d, expected an index from 0 into %s%s, which names %d zones", own, s.prefix, keyZoneNames, len(zones))
+	if zone := s.integer(keyZone); len(zones) > 0 && zone >= len(zones) {
+		s.recordError(keyZone, "is %d, expected an index from 0 into %s%s, which names %d zones", zone, s.prefix, keyZoneNames, len(zones))
 	}
 	return zones
 }
--- a/internal/options/options.go
+++ b/internal/options/options.go
@@ -22,7 +22,7 @@
 	Renamed     []RenamedKeyword // the old keywords in the file, in the order of its lines
 }
 
-// Log is the lowest level of log messages that are written, and their format.
+// Log configures the agent's log: the lowest level of messages that are written, and their format.
 type Log struct{ Level, Format string }
 
 // Admission configures how admission control shares the agent's capacity among tenants and clients.
