--- a/internal/cluster/coordinator/traffic_stop.go
+++ b/internal/cluster/coordinator/traffic_stop.go
@@ -42,7 +42,7 @@
 // stop sets the traffic cap of a build under evaluation to zero.
 func (s *trafficStop) stop(d election.Decision) {
 	if s.stopped == nil {
-		slog.Warn("requests to the build stopped: no leader known", "build", d.Build, "stage", d.Stage)
+		slog.Warn("sending to the build stopped: no leader known", "build", d.Build, "stage", d.Stage)
 	}
 	s.stopped = &d
 	s.updatePolicy(policy.RolloutUpdate{
