--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -1,6 +1,6 @@
-// Package protocol reads and writes what an agent exchanges with clients, endpoints, discovery and the rollout controller: requests and
-// responses, load reports, the endpoint list, rollout updates and votes.
+// Package protocol encodes and decodes the messages that an agent exchanges with clients, endpoints, discovery and the rollout controller:
+// requests and responses, load reports, the endpoint list, rollout updates and votes.
 //
-// It holds no connection and no state beyond a ListReader's, which belongs to its one reader. All other functions may be called by any
-// goroutine.
+// The package opens no connections. Its only state is in ListReader, which is not safe for concurrent use. All other functions may be
+// called from any goroutine.
 package protocol
--- a/internal/protocol/limits.go
+++ b/internal/protocol/limits.go
@@ -5,17 +5,18 @@
 	"io"
 )
 
-// BodyLimit is the longest body that the protocol allows, in bytes.
+// BodyLimit is the maximum length of a request's or response's body, in bytes.
 const BodyLimit = 64 << 10
 
-// HeadLimit is the longest head of a request or response, in bytes. It holds any head of the protocol many times over; hundreds of endless ones
-// have to fit into the smallest memory limit.
+// HeadLimit is the maximum length of a request's or response's head, in bytes. It is many times the length of any valid head. It is low
+// because hundreds of connections that send an endless head at once have to fit into the smallest memory limit.
 const HeadLimit = 8 << 10
 
-// ErrBodyTooLong says that a body is longer than BodyLimit. Its text is the body of the response to such a request.
+// ErrBodyTooLong reports that a body is longer than BodyLimit. Its text is sent to the client as the body of the error response.
 var ErrBodyTooLong = errors.New("body is over 64 KiB")
 
-// ReadBody reads a complete body, or returns ErrBodyTooLong. The length is the announced one; -1 where it is not known.
+// ReadBody reads a complete body. It returns ErrBodyTooLong if the body is longer than BodyLimit. length is the value of the
+// Content-Length header, or -1 if it is not known.
 func ReadBody(r io.Reader, length int64) ([]byte, error) {
 	if r == nil || length == 0 {
 		return nil, nil
--- a/internal/protocol/list.go
+++ b/internal/protocol/list.go
@@ -9,52 +9,52 @@
 	"switchfork/internal/policy"
 )
 
-// maxStartedAtMs bounds the start times of endpoints, in milliseconds since the Unix epoch.
+// maxStartedAtMs is the exclusive upper limit of an endpoint's start time, in milliseconds since the Unix epoch.
 const maxStartedAtMs = 1e15
 
 const microsPerMilli = 1000
 
-// List is a document of discovery: the full endpoint list, or the entries that have changed.
+// List is a list received from discovery. It holds all endpoints, or only those whose entries have changed.
 type List struct {
 	Version uint64      `json:"seq"`
 	IsFull  bool        `json:"whole"`
 	Entries []ListEntry `json:"hosts"`
 }
 
-// ListEntry is one endpoint of a list.
+// ListEntry is the description of one endpoint in a list.
 type ListEntry struct {
-	Host        string  `json:"host"` // its name
-	Address     string  `json:"dial"` // to connect to
+	Host        string  `json:"host"` // the endpoint's name
+	Address     string  `json:"dial"` // host:port to connect to
 	Zone        string  `json:"site"`
 	Cell        int     `json:"block"`
 	Health      string  `json:"health"`
 	Weight      float64 `json:"share"`
-	StartedAtMs float64 `json:"born_ms"` // when its process has started, in milliseconds since the Unix epoch
+	StartedAtMs float64 `json:"born_ms"` // start time of the endpoint's process, in milliseconds since the Unix epoch
 	Build       int     `json:"build"`
 }
 
-// HealthActive is the health of an endpoint that takes new attempts.
+// HealthActive is the health of an endpoint that accepts new attempts.
 const HealthActive = "active"
 
-// ReadList decodes a list. Its errors are those of encoding/json: callers say where the list came from.
+// ReadList decodes a list. It returns errors of encoding/json as they are; the caller adds where the list came from.
 func ReadList(raw []byte) (List, error) {
 	var list List
 	err := json.Unmarshal(raw, &list)
 	return list, err
 }
 
-// errNoHost is the error of a list entry that can't be told from others.
+// errNoHost reports a list entry without a host name, which can't be identified.
 var errNoHost = errors.New("list entry has no host")
 
-// endpointStates has the policy's state for each health that discovery knows.
+// endpointStates maps the health that discovery reports to the policy's endpoint state.
 var endpointStates = map[string]policy.EndpointState{
 	HealthActive: policy.Ready,
 	"leaving":    policy.Draining,
 	"left":       policy.Gone,
 }
 
-// Endpoint converts an entry to the policy's form, without the endpoint's number. Where zones are configured, it has to be in one of
-// them.
+// Endpoint converts an entry to a policy.Endpoint, without setting its ID. If zones are configured, an endpoint that is not gone has to be
+// in one of them.
 func (e ListEntry) Endpoint(zones []string) (policy.Endpoint, error) {
 	state, isKnown := endpointStates[e.Health]
 	zone := slices.Index(zones, e.Zone)
@@ -80,7 +80,8 @@
 	}, nil
 }
 
-// Merge returns the list with a later one applied to it.
+// Merge returns the result of applying a later list to l. A full list replaces l. A list of changes replaces the entries of the hosts that
+// it names.
 func (l List) Merge(later List) List {
 	if later.IsFull {
 		return later
--- a/internal/protocol/list_reader.go
+++ b/internal/protocol/list_reader.go
@@ -6,27 +6,28 @@
 )
 
 var (
-	// ErrListCutOff says that a list ended before its brackets were closed.
+	// ErrListCutOff reports that a list ended before its brackets were closed.
 	ErrListCutOff = errors.New("list ended before its brackets were closed")
-	// ErrListTooLong says that a list is longer than its reader allows.
+	// ErrListTooLong reports that a list is longer than the limit passed to ListReader.Add.
 	ErrListTooLong = errors.New("list is over the limit")
 )
 
-// ListReader puts together lists that may be indented over several lines. A list is complete when its brackets are closed; a JSON string
-// never goes on in the next line.
+// ListReader assembles JSON lists from lines. A list may be indented and span several lines. It is complete when all its brackets are
+// closed. A JSON string can't span lines, so a line that ends within a string completes a document too, which then fails to decode.
 type ListReader struct {
-	document []byte // the lines so far
-	depth    int    // brackets that are open
+	document []byte // the lines of the incomplete list
+	depth    int    // number of brackets that are open
 }
 
-// Add takes a line. It returns the document that the line completes, or nil while more has to come. An empty line is a keep-alive, which
-// is never sent within a list: one that has begun will not be completed. limit bounds a document's length.
+// Add adds a line. It returns the document that the line completes, or nil if more lines are needed. An empty line is a keep-alive. It is
+// never sent within a list, so after it an incomplete list can't be completed and Add returns ErrListCutOff. limit is the maximum length of
+// a document in bytes.
 func (r *ListReader) Add(line []byte, limit int) (document []byte, err error) {
 	if len(line) == 0 {
 		return nil, r.End()
 	}
 	if len(r.document) > 0 && isCompleteList(line) {
-		return nil, ErrListCutOff // the list before lacks its end
+		return nil, ErrListCutOff // the previous list was not completed
 	}
 	endsInString := r.countBrackets(line)
 	if len(r.document)+len(line) > limit {
@@ -40,7 +41,7 @@
 	return document, nil
 }
 
-// End returns ErrListCutOff where a list has begun and is not complete.
+// End returns ErrListCutOff if a list has begun and is not complete. It is called at the end of the input.
 func (r *ListReader) End() error {
 	if len(r.document) > 0 {
 		return ErrListCutOff
@@ -48,13 +49,13 @@
 	return nil
 }
 
-// isCompleteList tells whether a line is a list of its own.
+// isCompleteList reports whether a line by itself is a complete list.
 func isCompleteList(line []byte) bool {
 	list, err := ReadList(line)
 	return err == nil && list.Version > 0
 }
 
-// countBrackets counts a line's brackets outside of strings, and tells whether the line ends within a string.
+// countBrackets updates the depth by the brackets of a line that are outside of strings. It reports whether the line ends within a string.
 func (r *ListReader) countBrackets(line []byte) (endsInString bool) {
 	inString, isEscaped := false, false
 	for _, c := range line {
--- a/internal/protocol/list_reader_test.go
+++ b/internal/protocol/list_reader_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// Brackets within strings do not count, and a single line that is no list is returned as it came.
+// Brackets within strings are not counted. A single line that is not a list is returned unchanged.
 func TestListReader(t *testing.T) {
 	for _, c := range []struct {
-		lines string // with / between
-		want  string // the documents that come, with / between; ! for an error
+		lines string // input lines, separated by /
+		want  string // expected documents, separated by /; ! for an error
 	}{
 		{`{"a":"}"}`, `{"a":"}"}`},
 		{`{/ "a":"\"}{"/}/`, `{ "a":"\"}{"}/`},
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -6,6 +6,6 @@
 	Status      int
 	ContentType string
 	Body        []byte
-	Load        []float32 // the load report that came with it; nil: none
-	IsLast      bool      // the connection can't be used after it
+	Load        []float32 // values of the load report that came with the response; nil if there was none
+	IsLast      bool      // the connection can't be reused after this response
 }
--- a/internal/protocol/result.go
+++ b/internal/protocol/result.go
@@ -2,24 +2,24 @@
 
 import "switchfork/internal/policy"
 
-// Result is how an attempt, a health check or a call ended.
+// Result is the result of an attempt, a health check or a call to the rollout controller.
 type Result int
 
 // The results.
 const (
 	Succeeded         Result = iota // a complete response with status 200
-	ServerError                     // a response that is none of the others
-	ClientError                     // a response that says that the request itself is wrong
-	NotRun                          // a response that says that the request did not run
+	ServerError                     // a complete response that is not Succeeded, ClientError or NotRun
+	ClientError                     // a response that says that the request itself is invalid
+	NotRun                          // a response that says that the request was not run
 	ConnectionRefused               // the connection was refused
-	ConnectTimeout                  // the connection did not come up within its timeout
-	LostBeforeSent                  // the connection was lost before the last byte was written
-	LostAfterSent                   // the connection was lost after that
-	TimedOut                        // no response came within the timeout
-	Cancelled                       // the policy cancelled it
-	Malformed                       // what came is no response of the protocol
-	NotSent                         // the agent had no time or no descriptor left for it
-	Stale                           // the call names a state that is no longer current
+	ConnectTimeout                  // the connection was not established within its timeout
+	LostBeforeSent                  // the connection was lost before the last byte of the request was written
+	LostAfterSent                   // the connection was lost after the last byte of the request was written
+	TimedOut                        // no response arrived within the timeout
+	Cancelled                       // the policy cancelled the attempt
+	Malformed                       // the response does not follow the protocol
+	NotSent                         // the agent sent nothing, because it had no time or no file descriptor left
+	Stale                           // the call refers to a state that is no longer current
 	resultCount                     // the number of results
 )
 
@@ -30,7 +30,7 @@
 }{
 	Succeeded:         {policy.OK, "succeeded"},
 	ServerError:       {policy.ServerError, "server error"},
-	ClientError:       {policy.NotAttempted, "client error"}, // final, and the client's own fault: no sign of the endpoint's state
+	ClientError:       {policy.NotAttempted, "client error"}, // final, and caused by the client, so it says nothing about the endpoint's health
 	NotRun:            {policy.Rejected, "not run"},
 	ConnectionRefused: {policy.ConnectFailed, "connection refused"},
 	ConnectTimeout:    {policy.ConnectFailed, "connect timeout"},
@@ -43,8 +43,8 @@
 	Stale:             {policy.NotAttempted, "stale"},
 }
 
-// Outcome is what the result is to the policy.
+// Outcome returns the policy's outcome for the result.
 func (r Result) Outcome() policy.Outcome { return results[r].outcome }
 
-// String is the result's name in the log.
+// String returns the result's name as it is logged.
 func (r Result) String() string { return results[r].name }
--- a/internal/protocol/rollout.go
+++ b/internal/protocol/rollout.go
@@ -10,10 +10,10 @@
 	"switchfork/internal/policy"
 )
 
-// maxAgeMs bounds the age of a rollout update, in milliseconds.
+// maxAgeMs is the exclusive upper limit of a rollout update's age, in milliseconds.
 const maxAgeMs = 1e12
 
-// rolloutStatus is the state of the newest build's rollout, in any of the three forms that the rollout controller writes.
+// rolloutStatus is the state of the newest build's rollout. The rollout controller sends it as JSON, as XML or as a URL-encoded form.
 type rolloutStatus struct {
 	Build int     `json:"image" xml:"image"`
 	Stage int     `json:"ring" xml:"ring"`
@@ -22,7 +22,7 @@
 	AgeMs float64 `json:"lag_ms" xml:"lag_ms"`
 }
 
-// phases has the policy's phase for each phase that the rollout controller knows.
+// phases maps the rollout controller's name of a phase to the policy's phase.
 var phases = map[string]policy.Phase{
 	"testing":   policy.Evaluating,
 	"recalling": policy.RollingBack,
@@ -30,12 +30,12 @@
 	"recalled":  policy.RolledBack,
 }
 
-// String has the rollout controller's names of the fields, by which an operator finds them.
+// String formats the status with the rollout controller's field names, which are the names that operators know.
 func (s rolloutStatus) String() string {
 	return fmt.Sprintf("{Image:%d Ring:%d Progress:%s Ceiling:%v LagMs:%v}", s.Build, s.Stage, s.Phase, s.Cap, s.AgeMs)
 }
 
-// update converts a status to the policy's form.
+// update converts a status to a policy.RolloutUpdate. It returns an error if a field is out of range.
 func (s rolloutStatus) update() (policy.RolloutUpdate, error) {
 	phase, isKnown := phases[s.Phase]
 	hasValidBuild := s.Build >= 0 && s.Stage >= 0
@@ -54,7 +54,8 @@
 	}, nil
 }
 
-// ReadRolloutJSON reads a rollout update in JSON. Its errors of malformed JSON are those of encoding/json: callers say where it came from.
+// ReadRolloutJSON decodes a rollout update from JSON. For malformed JSON it returns the error of encoding/json as it is; the caller adds
+// where the JSON came from.
 func ReadRolloutJSON(raw []byte) (policy.RolloutUpdate, error) {
 	var status rolloutStatus
 	if err := json.Unmarshal(raw, &status); err != nil {
@@ -63,7 +64,7 @@
 	return status.update()
 }
 
-// ReadRolloutForm reads a rollout update from an event's data line, which is a URL-encoded form.
+// ReadRolloutForm decodes a rollout update from the data of an event, which is a URL-encoded form.
 func ReadRolloutForm(data string) (policy.RolloutUpdate, error) {
 	form, err := url.ParseQuery(data)
 	if err != nil {
@@ -81,7 +82,7 @@
 	return status.update()
 }
 
-// parseField parses one field of a form. Its error names the field.
+// parseField parses one field of a form. The error it returns names the field.
 func parseField[T any](form url.Values, name string, parse func(string) (T, error)) (T, error) {
 	value, err := parse(form.Get(name))
 	if err != nil {
--- a/internal/protocol/vote.go
+++ b/internal/protocol/vote.go
@@ -9,7 +9,7 @@
 	"switchfork/internal/policy"
 )
 
-// verdictNames are the rollout controller's names of the policy's verdicts.
+// verdictNames holds the rollout controller's name of each verdict.
 var verdictNames = []string{
 	policy.NoVote:   "clear",
 	policy.Advance:  "approve",
@@ -19,32 +19,33 @@
 
 // The rollout controller's error codes.
 const (
-	codeThrottling      = "Throttling"      // the vote was not read
+	codeThrottling      = "Throttling"      // the vote was not processed
 	codeConditionFailed = "ConditionFailed" // the build is no longer at that stage
 	codeValidationError = "ValidationError"
 )
 
-// voteReply is the rollout controller's reply to a vote that counts.
+// voteReply is the rollout controller's reply to an accepted vote.
 type voteReply struct {
 	Statuses []rolloutStatus `xml:"groups>item"`
 }
 
-// voteError is its reply to one that does not. The error is the document's root, or inside of it.
+// voteError is the rollout controller's reply to a vote that it did not accept. The Error element is the root of the document or a child of
+// the root.
 type voteError struct {
 	RootCode   string `xml:"Code"`
 	NestedCode string `xml:"Error>Code"`
 }
 
-// VerdictName is the rollout controller's name of a verdict.
+// VerdictName returns the rollout controller's name of a verdict.
 func VerdictName(verdict policy.Verdict) string { return verdictNames[verdict] }
 
-// EncodeVote is the body of a call that casts a vote.
+// EncodeVote returns the request body of a call that casts a vote.
 func EncodeVote(vote policy.Vote) string {
 	return fmt.Sprintf("Action=RecordOpinion&image=%d&ring=%d&opinion=%s", vote.Build, vote.Stage, VerdictName(vote.Verdict))
 }
 
-// ReadVoteReply tells how a vote ended and, if it counts, the state of the rollout. A reply that can't be read is TimedOut: the vote may
-// count.
+// ReadVoteReply returns the result of a vote and, if the vote was accepted, the state of the rollout. A reply that can't be parsed is
+// TimedOut, because the vote may have been accepted.
 func ReadVoteReply(status int, raw []byte) (Result, policy.RolloutUpdate) {
 	switch status {
 	case http.StatusOK:
