--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -2,14 +2,14 @@
 
 import "switchfork/internal/policy"
 
-// endpointEntryBytes is the length of one endpoint in a list.
+// endpointEntryBytes is the encoded length of one endpoint in a list, in bytes.
 const endpointEntryBytes = 25
 
-// endpointLists are the lists that a batch sends ahead of the updates that name them, by their number.
+// endpointLists holds endpoint lists by number. The simulator sends a list before the endpoint updates that refer to it by its number.
 type endpointLists map[int][]policy.Endpoint
 
-// decodeEvent reads an event's fields, those after the instance's number. The fields stand in the protocol's order,
-// which the decoders below have to keep.
+// decodeEvent decodes the fields of an event that follow the instance number. This function and the functions below have
+// to read the fields in the order that the protocol defines.
 func decodeEvent(kind eventKind, r *reader, lists endpointLists) (policy.Event, error) {
 	var event policy.Event
 	switch kind {
@@ -40,7 +40,7 @@
 		}
 	case kindErrorReport:
 		event = policy.ErrorReport{Class: r.u16(), Age: r.micros("LatenessMs"), EndpointID: r.u32()}
-	case kindInstanceStarted, kindInstanceStopped, kindEndpointList: // the host handles these itself
+	case kindInstanceStarted, kindInstanceStopped, kindEndpointList: // handled by Host.handleRecord
 	}
 	return event, r.err
 }
@@ -50,9 +50,9 @@
 	r.u64() // not used by the policy
 	number := r.u8()
 	endpoints, isKnown := lists[number]
-	isComplete := kind == updateFailed || kind < updateFailed && isKnown
-	if !isComplete {
-		r.fail("endpoint update of kind %d names list %d", kind, number)
+	isValid := kind == updateFailed || kind < updateFailed && isKnown
+	if !isValid {
+		r.fail("endpoint update of kind %d names list %d, want a known kind and a known list", kind, number)
 	}
 	if kind == updateFailed {
 		return policy.EndpointUpdate{Failed: true}
@@ -105,13 +105,13 @@
 func decodePhase(r *reader) policy.Phase {
 	code := r.u8()
 	if code >= len(phasesByCode) {
-		r.fail("phase %d of a build is not known", code)
+		r.fail("unknown rollout phase code %d", code)
 		return policy.Evaluating
 	}
 	return phasesByCode[code]
 }
 
-// decodeEndpointList reads a list's number and its endpoints.
+// decodeEndpointList decodes the number of a list and its endpoints.
 func decodeEndpointList(r *reader) (number int, endpoints []policy.Endpoint, err error) {
 	number = r.u8()
 	count := int(r.u32())
@@ -136,7 +136,7 @@
 		State: policy.EndpointState(r.u8()),
 	}
 	if endpoint.State > policy.Draining {
-		r.fail("endpoint %d has state %d", endpoint.ID, endpoint.State)
+		r.fail("endpoint %d has unknown state code %d", endpoint.ID, endpoint.State)
 	}
 	r.u8() // not used by the policy
 	endpoint.Cell = r.u16()
--- a/internal/simprotocol/doc.go
+++ b/internal/simprotocol/doc.go
@@ -1,10 +1,10 @@
-// Package simprotocol speaks the simulator's binary protocol, so that the simulator can run many instances of the
-// agent's policy in one process. It translates records into policy events and commands back into records; it decides
-// nothing.
+// Package simprotocol implements the simulator's binary protocol, with which the simulator runs many instances of the
+// agent's policy in one process. It translates records into policy events, and policy commands into records. It makes no
+// decisions of its own.
 //
-// A batch is a little-endian frame: its length, the number of its records, the clock, and the records, each with a
-// kind, a length and a body. Every batch is answered by one frame of command records. Times are milliseconds in 64-bit
-// floats on the wire and whole microseconds in the policy.
+// A batch is a little-endian frame. It holds its own length, the number of records, the simulated time, and the records.
+// Each record has a kind, a length and a body. The reply to a batch is one frame of command records. Times are
+// milliseconds as 64-bit floats on the wire, and whole microseconds in the policy.
 //
-// A Host owns its instances and is used by one goroutine.
+// A Host owns its instances. It is not safe for concurrent use.
 package simprotocol
--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -6,7 +6,7 @@
 	"switchfork/internal/policy"
 )
 
-// watchChanges is the form of a watch that asks for all changes from now on, the only one that the policy uses.
+// watchChanges is the code of a watch that asks for all changes from now on. The policy uses no other kind of watch.
 const watchChanges = 1
 
 func encodeCommand(w *writer, instance int, command policy.Command) {
--- a/internal/simprotocol/frame.go
+++ b/internal/simprotocol/frame.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	frameHeaderBytes = 4       // the frame's length, itself included
-	minFrameBytes    = 16      // the header, the number of records and the clock
-	maxFrameBytes    = 1 << 30 // a length above this is a broken frame, not a batch
+	frameHeaderBytes = 4       // the length field, whose value includes these bytes
+	minFrameBytes    = 16      // the length, the number of records and the time
+	maxFrameBytes    = 1 << 30 // a frame with a greater length is corrupt
 )
 
 var byteOrder = binary.LittleEndian
@@ -18,7 +18,8 @@
 // errEndOfInput reports that the input ended between two frames.
 var errEndOfInput = errors.New("end of input")
 
-// readFrame returns the body of the next frame, after its length.
+// readFrame reads the next frame and returns what follows its length field. It returns errEndOfInput if there is no further
+// frame.
 func readFrame(in io.Reader) ([]byte, error) {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -10,7 +10,7 @@
 	"switchfork/internal/policy"
 )
 
-// recordingRouter records the events that it is given, and answers each with every command.
+// recordingRouter records the events that it receives, and answers each event with one command of every type.
 type recordingRouter struct{ events []policy.Event }
 
 func (r *recordingRouter) Handle(_ policy.Micros, ev policy.Event) []policy.Command {
@@ -29,7 +29,7 @@
 	}
 }
 
-// formatValues prints an event without the names of its type and fields.
+// formatValues formats an event without the names of its type and fields.
 func formatValues(v reflect.Value) string {
 	if v.Kind() == reflect.Struct {
 		var parts []string
@@ -54,7 +54,7 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// TestGoldenMessages compares every event and command with the recorded bytes of the protocol.
+// TestGoldenMessages compares the decoded events and the encoded commands of every kind with the golden file.
 func TestGoldenMessages(t *testing.T) {
 	router := &recordingRouter{}
 	host := NewHost()
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -12,16 +12,16 @@
 
 const (
 	readBufferBytes      = 1 << 16
-	maxPanicMessageBytes = 2000 // of a panic's message that is reported
+	maxPanicMessageBytes = 2000 // a longer panic message is truncated
 )
 
-// Host runs the instances of one process. They share nothing but the connection to the simulator.
+// Host runs the policy instances of one process. They share only the connection to the simulator and the endpoint lists.
 type Host struct {
-	routers       map[int]policy.Router // by instance
+	routers       map[int]policy.Router // by instance number
 	endpointLists endpointLists
 }
 
-// NewHost returns a host without instances; the simulator starts them.
+// NewHost returns a host without instances. The simulator starts instances with records of their own.
 func NewHost() *Host {
 	return &Host{routers: map[int]policy.Router{}, endpointLists: endpointLists{}}
 }
@@ -51,7 +51,7 @@
 	}
 }
 
-// handleBatch handles a batch's records in their order and returns the frame of the commands that answer them.
+// handleBatch handles the records of a batch in order and returns a frame with the resulting commands.
 func (h *Host) handleBatch(body []byte) ([]byte, error) {
 	r := &reader{buf: body}
 	count := int(r.u32())
@@ -72,14 +72,14 @@
 		return nil, r.err
 	}
 	if len(r.buf) > 0 {
-		return nil, fmt.Errorf("batch: %d bytes are left after its %d records", len(r.buf), count)
+		return nil, fmt.Errorf("batch has %d bytes after its %d records, want none", len(r.buf), count)
 	}
 	return w.frame(), nil
 }
 
 func (h *Host) handleRecord(now policy.Micros, kind eventKind, r *reader, w *writer) error {
 	if kind > lastKnownKind {
-		return nil // an event of a later version of the protocol
+		return nil // skip an event that a later version of the protocol added
 	}
 	if kind == kindEndpointList {
 		return h.storeEndpointList(r)
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// handleEvent writes the commands with which the router answers an event. If the router panics, one record that reports
-// the panic takes their place, and the other instances go on.
+// handleEvent passes an event to a router and writes the commands that the router returns. If the router panics, it writes
+// one record that reports the panic instead, and the other instances keep running.
 func handleEvent(router policy.Router, now policy.Micros, event policy.Event, instance int, w *writer) {
 	start := len(w.buf)
 	defer func() {
--- a/internal/simprotocol/host_test.go
+++ b/internal/simprotocol/host_test.go
@@ -67,10 +67,10 @@
 		t.Fatal(err)
 	}
 	if !strings.HasPrefix(got, "04000000") {
-		t.Errorf("an empty batch was answered %.8s", got)
+		t.Errorf("reply to an empty batch begins with %.8s, want 04000000", got)
 	}
 	if want := "0a160000000300c4913a5d71660c00"; !strings.Contains(got, want) {
-		t.Errorf("no attempt of the request in %s", got)
+		t.Errorf("got reply %s, want one that contains an attempt of the request", got)
 	}
 }
 
@@ -93,7 +93,7 @@
 	} {
 		_, err := serve(t, test.in)
 		if err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s: got %v, want an error with %q", name, err, test.want)
+			t.Errorf("%s: got error %v, want one that contains %q", name, err, test.want)
 		}
 	}
 }
--- a/internal/simprotocol/kinds.go
+++ b/internal/simprotocol/kinds.go
@@ -5,7 +5,7 @@
 // eventKind is the first byte of a record that the simulator sends.
 type eventKind byte
 
-// commandKind is the first byte of a record that answers one. Commands are numbered apart from events.
+// commandKind is the first byte of a record sent to the simulator. Its numbering is independent of eventKind's.
 type commandKind byte
 
 // The kinds of events.
@@ -28,7 +28,7 @@
 	lastKnownKind = kindEndpointList
 )
 
-// The kinds of commands. Numbers that are missing are not used here.
+// The kinds of commands. The missing numbers are kinds that this package does not send.
 const (
 	kindReject         commandKind = 0
 	kindLogMessage     commandKind = 1
@@ -43,12 +43,12 @@
 	kindFail           commandKind = 12
 )
 
-// Kinds of endpoint updates. The lists of the two full kinds replace all that the instance knew.
+// Kinds of endpoint updates. The list of either full kind replaces all endpoints that the instance knows.
 const (
 	updateChanges    = 0
 	updateFull       = 1
 	updateFullCached = 2
-	updateFailed     = 3 // no list came
+	updateFailed     = 3 // the call to discovery failed, so there is no list
 )
 
 // Flags of an arriving request.
@@ -57,7 +57,7 @@
 	requestIsRetry     = 1 << 1
 )
 
-// outcomesByCode holds the outcomes of attempts, health checks and votes.
+// outcomesByCode maps the protocol's codes to the outcomes of attempts, health checks and votes.
 var outcomesByCode = map[int]policy.Outcome{
 	100: policy.OK,
 	301: policy.ServerError,
--- a/internal/simprotocol/reader.go
+++ b/internal/simprotocol/reader.go
@@ -9,12 +9,12 @@
 
 const (
 	microsPerMilli = 1000
-	maxMillis      = 1e12 // about 31 years
-	maxFieldBytes  = 8    // of a field of fixed length
-	kindUnknown    = -1   // of a position before a record's kind
+	maxMillis      = 1e12 // greatest absolute value of a time, in milliseconds; about 31 years
+	maxFieldBytes  = 8    // length of the longest fixed-length field
+	kindUnknown    = -1   // kind of a position at which the record's kind has not been read yet
 )
 
-// position is a place in a batch; it is formatted only when something is wrong there.
+// position identifies a record in a batch for error messages. It is formatted only if there is an error.
 type position struct{ index, count, kind int }
 
 func (p position) String() string {
@@ -27,21 +27,21 @@
 	return fmt.Sprintf("record %d, code %d", p.index, p.kind)
 }
 
-// reader decodes fields one after the other. It keeps the first error, and returns zero values from then on.
+// reader decodes fields in sequence. It keeps the first error, after which all reads return zero values.
 type reader struct {
 	buf      []byte
 	position position
 	err      error
 }
 
-// fail records an error at the reader's position, unless there is one already.
+// fail records an error at the reader's position, unless the reader already has an error.
 func (r *reader) fail(format string, args ...any) {
 	if r.err == nil {
 		r.err = fmt.Errorf("%s: %s", r.position, fmt.Sprintf(format, args...))
 	}
 }
 
-// take returns the next bytes; after an error zeros, enough for any field of fixed length.
+// take returns the next length bytes. After an error it returns maxFieldBytes zeros, enough for any fixed-length field.
 func (r *reader) take(length int) []byte {
 	if length < 0 || length > len(r.buf) {
 		r.fail("needs %d more bytes, has %d", length, len(r.buf))
@@ -61,7 +61,7 @@
 func (r *reader) f32() float64 { return float64(math.Float32frombits(r.u32())) }
 func (r *reader) f64() float64 { return math.Float64frombits(r.u64()) }
 
-// bytes returns the next bytes without a copy, nil after an error.
+// bytes returns the next length bytes without copying them, or nil after an error.
 func (r *reader) bytes(length int) []byte {
 	field := r.take(length)
 	if r.err != nil {
@@ -70,7 +70,7 @@
 	return field
 }
 
-// floats reads a list of 32-bit floats after its length.
+// floats reads a list of 32-bit floats. The list is preceded by its length, which is one byte.
 func (r *reader) floats() []float32 {
 	count := r.u8()
 	values := make([]float32, 0, 4)
@@ -80,7 +80,8 @@
 	return values
 }
 
-// micros reads milliseconds as whole microseconds; field is the protocol's name for messages.
+// micros reads a time in milliseconds and returns it in whole microseconds. field is the protocol's name of the time, used in
+// error messages.
 func (r *reader) micros(field string) policy.Micros {
 	millis := r.f64()
 	if math.IsNaN(millis) || math.Abs(millis) > maxMillis {
@@ -96,7 +97,7 @@
 	code := r.u16()
 	outcome, ok := outcomesByCode[code]
 	if !ok {
-		r.fail("outcome %d is not known", code)
+		r.fail("unknown outcome code %d", code)
 	}
 	return outcome
 }
--- a/internal/simprotocol/writer.go
+++ b/internal/simprotocol/writer.go
@@ -14,7 +14,7 @@
 // writer encodes a frame of records.
 type writer struct{ buf []byte }
 
-// newFrameWriter leaves room for the frame's length, which frame fills in.
+// newFrameWriter returns a writer that reserves space for the frame's length. The frame method fills the length in.
 func newFrameWriter() *writer {
 	return &writer{buf: make([]byte, frameHeaderBytes, initialReplyBytes)}
 }
@@ -24,7 +24,7 @@
 	return w.buf
 }
 
-// record writes one record of an instance. Its length is filled in when its fields are written.
+// record writes one record of an instance. It fills in the record's length after writeFields has written the fields.
 func (w *writer) record(kind commandKind, instance int, writeFields func()) {
 	w.buf = append(w.buf, byte(kind), 0, 0, 0, 0)
 	start := len(w.buf)
@@ -38,12 +38,12 @@
 func (w *writer) u32(v uint32) { w.buf = byteOrder.AppendUint32(w.buf, v) }
 func (w *writer) u64(v uint64) { w.buf = byteOrder.AppendUint64(w.buf, v) }
 
-// micros writes microseconds as milliseconds.
+// micros writes a time in microseconds as milliseconds.
 func (w *writer) micros(v policy.Micros) {
 	w.u64(math.Float64bits(float64(v) / microsPerMilli))
 }
 
-// bytes writes a length and as many bytes.
+// bytes writes the length of v as a 16-bit number, followed by v.
 func (w *writer) bytes(v []byte) {
 	w.u16(len(v))
 	w.buf = append(w.buf, v...)
