--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -12,33 +12,33 @@
 	"switchfork/internal/streamclient"
 )
 
-// Config is what a Client needs to know of its agent and of discovery.
+// Config holds the settings of a Client.
 type Config struct {
-	Address     string        // of discovery, host:port
-	Zones       []string      // the configured zones; an entry in any other one is skipped. Empty: every zone is taken
-	DialTimeout time.Duration // within which a connection has to come up
-	PollWithin  time.Duration // the configured time in which an agent without a watch should call; 0: not configured
-	AgentCount  int           // the number of agents that call
-	Seed        int64         // of the random delays before calls
+	Address     string        // discovery's address, host:port
+	Zones       []string      // configured zones; list entries in other zones are skipped. If empty, all zones are accepted
+	DialTimeout time.Duration // time limit for establishing a connection
+	PollWithin  time.Duration // time within which an agent without a watch should call discovery; 0 if not configured
+	AgentCount  int           // number of agents that call discovery
+	Seed        int64         // seed of the random delays before calls
 }
 
-// Client keeps the event loop's endpoint list in step with discovery's.
+// Client keeps the event loop's endpoint list up to date with discovery's.
 type Client struct {
-	loop      *agent.Loop
-	mailbox   *mailbox.Mailbox[message]
-	watching  watchConfig
-	publisher *listPublisher
-	address   string   // of the current watcher
-	current   *watcher // whose lists are published
-	// successor is a watcher beside a current one that is silent; nil where there is none. See successor.go.
+	loop          *agent.Loop
+	mailbox       *mailbox.Mailbox[message]
+	watcherConfig watchConfig
+	publisher     *listPublisher
+	address       string   // discovery's address, or the new address while a move is in progress
+	current       *watcher // the watcher whose lists are published
+	// successor is a second watcher at the same address. It runs while the current watcher is silent; nil otherwise. See successor.go.
 	successor *watcher
-	// pending watches the address that is to take the current one's place; nil while there is no move. See move.go.
+	// pending is the watcher at the new address while a move is in progress; nil otherwise. See move.go.
 	pending *watcher
-	// pendingList is what the pending watcher has received. It is published when that watcher becomes the current one.
+	// pendingList is the list that the pending watcher has received. It is published when that watcher becomes the current one.
 	pendingList protocol.List
 }
 
-// NewClient returns a client that gives its endpoint updates to the event loop. It makes no call before Serve.
+// NewClient returns a client that passes endpoint updates to the event loop. The client does not call discovery before Serve.
 func NewClient(loop *agent.Loop, config Config) *Client {
 	c := &Client{
 		loop:      loop,
@@ -46,7 +46,7 @@
 		publisher: newListPublisher(loop, config.Zones),
 		address:   config.Address,
 	}
-	c.watching = watchConfig{
+	c.watcherConfig = watchConfig{
 		httpClient: streamclient.NewHTTPClient(config.DialTimeout, loop.UnreadInput()),
 		countCall:  loop.CountListCall,
 		report:     c.mailbox.Put,
@@ -54,11 +54,11 @@
 		agentCount: config.AgentCount,
 		seed:       config.Seed,
 	}
-	c.current = newWatcher(c.watching, config.Address)
+	c.current = newWatcher(c.watcherConfig, config.Address)
 	return c
 }
 
-// PublishInitial publishes the list that the agent was configured with; raw is empty where there is none. It has to be called before Serve.
+// PublishInitial publishes the list from the agent's configuration; raw is empty if none is configured. It has to be called before Serve.
 func (c *Client) PublishInitial(raw json.RawMessage) error {
 	if len(raw) == 0 {
 		c.current.needsFullList = true
@@ -74,10 +74,10 @@
 	return nil
 }
 
-// Serve handles the mailbox until the context ends.
+// Serve starts the current watcher and handles the messages in the mailbox until the context ends.
 func (c *Client) Serve(ctx context.Context) {
 	c.loop.AddReader(func(barrier agent.Barrier) { c.mailbox.Put(barrierReceived{barrier}) })
-	c.current.delayAsOneOfAll()
+	c.current.setStartDelay()
 	c.current.start(ctx)
 	for {
 		select {
@@ -108,8 +108,8 @@
 	}
 }
 
-// handleList publishes a list of the current watcher, and collects those of the pending one until they are as new as what is in force.
-// Lists of watchers that have been replaced are dropped.
+// handleList publishes a list of the current watcher. Lists of the pending watcher are merged, without being published, until their version
+// is at least the published one; the pending watcher then becomes the current one. Lists of watchers that have been replaced are dropped.
 func (c *Client) handleList(received listReceived) {
 	c.resolveSuccessor(received.from)
 	switch received.from {
@@ -123,7 +123,8 @@
 	}
 }
 
-// handleHeartbeat puts the pending watcher in force: a heartbeat shows that its discovery has nothing newer than what it has sent.
+// handleHeartbeat makes the pending watcher the current one if the heartbeat is its own. The heartbeat shows that discovery has nothing newer
+// than what it has sent to this watcher.
 func (c *Client) handleHeartbeat(from *watcher) {
 	c.resolveSuccessor(from)
 	if from == c.pending {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -11,15 +11,15 @@
 	"switchfork/internal/protocol"
 )
 
-// newMovingRig returns a client that was configured with version 5, has received a drain as version 9, and then moves to a discovery that
-// is at version 7.
+// newMovingRig returns a client that was configured with version 5 of the list, has received a drain in version 9, and then moves to the
+// address of a discovery server that is at version 7.
 func newMovingRig(t *testing.T, heartbeat time.Duration) (r *rig, previous, next *fakes.StreamServer) {
 	t.Helper()
 	previous = agenttest.NewStreamServer(t, "\n", time.Hour, func(string) string { return "" })
 	olderList := fakes.ListDocument(7, true, firstHost("active", 1), secondHost("active"))
 	next = agenttest.NewStreamServer(t, "\n", heartbeat, onlyFullList(olderList))
 	r = newRig(t, previous.Addr())
-	r.serveKnown(t, fakes.ListDocument(5, true, firstHost("active", 1)))
+	r.serveWithInitialList(t, fakes.ListDocument(5, true, firstHost("active", 1)))
 	agenttest.Eventually(t, "the previous watch", func() bool { return previous.Open() == 1 })
 	previous.Publish(fakes.ListDocument(9, false, firstHost("leaving", 1)))
 	agenttest.Eventually(t, "the drain", r.hasDrainingEndpoint)
@@ -27,18 +27,19 @@
 	return r, previous, next
 }
 
-// A discovery that is behind does not revoke a drain: its full list is held back until its watch has brought it to the version in force.
+// Moving to a discovery server with an older list does not revoke a drain. The full list of the new server is held back until its watch has
+// brought it to the version that is published.
 func TestMoveToOlderList(t *testing.T) {
 	r, previous, next := newMovingRig(t, time.Hour)
 	agenttest.Eventually(t, "the next watch", func() bool { return next.CallsContaining("index=7") == 1 && next.Open() == 1 })
-	handled := make(chan struct{}) // all that the next discovery has sent
+	handled := make(chan struct{}) // closed when all that the next server has sent has been handled
 	r.client.mailbox.Put(barrierReceived{agent.Barrier{Done: handled}})
 	<-handled
 	r.Loop.Flush(r.Context())
 	if !r.hasDrainingEndpoint() || previous.Closed() != 0 {
-		t.Fatalf("the older list is in force: %+v", r.endpoints())
+		t.Fatalf("got endpoints %+v after an older full list, want the drain kept and the previous watch open", r.endpoints())
 	}
-	previous.Publish(fakes.ListDocument(10, false, firstHost("leaving", 2))) // its watch goes on
+	previous.Publish(fakes.ListDocument(10, false, firstHost("leaving", 2))) // the previous watch is still read
 	r.awaitHosts(t, 1, 2)
 	next.Publish(fakes.ListDocument(9, false, firstHost("leaving", 1)))
 	next.Publish(fakes.ListDocument(11, false, firstHost("leaving", 3), fakes.ListEntry("box3", "127.0.0.1:3", "left", 1)))
@@ -53,7 +54,7 @@
 	}
 }
 
-// The list of a discovery with version numbers of its own is published with its first heartbeat.
+// The version numbers at the new address may be unrelated to those at the old one. The list is then published at the first heartbeat.
 func TestMoveToOtherVersionNumbers(t *testing.T) {
 	r, previous, next := newMovingRig(t, 50*time.Millisecond)
 	r.awaitHosts(t, 2, 1)
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,10 +1,10 @@
-// Package discovery follows the endpoint list of the control plane: it fetches the list, watches it for changes, and hands both to the
-// event loop as endpoint updates.
+// Package discovery keeps the agent's endpoint list up to date. It fetches the list from the control plane's discovery service, watches it
+// for changes, and passes the list and its changes to the event loop as endpoint updates.
 //
-// A Client owns the list's version, the endpoints' numbers and the choice of the watcher whose lists are published; all of it is used by the
-// goroutine that runs Client.Serve, and by the one that sets the client up before that. Each watcher reads one address in a goroutine of
-// its own and reports to the client through its mailbox. Client.Move may be called from any goroutine.
+// A Client owns the published version, the endpoint numbers and the choice of the watcher whose lists are published. They are used only by
+// the goroutine that runs Client.Serve, and before that by the goroutine that sets the client up. Each watcher reads from one address in its
+// own goroutine and reports to the client through the client's mailbox. Client.Move may be called from any goroutine.
 //
-// The client's mailbox keeps the order in which watchers report, so that a heartbeat is handled after all lists that were read before it,
-// and a barrier of the event loop after all that has been received.
+// The mailbox keeps the order in which watchers report. A heartbeat is therefore handled after all lists that were read before it, and a
+// barrier of the event loop after all messages that were received before it.
 package discovery
--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -10,19 +10,19 @@
 	"switchfork/internal/ratelog"
 )
 
-// listPublisher hands lists of discovery to the event loop as endpoint updates.
+// listPublisher passes lists received from discovery to the event loop as endpoint updates.
 type listPublisher struct {
 	loop    *agent.Loop
 	zones   []string
 	numbers *endpointNumbers
-	version uint64 // of the list in force
+	version uint64 // version of the last published list
 }
 
 func newListPublisher(loop *agent.Loop, zones []string) *listPublisher {
 	return &listPublisher{loop: loop, zones: zones, numbers: newEndpointNumbers()}
 }
 
-// publish puts a list in force, full or of changes.
+// publish passes a list, which is full or holds changes, to the event loop.
 func (p *listPublisher) publish(list protocol.List) {
 	p.version = list.Version
 	update := p.endpointUpdate(list)
@@ -32,7 +32,7 @@
 	p.releaseGone(update)
 }
 
-// endpointUpdate converts a list, in the order of its hosts' names. Entries that can't be read are left out.
+// endpointUpdate converts a list to an endpoint update, sorted by host name. Invalid entries are skipped.
 func (p *listPublisher) endpointUpdate(list protocol.List) agent.EndpointList {
 	slices.SortStableFunc(list.Entries, func(a, b protocol.ListEntry) int { return strings.Compare(a.Host, b.Host) })
 	update := agent.EndpointList{EndpointUpdate: policy.EndpointUpdate{Full: list.IsFull}}
@@ -49,8 +49,8 @@
 	return update
 }
 
-// releaseGone releases the numbers of hosts that are gone. A host that returns gets the same one, except where two hosts' names have the
-// same hash.
+// releaseGone releases the numbers of hosts that are gone. A host that returns later gets the same number, unless its name has the same hash
+// as another host's.
 func (p *listPublisher) releaseGone(update agent.EndpointList) {
 	present := map[string]bool{}
 	for i, endpoint := range update.Endpoints {
--- a/internal/discovery/endpoint_list_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -8,7 +8,7 @@
 	"switchfork/internal/protocol"
 )
 
-// No records are kept of hosts that are gone.
+// The numbers of hosts that are gone are released, so that no records of these hosts remain.
 func TestGoneHostsReleaseTheirNumbers(t *testing.T) {
 	publisher := newRig(t, "127.0.0.1:1").client.publisher
 	entry := func(host, health string) protocol.ListEntry {
@@ -24,11 +24,11 @@
 	}
 	publisher.publish(protocol.List{Version: 4, IsFull: true})
 	if n := len(publisher.numbers.numberOfHost) + len(publisher.numbers.hostOfNumber); n != 0 {
-		t.Errorf("%d records are kept", n)
+		t.Errorf("got %d records of hosts that are gone, want none", n)
 	}
 }
 
-// Each endpoint of an update has its own list entry beside it, in the order of the hosts' names and without those that can't be read.
+// Each endpoint of an update is paired with its list entry by index. Both are sorted by host name, and invalid entries are skipped.
 func TestUpdatePairsEndpointsWithEntries(t *testing.T) {
 	publisher := newRig(t, "127.0.0.1:1").client.publisher
 	update := publisher.endpointUpdate(protocol.List{Version: 1, IsFull: true, Entries: []protocol.ListEntry{
@@ -37,12 +37,12 @@
 		{Host: "a", Address: "127.0.0.1:1", Zone: agenttest.Zone, Health: "leaving", Build: 1},
 	}})
 	if len(update.Endpoints) != 2 || len(update.Entries) != 2 {
-		t.Fatalf("%d endpoints with %d entries, want 2 of each", len(update.Endpoints), len(update.Entries))
+		t.Fatalf("got %d endpoints and %d entries, want 2 of each", len(update.Endpoints), len(update.Entries))
 	}
 	for i, host := range []string{"a", "c"} {
 		endpoint, entry := update.Endpoints[i], update.Entries[i]
 		if entry.Host != host || endpoint.ID != protocol.EndpointID(host) || endpoint.Build != entry.Build {
-			t.Errorf("endpoint %+v stands beside entry %+v, want host %s", endpoint, entry, host)
+			t.Errorf("endpoint %+v is paired with entry %+v, want host %s", endpoint, entry, host)
 		}
 	}
 }
--- a/internal/discovery/endpoint_numbers.go
+++ b/internal/discovery/endpoint_numbers.go
@@ -2,7 +2,7 @@
 
 import "switchfork/internal/protocol"
 
-// endpointNumbers gives each host a number of its own.
+// endpointNumbers assigns a unique number to each host. The number is the endpoint's ID in the policy.
 type endpointNumbers struct {
 	numberOfHost map[string]uint32
 	hostOfNumber map[uint32]string
@@ -12,9 +12,9 @@
 	return &endpointNumbers{numberOfHost: map[string]uint32{}, hostOfNumber: map[uint32]string{}}
 }
 
-// assign returns a host's number: a hash of its name, and so the same on every agent and after a restart. Where two names have the same
-// hash, the host that is assigned its number second gets the hash of a longer name; within a list that is the second in the order of the
-// hosts' names.
+// assign returns a host's number and assigns one if the host has none. The number is a hash of the host's name, so that it is the same on
+// every agent and after a restart. If two names have the same hash, the host that is assigned its number later gets the hash of its name with
+// apostrophes appended. Hosts of the same list are assigned their numbers in the order of their names.
 func (n *endpointNumbers) assign(host string) uint32 {
 	if number, assigned := n.numberOfHost[host]; assigned {
 		return number
@@ -33,7 +33,7 @@
 	delete(n.numberOfHost, host)
 }
 
-// releaseAbsent releases the numbers of all hosts that are not present.
+// releaseAbsent releases the numbers of all hosts that are not in present.
 func (n *endpointNumbers) releaseAbsent(present map[string]bool) {
 	for host := range n.numberOfHost {
 		if !present[host] {
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -11,7 +11,7 @@
 	"switchfork/internal/golden"
 )
 
-// The requests to discovery are those of the golden file, byte for byte.
+// Requests to discovery match the golden file byte for byte.
 func TestGoldenRequests(t *testing.T) {
 	var out strings.Builder
 	write := func(what, text string) { fmt.Fprintf(&out, "== %s\n%q\n", what, text) }
--- a/internal/discovery/list_calls.go
+++ b/internal/discovery/list_calls.go
@@ -16,17 +16,18 @@
 )
 
 const (
-	// heartbeatInterval is the protocol's interval of heartbeats on a watch.
+	// heartbeatInterval is the interval at which discovery sends heartbeats on a watch.
 	heartbeatInterval = 2 * time.Second
-	// silenceTimeout is after how long without a line a watch is reported as silent, so that another one is opened beside it. What a silent
-	// watch misses counts as known after three heartbeats, which leaves one for the delay, the connection and the list.
+	// silenceTimeout is the time without a line after which a watch is reported as silent and a second watch is opened. The control plane
+	// assumes that the agent knows a change three heartbeat intervals after the watch's last line. This timeout leaves one interval to
+	// delay the second watch, connect it and receive the list.
 	silenceTimeout = 2 * heartbeatInterval
-	// heartbeatTimeout is after how long without a line a call ends. It is longer than silenceTimeout, so that a discovery that is merely
-	// slow is not cut off in the middle of a list.
+	// heartbeatTimeout is the time without a line after which a watch ends, and the time limit of a call for the full list. It is longer than
+	// silenceTimeout, so that a slow discovery server is not cut off in the middle of a list.
 	heartbeatTimeout = 3 * heartbeatInterval
-	// maxListBytes has room for the full list of a large fleet, on one line or over many.
+	// maxListBytes is the maximum length of a list. The full list of a large fleet fits, on a single line or indented.
 	maxListBytes = 4 << 20
-	// initialBufferBytes is enough for most lists of changes.
+	// initialBufferBytes is the initial size of the line buffer. Most lists of changes fit.
 	initialBufferBytes = 16 << 10
 )
 
@@ -35,13 +36,13 @@
 	errNoList      = errors.New("response ended without the full endpoint list")
 )
 
-// deliver records a list's version and reports the list to the client.
+// deliver records the version of a list and reports the list to the client.
 func (w *watcher) deliver(list protocol.List) {
 	w.version, w.needsFullList = list.Version, false
 	w.report(listReceived{from: w, list: list})
 }
 
-// fetch calls for the full list, once.
+// fetch requests the full list once and delivers it.
 func (w *watcher) fetch(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
@@ -65,8 +66,8 @@
 	return err
 }
 
-// watch delivers the changes after the last version until the stream ends or has been silent for too long. It returns how many lists and
-// heartbeats have been received.
+// watch opens a watch from the last received version and delivers its lists until the stream ends or no line has arrived for
+// heartbeatTimeout. It returns the number of lists and heartbeats received.
 func (w *watcher) watch(ctx context.Context) (received int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -79,13 +80,14 @@
 		silence.Reset(silenceTimeout)
 		timeout.Reset(heartbeatTimeout)
 		received++
-		return w.handleWatched(raw, received == 1)
+		return w.handleWatchMessage(raw, received == 1)
 	})
 	return received, err
 }
 
-// handleWatched delivers a list of a watch, or reports a heartbeat. isFirst tells whether it is the first of its watch.
-func (w *watcher) handleWatched(raw []byte, isFirst bool) error {
+// handleWatchMessage delivers a list received on a watch, or reports a heartbeat. raw is empty for a heartbeat. isFirst is true for the first list
+// or heartbeat of the watch.
+func (w *watcher) handleWatchMessage(raw []byte, isFirst bool) error {
 	if len(raw) == 0 {
 		w.report(heartbeatReceived{from: w})
 		return nil
@@ -93,11 +95,11 @@
 	list, err := protocol.ReadList(raw)
 	if err != nil {
 		w.needsFullList = true
-		return fmt.Errorf("decoding a list of the watch from version %d: %w", w.version, err)
+		return fmt.Errorf("decoding a list on the watch from version %d: %w", w.version, err)
 	}
-	// A watch may start with a full list, which counts whatever its version is.
-	startsAfresh := isFirst && list.IsFull
-	if list.Version <= w.version && !startsAfresh {
+	// A watch may start with a full list, which is delivered even if its version is not newer.
+	isInitialFullList := isFirst && list.IsFull
+	if list.Version <= w.version && !isInitialFullList {
 		return nil
 	}
 	slog.Info("endpoint list received", "version", list.Version, "full", list.IsFull, "entries", len(list.Entries))
@@ -105,8 +107,8 @@
 	return nil
 }
 
-// readLists calls discovery and hands each list of the response to handle, and each heartbeat as an empty one, until the response ends or
-// handle fails. After a list that is cut off or too long, the full list is to be fetched.
+// readLists calls discovery and passes each list of the response to handle, until the response ends or handle fails. A heartbeat is passed as
+// an empty list. After a list that is too long, or that is not complete when the next list or a heartbeat begins, the full list is fetched.
 func (w *watcher) readLists(ctx context.Context, url string, handle func(raw []byte) error) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -115,16 +117,16 @@
 	w.countCall()
 	response, err := w.httpClient.Do(request)
 	if err != nil {
-		return err // it names the method and the URL
+		return err // already names the method and the URL
 	}
-	defer func() { _ = response.Body.Close() }() // only read from: closing it can lose nothing
+	defer func() { _ = response.Body.Close() }() // a body that is only read loses no data on close
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("calling %s: %w", url, streamclient.StatusError(response.StatusCode))
 	}
 	return w.scanLists(response.Body, handle)
 }
 
-// scanLists hands each list and heartbeat of a response to handle.
+// scanLists passes each list and heartbeat of a response's body to handle.
 func (w *watcher) scanLists(body io.Reader, handle func(raw []byte) error) error {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, initialBufferBytes), maxListBytes)
@@ -134,20 +136,20 @@
 		list, err := reader.Add(line, maxListBytes)
 		if err != nil {
 			w.needsFullList = true
-			return fmt.Errorf("reading a list of %s: %w", w.listURL, err)
+			return fmt.Errorf("reading a list from %s: %w", w.listURL, err)
 		}
 		if list == nil && len(line) > 0 {
-			continue // more lines of this list are to come
+			continue // the list continues on the next line
 		}
 		if err := handle(list); err != nil {
 			return err
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return fmt.Errorf("reading lists of %s: %w", w.listURL, err)
+		return fmt.Errorf("reading lists from %s: %w", w.listURL, err)
 	}
 	if err := reader.End(); err != nil {
-		return fmt.Errorf("reading the last list of %s: %w", w.listURL, err)
+		return fmt.Errorf("reading the last list from %s: %w", w.listURL, err)
 	}
 	return nil
 }
--- a/internal/discovery/message.go
+++ b/internal/discovery/message.go
@@ -5,28 +5,28 @@
 	"switchfork/internal/protocol"
 )
 
-// message is what a client's mailbox holds.
+// message is a message in a client's mailbox.
 type message interface{ isMessage() }
 
-// listReceived is a list, full or of changes, that a watcher has read.
+// listReceived reports a list, which is full or holds changes, that a watcher has received.
 type listReceived struct {
 	from *watcher
 	list protocol.List
 }
 
-// heartbeatReceived is a heartbeat on a watch: the watcher has been sent all that its discovery knows at present.
+// heartbeatReceived reports a heartbeat on a watch. It means that discovery has sent the watcher everything that it knows at present.
 type heartbeatReceived struct{ from *watcher }
 
-// watchSilent tells that a watch has had no line for the silence timeout.
+// watchSilent reports that no line has arrived on a watch for silenceTimeout.
 type watchSilent struct{ from *watcher }
 
-// watcherEnded tells that a watcher that was retired has ended with its watch.
+// watcherEnded reports that a retired watcher has ended because its watch ended.
 type watcherEnded struct{ from *watcher }
 
-// addressChanged asks for a move to another address.
+// addressChanged requests a move to another address of discovery.
 type addressChanged struct{ address string }
 
-// barrierReceived is the event loop's question whether all messages before it have been handled.
+// barrierReceived holds a barrier of the event loop. The barrier's channel is closed once all earlier messages have been handled.
 type barrierReceived struct{ agent.Barrier }
 
 func (listReceived) isMessage()      {}
--- a/internal/discovery/move.go
+++ b/internal/discovery/move.go
@@ -6,16 +6,17 @@
 	"switchfork/internal/protocol"
 )
 
-// Move goes to another address. The watch at the old one goes on until the new one has received the full list, so that no change is
-// lost between the two; once it ends it is not opened again.
+// Move makes the client use another address of discovery. The watch at the old address stays open until the list of the new address has been
+// published, so that no change is missed during the move. If the old watch ends before that, it is not opened again.
 //
-// The new discovery may be behind: a full list that is a moment old may lack a drain that the old discovery has reported, and publishing
-// it would revoke the drain. The list is therefore held back until the new watch has brought it to the version in force, or until a
-// heartbeat shows that there is nothing newer, as at a discovery with version numbers of its own. That takes one heartbeat interval at
-// most.
+// The list at the new address may be older. If it lacks a drain that the old address has reported, publishing it would revoke the drain. The
+// list is therefore held back until the new watch has brought it to the published version. It is also published when a heartbeat shows that
+// there is nothing newer, which happens if the version numbers of the two addresses are unrelated. The heartbeat arrives within one heartbeat
+// interval.
 func (c *Client) Move(address string) { c.mailbox.Put(addressChanged{address}) }
 
-// openPending starts a watcher at another address. The current watch is left to end by itself.
+// openPending starts a watcher at another address, in place of an earlier pending one. The current watch stays open but is not opened again
+// when it ends.
 func (c *Client) openPending(ctx context.Context, address string) {
 	c.dropSuccessor()
 	c.current.retire()
@@ -23,13 +24,13 @@
 		c.pending.cancel()
 	}
 	c.address = address
-	c.pending = newWatcher(c.watching, address)
+	c.pending = newWatcher(c.watcherConfig, address)
 	c.pendingList = protocol.List{}
 	c.pending.needsFullList = true
 	c.pending.start(ctx)
 }
 
-// promotePending puts the pending watcher in the current one's place and publishes what it has received.
+// promotePending makes the pending watcher the current one and publishes the list that it has received.
 func (c *Client) promotePending() {
 	c.current.cancel()
 	c.current, c.pending = c.pending, nil
--- a/internal/discovery/rig_test.go
+++ b/internal/discovery/rig_test.go
@@ -14,7 +14,7 @@
 	"switchfork/internal/protocol"
 )
 
-// rig is an event loop with a discovery client.
+// rig is a test setup with an event loop and a discovery client.
 type rig struct {
 	*agenttest.Rig
 	client *Client
@@ -29,8 +29,8 @@
 	return r
 }
 
-// serveKnown configures the client with a list and runs it until the end of the test.
-func (r *rig) serveKnown(t *testing.T, list string) {
+// serveWithInitialList publishes an initial list, which may be empty, and runs the client until the end of the test.
+func (r *rig) serveWithInitialList(t *testing.T, list string) {
 	t.Helper()
 	if err := r.client.PublishInitial([]byte(list)); err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 	go r.client.Serve(r.Context())
 }
 
-// endpoints returns the endpoints that the router knows of, by number.
+// endpoints returns the endpoints that the router knows of, by endpoint ID.
 func (r *rig) endpoints() map[uint32]policy.Endpoint {
 	out := map[uint32]policy.Endpoint{}
 	for _, update := range agenttest.Events[policy.EndpointUpdate](r.Router) {
@@ -55,7 +55,7 @@
 	return out
 }
 
-// builds returns the builds of all endpoints that the router has been notified of, in that order.
+// builds returns the build of each endpoint in the router's endpoint updates, in the order in which they were received.
 func (r *rig) builds() (out []int) {
 	for _, update := range agenttest.Events[policy.EndpointUpdate](r.Router) {
 		for _, endpoint := range update.Endpoints {
@@ -65,16 +65,16 @@
 	return out
 }
 
-// awaitHosts waits until the router knows of so many hosts, and of the host "box" with this build.
+// awaitHosts waits until the router knows of the given number of hosts and the host "box" has the given build.
 func (r *rig) awaitHosts(t *testing.T, hosts, build int) {
 	t.Helper()
-	agenttest.Eventually(t, fmt.Sprintf("a list of %d with build %d", hosts, build), func() bool {
+	agenttest.Eventually(t, fmt.Sprintf("a list of %d hosts with build %d", hosts, build), func() bool {
 		endpoints := r.endpoints()
 		return len(endpoints) == hosts && endpoints[protocol.EndpointID("box")].Build == build
 	})
 }
 
-// hasDrainingEndpoint tells whether the router knows of an endpoint that drains.
+// hasDrainingEndpoint reports whether the router knows of a draining endpoint.
 func (r *rig) hasDrainingEndpoint() bool {
 	for _, endpoint := range r.endpoints() {
 		if endpoint.State == policy.Draining {
@@ -94,17 +94,17 @@
 	return list
 }
 
-// firstHost is the list entry of the host "box".
+// firstHost returns a list entry for the host "box".
 func firstHost(health string, build int) string {
 	return fakes.ListEntry("box", "127.0.0.1:1", health, build)
 }
 
-// secondHost is the list entry of the host "box2", which has build 1.
+// secondHost returns a list entry for the host "box2" with build 1.
 func secondHost(health string) string {
 	return fakes.ListEntry("box2", "127.0.0.1:2", health, 1)
 }
 
-// indented is a list over several lines.
+// indented returns a list indented over several lines.
 func indented(t *testing.T, list string) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -114,7 +114,8 @@
 	return out.String() + "\n"
 }
 
-// onlyFullList answers a call for the full list, and opens a watch without a line.
+// onlyFullList returns an answer function for a stream server. It answers a call for the full list with list, and sends nothing when a watch
+// is opened.
 func onlyFullList(list string) func(target string) string {
 	return func(target string) string {
 		if strings.Contains(target, "stream") {
--- a/internal/discovery/successor.go
+++ b/internal/discovery/successor.go
@@ -7,37 +7,38 @@
 	"switchfork/internal/ratelog"
 )
 
-// successorSpread bounds the random delay, in microseconds, before a watch is opened beside a silent one: all agents of a discovery that
-// falls silent open theirs.
-const successorSpread backoff.Micros = 500_000
+// maxSuccessorDelay is the maximum random delay, in microseconds, before a successor opens its watch. If discovery stops sending, all agents open
+// a second watch; the delay spreads these calls.
+const maxSuccessorDelay backoff.Micros = 500_000
 
-// handleSilence opens a watch beside a current one that is silent, from the version in force. The silent one is still read: a discovery that
-// is merely slow goes on with it. A successor that is silent, too, gives way to another one.
+// handleSilence starts a successor if the current watcher is silent. The silent watch is still read, because a discovery server that is merely
+// slow resumes sending on it. If the successor is silent as well, another successor replaces it.
 func (c *Client) handleSilence(ctx context.Context, from *watcher) {
-	isLeaving := c.pending != nil // the address is being left: its watch is not opened again
+	isMoving := c.pending != nil // the client moves to another address, so no watch is opened at the old one
 	isInUse := from == c.current || from == c.successor
-	if isLeaving || !isInUse {
+	if isMoving || !isInUse {
 		return
 	}
-	ratelog.Warn("silent watch", "endpoint list watch fell silent, opened another one beside it", "version", c.publisher.version)
+	ratelog.Warn("silent watch", "no line on endpoint list watch within its silence timeout, opened a second watch", "version", c.publisher.version)
 	c.openSuccessor(ctx)
 }
 
+// openSuccessor starts a second watcher, which watches from the published version, and retires the current one. An earlier successor is ended.
 func (c *Client) openSuccessor(ctx context.Context) {
 	if c.successor != nil {
 		c.successor.cancel()
 	}
 	c.current.retire()
-	c.successor = newWatcher(c.watching, c.address)
+	c.successor = newWatcher(c.watcherConfig, c.address)
 	c.successor.version = c.publisher.version
 	c.successor.needsFullList = c.publisher.version == 0
-	c.successor.startDelay = c.successor.backoff.Spread(successorSpread)
+	c.successor.startDelay = c.successor.backoff.Spread(maxSuccessorDelay)
 	c.successor.start(ctx)
 }
 
-// resolveSuccessor decides between the current watcher and its successor at the first line of either. A line of the successor proves its
-// watch: it has been sent all changes after the version in force when it was opened, so that nothing of the silent one is needed any more.
-// A line of the current one shows that it was slow and not broken, and that nothing was missed.
+// resolveSuccessor chooses between the current watcher and its successor at the first line that either receives. A line from the successor
+// shows that its watch works. Discovery sends that watch all changes after the version that was published when it was opened, so the silent
+// watch is no longer needed. A line from the current watcher shows that its watch was slow but not broken, and that no change was missed.
 func (c *Client) resolveSuccessor(from *watcher) {
 	switch {
 	case c.successor == nil:
@@ -53,7 +54,7 @@
 	c.current, c.successor = c.successor, nil
 }
 
-// dropSuccessor ends the successor, and has the current watcher open its watch again by itself.
+// dropSuccessor ends the successor and resumes the current watcher.
 func (c *Client) dropSuccessor() {
 	if c.successor == nil {
 		return
@@ -63,13 +64,13 @@
 	c.current.resume()
 }
 
-// handleWatcherEnd puts another watcher in the place of a current one that has ended while it was retired, unless the address is being left.
+// handleWatcherEnd replaces a current watcher that has ended while it was retired, unless the client is moving to another address.
 func (c *Client) handleWatcherEnd(ctx context.Context, from *watcher) {
 	switch {
 	case from != c.current || c.pending != nil:
 	case c.successor != nil:
 		c.promoteSuccessor()
-	default: // it had a line once more, and ended before it was resumed
+	default: // a line of the current watcher ended the successor, but the current watcher ended before it was resumed
 		c.openSuccessor(ctx)
 		c.promoteSuccessor()
 	}
--- a/internal/discovery/successor_test.go
+++ b/internal/discovery/successor_test.go
@@ -8,14 +8,14 @@
 	"switchfork/internal/fakes"
 )
 
-// newSilentRig returns a client whose first watch, from version 5 on, is silent, so that a second one has been opened beside it. What is
-// published on the server reaches the watch that was opened last.
+// newSilentRig returns a client whose first watch, from version 5 on, has been reported as silent, so that a second watch has been opened. What
+// the server publishes is sent on the watch that was opened last.
 func newSilentRig(t *testing.T, firstLine func(target string) string) (r *rig, server *fakes.StreamServer, first *watcher) {
 	t.Helper()
 	server = agenttest.NewStreamServer(t, "\n", time.Hour, firstLine)
 	r = newRig(t, server.Addr())
 	first = r.client.current
-	r.serveKnown(t, fakes.ListDocument(5, true, firstHost("active", 1)))
+	r.serveWithInitialList(t, fakes.ListDocument(5, true, firstHost("active", 1)))
 	agenttest.Eventually(t, "the first watch", func() bool { return server.Open() == 1 })
 	r.client.mailbox.Put(watchSilent{from: first})
 	agenttest.Eventually(t, "the second watch", func() bool { return server.Open() == 2 })
@@ -24,18 +24,19 @@
 
 func noLine(string) string { return "" }
 
-// A silent watch is read on beside the second one: what it brings is published, and the second one is closed, as the first was only slow.
-func TestSilentWatchWakesUp(t *testing.T) {
+// A silent watch is still read while the second one is open. If a list arrives on the silent watch, the watch was only slow: the list is
+// published and the second watch is closed.
+func TestSilentWatchRecovers(t *testing.T) {
 	r, server, first := newSilentRig(t, noLine)
 	first.report(listReceived{from: first, list: readList(t, fakes.ListDocument(6, false, firstHost("leaving", 1)))})
 	agenttest.Eventually(t, "the drain", r.hasDrainingEndpoint)
 	agenttest.Eventually(t, "the second watch's end", func() bool { return server.Closed() == 1 })
 	if first.isRetired() {
-		t.Error("the first watch is not opened again when it ends")
+		t.Error("the first watcher is retired, want it to open its watch again when it ends")
 	}
 }
 
-// The second watch takes the first one's place with its first line. What the first brings after that is older and is dropped.
+// The second watch replaces the first one when its first line arrives. A list that the first watch reports after that is older and is dropped.
 func TestSecondWatchTakesOver(t *testing.T) {
 	r, server, first := newSilentRig(t, noLine)
 	server.Publish(fakes.ListDocument(7, false, firstHost("leaving", 1)))
@@ -49,17 +50,17 @@
 	}
 }
 
-// Where the second watch is silent as well, a third takes its place; the first is still read.
+// If the second watch is silent as well, a third one replaces it. The first watch is still read.
 func TestSecondWatchIsSilent(t *testing.T) {
 	r, server, first := newSilentRig(t, noLine)
-	r.client.mailbox.Put(watchSilent{from: first}) // as the second one reports it
+	r.client.mailbox.Put(watchSilent{from: first}) // has the same effect as a report by the second watcher
 	agenttest.Eventually(t, "the third watch", func() bool { return server.Open() == 3 })
 	agenttest.Eventually(t, "the second watch's end", func() bool { return server.Closed() == 1 })
 	server.Publish(fakes.ListDocument(6, false, firstHost("leaving", 1)))
 	agenttest.Eventually(t, "the drain", r.hasDrainingEndpoint)
 }
 
-// Where the silent watch ends before the second one has brought a line, the second one stays. Where there is none, one is opened.
+// If the silent watch ends before a line has arrived on the second one, the second one replaces it. If there is no second watch, one is opened.
 func TestSilentWatchEnds(t *testing.T) {
 	r, server, first := newSilentRig(t, noLine)
 	r.client.mailbox.Put(watcherEnded{from: first})
@@ -67,14 +68,15 @@
 	agenttest.Eventually(t, "the drain", r.hasDrainingEndpoint)
 
 	r, server, first = newSilentRig(t, noLine)
-	r.client.mailbox.Put(heartbeatReceived{from: first}) // it closes the second one, and has ended when it is resumed
+	r.client.mailbox.Put(heartbeatReceived{from: first}) // closes the second watch; the first watcher ends before it is resumed
 	r.client.mailbox.Put(watcherEnded{from: first})
 	agenttest.Eventually(t, "another watch", func() bool { return server.Open() == 3 })
 	server.Publish(fakes.ListDocument(6, false, firstHost("leaving", 1)))
 	agenttest.Eventually(t, "the drain", r.hasDrainingEndpoint)
 }
 
-// A move to another address ends the second watch at the old one. The silent first one is read until the new address has proved itself.
+// A move to another address ends the second watch at the old address. The silent first watch is read until the list of the new address is
+// published.
 func TestMoveWhileWatchIsSilent(t *testing.T) {
 	r, server, first := newSilentRig(t, noLine)
 	next := agenttest.NewStreamServer(t, "\n", time.Hour, onlyFullList(fakes.ListDocument(4, true, firstHost("active", 1))))
@@ -85,7 +87,7 @@
 	first.report(listReceived{from: first, list: readList(t, fakes.ListDocument(6, false, firstHost("leaving", 1)))})
 	agenttest.Eventually(t, "the drain", r.hasDrainingEndpoint)
 	if n := server.CallsContaining(""); n != 2 {
-		t.Errorf("calls of the old address: %q", server.Targets())
+		t.Errorf("got calls %q at the old address, want 2", server.Targets())
 	}
 	next.Publish(fakes.ListDocument(7, false, secondHost("active")))
 	agenttest.Eventually(t, "the first watch's end", func() bool { return server.Closed() == 2 })
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -11,32 +11,32 @@
 	"switchfork/internal/streamclient"
 )
 
-// listPath is where discovery serves the endpoint list and its watch.
+// listPath is the URL path at which discovery serves the endpoint list and its watch.
 const listPath = "/catalog/members"
 
-// watchConfig is what the watchers of a client have in common.
+// watchConfig holds what all watchers of a client have in common.
 type watchConfig struct {
 	httpClient *http.Client
 	countCall  func()        // called before each call to discovery
-	report     func(message) // takes what a watcher receives
-	pollWithin time.Duration // 0: not configured
+	report     func(message) // passes a message to the client
+	pollWithin time.Duration // see Config.PollWithin
 	agentCount int
 	seed       int64
 }
 
-// watcher keeps a watch open at one address. Whenever the watch ends, it is opened again from the last version that was received, until the
-// watcher is retired.
+// watcher keeps a watch open at one address of discovery. When the watch ends, the watcher opens it again from the last received version,
+// unless the watcher is retired.
 type watcher struct {
 	watchConfig
 	listURL       string
-	version       uint64 // of the last list received
+	version       uint64 // version of the last received list
 	needsFullList bool   // the full list has to be fetched before the next watch
 	startDelay    backoff.Micros
 	backoff       *backoff.Backoff
 	cancel        context.CancelFunc
 
 	mu      sync.Mutex
-	retired bool // another watcher is to take its place: a watch that ends is not opened again
+	retired bool // the watch is not opened again when it ends, because another watcher is expected to replace this one
 }
 
 func newWatcher(config watchConfig, address string) *watcher {
@@ -48,8 +48,9 @@
 	}
 }
 
-// delayAsOneOfAll sets the first call's delay by the number of agents that start together. An agent without any list calls at once.
-func (w *watcher) delayAsOneOfAll() {
+// setStartDelay sets the delay before the first call, which depends on the number of agents that start at the same time. An agent that has
+// no list calls at once.
+func (w *watcher) setStartDelay() {
 	if w.version > 0 || !w.needsFullList {
 		w.startDelay = w.backoff.Initial(w.agentCount)
 	}
@@ -61,10 +62,10 @@
 	go w.run(ctx)
 }
 
-// retire lets the open watch go on, but has no other opened after it.
+// retire makes the watcher end when its open watch ends.
 func (w *watcher) retire() { w.setRetired(true) }
 
-// resume has a retired watcher open its watch again once it ends. Where it has ended already, watcherEnded has been reported.
+// resume makes a retired watcher open its watch again when it ends. If the watcher has already ended, it has reported watcherEnded.
 func (w *watcher) resume() { w.setRetired(false) }
 
 func (w *watcher) setRetired(retired bool) {
