--- a/internal/discovery/list_calls.go
+++ b/internal/discovery/list_calls.go
@@ -85,8 +85,8 @@
 	return received, err
 }
 
-// handleWatchMessage delivers a list received on a watch, or reports a heartbeat. raw is empty for a heartbeat. isFirst is true for the first list
-// or heartbeat of the watch.
+// handleWatchMessage delivers a list received on a watch, or reports a heartbeat, for which raw is empty. isFirst is true for the first list or
+// heartbeat of the watch.
 func (w *watcher) handleWatchMessage(raw []byte, isFirst bool) error {
 	if len(raw) == 0 {
 		w.report(heartbeatReceived{from: w})
--- a/internal/discovery/successor.go
+++ b/internal/discovery/successor.go
@@ -7,8 +7,8 @@
 	"switchfork/internal/ratelog"
 )
 
-// maxSuccessorDelay is the maximum random delay, in microseconds, before a successor opens its watch. If discovery stops sending, all agents open
-// a second watch; the delay spreads these calls.
+// maxSuccessorDelay is the maximum random delay, in microseconds, before a successor opens its watch. If discovery stops sending, all agents
+// open a second watch. The delay spreads these calls.
 const maxSuccessorDelay backoff.Micros = 500_000
 
 // handleSilence starts a successor if the current watcher is silent. The silent watch is still read, because a discovery server that is merely
