--- a/internal/discovery/list_calls.go
+++ b/internal/discovery/list_calls.go
@@ -19,8 +19,8 @@
 	// heartbeatInterval is the interval at which discovery sends heartbeats on a watch.
 	heartbeatInterval = 2 * time.Second
 	// silenceTimeout is the time without a line after which a watch is reported as silent and a second watch is opened. The control plane
-	// assumes that the agent knows a change three heartbeat intervals after the watch's last line. This timeout leaves one interval to
-	// delay the second watch, connect it and receive the list.
+	// assumes that an agent whose watch is silent knows a change three heartbeat intervals after the last line. This timeout leaves one
+	// interval for the random delay before the second watch, its connection and its list.
 	silenceTimeout = 2 * heartbeatInterval
 	// heartbeatTimeout is the time without a line after which a watch ends, and the time limit of a call for the full list. It is longer than
 	// silenceTimeout, so that a slow discovery server is not cut off in the middle of a list.
--- a/internal/protocol/limits.go
+++ b/internal/protocol/limits.go
@@ -12,7 +12,8 @@
 // because hundreds of connections that send an endless head at once have to fit into the smallest memory limit.
 const HeadLimit = 8 << 10
 
-// ErrBodyTooLong reports that a body is longer than BodyLimit. Its text is sent to the client as the body of the error response.
+// ErrBodyTooLong reports that a body is longer than BodyLimit. If it is a request's body, the error's text is the body of the response to the
+// client.
 var ErrBodyTooLong = errors.New("body is over 64 KiB")
 
 // ReadBody reads a complete body. It returns ErrBodyTooLong if the body is longer than BodyLimit. length is the value of the
--- a/internal/protocol/rollout.go
+++ b/internal/protocol/rollout.go
@@ -13,7 +13,7 @@
 // maxAgeMs is the exclusive upper limit of a rollout update's age, in milliseconds.
 const maxAgeMs = 1e12
 
-// rolloutStatus is the state of the newest build's rollout. The rollout controller sends it as JSON, as XML or as a URL-encoded form.
+// rolloutStatus is the state of the newest build's rollout. The rollout controller writes it as JSON, as XML or as a URL-encoded form.
 type rolloutStatus struct {
 	Build int     `json:"image" xml:"image"`
 	Stage int     `json:"ring" xml:"ring"`
