--- a/internal/faulttest/actions.go
+++ b/internal/faulttest/actions.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Seeds of the loads' random sources: factors on the scenario's seed.
+// Factors on the scenario's seed in the seeds of the loads' random sources.
 const (
 	openLoadSeedFactor   = 257
 	closedLoadSeedFactor = 389
@@ -84,13 +84,13 @@
 				return true, ""
 			}
 		}
-		return false, "nobody leads"
+		return false, "no agent is the leader"
 	})
 }
 
 func (a membershipStep) run(ctx context.Context, r *runner, _ Step) error {
 	return waitFor(ctx, a.timeout, func() (isAccepted bool, observed string) {
-		for _, contact := range r.bindings.agentNumbers(a.contacts) { // the one of them that leads accepts the change
+		for _, contact := range r.bindings.agentNumbers(a.contacts) { // only the leader accepts the change
 			if isAccepted, observed = r.changeMembers(ctx, a, contact); isAccepted {
 				return true, ""
 			}
@@ -99,7 +99,7 @@
 	})
 }
 
-// changeMembers asks one agent for all changes of the step; the output is that of the last command.
+// changeMembers requests all changes of the step from one agent. The output is that of the last command.
 func (r *runner) changeMembers(ctx context.Context, a membershipStep, contact int) (isAccepted bool, output string) {
 	for _, member := range r.bindings.agentNumbers(a.agents) {
 		command := exec.CommandContext(ctx, r.agents.programs[firstProgram], "members", a.action, strconv.Itoa(member),
--- a/internal/faulttest/capacity_rules.go
+++ b/internal/faulttest/capacity_rules.go
@@ -11,33 +11,36 @@
 )
 
 const (
-	// slowStartDeviations is left to chance, in standard deviations of the number of arrivals.
+	// slowStartDeviations is how far the number of arrivals may exceed the limit by chance, in standard deviations.
 	slowStartDeviations = 3
-	// capDelay, capAllowance and capTolerance are the protocol's: a lower cap binds 150 ms later, 2 attempts and 4% over the cap pass.
+	// capDelay, capAllowance and capTolerance are defined by the protocol: a lower cap binds 150 ms later, and 2 attempts and 4% above the
+	// cap are permitted.
 	capDelay     = 150 * time.Millisecond
 	capAllowance = 2
 	capTolerance = 0.04
-	// receivedSlack: clients write before agents read, so requests written so much earlier may count in an agent's window.
+	// receivedSlack extends the window of received requests. Clients write a request before the agent reads it, so a request that was
+	// written this much earlier may count in the agent's window.
 	receivedSlack = 250 * time.Millisecond
-	// unannouncedCap applies to a build later than the rollout state names, as in the rollout's first stage.
+	// unannouncedCap applies to a build with a higher number than the build in the rollout state, as in the rollout's first stage.
 	unannouncedCap = 0.2
 	// uncapped is the share at which a cap no longer limits anything.
 	uncapped = 1.0
 )
 
-// countUntil counts how many of the sorted times are not later than one.
+// countUntil returns how many of the sorted times are not later than at.
 func countUntil(times []netfault.Micros, at netfault.Micros) int {
 	n, _ := slices.BinarySearch(times, at+1)
 	return n
 }
 
-// countWithin counts how many of the sorted times lie after from and not later than to.
+// countWithin returns how many of the sorted times are later than from and not later than to.
 func countWithin(times []netfault.Micros, from, to netfault.Micros) int {
 	return countUntil(times, to) - countUntil(times, from)
 }
 
-// checkSlowStart: no endpoint that has just started is sent, by all agents together, more than the configured multiple of its
-// capacity for the configured time. Its capacity in a window is the time of its slots, by the share of its speed that it has reached.
+// checkSlowStart checks that all agents together do not send an endpoint that has just started more than the configured multiple of its
+// capacity for the configured time. The capacity in a window is the number of requests that its slots can serve, at the mean share of its
+// full speed that the endpoint had reached in the window.
 func checkSlowStart(r *Records) (out []Violation) {
 	window := fakes.OverloadAfter.Microseconds()
 	arrivals := r.slowStartArrivals()
@@ -47,7 +50,7 @@
 		for _, at := range times {
 			count := countWithin(times, at-window, at)
 			speedThen, speedNow := speedAtAge(at-window-started), speedAtAge(at-started)
-			meanSpeed := (speedThen + speedNow) / 2 // the speed rises evenly
+			meanSpeed := (speedThen + speedNow) / 2 // the speed rises linearly
 			capacity := meanSpeed * float64(window) * float64(r.Slots) / float64(r.ServiceTime)
 			limit := fakes.OverloadMultiple * capacity
 			if float64(count) > limit+slowStartDeviations*math.Sqrt(limit) {
@@ -60,13 +63,13 @@
 	return out
 }
 
-// speedAtAge is the share of its full speed that an endpoint has reached at an age.
+// speedAtAge returns the share of its full speed that an endpoint has reached at an age.
 func speedAtAge(age netfault.Micros) float64 {
 	reached := float64(max(0, age)) / float64(fakes.SlowStartDuration.Microseconds())
 	return min(1, fakes.InitialCapacity+(1-fakes.InitialCapacity)*reached)
 }
 
-// slowStartArrivals are the times of the arrivals at endpoints during their slow start, by endpoint.
+// slowStartArrivals returns the times of the arrivals at each endpoint during its slow start, and for OverloadAfter beyond it.
 func (r *Records) slowStartArrivals() map[int][]netfault.Micros {
 	period := (fakes.SlowStartDuration + fakes.OverloadAfter).Microseconds()
 	times := map[int][]netfault.Micros{}
@@ -82,8 +85,9 @@
 	return times
 }
 
-// checkExposureCap: in any window, an agent's attempts at a build that is being rolled out are at most the free ones and the cap's
-// share of the requests that it received. A lower cap binds after the grace, and the count starts anew; a released build has no cap.
+// checkExposureCap checks that in any window, an agent's attempts at a build that is being rolled out are at most the permitted allowance
+// plus the cap's share of the requests that the agent received. A lower cap binds after the grace period, and the count then restarts. A
+// released build has no cap.
 func checkExposureCap(r *Records) (out []Violation) {
 	for agent := range r.Agents {
 		received := r.receivedTimes(agent)
@@ -99,7 +103,7 @@
 	return out
 }
 
-// receivedTimes are the sorted times at which clients sent requests to an agent.
+// receivedTimes returns the sorted times at which clients sent requests to an agent.
 func (r *Records) receivedTimes(agent int) (times []netfault.Micros) {
 	for _, request := range r.Requests {
 		for _, attempt := range request.Attempts {
@@ -112,7 +116,7 @@
 	return times
 }
 
-// attemptTimes are the sorted times at which an agent sent requests to endpoints, by their build.
+// attemptTimes returns the sorted times at which an agent sent requests to endpoints, by the endpoints' build.
 func (r *Records) attemptTimes(agent int) map[int][]netfault.Micros {
 	times := map[int][]netfault.Micros{}
 	for i, a := range r.Arrivals {
@@ -132,7 +136,7 @@
 	cap float64
 }
 
-// capHistory are the caps of a build as an agent knew them, in the order of time.
+// capHistory returns the caps of a build that an agent was notified of, ordered by time.
 func (r *Records) capHistory(agent, build int) (out []capChange) {
 	newest := -1
 	for _, receipt := range r.ReceivedStages[agent] {
@@ -148,7 +152,7 @@
 	return out
 }
 
-// capOf is the share of requests that a build may get in a state of the rollout.
+// capOf returns the share of requests that a build may receive in a state of the rollout.
 func (s Stage) capOf(build int) float64 {
 	switch {
 	case build > s.Build:
@@ -160,14 +164,14 @@
 	}
 }
 
-// exposureWindow holds one agent's attempts at one build against the caps that it knew.
+// exposureWindow compares one agent's attempts at one build with the caps that the agent knew.
 type exposureWindow struct {
 	agent, build       int
 	attempts, received []netfault.Micros // sorted
 	caps               []capChange
 }
 
-// check looks at the window that ends with an attempt.
+// check checks the window that ends with the attempt sent at the given time.
 func (w *exposureWindow) check(at netfault.Micros) (v Violation, isViolated bool) {
 	if w.capAt(at) >= uncapped {
 		return v, false
@@ -187,7 +191,7 @@
 		w.agent, sent, w.build, seconds(at-from), highest, received, limit)}, true
 }
 
-// capAt is the newest cap that the agent knew at a time.
+// capAt returns the newest cap that the agent knew at a time.
 func (w *exposureWindow) capAt(at netfault.Micros) float64 {
 	limit := uncapped
 	for _, c := range w.caps {
@@ -199,10 +203,10 @@
 	return limit
 }
 
-// capGrace is how long after its notification a lower cap binds.
+// capGrace returns how long after its notification a lower cap binds.
 func capGrace() netfault.Micros { return (fakes.DrainGrace + capDelay).Microseconds() }
 
-// countStart is where the count that ends at a time begins: a lower cap begins a new count once it binds.
+// countStart returns when the count that ends at a time begins. A lower cap starts a new count once it binds.
 func (w *exposureWindow) countStart(at netfault.Micros) netfault.Micros {
 	from := at - fakes.CapWindow.Microseconds()
 	for i, c := range w.caps {
@@ -214,7 +218,7 @@
 	return from
 }
 
-// highestCap is the highest cap that was in force within a window, or within the grace before it.
+// highestCap returns the highest cap that was in force within a window, or within the grace period before it.
 func (w *exposureWindow) highestCap(from, at netfault.Micros) float64 {
 	highest := w.capAt(at)
 	for i, c := range w.caps {
--- a/internal/faulttest/client_records.go
+++ b/internal/faulttest/client_records.go
@@ -8,18 +8,18 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// clientRecords are what the clients of a run recorded. Any goroutine may use it.
+// clientRecords holds what the clients of a run recorded. It may be used from several goroutines.
 type clientRecords struct {
 	now                 netfault.Clock
-	connsWithExtraBytes atomic.Int64 // on which bytes came behind a complete answer, while they were idle
-	droppedRequests     atomic.Int64 // without a free connection slot: the scenario's own fault
+	connsWithExtraBytes atomic.Int64 // connections on which bytes followed a complete answer while they were idle
+	droppedRequests     atomic.Int64 // attempts without a free connection slot: the scenario's load is too high
 
 	mu         sync.Mutex
 	requests   []*Request
 	closeRaces []CloseRace
 }
 
-// newRequest records that a client wants something of an agent.
+// newRequest records a new request of a client to an agent.
 func (r *clientRecords) newRequest(agent int) *Request {
 	request := &Request{ArrivedAt: r.now(), Agent: agent}
 	r.mu.Lock()
@@ -34,7 +34,8 @@
 	request.Attempts = append(request.Attempts, attempt)
 }
 
-// finish records the outcome of a request. It counts as in time if it succeeded within the latency objective since a time.
+// finish records the outcome of a request. The request meets the latency objective if it succeeded within the objective, measured from
+// since.
 func (r *clientRecords) finish(request *Request, outcome string, since netfault.Micros) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,7 +55,7 @@
 	return slices.Clone(r.closeRaces)
 }
 
-// snapshotRequests are the requests so far, as they stand.
+// snapshotRequests returns copies of the requests recorded so far, including unfinished ones.
 func (r *clientRecords) snapshotRequests() (out []Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faulttest/collect.go
+++ b/internal/faulttest/collect.go
@@ -6,7 +6,7 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// serverRecords are what servers and deployment have recorded so far, without what only the relays' traces tell.
+// serverRecords returns what the servers, the clients and the deployment have recorded so far, without what only the relays' traces show.
 func (d *deployment) serverRecords() *Records {
 	clients := d.clients.records
 	out := &Records{
@@ -27,7 +27,7 @@
 	return out
 }
 
-// records put together what servers, deployment and relays have recorded.
+// records returns everything that was recorded, including what only the relays' traces show.
 func (d *deployment) records() *Records {
 	out := d.serverRecords()
 	out.Stages = d.rollout.snapshotStages()
@@ -50,7 +50,7 @@
 	return out
 }
 
-// configuredReceipts are the versions that the agent had from its configuration.
+// configuredReceipts returns the versions that the agent received with its configuration, one of each kind for each start.
 func (a *agent) configuredReceipts() (lists, stages []Receipt) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -61,7 +61,7 @@
 	return lists, stages
 }
 
-// addReceipts adds the versions that a server wrote, at the time at which the relay handed them to the agent.
+// addReceipts adds the versions that a server wrote, with the time at which the relay delivered them to the agent.
 func addReceipts(receipts [][]Receipt, deliveries []delivery, traces map[*countedConn]*netfault.Trace) {
 	for _, d := range deliveries {
 		at := d.at
--- a/internal/faulttest/event_log.go
+++ b/internal/faulttest/event_log.go
@@ -8,21 +8,21 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// Sources of events that are no server and no agent.
+// Sources of events other than servers and agents.
 const (
 	sourceDeployment = "deployment"
 	sourceScenario   = "scenario"
 	sourceClient     = "client"
 )
 
-// event is something that the deployment did or saw, for the time line.
+// event is an entry of the timeline.
 type event struct {
 	at     netfault.Micros
 	source string
 	text   string
 }
 
-// eventLog collects what the deployment did. Any goroutine may use it.
+// eventLog collects what the deployment did. It may be used from several goroutines.
 type eventLog struct {
 	now netfault.Clock
 
--- a/internal/faulttest/matching.go
+++ b/internal/faulttest/matching.go
@@ -7,14 +7,14 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// connKey is by what a connection is known on both sides of a relay.
+// connKey identifies a connection both at the relay and at the server.
 type connKey struct {
 	server      *countingListener
 	agent, port int
 }
 
-// matchTraces finds the relay's trace of each connection that a server had, and describes the traces without a connection. A port
-// may serve twice in a run: the first trace of it belongs to the first connection from it.
+// matchTraces finds the relay's trace of each connection that a server accepted, and describes the traces that have no connection or are
+// full. A port may be used more than once in a run: the first trace with a port belongs to the first connection from this port.
 func (n *relayNetwork) matchTraces() (traces map[*countedConn]*netfault.Trace, unmatched []string) {
 	relays := slices.DeleteFunc(n.streamRelays(), func(relay streamRelay) bool { return relay.server == nil })
 	conns := connsByKey(relays)
@@ -31,7 +31,7 @@
 				continue
 			}
 			if side := trace.ServerSide(); side.Delivered > 0 && !side.WasReset {
-				unmatched = append(unmatched, fmt.Sprintf("agent %d to %s: the relay delivered %d bytes on a connection that the far end never had",
+				unmatched = append(unmatched, fmt.Sprintf("agent %d to %s: the relay delivered %d bytes on a connection that the server never accepted",
 					relay.agent, relay.targetName, side.Delivered))
 			}
 		}
@@ -39,7 +39,8 @@
 	return traces, unmatched
 }
 
-// connsByKey are the servers' connections. All relays of an agent to one server lead to the same listener, so only the newest counts.
+// connsByKey returns the servers' connections by key. All relays of an agent to one server lead to the same listener, so only the newest
+// relay is used.
 func connsByKey(relays []streamRelay) map[connKey][]*countedConn {
 	conns := map[connKey][]*countedConn{}
 	for _, relay := range relays {
@@ -56,13 +57,14 @@
 	return conns
 }
 
-// mismatches compare what the relays counted on their server sides with what the servers counted, connection by connection.
+// mismatches compares, for each connection, the bytes that the relay counted on its server side with the bytes that the server counted. It
+// describes each difference.
 func (n *relayNetwork) mismatches() []string {
 	traces, out := n.matchTraces()
 	for conn, trace := range traces {
 		side := trace.ServerSide()
 		if !conn.matches(side) {
-			out = append(out, fmt.Sprintf("agent %d, port %d: the relay delivered %d bytes and got %d, the far end read %d and wrote %d",
+			out = append(out, fmt.Sprintf("agent %d, port %d: the relay delivered %d bytes and received %d, the server read %d and wrote %d",
 				conn.agent, conn.port, side.Delivered, side.Received, conn.readBytes.Load(), conn.writtenBytes.Load()))
 		}
 	}
@@ -70,8 +72,8 @@
 	return out
 }
 
-// matches tells whether both sides agree on a connection. After a reset a side may have read less than the other wrote, and what a
-// server wrote after the other side had closed may be lost.
+// matches reports whether the server and the relay agree on a connection. After a reset either side may have read less than the other side
+// wrote. What the server wrote after the relay had closed its side may be lost.
 func (c *countedConn) matches(side netfault.ServerSide) bool {
 	read, written := c.readBytes.Load(), c.writtenBytes.Load()
 	if read > side.Delivered || written < side.Received {
--- a/internal/faulttest/measure.go
+++ b/internal/faulttest/measure.go
@@ -7,15 +7,15 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// timeRange is a part of a run; its end is not included.
+// timeRange is a part of a run; to is excluded.
 type timeRange struct{ from, to netfault.Micros }
 
 func (r timeRange) contains(at netfault.Micros) bool { return at >= r.from && at < r.to }
 
-// agentFilter tells whether an agent is meant.
+// agentFilter reports whether an agent is selected.
 type agentFilter func(agent int) bool
 
-// measurement is the value of a measure. Where there was nothing to measure, hasValue is false and the description says so.
+// measurement is the value of a measure. If there was nothing to measure, hasValue is false and the description gives the reason.
 type measurement struct {
 	value       float64
 	description string
@@ -28,7 +28,7 @@
 
 func notMeasured(why string) measurement { return measurement{description: why} }
 
-// query is a measure with the agents and the part of the run that it is taken over.
+// query is a measure with the agents and the part of the run over which it is evaluated.
 type query struct {
 	Measure
 	records *Records
@@ -36,7 +36,7 @@
 	in      timeRange
 }
 
-// evaluators measure the records. Measures without an entry ask the agents themselves, see agentCounters.
+// evaluators compute measures from the records. Measures without an entry query the agents, see agentCounters and fewestMembers.
 var evaluators = map[string]func(query) measurement{
 	measureSucceeded:    func(q query) measurement { return q.requestShare(hasOutcome(outcomeSucceeded)) },
 	measureRejected:     func(q query) measurement { return q.requestShare(hasOutcome(outcomeRejected)) },
@@ -63,7 +63,7 @@
 	return evaluate(query{m, r, agents, in})
 }
 
-// requests are those that arrived in the range, at these agents, and of the class.
+// requests returns the requests of the class that arrived in the range at the selected agents.
 func (q query) requests() (out []Request) {
 	for _, request := range q.records.Requests {
 		if q.in.contains(request.ArrivedAt) && q.agents(request.Agent) && request.isOfClass(q.Class) {
@@ -77,7 +77,7 @@
 	return func(r Request) bool { return r.Outcome == outcome }
 }
 
-// requestShare is the share of the requests for which a condition holds.
+// requestShare returns the share of the requests for which a condition holds.
 func (q query) requestShare(holds func(Request) bool) measurement {
 	requests := q.requests()
 	if len(requests) == 0 {
@@ -93,7 +93,8 @@
 	return measurement{share, fmt.Sprintf("%.4f (%d of %d requests)", share, n, len(requests)), true}
 }
 
-// latencyPercentile is a percentile, in milliseconds, of the time from a request's arrival to the last byte of its answer.
+// latencyPercentile returns a percentile, in milliseconds, of the time from a request's arrival to the last byte of its answer. Only
+// requests that succeeded count.
 func (q query) latencyPercentile(percent int) measurement {
 	var latencies []float64
 	for _, request := range q.requests() {
@@ -102,7 +103,7 @@
 		}
 	}
 	if len(latencies) == 0 {
-		return notMeasured("nothing succeeded")
+		return notMeasured("no request succeeded")
 	}
 	slices.Sort(latencies)
 	latency := latencies[len(latencies)*percent/100]
@@ -120,7 +121,8 @@
 	return counted(n, "votes")
 }
 
-// arrivals are those in the range at the endpoints; one that came through no relay counts for every agent.
+// arrivals returns the arrivals in the range from the selected agents at the selected endpoints. An arrival that came through no relay
+// counts for every agent.
 func (q query) arrivals() (out []Arrival) {
 	for _, a := range q.records.Arrivals {
 		isOfAgents := a.Agent < 0 || q.agents(a.Agent)
@@ -142,11 +144,11 @@
 	return counted(n, measureDuplicates)
 }
 
-// busiest is the number of arrivals at the busiest endpoint, in multiples of the mean.
+// busiest returns the number of arrivals at the busiest endpoint, as a multiple of the mean over the endpoints.
 func (q query) busiest() measurement {
 	arrivals := q.arrivals()
 	if len(arrivals) == 0 {
-		return notMeasured("nothing arrived")
+		return notMeasured("no request arrived")
 	}
 	byEndpoint := map[int]int{}
 	most := 0
@@ -159,7 +161,7 @@
 		endpoints = len(q.Endpoints.Numbers)
 	}
 	ratio := float64(most) * float64(endpoints) / float64(len(arrivals))
-	return measurement{ratio, fmt.Sprintf("%.3f of the mean (%d requests at %d endpoints)", ratio, len(arrivals), endpoints), true}
+	return measurement{ratio, fmt.Sprintf("%.3f times the mean (%d requests at %d endpoints)", ratio, len(arrivals), endpoints), true}
 }
 
 func (q query) calls() measurement {
@@ -193,7 +195,7 @@
 	return counted(n, "processes")
 }
 
-// contains tells whether an endpoint of a build belongs to the set; the nil set holds all.
+// contains reports whether an endpoint of a build belongs to the set. The nil set contains all endpoints.
 func (s *EndpointSet) contains(endpoint, build int) bool {
 	if s == nil {
 		return true
@@ -218,7 +220,7 @@
 	}
 }
 
-// evaluate holds an expectation against the records.
+// evaluate checks an expectation against the records.
 func (e Expectation) evaluate(r *Records, agents agentFilter, in timeRange) (passed bool, observed string) {
 	if e.ExclusiveClaim != "" {
 		found := findSharedClaim(r.claims(), e.ExclusiveClaim, in)
@@ -226,7 +228,7 @@
 	}
 	ranges := e.windows(in)
 	if len(ranges) == 0 {
-		return false, fmt.Sprintf("no span of %v between %.3f and %.3f s", e.Window, seconds(in.from), seconds(in.to))
+		return false, fmt.Sprintf("no window of %v fits between %.3f and %.3f s", e.Window, seconds(in.from), seconds(in.to))
 	}
 	for _, window := range ranges {
 		measured := r.measure(e.measure, agents, window)
@@ -238,7 +240,7 @@
 	return true, observed
 }
 
-// windows are the parts of a range in each of which the expectation has to hold.
+// windows returns the parts of a range in each of which the expectation has to hold.
 func (e Expectation) windows(in timeRange) (out []timeRange) {
 	if e.Window <= 0 {
 		return []timeRange{in}
--- a/internal/faulttest/measure_agents.go
+++ b/internal/faulttest/measure_agents.go
@@ -8,7 +8,7 @@
 	"switchfork/internal/cluster/coordinator"
 )
 
-// agentCounters are the measures that ask the agents: what one agent adds to a sum over agents.
+// agentCounters compute the measures that query the agents. Each function returns what one agent contributes to the sum over all agents.
 var agentCounters = map[string]func(ctx context.Context, a *agent, m Measure) int{
 	measureLog: func(_ context.Context, a *agent, m Measure) int {
 		return strings.Count(a.log.String(), strings.ReplaceAll(m.Arg, "_", " "))
@@ -24,7 +24,7 @@
 	return 0
 }
 
-// measureNow is a measure from the start to now. Unlike an expectation it may ask agents about themselves.
+// measureNow evaluates a measure from the start of the run to now. Unlike an expectation, it may use what agents report about themselves.
 func (r *runner) measureNow(ctx context.Context, m Measure, agents agentFilter) measurement {
 	if !measureSpecs[m.Name].asksAgents {
 		return r.serverRecords().measure(m, agents, timeRange{r.bindings.startTime(), r.now()})
@@ -45,13 +45,13 @@
 	return measurement{float64(n), fmt.Sprintf("%s is %d", m.Name, n), true}
 }
 
-// fewestMembers is the least number of members that any of the agents knows of.
+// fewestMembers returns the smallest number of members that any of the agents knows of.
 func fewestMembers(agents []*agent) measurement {
 	least := 0
 	for i, a := range agents {
 		status, err := coordinator.QueryStatus(a.adminAddress)
 		if err != nil {
-			return measurement{0, "no answer at the admin address", true}
+			return measurement{0, "no answer from an agent's admin address", true}
 		}
 		if n := len(status.Members); i == 0 || n < least {
 			least = n
--- a/internal/faulttest/measure_spec.go
+++ b/internal/faulttest/measure_spec.go
@@ -1,12 +1,13 @@
 package faulttest
 
-// Measure is a figure that is derived from the records.
+// Measure is a quantity that a scenario checks, with the agents, endpoints, build or class that it is restricted to. Most measures are
+// computed from the records; those with asksAgents query the agents.
 type Measure struct {
 	Name, Arg string
 	Agents    *AgentSet
 	Endpoints *EndpointSet
 	Build     int
-	Class     string // empty: all
+	Class     string // empty: all classes
 }
 
 // Names of measures.
@@ -31,14 +32,14 @@
 	measureHealthy      = "healthy"
 )
 
-// measureSpec tells what a measure can be narrowed by.
+// measureSpec defines what a measure can be restricted by.
 type measureSpec struct {
 	hasArg     bool
 	byAgent    bool
 	byEndpoint bool
 	byBuild    bool
 	byClass    bool
-	asksAgents bool // what agents report about themselves: for waits only, never for an expectation
+	asksAgents bool // the measure uses what agents report about themselves; permitted in waits only, never in an expectation
 }
 
 var measureSpecs = map[string]measureSpec{
--- a/internal/faulttest/records.go
+++ b/internal/faulttest/records.go
@@ -7,18 +7,18 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// Records are what the fake servers, the relays and the deployment itself wrote down during a run. The JSON keys are part of the format of
+// Records holds what the fake servers, the relays and the deployment itself recorded during a run. The JSON keys are part of the format of
 // records.json.
 type Records struct {
 	Agents              int
 	End                 netfault.Micros
 	Requests            []Request         `json:"Txns"`
-	ConnsWithExtraBytes int               `json:"Surplus"` // client connections with bytes behind a complete answer
-	EndpointStarts      []netfault.Micros `json:"Born"`    // by endpoint; -1: long before the run
-	Slots               int               // requests that an endpoint serves at a time
-	ServiceTime         netfault.Micros   `json:"Work"` // of one request at an endpoint that is warm
+	ConnsWithExtraBytes int               `json:"Surplus"` // client connections on which bytes followed a complete answer
+	EndpointStarts      []netfault.Micros `json:"Born"`    // start time by endpoint; -1: long before the run
+	Slots               int               // requests that an endpoint serves concurrently
+	ServiceTime         netfault.Micros   `json:"Work"` // mean time to serve a request at an endpoint after its slow start
 	Calls               map[string][]Call // by server, see callsKey
-	Datagrams           []int64           // delivered, by sender
+	Datagrams           []int64           // number of delivered datagrams, by sender
 	Arrivals            []Arrival
 	Votes               []Vote
 	Stages              []Stage             // by version
@@ -27,30 +27,30 @@
 	HasElection         bool                `json:"Decider"`
 	CloseRaces          []CloseRace         `json:"Crossings"`
 
-	// ReceivedLists and ReceivedStages tell when each agent had each version, in the order of time.
+	// ReceivedLists and ReceivedStages hold, by agent, when the agent received each version, ordered by time.
 	ReceivedLists  [][]Receipt `json:"HadList"`
 	ReceivedStages [][]Receipt `json:"HadNews"`
-	// SentAt is when each arrival was sent by its agent; -1 where the relay can't tell.
+	// SentAt is when each of Arrivals was sent by its agent; -1 if the relay's trace does not show it.
 	SentAt []netfault.Micros
 }
 
 // ProcessLifetime is one process of an agent, from its start to its end.
 type ProcessLifetime struct {
 	Start      netfault.Micros      `json:"From"`
-	End        netfault.Micros      `json:"To"`         // -1 while it lives
+	End        netfault.Micros      `json:"To"`         // -1 while the process runs
 	TermSentAt netfault.Micros      `json:"Left"`       // when SIGTERM was sent; -1: never
-	Pauses     [][2]netfault.Micros `json:"Standstill"` // begin and end of each SIGSTOP; end -1 while it lasts
+	Pauses     [][2]netfault.Micros `json:"Standstill"` // start and end of each pause by SIGSTOP; the end is -1 while the pause lasts
 	WasKilled  bool                 `json:"Killed"`
-	ExitError  string               // how a process that was not killed ended; empty: with 0, or it lives
+	ExitError  string               // exit error of a process that was not killed; empty: it exited with status 0, or it runs
 }
 
-// Receipt is when an agent was handed a version of the endpoint list or of the rollout state.
+// Receipt records when a version of the endpoint list or of the rollout state was delivered to an agent.
 type Receipt struct {
 	At      netfault.Micros
 	Version int `json:"Serial"`
 }
 
-// callsKey is the key of a server's calls in records.json, which does not change with the notation.
+// callsKey returns the key of a server's calls in records.json. The key stays the same when the notation of scenarios changes.
 func callsKey(server string) string {
 	if server == serverRollout {
 		return "launcher"
@@ -68,7 +68,7 @@
 // EndpointRow is an endpoint in a version of the endpoint list.
 type EndpointRow struct {
 	Endpoint    int    `json:"Box"`
-	Health      string // active, leaving; left: not in the list any more
+	Health      string // active, leaving; left: no longer in the list
 	Build       int
 	StartedAtMS int64 `json:"Born"` // Unix milliseconds; 0: long before the run
 }
@@ -96,10 +96,10 @@
 	Build           int
 	Agent           int
 	conn            *countedConn
-	StreamOffset    int64           `json:"From"` // of its first byte on its connection
-	ID, Key         string          // the client's id of this attempt; the idempotency key
+	StreamOffset    int64           `json:"From"` // position of the request's first byte in what the endpoint read from the connection
+	ID, Key         string          // the client's id of the attempt; the idempotency key, for classNonIdempotent the sid parameter
 	Class           string          `json:"Product"`
-	RanAt           netfault.Micros `json:"Ran"` // -1: it has not run, or was dropped as a duplicate
+	RanAt           netfault.Micros `json:"Ran"` // -1: the request did not run, or was dropped as a duplicate
 	WasDeduplicated bool            `json:"Dropped"`
 }
 
@@ -109,20 +109,21 @@
 	ID             string
 	Class          string `json:"Product"`
 	Key            string
-	SentAt         netfault.Micros `json:"Sent"`  // its last byte was written; -1: it never was
-	EndedAt        netfault.Micros `json:"Ended"` // the last byte of its answer came, or what else ended it
+	SentAt         netfault.Micros `json:"Sent"`  // when its last byte was written; -1: never
+	EndedAt        netfault.Micros `json:"Ended"` // when the last byte of its answer was read, or when the attempt ended otherwise
 	Status         int             // 0: no complete answer
 	Err            string
-	HasExtraBytes  bool `json:"Surplus"` // bytes came behind the answer
+	HasExtraBytes  bool `json:"Surplus"` // bytes followed the complete answer
 	Body           string
-	WasUnreachable bool `json:"Unreached"` // no connection came up: the agent has not received it
+	WasUnreachable bool `json:"Unreached"` // no connection was established, so the agent has not received the attempt
 
-	Timeout         netfault.Micros `json:",omitempty"`     // that the client gave the agent; 0: requestTimeout
-	DialedAt        netfault.Micros `json:",omitempty"`     // when its connection was dialed; 0: not known
-	HasDisconnected bool            `json:"Gone,omitempty"` // the client closed its connection at EndedAt and wants no answer
+	Timeout         netfault.Micros `json:",omitempty"`     // timeout that the client gave the agent; 0: requestTimeout
+	DialedAt        netfault.Micros `json:",omitempty"`     // when its connection was dialed; 0: unknown
+	HasDisconnected bool            `json:"Gone,omitempty"` // the client closed its connection at EndedAt and expects no answer
 }
 
-// processTime is a time at which the process lived that an attempt was sent to: an attempt may be sent completely when the next one has started.
+// processTime returns a time at which the process that received the attempt was running. SentAt may be too late for that: the agent's next
+// process may have started before the attempt was sent completely.
 func (a *Attempt) processTime() netfault.Micros {
 	if a.DialedAt > 0 {
 		return a.DialedAt
@@ -130,7 +131,7 @@
 	return a.SentAt
 }
 
-// timeout is the time that the client gave the agent.
+// timeout returns the timeout that the client gave the agent.
 func (a *Attempt) timeout() time.Duration {
 	if a.Timeout > 0 {
 		return time.Duration(a.Timeout) * time.Microsecond
@@ -138,14 +139,14 @@
 	return requestTimeout
 }
 
-// CloseRace is a request that was sent on a reused connection in the moment in which that ended: it got nothing, and the client sent it
-// again. The client had looked for the connection's end right before.
+// CloseRace is a request that was sent on a reused connection at the moment at which the connection ended. It got no answer, and the client
+// sent it again. Right before, the client had checked that the connection was still open.
 type CloseRace struct {
 	Agent   int
 	At      netfault.Micros
 	ID      string
 	Err     string
-	IsReset bool // the connection ended by a reset, not by a clean end
+	IsReset bool // the connection was reset, not closed cleanly
 }
 
 // Outcomes of a request, over all its attempts.
@@ -155,10 +156,10 @@
 	outcomeFailed    = "failed"
 )
 
-// Request is what a client wants, with all its attempts.
+// Request is a request of a client with all its attempts.
 type Request struct {
 	ArrivedAt    netfault.Micros `json:"Came"`
-	Agent        int             // of the first attempt
+	Agent        int             // agent of the first attempt
 	Outcome      string          `json:"Fate"`
 	MetObjective bool            `json:"InTime"`
 	Attempts     []Attempt       `json:"Tries"`
@@ -166,10 +167,10 @@
 
 func (q *Request) lastAttempt() *Attempt { return &q.Attempts[len(q.Attempts)-1] }
 
-// isOfClass tells whether the request is of a class; the empty class means any.
+// isOfClass reports whether the request is of a class. The empty class matches any request.
 func (q *Request) isOfClass(class string) bool { return class == "" || q.Attempts[0].Class == class }
 
-// lifetimeAt is the process of an agent that was alive at a time, nil without one.
+// lifetimeAt returns the process of an agent that was running at a time, or nil.
 func (r *Records) lifetimeAt(agent int, at netfault.Micros) *ProcessLifetime {
 	for i := range r.Lifetimes[agent] {
 		if l := &r.Lifetimes[agent][i]; l.Start <= at && (l.End < 0 || at < l.End) {
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// wasPaused tells whether the process was stopped at any time in a span.
+// wasPaused reports whether the process was paused at any time between from and to.
 func (l *ProcessLifetime) wasPaused(from, to netfault.Micros) bool {
 	return slices.ContainsFunc(l.Pauses, func(pause [2]netfault.Micros) bool {
 		return pause[0] <= to && (pause[1] < 0 || from <= pause[1])
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -14,7 +14,7 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// writeFiles writes logs, time line and records into a folder of the scenario's own.
+// writeFiles writes the logs, timeline, verdict and records of a run into a folder named after the scenario.
 func (v *Verdict) writeFiles(d *deployment, parent string, records *Records) {
 	dir, err := makeReportDir(parent, strings.TrimSuffix(v.Scenario, filepath.Ext(v.Scenario)))
 	if err == nil {
@@ -27,7 +27,7 @@
 	}
 }
 
-// makeReportDir makes the folder in the parent, or a temporary one without a parent.
+// makeReportDir creates the folder in parent, or a temporary folder if parent is empty.
 func makeReportDir(parent, name string) (string, error) {
 	if parent == "" {
 		return os.MkdirTemp("", "switchfork-faulttest-"+name+"-")
@@ -74,8 +74,8 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-// timeline is all that happened, merged: what the deployment did, what agents received, votes, what agents logged. Without records it is what
-// the deployment did and what agents logged.
+// timeline returns the events of a run, ordered by time: what the deployment did, what agents received, their votes, the failed requests, and
+// what agents logged. Without records it contains only what the deployment did and what agents logged.
 func (d *deployment) timeline(records *Records) []event {
 	events := d.events.snapshot()
 	if records != nil {
@@ -91,11 +91,11 @@
 func (r *Records) receiptEvents() (out []event) {
 	for agent := range r.ReceivedLists {
 		for _, receipt := range r.ReceivedLists[agent] {
-			out = append(out, event{receipt.At, serverDiscovery, fmt.Sprintf("agent %d has list %d", agent, receipt.Version+1)})
+			out = append(out, event{receipt.At, serverDiscovery, fmt.Sprintf("agent %d received endpoint list %d", agent, receipt.Version+1)})
 		}
 		for _, receipt := range r.ReceivedStages[agent] {
 			s := r.Stages[receipt.Version]
-			out = append(out, event{receipt.At, serverRollout, fmt.Sprintf("agent %d has the rollout state: build %d stage %d %s cap %g", agent, s.Build, s.Stage, s.Phase, s.Cap)})
+			out = append(out, event{receipt.At, serverRollout, fmt.Sprintf("agent %d received the rollout state: build %d stage %d %s cap %g", agent, s.Build, s.Stage, s.Phase, s.Cap)})
 		}
 	}
 	return out
@@ -103,7 +103,7 @@
 
 func (r *Records) voteEvents() (out []event) {
 	for _, v := range r.Votes {
-		out = append(out, event{v.At, serverRollout, fmt.Sprintf("agent %d votes %s on build %d stage %d", v.Agent, recommendationWord(v.Recommendation), v.Build, v.Stage)})
+		out = append(out, event{v.At, serverRollout, fmt.Sprintf("agent %d voted %s on build %d stage %d", v.Agent, recommendationWord(v.Recommendation), v.Build, v.Stage)})
 	}
 	return out
 }
@@ -131,7 +131,7 @@
 	return out
 }
 
-// parseLogTime reads when a line of an agent's log was written, in JSON or in key=value form.
+// parseLogTime reads the time stamp of a line of an agent's log, which is in JSON or in key=value form.
 func parseLogTime(line string) (at time.Time, hasTime bool) {
 	end := `"`
 	_, text, isJSON := strings.Cut(line, `"time":"`)
--- a/internal/faulttest/rules.go
+++ b/internal/faulttest/rules.go
@@ -25,26 +25,29 @@
 )
 
 const (
-	// answerSlack allows for lateness of a busy test machine: an answer that is late by no more than this breaks no rule. The users'
-	// benchmark counts an answer as lost after half a second.
+	// answerSlack is how late an answer may be without breaking a rule, since a busy test machine delays answers. The users' benchmark
+	// counts an answer as lost after half a second.
 	answerSlack = 500 * time.Millisecond
-	// drainSlack is the protocol's 50 ms, and what lies between an agent's write and its relay's look at the clock on a busy machine.
+	// drainSlack is the 50 ms that the protocol allows, plus the time between an agent's write and its relay's time stamp on a busy machine.
 	drainSlack = 150 * time.Millisecond
-	// maxViolationsPerRule bounds how many violations of one rule are reported.
+	// maxViolationsPerRule limits how many violations of one rule are reported.
 	maxViolationsPerRule = 20
-	// killDelay is the protocol's: SIGKILL comes so long after SIGTERM, for deadlines of up to 3 s.
+	// killDelay is the time from SIGTERM to SIGKILL that the protocol defines for deadlines of up to 3 s.
 	killDelay = 3700 * time.Millisecond
-	// acceptAfterTerm is the protocol's: new connections still come for so long after SIGTERM.
+	// acceptAfterTerm is how long after SIGTERM new connections still arrive, according to the protocol.
 	acceptAfterTerm = 200 * time.Millisecond
-	// exitSlack: what was sent so shortly before a process ended by itself may have met its closed listener.
+	// exitSlack is the time before a process exits by itself in which its listener may already be closed. A request that was sent in this
+	// time need not be answered.
 	exitSlack = 50 * time.Millisecond
-	// maxCleanCloseRaces: a request may meet the clean end of a connection in the microseconds in which it ends, one in a hundred restarts.
+	// maxCleanCloseRaces is how many requests of a run may be sent on a connection that is cleanly closed at the same moment. The moment
+	// lasts microseconds; it affects a request in about one of a hundred restarts.
 	maxCleanCloseRaces = 1
-	// disconnectSlack is the protocol's 0.1 s for an attempt of a client that has disconnected, and drainSlack.
+	// disconnectSlack is how long after its client disconnected an attempt may still be sent: the 0.1 s that the protocol allows, plus
+	// drainSlack.
 	disconnectSlack = 100*time.Millisecond + drainSlack
 )
 
-// Violation is a rule that was broken.
+// Violation describes one case in which a rule was broken.
 type Violation struct {
 	Rule string
 	At   netfault.Micros
@@ -61,11 +64,11 @@
 	return rule
 }
 
-// seconds are microseconds as reports print them.
+// seconds converts microseconds to the seconds that reports print.
 func seconds(at netfault.Micros) float64 { return float64(at) / 1e6 }
 
-// CheckRules holds the rules of every scenario against the records. It does no I/O, reads no clock, and uses nothing that an agent
-// reports about itself.
+// CheckRules checks the records against the rules that apply to every scenario. It does no I/O, reads no clock, and uses nothing that an
+// agent reports about itself.
 func CheckRules(r *Records) (out []Violation) {
 	rules := []func(*Records) []Violation{
 		checkOneAnswer, checkNoDuplicateEffect, checkDrainsRespected, checkSlowStart, checkExposureCap, checkNoContraryVotes,
@@ -83,7 +86,7 @@
 	return out
 }
 
-// checkOneAnswer: every request that a running agent has received gets exactly one complete answer before its timeout.
+// checkOneAnswer checks that every request that a running agent has received gets exactly one complete answer before its timeout.
 func checkOneAnswer(r *Records) (out []Violation) {
 	if r.ConnsWithExtraBytes > 0 {
 		out = append(out, Violation{ruleOneAnswer, r.End, fmt.Sprintf("bytes behind the answer on %d connections", r.ConnsWithExtraBytes)})
@@ -104,7 +107,7 @@
 		return out
 	}
 	due := a.SentAt + (a.timeout() + fakes.AnswerGrace + answerSlack).Microseconds()
-	if !r.owesAnswer(a, due) {
+	if !r.isAnswerRequired(a, due) {
 		return out
 	}
 	switch {
@@ -117,15 +120,16 @@
 	return out
 }
 
-// owesAnswer tells whether an agent was able and obliged to answer an attempt. A killed or paused process owes nothing; one that was
-// sent SIGTERM owes an answer to what it had received until then, and one that ended by itself to what it received before that.
-func (r *Records) owesAnswer(a Attempt, due netfault.Micros) bool {
+// isAnswerRequired reports whether an agent was able and obliged to answer an attempt. A process that was killed or paused need not answer. A
+// process that was sent SIGTERM has to answer what it had received by then. If it then exits by itself, it also has to answer what it
+// received before its exit.
+func (r *Records) isAnswerRequired(a Attempt, due netfault.Micros) bool {
 	process := r.lifetimeAt(a.Agent, a.processTime())
 	if process == nil || process.wasPaused(a.SentAt, due) {
 		return false
 	}
 	if process.End >= 0 && a.SentAt >= process.End {
-		return false // it was not sent completely while the process lived
+		return false // the request was not sent completely before the process ended
 	}
 	endedBeforeDue := process.End >= 0 && process.End <= due
 	receivedBeforeTerm := process.TermSentAt >= 0 && a.SentAt <= process.TermSentAt
@@ -133,9 +137,9 @@
 	return !endedBeforeDue || receivedBeforeTerm || receivedBeforeExit
 }
 
-// checkNoDuplicateEffect: no request with an idempotency key runs twice; what the endpoints dropped as a duplicate did not run.
-// Clients retry a class that must never run twice only after an answer that says it has not run, and a keyed request well within
-// the endpoints' deduplication window.
+// checkNoDuplicateEffect checks that no request with an idempotency key runs twice. A request that an endpoint dropped as a duplicate did
+// not run. Clients retry a request of a class that must never run twice only after an answer that says that it did not run. They retry a
+// keyed request well within the endpoints' deduplication window.
 func checkNoDuplicateEffect(r *Records) (out []Violation) {
 	first := map[string]Arrival{}
 	for _, a := range r.Arrivals {
@@ -155,7 +159,8 @@
 	return out
 }
 
-// newestReceived is the newest version that an agent had by a time; -1: none. An older version that comes again changes nothing.
+// newestReceived returns the newest version that an agent had received by a time, or -1. An older version that arrives later changes
+// nothing.
 func newestReceived(receipts []Receipt, by netfault.Micros) int {
 	newest := -1
 	for _, receipt := range receipts {
@@ -167,7 +172,7 @@
 	return newest
 }
 
-// endpointHealth is an endpoint's health in a version of the list; an endpoint that is not listed was removed.
+// endpointHealth returns an endpoint's health in a version of the list. An endpoint that is not listed was removed.
 func endpointHealth(rows []EndpointRow, endpoint int) string {
 	for _, row := range rows {
 		if row.Endpoint == endpoint {
@@ -177,8 +182,9 @@
 	return healthRemoved
 }
 
-// checkDrainsRespected: no new request to an endpoint later than the grace after its agent was notified that it drains or is gone. A
-// version counts as received once it was handed to the agent's machine, also while the process is paused.
+// checkDrainsRespected checks that an agent sends no new request to an endpoint after the grace period that follows the notification that
+// the endpoint drains or was removed. A version counts as received once it was delivered to the agent's machine, even while the process
+// is paused.
 func checkDrainsRespected(r *Records) (out []Violation) {
 	grace := (fakes.DrainGrace + drainSlack).Microseconds()
 	for i, a := range r.Arrivals {
@@ -204,7 +210,9 @@
 	return out
 }
 
-// inactiveSince is when the first of the latest run of versions that all list the endpoint as not active was received; -1: never.
+// inactiveSince returns since when, at the given time, the agent knew the endpoint as not active, or -1 if its newest version lists the
+// endpoint as active. It is the time at which the first version that lists the endpoint as not active was received, if no later version
+// lists it as active again.
 func (r *Records) inactiveSince(receipts []Receipt, endpoint int, by netfault.Micros) netfault.Micros {
 	since := netfault.Micros(-1)
 	newest := -1
@@ -224,9 +232,9 @@
 	return since
 }
 
-// checkNoContraryVotes: no two agents cast contrary votes on one stage, of which the first may still count when the second comes. An
-// agent's own vote back may replace its vote on; the other way round is a vote that came late, or worse. The rule applies only
-// where one elected agent votes for all; otherwise each agent has its own recommendation.
+// checkNoContraryVotes checks that no two contrary votes are cast on one stage while the first of them may still count. An agent may
+// replace its own vote to advance with a vote to roll back. The reverse order is a violation: at best the vote to advance was delayed. The
+// rule applies only where one elected agent votes for all agents; otherwise each agent has its own recommendation.
 func checkNoContraryVotes(r *Records) (out []Violation) {
 	if !r.HasElection {
 		return nil
@@ -249,14 +257,14 @@
 	return a == recommendAdvance && b == recommendRollback || a == recommendRollback && b == recommendAdvance
 }
 
-// claim is that an agent holds something exclusively over a span of time.
+// claim states that an agent holds something exclusively during a period.
 type claim struct {
 	what     string
 	agent    int
 	from, to netfault.Micros
 }
 
-// claims are derived from what the servers recorded: an agent holds the vote on a stage for as long as its vote stands.
+// claims returns the claims that follow from the servers' records: an agent holds the vote on a stage for as long as its vote counts.
 func (r *Records) claims() (out []claim) {
 	for _, v := range r.Votes {
 		if v.Recommendation != recommendNone {
@@ -266,7 +274,7 @@
 	return out
 }
 
-// findSharedClaim describes two agents that hold the same thing at one time; it is empty where there are none.
+// findSharedClaim describes two agents that hold the same claim at the same time. It returns an empty text if there are none.
 func findSharedClaim(claims []claim, what string, in timeRange) string {
 	for i, a := range claims {
 		for _, b := range claims[i+1:] {
--- a/internal/faulttest/runner.go
+++ b/internal/faulttest/runner.go
@@ -12,7 +12,7 @@
 const (
 	// pollInterval is how often a condition is checked.
 	pollInterval = 20 * time.Millisecond
-	// serverReadTimeout bounds how long the servers may take to read what the relays have delivered.
+	// serverReadTimeout limits how long the servers may take to read what the relays have delivered.
 	serverReadTimeout = 2 * time.Second
 )
 
@@ -24,19 +24,19 @@
 	faults   *faultInjector
 }
 
-// Run runs a scenario. The end of the context interrupts it; whatever happens, nothing that it started is left.
+// Run runs a scenario. It is interrupted when the context ends. In every case it stops all processes and servers that it started.
 func Run(ctx context.Context, s *Scenario, options RunOptions) (v *Verdict) {
 	s = options.applyTo(s)
 	start := time.Now()
 	v = &Verdict{Scenario: s.File, Seed: s.Seed}
 	defer func() { v.TookMS = time.Since(start).Milliseconds() }()
-	dir, err := os.MkdirTemp("", "sf-fault") // short: it holds the sockets of the admin addresses
+	dir, err := os.MkdirTemp("", "sf-fault") // a short name: the folder holds the sockets of the admin addresses, whose paths have to be short
 	if err != nil {
 		v.Error = err.Error()
 		return v
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder that stays does no harm
-	cause := fmt.Errorf("the scenario is over its timeout of %v", s.Timeout)
+	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder that is left behind does no harm
+	cause := fmt.Errorf("the scenario exceeded its timeout of %v", s.Timeout)
 	ctx, stop := context.WithTimeoutCause(ctx, s.Timeout+startupTimeout, cause)
 	defer stop()
 	d, err := startDeployment(ctx, s, dir, options)
@@ -62,7 +62,7 @@
 
 // run runs the steps, closes the deployment and fills the verdict.
 func (r *runner) run(ctx context.Context, v *Verdict) *Records {
-	r.events.record(sourceDeployment, "all serve")
+	r.events.record(sourceDeployment, "all agents serve")
 	r.bindings.marks[startMark] = r.now()
 	err := r.runSteps(ctx)
 	r.clients.stop()
@@ -77,7 +77,7 @@
 	return records
 }
 
-// stepError is a step that failed; the scenario ends with it.
+// stepError is the failure of a step, which ends the scenario.
 type stepError struct {
 	step Step
 	err  error
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// sleep waits for a time, or for the end of the context.
+// sleep waits for a duration, or until the context ends.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -121,7 +121,7 @@
 	}
 }
 
-// waitFor waits for a condition. Its error tells what was observed last.
+// waitFor waits until a condition is met. Its error contains the last observation.
 func waitFor(ctx context.Context, timeout time.Duration, condition func() (isMet bool, observed string)) error {
 	deadline := time.Now().Add(timeout)
 	for {
@@ -130,15 +130,15 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%s, for %v", observed, timeout)
+			return fmt.Errorf("%s after waiting for %v", observed, timeout)
 		}
 		if err := sleep(ctx, pollInterval); err != nil {
-			return fmt.Errorf("%s, then %w", observed, err)
+			return fmt.Errorf("%s when the wait was interrupted: %w", observed, err)
 		}
 	}
 }
 
-// awaitServerReads gives the servers time to read what the relays have delivered.
+// awaitServerReads waits, for at most serverReadTimeout, until the servers have read what the relays delivered.
 func (r *runner) awaitServerReads() {
 	deadline := time.Now().Add(serverReadTimeout)
 	for len(r.relays.mismatches()) > 0 && time.Now().Before(deadline) {
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -1,19 +1,19 @@
-// Package faulttest runs fault scenarios: several processes of the program among fake servers, with a relay on each link between them
-// and faults on links and processes. Expectations are held against the records of fake servers and relays, never against what
-// agents report about themselves.
+// Package faulttest runs fault scenarios. A scenario starts several agent processes among fake servers, with a relay on each link between
+// them, and injects faults into links and processes. Expectations are checked against the records of the fake servers and relays, never
+// against what agents report about themselves.
 //
-// ReadScenario and ParseScenario read a scenario, Run runs it and returns its Verdict. A run owns all that it starts; Run may be called
-// from several goroutines at a time, each run with processes and servers of its own.
+// ReadScenario and ParseScenario read a scenario, Run runs it and returns its Verdict. Run may be called from several goroutines at the
+// same time: each run starts its own processes and servers, and stops everything that it started.
 package faulttest
 
 import "time"
 
 const (
-	// MaxAgents of a scenario; more agents belong into simulated time.
+	// MaxAgents is the maximum number of agents in a scenario. Tests with more agents belong in simulated time.
 	MaxAgents = 64
-	// maxEndpoints bounds the numbers of endpoints.
+	// maxEndpoints limits how many endpoints one line starts, and the endpoint numbers that a line may name.
 	maxEndpoints = 250
-	// maxBuild bounds the numbers of builds.
+	// maxBuild is the highest build number.
 	maxBuild = 65535
 )
 
@@ -21,33 +21,33 @@
 type Scenario struct {
 	File          string
 	Agents        int
-	AbsentAtStart []int    // agents that are not started at the beginning, and that the others' files don't name
-	OperatorLines []string // further lines of each agent's operator file
+	AbsentAtStart []int    // agents that are not started at the beginning, and that the other agents' operator files don't name
+	OperatorLines []string // additional lines of each agent's operator file
 	Endpoints     EndpointSetup
 	Transport     string // how agents reach each other: datagrams, tcp, none
 	Election      ElectionSetup
 	Seed          int64
-	Timeout       time.Duration // the longest that a run may take
+	Timeout       time.Duration // maximum duration of a run
 	Steps         []Step
 	Expectations  []Expectation
 }
 
-// EndpointSetup are the endpoints that a scenario starts with.
+// EndpointSetup describes the endpoints that exist at the start of a scenario.
 type EndpointSetup struct {
 	Count       int
-	Slots       int // requests that each serves at a time
+	Slots       int // requests that an endpoint serves concurrently
 	Build       int
-	ServiceTime time.Duration // mean of a request
+	ServiceTime time.Duration // mean time to serve a request
 }
 
-// ElectionSetup is how agents elect the one that votes for all.
+// ElectionSetup describes how agents elect the agent that votes for all of them.
 type ElectionSetup struct {
-	IsOn         bool // else each agent votes for itself
+	IsOn         bool // false: each agent votes for itself
 	HasStateDirs bool
 	Lease        time.Duration
 }
 
-// Restarts counts the planned restarts of agents.
+// Restarts returns how many agents the start steps of the scenario start in total.
 func (s *Scenario) Restarts() (count int) {
 	for _, step := range s.Steps {
 		if start, isProcess := step.Action.(processStep); isProcess && start.action == processStart {
@@ -60,29 +60,29 @@
 	return count
 }
 
-// Step is one line that does something.
+// Step is one line of a scenario that performs an action.
 type Step struct {
 	Line          int
 	Text          string
-	AfterPrevious bool // At counts from the end of the step before, else from the start
+	AfterPrevious bool // true: At is relative to the end of the previous step; false: to the start of the run
 	At            time.Duration
 	Action        stepAction
 }
 
-// AgentSet are agents by their numbers, or by a name that the scenario binds; all without either.
+// AgentSet selects agents by their numbers, or by a name that the scenario binds. Without either it selects all agents.
 type AgentSet struct {
 	Numbers  []int
 	Name     string
-	Inverted bool // all but the named one
+	Inverted bool // all agents except the named one
 }
 
-// EndpointSet are endpoints by their numbers, or those of a build; all without either.
+// EndpointSet selects endpoints by their numbers, or all endpoints of a build. Without either it selects all endpoints.
 type EndpointSet struct {
 	Numbers []int
 	Build   int
 }
 
-// Party is an end of a link.
+// Party selects the agents, endpoints or server at one end of links.
 type Party struct {
 	Agents    *AgentSet
 	Endpoints *EndpointSet
@@ -90,18 +90,18 @@
 	Rollout   bool
 }
 
-// TimeRef is a moment of a run: an offset from the start, or from a mark.
+// TimeRef is a point in time of a run: an offset from the start, or from a mark.
 type TimeRef struct {
 	Mark   string
 	Offset time.Duration
 }
 
-// Expectation is one line that the records are held against.
+// Expectation is one line of a scenario that the records are checked against.
 type Expectation struct {
 	Line int
 	Text string
 	comparison
-	From, To       *TimeRef      // nil: the start, the end
-	Window         time.Duration // it holds in every part of this length; 0: in the whole range
-	ExclusiveClaim string        // no two agents hold this at one time; empty: the comparison is held against the records
+	From, To       *TimeRef      // nil: the start and the end of the run
+	Window         time.Duration // the comparison has to hold in every part of this length; 0: over the whole range
+	ExclusiveClaim string        // what no two agents may hold at the same time; empty: the comparison is checked instead
 }
--- a/internal/faulttest/shutdown_rules.go
+++ b/internal/faulttest/shutdown_rules.go
@@ -7,8 +7,8 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// checkReusedConnections: no connection is reset under a request of the client that reuses it, and next to none ends cleanly in the moment in
-// which its client uses it.
+// checkReusedConnections checks that no connection is reset while a client sends a request on it again, and that no more than
+// maxCleanCloseRaces connections are closed cleanly at that moment.
 func checkReusedConnections(r *Records) (out []Violation) {
 	for i, race := range r.CloseRaces {
 		if race.IsReset || i >= maxCleanCloseRaces {
@@ -21,8 +21,8 @@
 	return out
 }
 
-// checkShutdown: a process that was asked to end refuses no new connection at first, and ends by itself with status 0 before it would be
-// killed.
+// checkShutdown checks that a process that was sent SIGTERM does not refuse new connections at first, and that it exits by itself with
+// status 0 before it would be killed.
 func checkShutdown(r *Records) (out []Violation) {
 	for agent, lifetimes := range r.Lifetimes {
 		for _, process := range lifetimes {
@@ -57,14 +57,14 @@
 	return out
 }
 
-// refusedTooEarly tells whether an attempt was refused a connection while new ones still come.
+// refusedTooEarly reports whether an attempt was refused a connection within acceptAfterTerm of SIGTERM, while new connections still arrive.
 func (l *ProcessLifetime) refusedTooEarly(a Attempt) bool {
 	since := a.EndedAt - l.TermSentAt
 	isEarly := l.TermSentAt >= 0 && since >= 0 && since <= acceptAfterTerm.Microseconds()
 	return isEarly && a.WasUnreachable && strings.Contains(a.Err, "refused")
 }
 
-// checkNothingAfterDisconnect: no attempt is sent for a client that has disconnected.
+// checkNothingAfterDisconnect checks that no attempt is sent for a client that has disconnected.
 func checkNothingAfterDisconnect(r *Records) (out []Violation) {
 	disconnectedAt := map[string]netfault.Micros{}
 	for _, request := range r.Requests {
--- a/internal/faulttest/steps.go
+++ b/internal/faulttest/steps.go
@@ -7,39 +7,39 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// stepAction is what a step does. Each action is run by its own method, see actions.go.
+// stepAction is the action of a step. The run methods are in actions.go.
 type stepAction interface {
 	run(ctx context.Context, r *runner, s Step) error
 }
 
 type (
-	// openLoadStep starts requests at a rate, whether or not those before were answered.
+	// openLoadStep sends requests at a rate, whether or not earlier requests have been answered.
 	openLoadStep struct {
-		number             int     // of the scenario's load steps, from 0 on; it is part of the seed
-		rate               float64 // requests a second, at each agent
+		number             int     // index among the scenario's load steps, from 0; part of the random seed
+		rate               float64 // requests per second at each agent
 		agents             AgentSet
 		keyedShare         float64
 		nonIdempotentShare float64
 
-		splitShare        float64 // of requests that are sent in pieces
-		disconnectShare   float64 // of clients that disconnect before the answer
-		shortTimeoutShare float64 // of requests with little time
+		splitShare        float64 // share of requests that are sent in pieces
+		disconnectShare   float64 // share of clients that disconnect before the answer
+		shortTimeoutShare float64 // share of requests with a short timeout
 	}
-	// closedLoadStep starts clients that keep a connection each and send one request at a time.
+	// closedLoadStep starts clients that each keep one connection and send one request at a time.
 	closedLoadStep struct {
-		clients int           // at each agent
+		clients int           // number of clients at each agent
 		pause   time.Duration // mean time between an answer and the client's next request
 		agents  AgentSet
 	}
-	// faultStep puts a fault on links, or heals them.
+	// faultStep injects a fault into links, or heals them.
 	faultStep struct {
 		apply         func(*netfault.Fault)
 		isHeal        bool
 		from, to      Party
 		bidirectional bool
-		transport     string // empty: both
-		streamsOnly   bool   // the fault means something on streams only
-		datagramsOnly bool   // the fault means something on datagrams only
+		transport     string // empty: both transports
+		streamsOnly   bool   // the fault applies to streams only
+		datagramsOnly bool   // the fault applies to datagrams only
 	}
 	// processStep sends a signal to processes, or starts them.
 	processStep struct {
@@ -47,29 +47,29 @@
 		agents          AgentSet
 		clearsState     bool
 	}
-	// reloadStep changes files of agents and has them read again.
+	// reloadStep changes files of agents and makes the agents reload them.
 	reloadStep struct {
 		agents AgentSet
 		target string
 		tokens []string
 		peer   int
 	}
-	// healthStep changes what discovery lists endpoints as.
+	// healthStep changes the health that discovery lists for endpoints.
 	healthStep struct {
 		health    string
 		endpoints EndpointSet
 	}
-	// addEndpointsStep starts endpoints, which warm up.
+	// addEndpointsStep starts endpoints, which begin with a slow start.
 	addEndpointsStep struct {
 		count int
 		build int
 	}
-	// serviceTimeStep changes how long endpoints take for a request.
+	// serviceTimeStep multiplies the time that endpoints take to serve a request.
 	serviceTimeStep struct {
 		factor    float64
 		endpoints EndpointSet
 	}
-	// errorShareStep makes endpoints fail a part of the requests.
+	// errorShareStep makes endpoints fail a share of their requests.
 	errorShareStep struct {
 		share     float64
 		endpoints EndpointSet
@@ -80,7 +80,7 @@
 		phase        string
 		cap          float64
 	}
-	// rolloutSilenceStep lets the rollout controller answer votes, or not.
+	// rolloutSilenceStep makes the rollout controller stop or resume answering votes.
 	rolloutSilenceStep struct{ silent bool }
 	// nameLeaderStep waits for a leader and binds a name to it.
 	nameLeaderStep struct {
@@ -92,7 +92,7 @@
 	membershipStep struct {
 		action   string
 		agents   AgentSet
-		contacts AgentSet // are asked, one after the other, until one accepts
+		contacts AgentSet // agents that are asked one after the other, until one accepts the change
 		timeout  time.Duration
 	}
 	// checkStep calls a check of the test that runs the scenario.
@@ -102,6 +102,6 @@
 		comparison
 		timeout time.Duration
 	}
-	// markStep binds a name to the present moment.
+	// markStep binds a name to the current time.
 	markStep struct{ name string }
 )
--- a/internal/faulttest/verdict.go
+++ b/internal/faulttest/verdict.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// LineResult is a line of a scenario that was held against what happened.
+// LineResult is the result of checking one line of a scenario.
 type LineResult struct {
 	Number   int    `json:"line"`
 	Text     string `json:"text"`
@@ -20,23 +20,23 @@
 	Scenario   string       `json:"scenario"`
 	Seed       int64        `json:"seed"`
 	Passed     bool         `json:"passed"`
-	Error      string       `json:"error,omitempty"` // the scenario could not be run
+	Error      string       `json:"error,omitempty"` // why the run failed, apart from lines, violations and mismatches
 	Lines      []LineResult `json:"lines"`
 	Violations []string     `json:"violations,omitempty"`
-	Mismatches []string     `json:"mismatches,omitempty"` // between the records of servers and relays
+	Mismatches []string     `json:"mismatches,omitempty"` // differences between the records of servers and relays
 	Requests   int          `json:"requests"`
 	TookMS     int64        `json:"took_ms"`
 	Folder     string       `json:"folder,omitempty"`
 }
 
-// Failures describe why a run failed, a line each.
+// Failures returns the reasons why a run failed, one line for each.
 func (v *Verdict) Failures() (out []string) {
 	if v.Error != "" {
 		out = append(out, v.Error)
 	}
 	for _, l := range v.Lines {
 		if !l.Passed {
-			out = append(out, fmt.Sprintf("%s:%d: %s: seen %s", v.Scenario, l.Number, l.Text, l.Observed))
+			out = append(out, fmt.Sprintf("%s:%d: %s: observed %s", v.Scenario, l.Number, l.Text, l.Observed))
 		}
 	}
 	for _, violation := range v.Violations {
@@ -54,8 +54,8 @@
 
 func (v *Verdict) addError(text string) { v.Error = strings.TrimSpace(v.Error + " " + text) }
 
-// fillVerdict holds all that was expected against the records. A fault that changed nothing fails its line: the scenario doesn't test
-// what it claims to.
+// fillVerdict checks the expectations and the rules against the records. The line of a fault that had no effect fails, since the scenario
+// then does not test what it claims to.
 func (r *runner) fillVerdict(v *Verdict, records *Records, err error) {
 	v.Requests = len(records.Requests)
 	var failed *stepError
@@ -66,13 +66,13 @@
 	}
 	for _, record := range r.faults.records {
 		passed := record.hits > 0 || err != nil
-		v.Lines = append(v.Lines, LineResult{record.step.Line, record.step.Text, passed, fmt.Sprintf("it changed %d things", record.hits)})
+		v.Lines = append(v.Lines, LineResult{record.step.Line, record.step.Text, passed, fmt.Sprintf("the fault took effect %d times", record.hits)})
 	}
 	if err == nil {
 		v.Lines = append(v.Lines, r.checkExpectations(records)...)
 	}
 	if n := r.clients.records.droppedRequests.Load(); n > 0 {
-		v.addError(fmt.Sprintf("%s: the clients had no free connection for %d requests: the load is more than they can send", r.scenario.File, n))
+		v.addError(fmt.Sprintf("%s: the clients had no free connection for %d requests: the load exceeds what they can send", r.scenario.File, n))
 	}
 	for _, violation := range CheckRules(records) {
 		v.Violations = append(v.Violations, violation.String())
