--- a/internal/faulttest/agent.go
+++ b/internal/faulttest/agent.go
@@ -15,7 +15,8 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// agent is one of the deployment's agents; it keeps its addresses over restarts. One step at a time changes its files and its process.
+// agent is one of the deployment's agents. It keeps its addresses when it is restarted. Only one step at a time changes its files and its
+// process.
 type agent struct {
 	number          int
 	dir             string
@@ -23,14 +24,14 @@
 	stateDir        string
 	listenAddress   string
 	datagramAddress string
-	streamAddress   string // where it accepts the election's streams
-	operator        []string
+	streamAddress   string   // address at which the agent accepts the election's streams
+	operator        []string // lines of the operator file
 	log             *fakes.Log
 
 	mu              sync.Mutex
-	process         *fakes.Agent // nil: it was not started yet
+	process         *fakes.Agent // nil: none was started yet
 	lifetimes       []ProcessLifetime
-	initialVersions []configuredVersions
+	initialVersions []configuredVersions // by lifetime
 }
 
 func newAgent(ctx context.Context, number int, dir string) (*agent, error) {
@@ -50,10 +51,10 @@
 	return a, nil
 }
 
-// operatorFile is the text of the agent's operator file.
+// operatorFile returns the text of the agent's operator file.
 func (a *agent) operatorFile() string { return strings.Join(a.operator, "\n") + "\n" }
 
-// setOperatorLine replaces the lines with the same keyword in the operator file.
+// setOperatorLine replaces the lines with the same keyword in the text of the operator file.
 func (a *agent) setOperatorLine(tokens []string) {
 	a.operator = slices.DeleteFunc(slices.Clone(a.operator), func(line string) bool { return strings.Fields(line)[0] == tokens[0] })
 	a.operator = append(a.operator, strings.Join(tokens, " "))
@@ -63,14 +64,15 @@
 	return os.WriteFile(filepath.Join(a.dir, name), []byte(text), 0o600)
 }
 
-// current is the newest process; nil: there was none yet.
+// current returns the newest process, or nil if none was started yet.
 func (a *agent) current() *fakes.Agent {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.process
 }
 
-// beginLifetime records that a process is about to be started with these versions, and returns the number of its lifetime.
+// beginLifetime records that a process is about to be started with a configuration of these versions, and returns the index of its
+// lifetime.
 func (a *agent) beginLifetime(versions configuredVersions) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -85,7 +87,8 @@
 	a.process = process
 }
 
-// recordExit records that the process of a lifetime has ended, unless that was recorded before. Another process may have started by now.
+// recordExit records that the process of a lifetime has ended, unless its end is already recorded. The agent's next process may have been
+// started in the meantime.
 func (a *agent) recordExit(lifetime int, at netfault.Micros, exitErr error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -115,14 +118,14 @@
 	}
 }
 
-// updateLifetime changes the newest lifetime. The change may signal the process: nobody sees the one without the other.
+// updateLifetime changes the newest lifetime. The change may also signal the process; other goroutines see the lifetime only after both.
 func (a *agent) updateLifetime(change func(*ProcessLifetime) error) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return change(&a.lifetimes[len(a.lifetimes)-1])
 }
 
-// isRunning tells whether the newest process runs and wasn't asked to end.
+// isRunning reports whether the newest process runs and was not sent SIGTERM.
 func (a *agent) isRunning() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -130,8 +133,8 @@
 	return n > 0 && a.lifetimes[n-1].End < 0 && a.lifetimes[n-1].TermSentAt < 0 && a.process != nil
 }
 
-// wasKilled tells whether the newest process is over, or one that was not asked to end and lived at a time: the next may have
-// started by now.
+// wasKilled reports whether the newest process has ended, or whether the process that ran at a time has ended without being sent SIGTERM.
+// The latter matters because the agent's next process may have been started in the meantime.
 func (a *agent) wasKilled(at netfault.Micros) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -151,19 +154,19 @@
 	return lifetimes
 }
 
-// isLeader asks the agent at its admin address.
+// isLeader asks the agent at its admin address whether it is the leader.
 func (a *agent) isLeader() bool {
 	status, err := coordinator.QueryStatus(a.adminAddress)
 	return err == nil && status.IsLeader
 }
 
-// isHealthy asks the process's health check.
+// isHealthy queries the health check of the newest process.
 func (a *agent) isHealthy(ctx context.Context) bool {
 	process := a.current()
 	return process != nil && !process.HasExited() && process.IsHealthy(ctx)
 }
 
-// writeLog writes what the agent logged.
+// writeLog writes what the agent logged, and closes the writer.
 func (a *agent) writeLog(w io.WriteCloser) error {
 	_, err := io.WriteString(w, a.log.String())
 	if closeErr := w.Close(); err == nil {
--- a/internal/faulttest/agent_files.go
+++ b/internal/faulttest/agent_files.go
@@ -10,11 +10,11 @@
 
 const (
 	agentMemoryMB = 192
-	// tenant is the only one of a scenario.
+	// tenant is the only tenant in a scenario.
 	tenant = "beqa"
 )
 
-// agentFiles write what the agents' configurations and operator files hold.
+// agentFiles creates the contents of the agents' configurations and operator files.
 type agentFiles struct {
 	scenario  *Scenario
 	relays    *relayNetwork
@@ -23,14 +23,14 @@
 	agents    []*agent
 }
 
-// configuredVersions are the versions that the configuration of a process held at its start.
+// configuredVersions holds the start time of a process, and the versions that its configuration contained.
 type configuredVersions struct {
 	at           netfault.Micros
 	endpointList int
 	rolloutState int
 }
 
-// operatorLines are what an agent's operator file holds at the start.
+// operatorLines returns the lines of an agent's operator file at the start.
 func (f *agentFiles) operatorLines(a *agent) (lines []string) {
 	s := f.scenario
 	if !s.Election.IsOn {
@@ -51,12 +51,12 @@
 	return append(lines, s.OperatorLines...)
 }
 
-// peerLine names one agent in another's operator file.
+// peerLine returns the line of an agent's operator file that names a peer and its address.
 func (f *agentFiles) peerLine(agent, peer int) string {
 	return fmt.Sprintf("election-peer %d %s", peer, f.relays.peerAddress(agent, peer, f.agents[peer].streamAddress))
 }
 
-// config is the text of an agent's configuration, and the versions that it holds.
+// config returns the text of an agent's configuration, and the versions that it contains.
 func (f *agentFiles) config(a *agent) (text string, versions configuredVersions) {
 	versions.endpointList = f.discovery.newestVersion()
 	initial := fakes.InitialState{Endpoints: f.discovery.document(a.number, versions.endpointList)}
@@ -79,7 +79,7 @@
 	return config.File(), versions
 }
 
-// datagramPeers are the addresses at which an agent reaches each peer, and all at once.
+// datagramPeers returns the addresses at which an agent reaches each peer, and the address at which it reaches all peers at once.
 func (f *agentFiles) datagramPeers(a *agent) fakes.PeerAddresses {
 	addresses := fakes.PeerAddresses{Listen: a.datagramAddress}
 	for peer, b := range f.agents {
--- a/internal/faulttest/agent_group.go
+++ b/internal/faulttest/agent_group.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// firstProgram is the name of the program that agents start as.
+	// firstProgram is the name of the program that agents run unless a step names another one.
 	firstProgram = ""
-	// startupTimeout is long: many processes start at once on a machine that is busy with other tests.
+	// startupTimeout is long because many processes start at the same time on a machine that is busy with other tests.
 	startupTimeout = 40 * time.Second
-	// healthPollInterval is how often an agent that starts is asked for its health.
+	// healthPollInterval is how often the health of a starting agent is checked.
 	healthPollInterval = pollInterval
 )
 
-// agentGroup are the agents of a run: it starts their processes and knows which run.
+// agentGroup manages the agents of a run: it starts their processes and tracks which of them run.
 type agentGroup struct {
 	scenario *Scenario
 	now      netfault.Clock
@@ -31,7 +31,7 @@
 	all      []*agent
 }
 
-// newAgents reserves folders and addresses of agents; no process is started.
+// newAgents creates the agents with their folders and addresses. It starts no process.
 func newAgents(ctx context.Context, count int, dir string) ([]*agent, error) {
 	var agents []*agent
 	for i := range count {
@@ -44,7 +44,7 @@
 	return agents, nil
 }
 
-// startAll starts all agents that are there at the start, at one time.
+// startAll starts, at the same time, all agents that the scenario does not declare absent.
 func (g *agentGroup) startAll(ctx context.Context) error {
 	var present []int
 	for i, a := range g.all {
@@ -60,7 +60,7 @@
 func (g *agentGroup) start(ctx context.Context, a *agent, program string) error {
 	path, isKnown := g.programs[program]
 	if !isKnown {
-		return fmt.Errorf("starting agent %d: program %q is not named", a.number, program)
+		return fmt.Errorf("starting agent %d: no path was given for program %q", a.number, program)
 	}
 	text, versions := g.files.config(a)
 	versions.at = g.now()
@@ -72,7 +72,7 @@
 		return err
 	}
 	a.setProcess(process)
-	started := fmt.Sprintf("agent %d starts", a.number)
+	started := fmt.Sprintf("agent %d's process started", a.number)
 	if program != firstProgram {
 		started += " as " + program
 	}
@@ -88,10 +88,10 @@
 func (g *agentGroup) recordExit(a *agent, process *fakes.Agent, lifetime int) {
 	<-process.Done()
 	a.recordExit(lifetime, g.now(), process.ExitError())
-	g.events.record(sourceDeployment, "agent %d's process is over", a.number)
+	g.events.record(sourceDeployment, "agent %d's process ended", a.number)
 }
 
-// running implements processStates, as a front that checks the agents' health would see them.
+// running implements processStates. It returns the agents that a load balancer with health checks would send requests to.
 func (g *agentGroup) running() (out []int) {
 	for i, a := range g.all {
 		if a.isRunning() {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// killAll ends all processes and waits until they are gone.
+// killAll kills all processes and waits until they have ended.
 func (g *agentGroup) killAll() {
 	for _, a := range g.all {
 		process := a.current()
@@ -139,7 +139,7 @@
 	}
 }
 
-// forEachAgent does something for several agents at one time.
+// forEachAgent calls do for several agents at the same time, and returns all errors.
 func forEachAgent(agents []int, do func(i int) error) error {
 	failed := make(chan error, len(agents))
 	for _, i := range agents {
--- a/internal/faulttest/broadcaster.go
+++ b/internal/faulttest/broadcaster.go
@@ -11,28 +11,30 @@
 )
 
 const (
-	// subscriptionBuffer bounds how many versions a subscriber may be behind.
+	// subscriptionBuffer limits how many versions a subscriber may lag behind.
 	subscriptionBuffer = 256
-	// keepAliveInterval is how often an open answer says something when there is nothing to send.
+	// keepAliveInterval is how often a keep-alive is sent on an open response.
 	keepAliveInterval = time.Second
 )
 
-// delivery is a version that a fake server wrote to an agent. The agent has it once so many bytes of the connection were handed to it.
+// delivery is a version that a fake server wrote to an agent. The agent has received it once the relay has delivered the given number of
+// bytes of the connection.
 type delivery struct {
 	agent   int
-	bytes   int64
-	at      netfault.Micros // written by the server
+	bytes   int64           // written on the connection, up to the end of the version
+	at      netfault.Micros // when the server wrote it
 	version int             // of the endpoint list or of the rollout state
 	conn    *countedConn
 }
 
-// subscription is an answer that stays open; the channel carries the versions to send.
+// subscription is an open response to an agent; the channel carries the versions to send.
 type subscription struct {
 	agent    int
 	versions chan int
 }
 
-// broadcaster keeps the open answers of one server, each served by its own goroutine, and records what was sent and asked for.
+// broadcaster manages the open responses of one server, which send versions as they are published. Each response is served by its own
+// goroutine. The broadcaster also records the versions that were sent and the calls that were received.
 type broadcaster struct {
 	now           netfault.Clock
 	mu            sync.Mutex
@@ -63,14 +65,14 @@
 	return slices.Clone(b.deliveries)
 }
 
-// publish has every subscriber be sent a version.
+// publish queues a version for every subscriber.
 func (b *broadcaster) publish(version int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for sub := range b.subscriptions {
 		select {
 		case sub.versions <- version:
-		default: // a subscriber that is so far behind is cut off: it asks again and gets the newest version
+		default: // a subscriber that lags too far behind is disconnected; it calls again and gets the newest version
 			delete(b.subscriptions, sub)
 			close(sub.versions)
 		}
@@ -87,13 +89,13 @@
 	b.deliveries = append(b.deliveries, delivery{conn.agent, conn.writtenBytes.Load(), at, version, conn})
 }
 
-// feed is what an open answer says.
+// feed defines what is sent on an open response.
 type feed struct {
 	text      func(agent, version int) string
 	keepAlive string
 }
 
-// serve keeps an answer open: it sends the first version, then each one that is published.
+// serve keeps a response open: it sends the first version, then each version that is published.
 func (b *broadcaster) serve(w http.ResponseWriter, r *http.Request, first int, feed feed) {
 	conn := countedConnOf(r)
 	sub := &subscription{conn.agent, make(chan int, subscriptionBuffer)}
--- a/internal/faulttest/deployment.go
+++ b/internal/faulttest/deployment.go
@@ -8,21 +8,23 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// deployment is what a scenario runs on: processes, fake servers, clients, and a relay on each link between them.
+// deployment is what a scenario runs on: agent processes, fake servers, clients, and a relay on each link between agents and from agents to
+// servers.
 type deployment struct {
 	scenario  *Scenario
 	startedAt time.Time
 	now       netfault.Clock
 	events    *eventLog
 	relays    *relayNetwork
-	discovery *fakeDiscovery // nil: its start failed
-	rollout   *fakeRollout   // nil: its start failed
+	discovery *fakeDiscovery // nil: it was not started
+	rollout   *fakeRollout   // nil: it was not started
 	endpoints *endpointGroup
 	agents    *agentGroup
-	clients   *clients // nil: the start failed before
+	clients   *clients // nil: the deployment failed to start before they were created
 }
 
-// startDeployment sets all up and starts the agents together. On an error it closes the deployment, which is returned for its records.
+// startDeployment sets up the servers, relays and clients, and starts the agents at the same time. On an error it closes the deployment and
+// still returns it, for its logs.
 func startDeployment(ctx context.Context, s *Scenario, dir string, options RunOptions) (d *deployment, err error) {
 	d = newDeployment(s, options)
 	if err := d.start(ctx, dir); err != nil {
@@ -32,7 +34,7 @@
 	return d, nil
 }
 
-// newDeployment makes what needs no server.
+// newDeployment creates the parts of the deployment that need no server.
 func newDeployment(s *Scenario, options RunOptions) *deployment {
 	d := &deployment{scenario: s, startedAt: time.Now()}
 	d.now = func() netfault.Micros { return time.Since(d.startedAt).Microseconds() }
@@ -95,7 +97,7 @@
 	return nil
 }
 
-// close ends all that was started, in whatever state it is.
+// close stops everything that was started. It may be called on a deployment that was started only in part.
 func (d *deployment) close() {
 	if d.clients != nil {
 		d.clients.stop()
@@ -106,7 +108,7 @@
 	}
 	d.relays.close()
 	d.endpoints.close()
-	// The servers' listeners are of no use any more: what closing them reports can't matter.
+	// The servers are no longer needed, so errors of closing them are ignored.
 	if d.discovery != nil {
 		_ = d.discovery.server.Close()
 	}
--- a/internal/faulttest/endpoint_group.go
+++ b/internal/faulttest/endpoint_group.go
@@ -11,13 +11,13 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// startedLongAgo is the start of an endpoint that has its full speed from the run's beginning on.
+// startedLongAgo is the start time of an endpoint that has its full speed from the beginning of the run.
 const startedLongAgo netfault.Micros = -1
 
-// endpointSeedSpacing gives each endpoint a random source of its own.
+// endpointSeedSpacing is the factor on the scenario's seed in the seeds of the endpoints' random sources. Each endpoint has its own source.
 const endpointSeedSpacing = 31
 
-// endpointGroup are the fake endpoints of a run, numbered in the order of their start.
+// endpointGroup manages the fake endpoints of a run, which are numbered in the order of their start.
 type endpointGroup struct {
 	scenario  *Scenario
 	now       netfault.Clock
@@ -27,14 +27,14 @@
 
 	mu     sync.Mutex
 	all    []*fakes.Endpoint
-	starts []netfault.Micros // when each started; startedLongAgo: long before the run
+	starts []netfault.Micros // start time of each endpoint; startedLongAgo: long before the run
 }
 
 const endpointNamePrefix = "s-"
 
 func endpointName(endpoint int) string { return fmt.Sprintf("%s%d", endpointNamePrefix, endpoint) }
 
-// add starts endpoints of a build, which warm up or have been warm for long, and lists them.
+// add starts endpoints of a build and lists them in discovery. They begin with a slow start, or have their full speed if warmsUp is false.
 func (g *endpointGroup) add(ctx context.Context, count, build int, warmsUp bool) error {
 	var rows []EndpointRow
 	for range count {
@@ -88,7 +88,7 @@
 	return slices.Clone(g.starts)
 }
 
-// numbers are the endpoints of a set.
+// numbers returns the numbers of the endpoints in a set.
 func (g *endpointGroup) numbers(set EndpointSet) (out []int) {
 	for i, endpoint := range g.snapshot() {
 		if set.contains(i, endpoint.Build) {
@@ -98,7 +98,7 @@
 	return out
 }
 
-// selected are the endpoints of a set.
+// selected returns the endpoints in a set.
 func (g *endpointGroup) selected(set EndpointSet) (out []*fakes.Endpoint) {
 	for i, endpoint := range g.snapshot() {
 		if set.contains(i, endpoint.Build) {
@@ -108,7 +108,7 @@
 	return out
 }
 
-// setHealth changes what discovery lists the endpoints of a set as.
+// setHealth changes the health that discovery lists for the endpoints in a set.
 func (g *endpointGroup) setHealth(set EndpointSet, health string) {
 	numbers := g.numbers(set)
 	g.discovery.update(func(rows []EndpointRow) []EndpointRow {
--- a/internal/faulttest/endpoint_recorder.go
+++ b/internal/faulttest/endpoint_recorder.go
@@ -13,22 +13,22 @@
 // Request classes of a scenario, as fakes.AgentConfig configures them.
 const (
 	classIdempotent    = "lookup"
-	classKeyed         = "posting" // idempotent by its key
+	classKeyed         = "posting" // idempotent because of its idempotency key
 	classNonIdempotent = "fee"     // must never run twice
 )
 
-// notRun is the time of a run that has not begun.
+// notRun is Arrival.RanAt of a request that did not run.
 const notRun netfault.Micros = -1
 
-// noAgent is the sender of a request that came through no relay.
+// noAgent is Arrival.Agent of a request that came through no relay.
 const noAgent = -1
 
-// endpointRecorder observes all endpoints: it records what they received, and deduplicates keyed requests for all of them.
+// endpointRecorder observes all endpoints. It records the requests that they receive, and deduplicates keyed requests across all endpoints.
 type endpointRecorder struct {
 	now      netfault.Clock
 	mu       sync.Mutex
 	arrivals []*Arrival
-	lastRun  map[string]netfault.Micros // by idempotency key
+	lastRun  map[string]netfault.Micros // time of the last run, by idempotency key
 }
 
 func newEndpointRecorder(now netfault.Clock) *endpointRecorder {
@@ -55,7 +55,7 @@
 	return a
 }
 
-// RequestRuns implements the observer of fakes.Endpoint; false drops the request as a duplicate.
+// RequestRuns implements the observer of fakes.Endpoint. It returns false to drop the request as a duplicate.
 func (r *endpointRecorder) RequestRuns(_ *fakes.Endpoint, arrived any) bool {
 	a, now := arrived.(*Arrival), r.now()
 	r.mu.Lock()
--- a/internal/faulttest/fault_injector.go
+++ b/internal/faulttest/fault_injector.go
@@ -6,20 +6,21 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// faultRecord is a step that put a fault on links, and what that changed.
+// faultRecord is a step that injected a fault into links, and how often the fault took effect.
 type faultRecord struct {
 	step       Step
-	hitsBefore map[*netfault.Link]int64 // of each link that still has the fault
-	hits       int64
+	hitsBefore map[*netfault.Link]int64 // hits before the injection, for each link that still has the fault
+	hits       int64                    // on links that no longer have the fault
 }
 
-// faultInjector puts the faults of a scenario on links and counts what they changed. Only the goroutine that runs the steps uses it.
+// faultInjector injects the faults of a scenario into links and counts how often they take effect. Only the goroutine that runs the steps
+// uses it.
 type faultInjector struct {
-	bindings  *bindings
-	relays    *relayNetwork
-	endpoints *endpointGroup
-	isIdle    bool // links are to apply no faults
-	records   []*faultRecord
+	bindings     *bindings
+	relays       *relayNetwork
+	endpoints    *endpointGroup
+	ignoreFaults bool // links ignore the faults
+	records      []*faultRecord
 }
 
 // linkSet collects links, each once, in the order in which they were added.
@@ -35,7 +36,7 @@
 	}
 }
 
-// faultedLinks are the directions that a step means.
+// faultedLinks returns the links that a step applies to. A link is one direction between two parties.
 func (j *faultInjector) faultedLinks(f faultStep) []*netfault.Link {
 	set := &linkSet{known: map[*netfault.Link]bool{}}
 	healsAll := f.isHeal && f.from.Agents == nil && f.to.Agents == nil
@@ -70,7 +71,7 @@
 	}
 }
 
-// addStreamLinks adds both the streams that one party opens to the other, and the way back of those that the other opens.
+// addStreamLinks adds the forward links of the streams that from opens to to, and the reverse links of the streams that to opens to from.
 func (j *faultInjector) addStreamLinks(set *linkSet, from, to Party) {
 	for _, relay := range j.relays.streamRelays() {
 		if from.Agents != nil && j.bindings.agentFilter(from.Agents)(relay.agent) && j.isTarget(to, relay) {
@@ -95,7 +96,7 @@
 	}
 }
 
-// isTarget tells whether a relay leads to a party.
+// isTarget reports whether a relay leads to a party.
 func (j *faultInjector) isTarget(party Party, relay streamRelay) bool {
 	switch {
 	case party.Agents != nil:
@@ -109,7 +110,7 @@
 	}
 }
 
-// inject puts a fault on links, or heals them.
+// inject injects a fault into links, or heals them.
 func (j *faultInjector) inject(s Step, f faultStep) {
 	links := j.faultedLinks(f)
 	if f.isHeal {
@@ -121,7 +122,7 @@
 	}
 	record := &faultRecord{step: s, hitsBefore: map[*netfault.Link]int64{}}
 	for _, link := range links {
-		if j.isIdle {
+		if j.ignoreFaults {
 			link.IgnoreFaults()
 		}
 		fault, _, _ := link.Fault()
@@ -132,7 +133,7 @@
 	j.records = append(j.records, record)
 }
 
-// closeRecords counts what faults have changed on links that are healed; nil means all links.
+// closeRecords counts how often faults took effect on links that are about to be healed; nil means all links.
 func (j *faultInjector) closeRecords(healed []*netfault.Link) {
 	for _, record := range j.records {
 		for link, before := range record.hitsBefore {
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -11,7 +11,7 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// Words of the steps that act on processes.
+// Actions of a processStep.
 const (
 	processPause     = "pause"
 	processResume    = "resume"
@@ -21,12 +21,12 @@
 	processRestart   = "restart"
 )
 
-// shutdownTimeout is the longest that a process may take to end after SIGTERM: its longest request timeout and what a drain adds,
-// with room.
+// shutdownTimeout is how long a start waits for the end of a process that was sent SIGTERM. It exceeds the longest request timeout plus the
+// time that a drain adds.
 const shutdownTimeout = 15 * time.Second
 
-// errNoProcess is that a step needs a process that was never started or is over.
-var errNoProcess = errors.New("the agent has no process")
+// errNoProcess reports that a step needs a process, but none was started or it has ended.
+var errNoProcess = errors.New("the agent has no running process")
 
 // apply carries out a step on one agent's process.
 func (g *agentGroup) apply(ctx context.Context, number int, step processStep) error {
@@ -44,7 +44,7 @@
 	}
 }
 
-// signal sends an agent's process what a step says, and records it.
+// signal sends an agent's process the signal of an action, and records it.
 func (g *agentGroup) signal(a *agent, process *fakes.Agent, action string) error {
 	switch action {
 	case processPause, processResume:
@@ -80,19 +80,19 @@
 	})
 }
 
-// kill records that a process is about to be killed, from where on it owes nothing, and kills it.
+// kill records that a process is about to be killed, and kills it. From the recorded time on, the process need not answer requests.
 func (g *agentGroup) kill(a *agent, process *fakes.Agent) {
 	a.markKilled(g.now())
 	process.Kill()
 }
 
-// replace starts an agent again. A start waits for the end of a process that was asked to end, a restart kills it.
+// replace starts an agent again. A start waits for the end of the previous process, which was sent SIGTERM; a restart kills it.
 func (g *agentGroup) replace(ctx context.Context, a *agent, process *fakes.Agent, step processStep) error {
 	if step.action == processStart {
 		select {
 		case <-process.Done():
 		case <-time.After(shutdownTimeout):
-			return fmt.Errorf("starting agent %d: its process still runs %v after it was to end", a.number, shutdownTimeout)
+			return fmt.Errorf("starting agent %d: its previous process did not end within %v", a.number, shutdownTimeout)
 		}
 	}
 	if !process.HasExited() {
@@ -107,7 +107,7 @@
 	return g.start(ctx, a, step.program)
 }
 
-// reload rewrites an agent's files and has its process read them.
+// reload rewrites an agent's files and makes its process read them.
 func (g *agentGroup) reload(ctx context.Context, number int, step reloadStep) error {
 	a := g.all[number]
 	if err := g.rewriteFiles(ctx, a, step); err != nil {
--- a/internal/faulttest/relay_network.go
+++ b/internal/faulttest/relay_network.go
@@ -8,8 +8,8 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// Seeds of the relays' random sources: a factor on the scenario's seed for each kind of relay, a step for each agent, and a salt for each
-// server, so that no two relays draw alike.
+// Parts of the seeds of the relays' random sources: a factor on the scenario's seed for each kind of relay, a step for each agent, and a
+// salt for each server. They keep the random sequences of the relays apart.
 const (
 	meshSeedFactor     = 7919
 	serverSeedFactor   = 6151
@@ -24,18 +24,18 @@
 	movedSeedStep      = 32
 )
 
-// relayNetwork are the relays between agents, and from agents to the servers that they call. Any goroutine may use it.
+// relayNetwork manages the relays between agents, and from agents to the servers that they call. It may be used from several goroutines.
 type relayNetwork struct {
 	seed     int64
 	now      netfault.Clock
 	agents   int
-	isDirect bool           // there are no relays, to measure what they cost
+	isDirect bool           // agents connect without relays, to measure what relays cost
 	mesh     *netfault.Mesh // nil: agents exchange no datagrams
 
 	mu          sync.Mutex
 	endpoints   []*countingListener
 	toEndpoint  [][]*netfault.Stream // by agent and endpoint
-	toPeer      [][]*netfault.Stream // by agent and agent; nil where agents don't speak over TCP
+	toPeer      [][]*netfault.Stream // by agent and peer; nil where the transport between agents is not TCP
 	toDiscovery []serverRelays       // by agent
 	toRollout   []serverRelays       // by agent
 }
@@ -54,7 +54,7 @@
 	}
 }
 
-// startMesh starts the relays of datagrams between agents.
+// startMesh starts the datagram relays between agents.
 func (n *relayNetwork) startMesh(ctx context.Context, addresses []string) (err error) {
 	if n.isDirect {
 		return nil
@@ -63,7 +63,7 @@
 	return err
 }
 
-// startPeerRelays starts each agent's relays to the streams of its peers.
+// startPeerRelays starts each agent's relays to the stream addresses of its peers.
 func (n *relayNetwork) startPeerRelays(ctx context.Context, addresses []string) error {
 	if n.isDirect {
 		return nil
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// moveServer gives discovery or the rollout controller another address for one agent.
+// moveServer gives discovery or the rollout controller a new address for one agent.
 func (n *relayNetwork) moveServer(ctx context.Context, agent int, server string) error {
 	relays := &n.toDiscovery[agent]
 	if server == serverRollout {
@@ -157,12 +157,12 @@
 	return relays, nil
 }
 
-// discoveryAddress is where an agent reaches discovery now.
+// discoveryAddress returns the address at which an agent currently reaches discovery.
 func (n *relayNetwork) discoveryAddress(agent int) string {
 	return n.serverAddress(&n.toDiscovery[agent])
 }
 
-// rolloutAddress is where an agent reaches the rollout controller now.
+// rolloutAddress returns the address at which an agent currently reaches the rollout controller.
 func (n *relayNetwork) rolloutAddress(agent int) string { return n.serverAddress(&n.toRollout[agent]) }
 
 func (n *relayNetwork) serverAddress(relays *serverRelays) string {
@@ -174,7 +174,7 @@
 	return relays.streams[len(relays.streams)-1].Addr()
 }
 
-// endpointAddress is where an agent reaches an endpoint.
+// endpointAddress returns the address at which an agent reaches an endpoint.
 func (n *relayNetwork) endpointAddress(agent, endpoint int) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -184,7 +184,7 @@
 	return n.toEndpoint[agent][endpoint].Addr()
 }
 
-// peerAddress is where an agent reaches the streams of another, which listens at an address.
+// peerAddress returns the address at which an agent reaches the streams of a peer that listens at listenAddress.
 func (n *relayNetwork) peerAddress(agent, peer int, listenAddress string) string {
 	if peer == agent || n.isDirect {
 		return listenAddress
@@ -192,7 +192,7 @@
 	return n.toPeer[agent][peer].Addr()
 }
 
-// deliveredDatagrams counts the datagrams that were delivered, by sender.
+// deliveredDatagrams returns the number of datagrams that were delivered, by sender.
 func (n *relayNetwork) deliveredDatagrams() []int64 {
 	delivered := make([]int64, n.agents)
 	if n.mesh == nil {
@@ -208,7 +208,7 @@
 	return delivered
 }
 
-// close ends all relays.
+// close stops all relays.
 func (n *relayNetwork) close() {
 	for _, relay := range n.streamRelays() {
 		relay.stream.Close()
@@ -220,18 +220,18 @@
 
 const noTarget = -1
 
-// streamRelay is a relay of streams with its ends.
+// streamRelay is a relay of streams, with the agent that dials it and the target that it leads to.
 type streamRelay struct {
 	stream     *netfault.Stream
 	agent      int
 	targetName string
-	peer       int               // the agent that it leads to; noTarget: none
-	endpoint   int               // the endpoint that it leads to; noTarget: none
-	server     *countingListener // nil: its target is a process, which keeps no record that counts
-	isNewest   bool              // of those from this agent to that target
+	peer       int               // the agent that it leads to, or noTarget
+	endpoint   int               // the endpoint that it leads to, or noTarget
+	server     *countingListener // nil: its target is an agent, whose own records are not used
+	isNewest   bool              // it is the newest relay from this agent to this target
 }
 
-// streamRelays are all relays of streams, those that are not in use any more included.
+// streamRelays returns all relays of streams, including those that are no longer in use.
 func (n *relayNetwork) streamRelays() (out []streamRelay) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -255,7 +255,7 @@
 	return out
 }
 
-// list describes the relays of an agent to a server of a name.
+// list returns the relays of an agent to the server with the given name.
 func (r *serverRelays) list(agent int, name string) (out []streamRelay) {
 	for i, s := range r.streams {
 		out = append(out, streamRelay{
--- a/internal/faulttest/runner.go
+++ b/internal/faulttest/runner.go
@@ -56,7 +56,7 @@
 
 func newRunner(d *deployment, options RunOptions) *runner {
 	b := newBindings(d.scenario.Agents)
-	faults := &faultInjector{bindings: b, relays: d.relays, endpoints: d.endpoints, isIdle: options.IdleRelays}
+	faults := &faultInjector{bindings: b, relays: d.relays, endpoints: d.endpoints, ignoreFaults: options.IdleRelays}
 	return &runner{deployment: d, options: options, bindings: b, faults: faults}
 }
 
--- a/internal/faulttest/scenarios_test.go
+++ b/internal/faulttest/scenarios_test.go
@@ -17,19 +17,19 @@
 	"switchfork/internal/fakes"
 )
 
-// programs are the agent and another version of it, built once.
+// programs builds the agent and another version of it, once for all tests.
 var programs = sync.OnceValues(func() (map[string]string, error) {
 	dir, err := os.MkdirTemp("", "switchfork")
 	if err != nil {
 		return nil, err
 	}
 	buildDir = dir
-	now, err := fakes.BuildAgent(dir, "switchfork", "-race")
+	current, err := fakes.BuildAgent(dir, "switchfork", "-race")
 	if err != nil {
 		return nil, err
 	}
 	other, err := fakes.BuildAgent(dir, "other", "-ldflags", "-X main.version=other")
-	return map[string]string{firstProgram: now, "other": other}, err
+	return map[string]string{firstProgram: current, "other": other}, err
 })
 
 var buildDir string
@@ -53,18 +53,18 @@
 	return RunOptions{Programs: p}
 }
 
-// runSlots bound how many scenarios run at a time: their clients and endpoints share the machine with their agents.
+// runSlots limits how many scenarios run at the same time, because their clients and endpoints share the machine with their agents.
 var runSlots = make(chan struct{}, 4)
 
-func runLimited(t *testing.T, n *Scenario, options RunOptions) *Verdict {
+func runLimited(t *testing.T, scenario *Scenario, options RunOptions) *Verdict {
 	t.Helper()
 	runSlots <- struct{}{}
 	defer func() { <-runSlots }()
-	return Run(t.Context(), n, options)
+	return Run(t.Context(), scenario, options)
 }
 
-// Every shipped scenario passes. SWITCHFORK_SCENARIOS (formerly SWITCHFORK_NIGHTS) selects those whose names contain it, SWITCHFORK_TIMES is
-// how often each runs.
+// Every shipped scenario passes. SWITCHFORK_SCENARIOS (formerly SWITCHFORK_NIGHTS) selects the scenarios whose file names contain it,
+// SWITCHFORK_TIMES is the number of runs of each scenario.
 func TestScenarios(t *testing.T) {
 	files, _ := filepath.Glob("scenarios/*.txt")
 	if len(files) == 0 {
@@ -80,26 +80,27 @@
 		if !strings.Contains(f, selected) {
 			continue
 		}
-		n, err := ReadScenario(f)
+		scenario, err := ReadScenario(f)
 		if err == nil {
-			err = n.CheckRunnable(options)
+			err = scenario.CheckRunnable(options)
 		}
 		if err != nil {
 			t.Error(err)
 			continue
 		}
 		for range times {
-			t.Run(strings.TrimSuffix(n.File, ".txt"), func(t *testing.T) {
+			t.Run(strings.TrimSuffix(scenario.File, ".txt"), func(t *testing.T) {
 				t.Parallel()
-				if v := runLimited(t, n, options); !v.Passed {
-					t.Errorf("%s\nlogs, time line and records are in %s", strings.Join(v.Failures(), "\n"), v.Folder)
+				if v := runLimited(t, scenario, options); !v.Passed {
+					t.Errorf("%s\nlogs, timeline and records are in %s", strings.Join(v.Failures(), "\n"), v.Folder)
 				}
 			})
 		}
 	}
 }
 
-// A scenario whose expectation is false on purpose fails on that line, and so does one whose relays apply no faults.
+// A scenario with expectations that are false on purpose fails on the lines of these expectations. If its relays apply no faults, it also
+// fails on the line of its fault.
 func TestFalseExpectationsFail(t *testing.T) {
 	options := runOptions(t)
 	const text = `agents 2
@@ -123,36 +124,36 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			n, err := ParseScenario("false", text)
+			scenario, err := ParseScenario("false", text)
 			if err != nil {
 				t.Fatal(err)
 			}
-			own := options
-			own.IdleRelays, own.Keep = c.idle, t.TempDir()
-			v := runLimited(t, n, own)
+			caseOptions := options
+			caseOptions.IdleRelays, caseOptions.Keep = c.idle, t.TempDir()
+			v := runLimited(t, scenario, caseOptions)
 			got := v.Failures()
 			if v.Passed || len(got) != len(c.want) {
 				t.Fatalf("passed %t, failures %q, want %q", v.Passed, got, c.want)
 			}
 			for i, w := range c.want {
 				if !strings.HasPrefix(got[i], w) {
-					t.Errorf("failure %q, want one of %s", got[i], w)
+					t.Errorf("got the failure %q, want one that begins with %s", got[i], w)
 				}
 			}
 			for _, name := range []string{"agent-0.log", "agent-1.log", "timeline.txt", "verdict.json", "records.json"} {
 				if info, err := os.Stat(filepath.Join(v.Folder, name)); err != nil || info.Size() == 0 {
-					t.Errorf("%s is not kept: %v", name, err)
+					t.Errorf("%s is missing or empty: %v", name, err)
 				}
 			}
 		})
 	}
 }
 
-// A scenario that is interrupted, and one whose agents don't start, leave no process, listener or goroutine behind.
+// A scenario that is interrupted and a scenario whose agents don't start leave no process, listener or goroutine behind.
 func TestInterruptionLeavesNothing(t *testing.T) {
 	options := runOptions(t)
 	goroutines, listeners, children := countLeftovers(t)
-	n, err := ParseScenario("long", "agents 3\n0s load 40\n0s pause agent:1\n0s drop agents -> endpoints\n60s load 0\nexpect succeeded >= 0\n")
+	scenario, err := ParseScenario("long", "agents 3\n0s load 40\n0s pause agent:1\n0s drop agents -> endpoints\n60s load 0\nexpect succeeded >= 0\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,37 +164,37 @@
 			stop()
 		}
 	}
-	v := Run(ctx, n, options)
+	v := Run(ctx, scenario, options)
 	if v.Passed || len(v.Lines) == 0 || !strings.Contains(v.Lines[0].Observed, "canceled") {
-		t.Errorf("interrupted: %+v", v)
+		t.Errorf("interrupted scenario: got %+v, want a failure whose first line was canceled", v)
 	}
 	for i := range 3 {
 		log, _ := os.ReadFile(filepath.Join(v.Folder, "timeline.txt"))
-		if !strings.Contains(string(log), fmt.Sprintf("agent %d's process is over", i)) {
-			t.Errorf("agent %d: its end is not in the time line", i)
+		if !strings.Contains(string(log), fmt.Sprintf("agent %d's process ended", i)) {
+			t.Errorf("the end of agent %d's process is not in the timeline", i)
 		}
 	}
 	options.Programs = map[string]string{firstProgram: "/bin/false"}
-	if v = Run(t.Context(), n, options); v.Passed || !strings.Contains(v.Error, "has ended at its start") {
-		t.Errorf("a program that ends at once: %+v", v)
+	if v = Run(t.Context(), scenario, options); v.Passed || !strings.Contains(v.Error, "has ended at its start") {
+		t.Errorf("program that exits at once: got %+v, want an error that the agent has ended at its start", v)
 	}
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(pollInterval) { // the system takes a moment for what was closed
+	for end := time.Now().Add(10 * time.Second); ; time.Sleep(pollInterval) { // the system takes a moment to release what was closed
 		g, l, c := countLeftovers(t)
 		if g <= goroutines && l <= listeners && c <= children {
 			break
 		}
 		if time.Now().After(end) {
 			stacks := make([]byte, 1<<20)
-			t.Fatalf("before %d goroutines, %d listeners, %d children; left %d, %d, %d\n%s", goroutines, listeners, children, g, l, c, stacks[:runtime.Stack(stacks, true)])
+			t.Fatalf("before the runs: %d goroutines, %d listeners, %d children; after them: %d, %d, %d\n%s", goroutines, listeners, children, g, l, c, stacks[:runtime.Stack(stacks, true)])
 		}
 	}
 }
 
-// Sixteen agents, 24 endpoints and 400 requests a second meet the latency objective with relays on every link as they do without, and the
-// servers counted what the relays did.
+// With 16 agents, 24 endpoints and 400 requests per second, relays on every link don't change the share of requests that meet the latency
+// objective, and the servers count the same bytes as the relays.
 func TestRelayOverheadIsNegligible(t *testing.T) {
 	options := runOptions(t)
-	options.Programs = map[string]string{firstProgram: options.Programs["other"]} // without the race detector: sixteen share the test's cores
+	options.Programs = map[string]string{firstProgram: options.Programs["other"]} // without the race detector, because 16 agents share the test's cores
 	const text = `agents 16
 endpoints 24 slots=4 service-time=20ms
 transport datagrams
@@ -205,32 +206,32 @@
 `
 	inTime := map[bool]float64{}
 	for _, direct := range []bool{true, false} {
-		n, err := ParseScenario("wide", text)
+		scenario, err := ParseScenario("wide", text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		own := options
-		own.Direct, own.Keep = direct, t.TempDir()
-		v := runLimited(t, n, own)
+		caseOptions := options
+		caseOptions.Direct, caseOptions.Keep = direct, t.TempDir()
+		v := runLimited(t, scenario, caseOptions)
 		if !v.Passed {
 			t.Fatalf("direct %t: %s", direct, strings.Join(v.Failures(), "\n"))
 		}
 		share := 0.0
 		if _, err := fmt.Sscanf(v.Lines[0].Observed, "%f", &share); err != nil {
-			t.Fatalf("no share in %q: %v", v.Lines[0].Observed, err)
+			t.Fatalf("no share of requests in the observation %q: %v", v.Lines[0].Observed, err)
 		}
 		inTime[direct] = share
 		t.Logf("direct %t: %s; %s", direct, v.Lines[0].Observed, v.Lines[1].Observed)
 	}
 	if math.Abs(inTime[true]-inTime[false]) > 0.005 {
-		t.Errorf("in time %.4f without relays, %.4f with them", inTime[true], inTime[false])
+		t.Errorf("share within the objective: %.4f without relays, %.4f with them, want a difference of at most 0.005", inTime[true], inTime[false])
 	}
 }
 
-// countLeftovers counts what a run could leave behind.
+// countLeftovers counts the goroutines, listening sockets and child processes of the test process, which a run could leave behind.
 func countLeftovers(t *testing.T) (goroutines, listeners, children int) {
 	t.Helper()
-	own := strconv.Itoa(os.Getpid())
+	pid := strconv.Itoa(os.Getpid())
 	tasks, err := filepath.Glob("/proc/self/task/*/children")
 	if err != nil {
 		t.Fatal(err)
@@ -240,7 +241,7 @@
 		children += len(strings.Fields(string(text)))
 	}
 	inodes := map[string]bool{}
-	for _, f := range []string{"/proc/" + own + "/net/tcp", "/proc/" + own + "/net/udp"} {
+	for _, f := range []string{"/proc/" + pid + "/net/tcp", "/proc/" + pid + "/net/udp"} {
 		text, err := os.ReadFile(f)
 		if err != nil {
 			t.Fatal(err)
