--- a/internal/faulttest/records_test.go
+++ b/internal/faulttest/records_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The keys of records.json are read by operators' tools: they stay when fields are renamed.
+// Operators' tools read the keys of records.json, so the keys stay the same when fields are renamed.
 func TestRecordKeysAreStable(t *testing.T) {
 	records := validRecords()
 	records.Calls = map[string][]Call{serverDiscovery: {{}}}
--- a/internal/faulttest/soak_test.go
+++ b/internal/faulttest/soak_test.go
@@ -6,10 +6,11 @@
 	"testing"
 )
 
-// soakSeeds are the drawn scenarios that CI runs.
+// soakSeeds are the seeds of the drawn scenarios that CI runs.
 var soakSeeds = []int64{1, 2, 3, 4, 5, 6, 7, 8}
 
-// Drawn scenarios break no rule. One that does is printed by switchfork-lab soak --print SEED, and run by switchfork-lab faulttest.
+// Drawn scenarios break no rule. To reproduce a failure, print the scenario with switchfork-lab soak --print SEED and run it with
+// switchfork-lab faulttest.
 func TestSoak(t *testing.T) {
 	options := runOptions(t)
 	for _, seed := range soakSeeds {
@@ -20,19 +21,19 @@
 				t.Fatal(err)
 			}
 			if v := runLimited(t, scenario, options); !v.Passed {
-				t.Errorf("%s\nlogs, time line and records are in %s", strings.Join(v.Failures(), "\n"), v.Folder)
+				t.Errorf("%s\nlogs, timeline and records are in %s", strings.Join(v.Failures(), "\n"), v.Folder)
 			}
 		})
 	}
 }
 
-// A seed draws the same scenario each time, every drawn scenario can be read, and each kind of event is drawn.
+// A seed draws the same scenario each time, every drawn scenario can be parsed, and each kind of step is drawn.
 func TestDrawScenario(t *testing.T) {
 	drawn := map[string]bool{}
 	for seed := range int64(300) {
 		text := DrawScenario(seed)
 		if text != DrawScenario(seed) {
-			t.Fatalf("seed %d draws two scenarios", seed)
+			t.Fatalf("seed %d draws two different scenarios", seed)
 		}
 		if _, err := ParseScenario("drawn", text); err != nil {
 			t.Fatalf("%v\n%s", err, text)
