--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -131,7 +131,7 @@
 	return out
 }
 
-// parseLogTime reads the time stamp of a line of an agent's log, which is in JSON or in key=value form.
+// parseLogTime reads the timestamp of a line of an agent's log, which is in JSON or in key=value form.
 func parseLogTime(line string) (at time.Time, hasTime bool) {
 	end := `"`
 	_, text, isJSON := strings.Cut(line, `"time":"`)
--- a/internal/faulttest/rules.go
+++ b/internal/faulttest/rules.go
@@ -28,7 +28,7 @@
 	// answerSlack is how late an answer may be without breaking a rule, since a busy test machine delays answers. The users' benchmark
 	// counts an answer as lost after half a second.
 	answerSlack = 500 * time.Millisecond
-	// drainSlack is the 50 ms that the protocol allows, plus the time between an agent's write and its relay's time stamp on a busy machine.
+	// drainSlack is the 50 ms that the protocol allows, plus the time between an agent's write and its relay's timestamp on a busy machine.
 	drainSlack = 150 * time.Millisecond
 	// maxViolationsPerRule limits how many violations of one rule are reported.
 	maxViolationsPerRule = 20
--- a/internal/faulttest/rules_test.go
+++ b/internal/faulttest/rules_test.go
@@ -70,17 +70,17 @@
 			r.Arrivals[len(r.Arrivals)-1].RanAt = -1
 		}},
 		{"a request to a draining endpoint after the grace period", "drains respected", func(r *Records) { r.addArrival(0, 0, 6*second+second/2, classIdempotent, "") }},
-		{"the same from a process that was paused when it was notified", "drains respected", func(r *Records) {
+		{"a request to a draining endpoint from a process that was paused when it was notified", "drains respected", func(r *Records) {
 			r.Lifetimes[0][0].Pauses = [][2]netfault.Micros{{4 * second, 7 * second}}
 			r.addArrival(0, 0, 7*second, classIdempotent, "")
 		}},
-		{"the same from an agent that was never notified", "", func(r *Records) { r.addArrival(1, 0, 8*second, classIdempotent, "") }},
+		{"a request to a draining endpoint from an agent that was never notified", "", func(r *Records) { r.addArrival(1, 0, 8*second, classIdempotent, "") }},
 		{"too many requests to an endpoint in its slow start", "slow start", func(r *Records) {
 			for i := range netfault.Micros(400) {
 				r.addArrival(int(i)%2, 0, second+i*second/400, classIdempotent, "")
 			}
 		}},
-		{"the same to an endpoint at full speed", "", func(r *Records) {
+		{"as many requests to an endpoint at full speed", "", func(r *Records) {
 			r.EndpointStarts[0] = -1
 			for i := range netfault.Micros(400) {
 				r.addArrival(int(i)%2, 0, second+i*second/400, classIdempotent, "")
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -27,7 +27,7 @@
 	Transport     string // how agents reach each other: datagrams, tcp, none
 	Election      ElectionSetup
 	Seed          int64
-	Timeout       time.Duration // maximum duration of a run
+	Timeout       time.Duration // maximum duration of a run, to which startupTimeout is added
 	Steps         []Step
 	Expectations  []Expectation
 }
@@ -47,7 +47,7 @@
 	Lease        time.Duration
 }
 
-// Restarts returns how many agents the start steps of the scenario start in total.
+// Restarts returns the number of planned restarts: how many agents the scenario's start steps start in total.
 func (s *Scenario) Restarts() (count int) {
 	for _, step := range s.Steps {
 		if start, isProcess := step.Action.(processStep); isProcess && start.action == processStart {
--- a/internal/faulttest/shutdown_rules.go
+++ b/internal/faulttest/shutdown_rules.go
@@ -7,8 +7,8 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// checkReusedConnections checks that no connection is reset while a client sends a request on it again, and that no more than
-// maxCleanCloseRaces connections are closed cleanly at that moment.
+// checkReusedConnections checks that no connection is reset while its client reuses it for another request, and that no more than
+// maxCleanCloseRaces connections are closed cleanly at such a moment.
 func checkReusedConnections(r *Records) (out []Violation) {
 	for i, race := range r.CloseRaces {
 		if race.IsReset || i >= maxCleanCloseRaces {
