--- a/internal/faulttest/bindings.go
+++ b/internal/faulttest/bindings.go
@@ -6,12 +6,12 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// startMark is when all agents serve; a scenario's times count from it.
+// startMark is the mark for the moment when all agents serve. The times of a scenario count from it.
 const startMark = "start"
 
-// bindings are the agents and moments that the steps of a run have bound names to. Only the goroutine that runs the steps uses it.
+// bindings holds the names that the steps of a run have bound to agents and moments. Only the goroutine that runs the steps uses it.
 type bindings struct {
-	agents     int // of the scenario
+	agents     int // number of agents in the scenario
 	agentNames map[string]int
 	marks      map[string]netfault.Micros
 }
@@ -22,7 +22,7 @@
 
 func (b *bindings) startTime() netfault.Micros { return b.marks[startMark] }
 
-// resolveTime is the moment that an expectation refers to.
+// resolveTime returns the moment that an expectation refers to.
 func (b *bindings) resolveTime(t TimeRef) netfault.Micros {
 	if t.Mark == "" {
 		return b.startTime() + toMicros(t.Offset)
@@ -30,7 +30,7 @@
 	return b.marks[t.Mark] + toMicros(t.Offset)
 }
 
-// agentNumbers are the agents of a set.
+// agentNumbers returns the numbers of the agents in a set.
 func (b *bindings) agentNumbers(set AgentSet) (out []int) {
 	for i := range b.agents {
 		isMember := len(set.Numbers) == 0 || slices.Contains(set.Numbers, i)
@@ -44,7 +44,7 @@
 	return out
 }
 
-// agentFilter tells whether an agent is in a set; the nil set holds all.
+// agentFilter returns a function that reports whether an agent is in a set. A nil set contains all agents.
 func (b *bindings) agentFilter(set *AgentSet) agentFilter {
 	if set == nil {
 		return func(int) bool { return true }
--- a/internal/faulttest/bindings_test.go
+++ b/internal/faulttest/bindings_test.go
@@ -8,7 +8,7 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// Sets of agents and moments are resolved by the names that steps have bound.
+// Sets of agents and moments are resolved with the names that steps have bound.
 func TestBindings(t *testing.T) {
 	b := newBindings(4)
 	b.agentNames["old"] = 2
@@ -22,12 +22,12 @@
 		{AgentSet{Name: "old", Inverted: true}, []int{0, 1, 3}},
 	} {
 		if got := b.agentNumbers(c.set); !slices.Equal(got, c.want) {
-			t.Errorf("%+v are the agents %v, want %v", c.set, got, c.want)
+			t.Errorf("agents of %+v: got %v, want %v", c.set, got, c.want)
 		}
 	}
 	isOld := b.agentFilter(&AgentSet{Name: "old"})
 	if all := b.agentFilter(nil); !all(0) || !all(3) || !isOld(2) || isOld(1) {
-		t.Error("a filter holds other agents than its set")
+		t.Error("an agent filter accepts other agents than its set has")
 	}
 
 	b.marks[startMark], b.marks["cut"] = 5*second, 8*second
@@ -37,7 +37,7 @@
 		{Mark: "cut", Offset: 2 * time.Second}: 10 * second,
 	} {
 		if got := b.resolveTime(ref); got != want {
-			t.Errorf("%+v is at %d, want %d", ref, got, want)
+			t.Errorf("time of %+v: got %d µs, want %d µs", ref, got, want)
 		}
 	}
 }
--- a/internal/faulttest/describe_test.go
+++ b/internal/faulttest/describe_test.go
@@ -10,11 +10,12 @@
 	"switchfork/internal/golden"
 )
 
-// The shipped scenarios and the drawn ones mean what they have always meant: agents, loads, bounds, seeds, steps and expectations.
+// The meaning of the scenario files and of the scenarios drawn from seeds 1 to 50 does not change: agents, loads, timeouts, seeds, steps and
+// expectations.
 func TestScenariosKeepTheirMeaning(t *testing.T) {
 	files, err := filepath.Glob("scenarios/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no scenarios: %v", err)
+		t.Fatalf("found no scenario files, error: %v", err)
 	}
 	var out strings.Builder
 	for _, file := range files {
@@ -34,7 +35,7 @@
 	golden.Check(t, "scenario_meanings.golden", out.String())
 }
 
-// recordedWords are the words that the golden file was recorded with, where the code has others now.
+// recordedWords maps words of the current code to those in the golden file, which was recorded before they were renamed.
 var recordedWords = map[string]string{
 	transportNone: "no", reloadMalformed: "spoilt", serverRollout: "launcher",
 	processPause: "stop", processResume: "go", processTerminate: "term",
@@ -48,7 +49,7 @@
 	return word
 }
 
-// describeScenario writes all that a scenario means, a line each, without the words that its file uses.
+// describeScenario describes the meaning of a scenario, one line for each step and expectation, independently of the notation of its file.
 func describeScenario(s *Scenario) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s: agents %d endpoints %d slots %d build %d service time %v transport %s\n",
--- a/internal/faulttest/draw.go
+++ b/internal/faulttest/draw.go
@@ -11,30 +11,31 @@
 	maxDrawnAgents    = 8
 	minDrawnEndpoints = 3
 	maxDrawnEndpoints = 24
-	// drawnRequestsPerSecond at all agents together.
+	// drawnRequestsPerSecond is the rate of the open load at all agents together.
 	drawnRequestsPerSecond = 160
-	// minDrawnClients and maxDrawnClients of the closed load, at all agents together.
+	// minDrawnClients and maxDrawnClients bound the number of closed-load clients at all agents together.
 	minDrawnClients = 120
 	maxDrawnClients = 300
-	// closedLoadOneIn is in how many scenarios one has a closed load.
+	// closedLoadOneIn is the number of scenarios of which one has a closed load, on average.
 	closedLoadOneIn = 4
 	drawnEvents     = 4
 	drawnBuild      = 7
 	canaryBuild     = 8
-	// maxResetBytes is less than a request, so that the next one on each connection is hit.
+	// maxResetBytes is less than the size of a request, so that the next request on each connection is reset.
 	maxResetBytes = 150
 )
 
-// drawer writes the lines of a drawn scenario.
+// drawer generates the lines of a random scenario.
 type drawer struct {
 	random            *rand.Rand
 	lines             []string
 	agents, endpoints int
 }
 
-// DrawScenario returns the text of a scenario that is drawn from a seed: a deployment, a load with clients of all kinds, faults, changes of
-// the endpoint list and planned restarts. The text is in the former notation (see formerWords), so that a seed of an earlier report draws the
-// same text. It expects nothing but the rules, so that any violation is a fault of the agent.
+// DrawScenario returns the text of a random scenario that is drawn from a seed. It has a deployment, a load with clients of all kinds, faults,
+// changes of the endpoint list and planned restarts. The text is in the former notation (see formerWords), so that a seed from an earlier
+// report still gives the same text. Apart from the rules that hold in every run, it expects only that requests were sent, so that any
+// violation is a fault of the agent.
 func DrawScenario(seed int64) string {
 	d := &drawer{random: rand.New(rand.NewSource(seed))}
 	d.agents = 1 + d.random.Intn(maxDrawnAgents)
@@ -72,7 +73,8 @@
 	}
 }
 
-// drawEvent draws one fault or change. Faults on links are on all of them, so that each touches something, and are healed.
+// drawEvent draws one fault or change. Faults on links are put on the links of all agents, so that each fault affects some traffic. They are
+// healed, except for the delay of the endpoint list.
 func (d *drawer) drawEvent(at float64) {
 	endpoint, agent := d.random.Intn(d.endpoints), d.random.Intn(d.agents)
 	step := func(format string, args ...any) { d.add("%.2fs "+format, append([]any{at}, args...)...) }
@@ -107,8 +109,8 @@
 	}
 }
 
-// drawRestart restarts some agents as an operator does, with signals in series before and after SIGTERM. Those of a deployment with several
-// agents are restarted one after the other or at the same time.
+// drawRestart restarts one agent or all agents at the same time, as an operator does, with reload signals before and after SIGTERM. SIGTERM is
+// sent once or twice.
 func (d *drawer) drawRestart(at float64) {
 	who := "agents"
 	if d.agents > 1 && d.random.Intn(3) > 0 {
--- a/internal/faulttest/draw_test.go
+++ b/internal/faulttest/draw_test.go
@@ -7,7 +7,7 @@
 	"switchfork/internal/golden"
 )
 
-// The seeds 1 to 50 draw the scenarios that they have always drawn, so that a seed in a report replays what it has shown.
+// The scenarios drawn from seeds 1 to 50 do not change, so that a seed from an earlier report still replays the reported scenario.
 func TestDrawnScenariosAreStable(t *testing.T) {
 	var drawn strings.Builder
 	for seed := int64(1); seed <= 50; seed++ {
--- a/internal/faulttest/line_reader.go
+++ b/internal/faulttest/line_reader.go
@@ -17,16 +17,16 @@
 
 func (e *ParseError) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Reason) }
 
-// lineReader reads the tokens of one line after the other, and collects the errors of all lines.
+// lineReader reads a file line by line, splits each line into tokens, and collects the errors of all lines.
 type lineReader struct {
 	file       string
 	lineNumber int
-	tokens     []string // of the line, those that were not consumed yet
-	lineFailed bool     // an error of this line was reported; further ones follow from it
+	tokens     []string // tokens of the current line that are not consumed yet
+	lineFailed bool     // an error in the current line was reported; further ones are dropped, since they follow from it
 	errs       []error
 }
 
-// statementText is a line without its comment, its tokens separated by one blank.
+// statementText returns a line without its comment, with its tokens separated by one space.
 func statementText(line string) string {
 	text, _, _ := strings.Cut(line, "#")
 	return strings.Join(strings.Fields(text), " ")
@@ -39,7 +39,7 @@
 
 func (r *lineReader) endLine() {
 	if len(r.tokens) > 0 {
-		r.fail("%q is left over at the line's end", strings.Join(r.tokens, " "))
+		r.fail("unexpected %q at the end of the line", strings.Join(r.tokens, " "))
 	}
 }
 
@@ -50,10 +50,10 @@
 	r.lineFailed = true
 }
 
-// nextToken consumes the next token; where there is none, the error says what was expected.
+// nextToken consumes the next token. If there is none, it reports an error that says what was expected.
 func (r *lineReader) nextToken(expected string) string {
 	if len(r.tokens) == 0 {
-		r.fail("the line ends, expected %s", expected)
+		r.fail("unexpected end of line, expected %s", expected)
 		return ""
 	}
 	token := r.tokens[0]
@@ -61,7 +61,7 @@
 	return token
 }
 
-// accept consumes the next token if it is this word, in the current or the former notation.
+// accept consumes the next token if it is the given word, in the current or the former notation. It reports whether it did.
 func (r *lineReader) accept(word string) bool {
 	if len(r.tokens) > 0 && currentWord(argumentWord, r.tokens[0]) == word {
 		r.tokens = r.tokens[1:]
@@ -70,24 +70,25 @@
 	return false
 }
 
-// oneOf consumes a token that has to be one of a few words, and returns the word; form is the format of the error on any other.
-func (r *lineReader) oneOf(allowed []string, expected, form string) string {
+// oneOf consumes a token that has to be one of the allowed words, and returns the word in the current notation. errorFormat is the format of
+// the error for any other token.
+func (r *lineReader) oneOf(allowed []string, expected, errorFormat string) string {
 	token := r.nextToken(expected)
 	word := currentWord(argumentWord, token)
 	if !slices.Contains(allowed, word) {
-		r.fail(form, token)
+		r.fail(errorFormat, token)
 	}
 	return word
 }
 
-// restOfLine consumes all tokens that are left.
+// restOfLine consumes all remaining tokens of the line.
 func (r *lineReader) restOfLine() []string {
 	rest := r.tokens
 	r.tokens = nil
 	return rest
 }
 
-// option consumes KEY=VALUE from wherever it stands in the rest of the line.
+// option consumes the token KEY=VALUE, which may be anywhere in the rest of the line.
 func (r *lineReader) option(key string) (value string, isSet bool) {
 	for i, token := range r.tokens {
 		name, value, isOption := strings.Cut(token, "=")
@@ -99,7 +100,7 @@
 	return "", false
 }
 
-// number reads a token; the empty token was reported as missing before, or is optional.
+// number parses a token. It doesn't report an empty token: either the caller has reported it as missing, or it is optional.
 func (r *lineReader) number(token, what string, least, most float64) float64 {
 	v, err := strconv.ParseFloat(token, 64)
 	if (err != nil || v < least || v > most) && token != "" {
@@ -129,16 +130,16 @@
 	return r.number(r.nextToken("a share from 0 to 1"), "the share", 0, 1)
 }
 
-// timeout reads "within TIME".
+// timeout consumes "within TIME".
 func (r *lineReader) timeout() time.Duration {
 	if !r.accept("within") {
-		r.fail("no bound on the wait, expected within and a time")
+		r.fail("no timeout is given, expected within and a time")
 		return 0
 	}
-	return r.duration(r.nextToken("a time"), "the bound")
+	return r.duration(r.nextToken("a time"), "the timeout")
 }
 
-// numberList reads numbers and ranges such as 1,3..5.
+// numberList parses a list of numbers and ranges such as 1,3..5. All numbers must be below a limit.
 func (r *lineReader) numberList(token, what string, below int) (out []int) {
 	for _, part := range strings.Split(token, ",") {
 		first, last, isRange := strings.Cut(part, "..")
--- a/internal/faulttest/notation.go
+++ b/internal/faulttest/notation.go
@@ -1,19 +1,19 @@
 package faulttest
 
-// wordContext is where a word of the notation stands: the same word may mean different things in two places.
+// wordContext is the position of a word in the notation. The same word may have different meanings in different positions.
 type wordContext int
 
 const (
-	headerWord      wordContext = iota // begins a line that describes the deployment
-	stepWord                           // is the keyword of a step
-	argumentWord                       // stands behind a keyword
-	optionWord                         // stands before = in KEY=VALUE
-	partyWord                          // names endpoints or a server
-	measureWord                        // names a measure
-	measureArgument                    // stands behind : of a measure
+	headerWord      wordContext = iota // the first word of a line that describes the deployment
+	stepWord                           // the keyword of a step
+	argumentWord                       // an argument after a keyword
+	optionWord                         // the KEY of an option KEY=VALUE
+	partyWord                          // a word for endpoints or a server
+	measureWord                        // the name of a measure
+	measureArgument                    // the argument after the colon of a measure
 )
 
-// formerWords are the words of the notation's former version with those that took their place. Files in either are read.
+// formerWords maps the words of the former notation to the words that replaced them. Files in either notation can be read.
 var formerWords = map[wordContext]map[string]string{
 	headerWord: {
 		"appliances": "endpoints", "talk": "transport", "decider": "leader-election", "late": "absent", "bound": "timeout",
@@ -44,7 +44,7 @@
 	},
 }
 
-// currentWord is a word as the current notation has it, if it is one of the former notation.
+// currentWord translates a word of the former notation to the current notation. Other words are returned unchanged.
 func currentWord(context wordContext, word string) string {
 	if current, isFormer := formerWords[context][word]; isFormer {
 		return current
@@ -52,12 +52,12 @@
 	return word
 }
 
-// recommendationWords are the notation's words for what an agent may vote for.
+// recommendationWords maps the notation's words for recommendations to those of records.json.
 var recommendationWords = map[string]string{
 	"advance": recommendAdvance, "rollback": recommendRollback, "hold": recommendHold, "none": recommendNone,
 }
 
-// recommendationWord is the notation's word for a recommendation of the records.
+// recommendationWord returns the notation's word for a recommendation of records.json.
 func recommendationWord(recommendation string) string {
 	for word, recorded := range recommendationWords {
 		if recorded == recommendation {
--- a/internal/faulttest/options.go
+++ b/internal/faulttest/options.go
@@ -6,26 +6,26 @@
 	"slices"
 )
 
-// RunOptions are how a scenario is to be run.
+// RunOptions are the options for the run of a scenario.
 type RunOptions struct {
-	Programs   map[string]string // paths by name; the agents start as the one with the empty name
-	Seed       int64             // 0: the scenario's own
-	Agents     int               // 0: the scenario's own
-	Keep       string            // a folder for logs and records; empty: they are kept only where the scenario fails
-	IdleRelays bool              // relays apply no faults
-	Direct     bool              // no relays
-	Progress   func(done, of int, text string)
-	Checks     map[string]func(CheckTarget) error // what a test checks itself, by the name that its scenario uses
+	Programs   map[string]string                  // paths of programs by name; agents are first started with the program that has the empty name
+	Seed       int64                              // random seed; 0: the scenario's
+	Agents     int                                // number of agents; 0: the scenario's
+	Keep       string                             // folder for logs and records; empty: they are kept only if the scenario fails
+	IdleRelays bool                               // relays forward everything and apply no faults
+	Direct     bool                               // agents connect directly, without relays
+	Progress   func(done, of int, text string)    // called before each step with its text; nil: not called
+	Checks     map[string]func(CheckTarget) error // checks of the calling test, by their names in the scenario
 }
 
-// CheckTarget is what a test's own checks may look at.
+// CheckTarget is what the checks of a test may inspect.
 type CheckTarget struct {
 	Program      string
-	Admin, State []string       // admin address and state folder, by agent
-	Names        map[string]int // agents by the names that the scenario has bound
+	Admin, State []string       // admin addresses and state folders, by agent
+	Names        map[string]int // numbers of agents, by the names that the scenario has bound
 }
 
-// ProgramNames are the names of other versions that the scenario starts.
+// ProgramNames returns the names of the programs that the scenario starts besides the first.
 func (s *Scenario) ProgramNames() (names []string) {
 	for _, step := range s.Steps {
 		if p, isProcess := step.Action.(processStep); isProcess && p.program != firstProgram && !slices.Contains(names, p.program) {
@@ -35,41 +35,41 @@
 	return names
 }
 
-// CheckRunnable reports what of a scenario can't be run with these options.
+// CheckRunnable returns an error for everything in a scenario that can't be run with these options, joined.
 func (s *Scenario) CheckRunnable(options RunOptions) error {
 	var errs []error
 	for _, step := range s.Steps {
-		if reason := options.refuse(step.Action); reason != "" {
+		if reason := options.refusalReason(step.Action); reason != "" {
 			errs = append(errs, &ParseError{s.File, step.Line, reason})
 		}
 	}
 	if options.Agents > 0 && options.Agents < s.Agents {
-		errs = append(errs, fmt.Errorf("%s: %d agents asked for, expected at least the scenario's own %d: its lines name them",
+		errs = append(errs, fmt.Errorf("%s: %d agents requested, expected at least the scenario's %d, since its lines name them",
 			s.File, options.Agents, s.Agents))
 	}
 	return errors.Join(errs...)
 }
 
-// refuse tells why an action can't be run with these options; it is empty where it can.
-func (o *RunOptions) refuse(action stepAction) string {
+// refusalReason returns why an action can't be run with these options, or the empty string if it can.
+func (o *RunOptions) refusalReason(action stepAction) string {
 	switch a := action.(type) {
 	case processStep:
 		if _, isNamed := o.Programs[a.program]; a.program != firstProgram && !isNamed {
-			return fmt.Sprintf("no program %q, expected one that --program names", a.program)
+			return fmt.Sprintf("unknown program %q, expected one that is given with --program", a.program)
 		}
 	case checkStep:
 		if o.Checks[a.name] == nil {
-			return fmt.Sprintf("no check %q is given, expected a scenario that its own test runs", a.name)
+			return fmt.Sprintf("unknown check %q, expected the scenario to be run by the test that has this check", a.name)
 		}
 	case faultStep:
 		if o.Direct {
-			return "a fault on a link, expected none without relays"
+			return "the step puts a fault on a link, expected no such step in a run without relays"
 		}
 	}
 	return ""
 }
 
-// applyTo is the scenario with the seed and the number of agents that the options ask for.
+// applyTo returns a copy of the scenario with the options' seed and number of agents, where they are set.
 func (o *RunOptions) applyTo(s *Scenario) *Scenario {
 	applied := *s
 	if o.Seed != 0 {
--- a/internal/faulttest/parse_condition.go
+++ b/internal/faulttest/parse_condition.go
@@ -9,30 +9,31 @@
 var comparisonOperators = []string{">=", "<=", "=", ">", "<"}
 
 const (
-	// minWindow is the shortest part of a run that an expectation may be held against on its own.
+	// minWindow is the shortest window of an expectation that has to hold in each window of the run.
 	minWindow = 100 * time.Millisecond
-	// maxComparedValue bounds the value that a measure is compared to.
+	// maxComparedValue is the largest absolute value that a measure may be compared to.
 	maxComparedValue = 1e12
 )
 
-// conditionParser reads measures with what they are compared to: what a wait step waits for, and expectations. It knows the marks that
-// lines before have set.
+// conditionParser parses expectations and the comparisons that wait steps wait for. It knows the marks that earlier lines have set. Since
+// expectations are parsed last, they may use every mark of the scenario.
 type conditionParser struct {
 	*setReader
 	markNames map[string]bool
 }
 
-// comparison reads MEASURE[:ARG] OP VALUE of= at= build= class=.
+// comparison parses MEASURE[:ARG] OP VALUE with the options of=, at=, build= and class=. Measures that agents report about themselves are
+// accepted only if mayAskAgents is true.
 func (p *conditionParser) comparison(mayAskAgents bool) (c comparison) {
 	c.measure = p.measure(mayAskAgents)
 	spec := measureSpecs[c.measure.Name]
 	p.measureOptions(&c.measure, spec)
-	c.operator = p.oneOf(comparisonOperators, ">=, <=, = , > or <", "%q compares nothing, expected >=, <=, =, > or <")
+	c.operator = p.oneOf(comparisonOperators, ">=, <=, = , > or <", "%q is not a comparison operator, expected >=, <=, =, > or <")
 	c.value = p.number(p.nextToken("a number"), "the value", -maxComparedValue, maxComparedValue)
 	return c
 }
 
-// measure reads MEASURE[:ARG].
+// measure parses MEASURE[:ARG].
 func (p *conditionParser) measure(mayAskAgents bool) (m Measure) {
 	token := p.nextToken("a measure")
 	name, argument, _ := strings.Cut(token, ":")
@@ -40,12 +41,12 @@
 	spec, isKnown := measureSpecs[m.Name]
 	switch {
 	case !isKnown:
-		p.fail("%q is no measure, expected one of succeeded, within-objective, median, p99, rejected, failed, offered, votes:, arrivals, busiest, "+
-			"datagrams, calls:, alive, duplicates, and after wait leaders, members, healthy, log:", token)
+		p.fail("unknown measure %q, expected one of succeeded, within-objective, median, p99, rejected, failed, offered, votes:, arrivals, busiest, "+
+			"datagrams, calls:, alive, duplicates, or in a wait step also leaders, members, healthy, log:", token)
 	case spec.asksAgents && !mayAskAgents:
-		p.fail("%q is what agents say of themselves, expected a measure of fake servers or relays", token)
+		p.fail("%q is reported by the agents themselves, expected a measure from the records of fake servers or relays", token)
 	case spec.hasArg != (m.Arg != ""):
-		p.fail("%q, expected votes:advance, votes:rollback, votes:hold, votes:none, calls:discovery, calls:rollout-controller, log:TEXT, and no word behind the others", token)
+		p.fail("%q lacks its argument or has one too many, expected votes:advance, votes:rollback, votes:hold, votes:none, calls:discovery, calls:rollout-controller, log:TEXT, or another measure without an argument", token)
 	case m.Name == measureVotes:
 		m.Arg = p.recommendation(argument)
 	case m.Name == measureCalls:
@@ -54,25 +55,25 @@
 	return m
 }
 
-// recommendation reads what a vote is for.
+// recommendation parses the argument of the measure votes: the recommendation that agents voted for.
 func (p *conditionParser) recommendation(word string) string {
 	recommendation, isKnown := recommendationWords[currentWord(measureArgument, word)]
 	if !isKnown {
-		p.fail("%q is no verdict, expected advance, rollback, hold or none", word)
+		p.fail("unknown recommendation %q, expected advance, rollback, hold or none", word)
 	}
 	return recommendation
 }
 
-// server reads which server takes calls.
+// server parses the argument of the measure calls: the server that agents called.
 func (p *conditionParser) server(word string) string {
 	server := currentWord(measureArgument, word)
 	if server != serverDiscovery && server != serverRollout {
-		p.fail("%q takes no calls, expected discovery or rollout-controller", word)
+		p.fail("unknown server %q, expected discovery or rollout-controller", word)
 	}
 	return server
 }
 
-// measureOptions reads what narrows a measure.
+// measureOptions parses the options that restrict a measure to some agents, some endpoints, a build or a class.
 func (p *conditionParser) measureOptions(m *Measure, spec measureSpec) {
 	if v, isSet := p.option("of"); isSet {
 		agents := p.agentSet(v)
@@ -104,7 +105,7 @@
 	}
 }
 
-// timeRef reads a time, or a mark with or without an offset.
+// timeRef parses a time, or a mark with or without an offset.
 func (p *conditionParser) timeRef(token string) *TimeRef {
 	if token != "" && isDigit(token[0]) {
 		return &TimeRef{Offset: p.duration(token, "the time")}
@@ -115,12 +116,12 @@
 		ref.Offset = p.duration(offset, "the time")
 	}
 	if !p.markNames[mark] {
-		p.fail("%q is no time, expected one such as 2s, or a mark of this scenario such as cut or cut+2s", token)
+		p.fail("%q is not a time, expected one such as 2s, or a mark of this scenario such as cut or cut+2s", token)
 	}
 	return &ref
 }
 
-// expectation reads what stands behind expect.
+// expectation parses the rest of an expect line.
 func (p *conditionParser) expectation() (e Expectation) {
 	if !p.accept("never") {
 		e.comparison = p.comparison(false)
@@ -138,22 +139,22 @@
 	return e
 }
 
-// exclusiveClaim reads "hold" and what no two agents may hold at one time, up to the range.
+// exclusiveClaim parses "hold" and the words for what no two agents may hold at the same time. It stops before the range.
 func (p *conditionParser) exclusiveClaim() string {
 	if !p.accept("hold") {
-		p.fail("expected hold and what is held")
+		p.fail("no hold after two, expected hold and what is held")
 	}
 	var words []string
 	for len(p.tokens) > 0 && p.tokens[0] != "from" && p.tokens[0] != "to" {
 		words = append(words, p.nextToken("what is held"))
 	}
 	if len(words) == 0 {
-		p.fail("the line ends, expected what is held, such as vote")
+		p.fail("unexpected end of line, expected what is held, such as vote")
 	}
 	return strings.Join(words, " ")
 }
 
-// insertZeroComparison turns "never MEASURE" into "MEASURE = 0": the comparison stands behind the measure and its options.
+// insertZeroComparison turns "never MEASURE" into "MEASURE = 0". It inserts the comparison after the measure and its options.
 func (p *conditionParser) insertZeroComparison() {
 	at := 1
 	for at < len(p.tokens) && strings.Contains(p.tokens[at], "=") {
@@ -162,7 +163,7 @@
 	p.tokens = slices.Insert(slices.Clone(p.tokens), min(at, len(p.tokens)), "=", "0")
 }
 
-// expectationRange reads the part of the run that an expectation is held against.
+// expectationRange parses the part of the run in which an expectation has to hold.
 func (p *conditionParser) expectationRange(e *Expectation) {
 	for len(p.tokens) > 0 && !p.lineFailed {
 		switch token := p.nextToken("a range"); token {
@@ -171,12 +172,12 @@
 		case "to":
 			e.To = p.timeRef(p.nextToken("a time"))
 		case "each":
-			e.Window = p.duration(p.nextToken("a time"), "the span")
+			e.Window = p.duration(p.nextToken("a time"), "the window")
 			if e.Window < minWindow {
-				p.fail("each span is %v, expected at least %v", e.Window, minWindow)
+				p.fail("the window is %v, expected at least %v", e.Window, minWindow)
 			}
 		default:
-			p.fail("%q is not understood, expected from, to or each", token)
+			p.fail("unexpected %q, expected from, to or each", token)
 		}
 	}
 }
--- a/internal/faulttest/parse_fault.go
+++ b/internal/faulttest/parse_fault.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// maxByteCount bounds a rate in bytes a second, and the bytes until a reset.
+	// maxByteCount is the largest bandwidth, in bytes per second, and the largest number of bytes until a reset.
 	maxByteCount = 1 << 30
-	// maxReorderShare: of two datagrams at most one is overtaken.
+	// maxReorderShare is the largest share of datagrams that can be overtaken: at most one of two.
 	maxReorderShare = 0.5
 )
 
-// faultParser reads the steps that put a fault on a link.
+// faultParser parses the steps that put faults on links or heal them.
 type faultParser struct{ *setReader }
 
-// faultParsers read what stands between the keyword of a fault and its link.
+// faultParsers maps the keyword of a fault to the method that parses the arguments between the keyword and the link.
 var faultParsers = map[string]func(p *faultParser, f *faultStep){
 	"drop":      (*faultParser).drop,
 	"blackhole": (*faultParser).blackhole,
@@ -29,7 +29,7 @@
 	"reorder":   (*faultParser).reorder,
 }
 
-// fault reads a fault and its link; false: the keyword is none of a fault.
+// fault parses a fault and its link. It reports false if the keyword is not that of a fault.
 func (p *faultParser) fault(keyword string) (f faultStep, isFault bool) {
 	parse, isFault := faultParsers[keyword]
 	if !isFault {
@@ -40,7 +40,7 @@
 	return f, true
 }
 
-// heal reads the links that a fault is taken from.
+// heal parses the links whose faults are removed: all, or those between two parties.
 func (p *faultParser) heal() faultStep {
 	f := faultStep{isHeal: true}
 	if !p.accept("all") {
@@ -74,19 +74,19 @@
 	if hasSpread {
 		jitter = toMicros(p.duration(spread, "the spread"))
 		if jitter > delay {
-			p.fail("the spread is over the delay, expected at most %v", mean)
+			p.fail("the spread is larger than the delay, expected at most %v", mean)
 		}
 	}
 	f.apply = func(f *netfault.Fault) { f.Delay, f.Jitter = delay, jitter }
 }
 
 func (p *faultParser) bandwidth(f *faultStep) {
-	rate := p.integer(p.nextToken("bytes a second"), "the rate", 1, maxByteCount)
+	rate := p.integer(p.nextToken("bytes per second"), "the rate", 1, maxByteCount)
 	f.apply = func(f *netfault.Fault) { f.BytesPerSecond = rate }
 }
 
 func (p *faultParser) reset(f *faultStep) {
-	bytes := p.integer(p.nextToken("bytes until the reset"), "the bytes", 1, maxByteCount)
+	bytes := p.integer(p.nextToken("bytes until the reset"), "the number of bytes", 1, maxByteCount)
 	f.streamsOnly = true
 	f.apply = func(f *netfault.Fault) { f.ResetAfterBytes = bytes }
 }
@@ -103,7 +103,7 @@
 	f.apply = func(f *netfault.Fault) { f.ReorderRate = share }
 }
 
-// link reads A -> B or A <-> B, and tcp or datagrams.
+// link parses A -> B or A <-> B, optionally followed by tcp or datagrams.
 func (p *faultParser) link(f *faultStep) {
 	f.from = p.party()
 	switch token := p.nextToken("-> or <->"); token {
@@ -111,7 +111,7 @@
 	case "<->":
 		f.bidirectional = true
 	default:
-		p.fail("%q stands between the ends of a link, expected -> or <->", token)
+		p.fail("unexpected %q between the ends of a link, expected -> or <->", token)
 	}
 	f.to = p.party()
 	for _, transport := range []string{transportTCP, transportDatagrams} {
@@ -122,17 +122,17 @@
 	p.checkLink(f)
 }
 
-// checkLink reports a link that can't have the fault.
+// checkLink reports an error if the link can't have the fault.
 func (p *faultParser) checkLink(f *faultStep) {
 	betweenAgents := f.from.Agents != nil && f.to.Agents != nil
 	switch {
 	case p.lineFailed:
 	case f.from.Agents == nil && f.to.Agents == nil:
-		p.fail("no link joins these ends, expected agents at one of them")
+		p.fail("there is no link between these ends, expected agents at one of them")
 	case !betweenAgents && f.transport == transportDatagrams:
 		p.fail("agents send datagrams to agents only, expected agents at both ends")
 	case f.datagramsOnly && (!betweenAgents || f.transport == transportTCP):
-		p.fail("streams keep their order and lose nothing twice, expected this fault on datagrams between agents")
+		p.fail("streams keep their order and carry no duplicates, expected this fault on datagrams between agents")
 	case f.streamsOnly && f.transport == transportDatagrams:
 		p.fail("datagrams have no connection, expected this fault on streams")
 	}
--- a/internal/faulttest/parse_scenario.go
+++ b/internal/faulttest/parse_scenario.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// maxSlots is the most requests that an endpoint may serve at a time.
+// maxSlots is the largest number of requests that an endpoint may serve at a time.
 const maxSlots = 1000
 
 // ReadScenario reads a scenario file.
@@ -24,7 +24,7 @@
 func ParseScenario(file, text string) (*Scenario, error) {
 	p := newScenarioParser(file)
 	lines := strings.Split(text, "\n")
-	var expectations []int // read last, since a mark that one names may be set by a later line
+	var expectations []int // indexes of the expect lines; they are parsed last, since they may use marks that later lines set
 	for i, line := range lines {
 		p.startLine(i, line)
 		if len(p.tokens) == 0 {
@@ -50,7 +50,7 @@
 	return p.scenario, errors.Join(p.errs...)
 }
 
-// scenarioParser reads the lines of a scenario; steps and conditions have parsers of their own, which share its line reader.
+// scenarioParser parses the lines of a scenario. Steps and conditions have separate parsers, which share its line reader.
 type scenarioParser struct {
 	*setReader
 	steps      *stepParser
@@ -72,7 +72,7 @@
 	}
 }
 
-// statement reads a step or a header line.
+// statement parses a step or a header line.
 func (p *scenarioParser) statement(line string) {
 	token := p.nextToken("a statement")
 	switch {
@@ -82,23 +82,23 @@
 		step.Action = p.steps.action(p.nextToken("a step"))
 		p.scenario.Steps = append(p.scenario.Steps, step)
 	case len(p.scenario.Steps) > 0:
-		p.fail("%q stands after the first step, expected a time, or expect", token)
+		p.fail("unexpected %q after the first step, expected a time or expect", token)
 	default:
 		p.header(token)
 	}
 }
 
-// header reads a line that describes the deployment.
+// header parses a line that describes the deployment.
 func (p *scenarioParser) header(token string) {
 	s := p.scenario
 	switch currentWord(headerWord, token) {
 	case "agents":
-		s.Agents = p.integer(p.nextToken("how many"), "the number of agents", 1, MaxAgents)
+		s.Agents = p.integer(p.nextToken("the number of agents"), "the number of agents", 1, MaxAgents)
 	case "endpoints":
 		p.endpointsHeader()
 	case "transport":
 		s.Transport = p.oneOf([]string{transportDatagrams, transportTCP, transportNone}, "datagrams, tcp or none",
-			"agents talk by %q, expected datagrams, tcp or none")
+			"the transport is %q, expected datagrams, tcp or none")
 	case "leader-election":
 		s.Election.IsOn = true
 		if v, isSet := p.option("lease"); isSet {
@@ -114,13 +114,13 @@
 	case "timeout":
 		s.Timeout = p.duration(p.nextToken("a time"), "the timeout")
 	default:
-		p.fail("%q begins no line, expected agents, endpoints, transport, leader-election, absent, operator, seed, timeout, a time, or expect", token)
+		p.fail("unexpected %q at the start of the line, expected agents, endpoints, transport, leader-election, absent, operator, seed, timeout, a time, or expect", token)
 	}
 }
 
 func (p *scenarioParser) endpointsHeader() {
 	setup := &p.scenario.Endpoints
-	setup.Count = p.integer(p.nextToken("how many"), "the number of endpoints", 1, maxEndpoints)
+	setup.Count = p.integer(p.nextToken("the number of endpoints"), "the number of endpoints", 1, maxEndpoints)
 	if v, isSet := p.option("slots"); isSet {
 		setup.Slots = p.integer(v, "slots", 1, maxSlots)
 	}
@@ -132,15 +132,15 @@
 	}
 }
 
-// checkWhole reports what is wrong with the scenario as a whole.
+// checkWhole reports errors that concern the scenario as a whole.
 func (p *scenarioParser) checkWhole() {
 	s := p.scenario
 	switch {
 	case len(s.Expectations) == 0 && len(p.errs) == 0:
-		p.fail("the scenario expects nothing, expected a line that begins with expect")
+		p.fail("the scenario has no expectation, expected a line that begins with expect")
 	case s.Election.IsOn && s.Transport == transportNone:
-		p.fail("agents that exchange nothing have no leader election, expected transport tcp or transport datagrams")
+		p.fail("the leader election needs a transport, expected transport tcp or transport datagrams")
 	case s.Transport == transportTCP && !s.Election.IsOn:
-		p.fail("only the leader election uses tcp, expected a line leader-election")
+		p.fail("transport tcp is for the leader election only, expected a leader-election line")
 	}
 }
--- a/internal/faulttest/parse_step.go
+++ b/internal/faulttest/parse_step.go
@@ -3,23 +3,23 @@
 import "strings"
 
 const (
-	// maxRequestRate of a load, in requests a second at each agent.
+	// maxRequestRate is the highest rate of an open load, in requests per second at each agent.
 	maxRequestRate = 5000
-	// maxSlowdown is the largest multiple of an endpoint's usual work.
+	// maxSlowdown is the largest factor by which an endpoint's usual service time may be multiplied.
 	maxSlowdown = 1000
 	// maxRolloutStage is the last stage of a rollout.
 	maxRolloutStage = 2
 )
 
-// stepParser reads the steps of a scenario.
+// stepParser parses the steps of a scenario.
 type stepParser struct {
 	*setReader
 	faults     *faultParser
 	conditions *conditionParser
-	loadSteps  int // so far
+	loadSteps  int // number of open-load steps parsed so far
 }
 
-// actionParsers read what stands behind the keyword of a step. Faults have a parser of their own.
+// actionParsers maps the keyword of a step to the method that parses the rest of the step. Faults are left to faultParser.
 var actionParsers = map[string]func(p *stepParser, keyword string) stepAction{
 	"load":           (*stepParser).openLoad,
 	"client-load":    (*stepParser).closedLoad,
@@ -45,7 +45,7 @@
 	"mark":           (*stepParser).mark,
 }
 
-// action reads a step's action; nil for an unknown keyword.
+// action parses the action of a step. It returns nil for an unknown keyword.
 func (p *stepParser) action(token string) stepAction {
 	keyword := currentWord(stepWord, token)
 	if fault, isFault := p.faults.fault(keyword); isFault {
@@ -57,14 +57,14 @@
 	if parse, isKnown := actionParsers[keyword]; isKnown {
 		return parse(p, keyword)
 	}
-	p.fail("%q is no step, expected one of load, client-load, drop, blackhole, refuse, loss, delay, bandwidth, reset, duplicate, reorder, heal, "+
+	p.fail("unknown step %q, expected one of load, client-load, drop, blackhole, refuse, loss, delay, bandwidth, reset, duplicate, reorder, heal, "+
 		"pause, resume, kill, terminate, start, restart, reload, drain, activate, remove, add, slowdown, error-rate, rollout, rollout-controller, "+
 		"name, members, wait, check, mark", token)
 	return nil
 }
 
 func (p *stepParser) openLoad(string) stepAction {
-	load := openLoadStep{number: p.loadSteps, rate: p.number(p.nextToken("requests a second for each agent"), "the load", 0, maxRequestRate)}
+	load := openLoadStep{number: p.loadSteps, rate: p.number(p.nextToken("the requests per second at each agent"), "the load", 0, maxRequestRate)}
 	p.loadSteps++
 	load.keyedShare = p.optionalShare("keyed")
 	if v, isSet := p.option("non-idempotent"); isSet {
@@ -77,7 +77,7 @@
 	return load
 }
 
-// optionalShare reads KEY=SHARE; 0 where it is not set.
+// optionalShare consumes the option KEY=SHARE. It returns 0 if the option is not set.
 func (p *stepParser) optionalShare(key string) float64 {
 	v, isSet := p.option(key)
 	if !isSet {
@@ -87,7 +87,7 @@
 }
 
 func (p *stepParser) closedLoad(string) stepAction {
-	load := closedLoadStep{clients: p.integer(p.nextToken("clients at each agent"), "the number of clients", 0, maxConnsPerAgent), pause: defaultClientPause}
+	load := closedLoadStep{clients: p.integer(p.nextToken("the number of clients at each agent"), "the number of clients", 0, maxConnsPerAgent), pause: defaultClientPause}
 	if v, isSet := p.option("think-time"); isSet {
 		load.pause = p.duration(v, "the think time")
 	}
@@ -100,7 +100,7 @@
 	step.clearsState = p.accept("clear-state")
 	step.program, _ = p.option("program")
 	if strings.ContainsAny(step.program, "/\\. ") {
-		p.fail("the program is %q, expected a name, without a path", step.program)
+		p.fail("the program is %q, expected a name without a path", step.program)
 	}
 	return step
 }
@@ -113,7 +113,7 @@
 	case reloadOperator:
 		reload.tokens = p.restOfLine()
 		if len(reload.tokens) == 0 {
-			p.fail("the line ends, expected a line of the operator's file")
+			p.fail("unexpected end of line, expected a line of the operator's file")
 		}
 	case reloadPeer:
 		reload.peer = p.integer(p.nextToken("an agent"), "the agent", 0, p.scenario.Agents-1)
@@ -130,17 +130,17 @@
 }
 
 func (p *stepParser) addEndpoints(string) stepAction {
-	step := addEndpointsStep{count: p.integer(p.nextToken("how many endpoints"), "the number", 1, maxEndpoints)}
+	step := addEndpointsStep{count: p.integer(p.nextToken("the number of endpoints"), "the number of endpoints", 1, maxEndpoints)}
 	build, isSet := p.option("build")
 	step.build = p.integer(build, "the build", 1, maxBuild)
 	if !isSet {
-		p.fail("no build is named, expected build=8")
+		p.fail("no build is given, expected an option such as build=8")
 	}
 	return step
 }
 
 func (p *stepParser) serviceTime(string) stepAction {
-	factor := p.number(p.nextToken("times its usual service time"), "the slowdown", 0, maxSlowdown)
+	factor := p.number(p.nextToken("a factor for the service time"), "the slowdown", 0, maxSlowdown)
 	return serviceTimeStep{factor, p.nextEndpointSet()}
 }
 
@@ -177,10 +177,10 @@
 }
 
 func (p *stepParser) membership(string) stepAction {
-	step := membershipStep{action: p.oneOf([]string{memberAdd, memberRemove}, "add or remove", "members %q, expected add or remove")}
+	step := membershipStep{action: p.oneOf([]string{memberAdd, memberRemove}, "add or remove", "the change of members is %q, expected add or remove")}
 	step.agents = p.nextAgentSet()
 	if !p.accept("at") {
-		p.fail("nobody is asked, expected at and %s", agentSetForm)
+		p.fail("no agents are given to send the change to, expected at and %s", agentSetForm)
 	}
 	step.contacts = p.nextAgentSet()
 	step.timeout = p.timeout()
--- a/internal/faulttest/set_reader.go
+++ b/internal/faulttest/set_reader.go
@@ -4,11 +4,12 @@
 
 const agentSetForm = "agents, agent:0,2..4, agent:NAME or others:NAME"
 
-// setReader reads what names agents and endpoints. It knows the agents of the scenario and the names that lines before have bound.
+// setReader reads the tokens that name agents, endpoints and ends of links. It checks agents against the scenario and against the names that
+// earlier lines have bound.
 type setReader struct {
 	*lineReader
 	scenario   *Scenario
-	agentNames map[string]bool
+	agentNames map[string]bool // names that earlier lines have bound to agents
 }
 
 func (r *setReader) agentSet(token string) (set AgentSet) {
@@ -23,7 +24,7 @@
 	case hasRest && kind == "others":
 		set.Name, set.Inverted = r.boundName(rest), true
 	default:
-		r.fail("%q names no agents, expected %s", token, agentSetForm)
+		r.fail("%q does not name agents, expected %s", token, agentSetForm)
 	}
 	return set
 }
@@ -31,7 +32,7 @@
 // nextAgentSet consumes a token that names agents.
 func (r *setReader) nextAgentSet() AgentSet { return r.agentSet(r.nextToken(agentSetForm)) }
 
-// optionalAgentSet consumes a token that names agents, if there is one; else all are meant.
+// optionalAgentSet consumes a token that names agents. At the end of the line, it returns the set of all agents.
 func (r *setReader) optionalAgentSet() AgentSet {
 	if len(r.tokens) == 0 {
 		return AgentSet{}
@@ -42,7 +43,7 @@
 // boundName checks that an earlier line has bound a name to an agent.
 func (r *setReader) boundName(name string) string {
 	if !r.agentNames[name] {
-		r.fail("%q is bound by no line before this one, expected a number or a name of a 'name' line", name)
+		r.fail("%q is not bound by an earlier line, expected a number or a name from a 'name' line", name)
 	}
 	return name
 }
@@ -53,7 +54,7 @@
 	build, isBuild := strings.CutPrefix(rest, "build=")
 	switch {
 	case kind != "endpoint" && kind != "endpoints":
-		r.fail("%q names no endpoints, expected endpoints, endpoint:3, endpoint:0..5 or endpoints:build=8", token)
+		r.fail("%q does not name endpoints, expected endpoints, endpoint:3, endpoint:0..5 or endpoints:build=8", token)
 	case !hasRest:
 	case isBuild:
 		set.Build = r.integer(build, "the build", 1, maxBuild)
--- a/internal/faulttest/vocabulary.go
+++ b/internal/faulttest/vocabulary.go
@@ -2,7 +2,7 @@
 
 // Transports by which agents reach each other.
 const (
-	transportTCP       = "tcp" // streams of the leader election
+	transportTCP       = "tcp" // for the streams of the leader election only
 	transportDatagrams = "datagrams"
 	transportNone      = "none"
 )
@@ -13,7 +13,7 @@
 	serverRollout   = "rollout-controller"
 )
 
-// Health of an endpoint in the endpoint list.
+// Values for the health of an endpoint in the endpoint list.
 const (
 	healthActive   = "active"
 	healthDraining = "leaving"
@@ -30,7 +30,7 @@
 
 var rolloutPhases = []string{phaseTesting, phaseRecalling, phaseLive, phaseRecalled}
 
-// Recommendations that an agent may vote for, as records.json has them.
+// Recommendations that an agent may vote for, as they are written to records.json.
 const (
 	recommendAdvance  = "on"
 	recommendRollback = "back"
@@ -38,14 +38,14 @@
 	recommendNone     = "none"
 )
 
-// What a reload may change, apart from the addresses of servers.
+// What a reload step may change, besides the address of a server.
 const (
 	reloadOperator  = "operator"
 	reloadPeer      = "peer"
 	reloadMalformed = "malformed"
 )
 
-// Changes of the election's members.
+// Changes of the leader election's members.
 const (
 	memberAdd    = "add"
 	memberRemove = "remove"
