--- a/internal/faulttest/attempt_sender.go
+++ b/internal/faulttest/attempt_sender.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	// latencyObjective of every class in a scenario.
+	// latencyObjective is the latency objective of every class in a scenario.
 	latencyObjective = 800 * time.Millisecond
-	// requestTimeout of every class in a scenario.
+	// requestTimeout is the request timeout of every class in a scenario.
 	requestTimeout = 2 * time.Second
-	// lateAnswerWait is how long over its timeout a client still listens, so that a late answer is seen as such.
+	// lateAnswerWait is how long a client still waits for the answer after the timeout, so that a late answer is recorded.
 	lateAnswerWait = time.Second
-	// defaultRetryAfter is how long a rejected client waits where the rejection names no time.
+	// defaultRetryAfter is how long a client waits after a rejection that names no time.
 	defaultRetryAfter = 200 * time.Millisecond
 	requestBody       = "beam=1"
 )
 
-// requestStyle is how a client sends a request; the zero value is a plain one.
+// requestStyle describes how a client sends a request. The zero value is a plain request.
 type requestStyle struct {
-	isSplit         bool
-	timeout         time.Duration // that the client gives the agent; 0: requestTimeout
-	disconnectAfter time.Duration // the client closes its connection so long after it has sent the request; 0: it waits
+	isSplit         bool          // the request is sent in two pieces
+	timeout         time.Duration // timeout that the client gives the agent; 0: requestTimeout
+	disconnectAfter time.Duration // time after sending at which the client closes its connection; 0: it waits for the answer
 }
 
-// attemptSpec is one attempt at a request, as its client makes it.
+// attemptSpec describes an attempt that a client makes at a request.
 type attemptSpec struct {
 	agent  int
 	class  string
-	serial int64 // of the request
-	number int   // of the attempt, from 0 on
+	serial int64 // number of the request in the run
+	number int   // number of the attempt at this request, from 0 on
 	style  requestStyle
 }
 
-// newAttempt is the record of an attempt that was not sent yet.
+// newAttempt returns the record of an attempt that was not sent yet.
 func (s attemptSpec) newAttempt() Attempt {
 	a := Attempt{
 		Agent: s.agent, ID: fmt.Sprintf("%x-%d", s.serial, s.number), Class: s.class, SentAt: -1, Timeout: s.style.timeout.Microseconds(),
@@ -51,23 +51,25 @@
 	return a
 }
 
-// attemptSender sends requests to agents. Its HTTP is written and read by hand, so that nothing that an agent sends goes unseen. Any
-// goroutine may use it.
+// attemptSender sends requests to agents. It writes and reads HTTP messages on the connections itself, without an http.Client, so that it
+// notices every byte that an agent sends. Any goroutine may use it.
 type attemptSender struct {
 	now       netfault.Clock
 	processes processStates
 	records   *clientRecords
 }
 
-// processStates tell clients which processes run.
+// processStates reports to clients which processes of agents run.
 type processStates interface {
-	// running are the agents whose processes run and weren't asked to end.
+	// running returns the agents whose processes run and were not asked to terminate.
 	running() []int
-	// wasKilled tells that an agent's process that lived at a time is over: what ended on a connection to it may have been read.
+	// wasKilled reports whether the agent's process from a given time has ended without being asked to, or its newest process has ended.
+	// Such a process may have read a request whose connection then ended.
 	wasKilled(agent int, at netfault.Micros) bool
 }
 
-// send makes an attempt. Where the connection ended as the request was sent on it, the request goes on another connection.
+// send makes an attempt. If the agent closed a reused connection while the request was sent on it, send records this close race and sends the
+// request again on another connection, unless the process was killed or the timeout has passed.
 func (s *attemptSender) send(ctx context.Context, source connSource, spec attemptSpec) Attempt {
 	a := spec.newAttempt()
 	began := time.Now()
@@ -98,7 +100,7 @@
 	}
 }
 
-// exchange writes the request and reads the answer into the attempt. It tells whether the connection may be used again.
+// exchange writes the request and reads the answer into the attempt. It reports whether the connection may be used again.
 func (s *attemptSender) exchange(conn *clientConn, a *Attempt, spec attemptSpec, began time.Time) (isReusable bool, err error) {
 	if err := conn.SetDeadline(began.Add(requestTimeout + lateAnswerWait)); err != nil {
 		return false, err
@@ -117,7 +119,7 @@
 		return false, err
 	}
 	body, err := io.ReadAll(response.Body)
-	_ = response.Body.Close() // all of it was read, or err says why not
+	_ = response.Body.Close() // the whole body was read, or err says why not
 	a.EndedAt = s.now()
 	if err != nil {
 		return false, err
@@ -131,7 +133,7 @@
 	return !response.Close && !a.HasExtraBytes, nil
 }
 
-// encodeRequest is the request of an attempt as it is written to the agent.
+// encodeRequest returns the HTTP request of an attempt as it is written to the agent.
 func encodeRequest(a *Attempt, spec attemptSpec, remaining time.Duration) []byte {
 	method := http.MethodPost
 	if a.Class == classIdempotent {
@@ -169,7 +171,7 @@
 	}
 }
 
-// retryAfter is how long the client waits after a rejection; the body of such an attempt holds the Retry-After header.
+// retryAfter returns how long the client waits after a rejection. The Body of a rejected attempt holds the value of its Retry-After header.
 func (a *Attempt) retryAfter() time.Duration {
 	named, err := strconv.ParseFloat(a.Body, 64)
 	if err != nil {
@@ -178,8 +180,8 @@
 	return time.Duration(min(named, requestTimeout.Seconds()) * float64(time.Second))
 }
 
-// mayRunElsewhere tells whether an attempt without an answer can be sent to another agent: it never reached its agent, or its class may
-// run twice and its timeout has not passed.
+// mayRunElsewhere reports whether an attempt without an answer can be sent to another agent. That is so if it never reached its agent, or if
+// requests of its class may run twice and its timeout has not passed.
 func (a *Attempt) mayRunElsewhere() bool {
 	if a.WasUnreachable {
 		return true
--- a/internal/faulttest/client_conn.go
+++ b/internal/faulttest/client_conn.go
@@ -13,21 +13,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// pieceInterval lies between the two pieces of a request that is sent in pieces.
+// pieceInterval is the time between the two pieces of a split request.
 const pieceInterval = 20 * time.Millisecond
 
-// clientConn is a client's connection to an agent. One that is idle belongs to its source, one that is in use to its attempt.
+// clientConn is a client's connection to an agent. Its connSource owns it while it is idle, and the attempt that uses it otherwise.
 type clientConn struct {
 	net.Conn
 	reader   *bufio.Reader
 	dialedAt netfault.Micros
-	wasUsed  bool // an answer came on it
+	wasUsed  bool // an answer was read from it
 }
 
-// discard closes a connection that is of no use any more; what closing it reports can't matter.
+// discard closes a connection that is no longer needed. An error of Close has no consequence.
 func (c *clientConn) discard() { _ = c.Close() }
 
-// write sends a request, in two pieces where its style says so.
+// write sends a request, in two pieces if the style says so.
 func (c *clientConn) write(request []byte, style requestStyle) error {
 	if style.isSplit {
 		half := len(request) / 2
@@ -41,7 +41,8 @@
 	return err
 }
 
-// closedWhileIdle tells whether an error means that the agent closed a connection that it had served before, with nothing of an answer.
+// closedWhileIdle reports whether an error means that the agent closed a connection on which it had answered before, without sending any byte
+// of a further answer.
 func (c *clientConn) closedWhileIdle(err error) bool {
 	if !c.wasUsed || c.reader.Buffered() > 0 {
 		return false
@@ -49,12 +50,13 @@
 	return isCleanEnd(err) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// isCleanEnd tells whether an error is the end of a stream, and no reset.
+// isCleanEnd reports whether an error is the end of a stream and not a reset.
 func isCleanEnd(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// peek looks at what has come on an idle connection, without waiting.
+// peek checks for input on an idle connection without waiting or consuming it. It returns n > 0 if there is input, n = 0 without an error at
+// the end of the stream, and EAGAIN if there is neither.
 func (c *clientConn) peek() (n int, err error) {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
--- a/internal/faulttest/clients.go
+++ b/internal/faulttest/clients.go
@@ -9,11 +9,11 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// agentSeedStep keeps the random sources of the agents' loads apart.
+// agentSeedStep is the distance between the random seeds of successive agents' loads, so that each load has its own random sequence.
 const agentSeedStep = 1_000_003
 
-// clients are the clients of a run: an open load at each agent, whose arrivals do not wait for answers, and a closed load, whose clients
-// send one request after the other. Loads are started and stopped by the goroutine that runs the steps.
+// clients runs the clients of a scenario: an open load at each agent, whose new requests do not wait for earlier answers, and a closed load,
+// whose clients each wait for an answer before they send the next request. The goroutine that runs the steps starts and stops the loads.
 type clients struct {
 	now        netfault.Clock
 	processes  processStates
@@ -25,7 +25,7 @@
 
 	mu             sync.Mutex
 	stopOpenLoads  map[int]context.CancelFunc // by agent
-	stopClosedLoad context.CancelFunc         // nil: there is none
+	stopClosedLoad context.CancelFunc         // nil if there is no closed load
 }
 
 func newClients(now netfault.Clock, addresses []string, processes processStates) *clients {
@@ -38,7 +38,8 @@
 	}
 }
 
-// replaceOpenLoad ends the open load at an agent, whose requests go on to their end, and starts another until the context ends.
+// replaceOpenLoad stops the open load at an agent and starts another, which runs until the context ends. Requests of the stopped load that
+// are in progress are completed. A rate of 0 starts no load.
 func (c *clients) replaceOpenLoad(ctx context.Context, agent int, step openLoadStep, seed int64) {
 	ctx, stop := context.WithCancel(ctx)
 	c.mu.Lock()
@@ -54,7 +55,7 @@
 	c.running.Go(func() { load.generate(ctx) })
 }
 
-// replaceClosedLoad ends the closed load and starts another at some agents, until the context ends.
+// replaceClosedLoad stops the closed load at all agents and starts another at the given agents, which runs until the context ends.
 func (c *clients) replaceClosedLoad(ctx context.Context, agents []int, step closedLoadStep, seed int64) {
 	ctx, stop := context.WithCancel(ctx)
 	c.mu.Lock()
@@ -72,7 +73,7 @@
 	}
 }
 
-// stop ends all loads; requests that were sent go on to their end.
+// stop stops all loads. Requests in progress are completed.
 func (c *clients) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,7 +87,7 @@
 	}
 }
 
-// wait waits for the last answers; loads must have been stopped.
+// wait waits until all requests are completed, and closes idle connections. The loads must have been stopped.
 func (c *clients) wait() {
 	c.running.Wait()
 	c.pool.discardIdle()
--- a/internal/faulttest/closed_load.go
+++ b/internal/faulttest/closed_load.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// defaultClientPause is the mean time between an answer to a client of a closed load and its next request.
+// defaultClientPause is the mean time between an answer to a closed-load client and the client's next request.
 const defaultClientPause = 200 * time.Millisecond
 
 // closedLoadClient is a client that owns one connection and sends one idempotent request at a time on it.
@@ -14,10 +14,10 @@
 	clients *clients
 	pause   time.Duration
 	random  *rand.Rand
-	conn    *clientConn // nil: it has none
+	conn    *clientConn // nil while the client has no connection
 }
 
-// takeConn implements connSource: the client's own connection where it is still open, or a new one.
+// takeConn implements connSource. It returns the client's connection if that is still open, or else a new one.
 func (c *closedLoadClient) takeConn(ctx context.Context, agent int) (*clientConn, error) {
 	conn := c.conn
 	c.conn = nil
@@ -30,8 +30,8 @@
 // putConn implements connSource.
 func (c *closedLoadClient) putConn(_ int, conn *clientConn) { c.conn = conn }
 
-// run sends requests with exponential pauses. A client stays on its connection while that is open, also when its agent was asked to end;
-// without one it goes to an agent that runs.
+// run sends requests with exponentially distributed pauses until the context ends. A client keeps its connection while that is open, even
+// if its agent was asked to terminate. A client without a connection picks a running agent at random.
 func (c *closedLoadClient) run(ctx context.Context, agent int) {
 	defer func() {
 		if c.conn != nil {
--- a/internal/faulttest/conn_pool.go
+++ b/internal/faulttest/conn_pool.go
@@ -16,21 +16,22 @@
 
 const (
 	clientDialTimeout = time.Second
-	// maxConnsPerAgent bounds a load's connections to one agent, well under what an agent with 1,024 descriptors accepts.
+	// maxConnsPerAgent is the largest number of connections that a load has to one agent. It is well below what an agent with 1,024 file
+	// descriptors accepts.
 	maxConnsPerAgent = 300
 )
 
-// connSource is where an attempt takes its connection from, and puts it back for the next one.
+// connSource provides connections for attempts. An attempt puts back a connection that the next one can reuse.
 type connSource interface {
 	takeConn(ctx context.Context, agent int) (*clientConn, error)
 	putConn(agent int, conn *clientConn)
 }
 
-// connDialer opens connections of clients to agents, and checks those that were idle.
+// connDialer opens connections to agents, and checks whether idle ones can still be used.
 type connDialer struct {
 	now                 netfault.Clock
-	addresses           []string      // of the agents
-	connsWithExtraBytes *atomic.Int64 // counts the idle connections on which bytes came
+	addresses           []string      // listen addresses, by agent
+	connsWithExtraBytes *atomic.Int64 // number of idle connections on which bytes arrived
 }
 
 func (d *connDialer) dial(ctx context.Context, agent int) (*clientConn, error) {
@@ -43,7 +44,7 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn), dialedAt: at}, nil
 }
 
-// isStillOpen looks whether an idle connection can be used, and discards it where it can't.
+// isStillOpen reports whether an idle connection can be used, and discards it if not. Bytes that arrived while it was idle make it unusable.
 func (d *connDialer) isStillOpen(conn *clientConn) bool {
 	n, err := conn.peek()
 	if errors.Is(err, unix.EAGAIN) {
@@ -56,7 +57,7 @@
 	return false
 }
 
-// connPool are the connections that the open load shares: for each agent the idle ones, and slots for those in use.
+// connPool holds the connections that the open loads share: the idle connections to each agent, and a slot for each connection in use.
 type connPool struct {
 	*connDialer
 	slots []chan struct{} // by agent
@@ -73,7 +74,7 @@
 	return p
 }
 
-// acquireSlot takes one of an agent's slots; false: there is none left.
+// acquireSlot takes one of an agent's slots. It reports false if none is left.
 func (p *connPool) acquireSlot(agent int) bool {
 	select {
 	case p.slots[agent] <- struct{}{}:
@@ -85,7 +86,7 @@
 
 func (p *connPool) releaseSlot(agent int) { <-p.slots[agent] }
 
-// takeConn implements connSource: an idle connection that is still open, or a new one.
+// takeConn implements connSource. It returns an idle connection that is still open, or else a new one.
 func (p *connPool) takeConn(ctx context.Context, agent int) (*clientConn, error) {
 	for {
 		conn := p.popIdle(agent)
@@ -98,7 +99,7 @@
 	}
 }
 
-// popIdle is the connection that was used last; nil without one.
+// popIdle removes and returns the idle connection that was used last. It returns nil if there is none.
 func (p *connPool) popIdle(agent int) *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/faulttest/counting_listener.go
+++ b/internal/faulttest/counting_listener.go
@@ -13,16 +13,16 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// countedConn is a connection at a fake server that counts its bytes, so that they can be compared with what the relay counted.
+// countedConn is a fake server's end of a connection. It counts bytes, so that they can be compared with the counts of the relay.
 type countedConn struct {
 	net.Conn
-	agent, port   int // whose relay dialled, and from which port
+	agent, port   int // the agent whose relay dialed, and the relay's port
 	readBytes     atomic.Int64
 	writtenBytes  atomic.Int64
-	requestStart  atomic.Int64 // bytes read before the request that is served now
-	answerStarted atomic.Bool  // the last operation was a write: what is read next begins a request
+	requestStart  atomic.Int64 // number of bytes read before the request that is being served
+	answerStarted atomic.Bool  // the last operation was a write, so the next byte read begins a request
 	wasReset      atomic.Bool
-	writtenAtEOF  atomic.Int64 // bytes written when the other side closed, plus 1; what is written later may be lost
+	writtenAtEOF  atomic.Int64 // number of bytes written when the other side closed, plus 1; 0 before that. Bytes written later may be lost
 }
 
 func (c *countedConn) Read(b []byte) (int, error) {
@@ -85,7 +85,7 @@
 
 type connContextKey struct{}
 
-// connContext is an http.Server's ConnContext that lets a handler find its connection.
+// connContext is a ConnContext function for http.Server. It stores the connection in the context, for countedConnOf.
 func connContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connContextKey{}, c)
 }
@@ -95,11 +95,11 @@
 	return c
 }
 
-// serveHTTP serves on a listener until the server is closed.
+// serveHTTP starts a server on a listener and returns it. The server runs until it is closed.
 func serveHTTP(l net.Listener, handler http.HandlerFunc) *http.Server {
 	server := &http.Server{ConnContext: connContext, Handler: handler}
 	go func() {
-		_ = server.Serve(l) // it ends by Close; an agent that can't connect shows in the scenario
+		_ = server.Serve(l) // returns after Close; any other error shows in the scenario as agents that can't connect
 	}()
 	return server
 }
--- a/internal/faulttest/fake_discovery.go
+++ b/internal/faulttest/fake_discovery.go
@@ -11,14 +11,14 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// fakeDiscovery serves the endpoint list. Each agent gets it with the addresses of its own relays.
+// fakeDiscovery serves the endpoint list. The list that an agent gets has the addresses of that agent's relays to the endpoints.
 type fakeDiscovery struct {
 	broadcaster
 	listener   *countingListener
 	server     *http.Server
 	versionsMu sync.Mutex
 	versions   [][]EndpointRow
-	address    func(agent, endpoint int) string // how an agent reaches an endpoint
+	address    func(agent, endpoint int) string // returns the address at which an agent reaches an endpoint
 }
 
 func newFakeDiscovery(ctx context.Context, now netfault.Clock, address func(agent, endpoint int) string) (*fakeDiscovery, error) {
@@ -63,7 +63,7 @@
 	return slices.Clone(d.versions)
 }
 
-// document is a version as an agent gets it; every document is a full list.
+// document returns a version of the list as an agent gets it. Every document is a full list.
 func (d *fakeDiscovery) document(agent, version int) string {
 	var entries []string
 	for _, row := range d.rows(version) {
@@ -75,7 +75,7 @@
 	return fakes.ListDocument(version+1, true, entries...)
 }
 
-// update makes a new version of the list and publishes it.
+// update creates a new version of the list and publishes it.
 func (d *fakeDiscovery) update(change func(rows []EndpointRow) []EndpointRow) {
 	d.versionsMu.Lock()
 	newest := d.versions[len(d.versions)-1]
--- a/internal/faulttest/fake_rollout.go
+++ b/internal/faulttest/fake_rollout.go
@@ -15,15 +15,15 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// recommendationNames map the votes of the protocol to those of records and scenarios.
+// recommendationNames maps the protocol's names for votes to the recommendations of records.json.
 var recommendationNames = map[string]string{
 	"approve": recommendAdvance, "reject": recommendRollback, "wait": recommendHold, "clear": recommendNone,
 }
 
-// initialStageAge is how long before the run the first build was released.
+// initialStageAge is the time between the release of the first build and the start of the run.
 const initialStageAge = 90 * time.Second
 
-// fakeRollout is the rollout controller: it sends the rollout state and receives votes.
+// fakeRollout is a fake rollout controller. It sends the rollout state to agents and receives their votes.
 type fakeRollout struct {
 	broadcaster
 	listener *countingListener
@@ -31,7 +31,7 @@
 	stagesMu sync.Mutex
 	stages   []Stage // by version
 	votes    []Vote
-	silent   bool // votes get no answer
+	silent   bool // votes are recorded but not answered
 }
 
 func newFakeRollout(ctx context.Context, now netfault.Clock, build int) (*fakeRollout, error) {
@@ -72,19 +72,19 @@
 
 func (f *fakeRollout) ageMS(s Stage) netfault.Micros { return (f.now() - s.At) / 1000 }
 
-// eventText is a version as every agent gets it.
+// eventText returns a version of the state as an event of the update stream. The text is the same for every agent.
 func (f *fakeRollout) eventText(_, version int) string {
 	s := f.stage(version)
 	return fmt.Sprintf("event: ROLLOUT\ndata: image=%d&ring=%d&progress=%s&ceiling=%g&lag_ms=%d\n\n", s.Build, s.Stage, s.Phase, s.Cap, f.ageMS(s))
 }
 
-// stateJSON is the newest state as an agent's configuration holds it.
+// stateJSON returns the newest state in the form that an agent's configuration holds.
 func (f *fakeRollout) stateJSON() (version int, text string) {
 	version, s := f.newestStage()
 	return version, fakes.RolloutJSON(s.Build, s.Stage, s.Phase, s.Cap, time.Duration(f.now()-s.At)*time.Microsecond)
 }
 
-// update makes a new version of the state and publishes it.
+// update creates a new version of the state and publishes it.
 func (f *fakeRollout) update(s Stage) {
 	f.stagesMu.Lock()
 	s.At = f.now()
@@ -100,7 +100,7 @@
 	f.silent = silent
 }
 
-// recordVote records a vote and tells whether it gets an answer.
+// recordVote records a vote and reports whether it gets an answer.
 func (f *fakeRollout) recordVote(v Vote) (answers bool) {
 	f.stagesMu.Lock()
 	defer f.stagesMu.Unlock()
@@ -131,7 +131,7 @@
 		writeError(w, "ConditionFailed")
 		return
 	}
-	// The client's failure to read an answer shows in its own next request.
+	// A write error is ignored: if the agent does not get the answer, its next request shows that.
 	_, _ = fmt.Fprintf(w, `<?xml version="1.0"?>
 <Response><groups><item><image>%d</image><ring>%d</ring><progress>%s</progress><ceiling>%g</ceiling><lag_ms>%d</lag_ms></item></groups></Response>`,
 		newest.Build, newest.Stage, newest.Phase, newest.Cap, f.ageMS(newest))
@@ -148,12 +148,12 @@
 	}
 	recommendation, isKnown := recommendationNames[form.Get("opinion")]
 	v = Vote{At: f.now(), Agent: agent, Recommendation: recommendation}
-	v.Build, _ = strconv.Atoi(form.Get("image")) // 0 is no build: such a vote fails the condition
+	v.Build, _ = strconv.Atoi(form.Get("image")) // a malformed number gives 0, which is no build, so the vote is answered with ConditionFailed
 	v.Stage, _ = strconv.Atoi(form.Get("ring"))
 	return v, isKnown
 }
 
 func writeError(w http.ResponseWriter, code string) {
 	w.WriteHeader(http.StatusBadRequest)
-	_, _ = fmt.Fprintf(w, "<Error><Code>%s</Code></Error>", code) // a client that is gone needs no answer
+	_, _ = fmt.Fprintf(w, "<Error><Code>%s</Code></Error>", code) // a client that has disconnected needs no answer
 }
--- a/internal/faulttest/open_load.go
+++ b/internal/faulttest/open_load.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// maxAttempts is how often a client tries a request in all, as the users' clients do.
+// maxAttempts is the largest number of attempts that a client makes at a request, the first included. Users' clients make as many.
 const maxAttempts = 3
 
-// Times of the clients that disconnect, or that give the agent little time.
+// Bounds for the random times of clients that disconnect early or that set a short timeout.
 const (
 	maxDisconnectAfter = 100 * time.Millisecond
 	minShortTimeout    = 20 * time.Millisecond
 	maxShortTimeout    = 300 * time.Millisecond
 )
 
-// openLoad is the load at one agent whose arrivals do not wait for answers.
+// openLoad sends requests to one agent at random times. New requests do not wait for answers to earlier ones.
 type openLoad struct {
 	openLoadStep
 	clients *clients
@@ -24,7 +24,7 @@
 	random  *rand.Rand
 }
 
-// generate starts requests, with exponential times between them, until the context ends.
+// generate starts requests at exponentially distributed intervals until the context ends.
 func (l *openLoad) generate(ctx context.Context) {
 	next := time.Now()
 	timer := time.NewTimer(0)
@@ -44,7 +44,8 @@
 	}
 }
 
-// drawStyle is how a request is sent. A load without special requests draws nothing, so that its arrivals do not depend on them.
+// drawStyle draws how a request is sent. It draws no random number for a share that is 0, so that the arrivals of a load with plain requests
+// only do not depend on these options.
 func (a openLoadStep) drawStyle(random *rand.Rand) (style requestStyle) {
 	if a.splitShare > 0 {
 		style.isSplit = random.Float64() < a.splitShare
@@ -58,7 +59,7 @@
 	return style
 }
 
-// drawClass is the class of a request by a number from 0 to 1.
+// drawClass returns the class of a request for a random number from 0 to 1.
 func (a openLoadStep) drawClass(draw float64) string {
 	switch {
 	case draw < a.keyedShare:
@@ -70,8 +71,9 @@
 	}
 }
 
-// runRequest tries a request until it is final: a rejected attempt is retried after the time that the agent names, one that didn't
-// reach an agent is retried at another, as a plain front would do.
+// runRequest makes attempts at a request until one succeeds or no further attempt is allowed. A rejected attempt is retried after the time
+// that the agent names. An attempt that did not reach its agent, or that may run twice, is retried at any running agent, as a simple load
+// balancer in front of the agents would do.
 func (c *clients) runRequest(ctx context.Context, request *Request, class string, style requestStyle) {
 	began := c.now()
 	spec := attemptSpec{agent: request.Agent, class: class, serial: c.lastSerial.Add(1), style: style}
@@ -81,7 +83,7 @@
 		c.records.addAttempt(request, attempt)
 		outcome = attempt.outcome()
 		if attempt.HasDisconnected || attempt.Timeout > 0 {
-			break // it does not come again
+			break // such a client does not retry
 		}
 		if outcome == outcomeRejected {
 			time.Sleep(attempt.retryAfter())
@@ -97,7 +99,7 @@
 	c.records.finish(request, outcome, began)
 }
 
-// sendPooled makes an attempt on a connection of the pool. Without a free slot it is not sent.
+// sendPooled makes an attempt on a connection of the pool. If the agent has no free slot, the attempt is not sent and counts as unreachable.
 func (c *clients) sendPooled(ctx context.Context, spec attemptSpec) Attempt {
 	if !c.pool.acquireSlot(spec.agent) {
 		c.records.droppedRequests.Add(1)
