--- a/internal/faulttest/options.go
+++ b/internal/faulttest/options.go
@@ -14,7 +14,7 @@
 	Keep       string                             // folder for logs and records; empty: they are kept only if the scenario fails
 	IdleRelays bool                               // relays forward everything and apply no faults
 	Direct     bool                               // agents connect directly, without relays
-	Progress   func(done, of int, text string)    // called before each step with its text; nil: not called
+	Progress   func(done, of int, text string)    // called before each step with its index, the number of steps and its text; nil: not called
 	Checks     map[string]func(CheckTarget) error // checks of the calling test, by their names in the scenario
 }
 
--- a/internal/faulttest/parse_condition.go
+++ b/internal/faulttest/parse_condition.go
@@ -9,7 +9,7 @@
 var comparisonOperators = []string{">=", "<=", "=", ">", "<"}
 
 const (
-	// minWindow is the shortest window of an expectation that has to hold in each window of the run.
+	// minWindow is the shortest window of an expectation with "each", which has to hold in every window of its range.
 	minWindow = 100 * time.Millisecond
 	// maxComparedValue is the largest absolute value that a measure may be compared to.
 	maxComparedValue = 1e12
@@ -46,7 +46,7 @@
 	case spec.asksAgents && !mayAskAgents:
 		p.fail("%q is reported by the agents themselves, expected a measure from the records of fake servers or relays", token)
 	case spec.hasArg != (m.Arg != ""):
-		p.fail("%q lacks its argument or has one too many, expected votes:advance, votes:rollback, votes:hold, votes:none, calls:discovery, calls:rollout-controller, log:TEXT, or another measure without an argument", token)
+		p.fail("%q has a missing or an unexpected argument, expected votes:advance, votes:rollback, votes:hold, votes:none, calls:discovery, calls:rollout-controller, log:TEXT, or another measure without an argument", token)
 	case m.Name == measureVotes:
 		m.Arg = p.recommendation(argument)
 	case m.Name == measureCalls:
@@ -55,7 +55,7 @@
 	return m
 }
 
-// recommendation parses the argument of the measure votes: the recommendation that agents voted for.
+// recommendation parses the argument of a votes measure, which is the recommendation that agents voted for.
 func (p *conditionParser) recommendation(word string) string {
 	recommendation, isKnown := recommendationWords[currentWord(measureArgument, word)]
 	if !isKnown {
@@ -64,7 +64,7 @@
 	return recommendation
 }
 
-// server parses the argument of the measure calls: the server that agents called.
+// server parses the argument of a calls measure, which is the server that agents called.
 func (p *conditionParser) server(word string) string {
 	server := currentWord(measureArgument, word)
 	if server != serverDiscovery && server != serverRollout {
@@ -142,7 +142,7 @@
 // exclusiveClaim parses "hold" and the words for what no two agents may hold at the same time. It stops before the range.
 func (p *conditionParser) exclusiveClaim() string {
 	if !p.accept("hold") {
-		p.fail("no hold after two, expected hold and what is held")
+		p.fail("two is not followed by hold, expected hold and what is held")
 	}
 	var words []string
 	for len(p.tokens) > 0 && p.tokens[0] != "from" && p.tokens[0] != "to" {
