--- a/internal/faulttest/netfault/backlog.go
+++ b/internal/faulttest/netfault/backlog.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// fillerDialTimeout: a connection to a listener on this machine that is not up by then is not going to be.
+	// fillerDialTimeout bounds the dial of a filler. On one machine, a connection that is not established by then meets a full queue.
 	fillerDialTimeout = 60 * time.Millisecond
-	// maxFillers: a queue of length zero takes one or two.
+	// maxFillers bounds the connections that fill the accept queue. A queue of length zero holds one or two.
 	maxFillers = 4
-	// openBacklog is the queue's length while the listener is reachable.
+	// openBacklog is the length of the accept queue while the listener is reachable.
 	openBacklog = 1024
 )
 
-// backlogBlocker makes a listener unreachable: with a full queue of the blocker's own connections that nobody accepts, the system answers
-// no further one, as if the machine were cut off. A client's system asks again after a second, then two, then four.
+// backlogBlocker makes a listener unreachable. It fills the accept queue with connections of its own that nobody accepts. The operating
+// system then ignores further connection attempts, as if the machine were cut off. A client's system retries after one second, then after
+// two, then after four.
 //
-// setBlocked is called by one goroutine only, the accepting loop calls waitUntilUnblocked and isFiller.
+// Only one goroutine calls setBlocked. The accept loop calls waitUntilUnblocked and isFiller.
 type backlogBlocker struct {
 	listener     *net.TCPListener
 	closed       <-chan struct{}
-	acceptPaused chan struct{} // the accepting loop has stopped
+	acceptPaused chan struct{} // receives a value when the accept loop has stopped
 	isBlocked    bool
 	fillers      []net.Conn
 
 	mu            sync.Mutex
-	acceptResumed chan struct{} // closed when the accepting loop may go on; nil while it isn't paused
+	acceptResumed chan struct{} // closed when the accept loop may continue; nil while the listener is not blocked
 	fillerPorts   map[int]bool
 }
 
@@ -37,7 +38,7 @@
 	return &backlogBlocker{listener: l, closed: closed, acceptPaused: make(chan struct{}, 1), fillerPorts: map[int]bool{}}
 }
 
-// waitUntilUnblocked is where the accepting loop waits while the listener is blocked; false: the relay is closed.
+// waitUntilUnblocked waits while the listener is blocked. It returns false if the relay is closed.
 func (b *backlogBlocker) waitUntilUnblocked() bool {
 	b.mu.Lock()
 	resumed := b.acceptResumed
@@ -54,7 +55,7 @@
 	}
 }
 
-// isFiller tells whether a connection is one of those that filled the queue.
+// isFiller reports whether a connection is one of those that filled the accept queue.
 func (b *backlogBlocker) isFiller(c net.Conn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -64,7 +65,7 @@
 	return isFiller
 }
 
-// setBacklog changes the length of the listener's queue. It fails only once the listener is closed, and then nothing depends on it.
+// setBacklog changes the length of the accept queue. It fails only if the listener is closed, when the length no longer matters.
 func (b *backlogBlocker) setBacklog(length int) {
 	raw, err := b.listener.SyscallConn()
 	if err != nil {
@@ -73,7 +74,7 @@
 	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), length) })
 }
 
-// setBlocked makes the listener unreachable or reachable again, and tells whether it has just become unreachable.
+// setBlocked makes the listener unreachable, or reachable again. It reports whether the listener has just become unreachable.
 func (b *backlogBlocker) setBlocked(blocked bool) bool {
 	if blocked == b.isBlocked {
 		return false
@@ -93,7 +94,7 @@
 	}
 	b.fillers = nil
 	b.setBacklog(openBacklog)
-	_ = b.listener.SetDeadline(time.Time{}) // fails only once the listener is closed
+	_ = b.listener.SetDeadline(time.Time{}) // fails only if the listener is closed
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	close(b.acceptResumed)
@@ -104,7 +105,7 @@
 	b.mu.Lock()
 	b.acceptResumed = make(chan struct{})
 	b.mu.Unlock()
-	_ = b.listener.SetDeadline(time.Unix(1, 0)) // interrupts Accept; fails only once the listener is closed
+	_ = b.listener.SetDeadline(time.Unix(1, 0)) // interrupts Accept; fails only if the listener is closed
 	select {
 	case <-b.acceptPaused:
 	case <-b.closed:
@@ -118,9 +119,9 @@
 	}
 }
 
-// addFiller makes a connection that stays in the queue; false: the queue is full.
+// addFiller opens a connection that stays in the accept queue. It returns false if the queue is full.
 func (b *backlogBlocker) addFiller() bool {
-	b.mu.Lock() // no filler is accepted before its port is known
+	b.mu.Lock() // makes isFiller wait until the port is recorded
 	defer b.mu.Unlock()
 	dialer := net.Dialer{Timeout: fillerDialTimeout}
 	c, err := dialer.DialContext(context.Background(), "tcp", b.listener.Addr().String())
--- a/internal/faulttest/netfault/counters.go
+++ b/internal/faulttest/netfault/counters.go
@@ -1,11 +1,11 @@
 package netfault
 
-// Counters count what passed in one direction of a link: datagrams, or segments of streams.
+// Counters counts the datagrams, or the segments of streams, on one link.
 type Counters struct {
 	Received, ReceivedBytes   int64
 	Delivered, DeliveredBytes int64
 	Dropped                   int64
-	Foreign                   int64 // from a sender that is no party
+	Foreign                   int64 // datagrams from a sender that is not a party
 }
 
 func (c *Counters) add(n Counters) {
--- a/internal/faulttest/netfault/direction.go
+++ b/internal/faulttest/netfault/direction.go
@@ -8,29 +8,30 @@
 	"time"
 )
 
-// maxQueuedBytes of one direction of a connection wait at the relay at the most; then its sender has to wait, as with a full window.
+// maxQueuedBytes bounds the bytes that wait at the relay in one direction of a connection. At the bound the sender has to wait, as with a
+// full TCP window.
 const maxQueuedBytes = 1 << 20
 
-// segment is a part of a stream that is being relayed; a nil payload is the stream's end.
+// segment is a part of a stream that is being relayed. A nil payload marks the end of the stream.
 type segment struct {
 	payload   []byte
 	deliverAt Micros
 }
 
-// direction is one half of a connection.
+// direction is one half of a connection: from the client to the server, or back.
 type direction struct {
 	conn     *relayedConn
 	link     *Link
 	from, to *net.TCPConn
 	segments chan segment
-	received func(bytes int, now Micros) // records what was read
-	sending  func(bytes int, now Micros) // records what is about to be written
-	sent     func(bytes int)             // records what was written
+	received func(bytes int, now Micros) // records bytes that were read
+	sending  func(bytes int, now Micros) // records bytes that are about to be written
+	sent     func(bytes int)             // records bytes that were written
 }
 
 func newSegmentQueue() chan segment { return make(chan segment, maxQueuedBytes/maxSegmentBytes) }
 
-// read reads what comes, and decides when it is delivered.
+// read reads segments from the sender and queues each with the time at which it is to be delivered.
 func (d *direction) read() {
 	defer close(d.segments)
 	deliverAt := Micros(0)
@@ -50,7 +51,7 @@
 		case err == nil:
 			continue
 		case errors.Is(err, syscall.ECONNRESET):
-			d.conn.reset() // a sender doesn't retransmit what it has reset: nothing of it is delivered any more
+			d.conn.reset() // after a reset a sender retransmits nothing, so queued segments are not delivered
 		case errors.Is(err, io.EOF):
 			d.enqueue(segment{nil, d.link.ScheduleSegment(now, 0, deliverAt)})
 		}
@@ -58,7 +59,7 @@
 	}
 }
 
-// enqueue hands a segment to the writer; false: the connection is closed.
+// enqueue passes a segment to the writer. It returns false if the connection is closed.
 func (d *direction) enqueue(s segment) bool {
 	select {
 	case d.segments <- s:
@@ -68,20 +69,20 @@
 	}
 }
 
-// writerState is what a writer keeps from segment to segment.
+// writerState is the state that write keeps between segments.
 type writerState struct {
-	swallowedBytes  bool // in a black hole: the connection can't go on once the fault is over
+	hasLostBytes    bool // a black hole has discarded bytes, so the connection cannot continue after it
 	faultVersion    int
-	bytesUntilReset int // by the fault of this version
+	bytesUntilReset int // bytes left until the fault of faultVersion resets the connection
 }
 
-// write delivers each segment when it is due, as far as the link lets it.
+// write delivers each segment when it is due, subject to the fault of the link.
 func (d *direction) write() {
 	state := writerState{faultVersion: -1}
 	var pending *segment
 	for {
 		fault, version, changed := d.link.Fault()
-		if !d.survives(fault, version, &state) {
+		if !d.applyFault(fault, version, &state) {
 			return
 		}
 		if pending != nil && !fault.Drop && d.untilDue(*pending) <= 0 {
@@ -91,7 +92,7 @@
 			pending = nil
 			continue
 		}
-		incoming, due := d.awaited(pending, fault)
+		incoming, due := d.waitChannels(pending, fault)
 		select {
 		case s, isOpen := <-incoming:
 			if !isOpen {
@@ -106,9 +107,10 @@
 	}
 }
 
-// awaited are what the writer waits for, apart from a change of the fault: the next segment where none is pending, else the time at which
-// that is due. A segment that the link drops waits for a change alone.
-func (d *direction) awaited(pending *segment, fault Fault) (incoming <-chan segment, due <-chan time.Time) {
+// waitChannels returns the channels on which write waits, besides the one for a change of the fault. Without a pending segment write waits
+// for the next segment, otherwise for the time at which the pending one is due. If the link drops the pending segment, both channels are
+// nil.
+func (d *direction) waitChannels(pending *segment, fault Fault) (incoming <-chan segment, due <-chan time.Time) {
 	if pending == nil {
 		return d.segments, nil
 	}
@@ -123,10 +125,10 @@
 	return time.Duration(s.deliverAt-d.conn.relay.now()) * time.Microsecond
 }
 
-// survives resets the connection where a fault refuses it or bytes were swallowed by one that is over, and returns false then. It takes
-// over the byte count of a new fault.
-func (d *direction) survives(fault Fault, version int, state *writerState) bool {
-	if fault.Refuse || state.swallowedBytes && !fault.Blackhole {
+// applyFault resets the connection and returns false if the fault refuses connections, or if a black hole that has ended discarded bytes.
+// When the fault has changed, it restarts the byte count until a reset.
+func (d *direction) applyFault(fault Fault, version int, state *writerState) bool {
+	if fault.Refuse || state.hasLostBytes && !fault.Blackhole {
 		d.link.recordFaultHit()
 		d.conn.reset()
 		return false
@@ -137,16 +139,16 @@
 	return true
 }
 
-// deliver writes one segment; false ends the direction.
+// deliver writes one segment, or discards it in a black hole. It returns false if the direction has ended.
 func (d *direction) deliver(s segment, fault Fault, state *writerState) bool {
 	if fault.Blackhole {
 		d.link.add(Counters{Dropped: 1})
 		d.link.recordFaultHit()
-		state.swallowedBytes = true
+		state.hasLostBytes = true
 		return true
 	}
 	if s.payload == nil {
-		_ = d.to.CloseWrite() // it fails only where the other side is gone already
+		_ = d.to.CloseWrite() // fails only if the other side has already closed the connection
 		return false
 	}
 	payload := s.payload
@@ -172,7 +174,7 @@
 	if len(payload) == 0 {
 		return 0, nil
 	}
-	d.sending(len(payload), d.conn.relay.now()) // recorded before: the receiver may act before the system's call returns
+	d.sending(len(payload), d.conn.relay.now()) // recorded before the write: the receiver may react before the system call returns
 	n, err = d.to.Write(payload)
 	d.sent(n)
 	d.link.add(Counters{Delivered: 1, DeliveredBytes: int64(n)})
--- a/internal/faulttest/netfault/doc.go
+++ b/internal/faulttest/netfault/doc.go
@@ -1,6 +1,7 @@
-// Package netfault holds relays that stand between processes of a test, and the faults that a link between them may have: a Mesh relays
-// datagrams, a Stream relays TCP connections, and each direction is a Link with its own Fault.
+// Package netfault provides relays that are placed between the processes of a test and apply network faults. A Mesh relays datagrams
+// and a Stream relays TCP connections. Each direction of the traffic passes a Link with its own Fault. A party is a process that sends
+// through relays, identified by its index.
 //
-// What becomes of a datagram or of a segment of a stream is decided by Link, without I/O or a clock; the relays carry it out and count
-// it. All exported methods may be called from any goroutine.
+// A Link decides what happens to each datagram or segment of a stream, without I/O and without reading a clock. The relays carry out
+// and count its decisions. All exported methods may be called from any goroutine.
 package netfault
--- a/internal/faulttest/netfault/fault.go
+++ b/internal/faulttest/netfault/fault.go
@@ -1,26 +1,26 @@
 package netfault
 
-// Micros are whole microseconds since the start of a test's deployment.
+// Micros is a time in microseconds since the start of a test's deployment, or a duration in microseconds.
 type Micros = int64
 
-// Clock gives the time since the start of a test's deployment.
+// Clock returns the time since the start of a test's deployment.
 type Clock func() Micros
 
 const microsPerSecond Micros = 1_000_000
 
-// Fault is what is wrong with one direction of a link; its zero value is a link without a fault.
+// Fault describes the network faults of a link. The zero value is a link without a fault.
 type Fault struct {
-	Drop            bool    // nothing passes: datagrams are lost, a stream's bytes wait for the fault's end, as if they were retransmitted then
-	Blackhole       bool    // streams: bytes are swallowed while the connection stays up; it is reset when the fault is over
-	Refuse          bool    // streams: every connection is reset, new ones at once; datagrams are lost
-	LossRate        float64 // share of datagrams that are lost, and of a stream's segments that have to be retransmitted
-	Delay           Micros  // added to each datagram and each segment of a stream
-	Jitter          Micros  // Delay is drawn evenly from so much below to so much above
-	BytesPerSecond  int     // 0: no bound
-	ResetAfterBytes int     // streams: a connection is reset after so many more bytes; 0: never
+	Drop            bool    // datagrams are lost; a stream's bytes are held until the fault ends, as if they were retransmitted then
+	Blackhole       bool    // datagrams are lost; a stream's bytes are discarded while its connection stays up; the connection is reset when the fault ends
+	Refuse          bool    // datagrams are lost; every connection is reset, a new one at once
+	LossRate        float64 // share of datagrams that are lost, and probability that a transmission of a stream's segment is lost
+	Delay           Micros  // delay of each datagram and each segment of a stream
+	Jitter          Micros  // the delay is drawn uniformly from Delay-Jitter to Delay+Jitter
+	BytesPerSecond  int     // rate limit; 0: none
+	ResetAfterBytes int     // a connection is reset once this many bytes have been delivered since the fault was set; 0: never
 	DuplicateRate   float64 // share of datagrams that are delivered twice
-	ReorderRate     float64 // share of datagrams that the next one overtakes
+	ReorderRate     float64 // share of datagrams that are delivered after the next one
 }
 
-// IsZero tells that nothing is wrong.
+// IsZero reports whether there is no fault.
 func (f Fault) IsZero() bool { return f == Fault{} }
--- a/internal/faulttest/netfault/helpers_test.go
+++ b/internal/faulttest/netfault/helpers_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// testTimeout is the longest that a test waits for something that should come at once.
+// testTimeout bounds the waits for events that should happen at once.
 const testTimeout = 20 * time.Second
 
 func newTestClock() Clock {
@@ -21,16 +21,16 @@
 func expectNear(t *testing.T, what string, got, want, tolerance float64) {
 	t.Helper()
 	if math.Abs(got-want) > tolerance*want {
-		t.Errorf("%s: %.4g, want %.4g", what, got, want)
+		t.Errorf("%s: got %.4g, want %.4g", what, got, want)
 	}
 }
 
-// eventually waits for a condition.
+// eventually waits until a condition is met. It fails the test after 30 seconds.
 func eventually(t *testing.T, what string, isMet func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !isMet(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("never: " + what)
+			t.Fatal("timed out waiting for " + what)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// must fails the test on an error of a call that is not what it tests.
+// must fails the test on an error of a call that is not under test.
 func must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -54,7 +54,7 @@
 	must(t, err)
 }
 
-// readWithin bounds the reads of a connection from now on.
+// readWithin sets a time limit on all further reads of a connection.
 func readWithin(t *testing.T, c net.Conn, timeout time.Duration) {
 	t.Helper()
 	must(t, c.SetReadDeadline(time.Now().Add(timeout)))
@@ -65,11 +65,11 @@
 	readWithin(t, c, testTimeout)
 	b := make([]byte, len(want))
 	if _, err := io.ReadFull(c, b); err != nil || string(b) != want {
-		t.Fatalf("read %q, %v, want %q", b, err, want)
+		t.Fatalf("read %q with error %v, want %q", b, err, want)
 	}
 }
 
-// closeAtEnd closes something when the test is over; it may have been closed before.
+// closeAtEnd closes c at the end of the test. The test may have closed it before.
 func closeAtEnd(t *testing.T, c io.Closer) {
 	t.Helper()
 	t.Cleanup(func() { _ = c.Close() })
@@ -102,7 +102,7 @@
 	return r
 }
 
-// conn waits for the connection of a number.
+// conn waits for the connection with a number, counted from 0, and returns it.
 func (l *recordingListener) conn(t *testing.T, number int) (c net.Conn) {
 	t.Helper()
 	eventually(t, "a connection", func() bool {
@@ -147,7 +147,7 @@
 	return dialer.DialContext(t.Context(), "tcp", s.Addr())
 }
 
-// newTestMesh is a mesh between two datagram sockets.
+// newTestMesh starts a mesh between two datagram sockets.
 func newTestMesh(t *testing.T, now Clock) (*Mesh, [2]*net.UDPConn) {
 	t.Helper()
 	var sockets [2]*net.UDPConn
--- a/internal/faulttest/netfault/link.go
+++ b/internal/faulttest/netfault/link.go
@@ -6,54 +6,56 @@
 )
 
 const (
-	// initialRetransmitDelay is what a lost segment waits for, twice as long each time, as TCP's least retransmission timeout does.
+	// initialRetransmitDelay is the delay of a segment that is lost once, like TCP's minimum retransmission timeout. Each further loss
+	// doubles the delay.
 	initialRetransmitDelay Micros = 200_000
-	// maxRetransmits bounds the waits of one segment: 200 ms six times doubled are 12 s.
+	// maxRetransmits bounds the losses of one segment: six delays, doubled from 200 ms on, add up to 12.6 s.
 	maxRetransmits = 6
-	// maxReorderWait is the longest that a datagram waits for one that overtakes it.
+	// maxReorderWait is how long a datagram waits at most for another one to overtake it.
 	maxReorderWait Micros = 1_000_000
-	// maxSegmentBytes is the longest segment of a stream.
+	// maxSegmentBytes is the length of the longest segment of a stream.
 	maxSegmentBytes = 16 << 10
-	// segmentDuration is what a segment takes at a bounded rate: short, so that the rate is even.
+	// segmentDuration is the transfer time of a segment under a rate limit. It is short so that the rate is even.
 	segmentDuration Micros = 20_000
 )
 
-// Delivery is what becomes of one datagram.
+// Delivery is a link's decision on one datagram.
 type Delivery struct {
-	Copies        int // 0: it is lost
+	Copies        int // 0: the datagram is lost
 	DeliverAt     Micros
-	AwaitsReorder bool // it waits for the next one to overtake it, or until DeliverAt
-	Overtakes     bool // the one that waits goes right behind it
+	AwaitsReorder bool // the datagram waits for the next one to overtake it, at most until DeliverAt
+	Overtakes     bool // the datagram that waits is delivered directly after this one
 }
 
-// Link is one direction between two parties.
+// Link is one direction between two processes. It decides when traffic in this direction is delivered, and counts it.
 type Link struct {
 	mu              sync.Mutex
 	fault           Fault
-	faultVersion    int           // counts the faults that were set
-	faultChanged    chan struct{} // closed when another fault is set
+	faultVersion    int           // number of calls of SetFault
+	faultChanged    chan struct{} // closed by the next call of SetFault
 	random          *rand.Rand
-	bandwidthFreeAt Micros // when the bound on bytes lets the next ones through
-	lastDeliveryAt  Micros // of the datagram before
-	hasWaiting      bool   // a datagram waits to be overtaken
+	bandwidthFreeAt Micros // time at which the rate limit lets the next bytes pass
+	lastDeliveryAt  Micros // delivery time of the previous datagram that was not held back
+	hasWaiting      bool   // a datagram is waiting to be overtaken
 	counters        Counters
 	faultHits       int64
 	ignoresFaults   bool
 }
 
-// NewLink is a link without a fault; the seed is that of its random draws.
+// NewLink returns a link without a fault. Its random draws depend on the seed alone.
 func NewLink(seed int64) *Link {
 	return &Link{random: rand.New(rand.NewSource(seed)), faultChanged: make(chan struct{})}
 }
 
-// IgnoreFaults has the link apply none of the faults that are set from now on, to prove that a scenario notices it.
+// IgnoreFaults makes the link ignore all faults that are set from now on. A test uses it to prove that a scenario fails if its faults are
+// not applied.
 func (l *Link) IgnoreFaults() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ignoresFaults = true
 }
 
-// FaultHits is how often a fault of this link has made a difference.
+// FaultHits returns how often a fault of this link has had an effect.
 func (l *Link) FaultHits() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,14 +82,14 @@
 	l.faultChanged = make(chan struct{})
 }
 
-// Fault is the fault in force and its version; changed is closed when another is set.
+// Fault returns the current fault and its version. The channel changed is closed when another fault is set.
 func (l *Link) Fault() (f Fault, version int, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fault, l.faultVersion, l.faultChanged
 }
 
-// Counters are what passed so far.
+// Counters returns the counters so far.
 func (l *Link) Counters() Counters {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,7 +102,8 @@
 	l.counters.add(n)
 }
 
-// deliveryTime draws the delay of some bytes, and adds what the bound on bytes costs. The caller holds the mutex.
+// deliveryTime returns when bytes that arrive now are delivered, after the random delay and the wait for the rate limit. The caller
+// holds the mutex.
 func (l *Link) deliveryTime(now Micros, bytes int) Micros {
 	at := now
 	if l.fault.BytesPerSecond > 0 {
@@ -117,12 +120,12 @@
 	return max(now, at)
 }
 
-// draw tells whether something of this probability happens; nothing is drawn where it can't.
+// draw reports whether an event of a probability happens. For the probability 0 it consumes no random number.
 func (l *Link) draw(probability float64) bool {
 	return probability > 0 && l.random.Float64() < probability
 }
 
-// ScheduleDatagram decides on a datagram. Those that pass keep their order, except where ReorderRate says otherwise.
+// ScheduleDatagram decides on a datagram that arrives now. Datagrams that pass keep their order, except those that ReorderRate affects.
 func (l *Link) ScheduleDatagram(now Micros, bytes int) Delivery {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,7 +142,7 @@
 	switch {
 	case l.hasWaiting:
 		l.hasWaiting, d.Overtakes = false, true
-	case l.draw(f.ReorderRate / (1 - f.ReorderRate)): // nothing is drawn for the one that overtakes: of all, ReorderRate wait
+	case l.draw(f.ReorderRate / (1 - f.ReorderRate)): // overtaking datagrams draw nothing; the quotient makes the share of all that wait ReorderRate
 		l.hasWaiting, d.AwaitsReorder = true, true
 		d.DeliverAt += maxReorderWait
 		l.faultHits++
@@ -149,15 +152,15 @@
 	return d
 }
 
-// EndReorderWait tells the link that its waiting datagram has waited long enough.
+// EndReorderWait tells the link that its waiting datagram is delivered now without having been overtaken.
 func (l *Link) EndReorderWait() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hasWaiting = false
 }
 
-// ScheduleSegment decides when a segment of a stream may be delivered: not before the segment ahead of it, since a stream keeps its
-// order.
+// ScheduleSegment returns when a segment of a stream that arrives now is to be delivered. Since a stream keeps its order, that is not
+// before ahead, the delivery time of the previous segment.
 func (l *Link) ScheduleSegment(now Micros, bytes int, ahead Micros) Micros {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -171,7 +174,7 @@
 	return max(at, ahead)
 }
 
-// SegmentSize is how much of a stream is to be read at a time.
+// SegmentSize returns how many bytes of a stream are to be read at a time.
 func (l *Link) SegmentSize() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/faulttest/netfault/link_test.go
+++ b/internal/faulttest/netfault/link_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// The share and the size of each fault, over many draws without I/O.
+// Over many draws, without I/O, each fault occurs at its configured rate and with its configured size.
 func TestFaultRatesMatchConfiguration(t *testing.T) {
 	const draws = 200_000
 	lost, duplicated, delaySum := 0, 0, 0.0
 	link := NewLink(1)
 	link.SetFault(Fault{LossRate: 0.3, DuplicateRate: 0.2, Delay: 50_000, Jitter: 20_000})
 	for i := range int64(draws) {
-		now := i * 100_000 // apart by more than the jitter: none waits for the one ahead
+		now := i * 100_000 // the interval exceeds the jitter, so no datagram waits for the previous one
 		switch d := link.ScheduleDatagram(now, 80); d.Copies {
 		case 0:
 			lost++
@@ -18,7 +18,7 @@
 			fallthrough
 		default:
 			if delaySum += float64(d.DeliverAt - now); d.DeliverAt < now+30_000 || d.DeliverAt > now+70_000 {
-				t.Fatalf("delayed by %d us, want 30 to 70 ms", d.DeliverAt-now)
+				t.Fatalf("datagram delayed by %d us, want 30,000 to 70,000", d.DeliverAt-now)
 			}
 		}
 	}
@@ -34,7 +34,7 @@
 			waiting++
 		}
 		if d.Overtakes != previousWaits {
-			t.Fatal("the datagram behind a waiting one overtakes it, and no other does")
+			t.Fatal("Overtakes is wrong: want it set for each datagram after a waiting one, and for no other")
 		}
 		previousWaits = d.AwaitsReorder
 	}
@@ -45,7 +45,7 @@
 	for range 1000 {
 		at = link.ScheduleSegment(2e12, 200, at)
 	}
-	expectNear(t, "time of 200,000 bytes", float64(at-2e12), 20e6, 0.001)
+	expectNear(t, "transfer time of 200,000 bytes in us", float64(at-2e12), 20e6, 0.001)
 
 	link.SetFault(Fault{LossRate: 0.5})
 	sum := 0.0
@@ -57,16 +57,16 @@
 		probability *= 0.5
 		expected += probability * float64(initialRetransmitDelay<<i)
 	}
-	expectNear(t, "a segment's delay at half lost", sum/draws, expected, 0.05)
+	expectNear(t, "mean delay of a segment in us at loss rate 0.5", sum/draws, expected, 0.05)
 	for _, f := range []Fault{{Drop: true}, {Refuse: true}, {Blackhole: true}} {
 		link.SetFault(f)
 		if got := link.ScheduleDatagram(4e12, 1); got.Copies != 0 {
-			t.Errorf("%+v lets a datagram through", f)
+			t.Errorf("a datagram passes a link with the fault %+v", f)
 		}
 	}
 	link.SetFault(Fault{})
 	link.EndReorderWait()
 	if d := link.ScheduleDatagram(5e12, 1); d != (Delivery{Copies: 1, DeliverAt: 5e12}) {
-		t.Errorf("without a fault a datagram is scheduled as %+v", d)
+		t.Errorf("without a fault: got %+v, want one copy delivered at once", d)
 	}
 }
--- a/internal/faulttest/netfault/mesh.go
+++ b/internal/faulttest/netfault/mesh.go
@@ -12,21 +12,21 @@
 
 const (
 	maxDatagramBytes = 64 << 10
-	// maxPendingPackets bounds what is being delivered; what comes over it is lost, as at a full queue of a router.
+	// maxPendingPackets bounds the packets that wait until they are due. Further packets are lost, as at a router with a full queue.
 	maxPendingPackets = 1 << 16
-	// packetBuffer is how many packets may wait for the delivery goroutine.
+	// packetBuffer is the length of the queue to the delivery goroutine.
 	packetBuffer = 1024
-	// idleWait is how long delivery sleeps while nothing is pending.
+	// idleWait is how long the delivery goroutine sleeps while nothing is pending.
 	idleWait = time.Hour
-	// linkSeedStep keeps the random sources of the links apart.
+	// linkSeedStep is the distance between the seeds of successive senders. It gives each link a different seed.
 	linkSeedStep = 4096
 )
 
-// Mesh relays datagrams between parties. A party reaches another at a socket of the mesh, and what the other sends comes from that same
-// socket: so a receiver knows the sender by its address, as the protocol has it.
+// Mesh relays datagrams between parties. It has a socket for each party and peer: the party sends to the peer at this socket, and receives
+// the peer's datagrams from it. So a receiver identifies the sender by its address, as the protocol requires.
 type Mesh struct {
-	links      [][]*Link          // by sender and receiver
-	sockets    [][]net.PacketConn // by party and peer; a party's own place is for what goes to all
+	links      [][]*Link          // indexed by sender and receiver
+	sockets    [][]net.PacketConn // indexed by party and peer; a party reaches all others at [party][party]
 	parties    []netip.AddrPort
 	now        Clock
 	packets    chan packet
@@ -34,7 +34,7 @@
 	goroutines sync.WaitGroup
 }
 
-// NewMesh starts the sockets between parties at these addresses.
+// NewMesh opens the sockets of a mesh and starts to relay between the parties at these addresses.
 func NewMesh(ctx context.Context, parties []string, seed int64, now Clock) (*Mesh, error) {
 	m := &Mesh{now: now, packets: make(chan packet, packetBuffer), closed: make(chan struct{})}
 	for i, party := range parties {
@@ -59,7 +59,7 @@
 	return m, nil
 }
 
-// openSockets makes a party's links and the sockets that it sends to.
+// openSockets creates a party's links and opens the sockets that it sends to.
 func (m *Mesh) openSockets(ctx context.Context, party int, seed int64) error {
 	m.links, m.sockets = append(m.links, nil), append(m.sockets, nil)
 	for peer := range m.parties {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// Address is where a party reaches another; its own address for itself.
+// Address returns the address at which a party reaches another. With from equal to to, it returns the party's own address.
 func (m *Mesh) Address(from, to int) string {
 	if from == to {
 		return m.parties[from].String()
@@ -81,13 +81,13 @@
 	return m.sockets[from][to].LocalAddr().String()
 }
 
-// BroadcastAddress is where a party reaches all others at once.
+// BroadcastAddress returns the address at which a party reaches all others at once.
 func (m *Mesh) BroadcastAddress(from int) string { return m.sockets[from][from].LocalAddr().String() }
 
-// Link is the direction from one party to another.
+// Link returns the link from one party to another.
 func (m *Mesh) Link(from, to int) *Link { return m.links[from][to] }
 
-// Close ends the mesh and all that it started.
+// Close closes the mesh's sockets and waits until its goroutines have ended.
 func (m *Mesh) Close() {
 	select {
 	case <-m.closed:
@@ -96,13 +96,13 @@
 	}
 	for _, row := range m.sockets {
 		for _, socket := range row {
-			_ = socket.Close() // closing it again does no harm
+			_ = socket.Close() // it may be closed already
 		}
 	}
 	m.goroutines.Wait()
 }
 
-// read relays what a party sends to a peer, or to all where both are the same.
+// read relays what a party sends to a peer, or to all other parties if from equals to.
 func (m *Mesh) read(from, to int) {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
@@ -111,7 +111,7 @@
 			return
 		}
 		if err != nil {
-			continue // a party that is gone has refused an earlier datagram
+			continue // the system reports that a party which has ended refused an earlier datagram
 		}
 		if sender, isUDP := source.(*net.UDPAddr); !isUDP || sender.AddrPort() != m.parties[from] {
 			m.links[from][to].add(Counters{Foreign: 1})
@@ -129,7 +129,7 @@
 	}
 }
 
-// schedule has the link decide on a datagram and hands it to the delivery goroutine.
+// schedule lets the link decide on a datagram, and passes the datagram to the delivery goroutine unless it is lost.
 func (m *Mesh) schedule(from, to int, payload []byte) {
 	link, now := m.links[from][to], m.now()
 	link.add(Counters{Received: 1, ReceivedBytes: int64(len(payload))})
@@ -171,7 +171,7 @@
 	}
 }
 
-// sendDue sends all that is due by now.
+// sendDue sends all packets that are due.
 func (m *Mesh) sendDue(schedule *packetSchedule) {
 	now := m.now()
 	for {
@@ -186,12 +186,12 @@
 	}
 }
 
-// send hands a datagram to its receiver, from the socket at which the receiver reaches the sender.
+// send sends a datagram to its receiver, from the socket at which the receiver reaches the sender.
 func (m *Mesh) send(p packet) {
 	link := m.links[p.from][p.to]
 	bytes := int64(len(p.payload))
 	for range p.Copies {
-		link.add(Counters{Delivered: 1, DeliveredBytes: bytes}) // before: the receiver may look at the counters at once
+		link.add(Counters{Delivered: 1, DeliveredBytes: bytes}) // counted before the write: the receiver may read the counters at once
 		if _, err := m.sockets[p.to][p.from].WriteTo(p.payload, net.UDPAddrFromAddrPort(m.parties[p.to])); err != nil {
 			link.add(Counters{Delivered: -1, DeliveredBytes: -bytes, Dropped: 1})
 		}
--- a/internal/faulttest/netfault/mesh_test.go
+++ b/internal/faulttest/netfault/mesh_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// A datagram of one of these lengths is none of the numbered ones: the test's own.
+// Datagrams of these lengths carry no number and control the test.
 const (
-	endLength   = 1 // the last datagram
-	flushLength = 2 // releases one that waits to be overtaken
+	endLength   = 1 // marks the last datagram
+	flushLength = 2 // overtakes a datagram that still waits, so that this one is delivered
 )
 
 // datagramTest sends numbered datagrams from one party to the other and records what arrives.
@@ -19,17 +19,17 @@
 	mesh     *Mesh
 	sockets  [2]*net.UDPConn
 	now      Clock
-	receiver *net.UDPAddr // where the sender reaches the receiver
-	sender   string       // where the receiver reaches the sender
+	receiver *net.UDPAddr // address at which the sender reaches the receiver
+	sender   string       // address at which the receiver reaches the sender
 }
 
-// arrivals are what the receiver got.
+// arrivals holds the numbered datagrams that the receiver got.
 type arrivals struct {
 	numbers []int
 	delays  []float64 // microseconds
 }
 
-// run sends datagrams under a fault, and tells what arrived and how long it took in all.
+// run sends datagrams under a fault. It returns what arrived, and the time from the first datagram sent to the last one received.
 func (d *datagramTest) run(t *testing.T, fault Fault, count, bytes int, interval time.Duration) (got arrivals, duration Micros) {
 	t.Helper()
 	link := d.mesh.Link(0, 1)
@@ -46,8 +46,8 @@
 		binary.BigEndian.PutUint64(payload[4:], uint64(d.now()))
 		d.send(t, payload)
 		time.Sleep(interval)
-		if (i+1)%100 == 0 || i+1 == count { // the system's own queues are short
-			eventually(t, "all at the relay", func() bool { return link.Counters().Received-before.Received == int64(i+1) })
+		if (i+1)%100 == 0 || i+1 == count { // the operating system's socket queues are short
+			eventually(t, "all sent datagrams to arrive at the relay", func() bool { return link.Counters().Received-before.Received == int64(i+1) })
 		}
 	}
 	link.SetFault(Fault{})
@@ -56,7 +56,7 @@
 	<-received
 	duration = d.now() - start
 	if want := link.Counters().Delivered - before.Delivered - 2; int64(len(got.numbers)) != want {
-		t.Errorf("%d arrived, the relay counts %d", len(got.numbers), want)
+		t.Errorf("%d datagrams arrived, want %d as counted by the relay", len(got.numbers), want)
 	}
 	return got, duration
 }
@@ -67,7 +67,7 @@
 	must(t, err)
 }
 
-// receive reads up to the last datagram, or to the end of the socket.
+// receive reads until the last datagram, or until the socket is closed.
 func (d *datagramTest) receive(t *testing.T) (got arrivals) {
 	t.Helper()
 	buffer := make([]byte, 2048)
@@ -80,14 +80,14 @@
 			continue
 		}
 		if from.String() != d.sender {
-			t.Errorf("from %v, want %s", from, d.sender)
+			t.Errorf("datagram from %v, want %s", from, d.sender)
 		}
 		got.numbers = append(got.numbers, int(binary.BigEndian.Uint32(buffer)))
 		got.delays = append(got.delays, float64(d.now()-int64(binary.BigEndian.Uint64(buffer[4:]))))
 	}
 }
 
-// Loss, delay, rate, duplicates and order of real datagrams, as counted by the receiver.
+// Real datagrams show each configured fault at the receiver: loss, duplicates, reordering, delay and rate limit.
 func TestDatagramFaults(t *testing.T) {
 	now := newTestClock()
 	mesh, sockets := newTestMesh(t, now)
@@ -97,7 +97,7 @@
 
 	got, _ := test.run(t, Fault{}, 2000, 80, 0)
 	if len(got.numbers) != 2000 || !slices.IsSorted(got.numbers) {
-		t.Errorf("without a fault %d of 2000 arrived, in order: %t", len(got.numbers), slices.IsSorted(got.numbers))
+		t.Errorf("without a fault %d datagrams arrived, in order: %t; want 2000 in order", len(got.numbers), slices.IsSorted(got.numbers))
 	}
 	got, _ = test.run(t, Fault{LossRate: 0.3}, 5000, 80, 0)
 	expectNear(t, "lost", 1-float64(len(got.numbers))/5000, 0.3, 0.1)
@@ -113,20 +113,20 @@
 	expectNear(t, "reordered", float64(reordered)/5000, 0.2, 0.1)
 	got, _ = test.run(t, Fault{Delay: 300_000, Jitter: 50_000}, 100, 80, 5*time.Millisecond)
 	slices.Sort(got.delays)
-	expectNear(t, "delay", got.delays[len(got.delays)/2], 300_000, 0.2) // keeping its order, a datagram waits for the one ahead: up to the jitter
+	expectNear(t, "delay", got.delays[len(got.delays)/2], 300_000, 0.2) // to keep the order, a datagram may wait for the previous one, up to the jitter
 	if len(got.numbers) != 100 || got.delays[0] < 250_000 {
-		t.Errorf("%d arrived, the first after %.0f us", len(got.numbers), got.delays[0])
+		t.Errorf("%d datagrams arrived with a shortest delay of %.0f us, want 100 with at least 250,000 us", len(got.numbers), got.delays[0])
 	}
 	got, _ = test.run(t, Fault{Delay: 300_000}, 50, 80, time.Millisecond)
 	slices.Sort(got.delays)
-	expectNear(t, "even delay", got.delays[len(got.delays)/2], 300_000, 0.1)
+	expectNear(t, "median delay in us without jitter", got.delays[len(got.delays)/2], 300_000, 0.1)
 	_, duration := test.run(t, Fault{BytesPerSecond: 20_000}, 200, 200, 0)
-	expectNear(t, "time of 40,000 bytes", float64(duration), 2e6, 0.1)
+	expectNear(t, "transfer time of 40,000 bytes in us", float64(duration), 2e6, 0.1)
 
-	// A datagram of a sender that is no party is not relayed.
+	// A datagram from a sender that is not a party is not relayed.
 	stranger, err := net.DialUDP("udp", nil, receiver)
 	must(t, err)
 	closeAtEnd(t, stranger)
 	write(t, stranger, "who")
-	eventually(t, "a foreign datagram's count", func() bool { return mesh.Link(0, 1).Counters().Foreign == 1 })
+	eventually(t, "a foreign datagram to be counted", func() bool { return mesh.Link(0, 1).Counters().Foreign == 1 })
 }
--- a/internal/faulttest/netfault/packet_schedule.go
+++ b/internal/faulttest/netfault/packet_schedule.go
@@ -5,19 +5,20 @@
 // route is the sender and the receiver of a datagram.
 type route struct{ from, to int }
 
-// packet is a datagram that is due at a time.
+// packet is a datagram that is scheduled for delivery.
 type packet struct {
 	Delivery
 	route
 	payload         []byte
-	sequence        int  // the order in which packets came
-	reorderTimedOut bool // set on delivery: it waited to be overtaken, and nothing came in time
+	sequence        int  // orders packets that are due at the same time
+	reorderTimedOut bool // set by takeDue: the packet waited to be overtaken, and no other came in time
 }
 
-// packetSchedule orders packets by the time at which they are due, and keeps those back that wait to be overtaken. One goroutine uses it.
+// packetSchedule orders packets by the time at which they are due, and holds back those that wait to be overtaken. It is not safe for
+// concurrent use.
 type packetSchedule struct {
 	queue        packetQueue
-	waiting      map[route]packet // at most one on each route
+	waiting      map[route]packet // packets that wait to be overtaken, at most one on each route
 	lastSequence int
 }
 
@@ -25,7 +26,7 @@
 
 func (s *packetSchedule) pending() int { return len(s.queue) }
 
-// next is when the next packet is due.
+// next returns when the next packet is due.
 func (s *packetSchedule) next() (at Micros, isPending bool) {
 	if len(s.queue) == 0 {
 		return 0, false
@@ -33,7 +34,8 @@
 	return s.queue[0].DeliverAt, true
 }
 
-// add schedules a packet. One that waits to be overtaken stays in the queue as its own timeout; the one that overtakes it goes ahead of it.
+// add schedules a packet. A packet that waits to be overtaken is queued for the end of its wait. When the packet that overtakes it is
+// added, a copy is queued directly behind that one.
 func (s *packetSchedule) add(p packet) {
 	s.lastSequence++
 	p.sequence = s.lastSequence
@@ -49,7 +51,8 @@
 	}
 }
 
-// takeDue removes a packet that is due by a time. The timeout of a packet that was overtaken before is passed over.
+// takeDue removes and returns a packet that is due. It discards the queue entry for the end of a wait if the packet has been overtaken
+// before.
 func (s *packetSchedule) takeDue(now Micros) (p packet, isDue bool) {
 	for len(s.queue) > 0 && s.queue[0].DeliverAt <= now {
 		p = heap.Pop(&s.queue).(packet)
@@ -65,7 +68,7 @@
 	return packet{}, false
 }
 
-// packetQueue is a heap of packets by their time, those of one time in the order in which they came.
+// packetQueue is a heap of packets, ordered by delivery time and then by sequence.
 type packetQueue []packet
 
 func (q packetQueue) Len() int { return len(q) }
--- a/internal/faulttest/netfault/party.go
+++ b/internal/faulttest/netfault/party.go
@@ -3,17 +3,18 @@
 import "net"
 
 const (
-	// partiesPerSubnet is how many parties share the third byte of their relays' addresses.
+	// partiesPerSubnet is the number of parties whose relay addresses have the same third byte.
 	partiesPerSubnet = 250
 	noParty          = -1
 )
 
-// PartyIP is the loopback address that a party's relays dial from, so that the server knows the client; PartyOf is its inverse.
+// PartyIP returns the loopback address from which a party's relays dial, so that a server can identify the party. PartyOf is the
+// inverse.
 func PartyIP(party int) net.IP {
 	return net.IPv4(127, 0, byte(1+party/partiesPerSubnet), byte(1+party%partiesPerSubnet))
 }
 
-// PartyOf is the party whose relay dialled from an address, -1 for an address that is no relay's.
+// PartyOf returns the party whose relay dialled from an address, or -1 if the address is not a relay's.
 func PartyOf(a net.Addr) int {
 	address, isTCP := a.(*net.TCPAddr)
 	if !isTCP {
--- a/internal/faulttest/netfault/relayed_conn.go
+++ b/internal/faulttest/netfault/relayed_conn.go
@@ -6,17 +6,17 @@
 	"sync/atomic"
 )
 
-// relayedConn is one connection through a relay. A reader and a writer goroutine serve each direction.
+// relayedConn is one client's connection through a relay. A reader and a writer goroutine serve each direction.
 type relayedConn struct {
 	relay        *Stream
 	client       *net.TCPConn
 	trace        *Trace
 	closeOnce    sync.Once
 	closed       chan struct{}
-	clientClosed atomic.Bool // the client's end of its stream has come in
+	clientClosed atomic.Bool // the client's stream has been read to its end
 
 	mu     sync.Mutex
-	server *net.TCPConn // nil until it was dialled
+	server *net.TCPConn // nil until it has been dialled
 }
 
 func newRelayedConn(relay *Stream, client *net.TCPConn) *relayedConn {
@@ -24,18 +24,18 @@
 	return &relayedConn{relay: relay, client: client, closed: make(chan struct{}), trace: trace}
 }
 
-// close ends both sides.
+// close closes the connections to the client and to the server.
 func (c *relayedConn) close() {
 	c.closeOnce.Do(func() {
 		close(c.closed)
-		_ = c.client.Close() // all that is owed was written before, or was given up
+		_ = c.client.Close() // everything to be delivered has been written, or was given up
 		if server := c.serverConn(); server != nil {
 			_ = server.Close()
 		}
 	})
 }
 
-// reset ends both sides so that both parties see a reset.
+// reset closes both connections so that client and server see a TCP reset.
 func (c *relayedConn) reset() {
 	c.trace.updateServerSide(func(s *ServerSide) { s.WasReset = true })
 	// SetLinger fails only on a connection that is closed already.
@@ -59,7 +59,7 @@
 	var readers sync.WaitGroup
 	defer readers.Wait()
 	defer c.close()
-	// Reading begins at once: a client that gives up while nothing passes has never had a connection.
+	// Reading begins before the server is dialled. If the client gives up while nothing passes, the server sees no connection.
 	forward := c.forward()
 	readDone := make(chan struct{})
 	readers.Go(func() {
@@ -86,7 +86,8 @@
 	writers.Wait()
 }
 
-// awaitReachable waits while a direction drops everything; false: there is nothing to relay.
+// awaitReachable waits while a direction drops everything. It returns false if the client gave up, or if the connection is refused or
+// closed.
 func (c *relayedConn) awaitReachable(readDone <-chan struct{}) bool {
 	for {
 		forward, _, forwardChanged := c.relay.Forward.Fault()
@@ -111,7 +112,7 @@
 	}
 }
 
-// dialServer connects to the server; nil where that failed or the connection was closed meanwhile.
+// dialServer connects to the server. It returns nil if that failed or if the connection has been closed in the meantime.
 func (c *relayedConn) dialServer() *net.TCPConn {
 	dialed, err := c.relay.dialer.Dial("tcp", c.relay.target)
 	if err != nil {
@@ -124,7 +125,7 @@
 	c.mu.Unlock()
 	c.trace.setServerPort(server.LocalAddr().(*net.TCPAddr).Port)
 	select {
-	case <-c.closed: // by one that didn't know the server's side yet
+	case <-c.closed: // close may have run before server was set, without closing it
 		_ = server.Close()
 		return nil
 	default:
--- a/internal/faulttest/netfault/stream.go
+++ b/internal/faulttest/netfault/stream.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// serverDialTimeout bounds the connection of a relay to its target.
+// serverDialTimeout bounds how long a relay dials its target.
 const serverDialTimeout = 5 * time.Second
 
-// Stream relays TCP connections from one party to one address, each byte subject to the fault of its direction. While a direction
-// drops everything or is a black hole, new connections never come up. What a handshake over a slow link would cost is not modelled.
+// Stream relays TCP connections from one party to one address, and applies the fault of each direction. While a direction drops everything
+// or is a black hole, no new connection is established. The additional time of a handshake over a slow link is not modelled.
 type Stream struct {
-	Forward, Reverse *Link // towards the server, and back to the client
+	Forward, Reverse *Link // to the server, and back to the client
 
 	party      int
 	listener   *net.TCPListener
@@ -32,7 +32,7 @@
 	connections map[*relayedConn]bool
 }
 
-// NewStream starts a relay for a party to an address.
+// NewStream starts a relay from a party to the target address.
 func NewStream(ctx context.Context, party int, target string, seed int64, now Clock) (*Stream, error) {
 	listener, err := new(net.ListenConfig).Listen(ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,17 +49,17 @@
 	return s, nil
 }
 
-// Addr is where the party reaches the relay.
+// Addr returns the address at which the party reaches the relay.
 func (s *Stream) Addr() string { return s.listener.Addr().String() }
 
-// Traces are those of all connections so far.
+// Traces returns the traces of all connections so far.
 func (s *Stream) Traces() []*Trace {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*Trace(nil), s.traces...)
 }
 
-// Close ends the relay and all that it started.
+// Close closes the listener and all connections, and waits until the relay's goroutines have ended.
 func (s *Stream) Close() {
 	s.mu.Lock()
 	if !s.isClosed() {
@@ -69,7 +69,7 @@
 		conn.close()
 	}
 	s.mu.Unlock()
-	_ = s.listener.Close() // closing it again does no harm
+	_ = s.listener.Close() // it may be closed already
 	s.goroutines.Wait()
 }
 
@@ -117,7 +117,7 @@
 	}
 }
 
-// register adds a connection with its goroutine, unless the relay is closed.
+// register adds a connection and counts its goroutine. It returns false if the relay is closed.
 func (s *Stream) register(conn *relayedConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +136,7 @@
 	delete(s.connections, conn)
 }
 
-// blockWhileUnreachable keeps new connections from coming up while either direction would not let them.
+// blockWhileUnreachable prevents new connections while the fault of either direction blocks the handshake.
 func (s *Stream) blockWhileUnreachable() {
 	for {
 		forward, _, forwardChanged := s.Forward.Fault()
--- a/internal/faulttest/netfault/stream_test.go
+++ b/internal/faulttest/netfault/stream_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// Without a fault: bytes, half-closed streams, who connects, and what both sides count.
+// Without a fault a stream relays bytes and the half-close, the server can identify the client's party, and the relay's counters and
+// trace are right.
 func TestStreamWithoutFault(t *testing.T) {
 	listener := newRecordingListener(t)
 	stream := newTestStream(t, listener)
@@ -20,13 +21,13 @@
 	server := listener.conn(t, 0)
 	expectRead(t, server, "there")
 	if party := PartyOf(server.RemoteAddr()); party != testParty {
-		t.Errorf("the server takes the client for party %d", party)
+		t.Errorf("the server identifies the client as party %d, not as the party of the relay", party)
 	}
 	write(t, server, "and back")
 	expectRead(t, client, "and back")
 	must(t, client.CloseWrite())
 	if n, err := server.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the stream's end came as %d, %v", n, err)
+		t.Errorf("read at the end of the stream: got %d bytes and %v, want EOF", n, err)
 	}
 	write(t, server, "!")
 	expectRead(t, client, "!")
@@ -35,14 +36,15 @@
 	eventually(t, "the end of the connection", func() bool { return trace.ServerSide().HasEnded })
 	side := trace.ServerSide()
 	if side.Delivered != 5 || side.Received != 9 || side.WasReset {
-		t.Errorf("the relay counts %+v", side)
+		t.Errorf("the relay counted %+v, want 5 bytes delivered, 9 received and no reset", side)
 	}
 	if trace.SentAt(5) < 0 || trace.SentAt(6) >= 0 || trace.DeliveredAt(9) < trace.DeliveredAt(1) || trace.DeliveredAt(10) >= 0 {
-		t.Errorf("the relay traces %+v", trace)
+		t.Errorf("trace %+v, want 5 bytes sent and 9 bytes delivered", trace)
 	}
 }
 
-// One direction dropped: what is sent that way waits and comes later, as the sender would retransmit it; the other direction goes on.
+// While one direction drops everything, its bytes are held and delivered later, as if the sender retransmitted them. The other direction
+// works as before.
 func TestStreamDropOneDirection(t *testing.T) {
 	listener := newRecordingListener(t)
 	stream := newTestStream(t, listener)
@@ -56,7 +58,7 @@
 	expectRead(t, client, "x")
 	readWithin(t, server, 200*time.Millisecond)
 	if _, err := server.Read(make([]byte, 1)); !isTimeout(err) {
-		t.Errorf("over the dropped direction came %v", err)
+		t.Errorf("reading over the dropped direction: got %v, want a timeout", err)
 	}
 	expectHandshakeBlocked(t, listener, stream)
 	expectRead(t, server, "b")
@@ -64,11 +66,11 @@
 	t.Run("reset", func(t *testing.T) { expectLostAfterReset(t, listener, stream) })
 }
 
-// expectHandshakeBlocked expects that no connection comes up while a direction drops everything, and that one that waits comes up once
-// the fault is over.
+// expectHandshakeBlocked expects that no connection is established while a direction drops everything, and that a waiting connection
+// attempt succeeds once the fault has ended.
 func expectHandshakeBlocked(t *testing.T, listener *recordingListener, stream *Stream) {
 	t.Helper()
-	eventually(t, "a listener that does not answer", func() bool {
+	eventually(t, "a dial to time out", func() bool {
 		c, err := dialWithin(t, stream, 300*time.Millisecond)
 		if err == nil {
 			must(t, c.Close())
@@ -79,7 +81,7 @@
 	go func() {
 		c, err := dialWithin(t, stream, testTimeout)
 		if err != nil {
-			t.Errorf("a connection that waits for the link got %v when it is back", err)
+			t.Errorf("a dial that waited for the end of the fault failed: %v", err)
 			c = nil
 		}
 		waiting <- c
@@ -92,7 +94,7 @@
 	}
 }
 
-// sendDuringDrop opens a connection, writes "vote" while the direction drops everything, and closes the connection.
+// sendDuringDrop opens a connection, writes "vote" while the forward direction drops everything, and closes the connection.
 func sendDuringDrop(t *testing.T, listener *recordingListener, stream *Stream, linger int) (server net.Conn) {
 	t.Helper()
 	n := listener.count()
@@ -103,39 +105,39 @@
 	stream.Forward.SetFault(Fault{Drop: true})
 	before := stream.Forward.Counters().Received
 	write(t, client, "vote")
-	eventually(t, "the bytes at the relay", func() bool { return stream.Forward.Counters().Received > before })
+	eventually(t, "the bytes to arrive at the relay", func() bool { return stream.Forward.Counters().Received > before })
 	must(t, client.SetLinger(linger))
 	must(t, client.Close())
 	return server
 }
 
-// What was written on an established connection and then closed is delivered after the drop.
+// expectDeliveredAfterClose expects that bytes written during the drop are delivered after it if the client has closed the connection.
 func expectDeliveredAfterClose(t *testing.T, listener *recordingListener, stream *Stream) {
 	t.Helper()
 	server := sendDuringDrop(t, listener, stream, -1)
 	stream.Forward.SetFault(Fault{})
 	readWithin(t, server, testTimeout)
 	if all, err := io.ReadAll(server); string(all) != "vote" || err != nil {
-		t.Errorf("after the drop came %q, %v", all, err)
+		t.Errorf("after the drop: read %q with error %v, want \"vote\" and the end of the stream", all, err)
 	}
 }
 
-// What was written on an established connection and then reset is not delivered any more.
+// expectLostAfterReset expects that bytes written during the drop are not delivered after it if the client has reset the connection.
 func expectLostAfterReset(t *testing.T, listener *recordingListener, stream *Stream) {
 	t.Helper()
 	server := sendDuringDrop(t, listener, stream, 0)
 	traces := stream.Traces()
-	eventually(t, "the reset", func() bool { return traces[len(traces)-1].ServerSide().HasEnded })
+	eventually(t, "the relay to end the reset connection", func() bool { return traces[len(traces)-1].ServerSide().HasEnded })
 	stream.Forward.SetFault(Fault{})
 	expectReset(t, "after the drop", server, 0)
 }
 
-// expectReset expects that a connection is reset after at most so many bytes.
+// expectReset expects that a connection is reset after at most maxBytes bytes.
 func expectReset(t *testing.T, what string, c net.Conn, maxBytes int) {
 	t.Helper()
 	readWithin(t, c, testTimeout)
 	if all, err := io.ReadAll(c); len(all) > maxBytes || !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("%s: read %q, %v", what, all, err)
+		t.Errorf("%s: read %q with error %v, want a reset and no more bytes than allowed", what, all, err)
 	}
 }
 
@@ -159,9 +161,9 @@
 	write(t, client, "swallowed")
 	readWithin(t, server, 100*time.Millisecond)
 	if _, err := server.Read(make([]byte, 1)); !isTimeout(err) {
-		t.Errorf("black hole: %v", err)
+		t.Errorf("reading behind a black hole: got %v, want a timeout", err)
 	}
-	eventually(t, "the bytes' loss", func() bool { return stream.Forward.Counters().Dropped == 1 })
+	eventually(t, "the discarded bytes to be counted", func() bool { return stream.Forward.Counters().Dropped == 1 })
 	stream.Forward.SetFault(Fault{})
 	expectReset(t, "after the black hole, client", client, 0)
 	expectReset(t, "after the black hole, server", server, 0)
@@ -171,11 +173,11 @@
 	expectReset(t, "refused, client", client, 0)
 	expectReset(t, "refused, server", server, 0)
 	n := listener.count()
-	if c, err := dialWithin(t, stream, testTimeout); err == nil { // or else it was reset during the handshake
-		expectReset(t, "refused anew", c, 0)
+	if c, err := dialWithin(t, stream, testTimeout); err == nil { // otherwise it was reset during the handshake
+		expectReset(t, "new connection while refused", c, 0)
 		must(t, c.Close())
 	} else if !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("refused anew: %v", err)
+		t.Errorf("dialling while refused: got %v, want a reset", err)
 	}
 	if listener.count() != n {
 		t.Error("a refused connection reached the server")
@@ -185,10 +187,10 @@
 	client, server = establish(t, listener, stream)
 	stream.Forward.SetFault(Fault{ResetAfterBytes: 4})
 	write(t, client, "message")
-	expectReset(t, "reset in mid-message", server, 4)
+	expectReset(t, "reset within a message", server, 4)
 	traces := stream.Traces()
 	if side := traces[len(traces)-1].ServerSide(); side.Delivered != 5 || !side.WasReset {
-		t.Errorf("reset in mid-message: the relay counts %+v", side)
+		t.Errorf("reset within a message: the relay counted %+v, want 5 bytes delivered and a reset", side)
 	}
 	stream.Forward.SetFault(Fault{})
 
@@ -197,7 +199,7 @@
 	began := time.Now()
 	write(t, client, "b")
 	expectRead(t, server, "b")
-	expectNear(t, "delay of a stream, ms", float64(time.Since(began).Milliseconds()), 200, 0.1)
+	expectNear(t, "delay of a stream in ms", float64(time.Since(began).Milliseconds()), 200, 0.1)
 
 	const rate = 20_000
 	stream.Forward.SetFault(Fault{BytesPerSecond: rate})
@@ -209,10 +211,10 @@
 	}()
 	_, err := io.ReadFull(server, make([]byte, rate))
 	must(t, errors.Join(err, <-written))
-	expectNear(t, "a second's bytes, ms", float64(time.Since(began).Milliseconds()), 1000, 0.1)
+	expectNear(t, "transfer time of one second's bytes in ms", float64(time.Since(began).Milliseconds()), 1000, 0.1)
 }
 
-// A relay that ends takes along all that it started, also connections that are in use, stopped by a fault or not up yet.
+// Closing relays ends all of their goroutines, also those of connections that are in use, held by a fault or not established yet.
 func TestCloseEndsAllGoroutines(t *testing.T) {
 	before := runtime.NumGoroutine()
 	listener := newRecordingListener(t)
@@ -221,7 +223,7 @@
 	stopped := dial(t, stream)
 	stream.Forward.SetFault(Fault{Drop: true})
 	write(t, stopped, "stopped")
-	// While the direction drops everything a connection comes up or not, as it began before the listener was blocked or after.
+	// This connection is established only if it began before the relay blocked its listener. Both cases are valid here.
 	ctx, cancel := context.WithCancel(t.Context())
 	pending := make(chan struct{})
 	go func() {
@@ -241,5 +243,5 @@
 	must(t, listener.Close())
 	cancel()
 	<-pending
-	eventually(t, "as few goroutines as before", func() bool { return runtime.NumGoroutine() <= before })
+	eventually(t, "all goroutines to end", func() bool { return runtime.NumGoroutine() <= before })
 }
--- a/internal/faulttest/netfault/trace.go
+++ b/internal/faulttest/netfault/trace.go
@@ -6,13 +6,13 @@
 	"sync"
 )
 
-// maxProgressEntries bounds the trace of one direction of one connection; a scenario has no use for more.
+// maxProgressEntries bounds the trace of one direction of one connection. No scenario needs more.
 const maxProgressEntries = 1 << 18
 
-// ErrTraceFull is a trace that ends before its connection: nothing can be said of what came later.
+// ErrTraceFull means that a trace ends before its connection. When later bytes passed is unknown.
 var ErrTraceFull = errors.New("a connection's trace is full")
 
-// Progress is when so many bytes, counted from the connection's start, had passed.
+// Progress is the time at which a number of bytes, counted from the start of the connection, had passed.
 type Progress struct {
 	Bytes int64
 	At    Micros
@@ -23,23 +23,23 @@
 	Delivered int64 // bytes written to the server
 	Received  int64 // bytes read from the server
 	HasEnded  bool
-	WasReset  bool // by either side or by the relay: the server may not have read all
+	WasReset  bool // by either side or by the relay; the server may not have read everything
 }
 
-// Trace is what a relay saw of one connection. Only its own relay writes to it; it may be read from any goroutine.
+// Trace records the progress of one connection through a relay. Only the relay writes to it. Any goroutine may read it.
 type Trace struct {
-	Party  int    // who opened the connection
-	Opened Micros // when the client's connection came
+	Party  int    // the party that opened the connection
+	Opened Micros // when the relay accepted the client's connection
 
 	mu         sync.Mutex
-	serverPort int // the relay's own port, which the server sees as the remote port; 0: there is none yet
+	serverPort int // the relay's port, which the server sees as the remote port; 0: the server has not been dialled
 	fromClient []Progress
 	toClient   []Progress
 	serverSide ServerSide
 	isFull     bool
 }
 
-// appendProgress records that some more bytes have passed. The direction is one of the trace's own.
+// appendProgress records that more bytes have passed. The direction is fromClient or toClient of this trace.
 func (t *Trace) appendProgress(direction *[]Progress, bytes int, now Micros) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,7 +54,7 @@
 	*direction = append(*direction, Progress{total, now})
 }
 
-// firstReached is the first time at which so many bytes had passed; -1: they never had.
+// firstReached returns the time at which this many bytes had passed, or -1 if fewer have passed.
 func (t *Trace) firstReached(direction *[]Progress, bytes int64) Micros {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,27 +78,27 @@
 	t.serverPort = port
 }
 
-// SentAt is when the client had sent so many bytes; -1: it never had.
+// SentAt returns when the client had sent this many bytes, or -1 if it has sent fewer.
 func (t *Trace) SentAt(bytes int64) Micros { return t.firstReached(&t.fromClient, bytes) }
 
-// DeliveredAt is when so many bytes had been handed to the client; -1: they never had.
+// DeliveredAt returns when this many bytes had been delivered to the client, or -1 if fewer have been.
 func (t *Trace) DeliveredAt(bytes int64) Micros { return t.firstReached(&t.toClient, bytes) }
 
-// ServerSide is what the relay counted on the server's side so far.
+// ServerSide returns what the relay has counted on the server's side so far.
 func (t *Trace) ServerSide() ServerSide {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.serverSide
 }
 
-// ServerPort is the relay's port as the server sees it; 0 where the connection never got there.
+// ServerPort returns the relay's port as the server sees it, or 0 if the relay has not reached the server.
 func (t *Trace) ServerPort() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.serverPort
 }
 
-// IsFull tells that the trace had no room for all.
+// IsFull reports whether the trace is incomplete because it has reached its maximum length.
 func (t *Trace) IsFull() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
