--- a/internal/discovery/successor_test.go
+++ b/internal/discovery/successor_test.go
@@ -85,7 +85,7 @@
 	first.report(listReceived{from: first, list: readList(t, fakes.ListDocument(6, false, firstHost("leaving", 1)))})
 	agenttest.Eventually(t, "the drain", r.hasDrainingEndpoint)
 	if n := server.CallsContaining(""); n != 2 {
-		t.Errorf("calls of the old address: %q", server.Targets())
+		t.Errorf("calls of the old address: %q", server.Calls())
 	}
 	next.Publish(fakes.ListDocument(7, false, secondHost("active")))
 	agenttest.Eventually(t, "the first watch's end", func() bool { return server.Closed() == 2 })
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -76,7 +76,7 @@
 	server.Publish(fakes.ListDocument(7, false, firstHost("active", 3)) + indented(t, fakes.ListDocument(8, false, secondHost("left"))))
 	r.awaitHosts(t, 1, 3)
 	if n := server.CallsContaining(""); n != 2 {
-		t.Errorf("calls: %q", server.Targets())
+		t.Errorf("calls: %q", server.Calls())
 	}
 }
 
--- a/internal/endtoend/reload_test.go
+++ b/internal/endtoend/reload_test.go
@@ -34,7 +34,7 @@
 	reload(`platform.address=""`)
 	reload("config.limits.sockets", `"sockets":1024`, `"sockets":512`)
 	if agent.discovery.CallsContaining("") != 1 || agent.rolloutController.CallsContaining("") != 1 {
-		t.Errorf("addresses that did not change were called again: %q, %q", agent.discovery.Targets(), agent.rolloutController.Targets())
+		t.Errorf("addresses that did not change were called again: %q, %q", agent.discovery.Calls(), agent.rolloutController.Calls())
 	}
 
 	hosts := fakes.ListDocument(2, true, fakes.ListEntry("s-1", first.Addr(), "leaving", 41), fakes.ListEntry("s-2", second.Addr(), "active", 41))
@@ -55,6 +55,6 @@
 	agenttest.Eventually(t, "the end of the old streams", func() bool { return agent.discovery.Closed() == 1 && agent.rolloutController.Closed() == 1 })
 	agenttest.Eventually(t, "the stream from the new address", func() bool { return newDiscovery.CallsContaining("index=2") == 1 })
 	if agent.discovery.CallsContaining("") != 1 || agent.rolloutController.CallsContaining("") != 1 {
-		t.Errorf("the old addresses were called again: %q, %q", agent.discovery.Targets(), agent.rolloutController.Targets())
+		t.Errorf("the old addresses were called again: %q, %q", agent.discovery.Calls(), agent.rolloutController.Calls())
 	}
 }
--- a/internal/fakes/stream_server.go
+++ b/internal/fakes/stream_server.go
@@ -126,7 +126,7 @@
 
 // CallsContaining returns the number of calls with a text in their method, path or body.
 func (s *StreamServer) CallsContaining(text string) (count int) {
-	for _, call := range s.Targets() {
+	for _, call := range s.Calls() {
 		if strings.Contains(call, text) {
 			count++
 		}
@@ -134,8 +134,8 @@
 	return count
 }
 
-// Targets returns all calls in order: method, path with query, and body.
-func (s *StreamServer) Targets() []string {
+// Calls returns all calls in order: method, path with query, and body.
+func (s *StreamServer) Calls() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.calls...)
--- a/internal/rollout/votes_test.go
+++ b/internal/rollout/votes_test.go
@@ -75,7 +75,7 @@
 			t.Errorf("%s: published as %+v", c.reply, got)
 		}
 		if server.CallsContaining("POST /api/ Action=RecordOpinion&image=42&ring=1&opinion=approve") != 1 {
-			t.Errorf("calls: %q", server.Targets())
+			t.Errorf("calls: %q", server.Calls())
 		}
 	}
 }
