--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -20,7 +20,7 @@
 	next = agenttest.NewStreamServer(t, "\n", heartbeat, onlyFullList(olderList))
 	r = newRig(t, previous.Addr())
 	r.serveKnown(t, fakes.ListDocument(5, true, firstHost("active", 1)))
-	agenttest.Eventually(t, "the previous watch", func() bool { return previous.Open() == 1 })
+	agenttest.Eventually(t, "the previous watch", func() bool { return previous.OpenedStreams() == 1 })
 	previous.Publish(fakes.ListDocument(9, false, firstHost("leaving", 1)))
 	agenttest.Eventually(t, "the drain", r.hasDrainingEndpoint)
 	r.client.Move(next.Addr())
@@ -30,7 +30,7 @@
 // A discovery that is behind does not revoke a drain: its full list is held back until its watch has brought it to the version in force.
 func TestMoveToOlderList(t *testing.T) {
 	r, previous, next := newMovingRig(t, time.Hour)
-	agenttest.Eventually(t, "the next watch", func() bool { return next.CallsContaining("index=7") == 1 && next.Open() == 1 })
+	agenttest.Eventually(t, "the next watch", func() bool { return next.CallsContaining("index=7") == 1 && next.OpenedStreams() == 1 })
 	handled := make(chan struct{}) // all that the next discovery has sent
 	r.client.mailbox.Put(barrierReceived{agent.Barrier{Done: handled}})
 	<-handled
--- a/internal/discovery/successor_test.go
+++ b/internal/discovery/successor_test.go
@@ -16,9 +16,9 @@
 	r = newRig(t, server.Addr())
 	first = r.client.current
 	r.serveKnown(t, fakes.ListDocument(5, true, firstHost("active", 1)))
-	agenttest.Eventually(t, "the first watch", func() bool { return server.Open() == 1 })
+	agenttest.Eventually(t, "the first watch", func() bool { return server.OpenedStreams() == 1 })
 	r.client.mailbox.Put(watchSilent{from: first})
-	agenttest.Eventually(t, "the second watch", func() bool { return server.Open() == 2 })
+	agenttest.Eventually(t, "the second watch", func() bool { return server.OpenedStreams() == 2 })
 	return r, server, first
 }
 
@@ -53,7 +53,7 @@
 func TestSecondWatchIsSilent(t *testing.T) {
 	r, server, first := newSilentRig(t, noLine)
 	r.client.mailbox.Put(watchSilent{from: first}) // as the second one reports it
-	agenttest.Eventually(t, "the third watch", func() bool { return server.Open() == 3 })
+	agenttest.Eventually(t, "the third watch", func() bool { return server.OpenedStreams() == 3 })
 	agenttest.Eventually(t, "the second watch's end", func() bool { return server.Closed() == 1 })
 	server.Publish(fakes.ListDocument(6, false, firstHost("leaving", 1)))
 	agenttest.Eventually(t, "the drain", r.hasDrainingEndpoint)
@@ -69,7 +69,7 @@
 	r, server, first = newSilentRig(t, noLine)
 	r.client.mailbox.Put(heartbeatReceived{from: first}) // it closes the second one, and has ended when it is resumed
 	r.client.mailbox.Put(watcherEnded{from: first})
-	agenttest.Eventually(t, "another watch", func() bool { return server.Open() == 3 })
+	agenttest.Eventually(t, "another watch", func() bool { return server.OpenedStreams() == 3 })
 	server.Publish(fakes.ListDocument(6, false, firstHost("leaving", 1)))
 	agenttest.Eventually(t, "the drain", r.hasDrainingEndpoint)
 }
@@ -80,7 +80,7 @@
 	next := agenttest.NewStreamServer(t, "\n", time.Hour, onlyFullList(fakes.ListDocument(4, true, firstHost("active", 1))))
 	r.client.Move(next.Addr())
 	agenttest.Eventually(t, "the second watch's end", func() bool { return server.Closed() == 1 })
-	agenttest.Eventually(t, "the watch at the new address", func() bool { return next.Open() == 1 })
+	agenttest.Eventually(t, "the watch at the new address", func() bool { return next.OpenedStreams() == 1 })
 	r.client.mailbox.Put(watchSilent{from: first})
 	first.report(listReceived{from: first, list: readList(t, fakes.ListDocument(6, false, firstHost("leaving", 1)))})
 	agenttest.Eventually(t, "the drain", r.hasDrainingEndpoint)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -30,7 +30,7 @@
 	agenttest.Eventually(t, "the second change", func() bool { return len(r.builds()) == 3 })
 	server.CloseStreams()
 	agenttest.Eventually(t, "the next watch", func() bool { return server.CallsContaining("stream=1&index=20") == 1 })
-	agenttest.Eventually(t, "its stream", func() bool { return server.Open() == 1 })
+	agenttest.Eventually(t, "its stream", func() bool { return server.OpenedStreams() == 1 })
 	server.Publish("{\"seq\":21,\"hosts\":[" + "\n")
 	agenttest.Eventually(t, "the full list", func() bool { return len(r.builds()) == 4 })
 	if got := r.builds(); got[1] != 3 || got[2] != 4 || got[3] != 9 {
@@ -70,7 +70,7 @@
 	r := newRig(t, server.Addr())
 	r.serveKnown(t, "")
 	r.awaitHosts(t, 2, 1)
-	agenttest.Eventually(t, "the watch", func() bool { return server.Open() == 1 })
+	agenttest.Eventually(t, "the watch", func() bool { return server.OpenedStreams() == 1 })
 	server.Publish(indented(t, fakes.ListDocument(6, false, firstHost("active", 2))))
 	r.awaitHosts(t, 2, 2)
 	server.Publish(fakes.ListDocument(7, false, firstHost("active", 3)) + indented(t, fakes.ListDocument(8, false, secondHost("left"))))
@@ -96,7 +96,7 @@
 			server := agenttest.NewStreamServer(t, "\n", 50*time.Millisecond, onlyFullList(fullList))
 			r := newRig(t, server.Addr())
 			r.serveKnown(t, fakes.ListDocument(5, true, firstHost("active", 1)))
-			agenttest.Eventually(t, "the watch", func() bool { return server.Open() == 1 })
+			agenttest.Eventually(t, "the watch", func() bool { return server.OpenedStreams() == 1 })
 			server.Publish(truncated + "\n" + rest)
 			r.awaitHosts(t, 1, 9)
 			for _, update := range agenttest.Events[policy.EndpointUpdate](r.Router) {
@@ -123,7 +123,7 @@
 	start := time.Now()
 	go r.client.Serve(r.Context())
 	agenttest.Eventually(t, "the next watch", func() bool { return server.CallsContaining("stream=1&index=5") == 2 })
-	agenttest.Eventually(t, "its stream", func() bool { return server.Open() == 2 || server.Closed() == 1 })
+	agenttest.Eventually(t, "its stream", func() bool { return server.OpenedStreams() == 2 || server.Closed() == 1 })
 	server.Publish(drainingList)
 	agenttest.Eventually(t, "the drain", r.hasDrainingEndpoint)
 	if took := time.Since(start); took < heartbeatInterval || took > 3*heartbeatInterval-heartbeatInterval/4 {
--- a/internal/fakes/stream_server.go
+++ b/internal/fakes/stream_server.go
@@ -141,8 +141,8 @@
 	return append([]string(nil), s.calls...)
 }
 
-// Open returns the number of streams that the server has not closed.
-func (s *StreamServer) Open() int {
+// OpenedStreams returns the number of streams that the server has not closed.
+func (s *StreamServer) OpenedStreams() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.streams)
