--- a/cmd/switchfork-lab/admission_sockets.go
+++ b/cmd/switchfork-lab/admission_sockets.go
@@ -167,7 +167,7 @@
 		r.others.late += totals.Succeeded - totals.InTime
 		r.others.rejected += totals.Rejected
 		r.others.failed += totals.Failed
-		r.others.returned += totals.Returned
+		r.others.returned += totals.Retries
 	}
 }
 
--- a/cmd/switchfork-lab/demo_display.go
+++ b/cmd/switchfork-lab/demo_display.go
@@ -64,7 +64,7 @@
 		totals := d.clients.Totals(name)
 		lines = append(lines, fmt.Sprintf("  %-12s offered %6d  succeeded %6d (in time %3.0f%%)  rejected %5d  failed %4d  returned %5d",
 			name, totals.Offered, totals.Succeeded, 100*float64(totals.InTime)/max(1, float64(totals.Offered)),
-			totals.Rejected, totals.Failed, totals.Returned))
+			totals.Rejected, totals.Failed, totals.Retries))
 	}
 	return append(lines, fmt.Sprintf("  succeeded at build %d: %d, at build %d: %d; failed attempts in the log: %d",
 		testbedBuild, d.succeededAt(testbedBuild), demoNewBuild, d.succeededAt(demoNewBuild), d.loggedFailures()))
--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -42,7 +42,7 @@
 	InTime    int // successes within the latency objective
 	Rejected  int
 	Failed    int
-	Returned  int            // retries after a rejection
+	Retries   int            // retries after a rejection
 	Builds    map[string]int // successes by the build that answered
 }
 
@@ -137,7 +137,7 @@
 			return
 		}
 		time.Sleep(*retryAfter)
-		c.count(request.tenant, func(t *Totals) { t.Returned++ })
+		c.count(request.tenant, func(t *Totals) { t.Retries++ })
 	}
 }
 
