--- a/internal/fakes/agent_process.go
+++ b/internal/fakes/agent_process.go
@@ -17,8 +17,8 @@
 const (
 	// ConfigName is the name of an agent's configuration in its folder.
 	ConfigName = "config.json"
-	// OptionsName is the name of an agent's operator file in its folder.
-	OptionsName = "operator.conf"
+	// OperatorFileName is the name of an agent's operator file in its folder.
+	OperatorFileName = "operator.conf"
 )
 
 const (
@@ -101,7 +101,7 @@
 	if o.OperatorFile == "" {
 		return configPath, "", nil
 	}
-	operatorPath = filepath.Join(o.Dir, OptionsName)
+	operatorPath = filepath.Join(o.Dir, OperatorFileName)
 	return configPath, operatorPath, os.WriteFile(operatorPath, []byte(o.OperatorFile), 0o600)
 }
 
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -122,10 +122,10 @@
 		return a.writeFile(fakes.ConfigName, `{"name":"n`)
 	case reloadPeer:
 		a.operator = append(a.operator, g.files.peerLine(a.number, step.peer))
-		return a.writeFile(fakes.OptionsName, a.operatorFile())
+		return a.writeFile(fakes.OperatorFileName, a.operatorFile())
 	case reloadOperator:
 		a.setOperatorLine(step.tokens)
-		return a.writeFile(fakes.OptionsName, a.operatorFile())
+		return a.writeFile(fakes.OperatorFileName, a.operatorFile())
 	}
 	if err := g.files.relays.moveServer(ctx, a.number, step.target); err != nil {
 		return err
