--- a/internal/fakes/agent_config.go
+++ b/internal/fakes/agent_config.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// AgentConfig is what differs between the agents of tests; the limits of the protocol are the same for all. File writes it in the
-// protocol's form.
+// AgentConfig holds the settings that differ between the agents of tests. The limits of the protocol are the same for all agents.
+// File returns the configuration in the protocol's form.
 type AgentConfig struct {
-	Index    int // of the agent among all, from 0 on
-	Agents   int
-	Build    int // that is released, where InitialRollout is empty
+	Index    int // index of the agent, from 0
+	Agents   int // number of agents
+	Build    int // the released build if Initial.Rollout is empty
 	MemoryMB int
 
 	Addresses AgentAddresses
-	Peers     PeerAddresses // zero: the agents don't communicate
+	Peers     PeerAddresses // zero: the agents do not communicate
 	Initial   InitialState
 	Requests  RequestSettings
 }
 
-// AgentAddresses are where an agent listens for clients, and where it reaches the servers that it calls.
+// AgentAddresses holds the address on which an agent listens for clients, and the addresses of the servers that it calls.
 type AgentAddresses struct {
 	Listen    string
 	Discovery string
 	Rollout   string
 }
 
-// PeerAddresses are where an agent receives datagrams of the other agents, and where it reaches them.
+// PeerAddresses holds the address at which an agent receives datagrams of the other agents, and the addresses to which it sends.
 type PeerAddresses struct {
 	Listen    string
-	Peers     []string // by agent; none: the agents don't communicate
-	Broadcast string   // reaches all at once; empty: there is no such address
+	Peers     []string // indexed by agent; none: the agents do not communicate
+	Broadcast string   // reaches all agents at once; empty: there is no such address
 }
 
 // InitialState is what an agent knows before it has called any server.
 type InitialState struct {
-	Endpoints string // a document of the endpoint list
-	Rollout   string // in JSON, see RolloutJSON; empty: the build has long been released
+	Endpoints string // the endpoint list, see ListDocument
+	Rollout   string // the rollout state, see RolloutJSON; empty: Build has long been released
 }
 
-// RequestSettings are what an agent knows about the requests of its clients.
+// RequestSettings holds what an agent knows about the requests of its clients.
 type RequestSettings struct {
 	Tenants          []Tenant
 	LatencyObjective time.Duration
@@ -56,18 +56,18 @@
 }
 
 const (
-	// releasedAge of the build, where no state of a rollout is given.
+	// releasedAge is the time since the build's release if no rollout state is given.
 	releasedAge = 90 * time.Second
-	// lastStage of a rollout.
+	// lastStage is the last stage of a rollout.
 	lastStage = 2
 	// firstSeed is the seed of the first agent.
 	firstSeed = uint64(0x8c1f30d27a5be964)
-	// seedSpacing gives each further agent a seed of its own.
+	// seedSpacing is the difference between the seeds of successive agents.
 	seedSpacing = uint64(0x9e3779b97f4a7c15)
 )
 
-// fileTemplate is the configuration file, and the only place that knows the protocol's names of the settings. Numbers have the form
-// that the platform writes.
+// fileTemplate is the template of the configuration file, and the only place with the protocol's names of the settings. Numbers have
+// the form in which the platform writes them.
 var fileTemplate = template.Must(template.New("config").Parse(
 	`{"name":"n{{.Index}}",{{.PeerSettings}}"listen":{{printf "%q" .Addresses.Listen}},"discovery":{{printf "%q" .Addresses.Discovery}},` +
 		`"seed":"{{printf "%016x" .Seed}}","limits":{"cores":1.0,"memory_mb":{{.MemoryMB}},
@@ -82,19 +82,20 @@
 		`"Limits":{"MaxAttempts":3,"DialTimeoutMs":250.0,
 "ConnIdleMs":30000.0,"RetryAfter":true,"MaxRetryAfterMs":2000.0,"OpenCap":1000,"Probes":true,"MayTell":{{.HasPeers}}}}}`))
 
-// fileValues are the values that fileTemplate refers to: the fields of a configuration, and its parts in the protocol's form.
+// fileValues provides the values that fileTemplate refers to: the fields of a configuration, and methods that return its parts in the
+// protocol's form.
 type fileValues struct{ AgentConfig }
 
 // File returns the configuration file.
 func (c AgentConfig) File() string {
 	var file strings.Builder
 	if err := fileTemplate.Execute(&file, fileValues{c}); err != nil {
-		panic(err) // a fault in the template: the builder doesn't fail
+		panic(err) // an error in the template, since the builder does not fail
 	}
 	return file.String()
 }
 
-// Seed returns the agent's own seed.
+// Seed returns the agent's seed, which differs from those of the other agents.
 func (v fileValues) Seed() uint64 { return firstSeed + uint64(v.Index)*seedSpacing }
 
 // HasPeers reports whether the agents communicate.
@@ -152,7 +153,7 @@
 	return fmt.Sprintf("\n"+`"CountedOverMs":%d,"Allowance":%d`, CapWindow.Milliseconds(), CapAllowance)
 }
 
-// SafetySettings returns what endpoints bear and how long agents have after a change.
+// SafetySettings returns the slow start and overload limits of endpoints, and the grace periods after a drain and after a deadline.
 func (fileValues) SafetySettings() string {
 	return fmt.Sprintf(`{"ColdFrom":%g,"ColdMs":%d,"TipMultiple":%g,`+"\n"+`"TipAfterMs":%d,"DrainGraceMs":%d,"GraceToAnswerMs":%d}`,
 		InitialCapacity, SlowStartDuration.Milliseconds(), OverloadMultiple,
--- a/internal/fakes/agent_process.go
+++ b/internal/fakes/agent_process.go
@@ -28,35 +28,35 @@
 	healthPollInterval = 10 * time.Millisecond
 )
 
-// Errors of an agent's process that a caller may tell apart.
+// Errors of an agent's process that callers may distinguish.
 var (
-	// ErrExitedAtStart is that the process ended before it was healthy.
+	// ErrExitedAtStart means that the process ended before it became healthy.
 	ErrExitedAtStart = errors.New("the agent has ended at its start")
-	// ErrNotHealthy is that the process runs and did not become healthy in time.
+	// ErrNotHealthy means that the process runs but did not become healthy in time.
 	ErrNotHealthy = errors.New("the agent is not healthy")
-	// ErrStillRunning is that the process did not end in time after SIGTERM.
+	// ErrStillRunning means that the process did not end in time after SIGTERM.
 	ErrStillRunning = errors.New("the agent still runs after SIGTERM")
 )
 
-// AgentOptions are how an agent's program is started.
+// AgentOptions describes how an agent's program is started.
 type AgentOptions struct {
-	Program       string // the executable's path
-	Dir           string // where the agent's files are written
-	Config        string // the text of its configuration
-	OperatorFile  string // the text of its operator file; empty: it gets none
-	ListenAddress string // where the configuration has it listen for clients
+	Program       string // path of the executable
+	Dir           string // folder for the agent's files
+	Config        string // text of its configuration
+	OperatorFile  string // text of its operator file; empty: no file
+	ListenAddress string // address on which it listens for clients, as given in Config
 	Log           io.Writer
 }
 
-// Agent is a process of the agent's program.
+// Agent is a process that runs the agent's program.
 type Agent struct {
 	URL     string
 	command *exec.Cmd
 	done    chan struct{} // closed when the process has ended
-	exitErr error         // how it ended; set before done is closed
+	exitErr error         // how the process ended; set before done is closed
 }
 
-// StartReadyAgent starts the program and waits until it serves.
+// StartReadyAgent starts the program and waits until the agent is healthy.
 func StartReadyAgent(ctx context.Context, options AgentOptions) (*Agent, error) {
 	agent, err := StartAgent(ctx, options)
 	if err != nil {
@@ -69,8 +69,8 @@
 	return agent, nil
 }
 
-// StartAgent writes the agent's files and starts the program, without waiting until it serves. The process lives until it is stopped
-// or killed, whatever becomes of the context; on Linux it does not outlive the process that started it.
+// StartAgent writes the agent's files and starts the program, without waiting until the agent is healthy. The process runs until it is
+// stopped or killed, even if the context is cancelled. On Linux it does not outlive the process that started it.
 func StartAgent(ctx context.Context, options AgentOptions) (*Agent, error) {
 	configPath, operatorPath, err := options.writeFiles()
 	if err != nil {
@@ -105,8 +105,8 @@
 	return configPath, operatorPath, os.WriteFile(operatorPath, []byte(o.OperatorFile), 0o600)
 }
 
-// run starts the process, reports that, and waits for its end. It keeps its thread meanwhile: with Pdeathsig the system kills
-// the process when the thread that started it ends.
+// run starts the process, sends the result of the start, and waits until the process has ended. It stays on its OS thread in the
+// meantime: with Pdeathsig the system kills the process when the thread that started it ends.
 func (a *Agent) run(started chan<- error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -140,10 +140,10 @@
 	}
 }
 
-// errExitedCleanly stands for the exit status 0 where the process was not to end.
+// errExitedCleanly means that a process which should keep running ended with exit status 0.
 var errExitedCleanly = errors.New("exit status 0")
 
-// exitStatus returns how the process ended. It may be called once Done is closed.
+// exitStatus returns how the process ended, as an error even for exit status 0. It may be called once Done is closed.
 func (a *Agent) exitStatus() error {
 	if a.exitErr == nil {
 		return errExitedCleanly
@@ -185,9 +185,9 @@
 // Terminate asks the agent to drain and end.
 func (a *Agent) Terminate() error { return a.command.Process.Signal(syscall.SIGTERM) }
 
-// Stop drains the agent, waits for its end and returns how it ended. It fails with ErrStillRunning where it had to kill the process.
+// Stop drains the agent, waits for its end and returns how it ended. It fails with ErrStillRunning if it had to kill the process.
 func (a *Agent) Stop() error {
-	_ = a.Terminate() // it fails where the process has ended already
+	_ = a.Terminate() // fails if the process has already ended
 	select {
 	case <-a.done:
 		return a.exitErr
@@ -200,12 +200,12 @@
 // Pause suspends the process until Resume.
 func (a *Agent) Pause() error { return a.command.Process.Signal(syscall.SIGSTOP) }
 
-// Resume lets a paused process go on.
+// Resume continues a paused process.
 func (a *Agent) Resume() error { return a.command.Process.Signal(syscall.SIGCONT) }
 
 // Kill ends the process at once and waits for its end.
 func (a *Agent) Kill() {
-	_ = a.command.Process.Kill() // it fails where the process has ended already
+	_ = a.command.Process.Kill() // fails if the process has already ended
 	<-a.done
 }
 
--- a/internal/fakes/client_pool.go
+++ b/internal/fakes/client_pool.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// The bounds on a tenant's connections keep all tenants' together to a part of what an agent with 1,024 descriptors accepts. A
-// tenant that sends more than highRate gets the larger number.
+// Limits on the connections of a tenant. They keep the connections of all tenants together to a part of what an agent with 1,024
+// descriptors accepts. A tenant that sends at more than highRate gets the larger limit.
 const (
 	defaultConnections  = 50
 	highRateConnections = 400
-	highRate            = 400.0
+	highRate            = 400.0 // requests a second
 
 	clientIdleTimeout = time.Second
 	clientDialTimeout = time.Second
 )
 
-// clientPool is the connections that a tenant's clients share.
+// clientPool holds the connections that a tenant's clients share.
 type clientPool struct {
 	slots chan struct{} // one for each request in progress
 	http  *http.Client
@@ -35,7 +35,7 @@
 	}
 }
 
-// pool returns the connections of a group's tenant, which are others while it sends at a high rate.
+// pool returns the connections of a group's tenant. Groups with a high rate have separate connections.
 func (c *Clients) pool(group ClientGroup) *clientPool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	// maxClientRetries of a request that is rejected with a Retry-After.
+	// maxClientRetries bounds the retries of a request that is rejected with a Retry-After header.
 	maxClientRetries = 2
-	// clientsPerGroup of a group whose clients come repeatedly.
+	// clientsPerGroup is the number of clients in a group without UniqueClients.
 	clientsPerGroup = 10
 	// clientTimeoutMargin is how long after its deadline a client still waits for the agent's answer.
 	clientTimeoutMargin = time.Second
-	// postBody of every POST.
+	// postBody is the body of every POST.
 	postBody = "beam=1"
-	// maxLatencyMicros is the end of the latency histogram's range.
+	// maxLatencyMicros is the upper limit of the latency histogram.
 	maxLatencyMicros = 60_000_000
-	// latencyDigits is the latency histogram's precision.
+	// latencyDigits is the precision of the latency histogram in decimal digits.
 	latencyDigits = 3
 )
 
-// errNoFreeConnection is that a tenant's requests in progress have all of its connections.
+// errNoFreeConnection means that a tenant's requests in progress use all of its connections.
 var errNoFreeConnection = errors.New("no free connection to the agent")
 
 // Totals counts the outcomes of a tenant's requests.
@@ -46,12 +46,13 @@
 	Builds    map[string]int // successes by the build that answered
 }
 
-// ClientGroup is a tenant's clients. Their load is open: arrivals do not wait for answers.
+// ClientGroup describes the load of a group of a tenant's clients. The load is open-loop: clients send requests without waiting for
+// the answers to earlier ones.
 type ClientGroup struct {
 	Tenant        string
 	Rate          float64 // requests a second
-	PostShare     float64 // the part of the requests that are POSTs
-	UniqueClients bool    // each request comes from a client of its own
+	PostShare     float64 // share of the requests that are POSTs
+	UniqueClients bool    // each request comes from a new client
 }
 
 // Clients send requests to an agent and count the outcomes.
@@ -59,7 +60,7 @@
 	url       string
 	objective time.Duration
 	timeout   time.Duration
-	serial    atomic.Int64 // of the last request
+	serial    atomic.Int64 // serial number of the last request
 	inFlight  sync.WaitGroup
 
 	mu      sync.Mutex
@@ -68,7 +69,7 @@
 	latency *hdrhistogram.Histogram
 }
 
-// clientRequest is a request through all its attempts.
+// clientRequest is a request. All of its attempts have these values in common.
 type clientRequest struct {
 	serial int64
 	tenant string
@@ -119,12 +120,12 @@
 		go func() {
 			defer c.inFlight.Done()
 			request := clientRequest{serial: c.serial.Add(1), tenant: group.Tenant, client: client, isPost: isPost}
-			c.sendWithRetries(context.WithoutCancel(ctx), pool, request) // what was sent is answered
+			c.sendWithRetries(context.WithoutCancel(ctx), pool, request) // a request that has begun continues after the context ends
 		}()
 	}
 }
 
-// sendWithRetries sends a request, again after each rejection that has a Retry-After.
+// sendWithRetries sends a request. It retries after a rejection with a Retry-After header, up to maxClientRetries times.
 func (c *Clients) sendWithRetries(ctx context.Context, pool *clientPool, request clientRequest) {
 	c.count(request.tenant, func(t *Totals) { t.Offered++ })
 	for attempt := 0; ; attempt++ {
@@ -141,14 +142,14 @@
 	}
 }
 
-// clientAttempt is one attempt at a request, numbered from 0 on.
+// clientAttempt is one attempt of a request, numbered from 0.
 type clientAttempt struct {
 	clientRequest
 	number int
 }
 
-// send makes an attempt, with a deadline of its own, and counts the outcome unless it is a rejection. That is returned with
-// its Retry-After, if it has a valid one.
+// send makes an attempt with its own deadline. It counts a success or a failure. A rejection is returned, with the wait that its
+// Retry-After header asks for, or nil if the header is missing or invalid.
 func (c *Clients) send(ctx context.Context, pool *clientPool, attempt clientAttempt) (retryAfter *time.Duration, isRejected bool) {
 	startedAt := time.Now()
 	response, err := c.exchange(ctx, pool, attempt, startedAt)
@@ -168,7 +169,7 @@
 	}
 }
 
-// clientResponse is a response that was read in full, or as far as it came.
+// clientResponse is a response. The body is incomplete if reading it failed.
 type clientResponse struct {
 	status int
 	header http.Header
@@ -195,7 +196,7 @@
 		return nil, err
 	}
 	defer func() { _ = response.Body.Close() }() // it has been read
-	body, _ := io.ReadAll(response.Body)         // the status decides also where the body was cut short
+	body, _ := io.ReadAll(response.Body)         // the status decides even if the body is cut short
 	return &clientResponse{status: response.StatusCode, header: response.Header, body: string(body)}, nil
 }
 
@@ -210,7 +211,7 @@
 		return nil, err
 	}
 	if attempt.isPost {
-		// The body is set here since http.Client would repeat a request whose body it can read again.
+		// Setting the body here leaves GetBody unset. Otherwise http.Client could read the body again and repeat the request.
 		r.Body = io.NopCloser(strings.NewReader(postBody))
 		r.ContentLength = int64(len(postBody))
 		r.Header.Set("Idempotency-Key", fmt.Sprintf("%032x", attempt.serial))
@@ -225,7 +226,7 @@
 	return r, nil
 }
 
-// parseRetryAfter returns the wait that a response asks for, or nil.
+// parseRetryAfter returns the wait that a response asks for, or nil if the header is missing or invalid.
 func parseRetryAfter(header http.Header) *time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil {
@@ -235,7 +236,7 @@
 	return &wait
 }
 
-// countSuccess counts a response whose body ends in the build that gave it.
+// countSuccess counts a successful response, whose body ends with the build that answered.
 func (c *Clients) countSuccess(tenant, body string, latency time.Duration) {
 	_, build, _ := strings.Cut(body, " ")
 	c.count(tenant, func(t *Totals) {
@@ -244,7 +245,7 @@
 		if latency <= c.objective {
 			t.InTime++
 		}
-		_ = c.latency.RecordValue(latency.Microseconds()) // what exceeds its range is no matter for a percentile
+		_ = c.latency.RecordValue(latency.Microseconds()) // fails for a latency above the histogram's limit, which does not matter for percentiles
 	})
 }
 
--- a/internal/fakes/deployment.go
+++ b/internal/fakes/deployment.go
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// keepAliveInterval between the signs of life on a deployment's streams.
+// keepAliveInterval is the interval between keep-alives on a deployment's idle streams.
 const keepAliveInterval = time.Second
 
-// Deployment is all that an agent meets but clients: endpoints, discovery and the rollout controller.
+// Deployment is everything that an agent communicates with, except clients: endpoints, discovery and the rollout controller.
 type Deployment struct {
 	Discovery        *StreamServer
 	Rollout          *StreamServer
 	Tenants          []string
-	Shares           []float64 // of the agent's capacity, by tenant
+	Shares           []float64 // shares of the agent's capacity, in the order of Tenants
 	LatencyObjective time.Duration
 	Timeout          time.Duration
 
 	mu            sync.Mutex
 	endpoints     []*Endpoint
 	listSequence  int
-	votes         map[string]int // by verdict, since the last rollout update
+	votes         map[string]int // number of votes by verdict since the last rollout update
 	rolloutUpdate string
 }
 
@@ -56,7 +56,8 @@
 	return d.listDocument()
 }
 
-// answerRollout begins a stream with the last update. A vote is counted and answered with an error: it takes no effect by itself.
+// answerRollout answers the call for a stream with the last rollout update. It counts a vote and answers it with an error, because the
+// vote itself does not change the rollout.
 func (d *Deployment) answerRollout(request string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -81,7 +82,8 @@
 	return ListDocument(d.listSequence, true, entries...)
 }
 
-// Add starts endpoints and publishes the list with them. Their names and seeds are derived from the options, in which they are alike.
+// Add starts endpoints with the same options, except for their names and seeds, which are derived from the options. It publishes the
+// endpoint list that includes them.
 func (d *Deployment) Add(count int, options EndpointOptions) ([]*Endpoint, error) {
 	var added []*Endpoint
 	for i := range count {
@@ -89,10 +91,10 @@
 		if err != nil {
 			return added, fmt.Errorf("adding endpoint %d of %d: %w", i+1, count, err)
 		}
-		own := options
-		own.Name = fmt.Sprintf("s-%d-%d", options.Build, i)
-		own.Seed = options.Seed + int64(i)
-		added = append(added, NewEndpointAt(listener, own))
+		endpointOptions := options
+		endpointOptions.Name = fmt.Sprintf("s-%d-%d", options.Build, i)
+		endpointOptions.Seed = options.Seed + int64(i)
+		added = append(added, NewEndpointAt(listener, endpointOptions))
 	}
 	d.mu.Lock()
 	d.endpoints = append(d.endpoints, added...)
@@ -103,7 +105,7 @@
 	return added, nil
 }
 
-// UpdateRollout publishes where the newest build stands, and forgets the votes on what was before.
+// UpdateRollout publishes the rollout state of the newest build, and discards the votes on the previous state.
 func (d *Deployment) UpdateRollout(build, stage int, phase string, trafficCap float64) {
 	update := RolloutEvent(build, stage, phase, trafficCap)
 	d.mu.Lock()
@@ -120,7 +122,7 @@
 	return d.votes[verdict]
 }
 
-// Endpoints returns all that were added.
+// Endpoints returns all endpoints that were added.
 func (d *Deployment) Endpoints() []*Endpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -136,19 +138,19 @@
 	}
 }
 
-// DeploymentAgentOptions are how the only agent of a deployment is started.
+// DeploymentAgentOptions describes how the only agent of a deployment is started.
 type DeploymentAgentOptions struct {
-	Program      string // the executable's path
-	Dir          string // where the agent's files are written
-	OperatorFile string // the text of its operator file; empty: it gets none
-	Build        int    // that is released
+	Program      string // path of the executable
+	Dir          string // folder for the agent's files
+	OperatorFile string // text of its operator file; empty: no file
+	Build        int    // the released build
 	MemoryMB     int
 	Log          io.Writer
 }
 
-// Start starts the deployment's only agent and waits until it serves.
+// Start starts the deployment's only agent and waits until it is healthy.
 func (d *Deployment) Start(options DeploymentAgentOptions) (*Agent, error) {
-	ctx := context.Background() // the start has a timeout of its own
+	ctx := context.Background() // the start has its own timeout
 	listen, err := FreeAddress(ctx)
 	if err != nil {
 		return nil, err
--- a/internal/fakes/documents.go
+++ b/internal/fakes/documents.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// ListEntry returns an endpoint's entry in the endpoint list, as discovery writes it. The endpoint has long been up.
+// ListEntry returns an endpoint's entry in the endpoint list, as discovery writes it. The entry gives the start of the Unix epoch
+// as the endpoint's start time, so the endpoint counts as long running.
 func ListEntry(name, dial, health string, build int) string {
 	return ListEntryStartedAt(name, dial, health, build, 0)
 }
@@ -17,7 +18,7 @@
 		name, dial, health, startedAtMillis, build)
 }
 
-// ListDocument returns a line of discovery's stream: the full list, or a change of it.
+// ListDocument returns a line of discovery's stream: the full list, or a change to it.
 func ListDocument(sequence int, isFull bool, entries ...string) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, sequence, isFull, strings.Join(entries, ",")) + "\n"
 }
--- a/internal/fakes/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -13,20 +13,20 @@
 // endpointIdleTimeout is how long an endpoint keeps an idle connection.
 const endpointIdleTimeout = 30 * time.Second
 
-// EndpointOptions describe an endpoint.
+// EndpointOptions describes an endpoint.
 type EndpointOptions struct {
 	Name        string
 	Build       int
-	Slots       int           // requests that it works on at a time
-	ServiceTime time.Duration // mean of a request at full speed
-	Seed        int64         // of the random draws
-	Observer    Observer      // nil: nobody observes it
-	// ConnContext sets the context of each connection's requests, as that of http.Server does; nil: it is left as it is.
+	Slots       int           // number of requests that it works on at a time
+	ServiceTime time.Duration // mean service time of a request at full speed
+	Seed        int64         // seed of the random service times and failures
+	Observer    Observer      // nil: there is no observer
+	// ConnContext sets the context of each connection's requests, like the field of http.Server. If nil, the context is unchanged.
 	ConnContext func(context.Context, net.Conn) context.Context
 }
 
-// Endpoint is a server on loopback that works on some requests at a time and queues others up to a bound. The work of a request
-// is random with a mean. Its speed and error rate may change while it serves.
+// Endpoint is a server on loopback that works on a limited number of requests at a time and queues others up to a limit. The service
+// time of a request is random. The endpoint's speed and error rate may change while it serves.
 type Endpoint struct {
 	Name  string
 	Build int
@@ -40,16 +40,16 @@
 	served   atomic.Int64
 }
 
-// Observer follows the requests of endpoints. Its methods are called from several goroutines.
+// Observer is notified of the requests of endpoints. Its methods are called from several goroutines.
 type Observer interface {
 	// RequestArrived is called when a request has been read in full. Its result is passed to RequestRuns.
 	RequestArrived(e *Endpoint, r *http.Request) any
-	// RequestRuns is called when a request's turn has come. It returns false where the endpoint's group has run the request before,
-	// which is answered without any work then.
+	// RequestRuns is called when a request has got a slot, with the result of RequestArrived. It returns false if the endpoint's group
+	// has run the request before. The request is then answered without any work.
 	RequestRuns(e *Endpoint, arrival any) bool
 }
 
-// noObserver is for endpoints that nobody observes.
+// noObserver is used for endpoints without an observer.
 type noObserver struct{}
 
 func (noObserver) RequestArrived(*Endpoint, *http.Request) any { return nil }
@@ -66,7 +66,7 @@
 		e.observer = noObserver{}
 	}
 	e.server = &http.Server{Handler: http.HandlerFunc(e.serve), IdleTimeout: endpointIdleTimeout, ConnContext: options.ConnContext}
-	go func() { _ = e.server.Serve(listener) }() // it ends by Close
+	go func() { _ = e.server.Serve(listener) }() // ends when Close is called
 	return e
 }
 
@@ -106,20 +106,20 @@
 	return e.work.do()
 }
 
-// writeBody writes a response's body. An error says that the client has gone, which is its own affair.
+// writeBody writes a response's body. It ignores errors, which mean that the client has disconnected.
 func writeBody(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// SetSlowStart makes the endpoint start now, with a part of its speed, and reach its full speed after a duration.
+// SetSlowStart begins a slow start now: the speed rises from the fraction initial to full speed over a duration.
 func (e *Endpoint) SetSlowStart(initial float64, duration time.Duration) {
 	e.work.slowStart.Store(&slowStart{startedAt: time.Now(), initial: initial, duration: duration})
 }
 
-// SetSlowdown multiplies the work of each request.
+// SetSlowdown multiplies the service time of each request by a factor.
 func (e *Endpoint) SetSlowdown(factor float64) {
 	e.work.slowdownPerMille.Store(int64(perMille * factor))
 }
 
-// SetErrorShare makes a part of the requests fail.
+// SetErrorShare makes a share of the requests fail.
 func (e *Endpoint) SetErrorShare(share float64) { e.work.errorsPerMille.Store(int64(perMille * share)) }
 
 // Served returns the number of requests that succeeded.
@@ -141,5 +141,5 @@
 
 // Close closes the listener and all connections.
 func (e *Endpoint) Close() {
-	_ = e.server.Close() // it fails where the listener is closed already
+	_ = e.server.Close() // fails if the listener is already closed
 }
--- a/internal/fakes/listen.go
+++ b/internal/fakes/listen.go
@@ -9,26 +9,27 @@
 	"sync/atomic"
 )
 
-// Ports for processes that are to listen soon. They are below those that systems give to outgoing connections: a port out of
-// those might be taken, between its choice and its use, by any connection of a test that runs at the same time.
+// Ports for processes that are about to listen. They are below the ports that operating systems assign to outgoing connections. A port
+// from that range could be taken by a connection of a concurrent test after it was chosen and before the process listens on it.
 const (
 	minFreePort = 12000
 	maxFreePort = 30000
 	freePorts   = maxFreePort - minFreePort
-	// processSpacing separates the first ports that processes with successive ids try.
+	// processSpacing is the distance between the first ports that processes with successive ids try.
 	processSpacing = 97
 )
 
-// ErrNoFreePort is that every port for processes that are to listen soon is taken.
+// ErrNoFreePort means that every port from minFreePort to maxFreePort-1 is taken.
 var ErrNoFreePort = errors.New("no port of loopback is free")
 
-// freePortOffset counts the ports tried by this process.
+// freePortOffset modulo freePorts is the offset from minFreePort of the last port that this process has tried. It is 0 at the start of
+// the process.
 var freePortOffset atomic.Int64
 
 // Listen listens on a free port of loopback.
 func Listen(ctx context.Context) (net.Listener, error) { return listenOn(ctx, "127.0.0.1:0") }
 
-// FreeAddress returns an address of loopback on which a process may listen soon.
+// FreeAddress returns a loopback address with a free port, for a process that is about to listen.
 func FreeAddress(ctx context.Context) (string, error) {
 	freePortOffset.CompareAndSwap(0, int64(os.Getpid()*processSpacing%freePorts)+1)
 	for range freePorts {
@@ -39,7 +40,7 @@
 		}
 		address := listener.Addr().String()
 		if err := listener.Close(); err != nil {
-			return "", fmt.Errorf("freeing %s: %w", address, err)
+			return "", fmt.Errorf("closing the listener on %s: %w", address, err)
 		}
 		return address, nil
 	}
--- a/internal/fakes/log.go
+++ b/internal/fakes/log.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// Log collects what a process writes and may be read at the same time. It does not embed its buffer, whose ReadFrom would not
-// take the lock.
+// Log collects the output of a process and may be read concurrently. It does not embed its buffer, because the buffer's ReadFrom
+// method would not take the lock.
 type Log struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
--- a/internal/fakes/process_usage.go
+++ b/internal/fakes/process_usage.go
@@ -10,7 +10,8 @@
 
 const kilobytesPerMB = 1024
 
-// Usage returns the resident memory and the number of open descriptors of the process, zeros where the system does not tell.
+// Usage returns the resident memory and the number of open descriptors of the process, or 0 for a value that the system does not
+// provide.
 func (a *Agent) Usage() (memoryMB float64, descriptors int) {
 	folder := filepath.Join("/proc", strconv.Itoa(a.command.Process.Pid))
 	open, err := os.ReadDir(filepath.Join(folder, "fd"))
@@ -20,7 +21,7 @@
 	return residentMemoryMB(filepath.Join(folder, "status")), len(open)
 }
 
-// residentMemoryMB reads a process's status file.
+// residentMemoryMB returns the resident memory given in a process's status file, or 0 if it cannot be read.
 func residentMemoryMB(path string) float64 {
 	status, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/fakes/protocol_limits.go
+++ b/internal/fakes/protocol_limits.go
@@ -6,7 +6,7 @@
 const (
 	// VoteLifetime is how long a vote counts.
 	VoteLifetime = 4 * time.Second
-	// CallTimeout of the rollout controller's interface.
+	// CallTimeout is the timeout of calls to the rollout controller's interface.
 	CallTimeout = 800 * time.Millisecond
 	// DrainGrace is how long after an agent was notified of a drain it may still send requests to the endpoint.
 	DrainGrace = time.Second
@@ -18,12 +18,12 @@
 	DedupWindow = 8 * time.Second
 	// AnswerGrace is how long after its deadline a request may still be answered.
 	AnswerGrace = 20 * time.Millisecond
-	// InitialCapacity is the part of its capacity that a new endpoint has.
+	// InitialCapacity is the fraction of its full capacity that a new endpoint has.
 	InitialCapacity = 0.3
 	// SlowStartDuration is the time until a new endpoint has its full capacity.
 	SlowStartDuration = 3 * time.Second
-	// OverloadMultiple of its capacity makes an endpoint fail if it lasts for OverloadAfter.
+	// OverloadMultiple is the load, as a multiple of its capacity, that makes an endpoint fail if it lasts for OverloadAfter.
 	OverloadMultiple = 2.0
-	// OverloadAfter is how long an endpoint stands an overload.
+	// OverloadAfter is how long an endpoint tolerates an overload.
 	OverloadAfter = 1500 * time.Millisecond
 )
--- a/internal/fakes/scripted_server.go
+++ b/internal/fakes/scripted_server.go
@@ -23,7 +23,7 @@
 	mu          sync.Mutex
 	requests    []CapturedRequest
 	connections int
-	closed      int // connections that have ended
+	closed      int // connections that have ended, except within a request's body
 	handler     func(conn net.Conn, nth int) bool
 }
 
@@ -47,12 +47,12 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// CloseUnanswered is a handler that closes the connection.
+// CloseUnanswered is a handler that closes the connection without a response.
 func CloseUnanswered(net.Conn, int) bool { return false }
 
 // NeverRespond is a handler that writes nothing and waits until the agent closes the connection.
 func NeverRespond(conn net.Conn, _ int) bool {
-	_, _ = io.Copy(io.Discard, conn) // any end of the connection will do
+	_, _ = io.Copy(io.Discard, conn) // an error ends the wait too
 	return false
 }
 
@@ -117,19 +117,19 @@
 	return append([]CapturedRequest(nil), s.requests...)
 }
 
-// Closed returns the number of connections that have ended between two requests.
+// Closed returns the number of connections that have ended, except those that ended within a request's body.
 func (s *ScriptedServer) Closed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.closed
 }
 
-// SetHandler replaces the handler for the requests to come.
+// SetHandler replaces the handler for later requests.
 func (s *ScriptedServer) SetHandler(handler func(conn net.Conn, nth int) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.handler = handler
 }
 
-// Addr returns the listener's address as a string, in place of its own method.
+// Addr returns the listener's address as a string. It hides the method of net.Listener.
 func (s *ScriptedServer) Addr() string { return s.Listener.Addr().String() }
--- a/internal/fakes/stream_server.go
+++ b/internal/fakes/stream_server.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// NoAnswer is an answer that leaves a call open and writes nothing.
+// NoAnswer is an answer that leaves a call open without writing anything.
 const NoAnswer = "no answer"
 
-// maxPendingWrites to a stream whose client does not read.
+// maxPendingWrites bounds the writes that wait for a stream whose client does not read.
 const maxPendingWrites = 64
 
 // StreamServer is a fake of a peer that answers calls and keeps streams open: discovery, or the rollout controller.
@@ -25,25 +25,25 @@
 	keepAliveInterval time.Duration
 
 	mu      sync.Mutex
-	calls   []string // method, path with query, and body
-	streams []chan string
+	calls   []string      // method, path with query, and body
+	streams []chan string // streams that the server has not closed
 	answer  func(call string) string
 	isMuted bool // no keep-alives
 	closed  int  // streams that the client has closed
 }
 
-// NewStreamServer serves a listener. The function answer returns what a call is answered at once: a body, a status and a body
-// with | in between, or NoAnswer; it is called under the server's lock and must not call the server. Streams then carry what is
-// published, and a keep-alive when there was nothing for an interval.
+// NewStreamServer serves a listener. The function answer returns the immediate answer to a call: a body, a status and a body
+// separated by "|", or NoAnswer. It is called under the server's lock and must not call the server. After the answer, a stream carries
+// the published texts, and the text keepAlive after each interval without a published text.
 func NewStreamServer(listener net.Listener, keepAlive string, interval time.Duration, answer func(call string) string) *StreamServer {
 	s := &StreamServer{Listener: listener, keepAlive: keepAlive, keepAliveInterval: interval, answer: answer}
 	s.server = &http.Server{Handler: http.HandlerFunc(s.serve)}
-	go func() { _ = s.server.Serve(listener) }() // it ends by Close
+	go func() { _ = s.server.Serve(listener) }() // ends when Close is called
 	return s
 }
 
 func (s *StreamServer) serve(w http.ResponseWriter, r *http.Request) {
-	body, _ := io.ReadAll(r.Body) // of a request that was cut short, the call holds what came
+	body, _ := io.ReadAll(r.Body) // if the request is cut short, the call holds the part that arrived
 	call := strings.TrimSpace(r.Method + " " + r.RequestURI + " " + string(body))
 	var stream chan string
 	if isStream(r) {
@@ -57,7 +57,7 @@
 	if status, text, hasStatus := strings.Cut(answer, "|"); hasStatus {
 		code, err := strconv.Atoi(status)
 		if err != nil {
-			panic(fmt.Sprintf("a scripted answer to %s has the status %q", call, status))
+			panic(fmt.Sprintf("scripted answer to %s: got the status %q, expected a number", call, status))
 		}
 		w.WriteHeader(code)
 		answer = text
@@ -68,7 +68,8 @@
 	}
 }
 
-// isStream reports whether a request asks for a stream. A call with members in its path is answered once unless it asks for one.
+// isStream reports whether a request asks for a stream. Any request can do so with the parameter stream. A GET request does so without
+// the parameter too, unless its path ends in members.
 func isStream(r *http.Request) bool {
 	if r.URL.Query().Get("stream") != "" {
 		return true
@@ -76,7 +77,7 @@
 	return r.Method == http.MethodGet && !strings.HasSuffix(r.URL.Path, "members")
 }
 
-// record keeps a call and its stream, if it has one, and returns the answer.
+// record stores a call and its stream, if it has one, and returns the answer.
 func (s *StreamServer) record(call string, stream chan string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +108,7 @@
 	}
 }
 
-// sendKeepAlive writes under the lock: once SetMuted has returned, no keep-alive follows.
+// sendKeepAlive writes a keep-alive under the lock, so that none follows once SetMuted(true) has returned.
 func (s *StreamServer) sendKeepAlive(w http.ResponseWriter) {
 	s.mu.Lock()
 	if !s.isMuted {
@@ -141,7 +142,7 @@
 	return append([]string(nil), s.calls...)
 }
 
-// OpenedStreams returns the number of streams that the server has not closed.
+// OpenedStreams returns the number of streams that the server has not closed, including those that clients have closed.
 func (s *StreamServer) OpenedStreams() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,7 +163,8 @@
 	s.streams[len(s.streams)-1] <- text
 }
 
-// Write writes to all streams. A stream with too much unread text misses it; its client gets the full state when it reconnects.
+// Write writes to all streams. A stream with maxPendingWrites unread writes misses the text. Its client gets the full state when it
+// reconnects.
 func (s *StreamServer) Write(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,10 +193,10 @@
 	s.isMuted = isMuted
 }
 
-// Addr returns the listener's address as a string, in place of its own method.
+// Addr returns the listener's address as a string. It hides the method of net.Listener.
 func (s *StreamServer) Addr() string { return s.Listener.Addr().String() }
 
 // Close closes the listener and all connections.
 func (s *StreamServer) Close() {
-	_ = s.server.Close() // it fails where the listener is closed already
+	_ = s.server.Close() // fails if the listener is already closed
 }
--- a/internal/fakes/workload.go
+++ b/internal/fakes/workload.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// perMille scales the settings that are kept as whole numbers, to be read without a lock.
+	// perMille scales settings that are stored as integers so that they can be read without a lock.
 	perMille = 1000
-	// queueLengthPerSlot of an endpoint; it rejects what comes beyond.
+	// queueLengthPerSlot is the number of requests that may wait for each slot of an endpoint. Further requests are rejected.
 	queueLengthPerSlot = 8
 )
 
-// requestQueue bounds how many requests an endpoint works on at a time, and how many wait for that. Any goroutine may use it.
+// requestQueue bounds how many requests an endpoint works on at a time, and how many wait for a slot. Any goroutine may use it.
 type requestQueue struct {
 	slots      chan struct{}
 	maxQueued  int64
@@ -25,7 +25,7 @@
 	return &requestQueue{slots: make(chan struct{}, slots), maxQueued: int64(queueLengthPerSlot * slots)}
 }
 
-// enter admits a request unless the queue is full. Each one that was admitted leaves.
+// enter admits a request unless the queue is full. An admitted request has to call leave at its end.
 func (q *requestQueue) enter() bool {
 	if q.inProgress.Add(1) > int64(cap(q.slots))+q.maxQueued {
 		q.inProgress.Add(-1)
@@ -40,7 +40,7 @@
 
 func (q *requestQueue) releaseSlot() { <-q.slots }
 
-// workload is the work of an endpoint's requests: how long each takes and whether it fails. Any goroutine may use it.
+// workload decides how long each request of an endpoint takes and whether it fails. Any goroutine may use it.
 type workload struct {
 	mean             time.Duration
 	slowdownPerMille atomic.Int64
@@ -51,7 +51,7 @@
 	random   *rand.Rand
 }
 
-// slowStart describes an endpoint that starts with a part of its speed, which rises evenly to full speed.
+// slowStart describes an endpoint that starts with a fraction of its full speed. The speed rises linearly.
 type slowStart struct {
 	startedAt time.Time
 	initial   float64
@@ -64,7 +64,7 @@
 	return w
 }
 
-// do takes the time of one request. It reports whether the request succeeds.
+// do sleeps for the service time of one request. It reports whether the request succeeds.
 func (w *workload) do() bool {
 	w.randomMu.Lock()
 	workFactor, errorDraw := w.random.ExpFloat64(), w.random.Int63n(perMille)
@@ -74,7 +74,7 @@
 	return errorDraw >= w.errorsPerMille.Load()
 }
 
-// speed returns the part of its speed that the endpoint has now.
+// speed returns the current fraction of the endpoint's full speed.
 func (w *workload) speed() float64 {
 	start := w.slowStart.Load()
 	if start == nil {
