--- a/internal/fakes/listen.go
+++ b/internal/fakes/listen.go
@@ -10,7 +10,7 @@
 )
 
 // Ports for processes that are about to listen. They are below the ports that operating systems assign to outgoing connections. A port
-// from that range could be taken by a connection of a concurrent test after it was chosen and before the process listens on it.
+// from the system's range could be taken by a connection of a concurrent test after it was chosen and before the process listens on it.
 const (
 	minFreePort = 12000
 	maxFreePort = 30000
--- a/internal/faulttest/netfault/backlog.go
+++ b/internal/faulttest/netfault/backlog.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// fillerDialTimeout bounds the dial of a filler. On one machine, a connection that is not established by then meets a full queue.
+	// fillerDialTimeout bounds the dial of a filler. A connection within this machine that is not established by then meets a full queue.
 	fillerDialTimeout = 60 * time.Millisecond
 	// maxFillers bounds the connections that fill the accept queue. A queue of length zero holds one or two.
 	maxFillers = 4
--- a/internal/faulttest/netfault/link.go
+++ b/internal/faulttest/netfault/link.go
@@ -11,7 +11,7 @@
 	initialRetransmitDelay Micros = 200_000
 	// maxRetransmits bounds the losses of one segment: six delays, doubled from 200 ms on, add up to 12.6 s.
 	maxRetransmits = 6
-	// maxReorderWait is how long a datagram waits at most for another one to overtake it.
+	// maxReorderWait is the longest time that a datagram waits for another one to overtake it.
 	maxReorderWait Micros = 1_000_000
 	// maxSegmentBytes is the length of the longest segment of a stream.
 	maxSegmentBytes = 16 << 10
@@ -47,8 +47,8 @@
 	return &Link{random: rand.New(rand.NewSource(seed)), faultChanged: make(chan struct{})}
 }
 
-// IgnoreFaults makes the link ignore all faults that are set from now on. A test uses it to prove that a scenario fails if its faults are
-// not applied.
+// IgnoreFaults makes the link ignore all faults that are set from now on. A test uses it to prove that a scenario detects that its
+// faults have no effect.
 func (l *Link) IgnoreFaults() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,7 +142,7 @@
 	switch {
 	case l.hasWaiting:
 		l.hasWaiting, d.Overtakes = false, true
-	case l.draw(f.ReorderRate / (1 - f.ReorderRate)): // overtaking datagrams draw nothing; the quotient makes the share of all that wait ReorderRate
+	case l.draw(f.ReorderRate / (1 - f.ReorderRate)): // no draw for a datagram that overtakes; the quotient makes ReorderRate the share of all that wait
 		l.hasWaiting, d.AwaitsReorder = true, true
 		d.DeliverAt += maxReorderWait
 		l.faultHits++
--- a/internal/faulttest/netfault/relayed_conn.go
+++ b/internal/faulttest/netfault/relayed_conn.go
@@ -125,7 +125,7 @@
 	c.mu.Unlock()
 	c.trace.setServerPort(server.LocalAddr().(*net.TCPAddr).Port)
 	select {
-	case <-c.closed: // close may have run before server was set, without closing it
+	case <-c.closed: // if close ran before server was set, it did not close server
 		_ = server.Close()
 		return nil
 	default:
--- a/internal/faulttest/netfault/trace.go
+++ b/internal/faulttest/netfault/trace.go
@@ -9,7 +9,7 @@
 // maxProgressEntries bounds the trace of one direction of one connection. No scenario needs more.
 const maxProgressEntries = 1 << 18
 
-// ErrTraceFull means that a trace ends before its connection. When later bytes passed is unknown.
+// ErrTraceFull means that a trace ends before its connection. It is unknown when later bytes passed.
 var ErrTraceFull = errors.New("a connection's trace is full")
 
 // Progress is the time at which a number of bytes, counted from the start of the connection, had passed.
