--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -20,7 +20,7 @@
 	next = agenttest.NewStreamServer(t, "\n", heartbeat, onlyFullList(olderList))
 	r = newRig(t, previous.Addr())
 	r.serveWithInitialList(t, fakes.ListDocument(5, true, firstHost("active", 1)))
-	agenttest.Eventually(t, "the previous watch", func() bool { return previous.Open() == 1 })
+	agenttest.Eventually(t, "the previous watch", func() bool { return previous.OpenedStreams() == 1 })
 	previous.Publish(fakes.ListDocument(9, false, firstHost("leaving", 1)))
 	agenttest.Eventually(t, "the drain", r.hasDrainingEndpoint)
 	r.client.Move(next.Addr())
@@ -31,7 +31,7 @@
 // brought it to the version that is published.
 func TestMoveToOlderList(t *testing.T) {
 	r, previous, next := newMovingRig(t, time.Hour)
-	agenttest.Eventually(t, "the next watch", func() bool { return next.CallsContaining("index=7") == 1 && next.Open() == 1 })
+	agenttest.Eventually(t, "the next watch", func() bool { return next.CallsContaining("index=7") == 1 && next.OpenedStreams() == 1 })
 	handled := make(chan struct{}) // closed when all that the next server has sent has been handled
 	r.client.mailbox.Put(barrierReceived{agent.Barrier{Done: handled}})
 	<-handled
--- a/internal/rollout/votes_test.go
+++ b/internal/rollout/votes_test.go
@@ -76,7 +76,7 @@
 			t.Errorf("%s: got update %+v, want cap 0.28 and age 310 ms", c.reply, got)
 		}
 		if server.CallsContaining("POST /api/ Action=RecordOpinion&image=42&ring=1&opinion=approve") != 1 {
-			t.Errorf("got calls %q, want one that approves build 42 in stage 1", server.Targets())
+			t.Errorf("got calls %q, want one that approves build 42 in stage 1", server.Calls())
 		}
 	}
 }
