--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -14,64 +14,64 @@
 	Seed         int64
 	Seconds      int
 	Endpoints    int
-	Slots        int     // requests that an endpoint works on at a time
-	MeanWork     int64   // of a request, in microseconds
-	Load         float64 // of all tenants together, as a part of the endpoints' capacity
-	TenantShares []float64
+	Slots        int       // requests that an endpoint serves at the same time
+	MeanWork     int64     // mean service time of a request, in microseconds
+	Load         float64   // of all tenants together, as a fraction of the endpoints' capacity
+	TenantShares []float64 // fraction of the load by tenant, which is also the tenant's weight
 
-	NoisyTenants       []int   // those that send NoiseFactor times their load
-	NoiseFactor        float64 // 1: nobody does
+	NoisyTenants       []int   // tenants that send NoiseFactor times their share of the load
+	NoiseFactor        float64 // 1: no tenant is noisy
 	UniqueNoisyClients bool    // each request of a noisy tenant comes from a new client
-	OneOffClients      int     // clients that send one request, spread over the whole time
-	OverloadFactor     float64 // every tenant sends so many times its share of the capacity; 0: Load decides
+	OneOffClients      int     // clients that send one request each, spread over the whole run
+	OverloadFactor     float64 // if set, the tenants together send this multiple of the capacity instead of Load
 
-	SlowFrom   int64 // between SlowFrom and SlowTo, in microseconds, endpoints are SlowFactor times slower
+	SlowFrom   int64 // from SlowFrom to SlowTo, in microseconds, requests take SlowFactor times as long
 	SlowTo     int64
 	SlowFactor float64
 }
 
 const (
-	// objectiveWorks is the latency objective of the one request class as a multiple of its mean work: a request has time for some
-	// queueing.
-	objectiveWorks = 20
-	// timeoutWorks is its timeout, likewise.
-	timeoutWorks = 60
+	// objectiveMultiple is the latency objective of the only request class, as a multiple of the mean work. It leaves time for
+	// some queueing.
+	objectiveMultiple = 20
+	// timeoutMultiple is the timeout of the request class, as a multiple of the mean work.
+	timeoutMultiple = 60
 	// maxRetryAfter bounds the Retry-After times that clients are sent.
 	maxRetryAfter = 2 * second
-	// maxClientRetries of a rejected request.
+	// maxClientRetries is how many times a client retries a rejected request.
 	maxClientRetries = 3
 )
 
-func (s *AdmissionScenario) latencyObjective() int64 { return objectiveWorks * s.MeanWork }
+func (s *AdmissionScenario) latencyObjective() int64 { return objectiveMultiple * s.MeanWork }
 
-func (s *AdmissionScenario) timeout() int64 { return timeoutWorks * s.MeanWork }
+func (s *AdmissionScenario) timeout() int64 { return timeoutMultiple * s.MeanWork }
 
 func (s *AdmissionScenario) duration() int64 { return int64(s.Seconds) * second }
 
-// capacity returns the work that the endpoints do in a microsecond.
+// capacity returns the work, in microseconds, that all endpoints together complete in a microsecond.
 func (s *AdmissionScenario) capacity() float64 { return float64(s.Endpoints * s.Slots) }
 
 // TenantResult counts the outcomes of a tenant's requests.
 type TenantResult struct {
 	Offered   int
-	InTime    int // succeeded within the latency objective
-	GivenUp   int // failed, or rejected too often
-	Succeeded int // within the scenario's duration
-	Attempts  int // requests including the clients' retries
+	InTime    int // requests that succeeded within the latency objective
+	GivenUp   int // requests that failed, or were rejected and not retried again
+	Succeeded int // requests that succeeded before the end of the scenario
+	Attempts  int // requests and the clients' retries
 	Rejected  int
-	Latency   *hdrhistogram.Histogram // of the last attempt, in microseconds
+	Latency   *hdrhistogram.Histogram // of the attempts that succeeded, in microseconds
 }
 
 // AdmissionResult is the outcome of an admission scenario.
 type AdmissionResult struct {
 	Tenants           []TenantResult
-	AdmittedCost      []float64 // by tenant
+	AdmittedCost      []float64 // by tenant, in microseconds of work
 	Counters          admission.Counters
-	RetryAfterRatios  []float64 // of rejected requests: the Retry-After that they were sent, divided by the wait that was needed
-	ConcurrencyLimits []float64 // once a second
+	RetryAfterRatios  []float64 // of rejected requests: Retry-After divided by the wait that was needed
+	ConcurrencyLimits []float64 // sampled once a second
 }
 
-// admissionRun is the state of a scenario that is being played.
+// admissionRun is the state of a scenario while it runs.
 type admissionRun struct {
 	timeline
 	scenario AdmissionScenario
@@ -79,7 +79,7 @@
 	result   *AdmissionResult
 
 	admitter    admitter
-	timerAt     int64 // at which the admission controller wants to be called
+	timerAt     int64 // when the admission controller's timer fires; never if it is not set
 	retryAfters *retryAfterMeter
 
 	router        policy.Router
@@ -88,7 +88,7 @@
 	lastRequestID uint64
 }
 
-// PlayAdmission plays a scenario under an admission policy.
+// PlayAdmission runs a scenario under an admission policy.
 func PlayAdmission(scenario AdmissionScenario, admissionPolicy AdmissionPolicy) *AdmissionResult {
 	r := &admissionRun{
 		scenario:    scenario,
@@ -139,7 +139,7 @@
 	}))
 }
 
-// executeAdmission carries out the admission controller's commands, and follows its progress and its timer.
+// executeAdmission executes the admission controller's commands, records the admitted cost of each tenant and sets the timer.
 func (r *admissionRun) executeAdmission(commands []admission.Command) {
 	for _, command := range commands {
 		request := r.pending[command.ID]
@@ -152,7 +152,7 @@
 		case admission.Reject:
 			r.executeReject(request, command)
 		case admission.Coalesce:
-			panic("simulation: a retry was coalesced, which no scenario turns on")
+			panic("simulation: the admission controller coalesced a retry, which no scenario enables")
 		}
 	}
 	for tenant := range r.scenario.TenantShares {
--- a/internal/simulation/admission_clients.go
+++ b/internal/simulation/admission_clients.go
@@ -8,23 +8,25 @@
 )
 
 const (
-	// clientsPerTenant of those tenants whose clients come repeatedly.
+	// clientsPerTenant is the number of clients of a tenant, unless each of its requests comes from a new client.
 	clientsPerTenant = 20
-	// firstUniqueClient numbers the clients of a noisy tenant that come once, after its other clients.
+	// firstUniqueClient is added to the client numbers of a noisy tenant whose requests all come from new clients. The numbers
+	// are above those of clients that send several requests.
 	firstUniqueClient = 1000
-	// tenantKeyShift separates the tenants' idempotency keys.
+	// tenantKeyShift is the position of the tenant in an idempotency key. The bits below it number the tenant's requests.
 	tenantKeyShift = 40
-	// tenantClientShift separates the tenants' client numbers.
+	// tenantClientShift is the position of the tenant in a client number. The bits below it number the tenant's clients.
 	tenantClientShift = 32
-	// firstOneOffClient is above all other clients' numbers and keys.
+	// firstOneOffClient is the client number and the idempotency key of the first one-off client. It is above all other clients'
+	// numbers and keys.
 	firstOneOffClient = 1 << 50
-	// maxRetryJitter is added to the Retry-After that a rejected client was sent.
+	// maxRetryJitter bounds the random time that a client waits in addition to Retry-After.
 	maxRetryJitter = 3 * ms
 	// requestBytes is the size of each request.
 	requestBytes = 400
 )
 
-// clientRequest is a client's request through all its attempts. Each attempt has an id, an arrival time and a deadline of its own.
+// clientRequest is a client's request with all its attempts. Each attempt has its own id, arrival time and deadline.
 type clientRequest struct {
 	tenant   int
 	client   uint64
@@ -32,14 +34,15 @@
 	work     int64 // in microseconds
 	attempts int
 
+	// The current attempt.
 	id        uint64
 	arrivedAt int64
 	deadline  int64
-	isSent    bool // to an endpoint
+	isSent    bool // an endpoint has been sent the request
 	isDone    bool
 }
 
-// scheduleArrivals schedules the load. It is open: arrivals don't wait for answers.
+// scheduleArrivals schedules the requests of all clients. The load is open-loop: clients don't wait for answers.
 func (r *admissionRun) scheduleArrivals() {
 	for tenant, share := range r.scenario.TenantShares {
 		r.scheduleTenant(tenant, share)
@@ -50,8 +53,8 @@
 	}
 }
 
-// scheduleTenant schedules a tenant's requests. They have a random source of their own, so that the other tenants' requests are
-// the same with and without a noisy one.
+// scheduleTenant schedules a tenant's requests. Each tenant has its own random source, so that a noisy tenant does not change
+// the requests of the others.
 func (r *admissionRun) scheduleTenant(tenant int, share float64) {
 	s := &r.scenario
 	random := rand.New(rand.NewSource(s.Seed*1000 + int64(tenant)))
@@ -93,13 +96,13 @@
 	return int64(random.ExpFloat64()*float64(s.MeanWork)) + 1
 }
 
-// offer sends a new request.
+// offer sends the first attempt of a new request.
 func (r *admissionRun) offer(request *clientRequest) {
 	r.result.Tenants[request.tenant].Offered++
 	r.startAttempt(request)
 }
 
-// startAttempt sends a request, for the first time or again.
+// startAttempt sends a new request, or retries one.
 func (r *admissionRun) startAttempt(request *clientRequest) {
 	request.attempts++
 	r.result.Tenants[request.tenant].Attempts++
@@ -113,7 +116,8 @@
 	r.admit(request)
 }
 
-// rejectRequest answers an attempt with a rejection. The client retries after Retry-After, or gives up where it was sent none.
+// rejectRequest rejects an attempt. The client retries after Retry-After. It gives up if it was sent no Retry-After, or after
+// maxClientRetries retries.
 func (r *admissionRun) rejectRequest(request *clientRequest, retryAfter int64) {
 	tenant := &r.result.Tenants[request.tenant]
 	tenant.Rejected++
@@ -126,7 +130,7 @@
 	r.schedule(r.now+retryAfter+jitter, func() { r.startAttempt(request) })
 }
 
-// finishRequest answers an attempt that was admitted.
+// finishRequest answers an admitted attempt and reports the result to the admission controller.
 func (r *admissionRun) finishRequest(request *clientRequest, result admission.Result) {
 	if request.isDone {
 		return
@@ -151,7 +155,7 @@
 		tenant.Succeeded++
 	}
 	latency := r.now - request.arrivedAt
-	_ = tenant.Latency.RecordValue(latency) // it fails for values out of its range only, and no latency exceeds the timeout
+	_ = tenant.Latency.RecordValue(latency) // fails only for values out of range, and no latency exceeds the timeout
 	if latency <= r.scenario.latencyObjective() {
 		tenant.InTime++
 	}
--- a/internal/simulation/admission_endpoints.go
+++ b/internal/simulation/admission_endpoints.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// networkDelay to an endpoint, and back.
+	// networkDelay is the delay between the router and an endpoint, in each direction.
 	networkDelay = ms / 4
-	// queueLengthPerSlot of an endpoint; it rejects what comes beyond.
+	// queueLengthPerSlot bounds the queue of an endpoint, which rejects further attempts.
 	queueLengthPerSlot = 8
 )
 
-// endpointModel models a server that works on some requests at a time and queues others.
+// endpointModel models a server that works on one attempt per slot and queues others.
 type endpointModel struct {
 	id        uint32
 	slots     int
@@ -20,7 +20,7 @@
 	queue     []*endpointAttempt
 }
 
-// endpointAttempt is one attempt to serve a request at an endpoint.
+// endpointAttempt is an attempt that the router sent to an endpoint.
 type endpointAttempt struct {
 	request   *clientRequest
 	requestID uint64
@@ -28,7 +28,7 @@
 	isDone    bool
 }
 
-// startRouter creates the endpoints and a router that knows them, with a build that has long been released.
+// startRouter creates the endpoints and a router that knows them. The endpoints run a build whose release ended long ago.
 func (r *admissionRun) startRouter() {
 	class := policy.RequestClass{
 		Idempotency:      policy.Idempotent,
@@ -58,7 +58,7 @@
 	r.sendToRouter(policy.RolloutUpdate{Build: 1, Phase: policy.Released, Cap: 1, Age: 100 * second})
 }
 
-// sendToRouter lets the router handle an event, and carries out its commands.
+// sendToRouter passes an event to the router and executes the commands that it returns.
 func (r *admissionRun) sendToRouter(event policy.Event) {
 	for _, command := range r.router.Handle(r.now, event) {
 		switch command := command.(type) {
@@ -80,7 +80,8 @@
 	}
 }
 
-// sendAttempt sends a request to an endpoint. The attempt times out at its own timeout or the request's deadline.
+// sendAttempt sends a request to an endpoint. The attempt times out at its own timeout or at the request's deadline, whichever
+// is earlier.
 func (r *admissionRun) sendAttempt(command policy.SendAttempt) {
 	request := r.pending[command.RequestID]
 	if request == nil {
@@ -110,7 +111,7 @@
 	r.startQueued(endpoint)
 }
 
-// startQueued starts work on queued attempts in the endpoint's free slots.
+// startQueued starts queued attempts in the endpoint's free slots.
 func (r *admissionRun) startQueued(endpoint *endpointModel) {
 	for endpoint.busySlots < endpoint.slots && len(endpoint.queue) > 0 {
 		attempt := endpoint.queue[0]
@@ -132,7 +133,7 @@
 	return r.scenario.SlowFactor > 1 && r.now >= r.scenario.SlowFrom && r.now < r.scenario.SlowTo
 }
 
-// finishAttempt reports an attempt's outcome to the router, unless it has one already.
+// finishAttempt reports an attempt's outcome to the router, unless it has already reported one.
 func (r *admissionRun) finishAttempt(endpoint *endpointModel, attempt *endpointAttempt, outcome policy.Outcome) {
 	if attempt.isDone {
 		return
--- a/internal/simulation/admission_policies.go
+++ b/internal/simulation/admission_policies.go
@@ -2,18 +2,19 @@
 
 import "switchfork/internal/admission"
 
-// AdmissionPolicy names a way to decide which requests are admitted: the admission controller as it is, or a baseline.
+// AdmissionPolicy is an algorithm that decides which requests are admitted: the admission controller of the agent, or a
+// baseline.
 type AdmissionPolicy string
 
 // The admission policies.
 const (
-	// FairQueues is the admission controller as the agent has it.
+	// FairQueues is the admission controller as the agent runs it.
 	FairQueues AdmissionPolicy = "fair queues"
-	// FairQueuesNoReservations sends every rejected client the same Retry-After and reserves nothing for its return.
+	// FairQueuesNoReservations sends every rejected client the same Retry-After and reserves no capacity for its return.
 	FairQueuesNoReservations AdmissionPolicy = "fair queues, no reservations"
 	// FIFO serves all tenants from one queue.
 	FIFO AdmissionPolicy = "first in, first out"
-	// TokenBucket limits each tenant to its share of the capacity, before one queue.
+	// TokenBucket limits each tenant to its share of the capacity. The requests that pass share one queue.
 	TokenBucket AdmissionPolicy = "token bucket per tenant"
 )
 
@@ -27,9 +28,9 @@
 // admitter is an admission controller set up for a policy.
 type admitter struct {
 	*admission.Controller
-	queueTenant     func(tenant int) int // the controller's number of a tenant
-	fixedRetryAfter int64                // replaces the controller's Retry-After; 0: its own counts
-	allows          func(now int64, tenant int) bool
+	queueTenant     func(tenant int) int             // returns the controller's index for a tenant of the scenario
+	fixedRetryAfter int64                            // sent instead of the controller's Retry-After, unless 0
+	allows          func(now int64, tenant int) bool // reports whether a request may reach the controller
 }
 
 func newAdmitter(scenario *AdmissionScenario, admissionPolicy AdmissionPolicy) admitter {
@@ -74,8 +75,8 @@
 	return a
 }
 
-// tokenBuckets holds a bucket for each tenant. Tokens are microseconds of work: a bucket fills at the tenant's share of the
-// capacity and holds a second of it.
+// tokenBuckets holds a bucket for each tenant. A token is a microsecond of work. A bucket is refilled at the tenant's share of
+// the capacity, and holds at most the refill of a second.
 type tokenBuckets struct {
 	rates       []float64 // tokens per microsecond
 	tokens      []float64
@@ -98,7 +99,7 @@
 	return b
 }
 
-// take reports whether the tenant has the tokens for a request, and removes them.
+// take removes the tokens for a request from the tenant's bucket. It reports false if there are too few.
 func (b *tokenBuckets) take(now int64, tenant int) bool {
 	rate := b.rates[tenant]
 	b.tokens[tenant] = min(b.tokens[tenant]+rate*float64(now-b.refilledAt[tenant]), rate*float64(second))
--- a/internal/simulation/admission_test.go
+++ b/internal/simulation/admission_test.go
@@ -12,7 +12,7 @@
 	}
 }
 
-// The same scenario gives the same result, whatever else runs.
+// The same scenario gives the same result each time.
 func TestAdmissionRunIsDeterministic(t *testing.T) {
 	noisy := quietScenario()
 	noisy.NoisyTenants, noisy.NoiseFactor = []int{0}, 10
@@ -21,22 +21,23 @@
 		a.Tenants[i].Latency, b.Tenants[i].Latency = nil, nil
 	}
 	if !reflect.DeepEqual(a, b) {
-		t.Errorf("one scenario played twice: %+v and %+v", a, b)
+		t.Errorf("two runs of the same scenario gave %+v and %+v", a, b)
 	}
 }
 
-// Without a noisy tenant nothing is rejected, and all requests succeed: the model loses none.
+// Without a noisy tenant no request is rejected and none fails, so the model itself loses no requests.
 func TestQuietScenarioServesAll(t *testing.T) {
 	for _, policy := range []AdmissionPolicy{FairQueues, FairQueuesNoReservations, FIFO} {
 		for i, a := range PlayAdmission(quietScenario(), policy).Tenants {
 			if a.Offered < 100 || a.Rejected+a.GivenUp > 0 || a.InTime < a.Offered*99/100 {
-				t.Errorf("%s: tenant %d has %+v", policy, i, a)
+				t.Errorf("%s: tenant %d got %+v, want at least 100 requests, none rejected or given up, 99%% of them in time", policy, i, a)
 			}
 		}
 	}
 }
 
-// While one tenant floods, the others are served in time under fair queues and not under FIFO: so the measurement can fail.
+// While one tenant sends 20 times its share, the requests of the other tenants succeed in time under fair queues. Under FIFO
+// they do not, which shows that the scenario detects a lack of isolation.
 func TestFairQueuesIsolateFlood(t *testing.T) {
 	noisy := quietScenario()
 	noisy.NoisyTenants, noisy.NoiseFactor, noisy.UniqueNoisyClients = []int{0}, 20, true
@@ -48,9 +49,9 @@
 		return least
 	}
 	if got := leastInTime(FairQueues); got < 0.97 {
-		t.Errorf("under fair queues the other tenants have %.3f in time", got)
+		t.Errorf("under fair queues the other tenants have %.3f or more of their requests in time, want at least 0.97", got)
 	}
 	if got := leastInTime(FIFO); got > 0.6 {
-		t.Errorf("under FIFO the other tenants have %.3f in time: the flood has no effect", got)
+		t.Errorf("under FIFO the other tenants have %.3f or more of their requests in time, want at most 0.6 for one of them", got)
 	}
 }
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -8,19 +8,19 @@
 	"switchfork/internal/cluster/election"
 )
 
-// ElectionSchedule describes one random run of leader election under faults. In it agents have clocks of their own, pause and
-// restart; the network loses, delays, duplicates and partitions; and the rollout controller carries votes out late. The checker
-// sits at the rollout controller and trusts no agent.
+// ElectionSchedule describes one random run of leader election under faults. Each agent has its own clock, may pause and may
+// restart. The network loses, delays and duplicates messages, and may be partitioned. The rollout controller may carry votes out
+// late. The votes are checked at the rollout controller, independently of the agents' own state.
 type ElectionSchedule struct {
 	Seed              int64
 	Agents            int
 	Seconds           int
 	DisabledGuards    election.DisabledGuards
-	LeaderFaultOnly   bool  // no faults but a crash of the leader, at a third of the time
-	LeaderLeaves      bool  // a planned leave instead of that crash
-	NoFaults          bool  // LeaderFaultOnly, and the leader neither crashes nor leaves
-	VoteIndependently bool  // every agent votes by itself: the baseline
-	MessageDelay      int64 // each message takes this long, and up to a third more or less
+	LeaderFaultOnly   bool  // the only fault is a crash of the leader, after a third of the time
+	LeaderLeaves      bool  // with LeaderFaultOnly: the leader leaves as planned and does not crash
+	NoFaults          bool  // with LeaderFaultOnly: the leader neither crashes nor leaves
+	VoteIndependently bool  // the baseline: every agent casts its own votes, without a leader
+	MessageDelay      int64 // added to the delay of each message, up to a third more or less; in microseconds
 }
 
 // ElectionResult is the outcome of a schedule. Times are in microseconds.
@@ -29,13 +29,13 @@
 	Leaderships    int
 	LeaderChanges  int
 	Gaps           []int64 // periods without a leader
-	RollbackAfter  int64   // from the first recommendation to roll back to the vote; -1: never
+	RollbackAfter  int64   // from when the build turned bad until a vote to roll back took effect; -1: never
 	Messages       int
-	EffectiveVotes int // carried out by the rollout controller
+	EffectiveVotes int // votes that the rollout controller carried out
 	MemberChanges  int
 }
 
-// electionSettings of all schedules.
+// electionSettings are the settings of the replicas in all schedules.
 var electionSettings = election.Settings{
 	Lease:          2 * second,
 	ClockDrift:     0.005,
@@ -48,35 +48,36 @@
 func ElectionLease() int64 { return electionSettings.Lease }
 
 const (
-	// settlingTime after the faults: a bad build is rolled back within a few leases and a vote's lifetime.
+	// settlingTime is how long a schedule may run on after the faults until a bad build is rolled back. A few leases and the
+	// lifetime of a vote are enough for that.
 	settlingTime = 20 * second
-	// spareAgents may become members, in schedules in which members change.
+	// spareAgents is the number of additional agents in schedules that change the members. They are not members at the start.
 	spareAgents = 2
-	// ticksPerLease of an agent.
+	// ticksPerLease is how many times an agent's replica is ticked during a lease.
 	ticksPerLease = 15
-	// maxEffectDelay of a vote at the rollout controller, without faults.
+	// maxEffectDelay bounds the time until the rollout controller carries out a vote, without faults.
 	maxEffectDelay = 40 * ms
-	// maxViolations of a schedule are recorded.
+	// maxViolations bounds the number of violations that are recorded for a schedule.
 	maxViolations = 5
 
-	// memberChangeRate of the schedules with faults have changes of members.
+	// memberChangeRate is the fraction of the schedules with random faults that change the members.
 	memberChangeRate = 0.3
-	// diskRate of the agents have a disk, where members don't change.
+	// diskRate is the fraction of the agents that have a disk, in schedules that don't change the members.
 	diskRate = 0.5
-	// lateVoteRate of the votes are carried out late.
+	// lateVoteRate is the fraction of the votes that are carried out late.
 	lateVoteRate = 0.2
-	// lostAnswerRate of the votes' answers are lost.
+	// lostAnswerRate is the fraction of the votes whose answer is lost.
 	lostAnswerRate = 0.1
 )
 
-// addViolation keeps a violation of the rules, unless there are enough.
+// addViolation records a violation, up to maxViolations.
 func (r *ElectionResult) addViolation(format string, arguments ...any) {
 	if len(r.Violations) < maxViolations {
 		r.Violations = append(r.Violations, fmt.Sprintf(format, arguments...))
 	}
 }
 
-// electionRun is the state of a schedule that is being played. It connects the agents with the network and the rollout controller.
+// electionRun is the state of a schedule while it runs. It connects the agents with the network and the rollout controller.
 type electionRun struct {
 	ElectionSchedule
 	timeline
@@ -84,13 +85,13 @@
 	random *rand.Rand
 
 	agents         []*electionAgent
-	changesMembers bool // each agent then has a disk: without one it would forget the members
+	changesMembers bool // if set, each agent has a disk, since without one it would forget the members
 	network        *electionNetwork
 	controller     *rolloutController
 	leadership     *leadershipObserver
 }
 
-// PlayElection plays a schedule.
+// PlayElection runs a schedule.
 func PlayElection(schedule ElectionSchedule) *ElectionResult {
 	result := &ElectionResult{RollbackAfter: -1}
 	r := &electionRun{
@@ -126,7 +127,8 @@
 	}
 }
 
-// play runs all events up to the end. After the faults there is time to roll back what is still bad.
+// play runs all events up to the end of the schedule. If a bad build has not been rolled back by then, it continues for up to
+// settlingTime.
 func (r *electionRun) play() {
 	end := r.end()
 	for len(r.events) > 0 {
@@ -142,7 +144,7 @@
 	}
 }
 
-// runningLeaders returns the agents that lead, but those that are paused.
+// runningLeaders returns the agents that are running and lead. A paused agent is not included.
 func (r *electionRun) runningLeaders() (leaders []int) {
 	for i, a := range r.agents {
 		if a.isRunning(r.now) && a.isLeader(r.now) {
@@ -154,16 +156,17 @@
 
 func (r *electionRun) end() int64 { return int64(r.Seconds) * second }
 
-// clock returns an agent's own time.
+// clock returns the current time by an agent's clock.
 func (r *electionRun) clock(a *electionAgent) int64 { return a.clock(r.now) }
 
-// start starts an agent's process, also again. It has its durable state if that was persisted on a disk.
+// start starts or restarts an agent's process, with the durable state that is on the agent's disk. If there is none, isFresh is
+// passed on to the replica.
 func (r *electionRun) start(i int, isFresh bool) {
 	a := r.agents[i]
 	a.reset()
 	members := election.InitialMembers(r.Agents)
 	if i >= r.Agents {
-		members = election.Members{} // it has to be added first
+		members = election.Members{} // a spare agent is not a member until it is added
 	}
 	state := a.restoredState()
 	if state != nil {
@@ -185,7 +188,7 @@
 	r.scheduleTick(i, a.epoch)
 }
 
-// runAgent lets an agent act, or defers that while the agent is paused.
+// runAgent calls act for an agent. While the agent is paused the call is deferred, and while it is down the call is dropped.
 func (r *electionRun) runAgent(i int, act func(a *electionAgent)) {
 	a := r.agents[i]
 	a.run(r.now, func() { act(a) })
@@ -202,7 +205,7 @@
 	})
 }
 
-// execute carries out a replica's commands.
+// execute carries out the commands of a replica.
 func (r *electionRun) execute(i int, commands []election.Command) {
 	for _, command := range slices.Clone(commands) {
 		switch command := command.(type) {
@@ -218,7 +221,7 @@
 	}
 }
 
-// sendMessage hands a message to the network. It does not reach a process that was started after it was sent.
+// sendMessage sends a message over the network. A process that is started after the message was sent does not receive it.
 func (r *electionRun) sendMessage(from int, command election.SendMessage) {
 	if r.now <= r.end() {
 		r.result.Messages++
@@ -234,7 +237,8 @@
 	})
 }
 
-// writeVote sends a vote to the rollout controller. The process may pause just before it writes; it then looks at the time.
+// writeVote sends a vote to the rollout controller. The process may be paused just before it writes the vote, so it checks the
+// time when it writes.
 func (r *electionRun) writeVote(i int, vote election.CastVote) {
 	epoch := r.agents[i].epoch
 	castAt := r.now
@@ -251,7 +255,7 @@
 	})
 }
 
-// carryOut lets a written vote take effect after a delay, and answers the agent unless the answer is lost.
+// carryOut makes a written vote take effect after a delay, and answers the agent unless the answer is lost.
 func (r *electionRun) carryOut(i int, record election.Record, castAt int64) {
 	epoch := r.agents[i].epoch
 	delay := r.random.Int63n(maxEffectDelay) + 1
@@ -273,7 +277,7 @@
 	})
 }
 
-// leaderOrAny returns the agent that leads now, or else a random one.
+// leaderOrAny returns an agent that leads, even if it is paused, or else a random agent.
 func (r *electionRun) leaderOrAny() int {
 	for i, a := range r.agents {
 		if a.isLeader(r.now) {
--- a/internal/simulation/election_agent.go
+++ b/internal/simulation/election_agent.go
@@ -2,20 +2,21 @@
 
 import "switchfork/internal/cluster/election"
 
-// electionAgent models an agent's process: it may be down or paused, its clock drifts, and its disk may keep the durable state.
+// electionAgent models an agent's process. It may be down or paused, its clock drifts, and it may have a disk that preserves the
+// durable state.
 type electionAgent struct {
 	replica        *election.Replica
-	clockRate      float64
+	clockRate      float64 // of the agent's clock, as a multiple of simulated time
 	isDown         bool
 	pausedUntil    int64
-	deferred       []func() // what came in during the pause
-	epoch          int      // counts the starts
+	deferred       []func() // calls to make at the end of the pause
+	epoch          int      // increases with each start and each crash
 	recommendation election.Decision
-	hasDisk        bool // its durable state survives a restart
-	persisted      *election.DurableState
+	hasDisk        bool                   // the durable state survives a restart
+	persisted      *election.DurableState // the last that the replica persisted; nil: none
 }
 
-// reset begins a new process of the agent; what the one before had deferred is lost.
+// reset starts a new process of the agent. The calls that the previous process deferred are dropped.
 func (a *electionAgent) reset() {
 	a.epoch++
 	a.isDown = false
@@ -23,13 +24,13 @@
 	a.pausedUntil = 0
 }
 
-// crash ends the agent's process. What was under way for it is lost.
+// crash ends the agent's process. Messages and answers that are on their way to it are lost.
 func (a *electionAgent) crash() {
 	a.isDown = true
 	a.epoch++
 }
 
-// restoredState returns the durable state that the agent has on its disk; nil: none.
+// restoredState returns the durable state on the agent's disk, or nil if there is none.
 func (a *electionAgent) restoredState() *election.DurableState {
 	if !a.hasDisk {
 		return nil
@@ -37,18 +38,18 @@
 	return a.persisted
 }
 
-// clock returns the agent's own time.
+// clock returns the time by the agent's clock.
 func (a *electionAgent) clock(now int64) int64 { return int64(float64(now)*a.clockRate) + 1 }
 
-// isRunning tells whether the agent is neither down nor paused.
+// isRunning reports whether the agent is neither down nor paused.
 func (a *electionAgent) isRunning(now int64) bool { return !a.isDown && now >= a.pausedUntil }
 
-// isLeader tells whether an agent that is not down considers itself the leader.
+// isLeader reports whether the agent is not down and considers itself the leader.
 func (a *electionAgent) isLeader(now int64) bool {
 	return !a.isDown && a.replica.IsLeader(a.clock(now))
 }
 
-// run lets the agent act, or defers that while the agent is paused.
+// run calls act. While the agent is paused the call is deferred, and while it is down the call is dropped.
 func (a *electionAgent) run(now int64, act func()) {
 	switch {
 	case a.isDown:
@@ -59,7 +60,7 @@
 	}
 }
 
-// pause stops the agent for a time; what comes in meanwhile is handled at the end.
+// pause pauses the agent for a time. The deferred calls are made at the end of the pause.
 func (a *electionAgent) pause(t *timeline, span int64) {
 	if a.isDown {
 		return
--- a/internal/simulation/election_controller.go
+++ b/internal/simulation/election_controller.go
@@ -6,44 +6,44 @@
 	"switchfork/internal/cluster/election"
 )
 
-// rolloutController models the rollout controller that the agents vote at. It carries out each vote on the stage that it is at,
-// and checks that no vote is contrary to another agent's; it trusts no agent.
+// rolloutController models the rollout controller that receives the agents' votes. It carries out the votes on the current stage
+// and checks that no vote contradicts another agent's. The check does not depend on the agents' own state.
 type rolloutController struct {
 	result *ElectionResult
 
 	build        int32
 	stage        int32
-	isBad        bool // the build is, since badSince
+	isBad        bool // the build is bad, since badSince
 	badSince     int64
 	stalledUntil int64
-	votes        []effectiveVote
-	newestVote   effectiveVote // until is when it took effect
+	votes        []effectiveVote // on the current stage
+	newestVote   effectiveVote   // its until is the time at which it took effect
 }
 
 // effectiveVote is a vote that the rollout controller has carried out.
 type effectiveVote struct {
 	agent  int
 	record election.Record
-	until  int64 // it counts until then
+	until  int64 // when its lifetime ends
 }
 
-// nextStage moves the rollout on; votes on the stage before have no effect any more.
+// nextStage moves the rollout to the next stage. Votes on the previous stage have no effect any more.
 func (c *rolloutController) nextStage() {
 	c.stage++
 	c.votes = nil
 }
 
-// markBad makes the build a bad one, which is to be rolled back.
+// markBad marks the build as bad, so that the agents should roll it back.
 func (c *rolloutController) markBad(now int64) {
 	c.isBad = true
 	c.badSince = now
 }
 
-// carryOut takes a vote into effect. It must not be contrary to another agent's that counts, nor advance the build when it was cast
-// before another agent's contrary vote took effect.
+// carryOut puts a vote into effect and records violations. The vote must not contradict another agent's vote that is still in
+// effect. It must not advance the build if it was cast before another agent's contrary vote took effect.
 func (c *rolloutController) carryOut(now int64, agent int, record election.Record, castAt int64) {
 	if record.Build != c.build || record.Stage != c.stage {
-		return // on a stage that is over
+		return // the vote is on an earlier stage
 	}
 	c.result.EffectiveVotes++
 	c.votes = slices.DeleteFunc(c.votes, func(v effectiveVote) bool { return v.until <= now || v.agent == agent })
@@ -56,7 +56,7 @@
 	newest := c.newestVote
 	isOutdated := newest.agent != agent && castAt < newest.until
 	if isOutdated && record.Verdict == election.Advance && isContrary(newest.record, record) {
-		c.result.addViolation("at %d us deposed leader %d's vote %v is carried out after %v", now, agent, record, newest.record)
+		c.result.addViolation("at %d us deposed leader %d's vote %v is carried out after the contrary vote %v", now, agent, record, newest.record)
 	}
 	c.newestVote = effectiveVote{agent: agent, record: record, until: now}
 	c.votes = append(c.votes, effectiveVote{agent: agent, record: record, until: now + electionSettings.VoteLifetime})
--- a/internal/simulation/election_faults.go
+++ b/internal/simulation/election_faults.go
@@ -3,7 +3,8 @@
 // electionFault is a kind of fault.
 type electionFault int
 
-// The kinds of faults. Those below randomFaults are drawn alike; changes of members are drawn apart, in some schedules only.
+// The kinds of faults. Those below randomFaults are drawn with equal probability. Changes of members are drawn separately, and
+// only in some schedules.
 const (
 	isolateAgent electionFault = iota
 	cutOneDirection
@@ -18,33 +19,33 @@
 )
 
 const (
-	// minFaults of a schedule.
+	// minFaults is the minimum number of faults in a schedule.
 	minFaults = 4
-	// maxExtraFaults of a schedule beside those.
+	// maxExtraFaults bounds the number of faults in a schedule in addition to minFaults.
 	maxExtraFaults = 7
 	// minFaultSpan is the shortest time that a fault lasts.
 	minFaultSpan = 50 * ms
-	// maxFaultSpan is the longest time that a fault lasts beside minFaultSpan.
+	// maxFaultSpan bounds the time that a fault lasts in addition to minFaultSpan.
 	maxFaultSpan = 5 * second
-	// maxFaultDelay bounds how long a message takes while messages are delayed.
+	// maxFaultDelay bounds how long a message takes during a delayMessages fault.
 	maxFaultDelay = 600 * ms
-	// maxLossRate of the messages are lost while messages are lost.
+	// maxLossRate bounds the fraction of the messages that is lost during a loseMessages fault.
 	maxLossRate = 0.5
-	// leaderFaultRate of the faults hit the leader, if there is one.
+	// leaderFaultRate is the fraction of the faults that hit the leader, if there is one.
 	leaderFaultRate = 0.6
-	// inboundRate of the cuts in one direction are of what an agent receives.
+	// inboundRate is the fraction of the cutOneDirection faults that cut what an agent receives. The others cut what it sends.
 	inboundRate = 0.5
 
-	// memberFaultRate of the faults change members, in schedules in which members change.
+	// memberFaultRate is the fraction of the faults that change the members, in schedules that change the members.
 	memberFaultRate = 0.4
-	// maxChangesAtATime of the members.
+	// maxChangesAtATime bounds the number of member changes in one changeMembers fault.
 	maxChangesAtATime = 3
 )
 
-// faultInjector draws the faults of a schedule and lets them happen.
+// faultInjector draws the faults of a schedule and injects them.
 type faultInjector struct{ *electionRun }
 
-// scheduleAll draws all faults of the schedule.
+// scheduleAll draws and schedules all faults of the schedule.
 func (f faultInjector) scheduleAll() {
 	for range minFaults + f.random.Intn(maxExtraFaults+1) {
 		f.scheduleFault()
@@ -61,7 +62,7 @@
 	f.schedule(at, func() { f.inject(fault, span) })
 }
 
-// inject lets a fault happen to a random agent or to the leader. It lasts for span.
+// inject injects a fault that lasts for span. A fault of one agent hits the leader or a random agent.
 func (f faultInjector) inject(fault electionFault, span int64) {
 	i := f.random.Intn(f.Agents)
 	if f.random.Float64() < leaderFaultRate {
@@ -93,7 +94,7 @@
 	}
 }
 
-// cutOneDirection cuts all that an agent receives, or all that it sends.
+// cutOneDirection cuts the connections to an agent, or those from it.
 func (f faultInjector) cutOneDirection(i int, span int64) {
 	isInbound := f.random.Float64() < inboundRate
 	f.network.partition(span, func(from, to int) bool {
@@ -104,7 +105,7 @@
 	})
 }
 
-// changeMember makes the leader add a random agent to the members, or remove it.
+// changeMember makes the leader add a random agent to the members, or remove it if it is a member.
 func (f faultInjector) changeMember() {
 	i := f.leaderOrAny()
 	a := f.agents[i]
--- a/internal/simulation/election_leadership.go
+++ b/internal/simulation/election_leadership.go
@@ -1,16 +1,17 @@
 package simulation
 
-// noAgent stands for no agent where an agent's index is expected.
+// noAgent is the index that stands for no agent.
 const noAgent = -1
 
-// leadershipObserver records who leads and for how long nobody does, and checks that one agent does at most.
+// leadershipObserver records changes of the leader and the periods without one, and checks that at most one agent leads at a
+// time.
 type leadershipObserver struct {
 	result       *ElectionResult
-	leader       int // the last that led
+	leader       int // the most recent leader, or noAgent
 	gapStartedAt int64
 }
 
-// observe takes in which agents lead now.
+// observe records which agents lead at a time.
 func (o *leadershipObserver) observe(now int64, leaders []int) {
 	if len(leaders) > 1 {
 		o.result.addViolation("at %d us %d agents lead", now, len(leaders))
--- a/internal/simulation/election_model_test.go
+++ b/internal/simulation/election_model_test.go
@@ -8,7 +8,7 @@
 	"switchfork/internal/cluster/election"
 )
 
-// A partition cuts the connections that it names for its time, and the end of any partition heals all.
+// A partition cuts the given connections for its duration. The end of any partition heals all connections.
 func TestPartitionCutsConnections(t *testing.T) {
 	var line timeline
 	network := newElectionNetwork(&line, rand.New(rand.NewSource(1)), 3, 0)
@@ -24,17 +24,17 @@
 	network.partition(second, func(from, to int) bool { return from == 0 && to != 0 })
 	sendAll()
 	if len(delivered) != 7 || delivered[[2]int{0, 1}]+delivered[[2]int{0, 2}] != 0 {
-		t.Errorf("delivered %v, want all but what agent 0 sends to others", delivered)
+		t.Errorf("delivered %v, want all messages except those from agent 0 to the others", delivered)
 	}
 	line.runUntil(second)
 	clear(delivered)
 	sendAll()
 	if len(delivered) != 9 {
-		t.Errorf("delivered %v after the partition, want all", delivered)
+		t.Errorf("delivered %v after the partition, want all messages", delivered)
 	}
 }
 
-// Messages take at most the longest delay, and are lost and duplicated at about the network's rates.
+// Messages arrive within the maximum delay, and are lost and duplicated at about the rates of the network.
 func TestNetworkLosesAndDuplicatesMessages(t *testing.T) {
 	const messages = 20_000
 	var line timeline
@@ -45,18 +45,18 @@
 		network.send(0, 1, func() {
 			delivered++
 			if line.now > defaultDelay {
-				t.Fatalf("a message takes %d us", line.now)
+				t.Fatalf("a message took %d us, want at most the default delay", line.now)
 			}
 		})
 	}
 	line.runUntil(second)
 	// A tenth of the messages are sent twice, and six tenths of the copies arrive.
 	if ratio := float64(delivered) / messages; ratio < 0.64 || ratio > 0.68 {
-		t.Errorf("%.3f of the messages arrive, want about 0.66", ratio)
+		t.Errorf("got %.3f deliveries per message, want about 0.66", ratio)
 	}
 }
 
-// What comes in while an agent is paused is handled at the end of the pause, and is lost where the process does not live to see it.
+// Calls to a paused agent are deferred to the end of the pause. They are dropped if the process is replaced before then.
 func TestPausedAgentDefersWhatComesIn(t *testing.T) {
 	for _, isRestarted := range []bool{false, true} {
 		var line timeline
@@ -76,48 +76,49 @@
 			want = nil
 		}
 		if !slices.Equal(handledAt, want) {
-			t.Errorf("restarted %t: handled at %v, want %v", isRestarted, handledAt, want)
+			t.Errorf("restarted %t: deferred call made at %v, want %v", isRestarted, handledAt, want)
 		}
 	}
 }
 
-// A leader that was deposed, and a vote contrary to another agent's, are violations; an agent's own change of mind is none.
+// A vote that contradicts another agent's vote in effect is a violation. So is a deposed leader's vote to advance that was cast
+// before a contrary vote took effect. An agent may contradict its own vote.
 func TestRolloutControllerReportsContraryVotes(t *testing.T) {
 	decide := func(verdict election.Verdict) election.Record {
 		return election.Record{Term: 1, Decision: election.Decision{Build: 1, Verdict: verdict}}
 	}
 	for _, test := range []struct {
 		name           string
-		second         int // agent
+		secondAgent    int // casts the second vote
 		at             int64
 		castAt         int64
 		wantViolations int
 	}{
-		{"its own", 0, second + ms, second + ms, 0},
-		{"another's beside it", 1, second + ms, second + ms, 1},
-		{"another's after its lifetime", 1, second + electionSettings.VoteLifetime, 2 * second, 0},
-		{"another's that was cast before", 1, second + electionSettings.VoteLifetime, second / 2, 1},
+		{"own vote", 0, second + ms, second + ms, 0},
+		{"other agent's vote in effect", 1, second + ms, second + ms, 1},
+		{"other agent's vote expired", 1, second + electionSettings.VoteLifetime, 2 * second, 0},
+		{"cast before the other agent's vote took effect", 1, second + electionSettings.VoteLifetime, second / 2, 1},
 	} {
 		result := &ElectionResult{RollbackAfter: -1}
 		controller := &rolloutController{result: result, build: 1}
 		controller.markBad(second / 2)
 		controller.carryOut(second, 0, decide(election.Rollback), second)
-		controller.carryOut(test.at, test.second, decide(election.Advance), test.castAt)
+		controller.carryOut(test.at, test.secondAgent, decide(election.Advance), test.castAt)
 		if len(result.Violations) != test.wantViolations {
 			t.Errorf("%s: violations %v, want %d", test.name, result.Violations, test.wantViolations)
 		}
 		if result.RollbackAfter != second/2 || result.EffectiveVotes != 2 {
-			t.Errorf("%s: rolled back after %d with %d votes, want %d and both", test.name, result.RollbackAfter, result.EffectiveVotes, second/2)
+			t.Errorf("%s: rolled back after %d us with %d votes in effect, want %d us and 2 votes", test.name, result.RollbackAfter, result.EffectiveVotes, second/2)
 		}
 		controller.nextStage()
 		controller.carryOut(test.at, 2, decide(election.Hold), test.at)
 		if result.EffectiveVotes != 2 {
-			t.Errorf("%s: a vote on the stage before took effect", test.name)
+			t.Errorf("%s: a vote on the previous stage took effect", test.name)
 		}
 	}
 }
 
-// Leaderships, changes and gaps are counted, and two leaders at a time are a violation.
+// Leaderships, leader changes and gaps are counted. Two leaders at the same time are a violation.
 func TestLeadershipIsObserved(t *testing.T) {
 	result := &ElectionResult{}
 	observer := &leadershipObserver{result: result, leader: noAgent}
@@ -126,7 +127,7 @@
 	}
 	observer.endGap(9 * second)
 	if result.Leaderships != 2 || result.LeaderChanges != 1 || len(result.Violations) > 0 {
-		t.Errorf("observed %+v, want two leaderships and one change", result)
+		t.Errorf("got %+v, want two leaderships, one change and no violations", result)
 	}
 	if want := []int64{second, second, 2 * second}; !slices.Equal(result.Gaps, want) {
 		t.Errorf("gaps %v, want %v", result.Gaps, want)
--- a/internal/simulation/election_network.go
+++ b/internal/simulation/election_network.go
@@ -3,21 +3,21 @@
 import "math/rand"
 
 const (
-	// defaultDelay bounds how long a message takes without faults, and how long an agent needs to write a vote.
+	// defaultDelay bounds how long a message takes without faults, and how long an agent takes to write a vote.
 	defaultDelay = 2 * ms
-	// duplicateDivisor of the loss rate is the rate at which messages arrive twice.
+	// duplicateDivisor divides the loss rate. The quotient is the rate at which messages are duplicated.
 	duplicateDivisor = 4
 )
 
-// electionNetwork models the network between agents: it loses, duplicates and delays messages, and may be partitioned.
+// electionNetwork models the network between agents. It loses, duplicates and delays messages, and may be partitioned.
 type electionNetwork struct {
 	timeline     *timeline
 	random       *rand.Rand
-	messageDelay int64 // each message takes this long, and up to a third more or less, beside maxDelay
+	messageDelay int64 // added to the delay of each message, up to a third more or less
 
-	isCut    [][]bool // from, to
+	isCut    [][]bool // by sender and receiver
 	lossRate float64
-	maxDelay int64
+	maxDelay int64 // bounds the random delay of a message
 }
 
 func newElectionNetwork(t *timeline, random *rand.Rand, agents int, messageDelay int64) *electionNetwork {
@@ -34,7 +34,7 @@
 	return n
 }
 
-// send delivers a message after a delay, at times twice, or loses it.
+// send delivers a message after a delay. The message may be duplicated or lost.
 func (n *electionNetwork) send(from, to int, deliver func()) {
 	copies := 1
 	if n.random.Float64() < n.lossRate/duplicateDivisor {
@@ -57,19 +57,19 @@
 	return delay
 }
 
-// loseMessages loses a random part of the messages for a time.
+// loseMessages loses a random fraction of the messages for a time.
 func (n *electionNetwork) loseMessages(span int64) {
 	n.lossRate = n.random.Float64() * maxLossRate
 	n.timeline.schedule(n.timeline.now+span, func() { n.lossRate = 0 })
 }
 
-// delayMessages lets messages take longer for a time.
+// delayMessages draws a new bound for the delay of messages, which applies for a time.
 func (n *electionNetwork) delayMessages(span int64) {
 	n.maxDelay = 1 + n.random.Int63n(maxFaultDelay)
 	n.timeline.schedule(n.timeline.now+span, func() { n.maxDelay = defaultDelay })
 }
 
-// partition cuts connections for a time. The end of any partition heals all connections.
+// partition cuts the connections between agents that are apart, for a time. The end of any partition heals all connections.
 func (n *electionNetwork) partition(span int64, isApart func(from, to int) bool) {
 	for from := range n.isCut {
 		for to := range n.isCut[from] {
--- a/internal/simulation/election_script.go
+++ b/internal/simulation/election_script.go
@@ -3,24 +3,24 @@
 import "switchfork/internal/cluster/election"
 
 const (
-	// maxStageChanges of the rollout in a schedule.
+	// maxStageChanges bounds the number of stage changes in a schedule.
 	maxStageChanges = 2
-	// alternatingRate of the recommendations change, while the build is good.
+	// alternatingRate is the fraction of the recommendations whose verdict is drawn again while the build is good.
 	alternatingRate = 0.15
-	// firstRecommendation of each agent comes within this time.
+	// firstRecommendation is the time within which each agent makes its first recommendation.
 	firstRecommendation = 500 * ms
-	// recommendationsPerLease of an agent, at most.
+	// recommendationsPerLease bounds the number of recommendations that an agent makes during a lease.
 	recommendationsPerLease = 4
-	// maxRecommendationJitter is added to the interval between two recommendations.
+	// maxRecommendationJitter bounds the random time that is added to the interval between two recommendations.
 	maxRecommendationJitter = 200 * ms
-	// maxStageDelay passes until an agent notices that the rollout has moved on.
+	// maxStageDelay bounds the time until an agent learns of a new stage.
 	maxStageDelay = 300 * ms
-	// noWriteLimit is a time before which any vote is written.
+	// noWriteLimit is the WriteBefore of a vote that may be written at any time.
 	noWriteLimit = never
 )
 
-// electionScript draws what happens in a schedule: what the agents recommend, when the build turns bad and the rollout moves on,
-// and which faults there are.
+// electionScript draws the events of a schedule: the recommendations of the agents, the changes of the stage, the time at which
+// the build turns bad, and the faults.
 type electionScript struct {
 	*electionRun
 	faults faultInjector
@@ -30,7 +30,7 @@
 	return &electionScript{electionRun: r, faults: faultInjector{r}}
 }
 
-// scheduleAll draws all that is known from the start.
+// scheduleAll draws and schedules the events that do not depend on the course of the schedule.
 func (s *electionScript) scheduleAll() {
 	for i := range s.agents {
 		s.schedule(s.random.Int63n(firstRecommendation), func() { s.recommendRepeatedly(i, election.Advance) })
@@ -46,8 +46,8 @@
 	}
 }
 
-// recommendRepeatedly makes an agent repeat its recommendation, as its release analyzer would. In schedules with faults the
-// recommendations alternate.
+// recommendRepeatedly makes an agent repeat its recommendation, as its release analyzer would. In schedules with random faults
+// the recommendation changes at times. Once the build is bad, the agent recommends a rollback.
 func (s *electionScript) recommendRepeatedly(i int, verdict election.Verdict) {
 	switch {
 	case s.controller.isBad:
@@ -72,7 +72,8 @@
 	})
 }
 
-// endLeadership is the one event of a schedule with LeaderFaultOnly: the build turns bad, and the leader crashes or leaves.
+// endLeadership is the only event of a schedule with LeaderFaultOnly. The build turns bad, and the leader crashes or leaves
+// unless NoFaults is set.
 func (s *electionScript) endLeadership() {
 	s.controller.markBad(s.now)
 	if s.NoFaults {
@@ -88,7 +89,7 @@
 	s.schedule(s.now+s.end()/4, func() { s.start(i, true) })
 }
 
-// nextStage moves the rollout on; agents notice it one after the other.
+// nextStage moves the rollout to the next stage. Each agent learns of it after a random delay.
 func (s *electionScript) nextStage() {
 	s.controller.nextStage()
 	for i := range s.agents {
--- a/internal/simulation/election_test.go
+++ b/internal/simulation/election_test.go
@@ -6,7 +6,8 @@
 	"switchfork/internal/cluster/election"
 )
 
-// Random schedules of faults cause no violation, and do so where a guard is disabled.
+// Random schedules of faults cause no violation. With a guard disabled some of them do, which shows that the check detects a
+// missing guard.
 func TestElectionSafetyUnderFaults(t *testing.T) {
 	first := int64(1)
 	violated := func(disabled election.DisabledGuards) (count int) {
@@ -22,17 +23,17 @@
 	}
 	for name, off := range map[string]election.DisabledGuards{"lease": {LeaseTimeout: true}, "wait": {WaitForEarlierVotes: true}, "record": {QuorumBeforeCast: true}} {
 		if violated(off) == 0 {
-			t.Errorf("without %s nothing is found", name)
+			t.Errorf("no schedule has a violation without the guard %s, want at least one", name)
 		}
 	}
-	first = 400 // it takes a ballot that is put again and whose first answers come late: one schedule in some hundreds
+	first = 400 // a violation needs a ballot that is sent again and whose first answers are late, as in one schedule of several hundred
 	if violated(election.DisabledGuards{LeaseFromStart: true}) == 0 {
-		t.Error("a lease that counts from when its ballot was put again breaks nothing")
+		t.Error("no schedule has a violation where a lease counts from when its ballot was sent again, want at least one")
 	}
 }
 
-// Where a message takes a tenth of a lease, a ballot lasts longer than the pause between two. There is a new leader soon after the
-// leader has crashed, and it stays the leader.
+// If a message takes a tenth of a lease, a ballot lasts longer than the pause between two ballots. A new leader is still elected
+// soon after the leader has crashed, and it stays the leader.
 func TestSlowNetworkElectsLeader(t *testing.T) {
 	for _, agents := range []int{3, 4, 5} {
 		for seed := range int64(40) {
@@ -42,7 +43,7 @@
 			}
 			for _, gap := range result.Gaps {
 				if gap > 3*ElectionLease() {
-					t.Errorf("%d agents, seed %d: without a leader for %.1f s, a lease is %.1f", agents, seed, float64(gap)/1e6, float64(ElectionLease())/1e6)
+					t.Errorf("%d agents, seed %d: no leader for %.1f s, want at most three leases of %.1f s", agents, seed, float64(gap)/1e6, float64(ElectionLease())/1e6)
 				}
 			}
 		}
--- a/internal/simulation/retry_after_meter.go
+++ b/internal/simulation/retry_after_meter.go
@@ -2,16 +2,16 @@
 
 import "switchfork/internal/admission"
 
-// retryAfterMeter compares the Retry-After times of rejected requests with the waits that were needed: until the tenant's admitted cost
-// has reached what was admitted, waiting and reserved at the rejection.
+// retryAfterMeter compares the Retry-After times of rejected requests with the waits that were needed. A needed wait ends when
+// the tenant's admitted cost reaches the cost that had been admitted, was waiting or was reserved at the rejection.
 type retryAfterMeter struct {
 	rejections [][]waitingClient // by tenant, in the order of rejection
-	ratios     []float64         // Retry-After over the needed wait
+	ratios     []float64         // Retry-After divided by the needed wait
 }
 
-// waitingClient is one that was rejected with a Retry-After.
+// waitingClient is a client that was rejected with a Retry-After.
 type waitingClient struct {
-	targetCost float64
+	targetCost float64 // admitted cost of the tenant at which the needed wait ends
 	retryAfter float64
 	rejectedAt int64
 }
@@ -29,7 +29,7 @@
 	})
 }
 
-// recordAdmittedCost ends the wait of the tenant's clients for which there has been capacity by now.
+// recordAdmittedCost ends the waits of the tenant's clients whose target cost has been admitted.
 func (m *retryAfterMeter) recordAdmittedCost(now int64, tenant int, admittedCost float64) {
 	waiting := m.rejections[tenant]
 	for len(waiting) > 0 && admittedCost >= waiting[0].targetCost {
--- a/internal/simulation/timeline.go
+++ b/internal/simulation/timeline.go
@@ -10,20 +10,21 @@
 	never = int64(1) << 60
 )
 
-// timeline is simulated time and what is scheduled in it.
+// timeline holds the simulated time and the scheduled events.
 type timeline struct {
 	now      int64
 	sequence int
 	events   eventHeap
 }
 
-// schedule runs do at a time, or now if that is past. Events of the same time run in the order in which they were scheduled.
+// schedule runs do at a time, or at the current time if that is later. Events of the same time run in the order in which they
+// were scheduled.
 func (t *timeline) schedule(at int64, do func()) {
 	t.sequence++
 	heap.Push(&t.events, event{at: max(at, t.now), sequence: t.sequence, do: do})
 }
 
-// runUntil runs all events up to and including those at the end, also events that are scheduled meanwhile.
+// runUntil runs all events up to and including the time end, and the events that these schedule up to then.
 func (t *timeline) runUntil(end int64) {
 	for len(t.events) > 0 && t.events[0].at <= end {
 		next := t.pop()
@@ -32,10 +33,10 @@
 	}
 }
 
-// pop removes and returns the next event. There has to be one.
+// pop removes and returns the next event. There must be one.
 func (t *timeline) pop() event { return heap.Pop(&t.events).(event) }
 
-// event is a function to run at a time.
+// event is a function to run at a given time.
 type event struct {
 	at       int64
 	sequence int
--- a/internal/simulation/timeline_test.go
+++ b/internal/simulation/timeline_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Events run by time, those of one time in the order in which they were scheduled, and those beyond the end stay for a later run.
+// Events run in the order of their times. Events of the same time run in the order in which they were scheduled. Events after
+// the end wait for a later run.
 func TestTimelineRunsEventsInOrder(t *testing.T) {
 	var line timeline
 	var order []int
@@ -14,11 +15,11 @@
 	}
 	line.runUntil(20)
 	if want := []int{1, 4, 0, 2}; !slices.Equal(order, want) || line.now != 20 {
-		t.Errorf("up to 20: ran %v by %d, want %v", order, line.now, want)
+		t.Errorf("up to 20: ran %v, the time is %d, want %v and 20", order, line.now, want)
 	}
-	line.schedule(5, func() { order = append(order, 5) }) // is past, so it runs now
+	line.schedule(5, func() { order = append(order, 5) }) // the time has passed, so it runs at 20
 	line.runUntil(30)
 	if want := []int{1, 4, 0, 2, 5, 3}; !slices.Equal(order, want) || line.now != 30 {
-		t.Errorf("up to 30: ran %v by %d, want %v", order, line.now, want)
+		t.Errorf("up to 30: ran %v, the time is %d, want %v and 30", order, line.now, want)
 	}
 }
