--- a/internal/loganalysis/entry.go
+++ b/internal/loganalysis/entry.go
@@ -29,8 +29,8 @@
 // timePrefix starts the part of a line that log/slog wrote.
 var timePrefix = []byte("time=")
 
-// errNoLogLine is a line that log/slog did not write.
-var errNoLogLine = errors.New("reading a log line: time= is missing")
+// errNotLogLine is returned for a line that log/slog did not write.
+var errNotLogLine = errors.New("reading a log line: time= is missing")
 
 // entry is a line of an agent's log.
 type entry struct {
@@ -38,11 +38,11 @@
 	fields map[string]string
 }
 
-// parseEntry reads a line from its time on.
+// parseEntry parses a line from time= on. Other text may precede it.
 func parseEntry(line []byte) (entry, error) {
 	start := bytes.Index(line, timePrefix)
 	if start < 0 {
-		return entry{}, errNoLogLine
+		return entry{}, errNotLogLine
 	}
 	fields := map[string]string{}
 	decoder := logfmt.NewDecoder(bytes.NewReader(line[start:]))
@@ -63,7 +63,7 @@
 
 func (e entry) message() string { return e.fields["msg"] }
 
-// number returns the value of a key if it is a whole number, else 0.
+// number returns the value of a key and reports whether it is a whole number. If not, the value is 0.
 func (e entry) number(key string) (value int, isNumber bool) {
 	value, err := strconv.Atoi(e.fields[key])
 	if err != nil {
--- a/internal/loganalysis/print.go
+++ b/internal/loganalysis/print.go
@@ -10,13 +10,14 @@
 	"time"
 )
 
-// counterColumns are the activity lines' keys in the order of the table's columns.
+// counterColumns are the keys of the activity lines that the table shows, in the order of its columns.
 var counterColumns = []string{
 	"arrived", "succeeded", "rejected", "failed", "cancelled_by_client", "attempts", "retries", "health_checks", "dials", "list_calls",
 	"votes", "votes_rejected",
 }
 
-// Print writes the tables, tab-separated. Of the endpoints it shows those with the most warnings, at most maxEndpoints.
+// Print writes the tables, with columns separated by tabs. It shows at most maxEndpoints endpoints, those with the most
+// warnings.
 func (r *Report) Print(w io.Writer, maxEndpoints int) error {
 	var out bytes.Buffer
 	r.printIntervals(&out)
@@ -29,9 +30,9 @@
 }
 
 func (r *Report) printIntervals(out *bytes.Buffer) {
-	fmt.Fprintf(out, "%d agents, rows of %v; %d lines that could not be read\n\n", r.Agents, r.Interval, r.MalformedLines)
+	fmt.Fprintf(out, "%d agents, one row for each %v; %d lines could not be parsed\n\n", r.Agents, r.Interval, r.MalformedLines)
 	fmt.Fprintf(out, "from_s\t%s\tagents_with_list_updates\tlist_calls_failed\t", strings.Join(counterColumns, "\t"))
-	fmt.Fprintf(out, "results (a line a second, agent and endpoint at most)\n")
+	fmt.Fprintf(out, "results (each agent logs at most one line per endpoint and second)\n")
 	indices := slices.Sorted(maps.Keys(r.intervals))
 	for _, index := range indices {
 		totals := r.intervals[index]
@@ -62,7 +63,7 @@
 		return
 	}
 	slices.SortStableFunc(names, func(a, b string) int { return sum(r.endpointWarnings[b]) - sum(r.endpointWarnings[a]) })
-	fmt.Fprintf(out, "\nendpoints with the most warnings, of %d\n", len(names))
+	fmt.Fprintf(out, "\nendpoints with the most warnings, out of %d with warnings\n", len(names))
 	for _, name := range names[:min(maxEndpoints, len(names))] {
 		fmt.Fprintf(out, "%s\t%s\n", name, formatCounts(r.endpointWarnings[name]))
 	}
@@ -75,7 +76,7 @@
 	return total
 }
 
-// formatCounts lists counts by name.
+// formatCounts lists the counts in the order of their names.
 func formatCounts(counts map[string]int) string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
--- a/internal/loganalysis/report.go
+++ b/internal/loganalysis/report.go
@@ -1,7 +1,8 @@
-// Package loganalysis adds up what many agents did together, from a log file of each.
+// Package loganalysis adds up the activity of many agents, from one log file of each.
 //
-// A load that is harmless from one agent may be harmful from all of them at once, and no single log shows that. The package
-// counts and formats; it does not judge. A Report is not safe for concurrent use.
+// A load that is harmless from one agent may be harmful from all of them together, and the log of a single agent does not show
+// that. The package counts and formats. It does not decide whether the counts are acceptable. A Report is not safe for
+// concurrent use.
 package loganalysis
 
 import (
@@ -12,27 +13,27 @@
 )
 
 const (
-	// minInterval of a table row.
+	// minInterval is the shortest interval of a table row.
 	minInterval = time.Second
-	// initialBufferSize of the scanner in bytes; it grows with the longest line.
+	// initialBufferSize is the initial size of the scanner's buffer in bytes. The buffer grows with the longest line.
 	initialBufferSize = 64 << 10
-	// maxEntryLength bounds one line in bytes; Read fails on a longer one.
+	// maxEntryLength bounds the length of a line in bytes. Read fails on a longer line.
 	maxEntryLength = 1 << 20
 )
 
 // Report holds the totals over all agents.
 type Report struct {
-	Interval       time.Duration // that one table row covers
+	Interval       time.Duration // covered by one table row
 	Agents         int
-	MalformedLines int
+	MalformedLines int // lines that could not be parsed
 
 	intervals        map[int64]*intervalTotals
 	endpointWarnings map[string]map[string]int // by endpoint and attempt result
 	votes            map[voteOutcome]int
-	votesBySecond    map[int64]int // by the second in which they were cast
+	votesBySecond    map[int64]int // by the Unix second in which they were cast
 }
 
-// voteOutcome is a vote and what became of it, as agents log them.
+// voteOutcome is a vote and its result, as agents log them.
 type voteOutcome struct{ build, stage, verdict, result string }
 
 func (o voteOutcome) String() string {
@@ -41,13 +42,13 @@
 
 // intervalTotals are the totals of one table row.
 type intervalTotals struct {
-	counters       map[string]int  // sums of the activity lines' numbers
+	counters       map[string]int  // sums of the numbers in activity lines, by key
 	attemptResults map[string]int  // warnings by attempt result
 	updatedAgents  map[string]bool // agents that logged an endpoint list update
 	failedCalls    int             // endpoint list streams and polls that failed
 }
 
-// NewReport returns an empty report whose table rows cover an interval each, at least a second.
+// NewReport returns an empty report. Each row of its table covers the interval, or one second if the interval is shorter.
 func NewReport(interval time.Duration) *Report {
 	return &Report{
 		Interval:         max(interval, minInterval),
@@ -58,7 +59,7 @@
 	}
 }
 
-// Read adds one agent's log. It consists of text lines as log/slog writes them; other text may precede time= in a line.
+// Read adds one agent's log. The log consists of text lines as log/slog writes them. Other text may precede time= in a line.
 func (r *Report) Read(agent string, log io.Reader) error {
 	r.Agents++
 	scanner := bufio.NewScanner(log)
@@ -105,7 +106,7 @@
 	return totals
 }
 
-// addCounters adds all whole numbers of an activity line except the time since the line before.
+// addCounters adds all whole numbers of an activity line except interval_ms, the time since the previous activity line.
 func (t *intervalTotals) addCounters(logged entry) {
 	for key := range logged.fields {
 		if count, isNumber := logged.number(key); isNumber && key != keyInterval {
@@ -121,7 +122,7 @@
 	r.endpointWarnings[endpoint][result]++
 }
 
-// addVote counts a vote in the second in which it was cast: it is logged when its result is known, some time later.
+// addVote counts a vote in the second in which it was cast. The vote is logged later, when its result is known.
 func (r *Report) addVote(logged entry) {
 	r.votes[voteOutcome{
 		build:   logged.fields["build"],
@@ -129,12 +130,13 @@
 		verdict: logged.fields["verdict"],
 		result:  logged.fields["result"],
 	}]++
-	elapsedMillis, _ := logged.number(keyElapsed) // 0 if it is missing
+	elapsedMillis, _ := logged.number(keyElapsed) // 0 if the key is missing
 	castAt := logged.at.Add(-time.Duration(elapsedMillis) * time.Millisecond)
 	r.votesBySecond[castAt.Unix()]++
 }
 
-// PeakVoteRate returns the most votes that all agents cast in one second, and the number of seconds with more than limit.
+// PeakVoteRate returns the largest number of votes that all agents together cast in one second, and the number of seconds with
+// more votes than limit.
 func (r *Report) PeakVoteRate(limit float64) (peak, secondsOver int) {
 	for _, count := range r.votesBySecond {
 		peak = max(peak, count)
--- a/internal/loganalysis/report_test.go
+++ b/internal/loganalysis/report_test.go
@@ -46,10 +46,10 @@
 		}
 	}
 	if peak, over := report.PeakVoteRate(2); peak != 2 || over != 0 || report.SecondsWithVotes() != 2 {
-		t.Errorf("busiest second %d, over %d of %d", peak, over, report.SecondsWithVotes())
+		t.Errorf("got %d votes in the busiest second, %d of %d seconds over two votes, want 2 votes, 0 of 2 seconds", peak, over, report.SecondsWithVotes())
 	}
 	if _, over := report.PeakVoteRate(1); over != 1 {
-		t.Errorf("%d seconds over one vote", over)
+		t.Errorf("got %d seconds over one vote, want 1", over)
 	}
 	var out bytes.Buffer
 	if err := report.Print(&out, 1); err != nil {
@@ -60,11 +60,11 @@
 		"build 7 stage 1 approve: not run\t3\n", "box 1\ttimed out 1\n",
 	} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%q is missing in\n%s", want, out.String())
+			t.Errorf("%q is missing in the report:\n%s", want, out.String())
 		}
 	}
-	if report.MalformedLines != 3 { // the two above, and what stands before the end of the first log
-		t.Errorf("%d malformed lines", report.MalformedLines)
+	if report.MalformedLines != 3 { // the last two lines of log b, and the prefix after the last line of log a
+		t.Errorf("got %d malformed lines, want 3", report.MalformedLines)
 	}
 }
 
@@ -73,7 +73,7 @@
 	f.Add([]byte("time=2026-01-02T03:04:05Z msg=\"vote cast\" elapsed_ms=\n\x00=time="))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		report := NewReport(0)
-		_ = report.Read("x", bytes.NewReader(raw)) // any error will do, as long as nothing panics
+		_ = report.Read("x", bytes.NewReader(raw)) // an error is fine: the test is for panics
 		if err := report.Print(&bytes.Buffer{}, 100); err != nil {
 			t.Fatal(err)
 		}
