--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,8 +1,8 @@
-// Package golden compares what a test produced with a file of testdata, and digests streams of values so that a change of a
-// decision shows as another number.
+// Package golden compares the output of a test with a file in testdata. It also computes digests of streams of values, so that a
+// changed decision shows as a changed digest.
 //
-// A digest depends on values alone. Names of types and fields do not count, so that code can be renamed under it; the order of
-// the fields does.
+// A digest depends on the values and on the order of struct fields. It does not depend on the names of types and fields, so they
+// may be renamed.
 package golden
 
 import (
@@ -20,16 +20,16 @@
 // updateVariable names the environment variable that, when set, rewrites the golden files instead of comparing with them.
 const updateVariable = "SWITCHFORK_UPDATE_GOLDEN"
 
-// Check compares got with testdata/name and fails the test where they differ.
+// Check compares got with testdata/name and fails the test if they differ.
 func Check(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if os.Getenv(updateVariable) != "" {
 		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatalf("making the directory of golden files: %v", err)
+			t.Fatalf("creating the directory of golden files: %v", err)
 		}
 		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatalf("updating a golden file: %v", err)
+			t.Fatalf("updating the golden file: %v", err)
 		}
 		return
 	}
@@ -42,13 +42,13 @@
 	}
 }
 
-// Digest sums up a stream of values. It is not safe for concurrent use.
+// Digest computes a digest of a stream of values. It is not safe for concurrent use.
 type Digest struct {
 	sum  hash.Hash64
-	tags map[reflect.Type]uint64
+	tags map[reflect.Type]uint64 // position in the list of types, from 1
 }
 
-// NewDigest makes a digest that tells the given values' types apart, by their order. Any other type fails the stream.
+// NewDigest returns a digest that accepts values of the given types. It tells the types apart by their position in the list.
 func NewDigest(types ...any) *Digest {
 	d := &Digest{sum: fnv.New64a(), tags: map[reflect.Type]uint64{}}
 	for i, value := range types {
@@ -57,17 +57,17 @@
 	return d
 }
 
-// Add adds a value of one of the types that NewDigest was given.
+// Add adds a value. It panics if NewDigest was not given a value of the same type.
 func (d *Digest) Add(value any) {
 	tag, known := d.tags[reflect.TypeOf(value)]
 	if !known {
-		panic(fmt.Sprintf("golden: a value of type %T, which NewDigest was not given", value))
+		panic(fmt.Sprintf("golden: type %T was not given to NewDigest", value))
 	}
 	d.number(tag)
 	d.write(reflect.ValueOf(value))
 }
 
-// String returns the sum in hexadecimal digits.
+// String returns the digest in hexadecimal digits.
 func (d *Digest) String() string { return fmt.Sprintf("%016x", d.sum.Sum64()) }
 
 func (d *Digest) number(n uint64) {
@@ -100,7 +100,7 @@
 			d.write(v.Field(i))
 		}
 	default:
-		panic("golden: no digest of a value of kind " + kind.String())
+		panic("golden: cannot digest a value of kind " + kind.String())
 	}
 }
 
