--- a/cmd/switchfork-lab/admission.go
+++ b/cmd/switchfork-lab/admission.go
@@ -17,9 +17,9 @@
 	simulatedEndpoints      = 12
 	simulatedSlots          = 4
 	simulatedMeanWorkMicros = 40_000
-	simulatedLoad           = 0.6 // as a part of the endpoints' capacity
-	overloadFactor          = 3
-	// slowFactor by which the endpoints slow down in the middle third of the slow scenario.
+	simulatedLoad           = 0.6 // as a fraction of the endpoints' capacity
+	overloadFactor          = 3   // load of the overload scenario, as a multiple of the endpoints' capacity
+	// slowFactor is the factor by which the endpoints slow down in the middle third of the slow scenario.
 	slowFactor = 5
 )
 
@@ -33,7 +33,7 @@
 	slowScenario       = "slow endpoints"
 )
 
-// Numbers of one-off clients after which the heap is compared.
+// Numbers of one-off clients after which the heap sizes are compared.
 const (
 	fewOneOffClients  = 10_000
 	manyOneOffClients = 100_000
@@ -48,11 +48,11 @@
 	maxOneOffClients = 1_000_000
 )
 
-// tenantShares of all experiments with several tenants.
+// tenantShares are the shares of the tenants in all experiments.
 var tenantShares = []float64{0.4, 0.25, 0.2, 0.15}
 
-// admissionExperiment measures what tenants get while noisy ones send more than their share, beside the same load without the
-// noise and beside simpler admission policies.
+// admissionExperiment measures how tenants are served while noisy ones send more than their share. It compares this with the
+// same load without noise and with simpler admission policies.
 type admissionExperiment struct {
 	seed          int64
 	noiseFactor   float64
@@ -82,7 +82,7 @@
 		Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if !experiment.isValid() {
-				return usageError{errors.New("--times from 1, --noisy 1 to 3, --seconds 5 to 600, --one-off 0 to 1000000")}
+				return usageError{errors.New("invalid flags, expected --times of at least 1, --noisy 1 to 3, --seconds 5 to 600, --one-off 0 to 1000000")}
 			}
 			if usesSockets {
 				return experiment.runOnSockets(c.OutOrStdout(), logFolder)
@@ -107,7 +107,7 @@
 		e.oneOffClients >= 0 && e.oneOffClients <= maxOneOffClients
 }
 
-// run plays the simulated form.
+// run runs the experiment in simulated time.
 func (e *admissionExperiment) run(out io.Writer) error {
 	report := &admissionReport{cases: e.cases(), noisyTenants: e.noisyTenants}
 	playCases(report.cases)
@@ -118,7 +118,7 @@
 	report.check(&expected)
 	few, many := heapAfterOneOffClients(fewOneOffClients), heapAfterOneOffClients(manyOneOffClients)
 	printf(out, "heap after 10,000 one-off clients %d KiB, after 100,000 %d KiB\n", few/bytesPerKiB, many/bytesPerKiB)
-	expected.atMost("heap after ten times the one-off clients, MiB more", float64(many-few)/maxHeapGrowthBytes, 1)
+	expected.atMost("growth of the heap with ten times the one-off clients, MiB", float64(many-few)/maxHeapGrowthBytes, 1)
 	if err := expected.err(); err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// cases returns the runs in the order in which they are shown.
+// cases returns the runs in the order of the printed table.
 func (e *admissionExperiment) cases() []*admissionCase {
 	noiseless := e.noiselessLoad()
 	noisy := noiseless
@@ -159,7 +159,7 @@
 	}
 }
 
-// noiselessLoad is the load of tenants that all send their share.
+// noiselessLoad returns the load of tenants that all send their share.
 func (e *admissionExperiment) noiselessLoad() simulation.AdmissionScenario {
 	return simulation.AdmissionScenario{
 		Seed:          e.seed,
@@ -174,7 +174,7 @@
 	}
 }
 
-// playCases plays all cases at the same time.
+// playCases plays all cases concurrently.
 func playCases(cases []*admissionCase) {
 	var players sync.WaitGroup
 	for _, c := range cases {
@@ -183,8 +183,8 @@
 	players.Wait()
 }
 
-// heapAfterOneOffClients returns the heap that an admission controller holds after so many clients that came once. Every second
-// arrival one request ends, so half of the clients are rejected.
+// heapAfterOneOffClients returns the size of the heap with an admission controller that has served the given number of clients,
+// each with one request. One request ends for every two arrivals, so half of the clients are rejected.
 func heapAfterOneOffClients(clients int) int64 {
 	const (
 		interval  = 1000 // between arrivals, in microseconds
@@ -223,7 +223,7 @@
 	return heapWith(controller)
 }
 
-// heapWith returns the size of the heap while an object is alive.
+// heapWith returns the size of the heap, including the given object.
 func heapWith(object any) int64 {
 	var stats runtime.MemStats
 	runtime.GC()
--- a/cmd/switchfork-lab/admission_report.go
+++ b/cmd/switchfork-lab/admission_report.go
@@ -11,21 +11,21 @@
 
 // Thresholds of the simulated experiment.
 const (
-	minOthersInTime        = 0.97 // of the tenants beside a noisy one, as a part of what they have without it
+	minOthersInTime        = 0.97 // requests in time of the tenants that are not noisy, as a fraction of those without noise
 	minJainIndex           = 0.98
-	minThroughput          = 0.98 // as a part of that under FIFO
+	minThroughput          = 0.98 // as a fraction of the throughput under FIFO
 	minReservationsHonored = 0.9
-	maxRetryAfterRatio     = 2.0
+	maxRetryAfterRatio     = 2.0 // median of Retry-After divided by the wait needed
 	maxHeapGrowthBytes     = 1 << 20
 )
 
 const admissionHeader = "policy\tscenario\tsucceeded in time, by tenant\tsucceeded\treservations honored\tmissed\thonored share\t" +
 	"Retry-After/wait needed\tJain's index\tconcurrency limit\n"
 
-// admissionReport prints played cases and holds the agent's own policy against the simpler ones.
+// admissionReport prints the results of the cases and compares the agent's own policy with the simpler ones.
 type admissionReport struct {
 	cases        []*admissionCase
-	noisyTenants int // of the scenarios with a configured number of them
+	noisyTenants int // number of noisy tenants in the scenarios that take it from --noisy
 }
 
 // result returns the result of a scenario under a policy.
@@ -63,7 +63,7 @@
 		quantile(result.RetryAfterRatios, median), jainIndex(result), lastLimit)
 }
 
-// check holds the agent's own policy against the simpler ones.
+// check compares the agent's own policy with the simpler ones.
 func (r *admissionReport) check(expected *thresholds) {
 	for _, c := range r.cases {
 		if c.policy != simulation.FairQueues {
@@ -72,8 +72,8 @@
 		switch c.name {
 		case noisyScenario, newClientsScenario:
 			r.checkOthers(expected, c, r.noisyTenants)
-			expected.atLeast(c.name+": reservations that were honored", honoredShare(c.result), minReservationsHonored)
-			expected.atMost(c.name+": Retry-After over the wait needed, median", quantile(c.result.RetryAfterRatios, median), maxRetryAfterRatio)
+			expected.atLeast(c.name+": share of reservations that were honored", honoredShare(c.result), minReservationsHonored)
+			expected.atMost(c.name+": Retry-After divided by the wait needed, median", quantile(c.result.RetryAfterRatios, median), maxRetryAfterRatio)
 			r.checkThroughput(expected, c, noisyScenario)
 		case twoNoisyScenario:
 			r.checkOthers(expected, c, 2)
@@ -87,25 +87,25 @@
 // checkThroughput compares a case's throughput with that of a scenario under FIFO.
 func (r *admissionReport) checkThroughput(expected *thresholds, c *admissionCase, scenario string) {
 	fifo := r.result(scenario, simulation.FIFO)
-	expected.atLeast(c.name+": throughput beside first in, first out", succeeded(c.result)/succeeded(fifo), minThroughput)
+	expected.atLeast(c.name+": throughput compared with first in, first out", succeeded(c.result)/succeeded(fifo), minThroughput)
 }
 
 // checkOthers compares the tenants that are not noisy with the same tenants without noise.
 func (r *admissionReport) checkOthers(expected *thresholds, c *admissionCase, noisyTenants int) {
 	noiseless := r.result(noiselessScenario, simulation.FairQueues)
 	for tenant := noisyTenants; tenant < len(tenantShares); tenant++ {
-		name := fmt.Sprintf("%s: tenant %d beside itself without noise", c.name, tenant)
+		name := fmt.Sprintf("%s: tenant %d, requests in time compared with no noise", c.name, tenant)
 		expected.atLeast(name, inTimeShare(c.result, tenant)/inTimeShare(noiseless, tenant), minOthersInTime)
 	}
 }
 
-// inTimeShare returns the part of a tenant's requests that succeeded within the latency objective.
+// inTimeShare returns the fraction of a tenant's requests that succeeded within the latency objective.
 func inTimeShare(r *simulation.AdmissionResult, tenant int) float64 {
 	t := r.Tenants[tenant]
 	return float64(t.InTime) / max(1, float64(t.Offered))
 }
 
-// succeeded returns the number of requests that succeeded, of all tenants.
+// succeeded returns the number of requests of all tenants that succeeded.
 func succeeded(r *simulation.AdmissionResult) (total float64) {
 	for _, tenant := range r.Tenants {
 		total += float64(tenant.Succeeded)
@@ -113,14 +113,14 @@
 	return total
 }
 
-// honoredShare returns the part of the reservations whose clients were admitted when they returned in time.
+// honoredShare returns the fraction of the reservations whose clients were admitted when they returned in time.
 func honoredShare(r *simulation.AdmissionResult) float64 {
 	honored := float64(r.Counters.ReservationsHonored)
 	missed := float64(r.Counters.ReservationsMissed)
 	return honored / max(1, honored+missed)
 }
 
-// jainIndex returns Jain's fairness index of the admitted cost by weight: 1 where all tenants get their share.
+// jainIndex returns Jain's fairness index of the admitted cost by weight. It is 1 if each tenant gets its share.
 func jainIndex(r *simulation.AdmissionResult) float64 {
 	sum, squares := 0.0, 0.0
 	for tenant, cost := range r.AdmittedCost {
--- a/cmd/switchfork-lab/admission_sockets.go
+++ b/cmd/switchfork-lab/admission_sockets.go
@@ -13,15 +13,16 @@
 	"switchfork/internal/fakes"
 )
 
-// Thresholds of the experiment with the real agent. It shares few cores with clients and endpoints, so they leave room for
-// noise.
+// Thresholds of the experiment with the real agent. The agent shares few cores with the clients and the endpoints, so the
+// thresholds leave room for noise in the measurements.
 const (
 	minSocketOthersInTime        = 0.95
 	minSocketReservationsHonored = 0.8
 	minSocketThroughput          = 0.9
-	// minSocketReservations is the number of reservations from which their share is checked.
+	// minSocketReservations is the number of reservations above which the share of honored ones is checked.
 	minSocketReservations = 50
-	// The last quarter of a run may use so much more than any before: the clients' connections come and go meanwhile.
+	// Bounds of the growth from the maximum of the first three quarters of a run to the last quarter. The clients' connections
+	// come and go meanwhile, so some growth is normal.
 	maxMemoryGrowthMB    = 4.0
 	maxDescriptorsGrowth = 40
 )
@@ -34,30 +35,30 @@
 )
 
 const (
-	// noisyTenant of the runs with the real agent.
+	// noisyTenant is the index of the noisy tenant in the runs with the real agent.
 	noisyTenant = 0
-	// maxSocketSeconds bounds a run.
+	// maxSocketSeconds bounds the length of a run in seconds.
 	maxSocketSeconds = 20
-	// usageSamples of memory and descriptors are taken in a run.
+	// usageSamples is the number of samples of memory and descriptors in a run.
 	usageSamples = 4
 )
 
-// socketRun is a load on the real agent, and its measurements.
+// socketRun is a run of a load on the real agent, with its measurements.
 type socketRun struct {
 	name         string
 	operatorFile string
 	noiseFactor  float64
 
-	inTime      []float64 // part of the requests, by tenant
+	inTime      []float64 // fraction of the requests that succeeded in time, by tenant
 	succeeded   int
 	others      othersCounts
-	honored     float64 // reservations
-	missed      float64
+	honored     float64 // reservations that were honored
+	missed      float64 // reservations that were missed
 	memoryMB    []float64
 	descriptors []int
 }
 
-// othersCounts are sums over the tenants that are not noisy.
+// othersCounts holds sums over the tenants that are not noisy.
 type othersCounts struct {
 	late     int // succeeded after the latency objective
 	rejected int
@@ -69,7 +70,8 @@
 	return fmt.Sprintf("%d, %d, %d, %d", c.late, c.rejected, c.failed, c.returned)
 }
 
-// runOnSockets plays a short form with the real agent: a load without noise, and a noisy one with and without admission control.
+// runOnSockets runs a short form of the experiment with the real agent: a load without noise, and a noisy load with and without
+// admission control.
 func (e *admissionExperiment) runOnSockets(out io.Writer, logFolder string) error {
 	dir, err := os.MkdirTemp("", "switchfork-lab")
 	if err != nil {
@@ -99,7 +101,7 @@
 	return nil
 }
 
-// play starts the agent, sends the load and measures.
+// play starts the agent, sends the load and takes the measurements.
 func (r *socketRun) play(program string, seed int64, duration time.Duration, logFolder string) error {
 	t, err := startTestbed(program, r.operatorFile)
 	if err != nil {
@@ -119,7 +121,7 @@
 	r.countReservations(t.log)
 	r.countRequests(clients)
 	if exitErr != nil {
-		return fmt.Errorf("%s: the agent's end: %w", r.name, exitErr)
+		return fmt.Errorf("%s: stopping the agent: %w", r.name, exitErr)
 	}
 	return nil
 }
@@ -131,7 +133,8 @@
 	return groups
 }
 
-// sampleUsage samples the agent's memory and descriptors at equal times of the run, the last just before its end.
+// sampleUsage samples the agent's memory and descriptors at equal intervals. The last sample is taken just before the end of the
+// run.
 func (r *socketRun) sampleUsage(agent *fakes.Agent, duration time.Duration) {
 	for i := range usageSamples {
 		time.Sleep(duration/usageSamples - time.Duration(i)*time.Millisecond)
@@ -185,17 +188,17 @@
 	var expected thresholds
 	for tenant, name := range tenantNames {
 		if tenant != noisyTenant {
-			expected.atLeast(name+" beside itself without noise", noisy.inTime[tenant]/noiseless.inTime[tenant], minSocketOthersInTime)
+			expected.atLeast(name+": requests in time compared with no noise", noisy.inTime[tenant]/noiseless.inTime[tenant], minSocketOthersInTime)
 		}
 	}
-	expected.atLeast("throughput beside no admission control", float64(noisy.succeeded)/float64(noisyNoAdmission.succeeded), minSocketThroughput)
+	expected.atLeast("throughput compared with no admission control", float64(noisy.succeeded)/float64(noisyNoAdmission.succeeded), minSocketThroughput)
 	if reservations := noisy.honored + noisy.missed; reservations > minSocketReservations {
-		expected.atLeast("reservations that were honored", noisy.honored/reservations, minSocketReservationsHonored)
+		expected.atLeast("share of reservations that were honored", noisy.honored/reservations, minSocketReservationsHonored)
 	}
 	const last = usageSamples - 1
 	memoryGrowth := noisy.memoryMB[last] - slices.Max(noisy.memoryMB[:last])
-	expected.atMost("memory of the last quarter over the most before, MB", memoryGrowth, maxMemoryGrowthMB)
+	expected.atMost("growth of memory in the last quarter, MB", memoryGrowth, maxMemoryGrowthMB)
 	descriptorsGrowth := float64(noisy.descriptors[last] - slices.Max(noisy.descriptors[:last]))
-	expected.atMost("descriptors of the last quarter over the most before", descriptorsGrowth, maxDescriptorsGrowth)
+	expected.atMost("growth of descriptors in the last quarter", descriptorsGrowth, maxDescriptorsGrowth)
 	return expected.err()
 }
--- a/cmd/switchfork-lab/admission_test.go
+++ b/cmd/switchfork-lab/admission_test.go
@@ -9,8 +9,8 @@
 	"switchfork/internal/fakes"
 )
 
-// The real agent under more load than its endpoints can serve: the concurrency limit falls when they become five times slower, so
-// that admitted requests still succeed, and rises again when they have recovered.
+// The real agent gets more load than its endpoints can serve. When the endpoints become five times slower, the concurrency limit
+// falls, so that admitted requests still succeed. It rises again when the endpoints have recovered.
 func TestConcurrencyLimitFollowsSlowEndpoints(t *testing.T) {
 	if os.Getenv("SWITCHFORK_LONG") == "" {
 		t.Skip("takes a minute and a machine that is not busy with other tests: set SWITCHFORK_LONG=1")
@@ -36,7 +36,7 @@
 		close(done)
 	}()
 	defer func() { stop(); <-done }()
-	// awaitEntries waits for so many more of the log's lines, and returns the last.
+	// awaitEntries waits for the given number of further admission lines in the log, and returns the last one.
 	seen := len(bed.log.entries("admission"))
 	awaitEntries := func(more int) logEntry {
 		for end := time.Now().Add(time.Duration(more) * 15 * time.Second); ; time.Sleep(50 * time.Millisecond) {
@@ -47,7 +47,7 @@
 				return last
 			}
 			if time.Now().After(end) {
-				t.Fatalf("no figures: %s", bed.log.String())
+				t.Fatalf("the admission lines are missing in the log:\n%s", bed.log.String())
 			}
 		}
 	}
@@ -59,14 +59,14 @@
 	awaitEntries(1)
 	after := awaitEntries(1)
 	if slow.ConcurrencyLimit > 0.7*before.ConcurrencyLimit || after.ConcurrencyLimit < 1.4*slow.ConcurrencyLimit {
-		t.Errorf("the limit was %.0f, %.0f while slow, %.0f after", before.ConcurrencyLimit, slow.ConcurrencyLimit, after.ConcurrencyLimit)
+		t.Errorf("concurrency limit: got %.0f before, %.0f while slow, %.0f after, want at most 0.7 of the first while slow and at least 1.4 of that after", before.ConcurrencyLimit, slow.ConcurrencyLimit, after.ConcurrencyLimit)
 	}
-	// At a fifth of the speed a fifth of the requests can succeed at best. The router alone, whose answers then come late, serves
-	// about half of those, and admission control must not starve it much beyond that (docs/ROADMAP.md).
+	// At a fifth of the speed, at most a fifth of the requests can succeed. The router alone, whose answers then come late,
+	// serves about half of those. Admission control must not reduce that much further (docs/ROADMAP.md).
 	if slow.Succeeded < before.Succeeded/25 || after.Succeeded < 0.7*before.Succeeded {
-		t.Errorf("succeeded %.0f in ten seconds, %.0f while slow, %.0f after", before.Succeeded, slow.Succeeded, after.Succeeded)
+		t.Errorf("requests succeeded in ten seconds: got %.0f before, %.0f while slow, %.0f after, want at least a 25th of the first while slow and 0.7 of it after", before.Succeeded, slow.Succeeded, after.Succeeded)
 	}
 	if slow.Rejected > 0.3*slow.Succeeded {
-		t.Errorf("while slow %.0f admitted requests were rejected, %.0f succeeded", slow.Rejected, slow.Succeeded)
+		t.Errorf("while slow: %.0f admitted requests were rejected and %.0f succeeded, want at most 0.3 rejected for each that succeeded", slow.Rejected, slow.Succeeded)
 	}
 }
--- a/cmd/switchfork-lab/election.go
+++ b/cmd/switchfork-lab/election.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 )
 
-// guardsByName are the safety guards that the experiment may switch off.
+// guardsByName are the safety guards that the experiment can switch off, by the value of --without.
 var guardsByName = map[string]election.DisabledGuards{
 	"":        {},
 	"lease":   {LeaseTimeout: true},
@@ -26,17 +26,18 @@
 }
 
 const (
-	// maxGapLeases without a leader after a crash, at the 99th percentile.
+	// maxGapLeases bounds the time without a leader after a crash, in leases, at the 99th percentile.
 	maxGapLeases = 3.0
-	// maxLeaveGapMillis without a leader after a planned leave, at the 99th percentile: a round trip and a half on a network whose
-	// messages take 2 ms at the most.
+	// maxLeaveGapMillis bounds the time without a leader after a planned leave, in milliseconds, at the 99th percentile. It is
+	// one and a half round trips in a network whose messages take at most 2 ms.
 	maxLeaveGapMillis = 6.0
-	// maxMessageGrowth from the smallest to the largest of idleAgents: no more than the agents' number grows.
+	// maxMessageGrowth bounds how much the messages per agent grow from the smallest to the largest of idleAgents. They may grow
+	// no more than the number of agents.
 	maxMessageGrowth = 9.0 / 3
-	// slowMessagesPerLease: a ballot takes four messages one after the other, so with a tenth of a lease each it lasts longer than
-	// the pause between two renewals.
+	// slowMessagesPerLease is how many delays of a slow message make up a lease. A ballot takes four messages in sequence. If
+	// each takes a tenth of a lease, the ballot lasts longer than the pause between two renewals.
 	slowMessagesPerLease = 10
-	// minAgentsForCrash: of fewer agents those that are left have no quorum after a crash.
+	// minAgentsForCrash is the smallest number of agents of which a quorum is left after a crash.
 	minAgentsForCrash = 3
 
 	maxCrashSchedules = 1000
@@ -46,16 +47,16 @@
 	millisPerSecond = 1e3
 )
 
-// idleAgents are the numbers of agents whose traffic without faults is measured.
+// idleAgents are the numbers of agents for which the traffic without faults is measured.
 var idleAgents = []int{3, 5, 7, 9}
 
-// electionExperiment plays random schedules of faults, which are checked at the model of the rollout controller.
+// electionExperiment plays random schedules of faults. The model of the rollout controller checks the votes.
 type electionExperiment struct {
 	seed      int64
 	schedules int
 	agents    int
 	seconds   int
-	without   string
+	without   string // the guard to switch off; empty: none
 }
 
 func newElectionCommand() *cobra.Command {
@@ -68,7 +69,7 @@
 		Args: noArguments,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if !experiment.isValid() {
-				return usageError{errors.New("--schedules 1 to 1000000, --agents 1 to 9, --seconds 10 to 600, --without lease, record, wait, prevote or begin")}
+				return usageError{errors.New("invalid flags, expected --schedules 1 to 1000000, --agents 1 to 9, --seconds 10 to 600, --without lease, record, wait, prevote or begin")}
 			}
 			return experiment.run(c.OutOrStdout())
 		},
@@ -89,7 +90,7 @@
 		e.seconds >= 10 && e.seconds <= 600
 }
 
-// draw returns the schedules with faults, at most so many.
+// draw returns the first schedules of the experiment, at most count.
 func (e *electionExperiment) draw(count int) []simulation.ElectionSchedule {
 	schedules := make([]simulation.ElectionSchedule, 0, count)
 	for i := range min(e.schedules, count) {
@@ -104,17 +105,17 @@
 	startedAt := time.Now()
 	report := newElectionReport(out, e)
 	faulty := e.draw(e.schedules)
-	never := report.addRow("random faults", playAll(faulty), faulty).never
+	neverRolledBack := report.addRow("random faults", playAll(faulty), faulty).neverRolledBack
 	isChecked := e.without == "" && e.agents >= minAgentsForCrash
 	if isChecked {
-		report.expected.atMost("schedules in which a bad build was never rolled back", float64(never), 0)
+		report.expected.atMost("schedules in which a bad build was never rolled back", float64(neverRolledBack), 0)
 		e.checkGaps(report)
 	}
 	independent := variant(faulty, func(s *simulation.ElectionSchedule) { s.VoteIndependently = true })
 	report.addRow("random faults, independent votes", playAll(independent), nil)
 	growth := e.measureIdleTraffic(report)
 	if e.without == "" {
-		report.expected.atMost("messages per agent and second, 9 agents beside 3", growth, maxMessageGrowth)
+		report.expected.atMost("messages per agent and second, 9 agents compared with 3", growth, maxMessageGrowth)
 	}
 	if err := report.flush(); err != nil {
 		return err
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// checkGaps measures how long there is no leader after a crash and after a planned leave.
+// checkGaps measures the time without a leader after a crash and after a planned leave.
 func (e *electionExperiment) checkGaps(report *electionReport) {
 	lease := float64(simulation.ElectionLease())
 	crashes := variant(e.draw(maxCrashSchedules), func(s *simulation.ElectionSchedule) { s.LeaderFaultOnly = true })
@@ -139,13 +140,13 @@
 	gaps := report.addRow("leader crashes", playAll(crashes), crashes).gaps
 	report.expected.atMost("leases without a leader after a crash, 99th percentile", quantile(gaps, percentile99)*microsPerSecond/lease, maxGapLeases)
 	gaps = report.addRow("leader crashes, messages take a tenth of a lease", playAll(slow), crashes).gaps
-	report.expected.atMost("the same with messages that take a tenth of a lease, 99th percentile", quantile(gaps, percentile99)*microsPerSecond/lease, maxGapLeases)
+	report.expected.atMost("leases without a leader after a crash if messages take a tenth of a lease, 99th percentile", quantile(gaps, percentile99)*microsPerSecond/lease, maxGapLeases)
 	gaps = report.addRow("leader leaves as planned", playAll(leaves), leaves).gaps
 	report.expected.atMost("ms without a leader after a planned leave, 99th percentile", quantile(gaps, percentile99)*millisPerSecond, maxLeaveGapMillis)
 }
 
-// measureIdleTraffic reports the messages of an agent without faults, and returns the rate of the largest group as a multiple of
-// the smallest group's.
+// measureIdleTraffic reports the message rate per agent without faults. It returns the rate with the most agents as a multiple
+// of the rate with the fewest.
 func (e *electionExperiment) measureIdleTraffic(report *electionReport) (growth float64) {
 	var rates []float64
 	for _, agents := range idleAgents {
@@ -162,7 +163,7 @@
 	return rates[len(rates)-1] / rates[0]
 }
 
-// playAll plays schedules on all cores and returns the results in the same order.
+// playAll plays schedules on all cores and returns the results in the order of the schedules.
 func playAll(schedules []simulation.ElectionSchedule) []*simulation.ElectionResult {
 	results := make([]*simulation.ElectionResult, len(schedules))
 	next := make(chan int)
@@ -182,7 +183,7 @@
 	return results
 }
 
-// variant returns the same schedules, changed.
+// variant returns a copy of the schedules with a change made to each.
 func variant(schedules []simulation.ElectionSchedule, change func(*simulation.ElectionSchedule)) []simulation.ElectionSchedule {
 	changed := slices.Clone(schedules)
 	for i := range changed {
--- a/cmd/switchfork-lab/election_report.go
+++ b/cmd/switchfork-lab/election_report.go
@@ -11,7 +11,7 @@
 const electionHeader = "schedules\tplayed\tleaderships\tleader changes\tvotes\tmember changes\tmessages per agent and second\t" +
 	"without a leader, s: median\t99th percentile\tlongest\trolled back after, s: median\tlongest\tnever\tviolations\n"
 
-// electionReport is the table of the election experiment, and the thresholds that it misses.
+// electionReport prints the table of the election experiment and collects the missed thresholds.
 type electionReport struct {
 	experiment *electionExperiment
 	table      *tabwriter.Writer
@@ -24,7 +24,7 @@
 	return report
 }
 
-// printf adds text to the table, whose errors flush returns.
+// printf adds text to the table. A write error is returned by flush.
 func (r *electionReport) printf(format string, arguments ...any) {
 	_, _ = fmt.Fprintf(r.table, format, arguments...)
 }
@@ -36,18 +36,19 @@
 	return nil
 }
 
-// electionTotals sums up results. Durations are in seconds.
+// electionTotals holds sums over results. Durations are in seconds.
 type electionTotals struct {
 	leaderships, leaderChanges, votes, messages, memberChanges int
 
-	gaps           []float64 // periods without a leader
-	rollbackDelays []float64
-	never          int // results in which the bad build was never rolled back
-	violated       int // results with violations
-	firstViolation string
+	gaps            []float64 // periods without a leader
+	rollbackDelays  []float64
+	neverRolledBack int // results in which the bad build was never rolled back
+	violated        int // results with violations
+	firstViolation  string
 }
 
-// sumUp adds results up. Without their schedules, gaps at the start don't count and no violation is named.
+// sumUp adds up results. Periods before the first leader count only if the schedules are given and have random faults. A
+// violation is named only if the schedules are given.
 func sumUp(results []*simulation.ElectionResult, schedules []simulation.ElectionSchedule) (totals electionTotals) {
 	for i, result := range results {
 		totals.leaderships += result.Leaderships
@@ -60,7 +61,7 @@
 		if result.RollbackAfter >= 0 {
 			totals.rollbackDelays = append(totals.rollbackDelays, float64(result.RollbackAfter)/microsPerSecond)
 		} else {
-			totals.never++
+			totals.neverRolledBack++
 		}
 		if len(result.Violations) == 0 {
 			continue
@@ -73,7 +74,7 @@
 	return totals
 }
 
-// addGaps adds the gaps of a result. The first is the start, before any leader.
+// addGaps adds the gaps of a result. The first gap is the time before the first leader.
 func (t *electionTotals) addGaps(gaps []int64, countsStart bool) {
 	for i, gap := range gaps {
 		if i > 0 || countsStart {
@@ -82,7 +83,7 @@
 	}
 }
 
-// addRow adds the totals of results to the table. Violations fail the experiment where the schedules are given.
+// addRow adds the totals of results to the table. Violations fail the experiment if the schedules are given.
 func (r *electionReport) addRow(name string, results []*simulation.ElectionResult, schedules []simulation.ElectionSchedule) electionTotals {
 	t := sumUp(results, schedules)
 	if t.firstViolation != "" {
@@ -92,6 +93,6 @@
 	r.printf("%s\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.3f\t%.3f\t%.3f\t%.2f\t%.2f\t%d\t%d\n",
 		name, len(results), t.leaderships, t.leaderChanges, t.votes, t.memberChanges, float64(t.messages)/float64(agentSeconds),
 		quantile(t.gaps, median), quantile(t.gaps, percentile99), quantile(t.gaps, maximum),
-		quantile(t.rollbackDelays, median), quantile(t.rollbackDelays, maximum), t.never, t.violated)
+		quantile(t.rollbackDelays, median), quantile(t.rollbackDelays, maximum), t.neverRolledBack, t.violated)
 	return t
 }
--- a/cmd/switchfork-lab/thresholds.go
+++ b/cmd/switchfork-lab/thresholds.go
@@ -6,38 +6,38 @@
 	"strings"
 )
 
-// Parts of sorted values, for quantile.
+// Arguments of quantile.
 const (
 	median       = 0.5
 	percentile99 = 0.99
 	maximum      = 1
 )
 
-// thresholds collects the measurements that miss what is expected of them.
+// thresholds collects the measurements that miss their thresholds.
 type thresholds struct {
 	missed []string
 }
 
-// atLeast expects a measurement not to be under a bound. NaN misses it.
+// atLeast checks that a measurement is not below a bound. NaN misses the bound.
 func (t *thresholds) atLeast(name string, got, bound float64) {
 	if !(got >= bound) {
 		t.missed = append(t.missed, fmt.Sprintf("%s is %.3f, expected at least %.2f", name, got, bound))
 	}
 }
 
-// atMost expects a measurement not to be over a bound. NaN misses it.
+// atMost checks that a measurement is not above a bound. NaN misses the bound.
 func (t *thresholds) atMost(name string, got, bound float64) {
 	if !(got <= bound) {
 		t.missed = append(t.missed, fmt.Sprintf("%s is %.3f, expected at most %.2f", name, got, bound))
 	}
 }
 
-// fail adds a failure that is no measurement.
+// fail adds a failure that is not a measurement.
 func (t *thresholds) fail(description string) {
 	t.missed = append(t.missed, description)
 }
 
-// err returns an error that lists what was missed, or nil.
+// err returns an error that lists all failures, or nil.
 func (t *thresholds) err() error {
 	if len(t.missed) == 0 {
 		return nil
@@ -45,7 +45,7 @@
 	return fmt.Errorf("thresholds not met:\n  %s", strings.Join(t.missed, "\n  "))
 }
 
-// quantile sorts the values and returns the one below which a part of them lies.
+// quantile sorts the values and returns the one below which the given fraction of them lies, or 0 if there are none.
 func quantile(values []float64, part float64) float64 {
 	if len(values) == 0 {
 		return 0
