--- a/cmd/switchfork-lab/demo.go
+++ b/cmd/switchfork-lab/demo.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	// demoNewBuild is released while the demo runs.
+	// demoNewBuild is the build that is released while the demo runs.
 	demoNewBuild = testbedBuild + 1
-	// badReleaseErrors is the part of its requests that a bad release fails.
+	// badReleaseErrors is the fraction of its requests that a bad release fails.
 	badReleaseErrors = 0.33
-	// floodFactor is how many times its share a flooding tenant sends.
+	// floodFactor is the load of a flooding tenant, as a multiple of its share.
 	floodFactor = 20
 
-	// The release starts at a tenth of the demo's length, the flood at a third.
+	// The release starts after a tenth of the length of the demo, the flood after a third.
 	releaseDelayDivisor = 10
 	floodDelayDivisor   = 3
 
@@ -37,7 +37,7 @@
 
 	loadSeed         = 1
 	floodSeed        = 99
-	stageSeedSpacing = 100 // leaves each stage's endpoints seeds of their own
+	stageSeedSpacing = 100 // distance between the seeds of two stages, so that no two endpoints share a seed
 )
 
 // releaseStage is a stage of the demo's release.
@@ -52,13 +52,13 @@
 type demo struct {
 	out     io.Writer
 	program string
-	flood   string // the tenant that floods; empty: none
-	isBad   bool   // the release
+	flood   string // the tenant that sends floodFactor times its share; empty: none
+	isBad   bool   // the release is bad
 	length  time.Duration
 
 	testbed      *testbed
 	clients      *fakes.Clients
-	releaseState atomic.Value // a string to display
+	releaseState atomic.Value // a string, which is displayed
 }
 
 func newDemoCommand() *cobra.Command {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// sendFlood sends the flooding tenant's extra load after a part of the time.
+// sendFlood waits for the start of the flood, and then sends the extra load of the flooding tenant.
 func (d *demo) sendFlood(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -123,7 +123,7 @@
 	}
 }
 
-// release takes the new build through the stages, as far as the agent approves it.
+// release takes the new build from stage to stage, as long as the agent approves it.
 func (d *demo) release(ctx context.Context) {
 	time.Sleep(d.length / releaseDelayDivisor)
 	for number, stage := range releaseStages {
@@ -156,7 +156,8 @@
 	return nil
 }
 
-// awaitApproval waits for the agent's vote on a stage and reports whether it approves. The build is rolled back if it doesn't.
+// awaitApproval waits for the agent's vote on a stage and reports whether the agent approves. If the agent rejects the build,
+// the build is rolled back.
 func (d *demo) awaitApproval(ctx context.Context, stage int) bool {
 	deployment := d.testbed.deployment
 	for deployment.Votes("approve") == 0 {
--- a/cmd/switchfork-lab/demo_display.go
+++ b/cmd/switchfork-lab/demo_display.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// plainOutputSeconds between two states that are printed where the output is no terminal.
+	// plainOutputSeconds is the time between two printed states if the output is not a terminal.
 	plainOutputSeconds = 5
 	// clearLines moves the cursor up by a number of lines and clears the screen below.
 	clearLines = "\033[%dA\033[J"
@@ -30,7 +30,8 @@
 	return &demoDisplay{demo: d, startedAt: time.Now(), isTerminal: isFile && term.IsTerminal(int(file.Fd()))}
 }
 
-// run prints the state each second until the load has ended: over the last one on a terminal, else less often.
+// run prints the state until the load has ended. On a terminal it replaces the printed state each second. Otherwise it prints
+// the state every plainOutputSeconds.
 func (d *demoDisplay) run(loadDone <-chan struct{}) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
--- a/cmd/switchfork-lab/faulttest.go
+++ b/cmd/switchfork-lab/faulttest.go
@@ -24,7 +24,7 @@
 	agentPath    string   // empty: the agent is built
 }
 
-// newFaultTestCommand returns the command that runs fault scenarios: several real agents, with faults between them.
+// newFaultTestCommand returns the command that runs fault scenarios with several real agents.
 func newFaultTestCommand() *cobra.Command {
 	var o faultTestOptions
 	c := &cobra.Command{
@@ -34,10 +34,10 @@
 			"Each scenario's verdict is printed as a line of JSON.",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				return usageError{fmt.Errorf("%s wants the files of scenarios", c.CommandPath())}
+				return usageError{fmt.Errorf("%s takes one or more scenario files", c.CommandPath())}
 			}
 			if o.run.Agents < 0 || o.run.Agents > faulttest.MaxAgents {
-				return usageError{fmt.Errorf("--agents is %d, expected 1 to %d, or 0 for each scenario's own", o.run.Agents, faulttest.MaxAgents)}
+				return usageError{fmt.Errorf("--agents is %d, expected 1 to %d, or 0 for each scenario's own number", o.run.Agents, faulttest.MaxAgents)}
 			}
 			return nil
 		},
@@ -53,7 +53,7 @@
 	return c
 }
 
-// parsePrograms reads NAME=PATH arguments into paths by name.
+// parsePrograms parses NAME=PATH arguments and returns the paths by name.
 func parsePrograms(arguments []string) (map[string]string, error) {
 	programs := map[string]string{}
 	for _, argument := range arguments {
@@ -66,7 +66,7 @@
 	return programs, nil
 }
 
-// runFaultTests runs the scenarios one after the other and prints a verdict for each, a line of JSON.
+// runFaultTests runs the scenarios one after the other and prints the verdict of each as a line of JSON.
 func runFaultTests(out io.Writer, files []string, o faultTestOptions) (err error) {
 	if o.run.Programs, err = parsePrograms(o.namedProgram); err != nil {
 		return err
@@ -97,7 +97,7 @@
 			failed++
 		}
 		if ctx.Err() != nil {
-			return errors.New("interrupted; nothing that was started is left")
+			return errors.New("interrupted; all started processes have been stopped")
 		}
 	}
 	if failed > 0 {
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// readScenarios reads and checks all files. Programs that scenarios start and no flag names are returned, to be built: the same
-// program under another version's name.
+// readScenarios reads and checks all files. It also returns the names of the programs that scenarios start and no flag names.
+// These are built later, from the same source under the other version's name.
 func readScenarios(files []string, options *faulttest.RunOptions) (scenarios []*faulttest.Scenario, unnamed []string, err error) {
 	var errs []error
 	for _, file := range files {
@@ -133,7 +133,7 @@
 	return scenarios, unnamed, nil
 }
 
-// buildPrograms sets the paths of the agent and of the programs that no flag names.
+// buildPrograms sets the paths of the agent and of the programs that no flag names. It builds those that have no path.
 func buildPrograms(dir string, o faultTestOptions, unnamed []string) (err error) {
 	programs := o.run.Programs
 	if programs[""], err = agentProgram(dir, o.agentPath); err != nil {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// runScenario runs one scenario, with a progress bar where the standard error is a terminal.
+// runScenario runs one scenario, with a progress bar if standard error is a terminal.
 func runScenario(ctx context.Context, s *faulttest.Scenario, options faulttest.RunOptions) *faulttest.Verdict {
 	bar := newProgressBar(len(s.Steps))
 	if bar == nil {
@@ -155,13 +155,14 @@
 	}
 	options.Progress = func(done, _ int, text string) {
 		bar.Describe(fmt.Sprintf("%s %.60s", s.File, text))
-		_ = bar.Set(done) // a bar that isn't drawn does no harm
+		_ = bar.Set(done) // the progress bar is optional
 	}
 	defer func() { _ = bar.Finish() }()
 	return faulttest.Run(ctx, s, options)
 }
 
-// reportFailures writes to the standard error, the only place where a failure to write could be reported.
+// reportFailures prints the failures of a scenario to standard error. A write error is ignored because there is no other place
+// to report it.
 func reportFailures(v *faulttest.Verdict) {
 	for _, failure := range v.Failures() {
 		fmt.Fprintln(os.Stderr, failure)
--- a/cmd/switchfork-lab/logs.go
+++ b/cmd/switchfork-lab/logs.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxShareOverRate of the seconds with votes may exceed the configured rate: when a stage changes, the few agents that evaluate
-	// the release vote at once.
+	// maxShareOverRate is the fraction of the seconds with votes that may exceed the configured rate. When a stage changes, the
+	// few agents that evaluate the release vote at the same time.
 	maxShareOverRate = 0.1
 
 	defaultInterval     = 5 * time.Second
@@ -27,7 +27,7 @@
 type logsOptions struct {
 	interval     time.Duration
 	maxEndpoints int
-	voteRate     float64 // of all agents, a second; 0: not checked
+	voteRate     float64 // votes per second of all agents together; 0: not checked
 }
 
 // newLogsCommand returns the command that reports on the logs of many agents.
@@ -39,7 +39,7 @@
 		Long:  "Add up what many agents did together, from a folder that holds one log file (*.log) in text form of each agent.",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) != 1 || !o.isValid() {
-				return usageError{fmt.Errorf("%s wants a folder, --every from 1s, --endpoints and --calls not under 0", c.CommandPath())}
+				return usageError{fmt.Errorf("%s takes one folder, --every of at least 1s, --endpoints and --calls of at least 0", c.CommandPath())}
 			}
 			return nil
 		},
@@ -60,7 +60,7 @@
 func reportLogs(out io.Writer, folder string, o logsOptions) error {
 	files, err := filepath.Glob(filepath.Join(folder, "*.log"))
 	if err != nil || len(files) == 0 {
-		return usageError{fmt.Errorf("%s holds no *.log", folder)}
+		return usageError{fmt.Errorf("folder %s contains no *.log files", folder)}
 	}
 	report := loganalysis.NewReport(o.interval)
 	for _, name := range files {
@@ -84,11 +84,11 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read
 	return report.Read(filepath.Base(path), file)
 }
 
-// checkVoteRate fails where too many seconds have more votes than the rate allows. A rate of 0 allows all.
+// checkVoteRate returns an error if too many seconds have more votes than the rate allows. A rate of 0 disables the check.
 func checkVoteRate(report *loganalysis.Report, rate float64) error {
 	if rate <= 0 {
 		return nil
@@ -96,7 +96,7 @@
 	seconds := report.SecondsWithVotes()
 	_, secondsOver := report.PeakVoteRate(rate)
 	if float64(secondsOver) > maxShareOverRate*float64(seconds) {
-		return fmt.Errorf("over %g votes a second in %d of %d seconds with votes", rate, secondsOver, seconds)
+		return fmt.Errorf("more than %g votes a second in %d of %d seconds with votes", rate, secondsOver, seconds)
 	}
 	return nil
 }
--- a/cmd/switchfork-lab/logs_test.go
+++ b/cmd/switchfork-lab/logs_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Votes of many agents in one second fail where a rate is given; the same votes spread out pass.
+// The check of the vote rate fails if many agents vote in the same second, and passes if the same votes are spread out.
 func TestLogsCheckVoteRate(t *testing.T) {
 	for spacing, shouldFail := range map[time.Duration]bool{0: true, time.Second: false} {
 		folder := t.TempDir()
@@ -25,11 +25,11 @@
 		var out bytes.Buffer
 		err := reportLogs(&out, folder, logsOptions{interval: 5 * time.Second, maxEndpoints: 3, voteRate: 16})
 		if shouldFail != (err != nil) || !strings.Contains(out.String(), "build 2 stage 0 approve: succeeded") {
-			t.Errorf("%v apart: %v\n%s", spacing, err, out.String())
+			t.Errorf("votes %v apart: got error %v and report\n%s", spacing, err, out.String())
 		}
 	}
 	var wrong usageError
 	if err := reportLogs(&bytes.Buffer{}, t.TempDir(), logsOptions{interval: time.Second, maxEndpoints: 3}); !errors.As(err, &wrong) {
-		t.Errorf("an empty folder: %v", err)
+		t.Errorf("an empty folder: got error %v, want a usage error", err)
 	}
 }
--- a/cmd/switchfork-lab/main.go
+++ b/cmd/switchfork-lab/main.go
@@ -1,6 +1,6 @@
-// Command switchfork-lab runs experiments with switchfork: the agent's own decisions in simulated time, or the agent itself on
-// loopback among fakes of its peers. An experiment prints its measurements beside those of baselines, and fails where one of
-// them misses its threshold. The command is no part of the agent.
+// Command switchfork-lab runs experiments with switchfork. Some run the agent's decision code in simulated time, others run the
+// agent itself on loopback among fakes of its peers. An experiment prints its measurements together with those of baselines, and
+// fails if a measurement misses its threshold. The command is not part of the agent.
 package main
 
 import (
@@ -17,13 +17,13 @@
 // Exit codes other than 0.
 const (
 	exitFailed = 1 // an experiment failed, or a measurement missed its threshold
-	exitUsage  = 2
+	exitUsage  = 2 // the command line is invalid
 )
 
 // usageError is an error in the command line.
 type usageError struct{ error }
 
-// renamedCommands are the experiments whose names were withdrawn. Both forms are read.
+// renamedCommands are the experiments that have been renamed. The old names are still accepted.
 var renamedCommands = []cli.RenamedCommand{
 	{Old: "door", Current: "admission"},
 	{Old: "decider", Current: "election"},
@@ -43,7 +43,7 @@
 	os.Exit(exitFailed)
 }
 
-// newRootCommand returns the command line.
+// newRootCommand returns the root command with all experiments.
 func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "switchfork-lab",
@@ -54,7 +54,7 @@
 		SilenceErrors: true,
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) > 0 {
-				return usageError{fmt.Errorf("%q is no experiment", args[0])}
+				return usageError{fmt.Errorf("unknown experiment %q", args[0])}
 			}
 			return nil
 		},
@@ -77,16 +77,16 @@
 	}
 }
 
-// noArguments checks that a command was given flags only.
+// noArguments returns a usage error if a command was given arguments other than flags.
 func noArguments(c *cobra.Command, args []string) error {
 	if len(args) > 0 {
-		return usageError{fmt.Errorf("%s wants no arguments", c.CommandPath())}
+		return usageError{fmt.Errorf("%s takes no arguments", c.CommandPath())}
 	}
 	return nil
 }
 
-// printf prints to the terminal. A write error is dropped: there is no other place to report it, and the exit code holds the
-// outcome.
+// printf prints to the terminal. A write error is ignored because there is no other place to report it. The exit code still
+// reports the outcome.
 func printf(out io.Writer, format string, arguments ...any) {
 	_, _ = fmt.Fprintf(out, format, arguments...)
 }
--- a/cmd/switchfork-lab/main_test.go
+++ b/cmd/switchfork-lab/main_test.go
@@ -29,21 +29,22 @@
 	clitest.CheckHelp(t, root)
 }
 
-// Old command lines do what the present ones do, and say on standard error what they are called now.
+// Old names of commands and flags do what the current names do, and print a warning with the current name to standard error.
 func TestOldCommandLines(t *testing.T) {
-	// One short schedule runs in every row of the table. Its last line holds the time that it took.
+	// Each row of the table plays one short schedule. The line after the table holds the time that it took, so it is not
+	// compared.
 	election := []string{"--schedules", "1", "--agents", "1", "--seconds", "10"}
 	table := func(out string) string { return out[:strings.LastIndex(out, "played in")] }
 	present, warnings, err := runCommandLine(t, append([]string{"election"}, election...)...)
 	if err != nil || warnings != "" {
-		t.Fatalf("election: %v, warned %q", err, warnings)
+		t.Fatalf("election: got error %v, warning %q, want neither", err, warnings)
 	}
 	old, warnings, err := runCommandLine(t, append([]string{"decider"}, election...)...)
 	if err != nil || warnings != "switchfork-lab: the command decider is called election now\n" {
-		t.Errorf("decider: %v, warned %q", err, warnings)
+		t.Errorf("decider: got error %v, warning %q, want the warning about the new name", err, warnings)
 	}
 	if table(old) != table(present) {
-		t.Errorf("decider prints %s, election prints %s", old, present)
+		t.Errorf("decider printed %s, want the table of election: %s", old, present)
 	}
 
 	folder := t.TempDir()
@@ -56,11 +57,11 @@
 	}
 	old, warnings, err = runCommandLine(t, "logs", folder, "--appliances", "5")
 	if err != nil || old != present || warnings != "switchfork-lab: the flag --appliances is called --endpoints now\n" {
-		t.Errorf("logs --appliances: %v, warned %q, prints %s, want %s", err, warnings, old, present)
+		t.Errorf("logs --appliances: got error %v, warning %q and output %s, want output %s", err, warnings, old, present)
 	}
 }
 
-// An old command has the flags of the present one, with the same defaults.
+// A command has the same flags with the same defaults under its old name and its current one.
 func TestOldCommandsHaveTheSameFlags(t *testing.T) {
 	for _, names := range renamedCommands {
 		old, _, err := newRootCommand().Find([]string{names.Old})
@@ -72,12 +73,12 @@
 			t.Fatal(err)
 		}
 		if old.Name() != names.Old || present.Name() != names.Current || old.Flags().FlagUsages() != present.Flags().FlagUsages() {
-			t.Errorf("%s has %s, %s has %s", old.Name(), old.Flags().FlagUsages(), present.Name(), present.Flags().FlagUsages())
+			t.Errorf("%s has the flags %s, want those of %s: %s", old.Name(), old.Flags().FlagUsages(), present.Name(), present.Flags().FlagUsages())
 		}
 	}
 }
 
-// Wrong use of an old command is wrong use, as that of the present one.
+// Invalid flags and arguments are usage errors, for old names as well as current ones.
 func TestOldCommandsCheckTheirFlags(t *testing.T) {
 	for _, args := range [][]string{
 		{"door", "--noisy", "4"},
@@ -92,7 +93,7 @@
 	} {
 		var wrongUse usageError
 		if _, _, err := runCommandLine(t, args...); !errors.As(err, &wrongUse) {
-			t.Errorf("%q: %v, want wrong use", args, err)
+			t.Errorf("%q: got error %v, want a usage error", args, err)
 		}
 	}
 }
--- a/cmd/switchfork-lab/progress.go
+++ b/cmd/switchfork-lab/progress.go
@@ -7,10 +7,10 @@
 	"golang.org/x/term"
 )
 
-// progressBarWidth is in characters.
+// progressBarWidth is the width of a progress bar in characters.
 const progressBarWidth = 20
 
-// newProgressBar returns a progress bar on standard error, or nil where that is no terminal.
+// newProgressBar returns a progress bar on standard error, or nil if standard error is not a terminal.
 func newProgressBar(steps int) *progressbar.ProgressBar {
 	if !term.IsTerminal(int(os.Stderr.Fd())) {
 		return nil
--- a/cmd/switchfork-lab/soak.go
+++ b/cmd/switchfork-lab/soak.go
@@ -21,7 +21,7 @@
 	defaultSoakSeeds    = 50
 	defaultSoakParallel = 4
 	maxSoakParallel     = 64
-	// maxSoakSeeds bounds a run that is limited by its time alone.
+	// maxSoakSeeds is the maximum of --seeds, and the number of seeds of a run that is limited only by its time.
 	maxSoakSeeds = 1_000_000
 )
 
@@ -30,10 +30,10 @@
 	seeds     int
 	from      int64
 	parallel  int
-	duration  time.Duration // no further seed is started after it; 0: no bound
+	duration  time.Duration // no further seed is started after this time; 0: no limit
 	keep      string
 	agentPath string
-	print     int64 // print this seed's scenario, and run nothing; negative: run
+	print     int64 // seed whose scenario is printed without running it; negative: run the seeds
 }
 
 // soakSummary is the last line of a soak's output.
@@ -76,7 +76,7 @@
 	return c
 }
 
-// check reports flags that can't be used.
+// check returns a usage error for invalid flags. If --seeds is 0 and --for is set, it sets seeds to maxSoakSeeds.
 func (o *soakOptions) check() error {
 	switch {
 	case o.seeds < 0 || o.seeds > maxSoakSeeds:
@@ -84,9 +84,9 @@
 	case o.seeds == 0 && o.duration <= 0:
 		return usageError{fmt.Errorf("--seeds is 0 and --for is %v, expected a number of seeds or a time", o.duration)}
 	case o.duration < 0:
-		return usageError{fmt.Errorf("--for is %v, expected a time from 0 on", o.duration)}
+		return usageError{fmt.Errorf("--for is %v, expected at least 0", o.duration)}
 	case o.from < 0:
-		return usageError{fmt.Errorf("--from is %d, expected a seed from 0 on", o.from)}
+		return usageError{fmt.Errorf("--from is %d, expected at least 0", o.from)}
 	case o.parallel < 1 || o.parallel > maxSoakParallel:
 		return usageError{fmt.Errorf("--parallel is %d, expected 1 to %d", o.parallel, maxSoakParallel)}
 	}
@@ -99,16 +99,16 @@
 // soak is a run of the soak command.
 type soak struct {
 	soakOptions
-	programs map[string]string
+	programs map[string]string // paths by name; the empty name is the agent
 	encoder  *json.Encoder
-	bar      *progressbar.ProgressBar // nil: no terminal
+	bar      *progressbar.ProgressBar // nil if standard error is not a terminal
 
 	mu      sync.Mutex
-	next    int64 // the next seed
+	next    int64 // seed to run next
 	summary soakSummary
 }
 
-// runSoak runs the seeds, and prints a line of JSON for each and the summary.
+// runSoak runs the seeds. It prints a line of JSON for each seed, and then the summary.
 func runSoak(out io.Writer, o soakOptions) error {
 	dir, err := os.MkdirTemp("", "switchfork-soak")
 	if err != nil {
@@ -136,12 +136,12 @@
 		return err
 	}
 	if n := len(s.summary.Failed); n > 0 {
-		return fmt.Errorf("%d of %d seeds broke a rule", n, s.summary.Seeds)
+		return fmt.Errorf("%d of %d seeds failed", n, s.summary.Seeds)
 	}
 	return nil
 }
 
-// work runs one seed after the other until there is none left, or no time.
+// work runs one seed after another until no seed or no time is left.
 func (s *soak) work(ctx context.Context, start time.Time) {
 	for ctx.Err() == nil && (s.duration == 0 || time.Since(start) < s.duration) {
 		seed, isLeft := s.nextSeed()
@@ -150,10 +150,10 @@
 		}
 		scenario, err := faulttest.ParseScenario(fmt.Sprintf("soak-%d.txt", seed), faulttest.DrawScenario(seed))
 		if err != nil {
-			panic(err) // every seed's text is in the notation: a fault of the lab
+			panic(err) // a bug, because DrawScenario returns a valid scenario for every seed
 		}
 		verdict := faulttest.Run(ctx, scenario, faulttest.RunOptions{Programs: s.programs, Keep: s.keep})
-		if ctx.Err() == nil { // an interrupted run says nothing
+		if ctx.Err() == nil { // the verdict of an interrupted run has no meaning
 			s.record(seed, scenario, verdict)
 		}
 	}
@@ -175,9 +175,9 @@
 	s.summary.Seeds++
 	s.summary.Requests += verdict.Requests
 	s.summary.Restarts += scenario.Restarts()
-	_ = s.encoder.Encode(verdict) // an output that can't be written fails with the summary
+	_ = s.encoder.Encode(verdict) // if the output can't be written, encoding the summary fails too
 	if s.bar != nil {
-		_ = s.bar.Add(1) // a bar that isn't drawn does no harm
+		_ = s.bar.Add(1) // the progress bar is optional
 	}
 	if verdict.Passed {
 		return
--- a/cmd/switchfork-lab/soak_test.go
+++ b/cmd/switchfork-lab/soak_test.go
@@ -9,7 +9,7 @@
 	"switchfork/internal/faulttest"
 )
 
-// Flags that can't be used are wrong use, and name what was expected.
+// Invalid flags are usage errors that name the flag.
 func TestSoakFlags(t *testing.T) {
 	valid := soakOptions{seeds: 1, from: 1, parallel: 1, print: -1}
 	if err := valid.check(); err != nil {
@@ -25,21 +25,21 @@
 		change(&options)
 		var wrongUse usageError
 		if err := options.check(); !errors.As(err, &wrongUse) || !strings.Contains(err.Error(), name+" ") {
-			t.Errorf("%s: got %v", name, err)
+			t.Errorf("%s: got error %v, want a usage error that names the flag", name, err)
 		}
 	}
 	timed := soakOptions{duration: time.Second, parallel: 1}
 	if err := timed.check(); err != nil || timed.seeds != maxSoakSeeds {
-		t.Errorf("with --for alone: %d seeds, %v", timed.seeds, err)
+		t.Errorf("with --for alone: got %d seeds, error %v, want the maximum number of seeds", timed.seeds, err)
 	}
 }
 
-// What is printed of a seed is the scenario that the soak plays.
+// With --print, soak prints the scenario that it would run for that seed.
 func TestSoakPrint(t *testing.T) {
 	command, out := newSoakCommand(), &strings.Builder{}
 	command.SetOut(out)
 	command.SetArgs([]string{"--print", "21"})
 	if err := command.Execute(); err != nil || out.String() != faulttest.DrawScenario(21) {
-		t.Errorf("printed %q, %v", out, err)
+		t.Errorf("got output %q, error %v, want the scenario of seed 21", out, err)
 	}
 }
--- a/cmd/switchfork-lab/testbed.go
+++ b/cmd/switchfork-lab/testbed.go
@@ -10,7 +10,7 @@
 	"switchfork/internal/fakes"
 )
 
-// The deployment of the testbed.
+// The settings of the testbed.
 const (
 	testbedObjective = 800 * time.Millisecond
 	testbedTimeout   = 2 * time.Second
@@ -19,10 +19,10 @@
 	testbedWork      = 40 * time.Millisecond
 	testbedBuild     = 7
 	testbedMemoryMB  = 128
-	// testbedLoad in requests a second is a sixth of the endpoints' capacity: on a machine with few cores the clients and the
-	// endpoints need some themselves.
+	// testbedLoad is the load in requests per second. It is a sixth of the endpoints' capacity, because on a machine with few
+	// cores the clients and the endpoints need CPU time too.
 	testbedLoad = 200.0
-	// testbedPostShare of the requests are POSTs.
+	// testbedPostShare is the fraction of the requests that are POSTs.
 	testbedPostShare = 0.4
 )
 
@@ -32,10 +32,10 @@
 	operatorWithoutAdmission = "log-form json\n"
 )
 
-// tenantNames go with tenantShares.
+// tenantNames are the names of the tenants, in the order of tenantShares.
 var tenantNames = []string{"koro-array", "reef-calor", "tavua-muon", "beqa-scint"}
 
-// agentProgram returns the path of the agent's program: the named one, or else one that it builds into a folder.
+// agentProgram returns the path of the agent's program. If named is empty, it builds the program into dir.
 func agentProgram(dir, named string) (string, error) {
 	if named != "" {
 		return named, nil
@@ -46,7 +46,7 @@
 // agentLog holds an agent's log in JSON lines, and may be read while the agent runs.
 type agentLog struct{ fakes.Log }
 
-// logEntry is a log line with those keys that the experiments read.
+// logEntry is a log line, with the keys that the experiments read.
 type logEntry struct {
 	Message             string  `json:"msg"`
 	AttemptResult       any     `json:"result"`
@@ -57,7 +57,7 @@
 	ReservationsMissed  float64 `json:"reservations_missed"`
 }
 
-// entries returns the lines with a message.
+// entries returns the lines that have the given message.
 func (l *agentLog) entries(message string) (found []logEntry) {
 	for _, text := range bytes.Split([]byte(l.String()), []byte("\n")) {
 		var entry logEntry
@@ -76,7 +76,7 @@
 	dir        string
 }
 
-// startTestbed starts the fakes and the agent: a program, or a new build where it is empty.
+// startTestbed starts the fakes and the agent. If program is empty, it builds the agent.
 func startTestbed(program, operatorFile string) (*testbed, error) {
 	dir, err := os.MkdirTemp("", "switchfork-lab")
 	if err != nil {
@@ -111,14 +111,15 @@
 	return err
 }
 
-// stopAgent drains the agent and returns how it ended.
+// stopAgent drains the agent, waits for it to exit and returns the error of its exit.
 func (t *testbed) stopAgent() error {
 	err := t.agent.Stop()
 	t.agent = nil
 	return err
 }
 
-// close stops and removes everything. The agent's end is no longer of interest here; stopAgent returns it.
+// close stops the agent and the fakes and removes their files. It ignores the error of the agent's exit, which stopAgent
+// returns.
 func (t *testbed) close() {
 	if t.agent != nil {
 		_ = t.stopAgent()
@@ -129,7 +130,7 @@
 	removeTemporary(t.dir)
 }
 
-// removeTemporary removes a folder of the system's temporary files. What can't be removed is left to the system.
+// removeTemporary removes a temporary folder. Files that can't be removed are left to the operating system.
 func removeTemporary(dir string) { _ = os.RemoveAll(dir) }
 
 // newClients returns clients of the testbed's agent.
@@ -145,7 +146,7 @@
 	return groups
 }
 
-// runInBackground runs a task in a goroutine of its own. The channel is closed when it has ended.
+// runInBackground runs a task in a new goroutine. The channel is closed when the task has ended.
 func runInBackground(task func()) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
