--- a/cmd/switchfork-lab/admission_sockets.go
+++ b/cmd/switchfork-lab/admission_sockets.go
@@ -21,8 +21,8 @@
 	minSocketThroughput          = 0.9
 	// minSocketReservations is the number of reservations above which the share of honored ones is checked.
 	minSocketReservations = 50
-	// Bounds of the growth from the maximum of the first three quarters of a run to the last quarter. The clients' connections
-	// come and go meanwhile, so some growth is normal.
+	// Limits on the growth of memory and descriptors in the last quarter of a run, compared with the maximum of the earlier
+	// quarters. Some growth is normal because the clients' connections come and go.
 	maxMemoryGrowthMB    = 4.0
 	maxDescriptorsGrowth = 40
 )
--- a/cmd/switchfork-lab/election.go
+++ b/cmd/switchfork-lab/election.go
@@ -34,8 +34,8 @@
 	// maxMessageGrowth bounds how much the messages per agent grow from the smallest to the largest of idleAgents. They may grow
 	// no more than the number of agents.
 	maxMessageGrowth = 9.0 / 3
-	// slowMessagesPerLease is how many delays of a slow message make up a lease. A ballot takes four messages in sequence. If
-	// each takes a tenth of a lease, the ballot lasts longer than the pause between two renewals.
+	// slowMessagesPerLease divides a lease. The quotient is the delay of the messages in a slow network. A ballot takes four
+	// messages in sequence, so with a tenth of a lease for each it lasts longer than the pause between two renewals.
 	slowMessagesPerLease = 10
 	// minAgentsForCrash is the smallest number of agents of which a quorum is left after a crash.
 	minAgentsForCrash = 3
--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -79,7 +79,7 @@
 	result   *AdmissionResult
 
 	admitter    admitter
-	timerAt     int64 // when the admission controller's timer fires; never if it is not set
+	timerAt     int64 // time at which the admission controller's timer fires; never: no timer is set
 	retryAfters *retryAfterMeter
 
 	router        policy.Router
--- a/internal/simulation/admission_clients.go
+++ b/internal/simulation/admission_clients.go
@@ -38,7 +38,7 @@
 	id        uint64
 	arrivedAt int64
 	deadline  int64
-	isSent    bool // an endpoint has been sent the request
+	isSent    bool // the router has sent it to an endpoint
 	isDone    bool
 }
 
