--- a/internal/endtoend/build_test.go
+++ b/internal/endtoend/build_test.go
@@ -29,7 +29,7 @@
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if path, err := buildProgram(); err == nil {
-		_ = os.RemoveAll(filepath.Dir(path)) // what is left is a temporary file
+		_ = os.RemoveAll(filepath.Dir(path)) // if this fails, only a temporary file is left behind
 	}
 	os.Exit(code)
 }
--- a/internal/endtoend/client_test.go
+++ b/internal/endtoend/client_test.go
@@ -18,7 +18,7 @@
 	"switchfork/internal/agenttest"
 )
 
-// clientResponse is a response as a client got it.
+// clientResponse is a response as a client received it.
 type clientResponse struct {
 	status  int
 	body    string
@@ -26,10 +26,11 @@
 	latency time.Duration
 }
 
-// lastRequestID numbers requests, so that no two have one id.
+// lastRequestID is the ID of the latest request. It is incremented for each request, so that IDs are unique.
 var lastRequestID atomic.Uint64
 
-// request sends one request as a client does; headers are names and values in turn, where an empty value removes the header.
+// request sends a request as a client does, and fails the test if there is no response. headers holds alternating names and values; an
+// empty value removes the header.
 func (a *runningAgent) request(t *testing.T, method, target, body string, headers ...string) clientResponse {
 	t.Helper()
 	response, err := a.tryRequest(context.Background(), method, target, body, headers...)
@@ -39,7 +40,7 @@
 	return response
 }
 
-// tryRequest is request for a client that may get no response.
+// tryRequest is like request, but returns an error if there is no response.
 func (a *runningAgent) tryRequest(ctx context.Context, method, target, body string, headers ...string) (clientResponse, error) {
 	request, err := http.NewRequestWithContext(ctx, method, a.url, strings.NewReader(body))
 	if err != nil {
@@ -67,7 +68,7 @@
 	return clientResponse{response.StatusCode, string(content), response.Header, time.Since(start)}, err
 }
 
-// dial opens a connection as a client does.
+// dial opens a connection to the agent as a client does.
 func (a *runningAgent) dial(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", strings.TrimPrefix(a.url, "http://"))
@@ -85,19 +86,19 @@
 	}
 }
 
-// readStatus reads a response's head and body and returns its status and whether it ends the connection.
+// readStatus reads a complete response. It returns the status, and whether the response announces that the connection will be closed.
 func readStatus(conn io.Reader) (status int, isLast bool, err error) {
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return 0, false, err
 	}
-	defer func() { _ = response.Body.Close() }() // read whole, or the connection has failed
+	defer func() { _ = response.Body.Close() }() // the body has been read completely, or the connection has failed
 	_, err = io.Copy(io.Discard, response.Body)
 	return response.StatusCode, response.Close, err
 }
 
-// parseMilliseconds parses the time that a request gives its endpoint.
-func parseMilliseconds(t *testing.T, header http.Header) int {
+// parseDeadlineMillis returns the time in milliseconds that a request's X-Deadline-Ms header leaves the endpoint.
+func parseDeadlineMillis(t *testing.T, header http.Header) int {
 	t.Helper()
 	milliseconds, err := strconv.Atoi(header.Get("X-Deadline-Ms"))
 	if err != nil {
@@ -106,16 +107,16 @@
 	return milliseconds
 }
 
-// exchangeRaw writes text and reads until the agent closes the connection.
+// exchangeRaw sends text on a new connection and returns everything that the agent sends until it closes the connection.
 func (a *runningAgent) exchangeRaw(t *testing.T, text string) string {
 	t.Helper()
 	conn := a.dial(t)
 	defer func() { _ = conn.Close() }()
-	_, _ = io.WriteString(conn, text) // fails where the agent has closed the connection before all was sent
+	_, _ = io.WriteString(conn, text) // fails if the agent closes the connection before all of text is sent
 	_ = conn.SetReadDeadline(time.Now().Add(agenttest.WaitTimeout))
 	got, err := io.ReadAll(conn)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%.60q: neither closed nor answered, got %q", text, got)
+		t.Errorf("sent %.60q: the agent did not close the connection in time, got %q", text, got)
 	}
 	return string(got)
 }
--- a/internal/endtoend/config_test.go
+++ b/internal/endtoend/config_test.go
@@ -20,7 +20,7 @@
 // jsonObject is a decoded JSON object.
 type jsonObject = map[string]any
 
-// editConfig decodes a configuration, has change edit it and its settings, and encodes it again.
+// editConfig decodes a configuration, applies change to it and to its settings, and encodes it again.
 func editConfig(t *testing.T, text string, change func(config, settings jsonObject)) string {
 	t.Helper()
 	var config jsonObject
--- a/internal/endtoend/connection_reuse_test.go
+++ b/internal/endtoend/connection_reuse_test.go
@@ -10,60 +10,61 @@
 	"switchfork/internal/fakes"
 )
 
-// A planned restart loses no request of clients that use the connections they have until these end. What happened: at SIGTERM every
-// connection without a request was looked at, marked as ended, and closed later by its reader; a request that arrived between the look and
-// the close was reset. Seen from outside, 10 to 19 requests of one restart with 280 clients got no answer, each written whole 1 to 30 ms
-// after SIGTERM and reset 0.3 to 14 ms later.
+// A planned restart loses no request of clients that use their open connections until the agent closes them. The test guards against this
+// failure: at SIGTERM, the agent checked every connection without a request and marked it as ended, and the connection's reader closed it
+// later. A request that arrived between the check and the close was reset. With 280 clients, 10 to 19 requests of a restart got no response.
+// Each of them had been sent completely 1 to 30 ms after SIGTERM, and was reset 0.3 to 14 ms later.
 func TestRestartAnswersKeptConnections(t *testing.T) {
 	const restarts, clients, thinkTime = 3, 150, 50 * time.Millisecond
 	for range restarts {
 		endpoint := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 		agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 		load := startReusingClients(agent, clients, thinkTime)
-		agenttest.Eventually(t, "the load", func() bool { return load.requests.Load() > 3*clients })
+		agenttest.Eventually(t, "the load's requests", func() bool { return load.requests.Load() > 3*clients })
 		agent.signal(t, syscall.SIGTERM)
 		agent.expectCleanExit(t)
 		close(load.stop)
 		if unanswered := load.wait(); len(unanswered) > 0 {
-			t.Errorf("%d of %d requests got no answer: %s", len(unanswered), load.requests.Load(), strings.Join(unanswered, "; "))
+			t.Errorf("%d of %d requests got no response, want 0: %s", len(unanswered), load.requests.Load(), strings.Join(unanswered, "; "))
 		}
 	}
 }
 
-// The same with clients as the protocol has them: new connections come for 0.2 to 0.4 s after SIGTERM, those that are open are used until they
-// end. It holds on a busy machine too, where a client that goes on connecting may still meet the listener's end.
+// Like TestRestartAnswersKeptConnections, but with clients that follow the protocol: they open new connections for only 0.2 to 0.4 s after
+// SIGTERM, and use open connections until the agent closes them. They lose no request on a busy machine either, where a client that
+// continues to connect may still have a connection reset when the listener closes.
 func TestRestartWithinProtocol(t *testing.T) {
 	const restarts, clients, thinkTime, connectsFor = 3, 150, 50 * time.Millisecond, 300 * time.Millisecond
 	for range restarts {
 		endpoint := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 		agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 		load := startReusingClients(agent, clients, thinkTime)
-		agenttest.Eventually(t, "the load", func() bool { return load.requests.Load() > 3*clients })
+		agenttest.Eventually(t, "the load's requests", func() bool { return load.requests.Load() > 3*clients })
 		agent.signal(t, syscall.SIGTERM)
 		time.Sleep(connectsFor)
-		load.isLeaving.Store(true)
+		load.reconnectDisabled.Store(true)
 		if unanswered := load.wait(); len(unanswered) > 0 {
-			t.Errorf("%d of %d requests got no answer: %s", len(unanswered), load.requests.Load(), strings.Join(unanswered, "; "))
+			t.Errorf("%d of %d requests got no response, want 0: %s", len(unanswered), load.requests.Load(), strings.Join(unanswered, "; "))
 		}
 		if err := <-agent.exited; err != nil {
-			t.Errorf("exited with %v", err)
+			t.Errorf("the program exited with %v, want status 0", err)
 		}
 	}
 }
 
-// While descriptors are free, a client that keeps its connection has one for all its requests. What happened: only a tenth of the limit
-// might be idle, 99 connections with 1,024 descriptors; each further client that fell idle ended the one that was idle longest. Seen from
-// outside within 10 s, 150 clients made 1,543 connections and 3 of 10,910 requests got no answer; 280 made 5,917, 5 of 13,648 requests got
-// no answer and 133 were rejected.
+// While descriptors are free, a client that keeps its connection open uses that connection for all its requests. The test guards against
+// this failure: only a tenth of the limit, 99 connections with 1,024 descriptors, could be idle, and each further connection that became idle
+// made the agent close the one that had been idle longest. Within 10 s, 150 clients opened 1,543 connections, and 3 of 10,910 requests got no
+// response. 280 clients opened 5,917 connections; 5 of 13,648 requests got no response and 133 were rejected.
 func TestKeptConnectionsAreNotReplaced(t *testing.T) {
 	const clients, thinkTime = 150, 50 * time.Millisecond
 	endpoint := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 	load := startReusingClients(agent, clients, thinkTime)
-	agenttest.Eventually(t, "the load", func() bool { return load.requests.Load() > 20*clients })
+	agenttest.Eventually(t, "the load's requests", func() bool { return load.requests.Load() > 20*clients })
 	close(load.stop)
 	unanswered := load.wait()
 	if len(unanswered) > 0 || load.connections.Load() != clients {
-		t.Errorf("%d clients made %d connections; without an answer: %q", clients, load.connections.Load(), unanswered)
+		t.Errorf("%d clients opened %d connections, want one each; requests without a response: %q, want none", clients, load.connections.Load(), unanswered)
 	}
 }
--- a/internal/endtoend/reusing_clients_test.go
+++ b/internal/endtoend/reusing_clients_test.go
@@ -16,23 +16,23 @@
 	"switchfork/internal/tcpconn"
 )
 
-// reusingClients are clients that reuse their connections while these are open. Before each request a client looks whether its connection has ended, and
-// takes a new one then; where it can't connect it stops, as a front sends it elsewhere.
+// reusingClients are clients that reuse their connections. Before each request, a client checks whether its connection has been closed, and
+// opens a new one if so. A client that can't connect stops: in a deployment, a load balancer would send it to another agent.
 type reusingClients struct {
-	address     string
-	thinkTime   time.Duration // between an answer and the next request
-	stop        chan struct{}
-	running     sync.WaitGroup
-	requests    atomic.Int64
-	rejected    atomic.Int64
-	connections atomic.Int64
-	isLeaving   atomic.Bool // no client makes a new connection any more
+	address           string
+	thinkTime         time.Duration // between a response and the next request
+	stop              chan struct{} // closed to stop the clients
+	running           sync.WaitGroup
+	requests          atomic.Int64
+	rejected          atomic.Int64
+	connections       atomic.Int64
+	reconnectDisabled atomic.Bool // clients open no further connections
 
 	mu         sync.Mutex
-	unanswered []string // what became of the requests that were sent completely and got no answer
+	unanswered []string // the errors of requests that were sent completely and got no response
 }
 
-// startReusingClients starts so many clients, which begin at different times within one thinkTime.
+// startReusingClients starts count clients, whose first requests are spread over one thinkTime.
 func startReusingClients(agent *runningAgent, count int, thinkTime time.Duration) *reusingClients {
 	c := &reusingClients{address: strings.TrimPrefix(agent.url, "http://"), thinkTime: thinkTime, stop: make(chan struct{})}
 	for i := range count {
@@ -45,7 +45,7 @@
 	return c
 }
 
-// pause waits, and tells whether the client is to go on.
+// pause waits for a duration, and reports whether the client is to continue. It returns false as soon as the clients are stopped.
 func (c *reusingClients) pause(duration time.Duration) bool {
 	select {
 	case <-c.stop:
@@ -55,7 +55,7 @@
 	}
 }
 
-// run sends requests until the clients are stopped or the agent accepts no connection any more.
+// run sends requests until the clients are stopped, or until the client needs a new connection and may not or can't open one.
 func (c *reusingClients) run() {
 	var conn net.Conn
 	defer func() {
@@ -68,7 +68,7 @@
 			_ = conn.Close()
 			conn = nil
 		}
-		if conn == nil && c.isLeaving.Load() {
+		if conn == nil && c.reconnectDisabled.Load() {
 			return
 		}
 		if conn == nil {
@@ -90,18 +90,18 @@
 	}
 }
 
-// exchange sends a request and reads its answer. It tells whether the connection may be used again.
+// exchange sends a request and reads its response. It reports whether the connection can be used again.
 func (c *reusingClients) exchange(conn net.Conn) bool {
 	_ = conn.SetDeadline(time.Now().Add(agenttest.WaitTimeout))
 	sentAt := time.Now()
 	if _, err := fmt.Fprintf(conn, "GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: %016x\r\n\r\n", lastRequestID.Add(1)); err != nil {
-		return false // it was not sent completely
+		return false // the request was not sent completely
 	}
 	c.requests.Add(1)
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err == nil {
 		_, err = io.Copy(io.Discard, response.Body)
-		_ = response.Body.Close() // read whole, or the connection has failed
+		_ = response.Body.Close() // the body has been read completely, or the connection has failed
 	}
 	if err != nil {
 		c.mu.Lock()
@@ -115,7 +115,7 @@
 	return !response.Close
 }
 
-// wait waits for the end of all clients and returns what became of the requests without an answer.
+// wait waits until all clients have stopped, and returns the errors of the requests without a response.
 func (c *reusingClients) wait() []string {
 	c.running.Wait()
 	c.mu.Lock()
--- a/internal/endtoend/routing_test.go
+++ b/internal/endtoend/routing_test.go
@@ -17,34 +17,34 @@
 	"switchfork/internal/upstream"
 )
 
-// Requests and responses pass through unchanged, and connections to endpoints are used again.
+// Requests and responses pass through unchanged, and connections to endpoints are reused.
 func TestRequestAndResponseUnchanged(t *testing.T) {
 	endpoint := agenttest.NewScriptedServer(t, fakes.Respond("HTTP/1.1 200 OK\r\nContent-Type: text/odd\r\nContent-Length: 4\r\n\r\n\x00\xff\n!"))
 	agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 	target := "/posting//a/../b%2Fc?sid=7f3a9c21e0b4d655&odd;=%zz&&x"
 	got := agent.request(t, "POST", target, "some\r\nbody", "X-Request-Id", "9b1f03aa5c7e2d41", "X-Deadline-Ms", "900", "X-Tenant", "nobody", "X-Other", "kept")
 	if got.status != http.StatusOK || got.body != "\x00\xff\n!" || got.header.Get("Content-Type") != "text/odd" {
-		t.Errorf("client got %+v", got)
+		t.Errorf("client got %+v, want the endpoint's status, body and Content-Type", got)
 	}
 	attempts := endpoint.Requests()
 	if len(attempts) != 1 {
-		t.Fatalf("%d attempts arrived", len(attempts))
+		t.Fatalf("got %d attempts at the endpoint, want 1", len(attempts))
 	}
 	attempt := attempts[0]
-	deadline := parseMilliseconds(t, attempt.Header)
+	deadline := parseDeadlineMillis(t, attempt.Header)
 	if attempt.RequestLine != "POST "+target || attempt.Body != "some\r\nbody" || attempt.Header.Get("X-Request-Id") != "9b1f03aa5c7e2d41" ||
 		attempt.Header.Get("Idempotency-Key") != "5c0f6e1a" || attempt.Header.Get("X-Other") != "kept" || deadline < 1 || deadline > 900 ||
 		len(attempt.Header["X-Deadline-Ms"]) != 1 {
-		t.Errorf("arrived: %+v", attempt)
+		t.Errorf("endpoint got %+v, want the client's request with one deadline of 1 to 900 ms", attempt)
 	}
-	time.Sleep(2 * upstream.DefaultSettleTime) // from then on the connection is used again, however much later
+	time.Sleep(2 * upstream.DefaultSettleTime) // the connection can be reused after the settle time; waiting longer is harmless
 	agent.request(t, "GET", "/lookup", "")
 	if attempts = endpoint.Requests(); attempts[1].Conn != 1 {
-		t.Error("the connection was not used again")
+		t.Error("the second attempt came on another connection, want the first connection to be reused")
 	}
 }
 
-// Agents that start together do not send their first, second, n-th requests without a key to the same endpoint.
+// Agents that start at the same time do not send their n-th requests without a key to the same endpoint, except by chance.
 func TestAgentsSpreadKeylessRequests(t *testing.T) {
 	var hosts []string
 	for i := range 8 {
@@ -64,25 +64,25 @@
 		if servedBy[0][n] == servedBy[1][n] && servedBy[1][n] == servedBy[2][n] {
 			alike++
 		}
-		if alike > requests/4 { // by chance one in 64
-			t.Fatalf("the agents' requests went to the same endpoints: %v", servedBy)
+		if alike > requests/4 { // 1 in 64 is expected by chance
+			t.Fatalf("more than a quarter of the n-th requests of all agents went to the same endpoint: %v", servedBy)
 		}
 	}
 }
 
-// Where the configuration names no zones, all endpoints are in one, whatever zone the list says.
+// If the configuration names no zones, all endpoints are in one zone, whatever zone the endpoint list says.
 func TestNoZones(t *testing.T) {
 	for _, zones := range []string{``, `"Localities":[],`} {
 		endpoint := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("served")))
 		agent := startAgent(t, func(config string) string { return strings.Replace(config, `"Localities":["suva"],`, zones, 1) }, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 		agent.waitHealthy(t)
 		if got := agent.request(t, "GET", "/lookup", ""); got.body != "served" {
-			t.Errorf("zones %q: %+v", zones, got)
+			t.Errorf("configuration with the zones %q: got %+v, want the endpoint's response", zones, got)
 		}
 	}
 }
 
-// A second request under the id of an open request gets an error. The first one goes on, and then the id is free again.
+// A request with the ID of an open request is rejected. The open request continues, and its ID can be used again after its response.
 func TestDuplicateRequestID(t *testing.T) {
 	release := make(chan struct{})
 	endpoint := agenttest.NewScriptedServer(t, func(c net.Conn, nth int) bool { <-release; return fakes.Respond(fakes.OKResponse("done"))(c, nth) })
@@ -94,36 +94,36 @@
 	}()
 	agenttest.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
 	if got := agent.request(t, "POST", "/posting", "x", "X-Request-Id", "a1"); got.status != http.StatusConflict {
-		t.Errorf("the second got %+v", got)
+		t.Errorf("request with the ID of an open request: got %+v, want status 409", got)
 	}
 	close(release)
 	if got := <-first; got.status != http.StatusOK || len(endpoint.Requests()) != 1 {
-		t.Errorf("the first got %+v, %d attempts", got, len(endpoint.Requests()))
+		t.Errorf("first request: got %+v after %d attempts, want status 200 after 1", got, len(endpoint.Requests()))
 	}
 	agenttest.Eventually(t, "the release of the id", func() bool {
 		return agent.request(t, "GET", "/lookup", "", "X-Request-Id", "a1").status == http.StatusOK
 	})
 }
 
-// With no endpoint to send to, a request is rejected with a Retry-After. One that may have run is answered by its deadline.
+// If no endpoint is available, a request is rejected with a Retry-After header. A request that may have run fails at its deadline.
 func TestRejectedAndFailed(t *testing.T) {
 	endpoint := agenttest.NewScriptedServer(t, fakes.NeverRespond)
 	agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "leaving", 41))
 	if got := agent.request(t, "POST", "/posting", ""); got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") != "0.500" {
-		t.Errorf("rejected with %+v", got)
+		t.Errorf("request without an available endpoint: got %+v, want status 503 with Retry-After 0.500", got)
 	}
 	agent.discovery.Publish(fakes.ListDocument(2, false, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41)))
 	agenttest.Eventually(t, "the list", func() bool { return strings.Contains(agent.log.String(), "version=2") })
 	got := agent.request(t, "POST", "/posting", "", "X-Deadline-Ms", "300")
 	if got.status != http.StatusGatewayTimeout || len(endpoint.Requests()) != 1 {
-		t.Errorf("got %+v after %d attempts", got, len(endpoint.Requests()))
+		t.Errorf("request that may have run: got %+v after %d attempts, want status 504 after 1", got, len(endpoint.Requests()))
 	}
 	if got.latency < 200*time.Millisecond {
-		t.Errorf("answered after %v, before its deadline", got.latency)
+		t.Errorf("request that may have run: answered after %v, want at least 200 ms with a deadline of 300 ms", got.latency)
 	}
 }
 
-// A client that disconnects ends nothing but its own request.
+// A client that disconnects ends only its own request.
 func TestClientDisconnects(t *testing.T) {
 	endpoint := agenttest.NewScriptedServer(t, fakes.NeverRespond)
 	agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
@@ -133,54 +133,54 @@
 	agenttest.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
 	disconnect()
 	if err := <-result; err == nil {
-		t.Error("answered although the client disconnected")
+		t.Error("got a response after the client disconnected, want an error")
 	}
 	endpoint.SetHandler(fakes.Respond(fakes.OKResponse("done")))
 	agenttest.Eventually(t, "the next request's success", func() bool { return agent.request(t, "GET", "/lookup", "").status == http.StatusOK })
 }
 
-// No new request goes to an endpoint that drains. A host that comes back with another build and address is used.
+// No new request goes to an endpoint that is draining. A host that returns with another address is used again.
 func TestDrainingEndpoint(t *testing.T) {
 	first := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("1")))
 	second := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("2")))
 	third := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("3")))
 	agent := startReadyAgent(t, fakes.ListEntry("s-1", first.Addr(), "active", 41))
 	if got := agent.request(t, "GET", "/lookup", ""); got.body != "1" {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want the first endpoint's response", got)
 	}
 	agent.discovery.Publish(fakes.ListDocument(2, false, fakes.ListEntry("s-1", first.Addr(), "leaving", 41), fakes.ListEntry("s-2", second.Addr(), "active", 41)))
-	agenttest.Eventually(t, "the drain", func() bool { return strings.Contains(agent.log.String(), "version=2") })
+	agenttest.Eventually(t, "the list with the draining endpoint", func() bool { return strings.Contains(agent.log.String(), "version=2") })
 	for range 5 {
 		if got := agent.request(t, "GET", "/lookup", ""); got.body != "2" {
-			t.Errorf("after the endpoint started to drain: %+v", got)
+			t.Errorf("request after the first endpoint started to drain: got %+v, want the second endpoint's response", got)
 		}
 	}
 	agent.discovery.Publish(fakes.ListDocument(3, false, fakes.ListEntry("s-1", third.Addr(), "active", 41), fakes.ListEntry("s-2", second.Addr(), "left", 41)))
-	agenttest.Eventually(t, "the return", func() bool { return agent.request(t, "GET", "/lookup", "").body == "3" })
+	agenttest.Eventually(t, "a response from the host's new address", func() bool { return agent.request(t, "GET", "/lookup", "").body == "3" })
 	if len(first.Requests()) != 1 {
-		t.Errorf("%d attempts at the first endpoint", len(first.Requests()))
+		t.Errorf("got %d attempts at the first endpoint, want 1", len(first.Requests()))
 	}
 }
 
-// A request that stood unread while the agent was stopped has that much less time left.
+// The time that a request waits unread while the agent is stopped counts towards its deadline.
 func TestQueueDelayCountsTowardsDeadline(t *testing.T) {
 	endpoint := agenttest.NewScriptedServer(t, fakes.NeverRespond)
 	agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
 	agent.signal(t, syscall.SIGSTOP)
-	// The signal's sender goes on before all threads have stopped: one of them could still read the request.
-	agenttest.Eventually(t, "all threads to stop", func() bool { return allThreadsStopped(agent.command.Process.Pid) })
+	// Sending the signal returns before all threads have stopped, and one that still runs could read the request.
+	agenttest.Eventually(t, "the stop of all threads", func() bool { return allThreadsStopped(agent.command.Process.Pid) })
 	conn := agent.dial(t)
 	defer func() { _ = conn.Close() }()
 	send(t, conn, "GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: 2\r\nX-Deadline-Ms: 2000\r\n\r\n")
 	sent := time.Now()
-	for time.Since(sent) < time.Second { // the time that the agent is stopped for
+	for time.Since(sent) < time.Second { // the agent stays stopped for 1 s
 		time.Sleep(10 * time.Millisecond)
 	}
 	agent.signal(t, syscall.SIGCONT)
 	agenttest.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
-	deadline := parseMilliseconds(t, endpoint.Requests()[0].Header)
+	deadline := parseDeadlineMillis(t, endpoint.Requests()[0].Header)
 	if deadline < 1 || deadline > 1050 {
-		t.Errorf("the endpoint got %d ms", deadline)
+		t.Errorf("the endpoint got a deadline of %d ms, want 1 to 1050", deadline)
 	}
 }
 
@@ -196,9 +196,9 @@
 	return len(threads) > 0
 }
 
-// Where endpoints may be notified that a request is cancelled, the attempt of a client that has disconnected ends with it. What happened: the policy
-// closes such a request but returns no CancelAttempt, so that the attempt holds its connection and its place at the endpoint to its
-// deadline, 2.01 s in a trial; impatient clients cost capacity, most of all in an overload.
+// If endpoints may be told of cancelled requests, the attempt of a client that disconnects ends with its request. The test fails as long as
+// the policy closes such a request without returning a CancelAttempt: the attempt then holds its connection and its slot at the endpoint
+// until its deadline (2.01 s in a trial). Clients that disconnect early thus cost capacity, most of all in an overload.
 func TestAttemptEndsWithItsClient(t *testing.T) {
 	endpoint := agenttest.NewScriptedServer(t, fakes.NeverRespond)
 	agent := startAgent(t, func(config string) string {
@@ -208,10 +208,10 @@
 	conn := agent.dial(t)
 	send(t, conn, "GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: impatient\r\nX-Deadline-Ms: 2000\r\n\r\n")
 	agenttest.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
-	left := time.Now()
+	disconnectedAt := time.Now()
 	_ = conn.Close()
 	agenttest.Eventually(t, "the attempt's end", func() bool { return endpoint.Closed() == 1 })
-	if took := time.Since(left); took > time.Second {
-		t.Errorf("the attempt ended %v after its client had left", took)
+	if took := time.Since(disconnectedAt); took > time.Second {
+		t.Errorf("the attempt ended %v after its client disconnected, want at most 1 s", took)
 	}
 }
--- a/internal/endtoend/running_agent_test.go
+++ b/internal/endtoend/running_agent_test.go
@@ -15,20 +15,20 @@
 	"switchfork/internal/fakes"
 )
 
-// runningAgent is a process of the program with the fakes that it speaks to.
+// runningAgent is a running process of the program, with the fake discovery service and rollout controller that it calls.
 type runningAgent struct {
 	command           *exec.Cmd
 	url               string
 	discovery         *fakes.StreamServer
 	rolloutController *fakes.StreamServer
 	configPath        string
-	config            string // the content of the file
+	config            string // content of the file at configPath
 	log               *fakes.Log
-	client            *http.Client // that request and tryRequest use
-	exited            chan error   // the result of the process
+	client            *http.Client // used by request and tryRequest
+	exited            chan error   // receives the result of the process when it exits
 }
 
-// startReadyAgent starts the program with the hosts of the endpoint list, and waits until it serves.
+// startReadyAgent starts the program with hosts as its configured endpoint list, and waits until it is healthy.
 func startReadyAgent(t *testing.T, hosts ...string) *runningAgent {
 	t.Helper()
 	a := startAgent(t, func(config string) string { return config }, hosts...)
@@ -36,7 +36,7 @@
 	return a
 }
 
-// startAgent writes the configuration, edited by change, and starts the program.
+// startAgent writes a configuration with hosts as its endpoint list, edited by change, and starts the program.
 func startAgent(t *testing.T, change func(config string) string, hosts ...string) *runningAgent {
 	t.Helper()
 	binary, err := buildProgram()
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	a.url = "http://" + address
-	a.command = exec.CommandContext(context.Background(), binary) // killed below, and not before the other cleanups
+	a.command = exec.CommandContext(context.Background(), binary) // not t.Context, which ends before the cleanups; the cleanup below kills the process
 	a.command.Env = append(os.Environ(), "GW_CONFIG="+a.configPath)
 	a.command.Stderr = a.log
 	if err = a.command.Start(); err != nil {
@@ -71,7 +71,7 @@
 	}
 	go func() { a.exited <- a.command.Wait() }()
 	t.Cleanup(func() {
-		_ = a.command.Process.Kill() // fails where it has exited
+		_ = a.command.Process.Kill() // fails if the process has exited
 		if t.Failed() {
 			t.Log(a.log)
 		}
@@ -87,7 +87,7 @@
 	}
 }
 
-// waitExit waits until the process has ended and returns how; hasExited is false where it did not end in time.
+// waitExit waits until the process has exited and returns its result. hasExited is false if it did not exit within agenttest.WaitTimeout.
 func (a *runningAgent) waitExit() (hasExited bool, result error) {
 	select {
 	case result = <-a.exited:
@@ -97,18 +97,18 @@
 	}
 }
 
-// expectCleanExit expects that the process ends in time, with status 0.
+// expectCleanExit fails the test unless the process exits with status 0 within agenttest.WaitTimeout.
 func (a *runningAgent) expectCleanExit(t *testing.T) {
 	t.Helper()
 	switch hasExited, result := a.waitExit(); {
 	case !hasExited:
-		t.Error("did not exit")
+		t.Error("the program did not exit in time")
 	case result != nil:
-		t.Errorf("exited with %v", result)
+		t.Errorf("the program exited with %v, want status 0", result)
 	}
 }
 
-// waitHealthy waits until the health endpoint answers.
+// waitHealthy waits until a request for /_health gets status 200.
 func (a *runningAgent) waitHealthy(t *testing.T) {
 	t.Helper()
 	agenttest.Eventually(t, "health", func() bool {
