--- a/internal/endtoend/admission_test.go
+++ b/internal/endtoend/admission_test.go
@@ -17,8 +17,8 @@
 	"switchfork/internal/fakes"
 )
 
-// With admission control on, the program admits no more than the operator's file says, rejects a flood with a Retry-After, and answers all
-// that it has admitted. A reload keeps the options in force when the file is malformed.
+// With admission control on, the program holds at most as many requests as the operator's file allows, rejects further requests with a
+// Retry-After header, and answers each request that it has admitted. Reloading a malformed operator's file leaves the options in force.
 func TestAdmissionControl(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.conf")
 	writeOperatorFile := func(text string) {
@@ -47,26 +47,26 @@
 		status, retryAfter := request(10 + n)
 		seconds, err := strconv.ParseFloat(retryAfter, 64)
 		if status != http.StatusServiceUnavailable || err != nil || seconds <= 0 || seconds > 0.5 {
-			t.Errorf("a fourth request got %d with Retry-After %q", status, retryAfter)
+			t.Errorf("request beyond the limit of 3: got status %d with Retry-After %q, want 503 with more than 0 and at most 0.5 s", status, retryAfter)
 		}
 	}
 	close(release)
 	pending.Wait()
 	for n, status := range statuses {
 		if status != http.StatusOK {
-			t.Errorf("request %d got %d", n+1, status)
+			t.Errorf("request %d: got status %d, want 200", n+1, status)
 		}
 	}
 	writeOperatorFile("admission-control onn\n")
 	agent.signal(t, syscall.SIGHUP)
-	agenttest.Eventually(t, "the error in the log", func() bool { return strings.Contains(agent.log.String(), "operator.conf:1: admission-control") })
+	agenttest.Eventually(t, "the log entry on the malformed file", func() bool { return strings.Contains(agent.log.String(), "operator.conf:1: admission-control") })
 	if status, _ := request(99); status != http.StatusOK {
-		t.Errorf("after a malformed file a request got %d", status)
+		t.Errorf("request after the reload of a malformed file: got status %d, want 200", status)
 	}
 }
 
-// requestAs sends an idempotent request as a tenant's client of an id, which is the request's id too. A client without a response gets
-// the status 0.
+// requestAs sends an idempotent request for a tenant. The client's ID is also the request's ID, and key is the sid parameter. If there is
+// no response, requestAs fails the test and returns status 0.
 func (a *runningAgent) requestAs(t *testing.T, tenant, client string, key int) clientResponse {
 	t.Helper()
 	response, err := a.tryRequest(context.Background(), http.MethodGet, fmt.Sprintf("/lookup?sid=%016x", key), "",
@@ -78,10 +78,10 @@
 	return response
 }
 
-// One tenant's flood of clients that come once is twenty times what admission control holds, while the endpoint does not respond. Another
-// tenant's requests that come last are queued all the same and succeed, and none of the flood is left without an answer.
+// While the endpoint does not respond, one tenant sends twenty times as many requests as admission control holds, each from a different
+// client. Another tenant's requests that arrive last are queued nevertheless and succeed, and each request of the flood gets a response.
 func TestTenantFlood(t *testing.T) {
-	file := filepath.Join(t.TempDir(), "operator.conf") // with the keywords of earlier versions, which are still read
+	file := filepath.Join(t.TempDir(), "operator.conf") // uses keywords of earlier versions, which are still accepted
 	if err := os.WriteFile(file, []byte("door on\ndoor-txns 48\ndoor-client header X-Client\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 		go func() { statuses <- request("acme", n+1) }()
 	}
 	rejected := 0
-	for range floodSize - capacity { // all that admission control does not hold
+	for range floodSize - capacity { // the requests that exceed the capacity
 		if status := <-statuses; status == http.StatusServiceUnavailable {
 			rejected++
 		}
@@ -119,7 +119,7 @@
 	close(release)
 	for range otherTenantRequests {
 		if status := <-otherTenantStatuses; status != http.StatusOK {
-			t.Errorf("the other tenant's request got %d", status)
+			t.Errorf("request of the other tenant: got status %d, want 200", status)
 		}
 	}
 	succeeded := 0
@@ -129,6 +129,6 @@
 		}
 	}
 	if rejected != floodSize-capacity+otherTenantRequests || succeeded != capacity-otherTenantRequests {
-		t.Errorf("of the flood %d were rejected and %d succeeded, want %d and %d", rejected, succeeded, floodSize-capacity+otherTenantRequests, capacity-otherTenantRequests)
+		t.Errorf("requests of the flood: got %d rejected and %d successful, want %d and %d", rejected, succeeded, floodSize-capacity+otherTenantRequests, capacity-otherTenantRequests)
 	}
 }
--- a/internal/endtoend/client_input_test.go
+++ b/internal/endtoend/client_input_test.go
@@ -36,11 +36,12 @@
 		}
 	}
 	if n := len(endpoint.Requests()); n != 1 {
-		t.Errorf("%d attempts arrived, want that of the last request", n)
+		t.Errorf("got %d attempts at the endpoint, want 1, that of the last request", n)
 	}
 }
 
-// What is no request gets an error or a close in time, and nothing of it reaches an endpoint.
+// Input that is not a complete, valid request gets an error response or has its connection closed, in either case within 3 s. None of it
+// reaches an endpoint.
 func TestMalformedInput(t *testing.T) {
 	endpoint := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
@@ -64,15 +65,15 @@
 			start := time.Now()
 			got := agent.exchangeRaw(t, test.text)
 			if got != "" && !strings.HasPrefix(got, "HTTP/1.1 "+test.want) || strings.Count(got, "HTTP/1.1") > 1 {
-				t.Errorf("%.90q got %.90q, want %s", test.text, got, test.want)
+				t.Errorf("sent %.90q: got %.90q, want at most one response, with a status that begins with %q", test.text, got, test.want)
 			}
 			if took := time.Since(start); took > 3*time.Second {
-				t.Errorf("%.60q: kept for %v", test.text, took)
+				t.Errorf("sent %.60q: the connection was open for %v, want at most 3 s", test.text, took)
 			}
 		})
 	}
 	pending.Wait()
 	if n := len(endpoint.Requests()); n != 0 {
-		t.Errorf("%d attempts arrived: %+v", n, endpoint.Requests())
+		t.Errorf("got %d attempts at the endpoint, want none: %+v", n, endpoint.Requests())
 	}
 }
--- a/internal/endtoend/invalid_config_test.go
+++ b/internal/endtoend/invalid_config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// An error in the configuration ends the start with one line that names it.
+// If the configuration has an error, the program exits at startup with one log line that says where the error is.
 func TestInvalidConfigFile(t *testing.T) {
 	for _, test := range []struct{ from, to, want string }{
 		{`"SloMs":600.0`, `"SloMs":"soon"`, "config.settings.Grades.0.SloMs is \\\"soon\\\", not a number"},
@@ -25,21 +25,21 @@
 	}
 }
 
-// Settings that lack something or have it wrong end the start with one line that names the key and what is expected there.
+// If a setting is missing or invalid, the program exits at startup with one log line that names the key and says what is expected.
 func TestInvalidSettings(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(config, settings jsonObject)
 		want   string
 	}{
-		"no class":               {func(_, settings jsonObject) { settings["Grades"] = []any{} }, "config.settings.Grades"},
-		"a class without name":   {func(_, settings jsonObject) { settings["Grades"].([]any)[0].(jsonObject)["Name"] = "" }, "config.settings.Grades.0.Name"},
-		"two of one name":        {func(_, settings jsonObject) { settings["Grades"].([]any)[1].(jsonObject)["Name"] = "lookup" }, "config.settings.Grades.1.Name"},
-		"an effect not known":    {func(_, settings jsonObject) { settings["Grades"].([]any)[0].(jsonObject)["Repeat"] = "maybe" }, "config.settings.Grades.0.Repeat"},
-		"no deadline":            {func(_, settings jsonObject) { settings["Grades"].([]any)[0].(jsonObject)["HardLimitMs"] = 0 }, "config.settings.Grades.0.HardLimitMs"},
-		"keyed without window":   {func(_, settings jsonObject) { delete(settings["Grades"].([]any)[1].(jsonObject), "WindowMs") }, "config.settings.Grades.1.WindowMs"},
-		"a zone that is not one": {func(_, settings jsonObject) { settings["Zone"] = 3 }, "config.settings.Zone"},
-		"no idle time":           {func(_, settings jsonObject) { delete(settings["Limits"].(jsonObject), "ConnIdleMs") }, "config.settings.Limits.ConnIdleMs"},
-		"no stage":               {func(_, settings jsonObject) { settings["FamilyInfo"].(jsonObject)["StageCap"] = []any{} }, "config.settings.FamilyInfo.StageCap"},
+		"no classes":                       {func(_, settings jsonObject) { settings["Grades"] = []any{} }, "config.settings.Grades"},
+		"class without a name":             {func(_, settings jsonObject) { settings["Grades"].([]any)[0].(jsonObject)["Name"] = "" }, "config.settings.Grades.0.Name"},
+		"duplicate class name":             {func(_, settings jsonObject) { settings["Grades"].([]any)[1].(jsonObject)["Name"] = "lookup" }, "config.settings.Grades.1.Name"},
+		"unknown idempotency":              {func(_, settings jsonObject) { settings["Grades"].([]any)[0].(jsonObject)["Repeat"] = "maybe" }, "config.settings.Grades.0.Repeat"},
+		"no deadline":                      {func(_, settings jsonObject) { settings["Grades"].([]any)[0].(jsonObject)["HardLimitMs"] = 0 }, "config.settings.Grades.0.HardLimitMs"},
+		"idempotency key without a window": {func(_, settings jsonObject) { delete(settings["Grades"].([]any)[1].(jsonObject), "WindowMs") }, "config.settings.Grades.1.WindowMs"},
+		"zone out of range":                {func(_, settings jsonObject) { settings["Zone"] = 3 }, "config.settings.Zone"},
+		"no idle timeout":                  {func(_, settings jsonObject) { delete(settings["Limits"].(jsonObject), "ConnIdleMs") }, "config.settings.Limits.ConnIdleMs"},
+		"no stages":                        {func(_, settings jsonObject) { settings["FamilyInfo"].(jsonObject)["StageCap"] = []any{} }, "config.settings.FamilyInfo.StageCap"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			agent := startAgent(t, func(text string) string { return editConfig(t, text, test.change) })
@@ -48,15 +48,16 @@
 	}
 }
 
-// expectStartError expects that the process ends at its start, with one line in its log that contains a text.
+// expectStartError fails the test unless the process exits with an error at startup, after logging a single line that contains want. The
+// parameter what names the case in a failure.
 func (a *runningAgent) expectStartError(t *testing.T, what, want string) {
 	t.Helper()
 	hasExited, result := a.waitExit()
 	if !hasExited {
-		t.Errorf("%s: started", what)
+		t.Errorf("%s: the program did not exit, want an error at startup", what)
 		return
 	}
 	if log := a.log.String(); result == nil || !strings.Contains(log, want) || strings.Count(log, "\n") != 1 {
-		t.Errorf("%s: ended with %v and the log %q, want one line with %s", what, result, log, want)
+		t.Errorf("%s: the program exited with %v and the log %q, want an error and one line that contains %s", what, result, log, want)
 	}
 }
--- a/internal/endtoend/reload_test.go
+++ b/internal/endtoend/reload_test.go
@@ -11,8 +11,8 @@
 	"switchfork/internal/fakes"
 )
 
-// SIGHUP moves the agent to the addresses that the file names now, without losing a change. A malformed file changes nothing, and keys
-// that need a restart are named.
+// At SIGHUP, the agent switches to the discovery and rollout controller addresses in the file, without missing a change of the endpoint list.
+// A malformed file changes nothing, and changed keys that need a restart are logged.
 func TestReload(t *testing.T) {
 	first := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("1")))
 	second := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("2")))
@@ -34,7 +34,7 @@
 	reload(`platform.address=""`)
 	reload("config.limits.sockets", `"sockets":1024`, `"sockets":512`)
 	if agent.discovery.CallsContaining("") != 1 || agent.rolloutController.CallsContaining("") != 1 {
-		t.Errorf("addresses that did not change were called again: %q, %q", agent.discovery.Targets(), agent.rolloutController.Targets())
+		t.Errorf("unchanged addresses were called again: discovery got %q and the rollout controller %q, want one call each", agent.discovery.Targets(), agent.rolloutController.Targets())
 	}
 
 	hosts := fakes.ListDocument(2, true, fakes.ListEntry("s-1", first.Addr(), "leaving", 41), fakes.ListEntry("s-2", second.Addr(), "active", 41))
@@ -46,15 +46,15 @@
 	})
 	newController := agenttest.NewStreamServer(t, ":\n", 100*time.Millisecond, func(string) string { return fakes.RolloutEvent(43, 0, "testing", 0.5) })
 	silent := agenttest.Listen(t)
-	reload("reload", agent.discovery.Addr(), silent.Addr().String()) // an address that does not answer leaves the old one in force
+	reload("reload", agent.discovery.Addr(), silent.Addr().String()) // while the new address does not answer, the old one stays in use
 	agent.discovery.Publish(fakes.ListDocument(2, false, fakes.ListEntry("s-3", second.Addr(), "left", 41)))
-	agenttest.Eventually(t, "a change from the old address", func() bool { return strings.Contains(agent.log.String(), "version=2") })
+	agenttest.Eventually(t, "the list change from the old address", func() bool { return strings.Contains(agent.log.String(), "version=2") })
 	reload("reload", agent.discovery.Addr(), newDiscovery.Addr(), agent.rolloutController.Addr(), newController.Addr())
-	agenttest.Eventually(t, "the new list", func() bool { return agent.request(t, "GET", "/lookup", "").body == "2" })
+	agenttest.Eventually(t, "a response from the new list's endpoint", func() bool { return agent.request(t, "GET", "/lookup", "").body == "2" })
 	agenttest.Eventually(t, "the update from the new controller", func() bool { return strings.Contains(agent.log.String(), "build=43") })
-	agenttest.Eventually(t, "the end of the old streams", func() bool { return agent.discovery.Closed() == 1 && agent.rolloutController.Closed() == 1 })
+	agenttest.Eventually(t, "the close of the old streams", func() bool { return agent.discovery.Closed() == 1 && agent.rolloutController.Closed() == 1 })
 	agenttest.Eventually(t, "the stream from the new address", func() bool { return newDiscovery.CallsContaining("index=2") == 1 })
 	if agent.discovery.CallsContaining("") != 1 || agent.rolloutController.CallsContaining("") != 1 {
-		t.Errorf("the old addresses were called again: %q, %q", agent.discovery.Targets(), agent.rolloutController.Targets())
+		t.Errorf("old addresses were called again: discovery got %q and the rollout controller %q, want one call each", agent.discovery.Targets(), agent.rolloutController.Targets())
 	}
 }
--- a/internal/endtoend/settings_test.go
+++ b/internal/endtoend/settings_test.go
@@ -12,7 +12,7 @@
 	"switchfork/internal/fakes"
 )
 
-// requestClass makes a class's settings; the deadline is in milliseconds.
+// requestClass returns the settings of a request class. The deadline is in milliseconds.
 func requestClass(name, idempotency string, deadline float64) jsonObject {
 	class := jsonObject{"Name": name, "Repeat": idempotency, "SloMs": deadline / 2, "HardLimitMs": deadline, "Worth": 1.0}
 	if idempotency == "idempotency_key" {
@@ -21,8 +21,8 @@
 	return class
 }
 
-// The settings of any deployment are served: the program takes from them what their keys say, and depends on no name or figure of one
-// deployment. Each case starts the program and has one request of each class served, by its method, for each tenant.
+// The program serves requests with the settings of any deployment: it takes names and values from the settings, and depends on none of a
+// particular deployment. Each case starts the program and sends one request of each class, with the class's method, for each tenant.
 func TestDeploymentSettings(t *testing.T) {
 	twentyClasses := func() (out []any) {
 		for i := range 20 {
@@ -31,7 +31,7 @@
 		return out
 	}
 	for name, change := range map[string]func(config, settings jsonObject){
-		"odd names": func(_, settings jsonObject) {
+		"unusual names": func(_, settings jsonObject) {
 			settings["Grades"] = []any{
 				requestClass("Tide-Table_2", "read_like", 9000), requestClass("berth-CLAIM", "idempotency_key", 9000),
 				requestClass("9", "non_idempotent", 9000), requestClass("half%20off%", "read_like", 9000), requestClass("_health", "read_like", 9000),
@@ -44,21 +44,21 @@
 		"no tenants":     func(_, settings jsonObject) { settings["Parties"] = []any{} },
 		"tenants absent": func(_, settings jsonObject) { delete(settings, "Parties") },
 		"no zones":       func(_, settings jsonObject) { settings["Localities"], settings["Zone"] = []any{}, 0 },
-		"all must never run twice": func(_, settings jsonObject) {
+		"only non_idempotent classes": func(_, settings jsonObject) {
 			settings["Grades"] = []any{requestClass("a", "non_idempotent", 9000), requestClass("b", "non_idempotent", 9000)}
 		},
-		"all may be repeated": func(_, settings jsonObject) {
+		"only read_like classes": func(_, settings jsonObject) {
 			settings["Grades"] = []any{requestClass("a", "read_like", 9000), requestClass("b", "read_like", 9000)}
 		},
 		"deadlines of 30 s": func(_, settings jsonObject) {
 			settings["Grades"] = []any{requestClass("a", "read_like", 30000), requestClass("b", "idempotency_key", 30000)}
 		},
-		"short idle time": func(_, settings jsonObject) { settings["Limits"].(jsonObject)["ConnIdleMs"] = 300.0 },
-		"no probes, no reports": func(_, settings jsonObject) {
+		"short idle timeout": func(_, settings jsonObject) { settings["Limits"].(jsonObject)["ConnIdleMs"] = 300.0 },
+		"no health checks, no load reports": func(_, settings jsonObject) {
 			settings["Limits"].(jsonObject)["Probes"] = false
 			settings["Feedback"] = jsonObject{"How": "off"}
 		},
-		"no advice when to return": func(_, settings jsonObject) {
+		"no Retry-After": func(_, settings jsonObject) {
 			delete(settings["Limits"].(jsonObject), "RetryAfter")
 			delete(settings["Limits"].(jsonObject), "MaxRetryAfterMs")
 		},
@@ -68,7 +68,7 @@
 			rollout["StageCap"], rollout["StageShare"] = []any{1.0}, []any{1.0}
 		},
 		"no rollout state": func(config, _ jsonObject) { delete(config["platform"].(jsonObject), "news") },
-		"nothing known":    func(config, _ jsonObject) { delete(config, "known") },
+		"no endpoint list": func(config, _ jsonObject) { delete(config, "known") },
 		"deadlines of 50 ms": func(_, settings jsonObject) {
 			settings["Grades"] = []any{requestClass("a", "read_like", 50), requestClass("b", "idempotency_key", 50)}
 		},
@@ -93,7 +93,7 @@
 				})
 			}, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41), fakes.ListEntry("s-2", endpoint.Addr(), "active", 41))
 			agent.waitHealthy(t)
-			agenttest.Eventually(t, "the list", func() bool { // without a configured list it comes by a call
+			agenttest.Eventually(t, "a response from a listed endpoint", func() bool { // a list that is not configured is fetched from discovery
 				return agent.request(t, classMethod(classes[0]), classPath(classes[0]), "").status == http.StatusOK
 			})
 			for _, class := range classes {
@@ -104,10 +104,10 @@
 					}
 					limit := class.(jsonObject)["HardLimitMs"].(float64)
 					got := agent.request(t, classMethod(class), classPath(class), "", append(tenantHeader, "X-Class", class.(jsonObject)["Name"].(string))...)
-					// 50 ms may be over on a busy machine before the program has the processor; then it says so in time.
+					// On a busy machine, a deadline of 50 ms may pass before the program gets CPU time. It then answers in time with 504 or 503.
 					isLate := limit < 1000 && (got.status == http.StatusGatewayTimeout || got.status == http.StatusServiceUnavailable)
 					if got.status != http.StatusOK && !isLate || got.status == http.StatusOK && got.body != "done" {
-						t.Errorf("%v for %v: got %+v", class, tenantHeader, got)
+						t.Errorf("%v for %v: got %+v, want status 200 with the endpoint's body", class, tenantHeader, got)
 					}
 				}
 			}
--- a/internal/endtoend/shutdown_test.go
+++ b/internal/endtoend/shutdown_test.go
@@ -13,8 +13,8 @@
 	"switchfork/internal/fakes"
 )
 
-// After SIGTERM open requests and those that still arrive are answered, each response ends its connection, and the program exits with
-// status 0 by itself.
+// After SIGTERM, open requests and requests that still arrive are answered, each response closes its connection, and the program exits on
+// its own with status 0.
 func TestGracefulShutdown(t *testing.T) {
 	release := make(chan struct{})
 	endpoint := agenttest.NewScriptedServer(t, func(conn net.Conn, nth int) bool {
@@ -31,22 +31,22 @@
 	}()
 	agenttest.Eventually(t, "the attempt", func() bool { return len(endpoint.Requests()) == 1 })
 	agent.signal(t, syscall.SIGTERM)
-	agenttest.Eventually(t, "the drain", func() bool { return strings.Contains(agent.log.String(), "drain started") })
+	agenttest.Eventually(t, "the start of the drain", func() bool { return strings.Contains(agent.log.String(), "drain started") })
 	conn := agent.dial(t)
 	defer func() { _ = conn.Close() }()
 	send(t, conn, "GET /lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: 2\r\nX-Deadline-Ms: 2000\r\n\r\n")
 	if status, isLast, err := readStatus(conn); err != nil || status != http.StatusOK || !isLast {
-		t.Errorf("a late request got status %d, last %v, %v", status, isLast, err)
+		t.Errorf("request after SIGTERM: got status %d, last response %v, error %v; want 200 and the last response", status, isLast, err)
 	}
 	close(release)
 	if got := <-open; got.status != http.StatusOK || got.body != "done" {
-		t.Errorf("the open request got %+v", got)
+		t.Errorf("open request: got %+v, want status 200 with the endpoint's body", got)
 	}
 	agent.expectCleanExit(t)
 }
 
-// However long the deadlines are, a drain ends before SIGKILL is due, with an answer to open requests: it is owed 3.7 s after SIGTERM. The
-// bound of the test leaves a busy machine time and is far below the deadline.
+// However long the deadlines of open requests are, a drain answers these requests and ends before SIGKILL, which is due 3.7 s after SIGTERM.
+// The test allows 10 s, which leaves time for a busy machine and is far below the deadline of 30 s.
 func TestDrainEndsBeforeSIGKILL(t *testing.T) {
 	endpoint := agenttest.NewScriptedServer(t, fakes.NeverRespond)
 	agent := startAgent(t, func(config string) string {
@@ -62,10 +62,10 @@
 	start := time.Now()
 	agent.signal(t, syscall.SIGTERM)
 	if got := <-open; got.status != http.StatusGatewayTimeout {
-		t.Errorf("the open request got %+v", got)
+		t.Errorf("open request: got %+v, want status 504", got)
 	}
 	agent.expectCleanExit(t)
 	if took := time.Since(start); took > 10*time.Second {
-		t.Errorf("exited after %v", took)
+		t.Errorf("the program exited %v after SIGTERM, want at most 10 s", took)
 	}
 }
