--- a/internal/endtoend/client_test.go
+++ b/internal/endtoend/client_test.go
@@ -78,7 +78,6 @@
 	return conn
 }
 
-// send writes text to a connection.
 func send(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
--- a/internal/endtoend/config_test.go
+++ b/internal/endtoend/config_test.go
@@ -17,7 +17,6 @@
 "GraceToAnswerMs":20.0},"Limits":{"MaxAttempts":6,"DialTimeoutMs":250.0,"ConnIdleMs":30000.0,"RetryAfter":true,
 "MaxRetryAfterMs":500.0,"Probes":true,"MayTell":false}}`
 
-// jsonObject is a decoded JSON object.
 type jsonObject = map[string]any
 
 // editConfig decodes a configuration, applies change to it and to its settings, and encodes it again.
--- a/internal/endtoend/running_agent_test.go
+++ b/internal/endtoend/running_agent_test.go
@@ -79,7 +79,6 @@
 	return a
 }
 
-// signal sends the process a signal.
 func (a *runningAgent) signal(t *testing.T, signal os.Signal) {
 	t.Helper()
 	if err := a.command.Process.Signal(signal); err != nil {
