--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -125,8 +125,8 @@
 	return openCount > c.limits.Requests || c.requests.bodyBytes > c.limits.Bytes
 }
 
-// estimatedWait returns how long a queued request is expected to wait. This is the time to serve the cost ahead of it at its
-// tenant's rate, minus the capacity that is reserved for others.
+// estimatedWait returns how long a queued request is expected to wait. This is the time to serve the cost ahead of it with the
+// part of its tenant's rate that is not reserved for others.
 func (c *Controller) estimatedWait(request *trackedRequest) Micros {
 	costAhead := c.waiting.queues.costAhead(request)
 	return c.reservations.timeToServe(c.now, request.Tenant, costAhead, c.tenantRate(request.Tenant))
--- a/internal/admission/calendar.go
+++ b/internal/admission/calendar.go
@@ -19,7 +19,7 @@
 	c.firstSlot = max(c.firstSlot, currentSlot)
 }
 
-// at returns the reserved cost of a slot.
+// at returns a pointer to the reserved cost of a slot.
 func (c *calendar) at(slot int64) *float64 { return &c.costs[slot%int64(len(c.costs))] }
 
 // release subtracts a cost from the reserved cost of a slot, unless the slot has been cleared.
--- a/internal/admission/command.go
+++ b/internal/admission/command.go
@@ -20,7 +20,7 @@
 	NoReason Reason = iota
 	// TooLate means that the request was not, or is not expected to be, admitted before its wait deadline.
 	TooLate
-	// NoCapacity means that a limit is exceeded and that the request's tenant has the highest waiting cost for its weight.
+	// NoCapacity means that a limit is exceeded and that the request's tenant has the highest waiting cost relative to its weight.
 	NoCapacity
 	// Replaced means that a later attempt has replaced the request.
 	Replaced
--- a/internal/admission/concurrency_limit.go
+++ b/internal/admission/concurrency_limit.go
@@ -27,8 +27,8 @@
 // holds them back, or they are on the way between two goroutines. As long as there are some, the dispatcher is not short of
 // requests.
 const (
-	// unsentFraction is the fraction of the limit that may be in progress without having been sent. A fraction of the requests
-	// in progress would reduce the limit to the demand whenever there is little load.
+	// unsentFraction is the fraction of the limit that may be in progress without having been sent. If it were a fraction of the
+	// requests in progress instead, it would reduce the limit to the demand whenever there is little load.
 	unsentFraction = 0.05
 	// minUnsentAllowance, in requests, is the number that may be in progress without having been sent however low the limit is.
 	// It is some tens of milliseconds of work for a small deployment. If it were much smaller, a dispatcher that has lowered the
@@ -38,8 +38,8 @@
 
 // concurrencyLimit decides how many requests may be in progress, based on how many of them the dispatcher sends. The dispatcher
 // limits each endpoint according to its response times, so the number of sent requests is what the endpoints can handle at
-// present, whatever their response time is. Requests that the dispatcher cannot send are too many. A limit based on response
-// times alone would mistake endpoints that slow down for a growing queue, and would give them too few requests.
+// present, at any response time. If more requests stay unsent than the unsent allowance, the limit is too high. A limit based on
+// response times alone would mistake endpoints that slow down for a growing queue, and would give them too few requests.
 //
 // The limit is adjusted once per round. In slow start it doubles in each round in which it was reached, until a round shows that
 // it is too high. After that it increases by a small fraction per round. The controller checks the limit before each admission,
@@ -121,14 +121,14 @@
 	l.round.wasReached = l.round.wasReached || inProgress >= l.value()
 }
 
-// tick ends the round if it is over, which is necessary when no requests finish. Waiting requests mean that the limit was
-// reached.
+// tick adjusts the limit if the round has lasted for roundInterval. Without it, a round in which no request finishes would not
+// end. Waiting requests mean that the limit was reached.
 func (l *concurrencyLimit) tick(now Micros, hasWaiting bool) {
 	l.round.wasReached = l.round.wasReached || hasWaiting
 	l.adjust(now)
 }
 
-// adjust adjusts the limit and starts the next round, if the current round is over.
+// adjust adjusts the limit and starts the next round, if the current round has lasted for roundInterval.
 func (l *concurrencyLimit) adjust(now Micros) {
 	elapsed := now - l.round.start
 	if elapsed < roundInterval {
--- a/internal/admission/concurrency_limit_test.go
+++ b/internal/admission/concurrency_limit_test.go
@@ -5,7 +5,7 @@
 )
 
 // The limit follows the capacity of the endpoints at any response time: it decreases while the dispatcher has too many unsent
-// requests, and increases again when it hasn't.
+// requests, and increases again afterwards.
 func TestConcurrencyLimitTracksCapacity(t *testing.T) {
 	for _, responseTime := range []Micros{20 * millisecond, 100 * millisecond} {
 		c := newTestController([]float64{1}, Limits{Requests: 4000, Bytes: 1 << 30, Queues: 8}, false)
@@ -58,8 +58,8 @@
 	}
 }
 
-// In slow start a limit that is reached doubles each round. A round that shows that it is too high ends slow start, after which it
-// grows slowly.
+// In slow start the limit doubles in each round in which it is reached. A round that shows that the limit is too high ends slow
+// start. After that the limit grows slowly.
 func TestConcurrencyLimitLeavesSlowStart(t *testing.T) {
 	limit := newConcurrencyLimit(1000)
 	now := Micros(0)
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -8,7 +8,7 @@
 // calls. Each call passes the current time in microseconds and returns the commands to carry out before the next call, in a
 // slice that the next call reuses.
 //
-// The controller is composed of components that do not depend on each other, each in a file of its own:
+// The controller is composed of components that do not depend on each other, each in a separate file:
 //
 //	requestRecords    holds the records of all open requests
 //	retryIndex        finds the earlier attempt of a retry
@@ -92,7 +92,7 @@
 	return c.endCall()
 }
 
-// Finish reports that an admitted request has been answered, or that nobody waits for its answer any more. None of its
+// Finish reports that an admitted request has been answered, or that no client waits for its answer any longer. None of its
 // attempts may still be in flight. For a request that is not in progress, Finish is the same as Abandon.
 func (c *Controller) Finish(now Micros, id uint64, result Result) []Command {
 	c.beginCall(now)
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -196,8 +196,8 @@
 	}
 }
 
-// Whatever the order of arrivals, finished requests, abandoned requests and a drain, each request gets exactly one final answer, no
-// two requests with the same idempotency key are in progress at the same time, and no limit is exceeded.
+// For any order of arrivals, finished requests, abandoned requests and a drain, each request gets exactly one final answer, no two
+// requests with the same idempotency key are in progress at the same time, and no limit is exceeded.
 func TestEveryRequestGetsOneFinalAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		coalescesRetries := rapid.Bool().Draw(t, "coalescesRetries")
@@ -277,7 +277,7 @@
 	fixLimit(c, 1)
 	flood(c, 0, 20, 1)
 	c.apply(c.Drain(c.now, c.now+100*millisecond))
-	if waiting := c.Status().Waiting; waiting > 8 || waiting < 2 { // of 19; the estimate may be off by one for each queue
+	if waiting := c.Status().Waiting; waiting > 8 || waiting < 2 { // 19 requests were waiting before; the estimate may be off by one request per queue
 		t.Errorf("got %d waiting requests, want 2 to 8, since there is time for about five", waiting)
 	}
 	c.advance(150 * millisecond)
--- a/internal/admission/drain_test.go
+++ b/internal/admission/drain_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Without an announcement there is no deadline. A drain is over from its deadline on, and ends before later times only.
+// Without an announcement, isOver and endsBefore are false for any time. After it, isOver is true from the deadline on, and
+// endsBefore is true for times after the deadline.
 func TestDrainDeadline(t *testing.T) {
 	var d drain
 	if d.isAnnounced() || d.isOver(second) || d.endsBefore(second) {
--- a/internal/admission/fair_queues_test.go
+++ b/internal/admission/fair_queues_test.go
@@ -8,7 +8,7 @@
 )
 
 // Two tenants that always have waiting requests are served by their weights. The difference of their weighted served costs is at
-// most the sum of the weighted costs of the most expensive request of each, whatever their requests cost.
+// most the sum of the weighted costs of the most expensive request of each, for any costs of the requests.
 func TestCostIsSharedByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := []float64{rapid.Float64Range(0.1, 1).Draw(t, "w0"), rapid.Float64Range(0.1, 1).Draw(t, "w1")}
@@ -46,7 +46,7 @@
 	})
 }
 
-// When a limit is exceeded, a request of the tenant that is over its share is evicted, even if another tenant's request arrived last.
+// When a limit is exceeded, a request of the tenant that exceeds its share is evicted, even if another tenant's request arrived last.
 func TestOverloadEvictsFromTenantOverItsShare(t *testing.T) {
 	c := newTestController([]float64{0.5, 0.5}, Limits{Requests: 40, Bytes: 1 << 20, Queues: 8}, false)
 	fixLimit(c, 10)
--- a/internal/admission/reservations.go
+++ b/internal/admission/reservations.go
@@ -14,8 +14,8 @@
 	reservationGrace = 100 * millisecond
 	// earlyTolerance is how long before its return time a client is already on time.
 	earlyTolerance = 2 * millisecond
-	// minFallbackFraction is the fraction of the longest Retry-After time that is sent at least if there is no reservation. The
-	// rest is random, so that a thousand clients that were rejected together don't return together.
+	// minFallbackFraction is the shortest Retry-After time without a reservation, as a fraction of the longest. The rest is
+	// random, so that a thousand clients that were rejected together don't return together.
 	minFallbackFraction = 0.75
 )
 
@@ -31,9 +31,10 @@
 
 // reservationTable decides the Retry-After time of each rejected request, and whether a client has returned on time. The time
 // depends on the rate and the waiting cost of the request's tenant, and on what is already reserved. Each tenant has a calendar
-// of time slots of equal width. A slot has room for the cost that the tenant's rate allows to be admitted during the slot. A
-// client that returns on time is admitted ahead of the waiting requests. A reservation is honored, missed if there is no capacity
-// when the client returns, given up if the client returns early, or unclaimed.
+// of time slots of equal width. A slot has room for a reservation if the cost that is reserved up to this slot, with the new
+// reservation, is at most reservableFraction of the cost that the tenant's rate admits until then. A client that returns on time
+// is admitted ahead of the waiting requests. A reservation is honored, missed if there is no capacity when the client returns,
+// given up if the client returns early, or unclaimed.
 //
 // The controller calls reservationTable for each rejection and each arrival. Wait estimates allow for the reserved cost.
 type reservationTable struct {
@@ -129,7 +130,7 @@
 	return 0, false
 }
 
-// timeToServe returns how long a tenant takes to serve a cost at its rate, apart from the cost that is reserved in each slot.
+// timeToServe returns how long a tenant takes to serve a cost with the part of its rate that is not reserved in the slots.
 func (t *reservationTable) timeToServe(now Micros, tenant int, cost, rate float64) Micros {
 	if t.count() == 0 {
 		return Micros(cost / rate)
--- a/internal/admission/timing_wheel.go
+++ b/internal/admission/timing_wheel.go
@@ -9,9 +9,9 @@
 	timingWheelSlots = 1024
 )
 
-// timingWheel finds the waiting requests whose wait deadline has come. It has a list of requests for each tick, so that adding and
-// removing take the same time however many requests wait. A request expires up to two ticks before its deadline, and never after
-// it. waitingRequests adds and removes requests; the controller calls expire.
+// timingWheel finds the waiting requests that are about to reach their wait deadlines. It has a list of requests for each tick, so
+// that adding and removing take the same time however many requests wait. A request expires up to two ticks before its deadline,
+// and never after it. waitingRequests adds and removes requests; the controller calls expire.
 type timingWheel struct {
 	slots         [timingWheelSlots]*trackedRequest // head of the list of each slot
 	processedTick int64                             // the last tick whose requests have expired
