--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,6 +1,6 @@
 // Package backoff decides how long a caller waits before it retries a failed call to a service. It is meant for calls that all
-// agents make, to service discovery and to the rollout controller. Retries of a single agent do no harm, but synchronized retries
-// of many agents are a retry storm, which keeps a service down that would otherwise have recovered (a metastable failure).
+// agents make, to service discovery and to the rollout controller. Retries of a single agent are harmless, but synchronized retries of
+// many agents are a retry storm, which keeps a service down that would otherwise have recovered (a metastable failure).
 //
 // A Backoff belongs to one caller and is not safe for concurrent use. It does no I/O and reads no clock.
 package backoff
@@ -24,9 +24,9 @@
 
 // Constants of the delay after Unreachable.
 const (
-	// minReconnectDelay is the delay after the first Unreachable, before jitter. It doubles with each further one up to
-	// maxReconnectDelay. It is short, so that a service that is back is found at once, since the changes that it reports have to
-	// take effect from that moment.
+	// minReconnectDelay is the delay after the first Unreachable, before jitter. Each further Unreachable doubles the delay, up to
+	// maxReconnectDelay. The first delay is short, so that a service that is back is found at once, since the changes that it
+	// reports have to take effect from that moment.
 	minReconnectDelay = 50 * millisecond
 	maxReconnectDelay = 800 * millisecond
 	// maxDoublings keeps the doubled delay from overflowing. Fewer doublings already exceed maxReconnectDelay.
@@ -42,7 +42,7 @@
 	// defaultMaxOverloadDelay is the longest delay for a caller without a deadline.
 	defaultMaxOverloadDelay = 3200 * millisecond
 	// minDelayDivisor divides the longest delay to give the shortest delay for a caller with a deadline. The service may still be
-	// working on a call that timed out, and an earlier retry would only fill its queue with calls that nobody waits for.
+	// working on a call that timed out, and an earlier retry would only fill its queue with calls whose callers have given up.
 	minDelayDivisor = 4
 )
 
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -79,7 +79,7 @@
 	random := rand.New(rand.NewSource(1))
 	immediateRetry := func(int) Micros { return 25*millisecond + random.Int63n(50*millisecond) }
 	if answered, _ := simulateService(callers, serviceTime, end, immediateRetry, immediateRetry); answered > callers/2 {
-		t.Errorf("immediate retries: got %d of %d callers answered, want half at most, or else the simulated service is not overloaded", answered, callers)
+		t.Errorf("immediate retries: got %d of %d callers answered, want at most half, because the simulated service has to be overloaded", answered, callers)
 	}
 }
 
--- a/internal/connlimit/budget.go
+++ b/internal/connlimit/budget.go
@@ -3,14 +3,14 @@
 import "sync"
 
 const (
-	// clientShare is the largest part of the limit that connections to clients may hold. Connections to endpoints get what clients leave, at
-	// least two fifths. Clients with an open request hold at most a third, each of these requests has at most one attempt in flight, and
-	// what is left beside that admits further clients, if only to reject their requests.
+	// clientShare is the largest part of the limit that connections to clients may hold. Connections to endpoints may use the rest, at
+	// least two fifths. Clients with an open request hold at most a third, and each of these requests has at most one attempt in flight. The
+	// other connections to clients are for further clients, if only to reject their requests.
 	clientShare = 0.6
 
 	// reservedShare is the part of the clients' connections that is kept free of open requests, so that a client that waits to connect
-	// is accepted and is told at once that the agent is full. Without it, all connections would carry requests that the router holds, and
-	// requests on connections in the kernel's accept queue would not be read until their deadlines.
+	// is accepted and is told at once that the agent is full. Without this part, all connections would carry requests that the router
+	// holds, and requests on connections in the kernel's accept queue would not be read until their deadlines.
 	reservedShare = 0.125
 
 	// freeShare is the part of the limit that is kept free of idle connections to clients, for connections to endpoints.
--- a/internal/connlimit/budget_test.go
+++ b/internal/connlimit/budget_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Clients leave two fifths of the descriptors to endpoints. When they hold their share, they get another descriptor only after one of
+// Clients leave two fifths of the descriptors to endpoints. When clients hold their share, they get another descriptor only after one of
 // theirs is released.
 func TestBudget(t *testing.T) {
 	b := NewBudget(20)
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -30,8 +30,8 @@
 // message that is put between the receipt of a token and the call of Take is taken by that call, but leaves another token.
 func (m *Mailbox[T]) Ready() <-chan struct{} { return m.ready }
 
-// Take removes all messages and returns them in the order in which they were put. It reuses the memory of an earlier batch, which
-// must not be used afterwards. earlier is nil if there is no such batch.
+// Take removes all messages and returns them in the order in which they were put. earlier is nil or a batch that an earlier call
+// returned: Take clears it and reuses its memory for later messages, so the caller must not use it afterwards.
 func (m *Mailbox[T]) Take(earlier []T) []T {
 	clear(earlier)
 	m.mu.Lock()
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Messages are taken in batches, in the order in which they were put, and a token indicates that there are some.
+// Messages are taken in batches, in the order in which they were put. A token indicates that a message was put.
 func TestTakeKeepsOrder(t *testing.T) {
 	m := New[int]()
 	select {
--- a/internal/ratelog/ratelog.go
+++ b/internal/ratelog/ratelog.go
@@ -14,8 +14,8 @@
 const (
 	// minInterval is the shortest time between two warnings of one kind.
 	minInterval = time.Second
-	// maxKinds bounds the memory of a logger. When this many kinds are recorded, the next warning that is
-	// written makes the logger forget them all.
+	// maxKinds is the largest number of kinds that a logger records, which bounds its memory. When it is reached, the next warning
+	// that is written makes the logger forget all kinds.
 	maxKinds = 256
 )
 
