--- a/internal/cli/renamed.go
+++ b/internal/cli/renamed.go
@@ -1,7 +1,7 @@
 // Package cli keeps the old names of renamed commands and flags working. Old names are hidden in the help. When one is used,
 // a warning on standard error gives the current name.
 //
-// The package modifies commands while they are built, before they are executed. It holds no state of its own.
+// The package modifies commands while they are built, before they are executed. It holds no state.
 package cli
 
 import (
--- a/internal/config/connections_test.go
+++ b/internal/config/connections_test.go
@@ -12,7 +12,7 @@
 	for discovery, want := range map[string]time.Duration{"subscribe": 10 * time.Second, "automatic": 0} {
 		settings := ParsePairs(strings.Replace(validSettings, "subscribe", discovery, 1) + lines)
 		if connections := settings.Connections(); connections.PollWithin != want || settings.Err() != nil {
-			t.Errorf("%s: got %v, error %v", discovery, connections.PollWithin, settings.Err())
+			t.Errorf("%s: got polling interval %v, error %v, want 10 s for subscribe and 0 for automatic", discovery, connections.PollWithin, settings.Err())
 		}
 	}
 }
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -107,7 +107,7 @@
 	}
 	wantLeft := []string{"config.name", "config.settings.Limits.Cancel", "config.settings.Limits.OpenCap"}
 	if reloaded.Moved != (UpstreamAddresses{Discovery: "127.0.0.1:91"}) || !reflect.DeepEqual(reloaded.Unapplied, wantLeft) || reloaded.File == file {
-		t.Errorf("got moved addresses %+v and unapplied keys %v", reloaded.Moved, reloaded.Unapplied)
+		t.Errorf("got moved addresses %+v and unapplied keys %v, want only the new discovery address, the keys of the name and of two limits, and a new File", reloaded.Moved, reloaded.Unapplied)
 	}
 	writeConfig(t, path, nil, "Limits.OpenCap=some\n")
 	if after, err := reloaded.File.Reload(); err == nil || after.File != nil || after.Moved != (UpstreamAddresses{}) || after.Unapplied != nil {
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// Environment variables that configure the agent. All but GW_CONFIG override a key of the file.
+// Environment variables that configure the agent. GW_CONFIG is the path of the configuration file. The others override a key of the
+// file.
 const (
 	envConfig    = "GW_CONFIG"
 	envName      = "GW_NAME"
--- a/internal/config/router.go
+++ b/internal/config/router.go
@@ -3,7 +3,7 @@
 import "switchfork/internal/policy"
 
 // NewRouter creates the policy's router for this deployment. It checks every key that the router needs, and returns an
-// error that names the first invalid one.
+// error that names the first invalid key.
 //
 // The order in which the sections are read must stay fixed, because it determines which of several errors is returned.
 func (s *Settings) NewRouter(seed uint64) (policy.Router, error) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,6 +1,6 @@
 package config
 
-// Settings are a deployment's settings, read from flat key=value pairs. Each section is read by a file of its own:
+// Settings are a deployment's settings, read from flat key=value pairs. Each section is read in a separate file:
 //
 //   - classes.go: the request classes
 //   - tenants.go and zones.go: the tenants and the zones
--- a/internal/options/parse_test.go
+++ b/internal/options/parse_test.go
@@ -19,7 +19,7 @@
 	}
 	for i, want := range expected {
 		if i >= len(faults) || !strings.HasPrefix(faults[i].Error(), want) {
-			t.Errorf("error %d of %v: want %s", i, faults, want)
+			t.Errorf("error %d of %v: want one that begins with %s", i, faults, want)
 		}
 	}
 }
