--- a/cmd/switchfork/admin.go
+++ b/cmd/switchfork/admin.go
@@ -14,7 +14,7 @@
 
 const defaultAdminSocket = "/run/switchfork/admin.sock"
 
-// adminCommands holds what the commands share that query a running agent or inspect a state folder.
+// adminCommands holds the output and the --admin flag of the commands that query a running agent or inspect a state folder.
 type adminCommands struct {
 	out    io.Writer
 	socket string // the value of --admin
--- a/cmd/switchfork/admin_test.go
+++ b/cmd/switchfork/admin_test.go
@@ -55,7 +55,7 @@
 	}
 	admin := serveAdminAnswers(t, map[string]http.HandlerFunc{"GET /lead": answerText(http.StatusOK, `{"members":[0,5]}`)})
 	if out, err := run(t, "members", "list", "--admin", admin); err != nil || out != "0\n5\n" {
-		t.Errorf("members list: got output %q, error %v", out, err)
+		t.Errorf("members list: got output %q, error %v, want the members 0 and 5, one per line", out, err)
 	}
 	admin = serveAdminAnswers(t, map[string]http.HandlerFunc{"GET /lead": answerText(http.StatusServiceUnavailable, "")})
 	for _, args := range [][]string{{"leader"}, {"members", "list"}} {
@@ -113,10 +113,10 @@
 	const shown = "agent 4 of group feedc0de12345678\npromised 2818, accepted 2561 of agent 2, given up 2305\n" +
 		"newest decision: term 2561, 7: build 42 stage 3 rollback\nmembers 10111, stamped 2049.4\n"
 	if out, err := run(t, "state", "show", folder); err != nil || out != shown {
-		t.Errorf("state show: got output %q, error %v", out, err)
+		t.Errorf("state show: got output %q, error %v, want the stored state of agent 4", out, err)
 	}
 	if out, err := run(t, "state", "verify", folder); err != nil || out != "sound\n" {
-		t.Errorf("state verify: got output %q, error %v", out, err)
+		t.Errorf("state verify: got output %q, error %v, want sound", out, err)
 	}
 	for _, command := range []string{"show", "verify"} {
 		if _, err := run(t, "state", command, t.TempDir()); !errors.Is(err, os.ErrNotExist) {
--- a/cmd/switchfork/admission.go
+++ b/cmd/switchfork/admission.go
@@ -46,7 +46,7 @@
 }
 
 // admissionLimits derives the limits from the agent's memory and connections, and applies those of the operator's file. The operator
-// can lower the limit on requests but not raise it, and sets the limit on bytes freely.
+// can lower the limit on requests but not raise it, and can set the limit on bytes to any value.
 func (p *agentProcess) admissionLimits(opts options.Admission) admission.Limits {
 	openRequests := min(p.settings.connections.MaxOpenRequests, p.budget.MaxRequests())
 	limits := admission.LimitsFor(p.settings.limits.MemoryMB, openRequests, opts.Queues)
@@ -59,7 +59,7 @@
 	return limits
 }
 
-// tenantWeights returns the weight of each tenant: the one that the operator's file sets, or else the tenant's configured share.
+// tenantWeights returns each tenant's weight in the operator's file, or the tenant's configured share if the file sets no weight.
 func tenantWeights(opts options.Admission, tenants []string, shares []float64) []admission.Tenant {
 	var weights []admission.Tenant
 	for i, name := range tenants {
--- a/cmd/switchfork/coordinator_test.go
+++ b/cmd/switchfork/coordinator_test.go
@@ -51,14 +51,14 @@
 	replica, err := replicaConfig(options.Coordinator{Index: -1, Lease: time.Second, Group: "a"}, voting, 5)
 	want := election.Settings{Lease: 1e6, ClockDrift: 0.005, MaxVoteDelay: 501000, VoteLifetime: 2000, RollbackQuorum: 1}
 	if err != nil || replica.Index != 2 || replica.Members != election.InitialMembers(3) || replica.Settings != want {
-		t.Errorf("settings of the deployment: got %+v, error %v", replica, err)
+		t.Errorf("settings of the deployment: got %+v, error %v, want index 2, three members and the election settings of the deployment", replica, err)
 	}
 	if replica.Group != 0xaf63dc4c8601ec8c || replica.Seed != 5^3<<32 { // FNV-1a of "a"; agents of all versions have to use the same hash
-		t.Errorf("got group %x, seed %x", replica.Group, replica.Seed)
+		t.Errorf("got group %x, seed %x, want group af63dc4c8601ec8c, seed 300000005", replica.Group, replica.Seed)
 	}
 	overTCP := options.Coordinator{Index: 4, Listen: "127.0.0.1:2", Peers: map[int]string{0: "a", 4: "b"}}
 	if replica, err = replicaConfig(overTCP, voting, 5); err != nil || replica.Index != 4 || replica.Members.Mask != 0b10001 {
-		t.Errorf("settings of the operator's file: got %+v, error %v", replica, err)
+		t.Errorf("settings of the operator's file: got %+v, error %v, want index 4, members 0 and 4", replica, err)
 	}
 	overTCP.Index = 1
 	if replica, err = replicaConfig(overTCP, voting, 5); err != nil || replica.Members.Mask != 0 {
@@ -66,6 +66,6 @@
 	}
 	if _, err = replicaConfig(options.Coordinator{Index: election.MaxReplicas}, voting, 5); err == nil ||
 		err.Error() != "leader-election: this agent's index is 64, expected 0 to 63" {
-		t.Errorf("index that is too high: got error %v", err)
+		t.Errorf("index that is too high: got error %v, want one with the index and the range", err)
 	}
 }
--- a/cmd/switchfork/drain.go
+++ b/cmd/switchfork/drain.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A drain has to end before SIGKILL. By the platform's protocol, the time from SIGTERM to SIGKILL is at least the longest request
-// timeout, of which at most maxDrainTimeout counts, plus killDelay. drainReserve leaves time for logging, and for a system that is slow
+// A drain has to end before SIGKILL. By the platform's protocol, the time from SIGTERM to SIGKILL is at least killDelay plus the longest
+// request timeout, which counts as maxDrainTimeout if it is longer. drainReserve leaves time for logging, and for a system that is slow
 // to notice the exit.
 const (
 	killDelay       = 700 * time.Millisecond
--- a/cmd/switchfork/main_test.go
+++ b/cmd/switchfork/main_test.go
@@ -40,12 +40,12 @@
 	var faults options.FileErrors
 	if _, err := run(t, "check", file); !errors.As(err, &faults) || faults[0].Line != 2 || faults[0].Keyword != "admission-queus" ||
 		!strings.Contains(faults[0].Reason, "admission-queues") {
-		t.Errorf("invalid file: got error %v", err)
+		t.Errorf("invalid file: got error %v, want one that names line 2 and admission-queus and suggests admission-queues", err)
 	}
 	file = writeFile(t, "admission-control on\n")
 	out, warnings, err := runWithWarnings(t, "check", file)
 	if err != nil || !strings.Contains(out, "admission-control on\n") || !strings.Contains(out, "admission-queues 64\n") || warnings != "" {
-		t.Errorf("valid file: got error %v, output %s, warnings %s", err, out, warnings)
+		t.Errorf("valid file: got error %v, output %s, warnings %s, want only an output that holds admission-control on and admission-queues 64", err, out, warnings)
 	}
 	if out, err := run(t, "completion", "bash"); err != nil || !strings.Contains(out, "switchfork") {
 		t.Errorf("completion: got error %v, or a script without the program's name", err)
