--- a/cmd/switchfork-lab/admission_test.go
+++ b/cmd/switchfork-lab/admission_test.go
@@ -59,12 +59,12 @@
 	awaitEntries(1)
 	after := awaitEntries(1)
 	if slow.ConcurrencyLimit > 0.7*before.ConcurrencyLimit || after.ConcurrencyLimit < 1.4*slow.ConcurrencyLimit {
-		t.Errorf("concurrency limit: got %.0f before, %.0f while slow, %.0f after, want at most 0.7 of the first while slow and at least 1.4 of that after", before.ConcurrencyLimit, slow.ConcurrencyLimit, after.ConcurrencyLimit)
+		t.Errorf("concurrency limit: got %.0f before, %.0f while slow, %.0f after, want while slow at most 0.7 times the first, and after at least 1.4 times the second", before.ConcurrencyLimit, slow.ConcurrencyLimit, after.ConcurrencyLimit)
 	}
 	// At a fifth of the speed, at most a fifth of the requests can succeed. The router alone, whose answers then come late,
 	// serves about half of those. Admission control must not reduce that much further (docs/ROADMAP.md).
 	if slow.Succeeded < before.Succeeded/25 || after.Succeeded < 0.7*before.Succeeded {
-		t.Errorf("requests succeeded in ten seconds: got %.0f before, %.0f while slow, %.0f after, want at least a 25th of the first while slow and 0.7 of it after", before.Succeeded, slow.Succeeded, after.Succeeded)
+		t.Errorf("requests succeeded in ten seconds: got %.0f before, %.0f while slow, %.0f after, want while slow at least a 25th of the first, and after at least 0.7 times the first", before.Succeeded, slow.Succeeded, after.Succeeded)
 	}
 	if slow.Rejected > 0.3*slow.Succeeded {
 		t.Errorf("while slow: %.0f admitted requests were rejected and %.0f succeeded, want at most 0.3 rejected for each that succeeded", slow.Rejected, slow.Succeeded)
--- a/cmd/switchfork-lab/demo.go
+++ b/cmd/switchfork-lab/demo.go
@@ -53,7 +53,7 @@
 	out     io.Writer
 	program string
 	flood   string // the tenant that sends floodFactor times its share; empty: none
-	isBad   bool   // the release is bad
+	isBad   bool   // the new build fails a part of its requests
 	length  time.Duration
 
 	testbed      *testbed
--- a/cmd/switchfork-lab/election_report.go
+++ b/cmd/switchfork-lab/election_report.go
@@ -47,8 +47,8 @@
 	firstViolation  string
 }
 
-// sumUp adds up results. Periods before the first leader count only if the schedules are given and have random faults. A
-// violation is named only if the schedules are given.
+// sumUp adds up results. schedules may be nil. Periods before the first leader count only if the schedules are given and have
+// random faults. firstViolation is set only if the schedules are given.
 func sumUp(results []*simulation.ElectionResult, schedules []simulation.ElectionSchedule) (totals electionTotals) {
 	for i, result := range results {
 		totals.leaderships += result.Leaderships
--- a/cmd/switchfork-lab/faulttest.go
+++ b/cmd/switchfork-lab/faulttest.go
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// readScenarios reads and checks all files. It also returns the names of the programs that scenarios start and no flag names.
-// These are built later, from the same source under the other version's name.
+// readScenarios reads and checks all files. It also returns the names of the programs that scenarios start and for which no
+// --program flag gives a path. buildPrograms builds these from the same source, with the name as the program's version.
 func readScenarios(files []string, options *faulttest.RunOptions) (scenarios []*faulttest.Scenario, unnamed []string, err error) {
 	var errs []error
 	for _, file := range files {
@@ -133,7 +133,8 @@
 	return scenarios, unnamed, nil
 }
 
-// buildPrograms sets the paths of the agent and of the programs that no flag names. It builds those that have no path.
+// buildPrograms sets the paths of the agent and of the unnamed programs. It builds the unnamed programs, and the agent if
+// o.agentPath is empty.
 func buildPrograms(dir string, o faultTestOptions, unnamed []string) (err error) {
 	programs := o.run.Programs
 	if programs[""], err = agentProgram(dir, o.agentPath); err != nil {
--- a/cmd/switchfork-lab/logs_test.go
+++ b/cmd/switchfork-lab/logs_test.go
@@ -25,7 +25,7 @@
 		var out bytes.Buffer
 		err := reportLogs(&out, folder, logsOptions{interval: 5 * time.Second, maxEndpoints: 3, voteRate: 16})
 		if shouldFail != (err != nil) || !strings.Contains(out.String(), "build 2 stage 0 approve: succeeded") {
-			t.Errorf("votes %v apart: got error %v and report\n%s", spacing, err, out.String())
+			t.Errorf("votes %v apart: got error %v, want one only for 0s, and the votes in the report:\n%s", spacing, err, out.String())
 		}
 	}
 	var wrong usageError
--- a/cmd/switchfork-lab/testbed.go
+++ b/cmd/switchfork-lab/testbed.go
@@ -111,15 +111,14 @@
 	return err
 }
 
-// stopAgent drains the agent, waits for it to exit and returns the error of its exit.
+// stopAgent drains the agent, waits until it has exited and returns the error with which it exited.
 func (t *testbed) stopAgent() error {
 	err := t.agent.Stop()
 	t.agent = nil
 	return err
 }
 
-// close stops the agent and the fakes and removes their files. It ignores the error of the agent's exit, which stopAgent
-// returns.
+// close stops the agent and the fakes and removes their files. It ignores the error that stopAgent returns.
 func (t *testbed) close() {
 	if t.agent != nil {
 		_ = t.stopAgent()
--- a/internal/loganalysis/report_test.go
+++ b/internal/loganalysis/report_test.go
@@ -73,7 +73,7 @@
 	f.Add([]byte("time=2026-01-02T03:04:05Z msg=\"vote cast\" elapsed_ms=\n\x00=time="))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		report := NewReport(0)
-		_ = report.Read("x", bytes.NewReader(raw)) // an error is fine: the test is for panics
+		_ = report.Read("x", bytes.NewReader(raw)) // errors are expected, panics are not
 		if err := report.Print(&bytes.Buffer{}, 100); err != nil {
 			t.Fatal(err)
 		}
