--- a/internal/proxy/admission_loop_test.go
+++ b/internal/proxy/admission_loop_test.go
@@ -86,7 +86,7 @@
 	agenttest.Eventually(t, "a request after all are finished", func() bool { return rig.admitted() == 3 })
 }
 
-// With coalescing, a retry is not admitted. It gets the reply of the request that it repeats, whatever that reply is.
+// With coalescing, a retry is not admitted. It gets the reply of the request that it repeats, even if that is a failure.
 func TestRetryIsCoalesced(t *testing.T) {
 	rig := newTestAdmission(t, admission.Limits{Requests: 10, Bytes: 1 << 20, Queues: 4}, true)
 	first := rig.arrive(1, 5)
@@ -123,7 +123,7 @@
 	for id := uint64(1); id <= 32; id++ { // the initial concurrency limit
 		rig.arrive(id, id)
 	}
-	agenttest.Eventually(t, "all that the limit admits", func() bool { return rig.admitted() == 32 })
+	agenttest.Eventually(t, "the 32 requests that the limit admits", func() bool { return rig.admitted() == 32 })
 	replies := map[uint64]<-chan agent.Reply{}
 	for id := uint64(33); id <= 38; id++ {
 		replies[id] = rig.arrive(id, id)
--- a/internal/proxy/admission_messages.go
+++ b/internal/proxy/admission_messages.go
@@ -18,7 +18,7 @@
 	request *agent.Request
 }
 
-// attemptSent reports the first attempt of a request.
+// attemptSent reports that the first attempt of a request is about to be sent.
 type attemptSent struct{ id uint64 }
 
 // requestFinished reports that an admitted request has its reply or was cancelled, and that none of its attempts is in flight.
@@ -27,7 +27,7 @@
 	result admission.Result
 }
 
-// requestCancelled reports that nobody waits for the reply to a request any more: the client disconnected, or the drain has run out of time.
+// requestCancelled reports that the reply to a request is no longer needed: the client disconnected, or the drain has run out of time.
 type requestCancelled struct{ id uint64 }
 
 // drainStarted reports that a drain has started, and that no request can be answered after its deadline.
--- a/internal/proxy/buffers.go
+++ b/internal/proxy/buffers.go
@@ -9,7 +9,7 @@
 // time.
 type bufferPool struct{ pool sync.Pool }
 
-// Get returns a buffer from the pool, or a new one where the pool is empty.
+// Get returns a buffer from the pool, or a new one if the pool is empty.
 func (b *bufferPool) Get() []byte {
 	if buffer, ok := b.pool.Get().(*[copyBufferBytes]byte); ok {
 		return buffer[:]
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -21,7 +21,7 @@
 	defaultLingerTimeout = 500 * time.Millisecond
 	// readAheadLimitBytes bounds the buffer for bytes that a client sends before the response to its last request.
 	readAheadLimitBytes = 4 << 10
-	// readAheadChunkBytes is the number of bytes that one read adds to that buffer at most.
+	// readAheadChunkBytes is the maximum number of bytes that one read adds to that buffer.
 	readAheadChunkBytes = 256
 	// discardChunkBytes is the size of the buffer for bytes that are read and discarded.
 	discardChunkBytes = 1 << 10
@@ -136,7 +136,7 @@
 
 // Close closes a connection. If the client may not have read a response yet, or may send a request before it notices that its unused
 // connection was retired, the connection is only half closed at first. It is then closed when the client closes its side, when the linger
-// timeout is over, or when another client needs the descriptor. Bytes that arrive until then are read and discarded: closing with unread
+// timeout expires, or when another client needs the descriptor. Bytes that arrive until then are read and discarded: closing with unread
 // bytes would send a reset, which may overtake a response and does not tell the client that its request was not read.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
@@ -144,7 +144,7 @@
 		c.stateTimer.Stop()
 	}
 	c.stateDeadline = time.Time{}
-	needsLinger := c.hasWritten || c.isHalfClosed // a response may be unread, or a request on its way
+	needsLinger := c.hasWritten || c.isHalfClosed // a response may be unread, or a request in transit
 	c.isLingering = needsLinger && !c.isLingering
 	wasRetired := c.isHalfClosed
 	c.setState(stateRetired)
--- a/internal/proxy/client_conn_test.go
+++ b/internal/proxy/client_conn_test.go
@@ -25,7 +25,7 @@
 	server.waitForState(t, reading, stateReading)
 	server.waitForState(t, silent, stateNew)
 	if server.serverConn(t, reading).retire() {
-		t.Error("retired with part of a head read")
+		t.Error("a connection was retired after part of a head was read")
 	}
 	if conn := server.serverConn(t, silent); !conn.retire() {
 		t.Error("a silent connection was not retired")
@@ -44,7 +44,7 @@
 	conn.mu.Unlock()
 	conn.stateDeadlinePassed()
 	if couldRetire || conn.retire() {
-		t.Error("retired with a byte unread")
+		t.Error("a connection with an unread byte was retired")
 	}
 	reading.send(rawRequest("lookup")[1:])
 	reading.expectResponse(http.StatusServiceUnavailable, false)
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -21,8 +21,9 @@
 // clientListener accepts clients while the budget has descriptors, and keeps connections open between requests until a descriptor is needed.
 // If none is left, one response for each waiting client closes its connection to free the descriptor. Otherwise clients with an open
 // connection would be served over and over, while a request of a client in the kernel's accept queue would not be read before its deadline.
-// If no response closes a connection soon, the connections that have been idle longest are retired. Not every response closes its connection
-// while few descriptors are left: all these clients would reconnect, and the agent can't afford so many new connections.
+// Responses beyond that number leave their connections open, apart from the exceptions in closeConnIfNeeded: all these clients would
+// reconnect, and the agent can't afford so many new connections. If no response closes a connection soon, the connections that have been
+// idle longest are retired.
 type clientListener struct {
 	tcp    *net.TCPListener
 	budget *connlimit.Budget
--- a/internal/proxy/conn_eviction.go
+++ b/internal/proxy/conn_eviction.go
@@ -24,7 +24,7 @@
 
 // freeConnections frees descriptors for waiting clients. waited is how long the first of them has waited. It closes lingering connections
 // and retires those that have sent nothing. If there are none and the client has waited for responseWait, it retires the connections that
-// have been idle longest. It also has the event loop close unused connections to endpoints, at most once within upstream.TrimIdleAfter.
+// have been idle longest. It also has the event loop close unused connections to endpoints, at most once per upstream.TrimIdleAfter.
 func (l *clientListener) freeConnections(waiting int, waited time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/proxy/conn_state.go
+++ b/internal/proxy/conn_state.go
@@ -134,7 +134,7 @@
 // retire half closes a connection that carries no request, and reports whether it did. It leaves a connection with unread bytes open.
 //
 // The client has to be notified of the close at once. Between the check for unread bytes and the half close, the client finds the connection
-// open and may send a request that nobody reads. So the check and the half close are one step. They are not left to the goroutine that
+// open and may send a request that is never read. So the check and the half close are one step. They are not left to the goroutine that
 // reads from the connection, which would run milliseconds later.
 func (c *clientConn) retire() bool {
 	c.mu.Lock()
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// lateArrivalWindow is how long new connections and requests still arrive after SIGTERM. The protocol sets it.
+	// lateArrivalWindow is how long new connections and requests may still arrive after SIGTERM. The protocol sets it.
 	lateArrivalWindow = 700 * time.Millisecond
 	// finalReplyWindow is how long before the end of a drain open requests are answered. It leaves enough time to write the responses.
 	finalReplyWindow = 100 * time.Millisecond
@@ -17,7 +17,7 @@
 	unboundedDrain = time.Hour
 )
 
-// Drain serves requests that still arrive, closes each connection with its next response, and returns when no client is connected any more.
+// Drain serves requests that still arrive, closes each connection with its next response, and returns once all clients have disconnected.
 // A connection that carries no request stays open for its next one, as clients use their connections until these are closed. A connection
 // that stays silent is closed by its idle timeout, or when the drain's time has nearly run out.
 //
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -75,7 +75,7 @@
 	conn := server.serverConn(t, silent)
 	start := time.Now()
 	done := server.startDrain(t, agenttest.WaitTimeout)
-	time.Sleep(lateArrivalWindow) // until after what the drain does at its start
+	time.Sleep(lateArrivalWindow) // until the first steps of the drain are done
 	active.send(rawRequest("lookup"))
 	active.expectResponse(http.StatusServiceUnavailable, true)
 	active.expectEOF()
@@ -169,7 +169,7 @@
 	_ = client.Close()
 	select {
 	case err := <-done:
-		// The context may end before late arrivals have stopped, or before the last connection is seen to close.
+		// The context may end before lateArrivalWindow has passed, or before Drain notices that the last connection is closed.
 		if err != nil && !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("Drain returned %v, want nil or an exceeded deadline", err)
 		}
--- a/internal/proxy/listener_shutdown.go
+++ b/internal/proxy/listener_shutdown.go
@@ -58,7 +58,7 @@
 	return isDone && tcpconn.AcceptBacklog(l.tcp) == 0
 }
 
-// whenEmpty returns a channel that is closed once no client is connected any more. If the context ends first, it stays open.
+// whenEmpty returns a channel that is closed once all clients have disconnected. If the context ends first, the channel stays open.
 func (l *clientListener) whenEmpty(ctx context.Context) <-chan struct{} {
 	empty := make(chan struct{})
 	go func() {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -13,9 +13,9 @@
 	"switchfork/internal/policy"
 )
 
-// exchangeTimeout is the write timeout of responses that the event loop has no part in, such as those to health checks. Responses to
-// forwarded requests have another write deadline, which limitWriteTime sets. It also bounds the time that a request may have waited in the
-// kernel: queueDelay ignores longer times.
+// exchangeTimeout is the write timeout of responses that do not come from the event loop, such as those to health checks. For responses to
+// forwarded requests, limitWriteTime sets another write deadline. exchangeTimeout also bounds the time that a request may have waited in
+// the kernel: queueDelay ignores longer times.
 const exchangeTimeout = time.Minute
 
 // Config is the configuration of a Proxy.
@@ -52,7 +52,7 @@
 	clientKey       ClientKey
 
 	isDraining    atomic.Bool
-	drainDeadline time.Time     // when all open requests are answered; set before isDraining
+	drainDeadline time.Time     // when requests that are still open are answered; set before isDraining
 	drainExpired  chan struct{} // closed when drainDeadline has passed
 }
 
@@ -73,7 +73,8 @@
 	return p
 }
 
-// ClientKey selects what identifies a client within its tenant: a header if one is named, or else the connection or the IP address.
+// ClientKey selects what identifies a client within its tenant: the value of Header if that is set, or else the connection if Connection
+// is set, or else the IP address.
 type ClientKey struct {
 	Header     string
 	Connection bool
--- a/internal/proxy/random_clients_test.go
+++ b/internal/proxy/random_clients_test.go
@@ -22,7 +22,7 @@
 // randomClient is a client that sends requests in pieces and counts the responses.
 type randomClient struct {
 	*testClient
-	unsent    string // what is left to send of the next request
+	unsent    string // the part of the next request that has not been sent
 	requests  int    // sent completely
 	responses atomic.Int64
 	ended     chan struct{} // closed when no further response can arrive
@@ -176,7 +176,7 @@
 		answered += int(client.responses.Load())
 	}
 	if answered > accepted || answered+r.disconnected < accepted {
-		rt.Fatalf("%d requests accepted, %d answered, %d clients disconnected; want either one for each request", accepted, answered, r.disconnected)
+		rt.Fatalf("%d requests accepted, %d answered, %d clients disconnected; want one response or disconnected client for each accepted request", accepted, answered, r.disconnected)
 	}
 }
 
--- a/internal/proxy/request_headers.go
+++ b/internal/proxy/request_headers.go
@@ -67,7 +67,7 @@
 }
 
 // sessionKey returns the session key of a query. This is the value of sid if it is a 64-bit number other than 0 in 16 hexadecimal digits,
-// or else a hash of the value. It returns 0 if there is no sid.
+// or else a hash of the value. It returns 0 if the query has no sid.
 func sessionKey(query string) uint64 {
 	for query != "" {
 		var pair string
--- a/internal/proxy/round_trip.go
+++ b/internal/proxy/round_trip.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// exceedsOpenRequests reports whether there are too many open requests. An admission loop has its own limit.
+// exceedsOpenRequests reports whether there are too many open requests. It returns false if there is an admission loop, which has a
+// separate limit.
 func (p *Proxy) exceedsOpenRequests(open int64) bool {
 	limit := min(p.maxOpenRequests, p.budget.MaxRequests())
 	if p.admission != nil || open <= int64(limit) {
@@ -148,7 +149,7 @@
 }
 
 // limitWriteTime gives a client until requestTimeout after its deadline, or after now if that is later, to read its response: a client that
-// does not read it holds a descriptor for nothing. The WriteTimeout of http.Server is replaced because it counts from the request and may
+// does not read it holds a descriptor needlessly. The WriteTimeout of http.Server is replaced because it counts from the request and may
 // end before the deadline.
 func limitWriteTime(r *http.Request, request *agent.Request) {
 	conn, ok := r.Context().Value(connKey{}).(*clientConn)
