--- a/internal/agent/activity.go
+++ b/internal/agent/activity.go
@@ -9,7 +9,7 @@
 // activityInterval is the shortest time between two lines of the activity log.
 const activityInterval = 5 * time.Second
 
-// activityCounts are the counters that only the loop's goroutine touches.
+// activityCounts holds the counters that only the loop's goroutine uses.
 type activityCounts struct {
 	arrived           int
 	succeeded         int
--- a/internal/agent/endpoint_registry.go
+++ b/internal/agent/endpoint_registry.go
@@ -25,7 +25,7 @@
 func (r *endpointRegistry) get(id uint32) *upstream.Endpoint { return r.byID[id] }
 
 // update applies a change of the endpoint list. It starts new endpoints and gives all listed endpoints their latest entry. An endpoint that
-// has left stops by itself once none of its attempts is in flight. If it is listed again, a new one is started.
+// has left the list stops once none of its attempts is in flight. If it is listed again, a new one is started.
 func (r *endpointRegistry) update(list EndpointList) {
 	isPresent := map[uint32]bool{}
 	for i, row := range list.Endpoints {
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// fireTimers hands the expired timers to the policy. Timers that expire while it runs wait for the loop's next iteration.
+// fireTimers hands the expired timers to the policy. Timers that expire while fireTimers runs wait for the loop's next iteration.
 func (l *Loop) fireTimers() {
 	now := l.clock.Now()
 	for {
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -104,17 +104,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = reader.Close() }() // the test is over
+	defer func() { _ = reader.Close() }() // the connection is not used after the test
 	server, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = server.Close() }() // the test is over
+	defer func() { _ = server.Close() }() // the connection is not used after the test
 	if _, err := io.WriteString(server, "line"); err != nil {
 		t.Fatal(err)
 	}
 	stallOnGossip(r, func() {
-		time.AfterFunc(8*agent.ReaderGrace, func() { // by then the grace period is long over
+		time.AfterFunc(8*agent.ReaderGrace, func() { // long after the end of the grace period
 			r.Publish(protocol.List{Version: 1, IsFull: true})
 			go func() { _, _ = io.Copy(io.Discard, reader) }() // ends with the connection
 		})
--- a/internal/agent/open_requests_test.go
+++ b/internal/agent/open_requests_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// A request gets one final reply, whatever ends it first, and is removed once none of its attempts is in flight.
+// A request gets one final reply, from the first event that ends it, and is removed once none of its attempts is in flight.
 func TestRequestGetsOneFinalReply(t *testing.T) {
 	for name, test := range map[string]struct {
 		end          func(*openRequests)
@@ -98,7 +98,7 @@
 	}
 }
 
-// A retry that is coalesced gets its request's reply, and a rejection where that request is answered already.
+// A coalesced retry gets the reply of the request that it repeats. If that request is already answered, the retry is rejected.
 func TestCoalescedRetryGetsReply(t *testing.T) {
 	requests := newOpenRequests(&activity{})
 	leader := addTestRequest(&requests)
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -16,10 +16,10 @@
 	RetryAfter policy.Micros      // how long the client should wait before it retries a rejected request
 }
 
-// Request is a client's request that is not answered yet or has an attempt in flight. One goroutine owns it at a time: first the one that
-// creates it, then the one that it is handed to, such as that of the admission loop. The owner may set the callbacks or deliver a rejection
-// itself. Loop.Admit and Loop.Coalesce hand the request to the loop's goroutine, which stays its owner. The owner calls the callbacks. Any
-// goroutine may read Encoded and Deadline, which do not change, and receive from Replies.
+// Request is a client's request that is not answered yet or has an attempt in flight. One goroutine owns it at a time: first the goroutine
+// that creates it, then a goroutine that it is handed to, such as the admission loop's. The owner may set the callbacks or deliver a
+// rejection itself. Loop.Admit and Loop.Coalesce hand the request to the loop's goroutine, which stays its owner. The owner calls the
+// callbacks. Any goroutine may read Encoded and Deadline, which do not change, and receive from Replies.
 type Request struct {
 	Encoded        *protocol.EncodedRequest
 	Deadline       time.Time
--- a/internal/agent/stall.go
+++ b/internal/agent/stall.go
@@ -14,7 +14,7 @@
 	// readerGrace is how long the readers of the endpoint list and of rollout updates get after a stall before requests are handled.
 	readerGrace = 20 * time.Millisecond
 	// maxReaderWait bounds the wait for readers that have not yet handed on input that has arrived. readerGrace alone is too short for
-	// readers that wait behind hundreds of requests on a full core.
+	// readers that wait behind hundreds of requests on a fully loaded core.
 	maxReaderWait = 500 * time.Millisecond
 	// unreadPollInterval is how often the connections are checked for unread input during that wait.
 	unreadPollInterval = time.Millisecond
@@ -22,8 +22,8 @@
 
 // stallGuard detects that the process has stalled, by a timer that is late by more than upstream.StallThreshold. It then waits until
 // changes of the endpoint list and rollout updates that arrived during the stall have been handed on, because requests must not be routed
-// by what was true before the stall. It guards against everything that stops an agent, such as a frozen machine or a starved core, and
-// costs a little time if the core is merely full.
+// by the state before the stall. It guards against everything that stops an agent, such as a frozen machine or a core that gives the
+// process no time, and costs a little time if the core is merely fully loaded.
 //
 // Readers may be added by any goroutine; the other methods are for the loop's goroutine, which sleeps in them after a stall.
 type stallGuard struct {
--- a/internal/agent/stall_test.go
+++ b/internal/agent/stall_test.go
@@ -38,6 +38,6 @@
 	flushes = 0
 	guard.waitAfterStall(&timerQueue{}, clock)
 	if flushes != 0 {
-		t.Errorf("without a timer the readers were waited for %d times", flushes)
+		t.Errorf("without a timer: the readers were waited for %d times, want 0", flushes)
 	}
 }
--- a/internal/agent/timers.go
+++ b/internal/agent/timers.go
@@ -17,7 +17,7 @@
 	*q = slices.Insert(*q, index, timer)
 }
 
-// next returns when the first timer expires; found is false where there is none.
+// next returns when the first timer expires; found is false if there is none.
 func (q *timerQueue) next() (at policy.Micros, found bool) {
 	if len(*q) == 0 {
 		return 0, false
--- a/internal/agent/timers_test.go
+++ b/internal/agent/timers_test.go
@@ -8,7 +8,8 @@
 )
 
 // Timers with equal times fire in the order in which they were set. Each used to be inserted before those of the same time, so that they
-// fired in reverse order. The policy sets timers without a token, which can't be told apart, but one with tokens would act out of order.
+// fired in reverse order. The policy sets timers without tokens, so it can't distinguish them. A policy that sets tokens would act on its
+// timers in the wrong order.
 func TestEqualTimersKeepTheirOrder(t *testing.T) {
 	var timers timerQueue
 	for token, at := range []policy.Micros{20, 10, 20, 10, 20, 5} {
--- a/internal/agenttest/servers.go
+++ b/internal/agenttest/servers.go
@@ -58,7 +58,7 @@
 			_ = conn.SetReadDeadline(time.Now().Add(WaitTimeout)) // fails only on a closed connection, which Read reports
 			n, _ := conn.Read(raw)                                // on an error, the bytes before it are kept
 			captured <- string(raw[:n])
-			_ = conn.Close() // it is not used any more
+			_ = conn.Close() // the bytes have been read, so an error does not matter
 		}
 	}()
 	return listener.Addr().String(), func() string {
--- a/internal/tcpconn/input.go
+++ b/internal/tcpconn/input.go
@@ -35,7 +35,8 @@
 	return err == nil && isEnded
 }
 
-// isSocketOpenWithoutInput peeks at the first unread byte. The call returns EAGAIN only if there is no such byte and the connection is open.
+// isSocketOpenWithoutInput peeks at the first unread byte. Recvfrom fails with EAGAIN only if the connection is open and has no unread
+// byte.
 func isSocketOpenWithoutInput(fd uintptr) bool {
 	var first [1]byte
 	_, _, err := unix.Recvfrom(int(fd), first[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
--- a/internal/tcpconn/refuse_new.go
+++ b/internal/tcpconn/refuse_new.go
@@ -14,6 +14,6 @@
 	if err != nil {
 		return
 	}
-	// An error leaves the listener as it was.
+	// If the call fails, the listener is unchanged.
 	_ = raw.Control(func(fd uintptr) { _ = unix.Listen(int(fd), 0) })
 }
--- a/internal/tcpconn/reset_conn.go
+++ b/internal/tcpconn/reset_conn.go
@@ -10,7 +10,7 @@
 
 // ResetConn is a connection that Close resets if nothing has been read since the last write. After an ordinary close, the kernel continues
 // to send the unacknowledged data for a quarter of an hour: requests and votes that had been given up were delivered seconds or minutes
-// later, over a path that had dropped all packets before, when nothing waited for them any more. The reset also discards data that a full
+// later, over a path that had dropped all packets before, when no caller waited for them. The reset also discards data that a full
 // send window holds back. Its drawback is that a peer that reads slowly never sees the data that it has not read before the reset. That is
 // acceptable for a call that was given up.
 type ResetConn struct {
--- a/internal/tcpconn/reset_conn_test.go
+++ b/internal/tcpconn/reset_conn_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = listener.Close() }() // the test is over
+	defer func() { _ = listener.Close() }() // no connection is accepted after the test
 	go func() {
 		for n := 0; ; n++ {
 			conn, err := listener.Accept()
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -12,7 +12,7 @@
 	net.Conn
 	process   process       // the process that was dialed
 	exchange  *httpExchange // nil while the connection is idle
-	wasUsed   bool          // it has carried an exchange up to a complete response
+	wasUsed   bool          // an exchange on the connection has ended with a complete response
 	isClosed  bool
 	idleSince time.Time
 	readNext  chan struct{} // each value lets read take one response; closed with the connection
--- a/internal/upstream/endpoint_test.go
+++ b/internal/upstream/endpoint_test.go
@@ -247,7 +247,7 @@
 	r.Loop.Flush(r.Context())
 	const idle = 20 * time.Millisecond
 	r.Pool.SetIdleTimeout(idle)
-	time.Sleep(idle) // the connection has to be idle at least this long; longer does no harm
+	time.Sleep(idle) // the connection has to be idle for at least this long
 	if got := <-sendRequest(r, 3, agenttest.KeyedRequest, policy.SendAttempt{}); got.Response == nil {
 		t.Fatalf("request 3: got reply %+v, want a response", got)
 	}
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -6,7 +6,7 @@
 	"switchfork/internal/protocol"
 )
 
-// Attempt is one sending of a request to one endpoint.
+// Attempt is one attempt to have a request served by one endpoint.
 type Attempt struct {
 	RequestID   uint64
 	Encoded     *protocol.EncodedRequest
@@ -25,7 +25,8 @@
 
 // isOutdated reports whether it is too late to write the request. The process may have stalled since the policy chose this endpoint, and
 // the endpoint list may have changed. An attempt is therefore outdated once it is older than a dial and a stall below the detection
-// threshold can explain, and the policy chooses an endpoint again. On a starved core, this may cost a waiting request another turn.
+// threshold can explain, and the policy chooses an endpoint again. If the process is short of CPU time, this may also happen to a request
+// that has only waited for the CPU.
 func (a *Attempt) isOutdated(dialTimeout time.Duration) bool {
 	now := time.Now()
 	if now.Sub(a.DecidedAt) > dialTimeout+StallThreshold {
@@ -40,7 +41,7 @@
 	isHealthCheck bool
 	connection    *connection     // nil while the exchange waits for one
 	isWritten     bool            // the request is written completely
-	lostResult    protocol.Result // result of a read error that came before the write ended; Succeeded: none came
+	lostResult    protocol.Result // result for a read error that occurred before the write ended; Succeeded: no such error
 	isFinished    bool
 	timer         *time.Timer // fires at the deadline
 }
--- a/internal/upstream/health_check.go
+++ b/internal/upstream/health_check.go
@@ -14,7 +14,7 @@
 	loadReportTarget = "/_load" // the response's body is a load report
 )
 
-// startHealthCheck sends a health check. It has to end, with its response, within the dial timeout.
+// startHealthCheck sends a health check, which has to be answered within the dial timeout.
 func (w *worker) startHealthCheck() {
 	w.inFlight.healthChecks++
 	now := time.Now()
--- a/internal/upstream/idle_pool.go
+++ b/internal/upstream/idle_pool.go
@@ -72,7 +72,7 @@
 	}
 	conn.isClosed = true
 	close(conn.readNext)
-	_ = conn.Close() // it is not used any more, whatever the error
+	_ = conn.Close() // the connection is no longer used, so an error does not matter
 	p.config.Budget.ReleaseUpstream()
 	p.remove(conn)
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,7 +1,7 @@
 // Package upstream sends attempts and health checks to endpoints over pooled HTTP/1.1 connections.
 //
 // Each Endpoint has one goroutine, its worker, with a mailbox. The worker owns the endpoint's state: the latest list entry, the attempts
-// that have not ended and the idle connections. Dials, long writes and reads run in goroutines of their own, which report to the mailbox.
+// that have not ended and the idle connections. Dials, long writes and reads run in separate goroutines, which report to the mailbox.
 // List updates, attempts and results are thus handled in the order in which they arrive. The methods of Endpoint may be called by any
 // goroutine and do not block. Results go to Events.
 //
@@ -19,8 +19,8 @@
 	"switchfork/internal/protocol"
 )
 
-// DefaultSettleTime is the usual Config.SettleTime. When a connection becomes idle, a second response to the previous request may still be
-// on its way, according to the protocol for some milliseconds. The next request on the connection would get the body of that response.
+// DefaultSettleTime is the usual Config.SettleTime. When a connection becomes idle, a second response to the previous request may still
+// arrive, according to the protocol for some milliseconds. The next request on the connection would get the body of that response.
 // DefaultSettleTime is several times as long. It costs an additional connection where one would otherwise be reused at once.
 const DefaultSettleTime = 20 * time.Millisecond
 
--- a/internal/upstream/results_test.go
+++ b/internal/upstream/results_test.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// A connection is reused. If it is lost during a keyed request, no second attempt follows. A connection that ended while idle does no harm
-// to the next request, and an unrequested response ends its connection.
+// A connection is reused. If it is lost during a keyed request, no second attempt follows. A connection that ended while idle does not
+// affect the next request, and an unrequested response ends its connection.
 func TestConnectionReuse(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, time.Second)
--- a/internal/upstream/transfer.go
+++ b/internal/upstream/transfer.go
@@ -11,7 +11,7 @@
 )
 
 // maxInlineWriteBytes is the longest request that the worker's goroutine writes itself. Such a request fits into the send buffer of a
-// connection without other outstanding data, so the write does not block. A longer request is written by a goroutine of its own.
+// connection without other outstanding data, so the write does not block. A longer request is written by a separate goroutine.
 const maxInlineWriteBytes = 8 << 10
 
 // write sends an exchange's request on a connection.
@@ -39,7 +39,7 @@
 }
 
 // writeFinished handles the result of a write. A request that was not written completely has not run. If the write to a reused connection
-// fails, the endpoint may have closed the connection while the request was being written. That is no evidence about the endpoint's health,
+// fails, the endpoint may have closed the connection while the request was being written. That says nothing about the endpoint's health,
 // and another connection is tried.
 func (w *worker) writeFinished(r writeResult) {
 	exchange := r.exchange
--- a/internal/upstream/worker.go
+++ b/internal/upstream/worker.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// remove ends the attempts that wait for a connection, lets the others finish, and accepts no new ones.
+// remove closes the idle connections and ends the attempts that wait for a connection. It lets the others finish and accepts no new ones.
 func (w *worker) remove() {
 	w.isRemoved, w.isDraining = true, true
 	w.idle.closeAll()
