--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// handleHeartbeat makes the pending watcher the current one if it is the one that received the heartbeat. The heartbeat shows that discovery
-// has nothing newer than what it has sent to this watcher.
+// handleHeartbeat makes the pending watcher the current one if the pending watcher received the heartbeat. The heartbeat shows that
+// discovery has nothing newer than what it has sent to this watcher.
 func (c *Client) handleHeartbeat(from *watcher) {
 	c.resolveSuccessor(from)
 	if from == c.pending {
--- a/internal/discovery/list_calls.go
+++ b/internal/discovery/list_calls.go
@@ -108,7 +108,8 @@
 }
 
 // readLists calls discovery and passes each list of the response to handle, until the response ends or handle fails. A heartbeat is passed as
-// an empty list. After a list that is too long, or that is not complete when the next list or a heartbeat begins, the full list is fetched.
+// an empty list. The full list is fetched after a list of several lines that is too long, and after a list that is not complete when the
+// next list or a heartbeat begins.
 func (w *watcher) readLists(ctx context.Context, url string, handle func(raw []byte) error) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/protocol/list_reader.go
+++ b/internal/protocol/list_reader.go
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// isCompleteList reports whether a line by itself is a complete list.
+// isCompleteList reports whether a single line is a complete list.
 func isCompleteList(line []byte) bool {
 	list, err := ReadList(line)
 	return err == nil && list.Version > 0
--- a/internal/protocol/load_report.go
+++ b/internal/protocol/load_report.go
@@ -11,8 +11,8 @@
 // utilization, all of which stay far below the limit.
 const maxLoadValue = 1e9
 
-// ParseLoadReport returns the values of the given fields of a load report, in the order of fields. It returns nil if there is no report, if
-// the report can't be parsed, or if a field is missing or out of range.
+// ParseLoadReport returns the values of the given fields of a load report, in the order of fields. It returns nil if fields or the report
+// is empty, if the report can't be parsed, or if a field is missing or out of range.
 func ParseLoadReport(raw []byte, fields []string) []float32 {
 	if len(fields) == 0 || len(raw) == 0 {
 		return nil
--- a/internal/protocol/result.go
+++ b/internal/protocol/result.go
@@ -18,7 +18,7 @@
 	TimedOut                        // no response arrived within the timeout
 	Cancelled                       // the policy cancelled the attempt
 	Malformed                       // the response does not follow the protocol
-	NotSent                         // the agent sent nothing, because it had no time or no file descriptor left
+	NotSent                         // the agent sent nothing, for example because no time or no file descriptor was left
 	Stale                           // the call refers to a state that is no longer current
 	resultCount                     // the number of results
 )
--- a/internal/rollout/client.go
+++ b/internal/rollout/client.go
@@ -56,7 +56,8 @@
 // apiURL returns the base URL of the rollout controller's API.
 func apiURL(address string) string { return "http://" + address + "/api/" }
 
-// Observe makes the client pass rollout updates to observer as well as to the event loop. It has to be called before PublishInitial and Serve.
+// Observe makes the client pass rollout updates to observer as well as to the event loop, except for replies to votes that Vote has cast.
+// It has to be called before PublishInitial and Serve.
 func (c *Client) Observe(observer func(policy.RolloutUpdate)) { c.publisher.observer = observer }
 
 // PublishInitial publishes the rollout update from the agent's configuration; raw is empty if none is configured.
--- a/internal/rollout/stream.go
+++ b/internal/rollout/stream.go
@@ -56,7 +56,7 @@
 }
 
 // read reports updates and heartbeats until the stream ends. It also ends the stream at a line that can't be parsed: the connection is of no
-// further use, and a new one receives the current state at once.
+// further use, and a new one receives the current state as soon as it is open.
 func (s *stream) read(ctx context.Context) error {
 	defer s.cancel()
 	url := s.apiURL + streamPath
--- a/internal/rollout/stream_test.go
+++ b/internal/rollout/stream_test.go
@@ -16,7 +16,7 @@
 	})
 	r := newRig(t, server.Addr())
 	go r.client.Serve(r.Context())
-	r.awaitUpdates(t, "the state at once", 1)
+	r.awaitUpdates(t, "the state on the first stream", 1)
 	server.Publish("event: OTHER\ndata: image=1\n\n" + fakes.RolloutEvent(42, 1, "recalling", 0))
 	r.awaitUpdates(t, "an update", 2)
 	for i, c := range []struct {
--- a/internal/rollout/update_publisher.go
+++ b/internal/rollout/update_publisher.go
@@ -39,7 +39,8 @@
 }
 
 // publishReply passes the reply to a vote to the event loop. countAtStart is the number of states that had been published when the vote's call
-// began. It returns the reply as it was passed on. The observer is not notified.
+// began. It returns the update that was passed on, which holds the latest state if one was published since the call began. The observer is
+// not notified.
 func (p *updatePublisher) publishReply(reply policy.RolloutUpdate, countAtStart int) policy.RolloutUpdate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/simprotocol/frame.go
+++ b/internal/simprotocol/frame.go
@@ -18,8 +18,8 @@
 // errEndOfInput reports that the input ended between two frames.
 var errEndOfInput = errors.New("end of input")
 
-// readFrame reads the next frame and returns what follows its length field. It returns errEndOfInput if there is no further
-// frame.
+// readFrame reads the next frame and returns what follows its length field. It returns errEndOfInput if the input ends
+// before the frame.
 func readFrame(in io.Reader) ([]byte, error) {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -21,7 +21,7 @@
 	endpointLists endpointLists
 }
 
-// NewHost returns a host without instances. The simulator starts instances with records of their own.
+// NewHost returns a host without instances. A record of kind kindInstanceStarted starts an instance.
 func NewHost() *Host {
 	return &Host{routers: map[int]policy.Router{}, endpointLists: endpointLists{}}
 }
--- a/internal/simprotocol/kinds.go
+++ b/internal/simprotocol/kinds.go
@@ -48,7 +48,7 @@
 	updateChanges    = 0
 	updateFull       = 1
 	updateFullCached = 2
-	updateFailed     = 3 // the call to discovery failed, so there is no list
+	updateFailed     = 3 // the call to discovery failed and returned no list
 )
 
 // Flags of an arriving request.
--- a/internal/simprotocol/reader.go
+++ b/internal/simprotocol/reader.go
@@ -85,7 +85,7 @@
 func (r *reader) micros(field string) policy.Micros {
 	millis := r.f64()
 	if math.IsNaN(millis) || math.Abs(millis) > maxMillis {
-		r.fail("%s is %v, not a time", field, millis)
+		r.fail("%s is %v, want a time from -1e12 to 1e12 ms", field, millis)
 	}
 	if r.err != nil {
 		return 0
