--- a/internal/cluster/election/acceptor.go
+++ b/internal/cluster/election/acceptor.go
@@ -25,7 +25,7 @@
 }
 
 // restore loads the state that the replica persisted before it was restarted. How much of the accepted lease is left is unknown,
-// so the lease counts as accepted just now.
+// so a full lease, extended by the clock drift, counts from now.
 func (a *acceptor) restore(state DurableState, now Micros) {
 	a.highestPromised = state.Promised
 	a.highestAccepted = state.Accepted
@@ -41,7 +41,7 @@
 
 func (a *acceptor) isAbstaining(now Micros) bool { return now < a.abstainUntil }
 
-// isLeaseInForce reports whether an accepted lease, whoever holds it, has not ended yet.
+// isLeaseInForce reports whether the accepted lease has not ended yet, no matter which replica holds it.
 func (a *acceptor) isLeaseInForce(now Micros) bool { return now < a.leaseUntil }
 
 // isSuperseded reports whether a higher ballot than this one has been promised.
--- a/internal/cluster/election/candidate_test.go
+++ b/internal/cluster/election/candidate_test.go
@@ -40,12 +40,12 @@
 	}
 }
 
-// Answers to a ballot that was abandoned, or whose lease would be over, bring no lease.
+// Answers to a ballot that was abandoned, or whose lease would already have ended, bring no lease.
 func TestCandidateLateAnswers(t *testing.T) {
 	members := InitialMembers(1)
 	c := startedCandidate()
 	if c.addAcceptance(c.leaseEnd(), 0, testBallot, members) {
-		t.Error("the ballot won a lease that is over")
+		t.Error("the ballot won a lease that would already have ended")
 	}
 	if end := second + testSettings().driftLowerBound(testSettings().Lease); c.leaseEnd() != end || end >= second+testSettings().Lease {
 		t.Errorf("the lease ends at %d us, want %d us, before a full lease has passed", c.leaseEnd(), end)
--- a/internal/cluster/election/cluster_test.go
+++ b/internal/cluster/election/cluster_test.go
@@ -107,7 +107,7 @@
 }
 
 // A partitioned leader loses its leadership and casts no more votes. The next leader delays a contrary vote until no vote of the
-// first one can count.
+// old leader can count.
 func TestNewLeaderDelaysContraryVote(t *testing.T) {
 	c := newCluster(false)
 	c.runUntil(electionDone)
@@ -143,8 +143,8 @@
 	}
 }
 
-// After a restart without durable state, a replica abstains until no lease that it may have accepted, and no vote cast under such
-// a lease, can count.
+// After a restart without durable state, a replica abstains until all leases that it may have accepted have ended, and the votes
+// cast under them can no longer count.
 func TestFreshReplicasAbstain(t *testing.T) {
 	c := newCluster(true)
 	c.runUntil(second + testSettings().Lease + testSettings().MaxVoteDelay + testSettings().VoteLifetime)
--- a/internal/cluster/election/command.go
+++ b/internal/cluster/election/command.go
@@ -19,9 +19,9 @@
 	// Persist stores the durable state. The state must be on stable storage, if there is any, before a later command of the
 	// same call is carried out.
 	Persist struct{ DurableState }
-	// SelfStop stops or resumes the requests of this replica's own agent to a build. With Stop set the agent stops them, which
-	// is the safe direction: its analyzer recommends a rollback and no leader is known. Otherwise the requests may resume,
-	// because the analyzer recommends something else or the rollout has moved on.
+	// SelfStop stops or resumes the requests of this replica's own agent to a build. With Stop set the agent stops them, because
+	// its analyzer recommends a rollback and no leader is known; stopping is the safe direction. Otherwise the requests may
+	// resume, because the analyzer recommends something else or the rollout has moved on.
 	SelfStop struct {
 		Decision
 		Stop bool
--- a/internal/cluster/election/decision.go
+++ b/internal/cluster/election/decision.go
@@ -3,7 +3,7 @@
 // Verdict is what a vote on a release asks the rollout controller to do.
 type Verdict uint8
 
-// The verdicts. NoVote stands for the absence of a verdict.
+// The verdicts. NoVote means that there is no verdict.
 const (
 	NoVote Verdict = iota
 	Advance
--- a/internal/cluster/election/doc.go
+++ b/internal/cluster/election/doc.go
@@ -26,15 +26,15 @@
 //
 // # Protocol
 //
-// A replica that wants to lead sends Prepare with a new ballot. A replica does not promise the ballot while a lease that it has
-// accepted from another replica is in force, so that a partitioned replica can't disturb the leader. Once a quorum has promised
-// the ballot, the candidate sends Propose. Once a quorum has accepted, the candidate leads until the end of the lease, which
-// counts from the start of the ballot. The leader renews the lease with a further ballot. The first ballot of an uninterrupted
-// leadership is its term.
+// A replica that wants to lead sends Prepare with a new ballot. A replica that has accepted the lease of a replica other than the
+// candidate does not promise the ballot while that lease is in force, so that a partitioned replica can't disturb the leader. Once
+// a quorum has promised the ballot, the candidate sends Propose. Once a quorum has accepted, the candidate leads until the end of
+// the lease, which counts from the start of the ballot. The leader renews the lease with a further ballot. The first ballot of an
+// uninterrupted leadership is its term.
 //
 // A leader replicates the record of each decision to a quorum before it casts the vote. It sets a time before which the vote
 // must be written. A new leader knows the newest record that its predecessors replicated, and casts no contrary vote (one with
-// another verdict on the same stage) until no vote of its predecessors can count any more.
+// another verdict on the same stage) until the votes of its predecessors can no longer count.
 //
 // Members join and leave one at a time. The leader stamps each set of members with its term. A leader that leaves releases its
 // lease, and with the same message promises the next member a ballot.
@@ -46,7 +46,7 @@
 //   - A vote is cast only after a quorum knows its record, so that every later leader knows it, too.
 //   - No two contrary votes on one stage count at the same time.
 //   - Durable state is persisted before any message or vote that depends on it is sent. A replica that restarts without its
-//     state abstains until no lease that it may have accepted, and no vote cast under such a lease, can count any more.
+//     state abstains until all leases that it may have accepted have ended, and the votes cast under them can no longer count.
 //
 // The full argument is in docs/design-election.md.
 package election
--- a/internal/cluster/election/handlers.go
+++ b/internal/cluster/election/handlers.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// handlePrepare answers a candidate with a Promise, or with a Nack if its ballot or its members are out of date. If only another
-// replica's lease prevents the promise, the candidate gets no answer.
+// handlePrepare answers a candidate with a Promise, or with a Nack if its ballot or its members are out of date. The candidate gets
+// no answer while this replica abstains, or if only another replica's lease prevents the promise.
 func (e *leaderElection) handlePrepare(from int, m Message) {
 	if e.acceptor.isAbstaining(e.now) {
 		return
@@ -139,7 +139,7 @@
 	e.lease.grant(e.candidate.leaseEnd(), e.candidate.members)
 }
 
-// handleReplicate acknowledges a record, which handle has already added to the log.
+// handleReplicate acknowledges a record, which handle has already passed to the log.
 func (e *leaderElection) handleReplicate(from int, m Message) {
 	if e.acceptor.acknowledgesRecord(e.now, m.Ballot) {
 		e.out.send(from, Message{Kind: Replicated, Ballot: m.Ballot, Record: m.Record})
@@ -172,7 +172,7 @@
 		e.handle(successor, e.membership.attach(Message{Kind: Prepare, Ballot: successorBallot, ReleasedBallot: m.Ballot}))
 	case !e.isLeaving && e.membership.current.Contains(e.id):
 		e.startBallot(successorBallot)
-		// The message stands for the promise of the replica that leaves.
+		// The message also counts as the promise of the replica that leaves.
 		e.handle(from, Message{Kind: Promise, Ballot: successorBallot, Record: m.Record, Members: m.Members})
 	}
 }
--- a/internal/cluster/election/leader_election.go
+++ b/internal/cluster/election/leader_election.go
@@ -23,7 +23,7 @@
 	campaigns  campaignTimer
 	candidate  candidate
 	lease      lease
-	isLeaving  bool // this replica has given up the leadership for good
+	isLeaving  bool // this replica has given up the leadership permanently
 }
 
 func newLeaderElection(config Config, votes *voteCaster, out *outbox) leaderElection {
@@ -59,7 +59,8 @@
 	e.now = max(e.now, now)
 }
 
-// withdraw ends this replica's participation for good. It promises and accepts nothing any more, and abandons its own ballot.
+// withdraw ends this replica's participation permanently. The replica abandons its own ballot, and promises and accepts nothing
+// from then on.
 func (e *leaderElection) withdraw() {
 	e.lease.release()
 	e.candidate.abandon()
@@ -108,8 +109,8 @@
 	e.out.broadcast(e.membership.current, e.membership.attach(m))
 }
 
-// leave gives up the leadership for good. If the lease has not ended at now, the time that the caller passed, leave transfers the
-// leadership to the next member.
+// leave gives up the leadership permanently. If the lease has not ended at now, the time that the caller passed, leave transfers
+// the leadership to the next member.
 func (e *leaderElection) leave(now Micros) {
 	wasLeading := e.lease.remaining(now) > 0
 	e.lease.release()
--- a/internal/cluster/election/members.go
+++ b/internal/cluster/election/members.go
@@ -2,7 +2,7 @@
 
 import "math/bits"
 
-// MaxReplicas is the number of replica numbers. They start at 0.
+// MaxReplicas is the maximum number of replicas, which are numbered from 0.
 const MaxReplicas = 64
 
 // noReplica is used in place of a replica number when there is no replica.
@@ -13,7 +13,7 @@
 type Members struct {
 	Term    uint64
 	Version uint32 // numbers the sets stamped in the same term, from 1
-	Mask    uint64 // bit i stands for replica number i
+	Mask    uint64 // bit i is set if replica number i is a member
 }
 
 // InitialMembers returns the members before any change: the replicas with numbers below count.
@@ -31,7 +31,7 @@
 
 func (m Members) revision() revision { return revision{m.Term, m.Version} }
 
-// next returns the member with the next higher number after a replica, or the lowest if no number is higher. Without another
+// next returns the member with the next higher number after a replica, and wraps around to the lowest number. Without another
 // member, next returns the replica itself.
 func (m Members) next(after int) int {
 	for i := 1; i <= MaxReplicas; i++ {
--- a/internal/cluster/election/replica.go
+++ b/internal/cluster/election/replica.go
@@ -58,9 +58,9 @@
 	return s
 }
 
-// StopParticipating withdraws the replica after its stable storage has failed. The replica promises and accepts nothing any more.
-// It also abandons its own ballot: otherwise an acceptance still in transit could make it the leader, and it would cast votes
-// whose records it does not store.
+// StopParticipating withdraws the replica after its stable storage has failed. From then on, the replica promises and accepts
+// nothing. It also abandons its own ballot: otherwise an acceptance still in transit could make it the leader, and it would cast
+// votes whose records it does not store.
 func (r *Replica) StopParticipating(now Micros) {
 	r.beginCall(now)
 	r.election.withdraw()
@@ -122,7 +122,7 @@
 	return r.runDue(), nil
 }
 
-// Leave gives up the leadership for good. This replica casts no more votes and never campaigns again, but still answers other
+// Leave gives up the leadership permanently. This replica casts no more votes and never campaigns again, but still answers other
 // replicas. The message that releases its lease also gives the next member this replica's promise. The other members send the
 // next member their promises as soon as they receive that message.
 func (r *Replica) Leave(now Micros) []Command {
--- a/internal/cluster/election/self_stop.go
+++ b/internal/cluster/election/self_stop.go
@@ -1,8 +1,8 @@
 package election
 
 // selfStop decides whether this replica's agent stops its own requests to a build while no leader is known. The agent stops them
-// if its release analyzer recommends rolling the build back, which is the safe direction. [Replica] calls update at the end of
-// each call.
+// if its release analyzer recommends a rollback of the build, because stopping is the safe direction. [Replica] calls update at
+// the end of each call.
 type selfStop struct {
 	stopped Decision // the recommended rollback for which requests are stopped; the zero value: none
 }
--- a/internal/cluster/election/settings.go
+++ b/internal/cluster/election/settings.go
@@ -22,8 +22,8 @@
 	State          *DurableState // the state that the replica last persisted; nil: none
 	Settings       Settings
 	DisabledGuards DisabledGuards
-	// IsFresh marks a replica that has no state although it may have run before. It abstains until no lease that it may have
-	// accepted, and no vote cast under such a lease, can count any more.
+	// IsFresh marks a replica that has no state although it may have run before. It abstains until all leases that it may
+	// have accepted have ended, and the votes cast under them can no longer count.
 	IsFresh bool
 	Now     Micros // current time by the replica's own clock
 	Seed    int64  // seed of the random delays before campaigns
@@ -37,9 +37,10 @@
 	LeaseTimeout bool
 	// QuorumBeforeCast: a vote is cast only after a quorum knows its record, so that the next leader knows it.
 	QuorumBeforeCast bool
-	// WaitForEarlierVotes: a contrary vote waits until earlier votes can't count any more.
+	// WaitForEarlierVotes: a contrary vote waits until earlier votes can no longer count.
 	WaitForEarlierVotes bool
-	// PromiseAfterLease: a replica promises nothing to other replicas until the lease that it has accepted has ended.
+	// PromiseAfterLease: until the lease that a replica has accepted ends, the replica promises nothing to replicas other than
+	// the holder of that lease.
 	PromiseAfterLease bool
 	// LeaseFromStart: a lease counts from the start of its ballot, even if the ballot was sent again later, because promises and
 	// acceptances may be answers to the first message.
@@ -65,8 +66,8 @@
 	// ballotResendFraction is the time after which an unanswered ballot is sent again. This happens twice in the interval
 	// between two renewals.
 	ballotResendFraction = sixthOfLease
-	// ballotTimeoutFraction is the time from its start after which a ballot is abandoned. If it won later, most of its lease
-	// would be over.
+	// ballotTimeoutFraction is the age of a ballot from which a campaign starts a new ballot instead of sending the same one
+	// again. If the old ballot won later, most of its lease would be over.
 	ballotTimeoutFraction = halfLease
 	// maxCallGapFraction is the longest gap between two calls that does not count as a pause of the process.
 	maxCallGapFraction = halfLease
--- a/internal/cluster/election/vote_caster_test.go
+++ b/internal/cluster/election/vote_caster_test.go
@@ -41,7 +41,7 @@
 	v.runDue(second+2*ms, current, out)
 	casts := castVotes(out.commands)
 	if len(casts) != 1 || casts[0].Record != record || casts[0].WriteBefore >= leaseUntil {
-		t.Errorf("got the votes %+v, want one of %+v, to be written before a time earlier than %d us", casts, record, leaseUntil)
+		t.Errorf("got the votes %+v, want %+v once, with a WriteBefore earlier than %d us", casts, record, leaseUntil)
 	}
 }
 
--- a/internal/cluster/election/vote_history.go
+++ b/internal/cluster/election/vote_history.go
@@ -11,7 +11,7 @@
 	lastCastAt       Micros
 	lastCastResolved bool // the rollout controller has answered the last vote
 
-	prior      Verdict // the last verdict cast before that differs from lastCast's
+	prior      Verdict // the last verdict cast before lastCast that differs from its verdict
 	priorUntil Micros  // the vote with the prior verdict may count until then
 
 	predecessor      Record // the newest record of earlier leaders when the term began
@@ -38,7 +38,7 @@
 	h.lastCastResolved = false
 }
 
-// resolve records that the rollout controller has answered the vote of a record. It ignores all but the last vote.
+// resolve records that the rollout controller has answered the vote of a record. Answers to votes before the last one are ignored.
 func (h *voteHistory) resolve(record Record) {
 	if record == h.lastCast {
 		h.lastCastResolved = true
@@ -99,14 +99,14 @@
 }
 
 // mustWaitForOwnVote reports whether the last vote of this term is contrary, has not been answered, and may still take effect.
-// After a vote to roll back, an advance waits longer than that.
+// After a vote to roll back, an advance waits until that vote can no longer count, even if it has been answered.
 func (h *voteHistory) mustWaitForOwnVote(wanted Decision, now Micros) bool {
 	switch {
 	case !h.hasCastOn(wanted) || h.lastCast.Verdict == wanted.Verdict:
 		return false
 	case h.lastCast.Verdict == Rollback && wanted.Verdict == Advance:
 		// The recommendations may alternate, but the votes must not. After a vote to roll back, a build advances only once that
-		// vote can't count any more, if at all.
+		// vote can no longer count, if at all.
 		return now < h.lastCastAt+h.settings.effectWindow()
 	}
 	return !h.lastCastResolved && now < h.lastCastAt+h.settings.effectDelay()
--- a/internal/cluster/election/vote_history_test.go
+++ b/internal/cluster/election/vote_history_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // No vote that is contrary to an earlier leader's newest record, or to the prior verdict in that record, is cast on the same stage
-// until the earlier leader's votes can't count any more.
+// until the earlier leader's votes can no longer count.
 func TestVoteHistoryWaitsForPredecessor(t *testing.T) {
 	end := second + testSettings().effectWindow()
 	for name, tc := range map[string]struct {
@@ -33,8 +33,8 @@
 	}
 }
 
-// A contrary vote of the same leader waits until the previous vote is answered or can't take effect any more. An advance after a
-// rollback waits in any case until the rollback can't count any more.
+// A contrary vote of the same leader waits until the previous vote is answered or can no longer take effect. An advance after a
+// rollback waits in any case until the rollback can no longer count.
 func TestVoteHistoryWaitsForOwnVote(t *testing.T) {
 	settings := testSettings()
 	for name, tc := range map[string]struct {
--- a/internal/cluster/election/vote_log_test.go
+++ b/internal/cluster/election/vote_log_test.go
@@ -36,7 +36,7 @@
 	first := l.pending
 	l.append(0, testRecord(Advance))
 	if !l.hasPending() || l.pending.Index != first.Index+1 || l.newest != l.pending {
-		t.Fatalf("got the pending record %+v after %+v and the newest %+v, want the next index and the same record", l.pending, first, l.newest)
+		t.Fatalf("got the pending record %+v after %+v and the newest %+v, want the next index, and the pending record as the newest", l.pending, first, l.newest)
 	}
 	if l.acknowledge(1, first); l.isReplicated(members) {
 		t.Error("an acknowledgement of another record counts")
