--- a/internal/cluster/coordinator/admin_server.go
+++ b/internal/cluster/coordinator/admin_server.go
@@ -16,7 +16,7 @@
 
 const (
 	// adminTimeout bounds how long the server waits for the headers of a request or for the next request, how long a client's
-	// request may take, and how long a connection to the socket may take to open.
+	// request may take, and how long isServed tries to connect to the socket.
 	adminTimeout = 2 * time.Second
 	// adminSocketMode lets only the agent's own user connect to the socket.
 	adminSocketMode = 0o600
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // a folder that remains is empty, or the returned error says why not
+	defer func() { _ = os.RemoveAll(folder) }() // the folder is empty by now, or the returned error says why not
 	private := filepath.Join(folder, privateSocketName)
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "unix", private)
 	if err != nil {
@@ -119,7 +119,7 @@
 }
 
 // isServed reports whether a process accepts connections at the socket. It ignores the end of the context, because a dial that fails
-// for that reason would look like a socket that nobody serves.
+// for that reason would look like a socket that no process serves.
 func isServed(ctx context.Context, path string) bool {
 	dialer := net.Dialer{Timeout: adminTimeout}
 	conn, err := dialer.DialContext(context.WithoutCancel(ctx), "unix", path)
@@ -130,7 +130,7 @@
 	return true
 }
 
-// adminServer answers the requests at the admin address. It has no state of its own.
+// adminServer answers the requests at the admin address. It holds no state.
 type adminServer struct{ coordinator *Coordinator }
 
 func (s *adminServer) handler() http.Handler {
--- a/internal/cluster/coordinator/admin_test.go
+++ b/internal/cluster/coordinator/admin_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// A socket that nobody serves any more is replaced; one that is served is left alone.
+// A socket that no process serves is replaced. A socket that is served is left alone.
 func TestAdminAddressInUse(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "admin.sock")
 	abandoned, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
--- a/internal/cluster/coordinator/coordinator.go
+++ b/internal/cluster/coordinator/coordinator.go
@@ -4,8 +4,8 @@
 // timer and the metrics, and serves the admin address.
 //
 // The goroutine that calls Coordinator.Serve owns the replica and all state that depends on it. All other methods may be called
-// from any goroutine. Those that concern the replica put a message into a queue, which never blocks; if they return a result, they
-// then wait for the answer.
+// from any goroutine. Those that concern the replica put a message into a queue, which never blocks. Leave, Status and ChangeMembers
+// then wait until the message has been handled or the context ends.
 package coordinator
 
 import (
@@ -57,7 +57,7 @@
 	transport Transport
 	castVote  func(vote policy.Vote, writeBefore time.Time, resolved func(written bool))
 	clock     clock
-	mailbox   *mailbox.Mailbox[message] // from other parts of this agent, which must not wait; unbounded, as they send few
+	mailbox   *mailbox.Mailbox[message] // of other parts of this agent, which must not wait; unbounded, because they are few
 	frames    chan []byte               // received from other agents
 	metrics   *replicaMetrics
 
--- a/internal/cluster/coordinator/requests.go
+++ b/internal/cluster/coordinator/requests.go
@@ -42,7 +42,7 @@
 	return await(ctx, answer)
 }
 
-// ChangeMembers adds or removes a member. It returns an error unless this agent is the leader.
+// ChangeMembers adds or removes a member. Only the leader can do this. If the change is refused, the error says why.
 func (c *Coordinator) ChangeMembers(ctx context.Context, change MemberChange) error {
 	answer := make(chan error, 1)
 	c.mailbox.Put(memberChangeRequest{change, answer})
--- a/internal/cluster/coordinator/status.go
+++ b/internal/cluster/coordinator/status.go
@@ -25,7 +25,7 @@
 	Term                   uint64 `json:"term"`
 	LeaseRemainingMS       int64  `json:"left_ms"`
 	HasUnresolvedVote      bool   `json:"unresolved"`
-	EarlierVotesExpireInMS int64  `json:"waits_ms"`    // time until no vote of an earlier leader can count any more
+	EarlierVotesExpireInMS int64  `json:"waits_ms"`    // time until votes of earlier leaders no longer count
 	AbstainsForMS          int64  `json:"abstains_ms"` // time until this agent participates again
 	NewestDecision         string `json:"newest"`      // newest decision that this agent knows of, in the words of the admin address
 	Members                []int  `json:"members"`
--- a/internal/cluster/coordinator/traffic_stop.go
+++ b/internal/cluster/coordinator/traffic_stop.go
@@ -7,8 +7,9 @@
 	"switchfork/internal/policy"
 )
 
-// trafficStop carries out the replica's SelfStop commands. While a stop is in force, the routing policy of this agent alone has a traffic
-// cap of zero for the build. trafficStop keeps the last rollout update, and gives it to the policy again when the stop ends.
+// trafficStop carries out the replica's SelfStop commands. While a stop is in force, this agent's routing policy has a traffic cap of zero
+// for the build; other agents are not affected. trafficStop keeps the last rollout update, and gives it to the policy again when the stop
+// ends.
 type trafficStop struct {
 	updatePolicy func(policy.RolloutUpdate)
 
@@ -20,7 +21,7 @@
 // observe records a rollout update, which the policy has already been given.
 func (s *trafficStop) observe(update policy.RolloutUpdate) {
 	s.rollout = update
-	s.rollout.IsVoteReply = false // when the policy is given it once more, it does not answer a vote
+	s.rollout.IsVoteReply = false // an update that is given to the policy again does not answer a vote
 	s.hasRollout = true
 }
 
--- a/internal/cluster/storage/damaged_bucket_test.go
+++ b/internal/cluster/storage/damaged_bucket_test.go
@@ -17,7 +17,7 @@
 const openFolderEnv = "SWITCHFORK_TEST_OPEN"
 
 // A file whose bucket points outside the file is refused and does not end the process. bbolt checks the pages of a file in a
-// goroutine of its own, in which guardMappedMemory can't catch a memory fault. A page number beyond the mapped file once ended the
+// separate goroutine, in which guardMappedMemory can't catch a memory fault. A page number beyond the mapped file once ended the
 // agent at its start with "unexpected fault address". The file was not renamed, so every further start failed in the same way.
 func TestBucketOutsideFileIsRefused(t *testing.T) {
 	if folder := os.Getenv(openFolderEnv); folder != "" {
@@ -46,7 +46,7 @@
 		pointed++
 	}
 	if pointed == 0 {
-		t.Fatal("the file holds no name of a bucket to damage")
+		t.Fatal("the file does not contain the name of the bucket, which the test has to damage")
 	}
 	if err = os.WriteFile(path, content, fileMode); err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 }
 
 // The check of a refused file has ended when the file is closed. checkPages once received only the first damage that bbolt's check
-// reports, so that the goroutine of the check went on, and read pages of a file that was about to be unmapped.
+// reports. The goroutine of the check then continued to read pages of a file that was about to be unmapped.
 func TestCheckEndsBeforeClose(t *testing.T) {
 	folder := t.TempDir()
 	store, _ := openForTest(t, folder)
--- a/internal/cluster/storage/inspect.go
+++ b/internal/cluster/storage/inspect.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return Contents{}, fmt.Errorf("reading the state file %s: %w", path, err)
 	}
-	_ = db.Close() // it was only read
+	_ = db.Close() // the file was only read, so an error has no consequence
 	if stored == nil {
 		return Contents{Agent: noAgent}, nil
 	}
--- a/internal/cluster/storage/store_test.go
+++ b/internal/cluster/storage/store_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// A state is read as it was saved. A folder of another agent is refused, and its file is renamed.
+// Open returns the state that was last saved. A folder of another agent is refused, and its file is renamed.
 func TestSaveAndOpen(t *testing.T) {
 	dir := t.TempDir()
 	store, state := openForTest(t, dir)
@@ -99,7 +99,7 @@
 	}
 }
 
-// A file that is truncated at any length, or has any page damaged, is refused or gives a state that was saved.
+// A file that is truncated at any length, or has any page damaged, is refused or gives one of the last two saved states.
 func TestDamagedFiles(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := openForTest(t, dir)
@@ -252,7 +252,7 @@
 	reported := uint64(0)
 	for round, killed := 0, 0; killed < 5; round++ { // rounds in which the child saved nothing before it was killed don't count
 		if round > 60 {
-			t.Fatal("the child process saved a state in too few of 60 rounds")
+			t.Fatal("the child process saved a state in fewer than 5 of 61 rounds")
 		}
 		child := exec.CommandContext(t.Context(), os.Args[0], "-test.run=TestKilledWhileSaving")
 		child.Env = append(os.Environ(), childDirEnv+"="+dir)
@@ -262,7 +262,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(time.Duration(60+37*round) * time.Millisecond)
-		_ = child.Process.Kill() // fails if the child has ended by itself, which its output shows
+		_ = child.Process.Kill() // fails if the child has already ended, which its output shows
 		_ = child.Wait()         // reports that the child was killed
 		if out.Len() > 0 {
 			killed++
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -14,8 +14,8 @@
 	"switchfork/internal/cluster/election"
 )
 
-// frameMagic begins every frame. The release analyzers' gossip shares the socket. It consists of lines of nine bytes, and frameBytes is
-// not a multiple of nine.
+// frameMagic begins every frame. The release analyzers' gossip shares the socket. That gossip consists of lines of nine bytes, and
+// frameBytes is not a multiple of nine, so a frame can't be mistaken for that gossip.
 const frameMagic = 0x5fd1c0a7
 
 const (
@@ -36,7 +36,7 @@
 	Members        election.Members
 }
 
-// frameBytes is the size of a frame with its checksum: 85 bytes. A datagram of the gossip may have 256.
+// frameBytes is the size of a frame with its checksum: 85 bytes. A datagram of the gossip may have at most 256 bytes.
 var frameBytes = binary.Size(frame{}) + checksumBytes
 
 // FrameSize is the size of every frame in bytes.
@@ -49,7 +49,7 @@
 	ErrCorrupt = errors.New("damaged message")
 )
 
-// Errors that Decode returns. They are created once, not for each datagram, because anybody may send any number of bad datagrams.
+// Errors that Decode returns. They are created once, not for each datagram, because any process may send any number of bad datagrams.
 var (
 	errNotFrame     = fmt.Errorf("%w: wrong magic number or length", ErrForeign)
 	errOtherGroup   = fmt.Errorf("%w: frame of another group", ErrForeign)
--- a/internal/cluster/transport/frame_test.go
+++ b/internal/cluster/transport/frame_test.go
@@ -45,7 +45,7 @@
 		group := rapid.Uint64().Draw(t, "group")
 		b := Encode(group, sender, message)
 		if len(b) > 256 || len(b)%9 == 0 || !IsFrame(b) {
-			t.Fatalf("frame of %d bytes, want at most 256, no multiple of 9, and the magic number in front", len(b))
+			t.Fatalf("frame of %d bytes, want at most 256, not a multiple of 9, and the magic number at the start", len(b))
 		}
 		from, decoded, err := Decode(group, b)
 		if err != nil || from != sender || decoded != message {
--- a/internal/cluster/transport/link.go
+++ b/internal/cluster/transport/link.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// send writes a message to the connection. If there is no connection and none can be opened, the message is dropped, because it would
-// arrive late.
+// send writes a message to the connection, which it opens if necessary. If that fails, the message is dropped, because it would arrive
+// late.
 func (l *link) send(ctx context.Context, message []byte) {
 	if l.conn == nil && !l.connect(ctx) {
 		return
@@ -115,7 +115,7 @@
 	}
 }
 
-// sleep waits until the delay is over or the context ends.
+// sleep waits until the delay has passed or the context ends.
 func sleep(ctx context.Context, delay time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/cluster/transport/tcp.go
+++ b/internal/cluster/transport/tcp.go
@@ -167,5 +167,5 @@
 	}
 }
 
-// discard closes a connection that is not used any more. An error of Close has no consequence.
+// discard closes a connection that is no longer used. An error of Close has no consequence.
 func discard(conn net.Conn) { _ = conn.Close() }
--- a/internal/cluster/transport/tcp_test.go
+++ b/internal/cluster/transport/tcp_test.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// Connections that have been opened and closed again leave no goroutine behind, and don't count as inbound connections any more.
+// Connections that have been opened and closed again leave no goroutine behind, and no longer count as inbound connections.
 func TestConnectionsAreReleased(t *testing.T) {
 	tcp := listenForTest(t.Context(), t, ignore)
 	before := runtime.NumGoroutine()
@@ -133,7 +133,7 @@
 		}
 		discard(conn)
 	}
-	eventually(t, "as few goroutines as before", func() bool { return runtime.NumGoroutine() < before+20 && len(tcp.inbound) == 0 })
+	eventually(t, "no inbound connections and fewer than 20 goroutines more than before", func() bool { return runtime.NumGoroutine() < before+20 && len(tcp.inbound) == 0 })
 }
 
 // A message that is too long ends its connection, and no part of it is passed on.
@@ -169,8 +169,8 @@
 
 // A message that is longer than readers accept is not sent. Guards against truncating its length to 16 bits: a message over 64 KiB would
 // have been read as a short one, and the rest of it as further messages; one between 1 KiB and 64 KiB ended the connection at the reader.
-// Messages now have 85 bytes, whatever the number of members. An encoding that grows with the members would have shown the
-// fault first in a large fleet.
+// A message now has 85 bytes for any number of members. With an encoding that grows with the number of members, the fault would first
+// have shown in a large fleet.
 func TestLongMessageIsNotSent(t *testing.T) {
 	near, far := net.Pipe()
 	defer func() { _ = near.Close() }()
--- a/internal/gossip/messenger.go
+++ b/internal/gossip/messenger.go
@@ -17,7 +17,7 @@
 const (
 	// maxDatagramBytes is the protocol's limit on the size of a message.
 	maxDatagramBytes = 256
-	// broadcastIndex is the peer index that stands for all agents, as an unsigned 32-bit number.
+	// broadcastIndex is the peer index of messages to all agents, as an unsigned 32-bit number.
 	broadcastIndex = math.MaxUint32
 )
 
@@ -26,7 +26,7 @@
 	loop        *agent.Loop
 	mailbox     *mailbox.Mailbox[policy.SendGossip]
 	socket      *net.UDPConn     // nil: no address to listen on
-	peers       []netip.AddrPort // of the agents, by their indices
+	peers       []netip.AddrPort // addresses of the agents, by their indices
 	broadcast   netip.AddrPort
 	interceptor func([]byte) bool // nil: none
 }
@@ -119,7 +119,7 @@
 	}
 }
 
-// address returns the address to which messages for an index are sent. It is not valid if there is no agent with that index.
+// address returns the address to which messages for an index are sent, or an invalid address if there is none.
 func (m *Messenger) address(index int) netip.AddrPort {
 	switch {
 	case uint32(index) == broadcastIndex:
