--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -16,14 +16,14 @@
 	Endpoints    int
 	Slots        int       // requests that an endpoint serves at the same time
 	MeanWork     int64     // mean service time of a request, in microseconds
-	Load         float64   // of all tenants together, as a fraction of the endpoints' capacity
+	Load         float64   // load of all tenants together, as a fraction of the endpoints' capacity
 	TenantShares []float64 // fraction of the load by tenant, which is also the tenant's weight
 
 	NoisyTenants       []int   // tenants that send NoiseFactor times their share of the load
 	NoiseFactor        float64 // 1: no tenant is noisy
 	UniqueNoisyClients bool    // each request of a noisy tenant comes from a new client
 	OneOffClients      int     // clients that send one request each, spread over the whole run
-	OverloadFactor     float64 // if set, the tenants together send this multiple of the capacity instead of Load
+	OverloadFactor     float64 // if not 0, each tenant sends this multiple of its share of the capacity, and Load is ignored
 
 	SlowFrom   int64 // from SlowFrom to SlowTo, in microseconds, requests take SlowFactor times as long
 	SlowTo     int64
--- a/internal/simulation/admission_endpoints.go
+++ b/internal/simulation/admission_endpoints.go
@@ -8,7 +8,7 @@
 const (
 	// networkDelay is the delay between the router and an endpoint, in each direction.
 	networkDelay = ms / 4
-	// queueLengthPerSlot bounds the queue of an endpoint, which rejects further attempts.
+	// queueLengthPerSlot is how many attempts an endpoint queues per slot. It rejects further attempts.
 	queueLengthPerSlot = 8
 )
 
@@ -28,7 +28,7 @@
 	isDone    bool
 }
 
-// startRouter creates the endpoints and a router that knows them. The endpoints run a build whose release ended long ago.
+// startRouter creates the endpoints and a router that knows them. The endpoints run a build that was released long ago.
 func (r *admissionRun) startRouter() {
 	class := policy.RequestClass{
 		Idempotency:      policy.Idempotent,
--- a/internal/simulation/admission_test.go
+++ b/internal/simulation/admission_test.go
@@ -30,7 +30,7 @@
 	for _, policy := range []AdmissionPolicy{FairQueues, FairQueuesNoReservations, FIFO} {
 		for i, a := range PlayAdmission(quietScenario(), policy).Tenants {
 			if a.Offered < 100 || a.Rejected+a.GivenUp > 0 || a.InTime < a.Offered*99/100 {
-				t.Errorf("%s: tenant %d got %+v, want at least 100 requests, none rejected or given up, 99%% of them in time", policy, i, a)
+				t.Errorf("%s: tenant %d got %+v, want at least 100 requests, none rejected or given up, and at least 99%% in time", policy, i, a)
 			}
 		}
 	}
@@ -49,9 +49,9 @@
 		return least
 	}
 	if got := leastInTime(FairQueues); got < 0.97 {
-		t.Errorf("under fair queues the other tenants have %.3f or more of their requests in time, want at least 0.97", got)
+		t.Errorf("under fair queues the lowest fraction of requests in time of the other tenants is %.3f, want at least 0.97", got)
 	}
 	if got := leastInTime(FIFO); got > 0.6 {
-		t.Errorf("under FIFO the other tenants have %.3f or more of their requests in time, want at most 0.6 for one of them", got)
+		t.Errorf("under FIFO the lowest fraction of requests in time of the other tenants is %.3f, want at most 0.6", got)
 	}
 }
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -20,7 +20,7 @@
 	LeaderLeaves      bool  // with LeaderFaultOnly: the leader leaves as planned and does not crash
 	NoFaults          bool  // with LeaderFaultOnly: the leader neither crashes nor leaves
 	VoteIndependently bool  // the baseline: every agent casts its own votes, without a leader
-	MessageDelay      int64 // added to the delay of each message, up to a third more or less; in microseconds
+	MessageDelay      int64 // added to the delay of each message, varied by up to a third; in microseconds
 }
 
 // ElectionResult is the outcome of a schedule. Times are in microseconds.
@@ -48,7 +48,7 @@
 func ElectionLease() int64 { return electionSettings.Lease }
 
 const (
-	// settlingTime is how long a schedule may run on after the faults until a bad build is rolled back. A few leases and the
+	// settlingTime is how long a schedule may continue after its end until a bad build is rolled back. A few leases and the
 	// lifetime of a vote are enough for that.
 	settlingTime = 20 * second
 	// spareAgents is the number of additional agents in schedules that change the members. They are not members at the start.
--- a/internal/simulation/election_agent.go
+++ b/internal/simulation/election_agent.go
@@ -13,7 +13,7 @@
 	epoch          int      // increases with each start and each crash
 	recommendation election.Decision
 	hasDisk        bool                   // the durable state survives a restart
-	persisted      *election.DurableState // the last that the replica persisted; nil: none
+	persisted      *election.DurableState // the last state that the replica persisted; nil: none
 }
 
 // reset starts a new process of the agent. The calls that the previous process deferred are dropped.
@@ -24,7 +24,7 @@
 	a.pausedUntil = 0
 }
 
-// crash ends the agent's process. Messages and answers that are on their way to it are lost.
+// crash ends the agent's process. Messages and answers in transit to it are lost.
 func (a *electionAgent) crash() {
 	a.isDown = true
 	a.epoch++
--- a/internal/simulation/election_controller.go
+++ b/internal/simulation/election_controller.go
@@ -27,7 +27,7 @@
 	until  int64 // when its lifetime ends
 }
 
-// nextStage moves the rollout to the next stage. Votes on the previous stage have no effect any more.
+// nextStage moves the rollout to the next stage. Votes on the previous stage no longer have an effect.
 func (c *rolloutController) nextStage() {
 	c.stage++
 	c.votes = nil
--- a/internal/simulation/election_faults.go
+++ b/internal/simulation/election_faults.go
@@ -62,7 +62,8 @@
 	f.schedule(at, func() { f.inject(fault, span) })
 }
 
-// inject injects a fault that lasts for span. A fault of one agent hits the leader or a random agent.
+// inject injects a fault that lasts for span; an agent that crashes is restarted after a quarter of it. A fault of one agent hits
+// the leader or a random agent.
 func (f faultInjector) inject(fault electionFault, span int64) {
 	i := f.random.Intn(f.Agents)
 	if f.random.Float64() < leaderFaultRate {
--- a/internal/simulation/election_leadership.go
+++ b/internal/simulation/election_leadership.go
@@ -1,6 +1,6 @@
 package simulation
 
-// noAgent is the index that stands for no agent.
+// noAgent is used in place of an agent's index when there is no agent.
 const noAgent = -1
 
 // leadershipObserver records changes of the leader and the periods without one, and checks that at most one agent leads at a
--- a/internal/simulation/election_model_test.go
+++ b/internal/simulation/election_model_test.go
@@ -52,7 +52,7 @@
 	line.runUntil(second)
 	// A tenth of the messages are sent twice, and six tenths of the copies arrive.
 	if ratio := float64(delivered) / messages; ratio < 0.64 || ratio > 0.68 {
-		t.Errorf("got %.3f deliveries per message, want about 0.66", ratio)
+		t.Errorf("got %.3f deliveries per message, want 0.64 to 0.68", ratio)
 	}
 }
 
--- a/internal/simulation/election_network.go
+++ b/internal/simulation/election_network.go
@@ -13,9 +13,9 @@
 type electionNetwork struct {
 	timeline     *timeline
 	random       *rand.Rand
-	messageDelay int64 // added to the delay of each message, up to a third more or less
+	messageDelay int64 // added to the delay of each message, varied by up to a third; in microseconds
 
-	isCut    [][]bool // by sender and receiver
+	isCut    [][]bool // whether a connection is cut, by sender and receiver
 	lossRate float64
 	maxDelay int64 // bounds the random delay of a message
 }
@@ -69,7 +69,7 @@
 	n.timeline.schedule(n.timeline.now+span, func() { n.maxDelay = defaultDelay })
 }
 
-// partition cuts the connections between agents that are apart, for a time. The end of any partition heals all connections.
+// partition cuts the connections for which isApart returns true, for a time. The end of any partition heals all connections.
 func (n *electionNetwork) partition(span int64, isApart func(from, to int) bool) {
 	for from := range n.isCut {
 		for to := range n.isCut[from] {
