--- a/internal/cluster/election/candidate_test.go
+++ b/internal/cluster/election/candidate_test.go
@@ -95,7 +95,7 @@
 		before := c.leaseEnd()
 		c.messageToSend(second+ms, 0)
 		if moved := c.leaseEnd() != before; moved != isDisabled {
-			t.Errorf("guard off %t: the end of the lease moved when the ballot was sent again: %t", isDisabled, moved)
+			t.Errorf("guard off %t: the end of the lease moved when the ballot was sent again: got %t, want the opposite", isDisabled, moved)
 		}
 		if c.isResendDue(second+ms) || !c.isResendDue(second+ms+testSettings().ballotResendInterval()) {
 			t.Error("sending the ballot again is not due exactly after the resend interval")
@@ -129,18 +129,18 @@
 	timer.deferTo(firstCandidate, second)
 	first := timer.nextAt
 	if first < second+settings.ballotTimeout() {
-		t.Errorf("deferred until %d us, want at least until the candidate's ballot has timed out", first)
+		t.Errorf("the campaign was deferred until %d us, want at least until the candidate's ballot has timed out", first)
 	}
 	timer.deferTo(firstCandidate, second+settings.deferralInterval()-1)
 	if timer.nextAt != first {
-		t.Error("deferred to the same candidate twice in one deferral interval")
+		t.Error("the campaign was deferred to the same candidate twice in one deferral interval")
 	}
 	timer.deferTo(secondCandidate, second+settings.Lease)
 	if timer.nextAt <= first {
-		t.Error("not deferred to another candidate")
+		t.Error("the campaign was not deferred to another candidate")
 	}
 	timer.deferTo(firstCandidate, second+settings.deferralInterval())
 	if timer.nextAt < second+settings.deferralInterval()+settings.ballotTimeout() {
-		t.Error("not deferred to the same candidate again after the deferral interval")
+		t.Error("the campaign was not deferred to the same candidate again after the deferral interval")
 	}
 }
--- a/internal/cluster/election/cluster_test.go
+++ b/internal/cluster/election/cluster_test.go
@@ -191,7 +191,7 @@
 	}
 	for _, vote := range votes {
 		if vote.Verdict != Rollback {
-			t.Errorf("cast %+v during the lifetime of a rollback", vote)
+			t.Errorf("cast %+v during the lifetime of a rollback, want only rollbacks", vote)
 		}
 	}
 	for c.now < startedAt+3*testSettings().VoteLifetime && c.lastVerdict(leader) == Rollback {
--- a/internal/cluster/election/lease_test.go
+++ b/internal/cluster/election/lease_test.go
@@ -28,14 +28,14 @@
 		l := lease{disabled: DisabledGuards{LeaseTimeout: isDisabled}}
 		l.grant(2*second, InitialMembers(3))
 		if got := l.allowsWriteBefore(2*second, 2*second); got != isDisabled {
-			t.Errorf("guard off %t: a late write is allowed: %t", isDisabled, got)
+			t.Errorf("guard off %t: a late write is allowed: got %t, want the opposite", isDisabled, got)
 		}
 		if got := l.isValid(3 * second); got != isDisabled {
-			t.Errorf("guard off %t: valid after its end: %t", isDisabled, got)
+			t.Errorf("guard off %t: valid after its end: got %t, want the opposite", isDisabled, got)
 		}
 		l.revoke()
 		if got := l.isGranted(); got != isDisabled {
-			t.Errorf("guard off %t: granted after it was revoked: %t", isDisabled, got)
+			t.Errorf("guard off %t: granted after it was revoked: got %t, want the opposite", isDisabled, got)
 		}
 		l.release()
 		if l.isGranted() {
--- a/internal/cluster/transport/frame_test.go
+++ b/internal/cluster/transport/frame_test.go
@@ -49,7 +49,7 @@
 		}
 		from, decoded, err := Decode(group, b)
 		if err != nil || from != sender || decoded != message {
-			t.Fatalf("%+v decoded to %+v from %d, error %v", message, decoded, from, err)
+			t.Fatalf("%+v decoded to %+v from %d, error %v, want the same message and its sender", message, decoded, from, err)
 		}
 		if _, _, err = Decode(group+1, b); !errors.Is(err, ErrForeign) {
 			t.Fatalf("message of another group: got error %v, want ErrForeign", err)
--- a/internal/simulation/election_test.go
+++ b/internal/simulation/election_test.go
@@ -39,7 +39,7 @@
 		for seed := range int64(40) {
 			result := PlayElection(ElectionSchedule{Seed: seed, Agents: agents, Seconds: 40, LeaderFaultOnly: true, MessageDelay: ElectionLease() / 10})
 			if len(result.Violations) > 0 {
-				t.Fatalf("%d agents, seed %d: %v", agents, seed, result.Violations)
+				t.Fatalf("%d agents, seed %d: violations %v, want none", agents, seed, result.Violations)
 			}
 			for _, gap := range result.Gaps {
 				if gap > 3*ElectionLease() {
