--- a/internal/cluster/transport/frame_test.go
+++ b/internal/cluster/transport/frame_test.go
@@ -45,11 +45,11 @@
 		group := rapid.Uint64().Draw(t, "group")
 		b := Encode(group, sender, message)
 		if len(b) > 256 || len(b)%9 == 0 || !IsFrame(b) {
-			t.Fatalf("frame of %d bytes, want at most 256, no multiple of 9, and the magic number in front", len(b))
+			t.Fatalf("frame of %d bytes, want at most 256, not a multiple of 9, and the magic number at the start", len(b))
 		}
 		from, decoded, err := Decode(group, b)
 		if err != nil || from != sender || decoded != message {
-			t.Fatalf("%+v decoded to %+v from %d, error %v", message, decoded, from, err)
+			t.Fatalf("%+v decoded to %+v from %d, error %v, want the same message and its sender", message, decoded, from, err)
 		}
 		if _, _, err = Decode(group+1, b); !errors.Is(err, ErrForeign) {
 			t.Fatalf("message of another group: got error %v, want ErrForeign", err)
