--- a/internal/aimd/aimd.go
+++ b/internal/aimd/aimd.go
@@ -9,7 +9,8 @@
 	decreasedAt int64
 }
 
-// Increase raises the limit after a good answer: by about one for as many answers as the limit, and at most to twice its value.
+// Increase raises the limit after a good answer by 1/Value, and at most to twice its value. So a limit of n rises by about one
+// with n good answers.
 func (l *Limit) Increase() { l.Value += min(l.Value, 1/l.Value) }
 
 // Decrease multiplies the limit by the factor after a bad answer, but does not lower it below the minimum. It does nothing before
--- a/internal/hashing/hashing.go
+++ b/internal/hashing/hashing.go
@@ -1,8 +1,8 @@
 // Package hashing spreads numbers over 64 bits, for decisions that need a hash of an identifier which is the same on every
 // machine and in every version: a client's queue, a position on a hash ring, a pseudo-random choice that all agents make alike.
 //
-// Its functions are pure and may be called by any goroutine. They are not fit for secrets: whoever knows the input can compute
-// the hash.
+// Its functions are pure and may be called by any goroutine. They are not fit for secrets: anyone who knows the input can
+// compute the hash.
 package hashing
 
 // The constants of SplitMix64 (Steele, Lea, Flood: Fast Splittable Pseudorandom Number Generators, 2014).
--- a/internal/hashring/ring.go
+++ b/internal/hashring/ring.go
@@ -31,7 +31,7 @@
 }
 
 const (
-	// targetBucketSize is the mean number of points in a bucket after a resize: few enough for one or two cache lines.
+	// targetBucketSize bounds the mean number of points in a bucket after a resize: few enough for one or two cache lines.
 	targetBucketSize = 4
 	// maxMeanBucketSize is the mean number of points in a bucket above which the number of buckets grows.
 	maxMeanBucketSize = 8
@@ -48,7 +48,7 @@
 	return &Ring{buckets: make([][]Point, minBuckets), shift: hashBits - uint(bits.Len(minBuckets-1))}
 }
 
-// Points returns the number of points.
+// Points returns the number of points of all owners.
 func (r *Ring) Points() int { return r.pointCount }
 
 func comparePoints(a, b Point) int {
@@ -94,7 +94,7 @@
 	r.buckets = make([][]Point, 1<<bucketBits)
 	r.shift = hashBits - bucketBits
 	for _, points := range previous {
-		for _, point := range points { // in the order of the ring, so each bucket stays sorted
+		for _, point := range points { // in the order of the ring, so that each new bucket is sorted
 			bucket := &r.buckets[point.Hash>>r.shift]
 			*bucket = append(*bucket, point)
 		}
