--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -1,11 +1,11 @@
 // Package policy decides for one agent: which build and endpoint a request goes to, when it is retried, rejected or failed, and
 // how the agent votes on a release.
 //
-// New returns a Router. Its Handle takes an event with the time in whole microseconds and returns the commands to carry out
+// New returns a Router. Its method Handle takes the time in whole microseconds and an event, and returns the commands to carry out
 // before the next event. A Router does no I/O, reads no clock and starts no goroutine: the same events give the same commands.
 // It owns all its state and is not safe for concurrent use; one goroutine calls it, in the order in which things happen.
 //
-// docs/architecture.md says which file decides what. router.go connects the components and decides nothing by itself;
+// docs/architecture.md says which file decides what. router.go connects the components and makes no decisions;
 // gossip_codec.go encodes gossip.
 package policy
 
@@ -34,7 +34,7 @@
 		Zone    int
 		State   EndpointState
 		Cell    int
-		Started Micros // 0: long ago
+		Started Micros // when its process started; 0: long ago
 		Weight  float64
 	}
 	// RequestArrived is a request that this agent must answer.
@@ -45,7 +45,7 @@
 		Key       uint64 // 0: none
 		Deadline  Micros
 		CostHint  Micros // expected work; 0: not known
-		IsRetry   bool   // the client says that it has tried before
+		IsRetry   bool   // the client says that it has sent the request before
 		ArrivedAt Micros // when the agent received it, if it has waited since; 0: now
 	}
 	// ResponseStarted reports that a streamed response has started. The policy ignores it.
--- a/internal/policy/capacity.go
+++ b/internal/policy/capacity.go
@@ -61,7 +61,7 @@
 	s.meanCapacity = stats.MovingMean(s.meanCapacity, capacity, fleetReportWeight)
 }
 
-// updateWarmConcurrency estimates by Little's law how many requests a warm endpoint serves at one time. The mean cost is in µs.
+// updateWarmConcurrency estimates by Little's law how many requests a warm endpoint serves concurrently. The mean cost is in µs.
 func (s *endpointSet) updateWarmConcurrency(meanCost float64) {
 	s.warmConcurrency = max(1, s.meanCapacity*meanCost/float64(second))
 }
--- a/internal/policy/concurrency_limit.go
+++ b/internal/policy/concurrency_limit.go
@@ -36,7 +36,7 @@
 // minLimitPerCore returns an agent's lowest concurrency limit for one core. All agents together may have one open attempt there.
 func minLimitPerCore(agents int) float64 { return 1 / float64(agents) }
 
-// minLimit returns the lowest concurrency limit of the endpoint, scaled by the number of requests that it serves at one time.
+// minLimit returns the lowest concurrency limit of the endpoint, scaled by the number of requests that it serves concurrently.
 func (e *endpointRecord) minLimit() float64 {
 	return e.endpoints.minLimitPerCore * e.endpoints.warmConcurrency
 }
--- a/internal/policy/config.go
+++ b/internal/policy/config.go
@@ -126,7 +126,7 @@
 // CostWeights are the costs of actions, as parts of the result.
 type CostWeights struct {
 	CrossZone   float64 // cost of an attempt in another zone
-	Waste       float64 // cost of an attempt whose answer nobody gets; no decision depends on it yet
+	Waste       float64 // cost of an attempt whose answer reaches no client; no decision depends on it yet
 	HealthCheck float64 // cost of a health check; no decision depends on it yet
 	Gossip      float64 // cost of a message; no decision depends on it yet
 }
--- a/internal/policy/controller_reports.go
+++ b/internal/policy/controller_reports.go
@@ -16,8 +16,8 @@
 // controllerReports turns the rollout controller's reports into evidence on the canary. A report holds the requests, failures and
 // mean latency of a build and class over all agents in an interval; all agents get the same reports. The canary is compared with
 // earlier builds in the same interval, to which earlier intervals are added with decaying weight. The reports are used where
-// agents cannot exchange outcomes by gossip. The analyzer adds reports and evaluates them at a tick; the voter and the slowdown
-// detector read the result.
+// no evaluators collect the outcomes of all agents by gossip. The analyzer adds reports and evaluates them at a tick; the voter
+// and the slowdown detector read the result.
 type controllerReports struct {
 	release         *releaseState
 	endpoints       *endpointSet
@@ -119,8 +119,8 @@
 	return max(minFailureRate, totals.failures/max(1, totals.requests), lateShare)
 }
 
-// takePending empties the pending reports. It adds the baseline's reports to its totals, and computes the slowdown and the
-// canary's share of the requests from all reports.
+// takePending empties the pending reports. It adds the baseline's reports to its totals, and computes the relative
+// latency and the canary's share of the requests from all reports.
 func (r *controllerReports) takePending(latencies *latencyComparison) intervalReports {
 	r.decayTotals()
 	var interval intervalReports
--- a/internal/policy/dispatcher.go
+++ b/internal/policy/dispatcher.go
@@ -232,8 +232,8 @@
 	d.enqueue(req)
 }
 
-// requestOf returns the request that an attempt's result belongs to, or nil if the request was already over. A successful
-// answer binds the request's key to the endpoint's build even if the request was closed in the meantime.
+// requestOf returns the request that an attempt's result belongs to, or nil if the request is closed or unknown. A successful
+// answer binds the request's key to the endpoint's build even if the request is closed.
 func (d *dispatcher) requestOf(result AttemptResult, e *endpointRecord) *request {
 	req := d.requests[result.RequestID]
 	if req == nil {
--- a/internal/policy/endpoint_evidence.go
+++ b/internal/policy/endpoint_evidence.go
@@ -32,7 +32,7 @@
 	v.hasAny = true
 }
 
-// combined returns the evidence on failures, and on lateness where that is in favor of the build.
+// combined returns the evidence on failures, plus the evidence on lateness if that is in favor of the build.
 func (v *endpointEvidence) combined() float64 { return v.failureRatio + min(0, v.flooredLateness) }
 
 // isFailing reports whether failures at the endpoint alone would hold the build back.
--- a/internal/policy/endpoint_record.go
+++ b/internal/policy/endpoint_record.go
@@ -15,7 +15,7 @@
 	inList         bool
 	isQueued       bool // in the sharedState's pendingEndpoints
 	ringPoints     []uint64
-	healthChecks   bool // health checks are allowed: an endpoint gets one after its ejection
+	healthChecks   bool // health checks are allowed; an endpoint gets one when its ejection ends
 	slowStart      SlowStart
 	inFlight       int             // this agent's attempts without a result
 	recentAttempts []recentAttempt // this agent's attempts within OverloadAfter
--- a/internal/policy/endpoint_set.go
+++ b/internal/policy/endpoint_set.go
@@ -14,7 +14,7 @@
 	healthChecks      bool
 	slowStart         SlowStart
 	minLimitPerCore   float64 // this agent's lowest concurrency limit for one core
-	warmConcurrency   float64 // requests that a warm endpoint serves at one time; 1 unless load reports show more
+	warmConcurrency   float64 // requests that a warm endpoint serves concurrently; 1 unless load reports show more
 	overloadDigest    []byte  // the endpoints that the evaluators last reported as overloaded
 	digestReceivedAt  Micros
 	hasWeights        bool    // the list gives the endpoints' capacities
--- a/internal/policy/evaluator_group.go
+++ b/internal/policy/evaluator_group.go
@@ -17,7 +17,7 @@
 	*sharedState
 	agentIndex     int
 	agentCount     int
-	members        []int // indices of the evaluators; empty where each agent evaluates by itself
+	members        []int // indices of the evaluators; empty where each agent evaluates on its own
 	isMember       bool  // this agent is an evaluator
 	sharesInFlight bool  // agents report each attempt to the evaluators, which count the requests in flight at endpoints
 }
@@ -44,7 +44,7 @@
 // indexOf returns the index of an agent among the evaluators, or -1 if it is not one.
 func (g *evaluatorGroup) indexOf(agent int) int { return slices.Index(g.members, agent) }
 
-// evaluatesReleases reports whether this agent evaluates releases, either by itself or as one of the evaluators.
+// evaluatesReleases reports whether this agent evaluates releases, either on its own or as one of the evaluators.
 func (g *evaluatorGroup) evaluatesReleases() bool { return !g.exist() || g.isMember }
 
 // broadcast sends a message to all other agents.
--- a/internal/policy/evidence.go
+++ b/internal/policy/evidence.go
@@ -25,7 +25,7 @@
 	largeBuildSize     = 24         // endpoints; in a larger build the failures of all endpoints go into one sum
 	evidenceQuorum     = 4          // one in this many endpoints must have evidence against a build for the sum to be conclusive
 	maxEndpointSum     = 2.0        // most evidence against a build that one of several endpoints adds
-	oldestFailingShare = 0.6        // share of the oldest endpoints that must be failing for these to count by themselves
+	oldestFailingShare = 0.6        // share of the oldest endpoints that must be failing for their sum to count
 	minEndpoints       = 3          // endpoints of a build; evidence from fewer may be due to these endpoints alone
 )
 
@@ -151,7 +151,7 @@
 // oldestEndpointsRatio returns the highest sum of evidence on failures over the n oldest endpoints of a build, for any n from
 // minEndpoints on for which enough of the n endpoints are failing. A build that decays fails on its oldest endpoints first, while
 // the good outcomes of the younger endpoints outweigh these failures in the sum over all. Where the oldest endpoints fail for
-// reasons of their own, the result is wrongly evidence against a good build.
+// other reasons than their build, the result is wrongly evidence against a good build.
 func oldestEndpointsRatio(endpoints []*endpointRecord) float64 {
 	highest := 0.0
 	sum := 0.0
--- a/internal/policy/exposure.go
+++ b/internal/policy/exposure.go
@@ -70,8 +70,8 @@
 	return g.fitsKey(req.Key, build)
 }
 
-// fitsKey reports whether a key may go to a build. It may not go to an earlier build than the one that answered it, unless that
-// one was rolled back.
+// fitsKey reports whether a key may go to a build. Once a build has answered the key, the key may not go to earlier builds, unless
+// that build was rolled back.
 func (g *exposureGuard) fitsKey(key uint64, build int) bool {
 	if key == 0 {
 		return true
@@ -80,7 +80,7 @@
 	return build >= bound || g.rollout.rolledBack[bound]
 }
 
-// bindKey records that a build answered a key. Key 0 stands for no key.
+// bindKey records that a build answered a key. Key 0 means no key.
 func (g *exposureGuard) bindKey(key uint64, build int) {
 	if key == 0 || !g.rollout.plan.KeysNeverGoBack {
 		return
@@ -91,7 +91,7 @@
 }
 
 // isWithinCap reports whether one more attempt keeps a build within its cap over every span of time that begins within the
-// exposure window and ends now. So the cap holds whatever arrives later.
+// exposure window and ends now. This way the cap holds regardless of what arrives later.
 func (g *exposureGuard) isWithinCap(class, build int, share float64) bool {
 	if share < 1 { // a cap of 1 is exact
 		share *= 1 - capRounding
--- a/internal/policy/messages.go
+++ b/internal/policy/messages.go
@@ -43,7 +43,7 @@
 	attemptOutcome struct {
 		AttemptResult
 		endpoint         *endpointRecord
-		class            int     // -1: the request is over and forgotten
+		class            int     // -1: the request is closed or unknown
 		onCanary         bool    // the endpoint's build is in evaluation
 		fromPeer         bool    // the attempt was made by a peer
 		reportedInFlight float64 // requests in flight that the endpoint reports; below 0: not reported
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -41,7 +41,8 @@
 }
 
 // recordError ejects an endpoint with many errors: an endpoint that fails fast looks idle and would get more and more requests.
-// Server errors eject an endpoint of the canary only once its evidence is conclusive, so that the release analyzer gets it.
+// Server errors eject an endpoint of the canary only once its evidence is conclusive, so that the release analyzer gets the
+// evidence first.
 func (e *endpointRecord) recordError(outcome attemptOutcome) {
 	if outcome.isClientError {
 		return
--- a/internal/policy/rejected_clients.go
+++ b/internal/policy/rejected_clients.go
@@ -27,8 +27,8 @@
 	return &rejectedClients{byHash: map[uint64]rejectedClient{}, returnRate: initialReturnRate}
 }
 
-// reject records that a client's request was given up. A client whose request failed for good counts too, although few of these
-// come back.
+// reject records that a client's request was given up. A client whose request got a final failure counts too, although few of
+// these come back.
 func (c *rejectedClients) reject(client rejectedClient) {
 	c.byHash[client.clientHash] = client
 	c.queue = append(c.queue, client)
--- a/internal/policy/release_state.go
+++ b/internal/policy/release_state.go
@@ -7,7 +7,7 @@
 type releaseState struct {
 	*sharedState
 	*rolloutState
-	stageStartedAt Micros // this agent's start, if that was later
+	stageStartedAt Micros // start of the stage, or of this agent if that was later
 }
 
 // isEstablished reports whether the evaluation of the build ended more than establishTime ago, or before this agent started.
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -15,7 +15,7 @@
 	serverErrors    int
 	isClosed        bool      // answered or abandoned; an attempt may still be in flight
 	mayHaveRunOn    *Endpoint // first endpoint at which it may have run
-	dedupUntil      Micros    // when the first run that may have happened is no longer deduplicated; 0: it never is
+	dedupUntil      Micros    // end of the deduplication of the first run that may have happened; 0: there is none
 	triedEndpoints  []*endpointRecord
 }
 
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -82,8 +82,8 @@
 	return req.serverErrors >= limit
 }
 
-// finalAnswer returns the final answer to a request that did not succeed: a rejection if a retry does no harm, or else a
-// failure. A rejection asks for the longest wait, because an overload does not pass any sooner.
+// finalAnswer returns the final answer to a request that did not succeed: a rejection if a retry is safe, or else a failure.
+// A rejection asks for the longest wait, because an overload does not pass any sooner.
 func (p *retryPolicy) finalAnswer(req *request) Command {
 	isDeduplicated := p.classes[req.Class].DedupScope == DedupAll
 	if p.rules.isRepeatable(req, isDeduplicated) {
--- a/internal/policy/rules.go
+++ b/internal/policy/rules.go
@@ -3,8 +3,8 @@
 // attemptRules decides whether an attempt is allowed at all, by the protocol's rules:
 //
 //  1. A request gets one final answer before its deadline; no attempt starts after it.
-//  2. No request takes effect twice: it has one attempt at a time, and once it may have run it is repeated only where that does
-//     no harm.
+//  2. No request takes effect twice: it has one attempt at a time, and once it may have run it is repeated only if it is
+//     idempotent or the endpoint drops the repeat.
 //  3. No new attempt goes to an endpoint that is draining or has left.
 //  4. All agents together do not overload an endpoint in slow start.
 //  5. The exposure of a build in evaluation stays within its cap.
@@ -46,7 +46,7 @@
 	return r.isRepeatSafe(req, e) && e.isReady() && r.slowStart.fits(req, e)
 }
 
-// isRepeatSafe applies rule 2: a request that may have run goes only to an endpoint where a repeat does no harm.
+// isRepeatSafe applies rule 2: a request that may have run goes only to an endpoint where a repeat is safe.
 func (r *attemptRules) isRepeatSafe(req *request, e *endpointRecord) bool {
 	if req.mayHaveRunOn == nil {
 		return true
--- a/internal/policy/slow_start.go
+++ b/internal/policy/slow_start.go
@@ -101,7 +101,7 @@
 	return count > 0 && e.recentAttempts[count-1].sentAt > r.now-r.limits.OverloadAfter
 }
 
-// slotLoad returns the load, in requests at one time, that determines how quickly slots follow one another. If agents have
+// slotLoad returns the load, in concurrent requests, that determines how quickly slots follow one another. If agents have
 // little traffic, few of them have a request in their slot, so more slots may overlap.
 func (r *slowStartRule) slotLoad(e *endpointRecord) float64 {
 	share := r.builds.newestShare
--- a/internal/policy/slowdown.go
+++ b/internal/policy/slowdown.go
@@ -38,7 +38,7 @@
 
 // slowdownDetector measures for how long the fleet has been slow since a release began, as a build may slow down endpoints with
 // old and new builds alike. It compares the median latency, the rate of requests on time and their share of all requests with the
-// baseline, which is the time before the release. A good build may be blamed for a long overload of the fleet. The analyzer adds
+// baseline, which is the time before the release. A long overload of the fleet may be attributed to a good build. The analyzer adds
 // the measurements; the voter reads the result.
 type slowdownDetector struct {
 	release    *releaseState
--- a/internal/policy/traffic_estimate.go
+++ b/internal/policy/traffic_estimate.go
@@ -37,8 +37,8 @@
 	t.lastArrivalAt = acceptedAt
 }
 
-// expectedCost returns a request's cost hint, but at least the mean cost. Hints that are too small would exceed the budget of an
-// endpoint in slow start.
+// expectedCost returns a request's cost hint, but at least the mean cost. With hints that are too small, an agent
+// would exceed its budget for an endpoint in slow start.
 func (t *trafficEstimate) expectedCost(req *request) float64 {
 	return max(float64(req.CostHint), t.meanCost)
 }
--- a/internal/policy/verdict_exchange.go
+++ b/internal/policy/verdict_exchange.go
@@ -5,8 +5,9 @@
 	verdictLifetime = 3 * second // two messages in a row may be lost
 )
 
-// verdictExchange decides which verdict on a stage the evaluators have agreed on: the one that a majority of them announced
-// lately. The analyzer passes on the evaluators' verdicts; the voter asks for the majority and announces this agent's verdict.
+// verdictExchange decides which verdict on a stage the evaluators have agreed on, which is the verdict that a majority of them
+// announced recently. The analyzer passes on the evaluators' verdicts; the voter asks for the majority and announces this agent's
+// verdict.
 type verdictExchange struct {
 	release     *releaseState
 	evaluators  *evaluatorGroup
@@ -54,8 +55,8 @@
 	return isKnown && x.release.now-peer.receivedAt < verdictLifetime
 }
 
-// announce broadcasts this evaluator's verdict: at once if it has changed, and once per verdictInterval while it is a vote or the
-// build is in evaluation.
+// announce broadcasts this evaluator's verdict: at once if it has changed, and once per verdictInterval while it is not NoVote or
+// the build is in evaluation.
 func (x *verdictExchange) announce(verdict Verdict) {
 	isRepeated := verdict != NoVote || x.release.phase == Evaluating
 	isDue := isRepeated && x.release.now >= x.announcedAt+verdictInterval
--- a/internal/policy/voter.go
+++ b/internal/policy/voter.go
@@ -121,7 +121,7 @@
 // isTimeToAdvance reports whether the stage has run long enough. With good evidence less time is enough.
 func (v *voter) isTimeToAdvance(ratio float64, hasMajority bool) bool {
 	if v.endpoints.readyCount(v.release.build) == 0 {
-		return false // the list is out of date, and each stage removes endpoints that this agent still knows
+		return false // this agent's list is out of date, and to advance would remove endpoints that it still knows
 	}
 	sinceStart := v.release.now - v.endpoints.newestStart(v.release.build)
 	elapsed := v.stageTime(sinceStart, hasMajority)
--- a/internal/policy/zone_limits.go
+++ b/internal/policy/zone_limits.go
@@ -8,14 +8,14 @@
 	zoneLimitDecrease     = 0.03 // fraction of the limit in use by which one result lowers it
 	zoneLimitGrowthFactor = 3    // how many times as fast a limit rises as it falls
 	minOpenPerEndpoint    = 4.0  // open attempts of all agents at one endpoint that cause no queue
-	openPerConcurrency    = 2.0  // the same, for each request that the endpoint serves at one time
+	openPerConcurrency    = 2.0  // the same, for each request that the endpoint serves concurrently
 	unlimitedAttempts     = 1e6  // in effect no limit
 )
 
 // zoneLimits decides how many attempts this agent may have open in each zone, by the share of late results there. It guards
 // against overload of a zone or of the fleet (moved traffic, retries) where one agent uses each endpoint too rarely for limits
 // on single endpoints to help: requests then use another zone, or wait and are rejected. As a side effect, requests that are
-// late for reasons of their own may be held back. The dispatcher counts attempts in it; the endpoint selector consults it.
+// late for other reasons than load may be held back. The dispatcher counts attempts in it; the endpoint selector consults it.
 type zoneLimits struct {
 	endpoints *endpointSet
 	agents    int
@@ -46,7 +46,7 @@
 	return false
 }
 
-// update adjusts a zone's limit by an outcome, if this may depend on the zone's load.
+// update adjusts a zone's limit by an outcome that may depend on the zone's load. It ignores other outcomes.
 func (z *zoneLimits) update(zone int, outcome attemptOutcome) {
 	if outcome.latencyObjective <= 0 || !outcome.dependsOnLoad() {
 		return
