--- a/internal/policy/endpoint_evidence_test.go
+++ b/internal/policy/endpoint_evidence_test.go
@@ -16,13 +16,13 @@
 			evidence, -maxGoodEvidence)
 	}
 	if evidence.isFailing() || evidence.isConclusive() {
-		t.Error("good outcomes count as failing or conclusive")
+		t.Error("isFailing or isConclusive is true after good outcomes alone, want false")
 	}
 	for range 3 {
 		evidence.addFailureStep(failureStep{step: 2, minRatio: -2})
 	}
 	if !evidence.isFailing() || !evidence.isConclusive() {
-		t.Errorf("three failures after good outcomes are not failing and conclusive, got %+v", evidence)
+		t.Errorf("after three failures got %+v, want isFailing and isConclusive to be true", evidence)
 	}
 }
 
--- a/internal/policy/golden_test.go
+++ b/internal/policy/golden_test.go
@@ -342,7 +342,7 @@
 	golden.Check(t, "decisions.golden", out.String())
 }
 
-// TestGoldenGossip checks that the encoding of gossip stays as it was when the golden file was written, byte by byte.
+// TestGoldenGossip checks that gossip is still encoded byte by byte as in the golden file.
 func TestGoldenGossip(t *testing.T) {
 	var out strings.Builder
 	for i, record := range []gossipRecord{
--- a/internal/policy/key_placement_test.go
+++ b/internal/policy/key_placement_test.go
@@ -18,7 +18,7 @@
 		t.Errorf("a key that is requested once per second has %d ring positions, want 1", got)
 	}
 	if got := countPositions(2, 5*millisecond); got < 3 {
-		t.Errorf("a key that would use half of an endpoint has %d ring positions, want at least 3", got)
+		t.Errorf("a key that is requested every 5 ms has %d ring positions, want at least 3", got)
 	}
 }
 
--- a/internal/policy/scenario_events_test.go
+++ b/internal/policy/scenario_events_test.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// parseOutcome returns the outcome that a word of the notation stands for.
+// parseOutcome returns the outcome for a word of the notation.
 func parseOutcome(word string) Outcome {
 	return map[string]Outcome{
 		"ok": OK, "error": ServerError, "rejected": Rejected, "timeout": TimedOut, "connect-failed": ConnectFailed,
@@ -53,7 +53,7 @@
 	}
 }
 
-// updateEndpoints sends an endpoint update. A row FIRST..LAST/BUILD/ZONE stands for one row per id.
+// updateEndpoints sends an endpoint update. A row FIRST..LAST/BUILD/ZONE is expanded to one row per ID.
 func (s *scenario) updateEndpoints(kind string, rows []string) {
 	update := EndpointUpdate{Full: kind == "full", Failed: kind == "failed"}
 	for _, row := range rows {
@@ -151,7 +151,7 @@
 			setDigestBit(payload, uint32(s.number(id)))
 		}
 		s.handle(GossipReceived{From: s.agentIndex(words[0]), Payload: payload})
-	case "gossip-verdict": // EVALUATOR BUILD STAGE VERDICT: the verdict of an evaluator, or of another agent (see agentIndex)
+	case "gossip-verdict": // EVALUATOR BUILD STAGE VERDICT: a verdict; from evaluatorCount on, EVALUATOR is an agent index
 		from := s.agentIndex(words[0])
 		verdict := map[string]Verdict{"none": NoVote, "advance": Advance, "rollback": Rollback, "9": 9}[words[3]]
 		build, stage := byte(s.number(words[1])), byte(s.number(words[2]))
--- a/internal/policy/scenario_test.go
+++ b/internal/policy/scenario_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// TestScenarios runs each scenario in testdata twice and checks that both runs give the same commands. testdata/README describes
-// the notation.
+// TestScenarios runs each scenario in testdata twice. It checks the expectations of the scenario, and that both runs give the same
+// commands. testdata/README describes the notation.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil {
