--- a/internal/policy/controller_reports.go
+++ b/internal/policy/controller_reports.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// areUsed reports whether the reports are used in place of gossip.
+// areUsed reports whether the reports are used: some have arrived, and there are no evaluators, which use gossip instead.
 func (r *controllerReports) areUsed() bool { return r.hasReceived && !r.evaluators.exist() }
 
 func (r *controllerReports) arePending() bool { return len(r.pending) > 0 }
--- a/internal/policy/endpoint_selector.go
+++ b/internal/policy/endpoint_selector.go
@@ -8,7 +8,8 @@
 	// crossZoneFactor times crossZoneCost is the relative increase of the distance to endpoints in other zones, which shrinks
 	// their segments of the ring.
 	crossZoneFactor = 40.0
-	// penaltyFactor multiplies the distance to an endpoint that is loaded or was tried, which puts it behind nearly all others.
+	// penaltyFactor multiplies the distance to an endpoint that is loaded, reported as overloaded or already tried, which puts it
+	// behind nearly all others.
 	penaltyFactor = 1 << 20
 )
 
--- a/internal/policy/voter.go
+++ b/internal/policy/voter.go
@@ -91,8 +91,8 @@
 	return min(v.rules.VoteLifetime, period)
 }
 
-// spreadDelay returns the delay of this agent's vote. It spreads the votes that agents cast in place of silent evaluators over the
-// period, as a few of these votes are enough.
+// spreadDelay returns the delay of this agent's vote. It spreads the votes of agents that are not evaluators over the period. When
+// they vote in place of silent evaluators, a few of these votes are enough.
 func (v *voter) spreadDelay() Micros {
 	if v.evaluators.evaluatesReleases() {
 		return 0
@@ -101,8 +101,8 @@
 	return Micros(unitInterval(hash) * float64(v.period()))
 }
 
-// currentVerdict returns this agent's own verdict or, on an agent that is not an evaluator, the evaluators' majority. To advance,
-// the stage must also have run long enough.
+// currentVerdict returns this agent's own verdict. An agent that is not an evaluator follows the evaluators' majority instead,
+// unless its own verdict is to roll back. To advance, the stage must also have run long enough.
 func (v *voter) currentVerdict() Verdict {
 	ratio := v.evidence.ratio()
 	verdict := v.evidenceVerdict(ratio)
@@ -133,7 +133,7 @@
 }
 
 // stageTime returns the time that counts towards an advance. In the last stage, which releases the build, it counts from the
-// newest start of an endpoint if that is later than the start of the stage. In other stages that delay would cost more.
+// newest start of the build's endpoints if that is later than the start of the stage. In other stages that delay would cost more.
 func (v *voter) stageTime(sinceStart Micros, hasMajority bool) Micros {
 	elapsed := v.release.now - v.release.stageStartedAt
 	if v.release.isLastStage() {
