--- a/internal/policy/messages.go
+++ b/internal/policy/messages.go
@@ -15,7 +15,7 @@
 	tick struct{}
 	// failureStep is added to an endpoint's evidence on failures, which does not go below minRatio.
 	failureStep struct{ step, minRatio float64 }
-	// latenessStep is added to an endpoint's evidence on lateness. Its flooredLateness does not go below minRatio.
+	// latenessStep is added to an endpoint's evidence on lateness, whose flooredLateness does not go below minRatio.
 	latenessStep struct{ step, minRatio float64 }
 	// evidenceReset makes an endpoint discard its evidence, because another build or stage is evaluated.
 	evidenceReset struct{}
