--- a/internal/policy/messages.go
+++ b/internal/policy/messages.go
@@ -15,7 +15,7 @@
 	tick struct{}
 	// failureStep is added to an endpoint's evidence on failures, which does not go below minRatio.
 	failureStep struct{ step, minRatio float64 }
-	// latenessStep is added to an endpoint's evidence on lateness. The floored figure does not go below minRatio.
+	// latenessStep is added to an endpoint's evidence on lateness, whose flooredLateness does not go below minRatio.
 	latenessStep struct{ step, minRatio float64 }
 	// evidenceReset makes an endpoint discard its evidence, because another build or stage is evaluated.
 	evidenceReset struct{}
@@ -43,7 +43,7 @@
 	attemptOutcome struct {
 		AttemptResult
 		endpoint         *endpointRecord
-		class            int     // -1: the request is over and forgotten
+		class            int     // -1: the request is closed or unknown
 		onCanary         bool    // the endpoint's build is in evaluation
 		fromPeer         bool    // the attempt was made by a peer
 		reportedInFlight float64 // requests in flight that the endpoint reports; below 0: not reported
