--- a/internal/fakes/agent_config.go
+++ b/internal/fakes/agent_config.go
@@ -32,7 +32,7 @@
 type PeerAddresses struct {
 	Listen    string
 	Peers     []string // indexed by agent; none: the agents do not communicate
-	Broadcast string   // reaches all agents at once; empty: there is no such address
+	Broadcast string   // reaches all agents at once; empty: none
 }
 
 // InitialState is what an agent knows before it has called any server.
--- a/internal/fakes/agent_process.go
+++ b/internal/fakes/agent_process.go
@@ -192,7 +192,7 @@
 	case <-a.done:
 		return a.exitErr
 	case <-time.After(stopTimeout):
-		err := fmt.Errorf("%w, %v later", ErrStillRunning, stopTimeout)
+		err := fmt.Errorf("%w: it did not end within %v", ErrStillRunning, stopTimeout)
 		return errors.Join(err, a.command.Process.Kill())
 	}
 }
--- a/internal/fakes/deployment.go
+++ b/internal/fakes/deployment.go
@@ -35,7 +35,7 @@
 		Tenants: tenants, Shares: shares, LatencyObjective: objective, Timeout: timeout,
 		listSequence: 1, votes: map[string]int{},
 	}
-	ctx := context.Background() // listening on loopback doesn't wait
+	ctx := context.Background() // listening on loopback does not block
 	discoveryListener, err := Listen(ctx)
 	if err != nil {
 		return nil, err
--- a/internal/fakes/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -20,7 +20,7 @@
 	Slots       int           // number of requests that it works on at a time
 	ServiceTime time.Duration // mean service time of a request at full speed
 	Seed        int64         // seed of the random service times and failures
-	Observer    Observer      // nil: there is no observer
+	Observer    Observer      // may be nil
 	// ConnContext sets the context of each connection's requests, like the field of http.Server. If nil, the context is unchanged.
 	ConnContext func(context.Context, net.Conn) context.Context
 }
--- a/internal/fakes/listen.go
+++ b/internal/fakes/listen.go
@@ -20,13 +20,13 @@
 )
 
 // ErrNoFreePort means that every port from minFreePort to maxFreePort-1 is taken.
-var ErrNoFreePort = errors.New("no port of loopback is free")
+var ErrNoFreePort = errors.New("no loopback port is free")
 
 // freePortOffset modulo freePorts is the offset from minFreePort of the last port that this process has tried. It is 0 at the start of
 // the process.
 var freePortOffset atomic.Int64
 
-// Listen listens on a free port of loopback.
+// Listen listens on a free loopback port.
 func Listen(ctx context.Context) (net.Listener, error) { return listenOn(ctx, "127.0.0.1:0") }
 
 // FreeAddress returns a loopback address with a free port, for a process that is about to listen.
--- a/internal/fakes/log.go
+++ b/internal/fakes/log.go
@@ -19,7 +19,7 @@
 	return l.buffer.Write(b)
 }
 
-// String returns all that was written so far.
+// String returns the output so far.
 func (l *Log) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fakes/scripted_server.go
+++ b/internal/fakes/scripted_server.go
@@ -27,7 +27,7 @@
 	handler     func(conn net.Conn, nth int) bool
 }
 
-// NewScriptedServer serves a listener until that is closed.
+// NewScriptedServer starts a server on a listener. It runs until the listener is closed.
 func NewScriptedServer(listener net.Listener, handler func(conn net.Conn, nth int) bool) *ScriptedServer {
 	s := &ScriptedServer{Listener: listener, handler: handler}
 	go s.accept()
@@ -96,7 +96,7 @@
 	}
 }
 
-// record keeps a request, and returns the handler for it and its number.
+// record stores a request, and returns the handler for it and its number.
 func (s *ScriptedServer) record(request CapturedRequest) (handler func(net.Conn, int) bool, nth int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fakes/workload_test.go
+++ b/internal/fakes/workload_test.go
@@ -33,7 +33,7 @@
 	for elapsed, want := range map[time.Duration]float64{0: 0.3, time.Hour: 0.65, 2 * time.Hour: 1, 3 * time.Hour: 1} {
 		work.slowStart.Store(&slowStart{startedAt: time.Now().Add(-elapsed), initial: 0.3, duration: 2 * time.Hour})
 		if got := work.speed(); got < want-0.01 || got > want+0.01 {
-			t.Errorf("after %v of a slow start of 2h: got speed %g, want %g", elapsed, got, want)
+			t.Errorf("after %v of a slow start of 2h: got speed %g, want %g with a tolerance of 0.01", elapsed, got, want)
 		}
 	}
 }
@@ -52,6 +52,6 @@
 		}
 	}
 	if share := float64(failed[0]) / requests; failed[0] != failed[1] || share < 0.22 || share > 0.28 {
-		t.Errorf("%v of %d requests failed in two runs with one seed, want the same number, near a quarter of them", failed, requests)
+		t.Errorf("%v of %d requests failed in two runs with one seed, want the same number, 22 to 28 percent of them", failed, requests)
 	}
 }
