--- a/internal/faulttest/netfault/backlog.go
+++ b/internal/faulttest/netfault/backlog.go
@@ -17,9 +17,9 @@
 	openBacklog = 1024
 )
 
-// backlogBlocker makes a listener unreachable. It fills the accept queue with connections of its own that nobody accepts. The operating
-// system then ignores further connection attempts, as if the machine were cut off. A client's system retries after one second, then after
-// two, then after four.
+// backlogBlocker makes a listener unreachable. It opens connections to the listener that fill the accept queue and are not accepted. The
+// operating system then ignores further connection attempts, as if the machine were cut off. A client's system retries after one second,
+// then after two, then after four.
 //
 // Only one goroutine calls setBlocked. The accept loop calls waitUntilUnblocked and isFiller.
 type backlogBlocker struct {
--- a/internal/faulttest/netfault/fault.go
+++ b/internal/faulttest/netfault/fault.go
@@ -22,5 +22,5 @@
 	ReorderRate     float64 // share of datagrams that are delivered after the next one
 }
 
-// IsZero reports whether there is no fault.
+// IsZero reports whether f describes a link without a fault.
 func (f Fault) IsZero() bool { return f == Fault{} }
--- a/internal/faulttest/netfault/link.go
+++ b/internal/faulttest/netfault/link.go
@@ -142,7 +142,7 @@
 	switch {
 	case l.hasWaiting:
 		l.hasWaiting, d.Overtakes = false, true
-	case l.draw(f.ReorderRate / (1 - f.ReorderRate)): // no draw for a datagram that overtakes; the quotient makes ReorderRate the share of all that wait
+	case l.draw(f.ReorderRate / (1 - f.ReorderRate)): // no draw for a datagram that overtakes; the quotient makes up for it, so that ReorderRate of all datagrams wait
 		l.hasWaiting, d.AwaitsReorder = true, true
 		d.DeliverAt += maxReorderWait
 		l.faultHits++
--- a/internal/faulttest/netfault/link_test.go
+++ b/internal/faulttest/netfault/link_test.go
@@ -22,9 +22,9 @@
 			}
 		}
 	}
-	expectNear(t, "loss", float64(lost)/draws, 0.3, 0.02)
-	expectNear(t, "duplicates", float64(duplicated)/float64(draws-lost), 0.2, 0.02)
-	expectNear(t, "delay", delaySum/float64(draws-lost), 50_000, 0.02)
+	expectNear(t, "share of lost datagrams", float64(lost)/draws, 0.3, 0.02)
+	expectNear(t, "share of duplicated datagrams", float64(duplicated)/float64(draws-lost), 0.2, 0.02)
+	expectNear(t, "mean delay of a datagram in us", delaySum/float64(draws-lost), 50_000, 0.02)
 
 	link.SetFault(Fault{ReorderRate: 0.25})
 	waiting, previousWaits := 0, false
@@ -38,7 +38,7 @@
 		}
 		previousWaits = d.AwaitsReorder
 	}
-	expectNear(t, "reordered", float64(waiting)/draws, 0.25, 0.02)
+	expectNear(t, "share of reordered datagrams", float64(waiting)/draws, 0.25, 0.02)
 
 	link.SetFault(Fault{BytesPerSecond: 10_000})
 	at := Micros(0)
--- a/internal/faulttest/netfault/mesh_test.go
+++ b/internal/faulttest/netfault/mesh_test.go
@@ -11,7 +11,7 @@
 // Datagrams of these lengths carry no number and control the test.
 const (
 	endLength   = 1 // marks the last datagram
-	flushLength = 2 // overtakes a datagram that still waits, so that this one is delivered
+	flushLength = 2 // overtakes a datagram that still waits, so that the waiting one is delivered
 )
 
 // datagramTest sends numbered datagrams from one party to the other and records what arrives.
@@ -100,9 +100,9 @@
 		t.Errorf("without a fault %d datagrams arrived, in order: %t; want 2000 in order", len(got.numbers), slices.IsSorted(got.numbers))
 	}
 	got, _ = test.run(t, Fault{LossRate: 0.3}, 5000, 80, 0)
-	expectNear(t, "lost", 1-float64(len(got.numbers))/5000, 0.3, 0.1)
+	expectNear(t, "share of lost datagrams", 1-float64(len(got.numbers))/5000, 0.3, 0.1)
 	got, _ = test.run(t, Fault{DuplicateRate: 0.3}, 5000, 80, 0)
-	expectNear(t, "duplicated", float64(len(got.numbers))/5000-1, 0.3, 0.1)
+	expectNear(t, "share of duplicated datagrams", float64(len(got.numbers))/5000-1, 0.3, 0.1)
 	got, _ = test.run(t, Fault{ReorderRate: 0.2}, 5000, 80, 0)
 	reordered := 0
 	for i := 1; i < len(got.numbers); i++ {
@@ -110,10 +110,10 @@
 			reordered++
 		}
 	}
-	expectNear(t, "reordered", float64(reordered)/5000, 0.2, 0.1)
+	expectNear(t, "share of reordered datagrams", float64(reordered)/5000, 0.2, 0.1)
 	got, _ = test.run(t, Fault{Delay: 300_000, Jitter: 50_000}, 100, 80, 5*time.Millisecond)
 	slices.Sort(got.delays)
-	expectNear(t, "delay", got.delays[len(got.delays)/2], 300_000, 0.2) // to keep the order, a datagram may wait for the previous one, up to the jitter
+	expectNear(t, "median delay in us with jitter", got.delays[len(got.delays)/2], 300_000, 0.2) // to keep the order, a datagram may wait for the previous one, up to the jitter
 	if len(got.numbers) != 100 || got.delays[0] < 250_000 {
 		t.Errorf("%d datagrams arrived with a shortest delay of %.0f us, want 100 with at least 250,000 us", len(got.numbers), got.delays[0])
 	}
--- a/internal/faulttest/netfault/packet_schedule.go
+++ b/internal/faulttest/netfault/packet_schedule.go
@@ -35,7 +35,7 @@
 }
 
 // add schedules a packet. A packet that waits to be overtaken is queued for the end of its wait. When the packet that overtakes it is
-// added, a copy is queued directly behind that one.
+// added, a copy of the waiting packet is queued directly behind it.
 func (s *packetSchedule) add(p packet) {
 	s.lastSequence++
 	p.sequence = s.lastSequence
@@ -52,7 +52,7 @@
 }
 
 // takeDue removes and returns a packet that is due. It discards the queue entry for the end of a wait if the packet has been overtaken
-// before.
+// in the meantime.
 func (s *packetSchedule) takeDue(now Micros) (p packet, isDue bool) {
 	for len(s.queue) > 0 && s.queue[0].DeliverAt <= now {
 		p = heap.Pop(&s.queue).(packet)
