--- a/internal/faulttest/attempt_sender.go
+++ b/internal/faulttest/attempt_sender.go
@@ -63,8 +63,8 @@
 type processStates interface {
 	// running returns the agents whose processes run and were not asked to terminate.
 	running() []int
-	// wasKilled reports whether the agent's process from a given time has ended without being asked to, or its newest process has ended.
-	// Such a process may have read a request whose connection then ended.
+	// wasKilled reports whether the agent's process that ran at a given time has ended without being asked to, or whether its newest
+	// process has ended. Such a process may have read a request before the connection ended.
 	wasKilled(agent int, at netfault.Micros) bool
 }
 
--- a/internal/faulttest/broadcaster.go
+++ b/internal/faulttest/broadcaster.go
@@ -21,9 +21,9 @@
 // bytes of the connection.
 type delivery struct {
 	agent   int
-	bytes   int64           // written on the connection, up to the end of the version
+	bytes   int64           // number of bytes written on the connection, up to the end of the version
 	at      netfault.Micros // when the server wrote it
-	version int             // of the endpoint list or of the rollout state
+	version int             // version of the endpoint list or of the rollout state
 	conn    *countedConn
 }
 
--- a/internal/faulttest/capacity_rules.go
+++ b/internal/faulttest/capacity_rules.go
@@ -13,8 +13,8 @@
 const (
 	// slowStartDeviations is how far the number of arrivals may exceed the limit by chance, in standard deviations.
 	slowStartDeviations = 3
-	// capDelay, capAllowance and capTolerance are defined by the protocol: a lower cap binds 150 ms later, and 2 attempts and 4% above the
-	// cap are permitted.
+	// capDelay, capAllowance and capTolerance are defined by the protocol. A lower cap binds 150 ms after fakes.DrainGrace. Above the cap and
+	// fakes.CapAllowance, 2 attempts and 4 percent of the received requests are permitted.
 	capDelay     = 150 * time.Millisecond
 	capAllowance = 2
 	capTolerance = 0.04
--- a/internal/faulttest/draw.go
+++ b/internal/faulttest/draw.go
@@ -16,7 +16,7 @@
 	// minDrawnClients and maxDrawnClients bound the number of closed-load clients at all agents together.
 	minDrawnClients = 120
 	maxDrawnClients = 300
-	// closedLoadOneIn is the number of scenarios of which one has a closed load, on average.
+	// closedLoadOneIn is the average number of scenarios for each one that has a closed load.
 	closedLoadOneIn = 4
 	drawnEvents     = 4
 	drawnBuild      = 7
--- a/internal/faulttest/fake_rollout.go
+++ b/internal/faulttest/fake_rollout.go
@@ -148,7 +148,7 @@
 	}
 	recommendation, isKnown := recommendationNames[form.Get("opinion")]
 	v = Vote{At: f.now(), Agent: agent, Recommendation: recommendation}
-	v.Build, _ = strconv.Atoi(form.Get("image")) // a malformed number gives 0, which is no build, so the vote is answered with ConditionFailed
+	v.Build, _ = strconv.Atoi(form.Get("image")) // a malformed number gives 0, which no build has, so the vote is answered with ConditionFailed
 	v.Stage, _ = strconv.Atoi(form.Get("ring"))
 	return v, isKnown
 }
--- a/internal/faulttest/fault_injector.go
+++ b/internal/faulttest/fault_injector.go
@@ -10,7 +10,7 @@
 type faultRecord struct {
 	step       Step
 	hitsBefore map[*netfault.Link]int64 // hits before the injection, for each link that still has the fault
-	hits       int64                    // on links that no longer have the fault
+	hits       int64                    // hits since the injection, on links that no longer have the fault
 }
 
 // faultInjector injects the faults of a scenario into links and counts how often they take effect. Only the goroutine that runs the steps
--- a/internal/faulttest/measure_spec.go
+++ b/internal/faulttest/measure_spec.go
@@ -32,7 +32,7 @@
 	measureHealthy      = "healthy"
 )
 
-// measureSpec defines what a measure can be restricted by.
+// measureSpec defines whether a measure has an argument, and what it can be restricted by.
 type measureSpec struct {
 	hasArg     bool
 	byAgent    bool
--- a/internal/faulttest/open_load.go
+++ b/internal/faulttest/open_load.go
@@ -72,8 +72,8 @@
 }
 
 // runRequest makes attempts at a request until one succeeds or no further attempt is allowed. A rejected attempt is retried after the time
-// that the agent names. An attempt that did not reach its agent, or that may run twice, is retried at any running agent, as a simple load
-// balancer in front of the agents would do.
+// that the agent names. An attempt without an answer is retried at any running agent, as a simple load balancer in front of the agents would
+// do, if it did not reach its agent or if its request may run twice.
 func (c *clients) runRequest(ctx context.Context, request *Request, class string, style requestStyle) {
 	began := c.now()
 	spec := attemptSpec{agent: request.Agent, class: class, serial: c.lastSerial.Add(1), style: style}
--- a/internal/faulttest/relay_network.go
+++ b/internal/faulttest/relay_network.go
@@ -9,7 +9,8 @@
 )
 
 // Parts of the seeds of the relays' random sources: a factor on the scenario's seed for each kind of relay, a step for each agent, and a
-// salt for each server. They keep the random sequences of the relays apart.
+// salt for each server. They keep the random sequences of the relays apart, except that the relays of one agent to a moved discovery and to a
+// moved rollout controller can get the same seed.
 const (
 	meshSeedFactor     = 7919
 	serverSeedFactor   = 6151
--- a/internal/faulttest/rules.go
+++ b/internal/faulttest/rules.go
@@ -36,8 +36,8 @@
 	killDelay = 3700 * time.Millisecond
 	// acceptAfterTerm is how long after SIGTERM new connections still arrive, according to the protocol.
 	acceptAfterTerm = 200 * time.Millisecond
-	// exitSlack is the time before a process exits by itself in which its listener may already be closed. A request that was sent in this
-	// time need not be answered.
+	// exitSlack is the time before the exit of a process that was not killed, in which its listener may already be closed. A request that
+	// was sent in this time need not be answered.
 	exitSlack = 50 * time.Millisecond
 	// maxCleanCloseRaces is how many requests of a run may be sent on a connection that is cleanly closed at the same moment. The moment
 	// lasts microseconds; it affects a request in about one of a hundred restarts.
@@ -121,8 +121,8 @@
 }
 
 // isAnswerRequired reports whether an agent was able and obliged to answer an attempt. A process that was killed or paused need not answer. A
-// process that was sent SIGTERM has to answer what it had received by then. If it then exits by itself, it also has to answer what it
-// received before its exit.
+// process that was sent SIGTERM has to answer what it had received by then. If it then exits without being killed, it also has to answer
+// what it received up to exitSlack before its exit.
 func (r *Records) isAnswerRequired(a Attempt, due netfault.Micros) bool {
 	process := r.lifetimeAt(a.Agent, a.processTime())
 	if process == nil || process.wasPaused(a.SentAt, due) {
@@ -210,9 +210,9 @@
 	return out
 }
 
-// inactiveSince returns since when, at the given time, the agent knew the endpoint as not active, or -1 if its newest version lists the
-// endpoint as active. It is the time at which the first version that lists the endpoint as not active was received, if no later version
-// lists it as active again.
+// inactiveSince returns since when an agent has known, at the time by, that an endpoint is not active. That is when the agent received the
+// first version in which the endpoint is not active, after the last version in which it is active. The result is -1 if the endpoint is
+// active in the newest version.
 func (r *Records) inactiveSince(receipts []Receipt, endpoint int, by netfault.Micros) netfault.Micros {
 	since := netfault.Micros(-1)
 	newest := -1
@@ -264,7 +264,8 @@
 	from, to netfault.Micros
 }
 
-// claims returns the claims that follow from the servers' records: an agent holds the vote on a stage for as long as its vote counts.
+// claims returns the claims that follow from the servers' records: an agent holds the vote for as long as its vote counts. The claims do
+// not distinguish builds and stages.
 func (r *Records) claims() (out []claim) {
 	for _, v := range r.Votes {
 		if v.Recommendation != recommendNone {
--- a/internal/faulttest/rules_test.go
+++ b/internal/faulttest/rules_test.go
@@ -25,7 +25,7 @@
 		r.Requests = append(r.Requests, Request{ArrivedAt: at, Agent: 0, Outcome: outcomeSucceeded, Attempts: []Attempt{attempt}})
 	}
 	r.addArrival(0, 1, 3*second, classKeyed, "k1")
-	r.addArrival(0, 0, 6*second, classIdempotent, "") // within the grace
+	r.addArrival(0, 0, 6*second, classIdempotent, "") // within the grace period after the drain
 	return r
 }
 
@@ -48,7 +48,7 @@
 		change     func(*Records)
 	}{
 		{"no answer", "one answer", onAttempt(func(a *Attempt) { a.Status = 0 })},
-		{"an answer after its timeout", "one answer", onAttempt(func(a *Attempt) { a.EndedAt = a.SentAt + 3*second })},
+		{"an answer after the request's timeout", "one answer", onAttempt(func(a *Attempt) { a.EndedAt = a.SentAt + 3*second })},
 		{"extra bytes read with an answer", "one answer", onAttempt(func(a *Attempt) { a.HasExtraBytes = true })},
 		{"extra bytes on an idle connection", "one answer", func(r *Records) { r.ConnsWithExtraBytes = 1 }},
 		{"no answer from a process that was killed", "", func(r *Records) { r.Requests[3].Attempts[0].Status = 0; r.Lifetimes[0][0].End = 4 * second }},
@@ -98,7 +98,7 @@
 		}},
 		{"an answer after the request's own short timeout", "one answer", onAttempt(func(a *Attempt) { a.Timeout, a.EndedAt = second/50, a.SentAt+second })},
 		{"no answer to a client that disconnected", "", onAttempt(func(a *Attempt) { a.Status, a.HasDisconnected = 0, true })},
-		{"no answer to a request received after SIGTERM, before the process exited by itself", "one answer", func(r *Records) {
+		{"no answer to a request received after SIGTERM, before the process exited without being killed", "one answer", func(r *Records) {
 			r.Requests[3].Attempts[0].Status = 0
 			r.Lifetimes[0][0].TermSentAt, r.Lifetimes[0][0].End = 2*second+second/10, 4*second
 		}},
@@ -139,7 +139,7 @@
 		c.change(r)
 		found := CheckRules(r)
 		if (c.rule == "") != (len(found) == 0) || c.rule != "" && found[0].Rule != c.rule {
-			t.Errorf("%s: got the violations %v, want the rule %q", c.what, found, c.rule)
+			t.Errorf("%s: got the violations %v, want the rule %q (empty: none)", c.what, found, c.rule)
 		}
 	}
 	r := validRecords()
--- a/internal/faulttest/runner.go
+++ b/internal/faulttest/runner.go
@@ -35,7 +35,7 @@
 		v.Error = err.Error()
 		return v
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder that is left behind does no harm
+	defer func() { _ = os.RemoveAll(dir) }() // a leftover temporary folder is harmless
 	cause := fmt.Errorf("the scenario exceeded its timeout of %v", s.Timeout)
 	ctx, stop := context.WithTimeoutCause(ctx, s.Timeout+startupTimeout, cause)
 	defer stop()
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -47,7 +47,8 @@
 	Lease        time.Duration
 }
 
-// Restarts returns the number of planned restarts: how many agents the scenario's start steps start in total.
+// Restarts returns the number of planned restarts: how many agents the scenario's start steps start in total. A step that
+// selects agents by a name counts as a start of all agents.
 func (s *Scenario) Restarts() (count int) {
 	for _, step := range s.Steps {
 		if start, isProcess := step.Action.(processStep); isProcess && start.action == processStart {
--- a/internal/faulttest/scenarios_test.go
+++ b/internal/faulttest/scenarios_test.go
@@ -166,7 +166,7 @@
 	}
 	v := Run(ctx, scenario, options)
 	if v.Passed || len(v.Lines) == 0 || !strings.Contains(v.Lines[0].Observed, "canceled") {
-		t.Errorf("interrupted scenario: got %+v, want a failure whose first line was canceled", v)
+		t.Errorf("interrupted scenario: got %+v, want a failure with \"canceled\" observed on the first line", v)
 	}
 	for i := range 3 {
 		log, _ := os.ReadFile(filepath.Join(v.Folder, "timeline.txt"))
@@ -190,8 +190,8 @@
 	}
 }
 
-// With 16 agents, 24 endpoints and 400 requests per second, relays on every link don't change the share of requests that meet the latency
-// objective, and the servers count the same bytes as the relays.
+// With 16 agents, 24 endpoints and 400 requests per second, relays on every link change the share of requests that meet the latency
+// objective by at most 0.005, and the servers count the same bytes as the relays.
 func TestRelayOverheadIsNegligible(t *testing.T) {
 	options := runOptions(t)
 	options.Programs = map[string]string{firstProgram: options.Programs["other"]} // without the race detector, because 16 agents share the test's cores
--- a/internal/faulttest/shutdown_rules.go
+++ b/internal/faulttest/shutdown_rules.go
@@ -21,8 +21,8 @@
 	return out
 }
 
-// checkShutdown checks that a process that was sent SIGTERM does not refuse new connections at first, and that it exits by itself with
-// status 0 before it would be killed.
+// checkShutdown checks that a process that was sent SIGTERM does not refuse new connections within acceptAfterTerm, and that it exits with
+// status 0 within killDelay, after which it would be killed.
 func checkShutdown(r *Records) (out []Violation) {
 	for agent, lifetimes := range r.Lifetimes {
 		for _, process := range lifetimes {
--- a/internal/faulttest/soak_test.go
+++ b/internal/faulttest/soak_test.go
@@ -46,7 +46,7 @@
 	}
 	for _, step := range []string{"load", "crowd", "work", "fail", "slow", "reset", "drop", "heal", "drain", "gone", "add", "news", "stop", "go", "reload", "term", "start"} {
 		if !drawn[step] {
-			t.Errorf("%s is never drawn", step)
+			t.Errorf("the step %s is drawn from none of the seeds", step)
 		}
 	}
 }
