--- a/internal/faulttest/agent_group.go
+++ b/internal/faulttest/agent_group.go
@@ -91,7 +91,8 @@
 	g.events.record(sourceDeployment, "agent %d's process ended", a.number)
 }
 
-// running implements processStates. It returns the agents that a load balancer with health checks would send requests to.
+// running implements processStates. It returns roughly the agents that pass a load balancer's health checks. Processes that are starting or
+// paused are included too.
 func (g *agentGroup) running() (out []int) {
 	for i, a := range g.all {
 		if a.isRunning() {
--- a/internal/faulttest/netfault/backlog.go
+++ b/internal/faulttest/netfault/backlog.go
@@ -9,9 +9,10 @@
 )
 
 const (
-	// fillerDialTimeout bounds the dial of a filler. A connection within this machine that is not established by then meets a full queue.
+	// fillerDialTimeout bounds the dial of a filler, which is a connection that fills the accept queue. A dial within this machine that does
+	// not succeed by then has met a full queue.
 	fillerDialTimeout = 60 * time.Millisecond
-	// maxFillers bounds the connections that fill the accept queue. A queue of length zero holds one or two.
+	// maxFillers bounds the number of fillers. A queue of length zero holds one or two.
 	maxFillers = 4
 	// openBacklog is the length of the accept queue while the listener is reachable.
 	openBacklog = 1024
--- a/internal/faulttest/parse_condition.go
+++ b/internal/faulttest/parse_condition.go
@@ -28,7 +28,7 @@
 	c.measure = p.measure(mayAskAgents)
 	spec := measureSpecs[c.measure.Name]
 	p.measureOptions(&c.measure, spec)
-	c.operator = p.oneOf(comparisonOperators, ">=, <=, = , > or <", "%q is not a comparison operator, expected >=, <=, =, > or <")
+	c.operator = p.oneOf(comparisonOperators, ">=, <=, =, > or <", "%q is not a comparison operator, expected >=, <=, =, > or <")
 	c.value = p.number(p.nextToken("a number"), "the value", -maxComparedValue, maxComparedValue)
 	return c
 }
@@ -44,7 +44,7 @@
 		p.fail("unknown measure %q, expected one of succeeded, within-objective, median, p99, rejected, failed, offered, votes:, arrivals, busiest, "+
 			"datagrams, calls:, alive, duplicates, or in a wait step also leaders, members, healthy, log:", token)
 	case spec.asksAgents && !mayAskAgents:
-		p.fail("%q is reported by the agents themselves, expected a measure from the records of fake servers or relays", token)
+		p.fail("%q is reported by the agents themselves, expected a measure from the records of clients, fake servers or relays", token)
 	case spec.hasArg != (m.Arg != ""):
 		p.fail("%q has a missing or an unexpected argument, expected votes:advance, votes:rollback, votes:hold, votes:none, calls:discovery, calls:rollout-controller, log:TEXT, or another measure without an argument", token)
 	case m.Name == measureVotes:
@@ -79,28 +79,28 @@
 		agents := p.agentSet(v)
 		m.Agents = &agents
 		if !spec.byAgent {
-			p.fail("%s is not counted by agent, expected no of=", m.Name)
+			p.fail("%s is not counted by agent, expected no option of=", m.Name)
 		}
 	}
 	if v, isSet := p.option("at"); isSet {
 		endpoints := p.endpointSet(v)
 		m.Endpoints = &endpoints
 		if !spec.byEndpoint {
-			p.fail("%s is not counted by endpoint, expected no at=", m.Name)
+			p.fail("%s is not counted by endpoint, expected no option at=", m.Name)
 		}
 	}
 	if v, isSet := p.option("build"); isSet {
 		m.Build = p.integer(v, "the build", 1, maxBuild)
 		if !spec.byBuild {
-			p.fail("%s is not counted by build, expected no build=", m.Name)
+			p.fail("%s is not counted by build, expected no option build=", m.Name)
 		}
 	}
 	if v, isSet := p.option("class"); isSet {
 		m.Class = v
 		if !spec.byClass {
-			p.fail("%s is not counted by class, expected no class=", m.Name)
+			p.fail("%s is not counted by class, expected no option class=", m.Name)
 		} else if v != classIdempotent && v != classKeyed && v != classNonIdempotent {
-			p.fail("class %q is not known, expected %s, %s or %s", v, classIdempotent, classKeyed, classNonIdempotent)
+			p.fail("unknown class %q, expected %s, %s or %s", v, classIdempotent, classKeyed, classNonIdempotent)
 		}
 	}
 }
--- a/internal/faulttest/records.go
+++ b/internal/faulttest/records.go
@@ -7,8 +7,8 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// Records holds what the fake servers, the relays and the deployment itself recorded during a run. The JSON keys are part of the format of
-// records.json.
+// Records holds what the clients, the fake servers, the relays and the deployment itself recorded during a run. The JSON keys are part of the
+// format of records.json.
 type Records struct {
 	Agents              int
 	End                 netfault.Micros
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -1,6 +1,6 @@
 // Package faulttest runs fault scenarios. A scenario starts several agent processes among fake servers, with a relay on each link between
-// them, and injects faults into links and processes. Expectations are checked against the records of the fake servers and relays, never
-// against what agents report about themselves.
+// them, and injects faults into links and processes. Expectations are checked against the records of the clients, fake servers and relays,
+// never against what agents report about themselves.
 //
 // ReadScenario and ParseScenario read a scenario, Run runs it and returns its Verdict. Run may be called from several goroutines at the
 // same time: each run starts its own processes and servers, and stops everything that it started.
