--- a/internal/faulttest/netfault/backlog.go
+++ b/internal/faulttest/netfault/backlog.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	// fillerDialTimeout bounds the dial of a filler. A connection within this machine that is not established by then meets a full queue.
+	// fillerDialTimeout bounds the dial of a filler, which is a connection that fills the accept queue. A dial within this machine that does
+	// not succeed by then has met a full queue.
 	fillerDialTimeout = 60 * time.Millisecond
-	// maxFillers bounds the connections that fill the accept queue. A queue of length zero holds one or two.
+	// maxFillers bounds the number of fillers. A queue of length zero holds one or two.
 	maxFillers = 4
 	// openBacklog is the length of the accept queue while the listener is reachable.
 	openBacklog = 1024
 )
 
-// backlogBlocker makes a listener unreachable. It fills the accept queue with connections of its own that nobody accepts. The operating
-// system then ignores further connection attempts, as if the machine were cut off. A client's system retries after one second, then after
-// two, then after four.
+// backlogBlocker makes a listener unreachable. It opens connections to the listener that fill the accept queue and are not accepted. The
+// operating system then ignores further connection attempts, as if the machine were cut off. A client's system retries after one second,
+// then after two, then after four.
 //
 // Only one goroutine calls setBlocked. The accept loop calls waitUntilUnblocked and isFiller.
 type backlogBlocker struct {
