--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -17,13 +17,14 @@
 	return request
 }
 
-// discard removes the record and the retry key of a request that has ended. The request is not waiting.
+// discard removes the record and the retry key of a request that has ended. The request must no longer be waiting.
 func (c *Controller) discard(request *trackedRequest) {
 	c.retries.unregister(request)
 	c.requests.release(request)
 }
 
-// claimReservation ends an arriving request's reservation, if it has one, and reports whether the client has returned on time.
+// claimReservation ends the reservation of an arriving request, if there is one, and reports whether the client has returned on
+// time.
 func (c *Controller) claimReservation(request *trackedRequest) bool {
 	switch c.reservations.claim(c.now, request.retryKey) {
 	case claimedOnTime:
@@ -38,7 +39,8 @@
 }
 
 // admitReserved admits a queued request that arrived at its reserved time, ahead of all other waiting requests, if the headroom
-// of the concurrency limit allows it. Its tenant is charged as usual. It reports whether the request was admitted.
+// of the concurrency limit has room for the request. The request's tenant is charged as usual. admitReserved reports whether
+// the request was admitted.
 func (c *Controller) admitReserved(request *trackedRequest) bool {
 	if !c.concurrency.hasReservedCapacity() {
 		c.Counters.ReservationsMissed++
@@ -50,8 +52,8 @@
 	return true
 }
 
-// admitOrWait admits as many waiting requests as the concurrency limit allows. It rejects the given request if that is not
-// among them and is not expected to be admitted in time.
+// admitOrWait admits as many waiting requests as the concurrency limit allows. If request is still waiting after that and is
+// not expected to be admitted in time, admitOrWait rejects request.
 func (c *Controller) admitOrWait(request *trackedRequest) {
 	c.admitWaiting()
 	if request.state != stateWaiting {
@@ -95,8 +97,8 @@
 	c.discard(request)
 }
 
-// retryAfter returns the Retry-After time for a rejected request, and reserves capacity for its return. A draining process
-// reserves nothing, since it will have ended when the client returns.
+// retryAfter returns the Retry-After time for a rejected request, and reserves capacity for the client's return if possible. A
+// draining process reserves nothing, since the process will have ended when the client returns.
 func (c *Controller) retryAfter(request *trackedRequest) Micros {
 	if c.drain.isAnnounced() {
 		return c.reservations.unreservedRetryAfter()
@@ -109,7 +111,8 @@
 	return retryAfter
 }
 
-// enforceLimits rejects waiting requests until no limit is exceeded. Requests in progress are never evicted.
+// enforceLimits rejects waiting requests until no limit is exceeded or no request waits. Requests in progress are never
+// evicted.
 func (c *Controller) enforceLimits() {
 	for c.exceedsLimits() {
 		candidate := c.waiting.evictionCandidate()
@@ -125,14 +128,15 @@
 	return openCount > c.limits.Requests || c.requests.bodyBytes > c.limits.Bytes
 }
 
-// estimatedWait returns how long a queued request is expected to wait. This is the time to serve the cost ahead of it with the
-// part of its tenant's rate that is not reserved for others.
+// estimatedWait returns how long a queued request is expected to wait. This is the time to serve the cost ahead of the request
+// with the part of the tenant's rate that is not reserved for returning clients.
 func (c *Controller) estimatedWait(request *trackedRequest) Micros {
 	costAhead := c.waiting.queues.costAhead(request)
 	return c.reservations.timeToServe(c.now, request.Tenant, costAhead, c.tenantRate(request.Tenant))
 }
 
-// tenantRate returns the tenant's rate, in cost per microsecond, if every tenant with waiting requests gets its share.
+// tenantRate returns the rate at which a tenant's requests can be admitted, in cost per microsecond, if every tenant with
+// waiting requests gets its share of the capacity.
 func (c *Controller) tenantRate(tenant int) float64 {
 	return c.waiting.queues.shareOfRate(tenant, c.rates.rate(c.now, c.costs.meanResponseTime))
 }
--- a/internal/admission/calendar.go
+++ b/internal/admission/calendar.go
@@ -11,7 +11,7 @@
 	firstSlot int64 // earlier slots have been cleared
 }
 
-// advance clears the slots that have passed.
+// advance clears the slots before currentSlot.
 func (c *calendar) advance(currentSlot int64) {
 	for slot := max(c.firstSlot, currentSlot-calendarSlots-1); slot < currentSlot; slot++ {
 		*c.at(slot) = 0
--- a/internal/admission/client_queue.go
+++ b/internal/admission/client_queue.go
@@ -70,8 +70,8 @@
 	return cost
 }
 
-// isKnownLast reports whether a request is found, without searching the lists, to be the last one that the queue serves. It may
-// miss a last request of a higher priority.
+// isKnownLast reports whether a request is the last in the list of the lowest priority, and therefore the last that the queue
+// serves. The check searches no list. If the list of the lowest priority is empty, isKnownLast returns false for every request.
 func (q *clientQueue) isKnownLast(request *trackedRequest) bool {
 	priority := request.queuePlace.priority
 	return priority+1 == len(q.priorities) && q.priorities[priority].tail == request
--- a/internal/admission/client_queue_test.go
+++ b/internal/admission/client_queue_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// A queue serves its requests by priority and then by arrival, whichever requests are removed, and returns the right cost through
-// each request.
+// A queue serves its requests by priority and then by arrival, whichever requests are removed, and costThrough returns the right
+// cost for each request.
 func TestClientQueueServesByPriorityAndArrival(t *testing.T) {
 	const priorityCount = 3
 	rapid.Check(t, func(t *rapid.T) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// The replacement of a request takes its place in the list.
+// The replacement of a request takes the request's place in the list.
 func TestRequestListReplacesInPlace(t *testing.T) {
 	for replaced := range 3 {
 		var list requestList
--- a/internal/admission/command.go
+++ b/internal/admission/command.go
@@ -38,6 +38,6 @@
 	Kind       CommandKind
 	ID         uint64
 	LeaderID   uint64 // for Coalesce: the request whose answer is shared
-	RetryAfter Micros // for Reject: the time until the client may retry; 0 if the client is sent none
+	RetryAfter Micros // for Reject: the time until the client may retry; 0 if the client is sent no Retry-After
 	Reason     Reason // for Reject
 }
--- a/internal/admission/concurrency_limit.go
+++ b/internal/admission/concurrency_limit.go
@@ -17,22 +17,24 @@
 	maxDecreaseFraction = 0.3
 	// increaseFraction is the fraction by which the limit increases, after slow start, in each round in which it was reached.
 	increaseFraction = 0.05
-	// headroomFraction is the fraction of the limit that clients returning at their reserved time may use beyond the limit.
+	// headroomFraction is how far the requests of clients that return at their reserved time may exceed the limit, as a fraction of
+	// the limit.
 	headroomFraction = 0.1
-	// extraHeadroom, in requests, is added to this headroom, so that two clients can return together even at the smallest limit.
+	// extraHeadroom, in requests, is added to the headroom that headroomFraction gives, so that two clients can return together even
+	// at the smallest limit.
 	extraHeadroom = 1
 )
 
-// At any time some requests in progress have not been sent: no endpoint in their group accepts them, a cap on a release's traffic
-// holds them back, or they are on the way between two goroutines. As long as there are some, the dispatcher is not short of
-// requests.
+// At any time some requests in progress have not been sent: no endpoint in their group accepts them, a cap on the requests to a
+// new build holds them back, or they are on the way between two goroutines. As long as there are unsent requests, the dispatcher
+// is not short of requests.
 const (
-	// unsentFraction is the fraction of the limit that may be in progress without having been sent. If it were a fraction of the
-	// requests in progress instead, it would reduce the limit to the demand whenever there is little load.
+	// unsentFraction is how many requests in progress may be unsent, as a fraction of the limit. A fraction of the requests in
+	// progress would reduce the limit to the demand whenever there is little load.
 	unsentFraction = 0.05
-	// minUnsentAllowance, in requests, is the number that may be in progress without having been sent however low the limit is.
-	// It is some tens of milliseconds of work for a small deployment. If it were much smaller, a dispatcher that has lowered the
-	// limits of all its endpoints would get too few requests to raise them again.
+	// minUnsentAllowance is the number of requests in progress that may be unsent however low the limit is. This many requests are
+	// some tens of milliseconds of work for a small deployment. If the allowance were much smaller, a dispatcher that has lowered
+	// the limits of all its endpoints would get too few requests to raise them again.
 	minUnsentAllowance = 16.0
 )
 
@@ -42,8 +44,8 @@
 // response times alone would mistake endpoints that slow down for a growing queue, and would give them too few requests.
 //
 // The limit is adjusted once per round. In slow start it doubles in each round in which it was reached, until a round shows that
-// it is too high. After that it increases by a small fraction per round. The controller checks the limit before each admission,
-// and reports what happens to each request in progress.
+// the limit is too high. After that the limit increases by a small fraction per round. The controller checks the limit before
+// each admission, and reports what happens to each request in progress.
 type concurrencyLimit struct {
 	current     float64
 	ceiling     float64
@@ -92,9 +94,9 @@
 func (l *concurrencyLimit) recordSent(now Micros) { l.observe(now, l.inProgress, l.sent+1) }
 
 // recordFinished records that a request is no longer in progress. A request that was sent and finally rejected has met endpoints
-// that are at their limits, so it counts as a rejection. A request that was rejected unsent does not: either it waited unsent,
-// which unsentTime already contains, or it arrived too late to be worth sending, which says nothing about the limit. If
-// the latter counted as rejections, late retries would lower the limit for all requests.
+// that are at their limits, so it counts as a rejection. A request that was rejected unsent does not count. If it waited unsent,
+// unsentTime already contains this wait. If it arrived too late to be worth sending, it says nothing about the limit: if such
+// requests counted as rejections, late retries would lower the limit for all requests.
 func (l *concurrencyLimit) recordFinished(now Micros, result Result, isSent bool) {
 	if isSent {
 		l.observe(now, l.inProgress-1, l.sent-1)
@@ -121,8 +123,8 @@
 	l.round.wasReached = l.round.wasReached || inProgress >= l.value()
 }
 
-// tick adjusts the limit if the round has lasted for roundInterval. Without it, a round in which no request finishes would not
-// end. Waiting requests mean that the limit was reached.
+// tick adjusts the limit if the round has lasted for roundInterval. Without tick, a round in which no request finishes would not
+// end. If requests are waiting, the limit counts as reached in this round.
 func (l *concurrencyLimit) tick(now Micros, hasWaiting bool) {
 	l.round.wasReached = l.round.wasReached || hasWaiting
 	l.adjust(now)
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -10,8 +10,8 @@
 
 // Config is the configuration of a Controller. Only the tenants' weights may change later, by SetWeights.
 type Config struct {
-	Classes    []RequestClass // Arrival.Class is an index into it
-	Tenants    []Tenant       // Arrival.Tenant is an index into it; all unknown tenants together count as one more
+	Classes    []RequestClass // Arrival.Class is an index into Classes
+	Tenants    []Tenant       // Arrival.Tenant is an index into Tenants; all unknown tenants together count as one more
 	Limits     Limits
 	RetryAfter RetryAfterLimits
 	// CoalesceRetries makes a retry that arrives while an earlier attempt is in progress share the answer of that attempt.
@@ -49,8 +49,8 @@
 	bytesPerRequest = 64 << 10
 )
 
-// LimitsFor derives the limits from the process's memory budget in MiB, the number of upstream slots and the number of queues
-// per tenant.
+// LimitsFor derives the limits from the process's memory budget in MiB, from upstreamSlots, the number of requests that the
+// process's connections allow to be open, and from the number of queues per tenant.
 func LimitsFor(budgetMB, upstreamSlots, queues int) Limits {
 	admissionBytes := int64(budgetMB) << 20 / budgetDivisor
 	return Limits{
@@ -60,5 +60,6 @@
 	}
 }
 
-// RetryAfterLimits bounds the Retry-After times that are sent to rejected clients. If Max is 0, none are sent.
+// RetryAfterLimits bounds the Retry-After times that are sent to rejected clients. If Max is 0, clients are sent no
+// Retry-After.
 type RetryAfterLimits struct{ Max Micros }
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,7 +1,7 @@
-// Package admission is the admission control of the router. It decides which request is handed to the dispatcher and when:
-// it queues requests fairly among tenants and among each tenant's clients, learns how many may be in progress at a time,
-// and rejects those that cannot be served in time or that exceed the limits. A rejected client may be sent a Retry-After time.
-// If possible, capacity is reserved for its return at that time.
+// Package admission is the admission control of the router. It decides which request is handed to the dispatcher and when: it
+// queues requests fairly among tenants and among each tenant's clients, learns how many may be in progress at a time, and
+// rejects those that cannot be served in time or that exceed the limits. A rejected client may be sent a Retry-After time. If
+// possible, capacity is reserved for the client's return at that time.
 //
 // A Controller owns all state of waiting requests, requests in progress and reservations. It does no I/O, reads no clock and
 // starts no goroutine; the same calls always produce the same commands. One goroutine, the owner of the controller, makes all
@@ -92,8 +92,8 @@
 	return c.endCall()
 }
 
-// Finish reports that an admitted request has been answered, or that no client waits for its answer any longer. None of its
-// attempts may still be in flight. For a request that is not in progress, Finish is the same as Abandon.
+// Finish reports that an admitted request has been answered, or that no client waits for its answer any longer. None of the
+// request's attempts may still be in flight. For a request that is not in progress, Finish is the same as Abandon.
 func (c *Controller) Finish(now Micros, id uint64, result Result) []Command {
 	c.beginCall(now)
 	request := c.requests.get(id)
@@ -156,7 +156,7 @@
 	return earliest
 }
 
-// Drain announces that the process shuts down at the given time. Queued requests that are not expected to be admitted by then
+// Drain announces that the process shuts down at the time until. Queued requests that are not expected to be admitted by then
 // are rejected at once. The same holds for requests that arrive later.
 func (c *Controller) Drain(now, until Micros) []Command {
 	c.beginCall(now)
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -239,7 +239,7 @@
 	})
 }
 
-// flood makes a number of requests of one tenant arrive, with consecutive IDs from firstID, and returns the next free ID.
+// flood makes count requests of one tenant arrive, with consecutive IDs from firstID, and returns the next free ID.
 func flood(c *testController, tenant, count int, firstID uint64) uint64 {
 	for i := range count {
 		c.arrive(Arrival{ID: firstID + uint64(i), Tenant: tenant, Client: uint64(i) % 50, CostHint: 20 * millisecond})
@@ -271,7 +271,8 @@
 	}
 }
 
-// A drain rejects at once the requests that are not expected to be admitted in time. No request waits after its deadline.
+// A drain rejects at once the requests that are not expected to be admitted in time. No request waits after the deadline of the
+// drain.
 func TestDrainEmptiesTheQueues(t *testing.T) {
 	c := newTestController([]float64{1}, Limits{Requests: 500, Bytes: 1 << 20, Queues: 8}, false)
 	fixLimit(c, 1)
--- a/internal/admission/cost_estimator.go
+++ b/internal/admission/cost_estimator.go
@@ -3,26 +3,26 @@
 import "switchfork/internal/stats"
 
 const (
-	// initialCostDivisor divides the latency objective of a class. The quotient is the mean cost of the class until requests of
-	// it have been measured.
+	// initialCostDivisor divides the latency objective of a class. The quotient is the mean cost of the class until requests of the
+	// class have been measured.
 	initialCostDivisor = 8
 	// smoothingFactor is the weight of a new sample in an exponentially weighted moving average, which therefore covers about the
 	// last fifty requests.
 	smoothingFactor = 0.02
-	// minHintFraction is the fraction of the class's mean cost that a request is charged at least, even if its cost hint is lower.
-	// A client that claims that all its requests are small thus gains at most four times its share.
+	// minHintFraction is the lowest cost that a request is charged even if its cost hint is lower, as a fraction of the mean cost
+	// of its class. A client that claims that all its requests are small thus gains at most four times its share.
 	minHintFraction = 0.25
 	// minMeanCost, in microseconds, keeps the cost of a request positive.
 	minMeanCost = 1.0
 )
 
 const (
-	// maxWaitFraction is the fraction of its latency objective that a request may wait for admission at most.
+	// maxWaitFraction is the longest time that a request may wait for admission, as a fraction of its latency objective.
 	maxWaitFraction = 0.5
-	// responseTimeMultiple is how many mean response times have to remain of the latency objective after the wait. A request that
-	// is admitted with less time left is likely to be given up after an endpoint has worked on it.
+	// responseTimeMultiple is how much of the latency objective has to remain after the wait, in mean response times. A request
+	// that is admitted with less time left is likely to be given up after an endpoint has worked on it.
 	responseTimeMultiple = 3.0
-	// minWaitFraction is the fraction of its latency objective that a request may wait however slow responses are.
+	// minWaitFraction is how long a request may wait however slow responses are, as a fraction of its latency objective.
 	minWaitFraction = 0.05
 )
 
@@ -61,7 +61,7 @@
 	return Micros(max(minWaitFraction*objective, longest))
 }
 
-// recordArrival updates the mean cost of a request's class with its hint, if it has one.
+// recordArrival updates the mean cost of a request's class with the request's cost hint, if there is one.
 func (e *costEstimator) recordArrival(arrival *Arrival) {
 	if arrival.CostHint > 0 {
 		e.updateMeanCost(arrival.Class, arrival.CostHint)
--- a/internal/admission/drain.go
+++ b/internal/admission/drain.go
@@ -13,5 +13,5 @@
 // isOver reports whether the deadline has been reached.
 func (d *drain) isOver(now Micros) bool { return d.isAnnounced() && now >= d.deadline }
 
-// endsBefore reports whether the deadline is earlier than the given time.
+// endsBefore reports whether the deadline is earlier than at.
 func (d *drain) endsBefore(at Micros) bool { return d.isAnnounced() && at > d.deadline }
--- a/internal/admission/fair_queues.go
+++ b/internal/admission/fair_queues.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// shardSize is the number of queues of its tenant that a client's requests may be put in (shuffle sharding). Each request
-	// goes into the least loaded of them. Few pairs of clients share all of their queues, so a client that floods delays hardly
-	// any other client. It fills at most four queues.
+	// shardSize is how many of a tenant's queues the requests of one client may be put in (shuffle sharding). Each request goes
+	// into the least loaded of these queues. Few pairs of clients share all of their queues, so a client that floods delays hardly
+	// any other client. Such a client fills at most four queues.
 	shardSize = 4
 	// unknownTenantsWeight is the combined weight of all unknown tenants. The configured weights add up to about one.
 	unknownTenantsWeight = 0.05
@@ -183,7 +183,7 @@
 	tenant.admittedCost += request.cost
 }
 
-// replace puts a request in the place of an old one, which is queued.
+// replace puts request in the place of old, which is queued.
 func (q *fairQueues) replace(old, request *trackedRequest) {
 	tenant := q.tenants[request.Tenant]
 	queue := old.queuePlace.queue
@@ -223,8 +223,8 @@
 	return mostLoaded
 }
 
-// costAhead estimates the cost of the requests of the same tenant that are served before a queued request: the cost ahead of it
-// in its queue, and as much again for each other queue with requests, since the queues are served in turn.
+// costAhead estimates the cost of the requests of the same tenant that are served before a queued request: the cost ahead of
+// the request in its queue, and as much again for each other queue with requests, since the queues are served in turn.
 func (q *fairQueues) costAhead(request *trackedRequest) float64 {
 	tenant, queue := request.queuePlace.tenant, request.queuePlace.queue
 	// The queue is served when the virtual time reaches its start tag. Until then, every other queue that has requests is served
@@ -234,7 +234,8 @@
 	return min(tenant.waitingCost-request.cost, aheadInQueue*float64(len(tenant.queueScheduler.active)))
 }
 
-// shareOfRate returns the tenant's share of a rate, by weight, among this tenant and all tenants that have waiting requests.
+// shareOfRate divides rate by weight among a tenant and all other tenants that have waiting requests, and returns the tenant's
+// share.
 func (q *fairQueues) shareOfRate(tenantIndex int, rate float64) float64 {
 	totalWeight := 0.0
 	for _, entry := range q.tenantScheduler.active {
--- a/internal/admission/fair_queues_test.go
+++ b/internal/admission/fair_queues_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Two tenants that always have waiting requests are served by their weights. The difference of their weighted served costs is at
-// most the sum of the weighted costs of the most expensive request of each, for any costs of the requests.
+// Two tenants that always have waiting requests are served by their weights. Whatever the requests cost, the weighted served costs of
+// the two tenants differ at most by the sum of the weighted costs of each tenant's most expensive request.
 func TestCostIsSharedByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := []float64{rapid.Float64Range(0.1, 1).Draw(t, "w0"), rapid.Float64Range(0.1, 1).Draw(t, "w1")}
--- a/internal/admission/fair_scheduler.go
+++ b/internal/admission/fair_scheduler.go
@@ -10,7 +10,7 @@
 
 // fairScheduler orders flows by start-time fair queueing (SFQ). The start tag of a flow is the later of the virtual time and the
 // flow's last finish tag, so that an idle flow gains no credit. The flow with the lowest start tag is served next, and is charged
-// the cost of its request divided by its weight.
+// the cost of its request divided by the flow's weight.
 //
 // Flows that have requests are kept in a d-ary heap, which holds copies of their start tags. Ordering thousands of flows then
 // touches few cache lines, and does not read the flows themselves, which are scattered over memory.
--- a/internal/admission/free_list.go
+++ b/internal/admission/free_list.go
@@ -1,6 +1,6 @@
 package admission
 
-// freeList keeps unused records for reuse, so that steady traffic causes no allocations.
+// freeList keeps unused records for reuse, so that a steady load of requests causes no allocations.
 type freeList[T any] []*T
 
 // take removes and returns the record that was put in last, or returns a new one if the list is empty. The fields of a reused
--- a/internal/admission/rate_estimator.go
+++ b/internal/admission/rate_estimator.go
@@ -67,8 +67,8 @@
 	m.updatedAt = now
 }
 
-// rateAt returns the rate at a time. Since the last request it has decayed linearly, which is as good as an exponential decay
-// over the short time between two requests.
+// rateAt returns the rate at now. Since the last admitted request, the rate has decayed linearly, which is as good as an
+// exponential decay over the short time between two requests.
 func (m *throughputMeter) rateAt(now Micros) float64 {
 	return m.rate * max(0, 1-float64(now-m.updatedAt)/float64(throughputWindow))
 }
--- a/internal/admission/request_list.go
+++ b/internal/admission/request_list.go
@@ -31,14 +31,15 @@
 	place.next = nil
 }
 
-// replace puts a request in the place of an old one, whose links stay as they are.
+// replace puts request in the place of old. The links of old stay as they are.
 func (l *requestList) replace(old, request *trackedRequest) {
 	request.queuePlace.previous = old.queuePlace.previous
 	request.queuePlace.next = old.queuePlace.next
 	l.link(request)
 }
 
-// link makes the neighbours of a request point to it. Where it has no neighbour, it becomes the head or the tail.
+// link makes the neighbours of a request point to the request. A request without a previous neighbour becomes the head, and a
+// request without a next neighbour the tail.
 func (l *requestList) link(request *trackedRequest) {
 	if previous := request.queuePlace.previous; previous != nil {
 		previous.queuePlace.next = request
--- a/internal/admission/reservations.go
+++ b/internal/admission/reservations.go
@@ -7,15 +7,16 @@
 
 const (
 	// reservableFraction is the fraction of a tenant's rate that may be reserved. The rest is left for waiting requests and for
-	// errors of the estimate. The clients of a tenant that floods therefore get the longest times, without a reservation.
+	// errors of the estimate. The clients of a tenant that floods therefore get the longest Retry-After times, without a
+	// reservation.
 	reservableFraction = 0.5
-	// reservationGrace is added to the width of a slot. The sum is how long after its return time a client is still on time:
-	// clients sleep at least as long as the Retry-After says, and the network adds its delay.
+	// reservationGrace is added to the width of a slot. The sum is how long after the return time a client still counts as on time,
+	// because clients sleep at least as long as the Retry-After says, and the network adds its delay.
 	reservationGrace = 100 * millisecond
-	// earlyTolerance is how long before its return time a client is already on time.
+	// earlyTolerance is how long before the return time a client already counts as on time.
 	earlyTolerance = 2 * millisecond
-	// minFallbackFraction is the shortest Retry-After time without a reservation, as a fraction of the longest. The rest is
-	// random, so that a thousand clients that were rejected together don't return together.
+	// minFallbackFraction is the shortest Retry-After time without a reservation, as a fraction of the longest Retry-After time.
+	// The rest is random, so that a thousand clients that were rejected together don't return together.
 	minFallbackFraction = 0.75
 )
 
@@ -29,12 +30,12 @@
 	heapIndex int    // index in reservationTable.byReturnTime
 }
 
-// reservationTable decides the Retry-After time of each rejected request, and whether a client has returned on time. The time
-// depends on the rate and the waiting cost of the request's tenant, and on what is already reserved. Each tenant has a calendar
-// of time slots of equal width. A slot has room for a reservation if the cost that is reserved up to this slot, with the new
-// reservation, is at most reservableFraction of the cost that the tenant's rate admits until then. A client that returns on time
-// is admitted ahead of the waiting requests. A reservation is honored, missed if there is no capacity when the client returns,
-// given up if the client returns early, or unclaimed.
+// reservationTable decides the Retry-After time of each rejected request, and whether a client has returned on time. The
+// Retry-After time depends on the rate and the waiting cost of the request's tenant, and on what is already reserved. Each
+// tenant has a calendar of time slots of equal width. A slot has room for a reservation if the cost that is reserved up to this
+// slot, with the new reservation, is at most reservableFraction of the cost that the tenant's rate admits until then. A client
+// that returns on time is admitted ahead of the waiting requests. A reservation is honored, missed if there is no capacity when
+// the client returns, given up if the client returns early, or unclaimed.
 //
 // The controller calls reservationTable for each rejection and each arrival. Wait estimates allow for the reserved cost.
 type reservationTable struct {
@@ -48,7 +49,7 @@
 	free          freeList[reservation]
 }
 
-// claimResult says whether an arriving request has a reservation, and whether it is on time.
+// claimResult says whether an arriving request has a reservation, and whether the client has returned on time.
 type claimResult int
 
 const (
@@ -75,8 +76,8 @@
 
 func (t *reservationTable) count() int { return len(t.byRetryKey) }
 
-// reserve returns the Retry-After time for a rejected request, and reserves capacity for its return if a slot has enough left.
-// rate and waitingCost are those of its tenant. The time is 0 if clients are sent no Retry-After.
+// reserve returns the Retry-After time for a rejected request, and reserves capacity for the client's return if a slot has
+// enough left. rate and waitingCost are those of the request's tenant. retryAfter is 0 if clients are sent no Retry-After.
 func (t *reservationTable) reserve(now Micros, request *trackedRequest, rate, waitingCost float64) (retryAfter Micros, isReserved bool) {
 	unreserved := t.unreservedRetryAfter() // drawn for each rejection, so that this draw does not depend on what is reserved
 	if t.maxRetryAfter == 0 || t.count() >= t.capacity {
@@ -111,8 +112,8 @@
 	return t.maxRetryAfter - Micros(t.random.Float64()*(1-minFallbackFraction)*float64(t.maxRetryAfter))
 }
 
-// findSlot returns the first slot with enough capacity left for a request, out of those after the time that is estimated for the
-// waiting cost of its tenant.
+// findSlot returns the first slot with enough capacity left for a request. Slots that end before the waiting cost of the
+// request's tenant is expected to have been served are left out.
 func (t *reservationTable) findSlot(now Micros, request *trackedRequest, rate, waitingCost float64) (slot int64, found bool) {
 	calendar := t.currentCalendar(request.Tenant, now)
 	backlog := Micros(min(waitingCost*(1-reservableFraction)/rate, float64(t.maxRetryAfter)))
@@ -130,7 +131,7 @@
 	return 0, false
 }
 
-// timeToServe returns how long a tenant takes to serve a cost with the part of its rate that is not reserved in the slots.
+// timeToServe returns how long it takes to serve cost with the part of a tenant's rate that is not reserved in the slots.
 func (t *reservationTable) timeToServe(now Micros, tenant int, cost, rate float64) Micros {
 	if t.count() == 0 {
 		return Micros(cost / rate)
@@ -162,7 +163,7 @@
 	return calendar
 }
 
-// claim ends the reservation of an arriving request, if it has one. If the client is early, the reserved cost is released.
+// claim ends the reservation of an arriving request, if there is one. If the client is early, the reserved cost is released.
 func (t *reservationTable) claim(now Micros, retryKey uint64) claimResult {
 	claimed := t.byRetryKey[retryKey]
 	if claimed == nil {
@@ -179,7 +180,7 @@
 	return claimedOnTime
 }
 
-// expire ends the reservations that were not claimed in time, and returns their number.
+// expire ends the reservations that were not claimed in time, and returns how many there were.
 func (t *reservationTable) expire(now Micros) (expiredCount int) {
 	for len(t.byReturnTime) > 0 && t.deadline(t.byReturnTime[0]) < now {
 		t.remove(t.byReturnTime[0])
@@ -188,7 +189,7 @@
 	return expiredCount
 }
 
-// deadline returns the last time at which a client is on time to claim a reservation.
+// deadline returns the latest time at which a client can claim a reservation.
 func (t *reservationTable) deadline(r *reservation) Micros {
 	return r.returnAt + t.slotWidth + reservationGrace
 }
--- a/internal/admission/reservations_test.go
+++ b/internal/admission/reservations_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A rejected client is sent a Retry-After time within the maximum. If it has a reservation and returns at that time, it is admitted
-// at once in nine of ten cases.
+// A rejected client is sent a Retry-After time of at most RetryAfterLimits.Max. A client with a reservation that returns at that
+// time is admitted at once in nine of ten cases.
 func TestReservationsAreHonored(t *testing.T) {
 	c := newTestController([]float64{0.5, 0.5}, Limits{Requests: 60, Bytes: 1 << 20, Queues: 8}, false)
 	fixLimit(c, 8)
@@ -96,8 +96,8 @@
 	}
 }
 
-// Without capacity, a client is sent a time near the longest Retry-After and nothing is reserved. If the maximum is 0, it is sent
-// no Retry-After.
+// Without capacity, nothing is reserved, and the client is sent a Retry-After time near maxRetryAfter. If maxRetryAfter is 0, the
+// client is sent no Retry-After.
 func TestRetryAfterWithoutReservation(t *testing.T) {
 	request := &trackedRequest{cost: 1000}
 	full := newReservationTable(0, 1, 2*second, rand.New(rand.NewSource(1)))
--- a/internal/admission/retries.go
+++ b/internal/admission/retries.go
@@ -1,7 +1,7 @@
 package admission
 
-// joinEarlierAttempt looks for an earlier attempt of an arriving request. If there is one, the new attempt replaces it or follows
-// it. It reports whether there was one.
+// joinEarlierAttempt looks for an earlier attempt of an arriving request, and reports whether there is one. If so, the arriving
+// attempt replaces or follows the earlier attempt.
 func (c *Controller) joinEarlierAttempt(retry *trackedRequest) bool {
 	earlier := c.retries.earlierAttempt(retry)
 	if earlier == nil {
--- a/internal/admission/retries_test.go
+++ b/internal/admission/retries_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A retry replaces an earlier attempt that is waiting. If the earlier attempt is in progress, the retry shares its answer or waits
-// until it has finished. After the earlier attempt has finished, the retry is handled as a new request.
+// A retry replaces an earlier attempt that is waiting. If the earlier attempt is in progress, the retry shares the answer or waits
+// until the earlier attempt has finished. After the earlier attempt has finished, the retry is handled as a new request.
 func TestRetryJoinsEarlierAttempt(t *testing.T) {
 	for _, coalescesRetries := range []bool{false, true} {
 		c := newTestController([]float64{1}, Limits{Requests: 100, Bytes: 1 << 20, Queues: 8}, coalescesRetries)
--- a/internal/admission/retry_index.go
+++ b/internal/admission/retry_index.go
@@ -28,8 +28,8 @@
 	return hashing.Mix64(hashing.Mix64(hash) + arrival.Client)
 }
 
-// register makes a request known to its later attempts. A request without a key cannot be distinguished from other requests of
-// its client, and is not registered.
+// register records a request, so that earlierAttempt finds it for later attempts. A request without a key cannot be
+// distinguished from other requests of its client, and is not registered.
 func (x *retryIndex) register(request *trackedRequest) {
 	if request.Key != 0 {
 		x.byKey[request.retryKey] = request
--- a/internal/admission/retry_index_test.go
+++ b/internal/admission/retry_index_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// An earlier attempt is found by its idempotency key, or, without one, only if the later request is marked as a retry. Once it is
-// unregistered, it is not found.
+// An earlier attempt is found by its idempotency key, or, without one, only if the later request is marked as a retry. An attempt
+// that has been unregistered is not found.
 func TestEarlierAttemptIsFound(t *testing.T) {
 	index := newRetryIndex(testClasses(), 7)
 	newAttempt := func(arrival Arrival) *trackedRequest {
--- a/internal/admission/status.go
+++ b/internal/admission/status.go
@@ -5,7 +5,7 @@
 	Arrived   uint64
 	Admitted  uint64
 	Rejoined  uint64 // retries that replaced or followed an earlier attempt
-	Coalesced uint64 // those of the rejoined that share the earlier attempt's answer
+	Coalesced uint64 // rejoined retries that share the earlier attempt's answer
 	Rejected  [reasonCount]uint64
 
 	Reserved              uint64
--- a/internal/admission/timing_wheel.go
+++ b/internal/admission/timing_wheel.go
@@ -54,7 +54,7 @@
 	w.count--
 }
 
-// expire calls handle for each request that expires. handle has to remove the request from the wheel.
+// expire calls handle for each request that has expired at now. handle has to remove the request from the wheel.
 func (w *timingWheel) expire(now Micros, handle func(*trackedRequest)) {
 	currentTick := now / tickInterval
 	if w.count > 0 {
--- a/internal/admission/waiting.go
+++ b/internal/admission/waiting.go
@@ -1,8 +1,8 @@
 package admission
 
 // waitingRequests holds all waiting requests, with their wait deadlines. These are the requests in the queues, and the retries
-// that follow an earlier attempt in progress. It counts them, and keeps queues and deadlines consistent. The queues decide the
-// order. The controller adds a request when it arrives, and removes it to admit or to reject it.
+// that follow an earlier attempt in progress. It counts these requests, and keeps queues and deadlines consistent. The queues
+// decide the order. The controller adds a request when it arrives, and removes it to admit or to reject it.
 type waitingRequests struct {
 	queues    fairQueues
 	deadlines timingWheel
@@ -43,7 +43,7 @@
 	return request
 }
 
-// dequeueOutOfTurn removes the given request, which is served out of turn. Its queue and its tenant are charged as usual.
+// dequeueOutOfTurn removes a request that is served out of turn. The request's queue and tenant are charged as usual.
 func (w *waitingRequests) dequeueOutOfTurn(request *trackedRequest) {
 	w.remove(request)
 	w.queues.charge(request)
@@ -62,7 +62,7 @@
 	w.forget(request)
 }
 
-// replace puts a request in the place of an old one, which is queued.
+// replace puts request in the place of old, which is queued.
 func (w *waitingRequests) replace(old, request *trackedRequest) {
 	request.state = stateWaiting
 	w.queues.replace(old, request)
