--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -86,12 +86,12 @@
 	return b.randomDelay(min(b.maxOverloadDelay/2, Micros(agents-1)*startSpacing))
 }
 
-// Spread returns a random delay below the limit, for a call that many agents make for the same reason at the same time.
+// Spread returns a random delay below limit, for a call that many agents make for the same reason at the same time.
 func (b *Backoff) Spread(limit Micros) Micros { return b.randomDelay(limit) }
 
-// Next returns the delay before the next call. After Unreachable it grows exponentially from 50 ms, with jitter. After Overloaded
-// it uses decorrelated jitter: calls of callers that were rejected together spread out within a few retries, and the longer the
-// service stays overloaded, the longer the time over which they spread.
+// Next returns the delay before the next call. After Unreachable, the delay grows exponentially from 50 ms, with jitter. After
+// Overloaded, Next uses decorrelated jitter: calls of callers that were rejected together spread out within a few retries, and the
+// longer the service stays overloaded, the longer the time over which they spread.
 func (b *Backoff) Next(reason Reason) Micros {
 	if reason == Overloaded {
 		return b.nextOverloadDelay()
@@ -114,7 +114,7 @@
 	b.lastOverloadDelay = 0
 }
 
-// randomDelay returns a random delay below the limit, or 0 if the limit is not positive.
+// randomDelay returns a random delay below limit, or 0 if limit is not positive.
 func (b *Backoff) randomDelay(limit Micros) Micros {
 	if limit <= 0 {
 		return 0
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// event is a call that reaches the simulated service, or the timeout of one.
+// event is a call that reaches the simulated service, or the timeout of such a call.
 type event struct {
 	at        Micros
 	caller    int
@@ -31,9 +31,9 @@
 // callTimeout is how long a caller waits for an answer.
 const callTimeout = 2000 * millisecond
 
-// simulateService returns how many callers got an answer by the end, and how many calls were made. The service has a fixed
-// capacity and serves calls in the order of their arrival. A caller gives up after callTimeout and calls again, but the service
-// still works on the call that was given up.
+// simulateService returns how many callers got an answer by the time end, and how many calls were made by then. The service has
+// a fixed capacity and serves calls in the order of their arrival. A caller gives up after callTimeout and calls again, but the
+// service still works on the call that was given up.
 func simulateService(callers int, serviceTime, end Micros, initialDelay, retryDelay func(caller int) Micros) (answeredCount, callCount int) {
 	var events eventQueue
 	freeAt := Micros(0)
--- a/internal/connlimit/budget.go
+++ b/internal/connlimit/budget.go
@@ -17,7 +17,7 @@
 	freeShare = 0.0625
 )
 
-// Budget counts the descriptors in use by connections to clients and to endpoints, and bounds them together.
+// Budget counts the descriptors in use by connections to clients and to endpoints, and bounds their sum.
 type Budget struct {
 	mu            sync.Mutex
 	limit         int
@@ -49,7 +49,7 @@
 	return max(1, int(clientShare*float64(b.limit)))
 }
 
-// isExhausted reports whether no descriptor is free. The lock is held.
+// isExhausted reports whether no descriptor is free. The caller holds mu.
 func (b *Budget) isExhausted() bool { return b.clientConns+b.upstreamConns >= b.limit }
 
 // AcquireUpstream takes a descriptor for a connection to an endpoint, and reports whether there was one.
--- a/internal/connlimit/budget_test.go
+++ b/internal/connlimit/budget_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Clients leave two fifths of the descriptors to endpoints. When clients hold their share, they get another descriptor only after one of
-// theirs is released.
+// Clients leave two fifths of the descriptors to endpoints. When clients hold their share, they get another descriptor only after a
+// client's descriptor is released.
 func TestBudget(t *testing.T) {
 	b := NewBudget(20)
 	for range 12 {
--- a/internal/ratelog/ratelog.go
+++ b/internal/ratelog/ratelog.go
@@ -14,8 +14,8 @@
 const (
 	// minInterval is the shortest time between two warnings of one kind.
 	minInterval = time.Second
-	// maxKinds is the largest number of kinds that a logger records, which bounds its memory. When it is reached, the next warning
-	// that is written makes the logger forget all kinds.
+	// maxKinds is the largest number of kinds that a logger records, which bounds its memory. If maxKinds kinds are recorded, the
+	// logger forgets all of them before it writes the next warning.
 	maxKinds = 256
 )
 
