--- a/deploy/linking_test.go
+++ b/deploy/linking_test.go
@@ -15,7 +15,7 @@
 )
 
 // checkDynamicLinking returns an error unless a program is linked dynamically against the C library. The platform replaces functions of
-// that library by its own. A statically linked program would run, but would bypass them.
+// that library by its own. A statically linked program would run, but would bypass the platform's functions.
 func checkDynamicLinking(path string) error {
 	program, err := elf.Open(path)
 	if err != nil {
--- a/internal/config/agent.go
+++ b/internal/config/agent.go
@@ -35,7 +35,7 @@
 	Sockets  int
 }
 
-// Peers are the addresses by which agents exchange messages. Listen is empty if they may not exchange any.
+// Peers are the addresses by which agents exchange messages. Listen is empty if agents may not exchange messages.
 type Peers struct {
 	Listen    string
 	Broadcast string   // the address that reaches all agents; empty if there is none
--- a/internal/config/classes.go
+++ b/internal/config/classes.go
@@ -27,7 +27,7 @@
 
 func (s *Settings) class(index int) classSettings { return classSettings{s.keyValues, index} }
 
-// RequestClasses returns the classes in the order of the router's class numbers. Their names are unique.
+// RequestClasses returns the classes in the order of the router's class indices. Their names are unique.
 func (s *Settings) RequestClasses() []RequestClass {
 	classes := make([]RequestClass, s.integer(keyClassCount))
 	indexByName := map[string]int{}
--- a/internal/config/connections.go
+++ b/internal/config/connections.go
@@ -5,7 +5,8 @@
 // defaultMaxOpenRequests applies if the deployment does not configure a limit.
 const defaultMaxOpenRequests = 20000
 
-// Discovery modes. In the first, the agent has to poll the endpoint list. In the second, it receives changes without polling.
+// Discovery modes. With subscribe, the agent has to poll the endpoint list. With automatic, the agent receives changes
+// without polling.
 const (
 	discoverySubscribe = "subscribe"
 	discoveryAutomatic = "automatic"
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// writeConfig writes a complete configuration file. The given keys replace top-level keys of the file, and the lines of
-// settings replace or add settings of the deployment.
+// writeConfig writes a complete configuration file. keys holds replacements of the file's top-level keys, and the lines
+// of settings replace or add settings of the deployment.
 func writeConfig(t *testing.T, path string, keys map[string]any, settings string) {
 	t.Helper()
 	config := map[string]any{
--- a/internal/config/key_values.go
+++ b/internal/config/key_values.go
@@ -147,7 +147,7 @@
 	return v.isSet(key) && enum(v, key, map[string]bool{"true": true, "false": false})
 }
 
-// enum reads a value that has to be a key of the map known, and returns the entry of that key.
+// enum reads a word that has to be one of the keys of known, and returns the value of known for that key.
 func enum[T any](v *keyValues, key string, known map[string]T) T {
 	text := v.text(key)
 	value, isKnown := known[text]
--- a/internal/config/load_report.go
+++ b/internal/config/load_report.go
@@ -3,7 +3,7 @@
 import "switchfork/internal/policy"
 
 // Ways in which endpoints send load reports: with their answers, with their responses to health checks, or not at all. Each
-// has two names, one in the simulator's files and one in the operators' files.
+// way has two names, one in the simulator's files and one in the operators' files.
 const (
 	loadReportsInline          = "inline"
 	loadReportsAnswers         = "answers"
@@ -13,7 +13,7 @@
 	loadReportsNone            = "none"
 )
 
-// hasLoadReports reports whether endpoints send load reports with their answers. They do not if the key is absent.
+// hasLoadReports reports whether endpoints send load reports with their answers. If the key is absent, endpoints send none.
 func (s *Settings) hasLoadReports() bool {
 	return s.isSet(keyLoadReportMode) && enum(s.keyValues, keyLoadReportMode, map[string]bool{
 		loadReportsInline:          true,
@@ -46,7 +46,7 @@
 	return format
 }
 
-// hasWeights reports whether the endpoint list holds the endpoints' weights. It does if the key is absent.
+// hasWeights reports whether the endpoint list holds the endpoints' weights. If the key is absent, the list holds them.
 func (s *Settings) hasWeights() bool {
 	return !s.isSet(keyWeights) || enum(s.keyValues, keyWeights, map[string]bool{
 		"off":     false,
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -14,9 +14,9 @@
 // Reloaded is a file that was read again, and its differences from the previous one.
 type Reloaded struct {
 	File *File
-	// Moved holds the addresses that have changed, and is empty for those that have not. Only the addresses in the files are
-	// compared. A GW_DISCOVERY that overrode the file at the start can't change while the process runs, so it stays in force
-	// until the address in the file changes.
+	// Moved holds the new value of each address that has changed, and an empty text for an address that has not. Only the
+	// addresses in the files are compared. A GW_DISCOVERY that overrode the file at the start can't change while the process
+	// runs, so it stays in force until the address in the file changes.
 	Moved UpstreamAddresses
 	// Unapplied lists the other keys that have changed. They take effect at the next restart.
 	Unapplied []string
--- a/internal/config/rollout.go
+++ b/internal/config/rollout.go
@@ -13,7 +13,7 @@
 	}
 }
 
-// exposureLimit reads the limit on attempts at a build that is under evaluation.
+// exposureLimit reads the limit on the attempts that are sent to a build under evaluation.
 func (s *Settings) exposureLimit() policy.ExposureLimit {
 	return policy.ExposureLimit{
 		Window:    s.micros(keyExposureWindow),
--- a/internal/config/router_test.go
+++ b/internal/config/router_test.go
@@ -39,7 +39,8 @@
 Limits.MaxAttempts=6
 `
 
-// An agent does not start with an invalid call rate or number of agents, on which all agents depend. The error names the key.
+// An agent does not start if the call rate or the number of agents is invalid, since all agents depend on both. The error
+// names the key.
 func TestNewRouterChecksRequiredSettings(t *testing.T) {
 	if _, err := ParsePairs(validSettings).NewRouter(1); err != nil {
 		t.Fatal(err)
--- a/internal/config/voting.go
+++ b/internal/config/voting.go
@@ -2,7 +2,7 @@
 
 import "switchfork/internal/policy"
 
-// votingTimer is the rule under which stages advance after a time, without votes.
+// votingTimer is the rule under which a timer advances the stages, without votes.
 const votingTimer = "timer"
 
 // Voting holds the number of agents that vote on rollouts, and the rules by which their votes are counted.
--- a/internal/loganalysis/entry.go
+++ b/internal/loganalysis/entry.go
@@ -20,7 +20,7 @@
 	messageFetchFailed   = "endpoint list fetch failed"
 )
 
-// Keys of log lines that hold a time in milliseconds.
+// Keys of log lines whose values are durations in milliseconds.
 const (
 	keyInterval = "interval_ms"
 	keyElapsed  = "elapsed_ms"
--- a/internal/loganalysis/report.go
+++ b/internal/loganalysis/report.go
@@ -23,7 +23,7 @@
 
 // Report holds the totals over all agents.
 type Report struct {
-	Interval       time.Duration // covered by one table row
+	Interval       time.Duration // time that one table row covers
 	Agents         int
 	MalformedLines int // lines that could not be parsed
 
--- a/internal/options/options.go
+++ b/internal/options/options.go
@@ -31,7 +31,7 @@
 	Weights         map[string]float64 // by tenant name; a weight overrides the tenant's share in the platform's configuration
 	ClientIdentity  ClientIdentity     // what identifies a client
 	Header          string             // the name of the header that identifies clients, if ClientIdentity is ClientByHeader
-	Queues          int                // per tenant
+	Queues          int                // number of queues per tenant
 	Requests        int                // the limit on open requests; 0: derived from the platform's limits
 	Bytes           int64              // the limit on the total size of the bodies of open requests; 0: derived from the platform's memory limit
 	SendsRetryAfter bool
