--- a/cmd/switchfork/admin_test.go
+++ b/cmd/switchfork/admin_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// A member change is sent with the agent's number to the resource for adding or removing. If the agent refuses it, its answer is
-// the command's error.
+// A member change is sent, with the member's index, to the admin resource for adding or removing. If the queried agent refuses
+// the change, the command fails with the agent's answer as the error.
 func TestMemberChangeCommands(t *testing.T) {
 	var asked []string
 	record := func(change string) http.HandlerFunc {
--- a/cmd/switchfork/admission.go
+++ b/cmd/switchfork/admission.go
@@ -45,8 +45,8 @@
 	})
 }
 
-// admissionLimits derives the limits from the agent's memory and connections, and applies those of the operator's file. The operator
-// can lower the limit on requests but not raise it, and can set the limit on bytes to any value.
+// admissionLimits derives the limits from the agent's memory and connections, and then applies the limits in the operator's file.
+// The operator can lower the limit on requests but not raise it, and can set the limit on bytes to any value.
 func (p *agentProcess) admissionLimits(opts options.Admission) admission.Limits {
 	openRequests := min(p.settings.connections.MaxOpenRequests, p.budget.MaxRequests())
 	limits := admission.LimitsFor(p.settings.limits.MemoryMB, openRequests, opts.Queues)
--- a/cmd/switchfork/coordinator.go
+++ b/cmd/switchfork/coordinator.go
@@ -36,7 +36,7 @@
 	tcp         *deferredTCP // nil: the messages are sent by the agents' gossip
 }
 
-// deferredTCP is a TCP transport that is not opened before the agent starts to serve. Until then it is nil. The coordinator sends no
+// deferredTCP is a TCP transport that is opened when the agent starts to serve. Until then TCP is nil. The coordinator sends no
 // messages before it is started.
 type deferredTCP struct{ *transport.TCP }
 
@@ -52,8 +52,8 @@
 	gossip  *gossip.Messenger
 }
 
-// wireCoordinator creates the coordinator and connects it to the agent: the policy's votes go to the coordinator, and it receives the
-// rollout updates. It returns nil if the operator's file does not enable leader election, or the deployment does not allow it.
+// wireCoordinator creates the coordinator and connects it to the agent: the coordinator receives the policy's votes and the rollout
+// updates. wireCoordinator returns nil if the operator's file does not enable leader election, or the deployment does not allow it.
 func wireCoordinator(c coordinatorConfig) (*coordinatorWiring, error) {
 	if !c.options.Enabled {
 		if c.options.AdminSocket != "" {
@@ -130,7 +130,7 @@
 }
 
 // initialMembers returns all agents of the deployment or, if messages are sent over TCP, the agents whose TCP addresses the operator's
-// file sets. An agent that is not among the latter starts without members, and has to be added.
+// file sets. If the address of this agent is not set there, this agent starts without members, and has to be added.
 func initialMembers(opts options.Coordinator, voting config.Voting, index int) election.Members {
 	if opts.Listen == "" {
 		return election.InitialMembers(voting.Agents)
@@ -176,8 +176,8 @@
 	}
 }
 
-// receiveGossip passes a datagram to the coordinator if it is one of the coordinator's frames, and reports whether it is. The gossip
-// handles all other datagrams.
+// receiveGossip passes a datagram to the coordinator if the datagram is one of the coordinator's frames, and reports whether this is
+// so. The gossip handles all other datagrams.
 func (w *coordinatorWiring) receiveGossip(datagram []byte) bool {
 	if !transport.IsFrame(datagram) {
 		return false
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -25,7 +25,7 @@
 	// listener, gossip, discovery, the rollout controller, the log and the runtime need some of them, and some are spare.
 	reservedDescriptors = 32
 
-	// requestIDShift reduces the random number at which request IDs begin to 52 bits.
+	// requestIDShift shortens a random number of 64 bits to 52 bits. Request IDs begin after the result.
 	requestIDShift = 12
 )
 
@@ -185,7 +185,7 @@
 	}
 }
 
-// firstRequestID returns the random number, derived from seed, at which an agent's request IDs begin.
+// firstRequestID returns the random number, derived from seed, after which an agent's request IDs begin.
 func firstRequestID(seed uint64) uint64 {
 	return rand.New(rand.NewSource(int64(seed))).Uint64() >> requestIDShift
 }
