--- a/cmd/switchfork-lab/admission.go
+++ b/cmd/switchfork-lab/admission.go
@@ -174,7 +174,7 @@
 	}
 }
 
-// playCases plays all cases concurrently.
+// playCases simulates all cases concurrently and sets their results.
 func playCases(cases []*admissionCase) {
 	var players sync.WaitGroup
 	for _, c := range cases {
--- a/cmd/switchfork-lab/admission_report.go
+++ b/cmd/switchfork-lab/admission_report.go
@@ -11,7 +11,7 @@
 
 // Thresholds of the simulated experiment.
 const (
-	minOthersInTime        = 0.97 // requests in time of the tenants that are not noisy, as a fraction of those without noise
+	minOthersInTime        = 0.97 // requests in time of a tenant that is not noisy, as a fraction of their number without noise
 	minJainIndex           = 0.98
 	minThroughput          = 0.98 // as a fraction of the throughput under FIFO
 	minReservationsHonored = 0.9
@@ -25,7 +25,7 @@
 // admissionReport prints the results of the cases and compares the agent's own policy with the simpler ones.
 type admissionReport struct {
 	cases        []*admissionCase
-	noisyTenants int // number of noisy tenants in the scenarios that take it from --noisy
+	noisyTenants int // number of noisy tenants in the scenarios that use --noisy
 }
 
 // result returns the result of a scenario under a policy.
@@ -84,7 +84,7 @@
 	}
 }
 
-// checkThroughput compares a case's throughput with that of a scenario under FIFO.
+// checkThroughput compares a case's throughput with the throughput of a scenario under FIFO.
 func (r *admissionReport) checkThroughput(expected *thresholds, c *admissionCase, scenario string) {
 	fifo := r.result(scenario, simulation.FIFO)
 	expected.atLeast(c.name+": throughput compared with first in, first out", succeeded(c.result)/succeeded(fifo), minThroughput)
@@ -113,7 +113,7 @@
 	return total
 }
 
-// honoredShare returns the fraction of the reservations whose clients were admitted when they returned in time.
+// honoredShare returns the number of honored reservations, as a fraction of the honored and missed ones.
 func honoredShare(r *simulation.AdmissionResult) float64 {
 	honored := float64(r.Counters.ReservationsHonored)
 	missed := float64(r.Counters.ReservationsMissed)
--- a/cmd/switchfork-lab/demo.go
+++ b/cmd/switchfork-lab/demo.go
@@ -24,7 +24,7 @@
 const (
 	// demoNewBuild is the build that is released while the demo runs.
 	demoNewBuild = testbedBuild + 1
-	// badReleaseErrors is the fraction of its requests that a bad release fails.
+	// badReleaseErrors is the fraction of the requests to a bad release that fail.
 	badReleaseErrors = 0.33
 	// floodFactor is the load of a flooding tenant, as a multiple of its share.
 	floodFactor = 20
@@ -58,7 +58,7 @@
 
 	testbed      *testbed
 	clients      *fakes.Clients
-	releaseState atomic.Value // a string, which is displayed
+	releaseState atomic.Value // the displayed state of the release, a string
 }
 
 func newDemoCommand() *cobra.Command {
@@ -123,7 +123,7 @@
 	}
 }
 
-// release takes the new build from stage to stage, as long as the agent approves it.
+// release takes the new build from stage to stage, as long as the agent approves the build.
 func (d *demo) release(ctx context.Context) {
 	time.Sleep(d.length / releaseDelayDivisor)
 	for number, stage := range releaseStages {
--- a/cmd/switchfork-lab/demo_display.go
+++ b/cmd/switchfork-lab/demo_display.go
@@ -71,7 +71,7 @@
 		testbedBuild, d.succeededAt(testbedBuild), demoNewBuild, d.succeededAt(demoNewBuild), d.loggedFailures()))
 }
 
-// succeededAt returns the number of requests that succeeded at a build, of all tenants.
+// succeededAt returns how many requests of all tenants together succeeded at a build.
 func (d *demoDisplay) succeededAt(build int) (total int) {
 	for _, name := range tenantNames {
 		total += d.clients.Totals(name).Builds[strconv.Itoa(build)]
--- a/cmd/switchfork-lab/election.go
+++ b/cmd/switchfork-lab/election.go
@@ -31,11 +31,12 @@
 	// maxLeaveGapMillis bounds the time without a leader after a planned leave, in milliseconds, at the 99th percentile. It is
 	// one and a half round trips in a network whose messages take at most 2 ms.
 	maxLeaveGapMillis = 6.0
-	// maxMessageGrowth bounds how much the messages per agent grow from the smallest to the largest of idleAgents. They may grow
-	// no more than the number of agents.
+	// maxMessageGrowth bounds the factor by which the messages per agent and second grow from the smallest to the largest cluster
+	// size in idleAgents. The messages may grow no faster than the number of agents.
 	maxMessageGrowth = 9.0 / 3
 	// slowMessagesPerLease divides a lease. The quotient is the delay of the messages in a slow network. A ballot takes four
-	// messages in sequence, so with a tenth of a lease for each it lasts longer than the pause between two renewals.
+	// messages in sequence, so with a tenth of a lease for each message, a ballot lasts longer than the pause between two
+	// renewals.
 	slowMessagesPerLease = 10
 	// minAgentsForCrash is the smallest number of agents of which a quorum is left after a crash.
 	minAgentsForCrash = 3
@@ -47,7 +48,7 @@
 	millisPerSecond = 1e3
 )
 
-// idleAgents are the numbers of agents for which the traffic without faults is measured.
+// idleAgents lists the cluster sizes for which the election messages without faults are counted.
 var idleAgents = []int{3, 5, 7, 9}
 
 // electionExperiment plays random schedules of faults. The model of the rollout controller checks the votes.
--- a/cmd/switchfork-lab/election_report.go
+++ b/cmd/switchfork-lab/election_report.go
@@ -74,7 +74,7 @@
 	return totals
 }
 
-// addGaps adds the gaps of a result. The first gap is the time before the first leader.
+// addGaps adds the gaps of a result. The first gap, the time before the first leader, is added only if countsStart is true.
 func (t *electionTotals) addGaps(gaps []int64, countsStart bool) {
 	for i, gap := range gaps {
 		if i > 0 || countsStart {
--- a/cmd/switchfork-lab/faulttest.go
+++ b/cmd/switchfork-lab/faulttest.go
@@ -20,7 +20,7 @@
 // faultTestOptions are the flags of the faulttest command.
 type faultTestOptions struct {
 	run          faulttest.RunOptions
-	namedProgram []string // NAME=PATH
+	namedProgram []string // the values of --program, in the form NAME=PATH
 	agentPath    string   // empty: the agent is built
 }
 
--- a/cmd/switchfork-lab/main_test.go
+++ b/cmd/switchfork-lab/main_test.go
@@ -31,8 +31,8 @@
 
 // Old names of commands and flags do what the current names do, and print a warning with the current name to standard error.
 func TestOldCommandLines(t *testing.T) {
-	// Each row of the table plays one short schedule. The line after the table holds the time that it took, so it is not
-	// compared.
+	// Each row of the table is the result of one short schedule. The line after the table is not compared, because it contains
+	// the duration of the run.
 	election := []string{"--schedules", "1", "--agents", "1", "--seconds", "10"}
 	table := func(out string) string { return out[:strings.LastIndex(out, "played in")] }
 	present, warnings, err := runCommandLine(t, append([]string{"election"}, election...)...)
--- a/cmd/switchfork-lab/soak.go
+++ b/cmd/switchfork-lab/soak.go
@@ -21,7 +21,7 @@
 	defaultSoakSeeds    = 50
 	defaultSoakParallel = 4
 	maxSoakParallel     = 64
-	// maxSoakSeeds is the maximum of --seeds, and the number of seeds of a run that is limited only by its time.
+	// maxSoakSeeds is the maximum of --seeds, and the number of seeds of a run that only --for limits.
 	maxSoakSeeds = 1_000_000
 )
 
@@ -42,7 +42,7 @@
 	Requests   int            `json:"requests"`
 	Restarts   int            `json:"restarts"`
 	Failed     []int64        `json:"failed_seeds"`
-	Violations map[string]int `json:"violations"` // by rule; "other" for a scenario that could not be run to its end
+	Violations map[string]int `json:"violations"` // number of violations by rule; "other" for a scenario that could not be run to its end
 	TookMS     int64          `json:"took_ms"`
 }
 
--- a/cmd/switchfork-lab/thresholds.go
+++ b/cmd/switchfork-lab/thresholds.go
@@ -45,7 +45,7 @@
 	return fmt.Errorf("thresholds not met:\n  %s", strings.Join(t.missed, "\n  "))
 }
 
-// quantile sorts the values and returns the one below which the given fraction of them lies, or 0 if there are none.
+// quantile sorts values and returns their quantile at part, a fraction from 0 to 1. It returns 0 if values is empty.
 func quantile(values []float64, part float64) float64 {
 	if len(values) == 0 {
 		return 0
