--- a/internal/endtoend/client_input_test.go
+++ b/internal/endtoend/client_input_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Input that is not a complete, valid request gets an error response or has its connection closed, in either case within 3 s. None of it
-// reaches an endpoint.
+// Input that is not a complete, valid request gets an error response or has its connection closed, in either case within 3 s. No such
+// input reaches an endpoint.
 func TestMalformedInput(t *testing.T) {
 	endpoint := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
--- a/internal/endtoend/invalid_config_test.go
+++ b/internal/endtoend/invalid_config_test.go
@@ -49,7 +49,7 @@
 }
 
 // expectStartError fails the test unless the process exits with an error at startup, after logging a single line that contains want. The
-// parameter what names the case in a failure.
+// parameter what names the case in failure messages.
 func (a *runningAgent) expectStartError(t *testing.T, what, want string) {
 	t.Helper()
 	hasExited, result := a.waitExit()
--- a/internal/endtoend/routing_test.go
+++ b/internal/endtoend/routing_test.go
@@ -162,7 +162,7 @@
 	}
 }
 
-// The time that a request waits unread while the agent is stopped counts towards its deadline.
+// The time that a request waits unread while the agent is stopped counts towards the request's deadline.
 func TestQueueDelayCountsTowardsDeadline(t *testing.T) {
 	endpoint := agenttest.NewScriptedServer(t, fakes.NeverRespond)
 	agent := startReadyAgent(t, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
@@ -196,9 +196,9 @@
 	return len(threads) > 0
 }
 
-// If endpoints may be told of cancelled requests, the attempt of a client that disconnects ends with its request. The test fails as long as
-// the policy closes such a request without returning a CancelAttempt: the attempt then holds its connection and its slot at the endpoint
-// until its deadline (2.01 s in a trial). Clients that disconnect early thus cost capacity, most of all in an overload.
+// If endpoints may be told of cancelled requests, the attempt of a request ends when the request's client disconnects. The test fails as
+// long as the policy closes such a request without returning a CancelAttempt: the attempt then holds its connection and its slot at the
+// endpoint until its deadline (2.01 s in a trial). Clients that disconnect early thus cost capacity, most of all in an overload.
 func TestAttemptEndsWithItsClient(t *testing.T) {
 	endpoint := agenttest.NewScriptedServer(t, fakes.NeverRespond)
 	agent := startAgent(t, func(config string) string {
--- a/internal/endtoend/running_agent_test.go
+++ b/internal/endtoend/running_agent_test.go
@@ -28,7 +28,7 @@
 	exited            chan error   // receives the result of the process when it exits
 }
 
-// startReadyAgent starts the program with hosts as its configured endpoint list, and waits until it is healthy.
+// startReadyAgent starts the program with hosts as its configured endpoint list, and waits until the agent is healthy.
 func startReadyAgent(t *testing.T, hosts ...string) *runningAgent {
 	t.Helper()
 	a := startAgent(t, func(config string) string { return config }, hosts...)
--- a/internal/endtoend/settings_test.go
+++ b/internal/endtoend/settings_test.go
@@ -21,8 +21,9 @@
 	return class
 }
 
-// The program serves requests with the settings of any deployment: it takes names and values from the settings, and depends on none of a
-// particular deployment. Each case starts the program and sends one request of each class, with the class's method, for each tenant.
+// The program serves requests with the settings of any deployment: it takes all names and values from the settings, and has none of
+// a particular deployment built in. Each case starts the program and sends one request of each class, with the class's method, for
+// each tenant.
 func TestDeploymentSettings(t *testing.T) {
 	twentyClasses := func() (out []any) {
 		for i := range 20 {
