--- a/cmd/switchfork-lab/admission.go
+++ b/cmd/switchfork-lab/admission.go
@@ -15,7 +15,7 @@
 // The simulated fleet and its load.
 const (
 	simulatedEndpoints      = 12
-	simulatedSlots          = 4
+	simulatedSlots          = 4 // requests that an endpoint serves at the same time
 	simulatedMeanWorkMicros = 40_000
 	simulatedLoad           = 0.6 // as a fraction of the endpoints' capacity
 	overloadFactor          = 3   // load of the overload scenario, as a multiple of the endpoints' capacity
@@ -187,9 +187,9 @@
 // each with one request. One request ends for every two arrivals, so half of the clients are rejected.
 func heapAfterOneOffClients(clients int) int64 {
 	const (
-		interval  = 1000 // between arrivals, in microseconds
-		timeout   = 2_000_000
-		objective = 800_000
+		interval  = 1000      // time between arrivals, in microseconds
+		timeout   = 2_000_000 // in microseconds
+		objective = 800_000   // latency objective, in microseconds
 	)
 	controller := admission.New(admission.Config{
 		Classes:    []admission.RequestClass{{LatencyObjective: objective, Timeout: timeout, PriorityWeight: 1}},
--- a/cmd/switchfork-lab/demo.go
+++ b/cmd/switchfork-lab/demo.go
@@ -42,7 +42,7 @@
 
 // releaseStage is a stage of the demo's release.
 type releaseStage struct {
-	newEndpoints int
+	newEndpoints int // endpoints of the new build that the stage adds
 	trafficCap   float64
 }
 
--- a/cmd/switchfork/drain.go
+++ b/cmd/switchfork/drain.go
@@ -7,8 +7,8 @@
 )
 
 // A drain has to end before SIGKILL. By the platform's protocol, the time from SIGTERM to SIGKILL is at least killDelay plus the longest
-// request timeout, which counts as maxDrainTimeout if it is longer. drainReserve leaves time for logging, and for a system that is slow
-// to notice the exit.
+// request timeout or maxDrainTimeout, whichever is shorter. drainReserve leaves time for logging, and for a system that is slow to
+// notice the exit.
 const (
 	killDelay       = 700 * time.Millisecond
 	maxDrainTimeout = 3 * time.Second
--- a/internal/endtoend/connection_reuse_test.go
+++ b/internal/endtoend/connection_reuse_test.go
@@ -31,7 +31,7 @@
 }
 
 // Like TestRestartAnswersKeptConnections, but with clients that follow the protocol: they open new connections for only 0.2 to 0.4 s after
-// SIGTERM, and use open connections until the agent closes them. They lose no request on a busy machine either, where a client that
+// SIGTERM, and use open connections until the agent closes them. Such clients lose no request on a busy machine either, where a client that
 // continues to connect may still have a connection reset when the listener closes.
 func TestRestartWithinProtocol(t *testing.T) {
 	const restarts, clients, thinkTime, connectsFor = 3, 150, 50 * time.Millisecond, 300 * time.Millisecond
@@ -53,9 +53,9 @@
 }
 
 // While descriptors are free, a client that keeps its connection open uses that connection for all its requests. The test guards against
-// this failure: only a tenth of the limit, 99 connections with 1,024 descriptors, could be idle, and each further connection that became idle
-// made the agent close the one that had been idle longest. Within 10 s, 150 clients opened 1,543 connections, and 3 of 10,910 requests got no
-// response. 280 clients opened 5,917 connections; 5 of 13,648 requests got no response and 133 were rejected.
+// this failure: only a tenth of the limit, 99 connections with 1,024 descriptors, could be idle, and each further connection that became
+// idle made the agent close the connection that had been idle longest. Within 10 s, 150 clients opened 1,543 connections, and 3 of 10,910
+// requests got no response. 280 clients opened 5,917 connections; 5 of 13,648 requests got no response and 133 were rejected.
 func TestKeptConnectionsAreNotReplaced(t *testing.T) {
 	const clients, thinkTime = 150, 50 * time.Millisecond
 	endpoint := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
--- a/internal/endtoend/reusing_clients_test.go
+++ b/internal/endtoend/reusing_clients_test.go
@@ -26,7 +26,7 @@
 	requests          atomic.Int64
 	rejected          atomic.Int64
 	connections       atomic.Int64
-	reconnectDisabled atomic.Bool // clients open no further connections
+	reconnectDisabled atomic.Bool // if set, clients open no further connections
 
 	mu         sync.Mutex
 	unanswered []string // the errors of requests that were sent completely and got no response
