--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// Ready returns a channel that holds a token after a message was put. Whoever receives the token then calls Take. That call may
-// return no messages: a Put between the receipt of the previous token and the previous call of Take added a new token, although
-// that call already returned the message.
+// Ready returns a channel that holds a token after a message was put. Whoever receives the token then calls Take. Take may
+// return no messages: a Put between the receipt of a token and the following Take adds another token, although this Take already
+// returns the message.
 func (m *Mailbox[T]) Ready() <-chan struct{} { return m.ready }
 
 // Take removes all messages and returns them in the order in which they were put. earlier is nil or a batch that an earlier call
