--- a/internal/protocol/limits.go
+++ b/internal/protocol/limits.go
@@ -8,12 +8,12 @@
 // BodyLimit is the maximum length of a request's or response's body, in bytes.
 const BodyLimit = 64 << 10
 
-// HeadLimit is the maximum length of a request's or response's head, in bytes. It is many times the length of any valid head. It is low
-// because hundreds of connections that send an endless head at once have to fit into the smallest memory limit.
+// HeadLimit is the maximum length of a request's or response's head, in bytes. It is many times the length of any valid head. It is no
+// higher because hundreds of connections that send an endless head at once have to fit into the smallest memory limit.
 const HeadLimit = 8 << 10
 
-// ErrBodyTooLong reports that a body is longer than BodyLimit. If it is a request's body, the error's text is the body of the response to the
-// client.
+// ErrBodyTooLong reports that a body is longer than BodyLimit. If a request's body is too long, the error's text is the body of the
+// response to the client.
 var ErrBodyTooLong = errors.New("body is over 64 KiB")
 
 // ReadBody reads a complete body. It returns ErrBodyTooLong if the body is longer than BodyLimit. length is the value of the
--- a/internal/protocol/list.go
+++ b/internal/protocol/list.go
@@ -43,10 +43,10 @@
 	return list, err
 }
 
-// errNoHost reports a list entry without a host name, which can't be identified.
+// errNoHost reports that a list entry has no host name, without which the endpoint can't be identified.
 var errNoHost = errors.New("list entry has no host")
 
-// endpointStates maps the health that discovery reports to the policy's endpoint state.
+// endpointStates maps each value of ListEntry.Health to the policy's endpoint state.
 var endpointStates = map[string]policy.EndpointState{
 	HealthActive: policy.Ready,
 	"leaving":    policy.Draining,
--- a/internal/protocol/list_reader.go
+++ b/internal/protocol/list_reader.go
@@ -12,16 +12,16 @@
 	ErrListTooLong = errors.New("list is over the limit")
 )
 
-// ListReader assembles JSON lists from lines. A list may be indented and span several lines. It is complete when all its brackets are
+// ListReader assembles JSON lists from lines. A list may be indented and span several lines. A list is complete when all its brackets are
 // closed. A JSON string can't span lines, so a line that ends within a string completes a document too, which then fails to decode.
 type ListReader struct {
 	document []byte // the lines of the incomplete list
 	depth    int    // number of brackets that are open
 }
 
-// Add adds a line. It returns the document that the line completes, or nil if more lines are needed. An empty line is a keep-alive. It is
-// never sent within a list, so after it an incomplete list can't be completed and Add returns ErrListCutOff. limit is the maximum length of
-// a document in bytes.
+// Add adds a line. It returns the document that the line completes, or nil if more lines are needed. An empty line is a keep-alive, which
+// is never sent within a list. If a list is incomplete when an empty line is added, Add returns ErrListCutOff. limit is the maximum length
+// of a document in bytes.
 func (r *ListReader) Add(line []byte, limit int) (document []byte, err error) {
 	if len(line) == 0 {
 		return nil, r.End()
--- a/internal/protocol/rollout.go
+++ b/internal/protocol/rollout.go
@@ -22,7 +22,7 @@
 	AgeMs float64 `json:"lag_ms" xml:"lag_ms"`
 }
 
-// phases maps the rollout controller's name of a phase to the policy's phase.
+// phases maps each phase name of the rollout controller to the policy's phase.
 var phases = map[string]policy.Phase{
 	"testing":   policy.Evaluating,
 	"recalling": policy.RollingBack,
--- a/internal/protocol/vote.go
+++ b/internal/protocol/vote.go
@@ -20,7 +20,7 @@
 // The rollout controller's error codes.
 const (
 	codeThrottling      = "Throttling"      // the vote was not processed
-	codeConditionFailed = "ConditionFailed" // the build is no longer at that stage
+	codeConditionFailed = "ConditionFailed" // the build is no longer at the vote's stage
 	codeValidationError = "ValidationError"
 )
 
@@ -44,8 +44,8 @@
 	return fmt.Sprintf("Action=RecordOpinion&image=%d&ring=%d&opinion=%s", vote.Build, vote.Stage, VerdictName(vote.Verdict))
 }
 
-// ReadVoteReply returns the result of a vote and, if the vote was accepted, the state of the rollout. A reply that can't be parsed is
-// TimedOut, because the vote may have been accepted.
+// ReadVoteReply returns the result of a vote and, if the vote was accepted, the state of the rollout. If the reply can't be parsed, the
+// result is TimedOut, because the vote may have been accepted.
 func ReadVoteReply(status int, raw []byte) (Result, policy.RolloutUpdate) {
 	switch status {
 	case http.StatusOK:
--- a/internal/streamclient/http_client.go
+++ b/internal/streamclient/http_client.go
@@ -10,9 +10,9 @@
 	"switchfork/internal/tcpconn"
 )
 
-// NewHTTPClient returns a client for streams, and for calls so rare that a connection for each avoids stale ones. It follows no redirects
-// and bounds the size of a response's head. A connection has to be established within dialTimeout. Unless unread is nil, it tracks the
-// connections while they are open.
+// NewHTTPClient returns a client for streams and for rare calls. Each of them has a new connection, so that none uses a stale connection.
+// The client follows no redirects and bounds the size of a response's head. A connection has to be established within dialTimeout. Unless
+// unread is nil, unread tracks the connections while they are open.
 func NewHTTPClient(dialTimeout time.Duration, unread *tcpconn.UnreadTracker) *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &http.Client{
--- a/internal/streamclient/retry.go
+++ b/internal/streamclient/retry.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// StatusError is an error for a response with a status other than 200. BackoffReason recognizes an overloaded server by it.
+// StatusError is an error for a response with a status other than 200. BackoffReason uses the status to recognize an overloaded server.
 type StatusError int
 
 // Error implements error.
--- a/internal/tcpconn/accept_backlog.go
+++ b/internal/tcpconn/accept_backlog.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// AcceptBacklog returns how many connections wait to be accepted on a listener, or 0 if the kernel does not report the number.
+// AcceptBacklog returns how many connections wait to be accepted on a listener, or 0 if the kernel does not report this count.
 func AcceptBacklog(listener syscall.Conn) int {
 	raw, err := listener.SyscallConn()
 	if err != nil {
--- a/internal/tcpconn/input.go
+++ b/internal/tcpconn/input.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// IsOpenWithoutInput reports whether a connection is open and has no unread input. It returns false if it has no access to the
-// connection's descriptor.
+// IsOpenWithoutInput reports whether a connection is open and has no unread input. It returns false if the connection's descriptor is not
+// accessible.
 func IsOpenWithoutInput(conn any) bool {
 	withSyscalls, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/tcpconn/reset_conn.go
+++ b/internal/tcpconn/reset_conn.go
@@ -9,9 +9,9 @@
 )
 
 // ResetConn is a connection that Close resets if nothing has been read since the last write. After an ordinary close, the kernel continues
-// to send the unacknowledged data for a quarter of an hour: requests and votes that had been given up were delivered seconds or minutes
-// later, over a path that had dropped all packets before, when no caller waited for them. The reset also discards data that a full
-// send window holds back. Its drawback is that a peer that reads slowly never sees the data that it has not read before the reset. That is
+// to send the unacknowledged data for a quarter of an hour. If the network path dropped all packets for some time, requests and votes that
+// had been given up were delivered seconds or minutes later, when no caller waited for them. The reset also discards data that a full send
+// window holds back. A drawback is that a peer that reads slowly never sees the data that it has not read before the reset. That is
 // acceptable for a call that was given up.
 type ResetConn struct {
 	tcp        *net.TCPConn
@@ -20,7 +20,7 @@
 	tracker    *UnreadTracker // nil: not tracked
 }
 
-// Dial opens a ResetConn. Unless tracker is nil, it tracks the connection until the connection is closed.
+// Dial opens a ResetConn. Unless tracker is nil, tracker tracks the connection until the connection is closed.
 func Dial(ctx context.Context, dialer *net.Dialer, address string, tracker *UnreadTracker) (net.Conn, error) {
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/internal/tcpconn/reset_conn_test.go
+++ b/internal/tcpconn/reset_conn_test.go
@@ -10,7 +10,7 @@
 
 const response = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
-// serveOne reads a request, responds to it or not, and returns the error with which the connection ends.
+// serveOne reads a request, responds if responds is true, and returns the error with which the connection ends, or nil at EOF.
 func serveOne(conn net.Conn, responds bool) error {
 	if _, err := conn.Read(make([]byte, 4096)); err != nil {
 		return err
--- a/internal/tcpconn/unread_tracker.go
+++ b/internal/tcpconn/unread_tracker.go
@@ -12,8 +12,8 @@
 // NewUnreadTracker returns a tracker without connections. Dial adds them.
 func NewUnreadTracker() *UnreadTracker { return &UnreadTracker{open: map[*ResetConn]bool{}} }
 
-// HasUnread reports whether any of the connections may have input that its reader has not handed on. This is so if its reader is not in
-// Read, or if input is unread.
+// HasUnread reports whether any of the connections may have input that its reader has not handed on. This is so if the connection's reader
+// is not in Read, or if the connection has unread input.
 func (t *UnreadTracker) HasUnread() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
