--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -30,7 +30,8 @@
 	publisher     *listPublisher
 	address       string   // discovery's address, or the new address while a move is in progress
 	current       *watcher // the watcher whose lists are published
-	// successor is a second watcher at the same address. It runs while the current watcher is silent; nil otherwise. See successor.go.
+	// successor is a second watcher at the address of the current one. It runs while the current watcher is silent; nil otherwise. See
+	// successor.go.
 	successor *watcher
 	// pending is the watcher at the new address while a move is in progress; nil otherwise. See move.go.
 	pending *watcher
@@ -108,8 +109,9 @@
 	}
 }
 
-// handleList publishes a list of the current watcher. Lists of the pending watcher are merged, without being published, until their version
-// is at least the published one; the pending watcher then becomes the current one. Lists of watchers that have been replaced are dropped.
+// handleList publishes a list of the current watcher. Lists of the pending watcher are merged into pendingList, which is published once
+// its version is at least the published version. The pending watcher then becomes the current one. Lists of watchers that have been
+// replaced are dropped.
 func (c *Client) handleList(received listReceived) {
 	c.resolveSuccessor(received.from)
 	switch received.from {
@@ -124,7 +126,7 @@
 }
 
 // handleHeartbeat makes the pending watcher the current one if the pending watcher received the heartbeat. The heartbeat shows that
-// discovery has nothing newer than what it has sent to this watcher.
+// discovery has already sent this watcher all changes that discovery knows of.
 func (c *Client) handleHeartbeat(from *watcher) {
 	c.resolveSuccessor(from)
 	if from == c.pending {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -27,8 +27,8 @@
 	return r, previous, next
 }
 
-// Moving to a discovery server with an older list does not revoke a drain. The full list of the new server is held back until its watch has
-// brought it to the version that is published.
+// Moving to a discovery server with an older list does not revoke a drain. The full list of the new server is held back until the new
+// server's watch has brought that list to the published version.
 func TestMoveToOlderList(t *testing.T) {
 	r, previous, next := newMovingRig(t, time.Hour)
 	agenttest.Eventually(t, "the next watch", func() bool { return next.CallsContaining("index=7") == 1 && next.OpenedStreams() == 1 })
--- a/internal/discovery/endpoint_numbers.go
+++ b/internal/discovery/endpoint_numbers.go
@@ -13,7 +13,7 @@
 }
 
 // assign returns a host's number and assigns one if the host has none. The number is a hash of the host's name, so that it is the same on
-// every agent and after a restart. If two names have the same hash, the host that is assigned its number later gets the hash of its name with
+// every agent and after a restart. If two names have the same hash, the second host to be assigned a number gets the hash of its name with
 // apostrophes appended. Hosts of the same list are assigned their numbers in the order of their names.
 func (n *endpointNumbers) assign(host string) uint32 {
 	if number, assigned := n.numberOfHost[host]; assigned {
--- a/internal/discovery/list_calls.go
+++ b/internal/discovery/list_calls.go
@@ -19,8 +19,8 @@
 	// heartbeatInterval is the interval at which discovery sends heartbeats on a watch.
 	heartbeatInterval = 2 * time.Second
 	// silenceTimeout is the time without a line after which a watch is reported as silent and a second watch is opened. The control plane
-	// assumes that an agent whose watch is silent knows a change three heartbeat intervals after the last line. This timeout leaves one
-	// interval for the random delay before the second watch, its connection and its list.
+	// assumes that an agent knows a change at the latest three heartbeat intervals after the last line of its watch. This timeout leaves
+	// one interval for the second watch: the random delay before it, its connection and its list.
 	silenceTimeout = 2 * heartbeatInterval
 	// heartbeatTimeout is the time without a line after which a watch ends, and the time limit of a call for the full list. It is longer than
 	// silenceTimeout, so that a slow discovery server is not cut off in the middle of a list.
@@ -107,9 +107,9 @@
 	return nil
 }
 
-// readLists calls discovery and passes each list of the response to handle, until the response ends or handle fails. A heartbeat is passed as
-// an empty list. The full list is fetched after a list of several lines that is too long, and after a list that is not complete when the
-// next list or a heartbeat begins.
+// readLists calls discovery and passes each list of the response to handle, until the response ends or handle fails. A heartbeat is passed
+// as an empty list. It is an error if a list of several lines is too long, or if a list is not complete when the next list or a heartbeat
+// begins. The watcher then fetches the full list.
 func (w *watcher) readLists(ctx context.Context, url string, handle func(raw []byte) error) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/discovery/message.go
+++ b/internal/discovery/message.go
@@ -14,7 +14,7 @@
 	list protocol.List
 }
 
-// heartbeatReceived reports a heartbeat on a watch. It means that discovery has sent the watcher all changes that it knows of.
+// heartbeatReceived reports a heartbeat on a watch. A heartbeat means that discovery has sent the watcher all changes that discovery knows of.
 type heartbeatReceived struct{ from *watcher }
 
 // watchSilent reports that no line has arrived on a watch for silenceTimeout.
--- a/internal/discovery/successor.go
+++ b/internal/discovery/successor.go
@@ -37,8 +37,9 @@
 }
 
 // resolveSuccessor chooses between the current watcher and its successor at the first line that either receives. A line from the successor
-// shows that its watch works. Discovery sends that watch all changes after the version that was published when it was opened, so the silent
-// watch is no longer needed. A line from the current watcher shows that its watch was slow but not broken, and that no change was missed.
+// shows that the second watch works. Discovery sends on the second watch all changes after the version that was published when this watch
+// was opened, so the silent watch is no longer needed. A line from the current watcher shows that the silent watch was slow but not broken,
+// and that no change was missed.
 func (c *Client) resolveSuccessor(from *watcher) {
 	switch {
 	case c.successor == nil:
--- a/internal/discovery/successor_test.go
+++ b/internal/discovery/successor_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// The second watch replaces the first one when its first line arrives. A list that the first watch reports after that is older and is dropped.
+// The second watch replaces the first watch when a line arrives on the second watch. A list that the first watch reports after that is
+// older and is dropped.
 func TestSecondWatchTakesOver(t *testing.T) {
 	r, server, first := newSilentRig(t, noLine)
 	server.Publish(fakes.ListDocument(7, false, firstHost("leaving", 1)))
@@ -50,7 +51,7 @@
 	}
 }
 
-// If the second watch is silent as well, a third one replaces it. The first watch is still read.
+// If the second watch is silent as well, a third watch replaces the second. The first watch is still read.
 func TestSecondWatchIsSilent(t *testing.T) {
 	r, server, first := newSilentRig(t, noLine)
 	r.client.mailbox.Put(watchSilent{from: first}) // has the same effect as a report by the second watcher
@@ -60,7 +61,8 @@
 	agenttest.Eventually(t, "the drain", r.hasDrainingEndpoint)
 }
 
-// If the silent watch ends before a line has arrived on the second one, the second one replaces it. If there is no second watch, one is opened.
+// If the silent watch ends before a line has arrived on the second watch, the second watch replaces the silent one. If there is no second
+// watch, another watch is opened.
 func TestSilentWatchEnds(t *testing.T) {
 	r, server, first := newSilentRig(t, noLine)
 	r.client.mailbox.Put(watcherEnded{from: first})
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -29,9 +29,9 @@
 type watcher struct {
 	watchConfig
 	listURL       string
-	version       uint64 // version of the last received list
-	needsFullList bool   // the full list has to be fetched before the next watch
-	startDelay    backoff.Micros
+	version       uint64         // version of the last received list
+	needsFullList bool           // the full list has to be fetched before the next watch
+	startDelay    backoff.Micros // delay before the first call
 	backoff       *backoff.Backoff
 	cancel        context.CancelFunc
 
@@ -65,7 +65,7 @@
 // retire makes the watcher end when its open watch ends.
 func (w *watcher) retire() { w.setRetired(true) }
 
-// resume makes a retired watcher open its watch again when it ends. If the watcher has already ended, it has reported watcherEnded.
+// resume makes a retired watcher open its watch again when the watch ends. If the watcher has already ended, it has reported watcherEnded.
 func (w *watcher) resume() { w.setRetired(false) }
 
 func (w *watcher) setRetired(retired bool) {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -39,8 +39,8 @@
 	agenttest.Eventually(t, "the watch from the full list on", func() bool { return server.CallsContaining("index=30") > 0 })
 }
 
-// A discovery server that reports overload is called again within the configured time but not at once, because all agents call it alike and
-// would retry together.
+// A discovery server that reports overload is called again within Config.PollWithin but not at once, because otherwise all agents would
+// retry together.
 func TestOverloadedDiscoveryIsNotRetriedAtOnce(t *testing.T) {
 	var calls atomic.Int64
 	overloaded := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/rollout/client.go
+++ b/internal/rollout/client.go
@@ -29,7 +29,7 @@
 	mailbox     *mailbox.Mailbox[message]
 	apiURL      string
 	httpClient  *http.Client
-	timedClient *http.Client  // client for timed votes
+	timedClient *http.Client  // sends timed votes
 	voteTimeout time.Duration // see Config.VoteTimeout
 	publisher   *updatePublisher
 	current     *stream // the stream whose updates are published
@@ -76,7 +76,7 @@
 // Vote casts a vote and passes the reply to the event loop.
 func (c *Client) Vote(vote policy.Vote) { c.mailbox.Put(voteRequested{vote}) }
 
-// VoteBefore casts a timed vote.
+// VoteBefore casts a timed vote, which is not written after vote.WriteBefore.
 func (c *Client) VoteBefore(vote TimedVote) { c.mailbox.Put(timedVoteRequested{vote}) }
 
 // Move makes the client use another address of the rollout controller. The old stream is read until the new stream has received the current
--- a/internal/rollout/stream.go
+++ b/internal/rollout/stream.go
@@ -55,8 +55,8 @@
 	return time.Since(s.lastLineAt) >= maxMissedHeartbeats*heartbeatInterval
 }
 
-// read reports updates and heartbeats until the stream ends. It also ends the stream at a line that can't be parsed: the connection is of no
-// further use, and a new one receives the current state as soon as it is open.
+// read reports updates and heartbeats until the stream ends. It also ends the stream at a line that can't be parsed: the connection is of
+// no further use, and a new stream receives the current state as soon as it is open.
 func (s *stream) read(ctx context.Context) error {
 	defer s.cancel()
 	url := s.apiURL + streamPath
--- a/internal/rollout/stream_replacement.go
+++ b/internal/rollout/stream_replacement.go
@@ -52,8 +52,8 @@
 	return c.backoff.Next(streamclient.BackoffReason(err))
 }
 
-// replaceIfSilent opens a pending stream if the current stream is silent. The silent stream stays open until the pending one has received an
-// update, because the controller does not send an update again that it has sent while no stream was open.
+// replaceIfSilent opens a pending stream if the current stream is silent. The silent stream stays open until the pending stream has
+// received an update, because the controller does not repeat an update that it sent while no stream was open.
 func (c *Client) replaceIfSilent(ctx context.Context) {
 	if !c.current.isSilent() {
 		return
--- a/internal/rollout/update_publisher.go
+++ b/internal/rollout/update_publisher.go
@@ -8,10 +8,10 @@
 
 // updatePublisher passes updates of the stream and replies to votes to the event loop. It is safe for concurrent use.
 //
-// Both replies and the stream report the state of the rollout, on separate connections. A reply that the controller wrote before it rolled a
-// build back may be read after the stream's update about that rollback. If it were published unchanged, the build would be evaluated again. A
-// reply therefore does not change a state that was published after the vote's call began. If the reply is in fact newer than that state, the
-// stream delivers the same state later.
+// Both replies and the stream report the state of the rollout, on separate connections. A reply that the controller wrote before it rolled
+// a build back may be read after the stream's update about that rollback. If the reply were published unchanged, the build would be
+// evaluated again. A reply therefore does not change a state that was published after the vote's call began. If the reply is in fact newer
+// than that state, the stream delivers the reply's state later.
 type updatePublisher struct {
 	updateRollout func(policy.RolloutUpdate)
 	observer      func(policy.RolloutUpdate) // may be nil
--- a/internal/rollout/vote_results.go
+++ b/internal/rollout/vote_results.go
@@ -8,8 +8,8 @@
 	"switchfork/internal/protocol"
 )
 
-// wasWritten reports whether a resolved vote may have reached the controller. Without a connection, it has not. Counting such a vote as cast
-// would hide from operators that the controller can't be reached.
+// wasWritten reports whether a resolved vote may have reached the controller. A vote without a connection has not. Counting such a vote as
+// cast would hide from operators that the controller can't be reached.
 func wasWritten(result protocol.Result) bool {
 	switch result {
 	case protocol.NotSent, protocol.ConnectionRefused, protocol.ConnectTimeout:
@@ -21,7 +21,8 @@
 	return true
 }
 
-// isResolved reports whether a vote with this result has been carried out or never will be. After any other result it may still be carried out.
+// isResolved reports whether a vote with this result has been carried out or never will be. After any other result, the vote may still be
+// carried out.
 func isResolved(result protocol.Result) bool {
 	switch result {
 	case protocol.Succeeded, protocol.NotRun, protocol.Stale, protocol.ConnectionRefused, protocol.ConnectTimeout, protocol.NotSent:
--- a/internal/rollout/votes_test.go
+++ b/internal/rollout/votes_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// A vote that gets no reply from the controller is published with an outcome too.
+// If the controller does not reply to a vote, an outcome of the vote is published nevertheless.
 func TestVoteWithoutReply(t *testing.T) {
 	silent, closed := agenttest.NewScriptedServer(t, fakes.NeverRespond), agenttest.Listen(t)
 	if err := closed.Close(); err != nil {
@@ -97,8 +97,8 @@
 	}
 }
 
-// The connection of a vote that was given up is reset, so that the operating system does not keep sending the vote. This applies to timed votes
-// as well.
+// When a vote is given up, its connection is reset, so that the operating system does not keep sending the vote. This applies to timed
+// votes as well.
 func TestAbandonedVoteIsReset(t *testing.T) {
 	ended := make(chan error, 8)
 	listener := agenttest.Listen(t)
--- a/internal/simprotocol/frame.go
+++ b/internal/simprotocol/frame.go
@@ -9,7 +9,7 @@
 
 const (
 	frameHeaderBytes = 4       // the length field, whose value includes these bytes
-	minFrameBytes    = 16      // the length, the number of records and the time
+	minFrameBytes    = 16      // the length, the record count and the simulated time
 	maxFrameBytes    = 1 << 30 // a frame with a greater length is corrupt
 )
 
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// handleEvent passes an event to a router and writes the commands that the router returns. If the router panics, it writes
-// one record that reports the panic instead, and the other instances keep running.
+// handleEvent passes an event to a router and writes the commands that the router returns. If the router panics,
+// handleEvent writes one record that reports the panic instead, and the other instances keep running.
 func handleEvent(router policy.Router, now policy.Micros, event policy.Event, instance int, w *writer) {
 	start := len(w.buf)
 	defer func() {
--- a/internal/simprotocol/reader.go
+++ b/internal/simprotocol/reader.go
@@ -11,7 +11,7 @@
 	microsPerMilli = 1000
 	maxMillis      = 1e12 // greatest absolute value of a time, in milliseconds; about 31 years
 	maxFieldBytes  = 8    // length of the longest fixed-length field
-	kindUnknown    = -1   // kind of a position at which the record's kind has not been read yet
+	kindUnknown    = -1   // position.kind while the record's kind has not been read yet
 )
 
 // position identifies a record in a batch for error messages. It is formatted only if there is an error.
@@ -70,7 +70,7 @@
 	return field
 }
 
-// floats reads a list of 32-bit floats. The list is preceded by its length, which is one byte.
+// floats reads a list of 32-bit floats. A byte before the list holds the number of floats.
 func (r *reader) floats() []float32 {
 	count := r.u8()
 	values := make([]float32, 0, 4)
@@ -80,8 +80,8 @@
 	return values
 }
 
-// micros reads a time in milliseconds and returns it in whole microseconds. field is the protocol's name of the time, used in
-// error messages.
+// micros reads a time in milliseconds and returns it in whole microseconds. field is the protocol's name of the
+// field, used in error messages.
 func (r *reader) micros(field string) policy.Micros {
 	millis := r.f64()
 	if math.IsNaN(millis) || math.Abs(millis) > maxMillis {
