--- a/internal/upstream/attempts.go
+++ b/internal/upstream/attempts.go
@@ -113,9 +113,9 @@
 // isCurrent reports whether a connection leads to the process in the latest list entry and the endpoint has not been removed.
 func (w *worker) isCurrent(conn *connection) bool { return !w.isRemoved && conn.process == w.process }
 
-// suspectsIdleConnections reports whether a result indicates that the process or the network path to it is or was unavailable. Idle
-// connections may then be dead without any sign of it on this side, and each of them would cost an attempt that may have run. If only
-// the one connection had ended, closing the idle ones costs a handshake for each.
+// suspectsIdleConnections reports whether a result indicates that the endpoint's process, or the network path to the process, is or was
+// unavailable. Idle connections may then be dead without any sign on this side, and each dead connection would cost an attempt that may
+// have run. If only the exchange's connection was lost, closing the idle connections costs one handshake for each of them.
 func suspectsIdleConnections(exchange *httpExchange, result protocol.Result) bool {
 	switch result {
 	case protocol.LostAfterSent, protocol.LostBeforeSent, protocol.ConnectTimeout, protocol.ConnectionRefused:
--- a/internal/upstream/endpoint_test.go
+++ b/internal/upstream/endpoint_test.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// A retry is not written after its WriteBefore time, when its deduplication group would no longer drop it as a duplicate. This holds if its
-// connection comes up late and if its message is handled late.
+// A retry is not written after its WriteBefore time, because the deduplication group would no longer drop the retry as a duplicate. This
+// holds whether the connection comes up late or the message that requests the attempt is handled late.
 func TestRetryIsNotWrittenAfterWriteBefore(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, agenttest.WaitTimeout)
@@ -130,8 +130,8 @@
 	}
 }
 
-// A second response that arrives some time after the first never becomes the response to the next request. The connection settles first and
-// is checked for input then.
+// A second response that arrives some time after the first never becomes the response to the next request. A connection is not reused
+// before its settle time has passed, and is checked for input then.
 func TestLateSecondResponse(t *testing.T) {
 	var first net.Conn // connection of the first request
 	server := agenttest.NewScriptedServer(t, func(conn net.Conn, nth int) bool {
@@ -200,7 +200,8 @@
 	}
 }
 
-// A response that arrives slowly may take as long as its attempt. One that pauses in its middle ends soon, as malformed.
+// A response that arrives slowly may take as long as its attempt. If a response pauses in the middle, the attempt soon ends with outcome
+// Malformed.
 func TestSlowResponse(t *testing.T) {
 	response := fakes.OKResponse(strings.Repeat("x", 20))
 	for _, test := range []struct {
@@ -232,8 +233,8 @@
 	}
 }
 
-// After a stall longer than an endpoint keeps idle connections, no request is written to one of them, even though the sweep has not run and
-// the endpoint's close has not arrived. The request would end as a reset.
+// If the agent stalls for longer than an endpoint keeps idle connections, no request is written to an idle connection after the stall, even
+// though the sweep has not run and the endpoint's close has not arrived. The request would end as a reset.
 func TestExpiredConnectionIsNotReused(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, time.Second)
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -23,10 +23,10 @@
 	return a.Deadline
 }
 
-// isOutdated reports whether it is too late to write the request. The process may have stalled since the policy chose this endpoint, and
-// the endpoint list may have changed. An attempt is therefore outdated once it is older than a dial and a stall below the detection
-// threshold can explain, and the policy chooses an endpoint again. If the process is short of CPU time, this may also happen to a request
-// that has only waited for the CPU.
+// isOutdated reports whether it is too late to write the request. The agent's process may have stalled since the policy chose this
+// endpoint, and the endpoint list may have changed. An attempt is therefore outdated once its age exceeds dialTimeout plus StallThreshold:
+// a dial and a stall that is not detected can't take longer. The policy then chooses an endpoint again. If the agent is short of CPU time,
+// this may also happen to a request that has only waited for the CPU.
 func (a *Attempt) isOutdated(dialTimeout time.Duration) bool {
 	now := time.Now()
 	if now.Sub(a.DecidedAt) > dialTimeout+StallThreshold {
--- a/internal/upstream/idle_pool.go
+++ b/internal/upstream/idle_pool.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TrimIdleAfter is how long a connection may be idle while descriptors are short. Connections that have been idle for longer are more than
-// current traffic needs.
+// TrimIdleAfter is how long a connection may be idle while descriptors are short. A connection that has been idle for longer is not needed
+// at the current rate of requests.
 const TrimIdleAfter = 500 * time.Millisecond
 
 const (
--- a/internal/upstream/messages.go
+++ b/internal/upstream/messages.go
@@ -16,7 +16,7 @@
 	cancelRequest      struct{ requestID uint64 }
 	healthCheckRequest struct{}
 
-	// trimRequest asks to close the connections that current traffic does not need.
+	// trimRequest asks to close the connections that have been idle for at least TrimIdleAfter.
 	trimRequest struct{}
 
 	// sweepTimer fires when the idle connections have to be checked for expiry.
@@ -25,7 +25,7 @@
 	// deadlineTimer fires at an exchange's deadline.
 	deadlineTimer struct{ exchange *httpExchange }
 
-	// writeTimer fires at an exchange's write deadline if that is before its deadline.
+	// writeTimer fires at an exchange's write deadline if that is before the exchange's deadline.
 	writeTimer struct{ exchange *httpExchange }
 
 	// dialResult has a new connection, or the error of the dial.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -21,7 +21,7 @@
 
 // DefaultSettleTime is the usual Config.SettleTime. When a connection becomes idle, a second response to the previous request may still
 // arrive, according to the protocol for some milliseconds. The next request on the connection would get the body of that response.
-// DefaultSettleTime is several times as long. It costs an additional connection where one would otherwise be reused at once.
+// DefaultSettleTime is several times as long. The cost is an additional connection whenever a connection would otherwise be reused at once.
 const DefaultSettleTime = 20 * time.Millisecond
 
 // StallThreshold is how late a timer has to fire to show that the process has stalled. What discovery and the rollout controller wrote
--- a/internal/upstream/response_reader.go
+++ b/internal/upstream/response_reader.go
@@ -12,8 +12,9 @@
 )
 
 // maxResponseGap is the longest pause within a response that has begun. An endpoint writes a response in one piece, without other work in
-// between. The bound guards against heads and bodies that do not end and against lengths that are too long, which the reader would
-// otherwise wait for until the request's deadline. A response that arrives slowly, byte by byte, may take as long as its attempt.
+// between. The bound guards against heads and bodies that do not end and against bodies that are shorter than their Content-Length. The
+// reader would otherwise wait for the rest until the request's deadline. A response that arrives slowly, byte by byte, may take as long as
+// its attempt.
 const maxResponseGap = 300 * time.Millisecond
 
 const readBufferBytes = 4 << 10
@@ -51,8 +52,8 @@
 	return r.conn.Read(b)
 }
 
-// next reads one response and skips interim responses before it. If more bytes follow the response, it is marked as the connection's
-// last.
+// next reads one response and skips interim responses before it. If more bytes follow the response, the response is marked as the
+// connection's last.
 func (r *responseReader) next(loadReportFields []string) (*protocol.Response, error) {
 	r.limit.N = protocol.HeadLimit + protocol.BodyLimit
 	for {
--- a/internal/upstream/results_test.go
+++ b/internal/upstream/results_test.go
@@ -139,7 +139,7 @@
 		for id := uint64(1); id <= 50; id++ {
 			got := r.Send(t, id, agenttest.KeyedRequest, time.Second)
 			if got.Response == nil || string(got.Response.Body) != fmt.Sprint(id) {
-				t.Fatalf("request %d: got reply %+v, want the request's number as the body", id, got)
+				t.Fatalf("request %d: got reply %+v, want the request's ID as the body", id, got)
 			}
 			<-sentAfter
 		}
@@ -166,7 +166,7 @@
 	}
 }
 
-// A cancelled request ends its attempt once, and the result of a health check has the load report of its response.
+// The cancellation of a request ends its attempt once. The result of a health check holds the load report of the endpoint's response.
 func TestCancelAndHealthCheck(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.NeverRespond)
 	r := agenttest.NewRig(t, time.Second)
@@ -201,7 +201,7 @@
 	}
 }
 
-// An attempt that was decided before a stall is not written after it: the policy chooses again.
+// An attempt that was decided before a stall is not written after the stall: the policy chooses an endpoint again.
 func TestOutdatedAttemptIsNotWritten(t *testing.T) {
 	server := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	r := agenttest.NewRig(t, 100*time.Millisecond)
--- a/internal/upstream/transfer.go
+++ b/internal/upstream/transfer.go
@@ -17,7 +17,7 @@
 // write sends an exchange's request on a connection.
 func (w *worker) write(conn *connection, exchange *httpExchange) {
 	request := exchange.Encoded.Bytes(time.Until(exchange.Deadline))
-	conn.readNext <- struct{}{} // also reads a response that arrives before the request is written completely
+	conn.readNext <- struct{}{} // sent before the write, as the response may arrive before the request is written completely
 	conn.exchange = exchange
 	exchange.connection, exchange.isWritten, exchange.lostResult = conn, false, protocol.Succeeded
 	if exchange.isOutdated(w.pool.dialer.Timeout) {
--- a/internal/upstream/worker.go
+++ b/internal/upstream/worker.go
@@ -114,7 +114,8 @@
 	}
 }
 
-// remove closes the idle connections and ends the attempts that wait for a connection. It lets the others finish and accepts no new ones.
+// remove closes the idle connections and ends the attempts that wait for a connection. Attempts that have a connection can finish, and new
+// attempts are not accepted.
 func (w *worker) remove() {
 	w.isRemoved, w.isDraining = true, true
 	w.idle.closeAll()
