--- a/internal/proxy/admission_loop.go
+++ b/internal/proxy/admission_loop.go
@@ -17,10 +17,10 @@
 	idleTimerInterval = time.Hour
 )
 
-// AdmissionLoop drives an admission controller. It holds each request until the controller admits it to the event loop, rejects it, or
-// coalesces it, in which case it gets the reply of the request that it retries.
+// AdmissionLoop drives an admission controller. It holds each request until the controller admits the request to the event loop, rejects
+// it, or coalesces it. A coalesced request gets the reply of the request that it retries.
 //
-// The goroutine that runs Serve owns all its state. The other exported methods may be called by any goroutine. The mailbox preserves the
+// The goroutine that runs Serve owns the loop's state. The other exported methods may be called by any goroutine. The mailbox preserves the
 // order of messages: the controller sees requests in the order in which they arrive, and the arrival of a request before its cancellation.
 type AdmissionLoop struct {
 	controller *admission.Controller
@@ -104,7 +104,8 @@
 	}
 }
 
-// cancel cancels a request. The event loop cancels an admitted one, and reports it as finished once none of its attempts is in flight.
+// cancel cancels a request. An admitted request is cancelled by the event loop, which reports the request as finished once none of its
+// attempts is in flight.
 func (l *AdmissionLoop) cancel(now policy.Micros, id uint64) {
 	if l.inProgress[id] {
 		l.loop.Enqueue(policy.RequestCancelled{RequestID: id})
--- a/internal/proxy/admission_loop_test.go
+++ b/internal/proxy/admission_loop_test.go
@@ -11,7 +11,7 @@
 	"switchfork/internal/policy"
 )
 
-// testAdmission is an admission loop in front of an event loop, with a router that the test scripts.
+// testAdmission is an admission loop in front of an event loop with a scripted router.
 type testAdmission struct {
 	*agenttest.Rig
 	loop *AdmissionLoop
--- a/internal/proxy/admission_messages.go
+++ b/internal/proxy/admission_messages.go
@@ -30,7 +30,7 @@
 // requestCancelled reports that the reply to a request is no longer needed: the client disconnected, or the drain has run out of time.
 type requestCancelled struct{ id uint64 }
 
-// drainStarted reports that a drain has started, and that no request can be answered after its deadline.
+// drainStarted reports that a drain has started, and that no request can be answered after deadline.
 type drainStarted struct{ deadline time.Time }
 
 // weightsUpdate changes the weights of the tenants.
@@ -39,7 +39,7 @@
 // statusQuery asks for the admission loop's status.
 type statusQuery struct{ reply chan<- AdmissionStatus }
 
-// summaryRequest asks for a summary to be logged; done is closed when it is written.
+// summaryRequest asks for a summary to be logged. done is closed when the summary is written.
 type summaryRequest struct{ done chan<- struct{} }
 
 func (requestArrival) isAdmissionMessage()   {}
--- a/internal/proxy/admission_summary.go
+++ b/internal/proxy/admission_summary.go
@@ -17,7 +17,7 @@
 	return AdmissionStatus{l.controller.Status(), l.controller.Counters}
 }
 
-// logSummary logs a summary if requests have arrived since the last one or are waiting.
+// logSummary logs a summary if requests have arrived since the last summary or are waiting.
 func (l *AdmissionLoop) logSummary() {
 	now := l.status()
 	if now.Arrived != l.lastLogged.Arrived || now.Waiting > 0 {
--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -19,9 +19,9 @@
 	// resets a connection that is closed with unread bytes, and the reset may overtake the response. http.Server waits equally long after
 	// its response to an oversized head.
 	defaultLingerTimeout = 500 * time.Millisecond
-	// readAheadLimitBytes bounds the buffer for bytes that a client sends before the response to its last request.
+	// readAheadLimitBytes bounds the read-ahead buffer, which holds bytes that a client sends before the response to its last request.
 	readAheadLimitBytes = 4 << 10
-	// readAheadChunkBytes is the maximum number of bytes that one read adds to that buffer.
+	// readAheadChunkBytes is the maximum number of bytes that one read adds to the read-ahead buffer.
 	readAheadChunkBytes = 256
 	// discardChunkBytes is the size of the buffer for bytes that are read and discarded.
 	discardChunkBytes = 1 << 10
@@ -52,8 +52,9 @@
 	return io.Copy(struct{ io.Writer }{c}, r)
 }
 
-// Read reads bytes and changes the state in one step. While a request awaits its reply, Read buffers what arrives and continues to read:
-// net/http detects a disconnection with a read of one byte, and would not detect one that follows an early byte of the next request.
+// Read reads bytes and changes the state in one step. While a request awaits its reply, Read buffers what arrives and continues to read.
+// The reason is that net/http detects a disconnection with a read of one byte. If that read returned an early byte of the next request,
+// net/http would not detect a later disconnection.
 func (c *clientConn) Read(b []byte) (n int, err error) {
 	if len(b) == 0 {
 		return 0, nil
@@ -75,8 +76,8 @@
 	return 0, pollErr
 }
 
-// readAvailable reads without blocking. If isDone is false, Read has no result yet and has to call it again once the socket is readable.
-// The lock is held.
+// readAvailable reads without blocking. If isDone is false, there is no result yet, and Read has to call readAvailable again once the
+// socket is readable. The lock is held.
 func (c *clientConn) readAvailable(fd int, b []byte) (n int, isDone bool, err error) {
 	for {
 		buffersInput := c.state == stateAwaiting || len(b) == 1
@@ -126,7 +127,7 @@
 	}
 }
 
-// Write writes to the client, and records that it did, so that Close half closes the connection first.
+// Write writes to the client, and records that something was written, so that Close half closes the connection first.
 func (c *clientConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	c.hasWritten = true
--- a/internal/proxy/client_conn_test.go
+++ b/internal/proxy/client_conn_test.go
@@ -33,7 +33,7 @@
 	silent.expectEOF()
 	reading.send(raw[5:])
 	reading.expectResponse(http.StatusServiceUnavailable, false)
-	// A byte arrives that the server's reader has not read yet, as it waits for the lock.
+	// A byte arrives that the server's reader can't read yet, as the test holds the lock.
 	server.waitForState(t, reading, stateIdle)
 	conn := server.serverConn(t, reading)
 	conn.mu.Lock()
@@ -69,7 +69,7 @@
 	server.assertReleased(t, server.startDrain(t, agenttest.WaitTimeout))
 }
 
-// A client's disconnection is detected whether or not it sent something before its response.
+// A client's disconnection is detected whether or not the client sent something before it had its response.
 func TestDisconnectAfterEarlyBytes(t *testing.T) {
 	for _, early := range []string{"", "G", strings.Repeat("x", 300)} {
 		server := newTestServer(t, true)
@@ -107,8 +107,8 @@
 	client.expectResponse(http.StatusServiceUnavailable, false)
 }
 
-// A timeout may fire, or a connection may be retired, after the last byte of a request has been read and before net/http has reported
-// that. The request is served nevertheless: the next read waits for the client and does not fail.
+// A timeout may fire, or a connection may be retired, after the last byte of a request has been read and before net/http has reported the
+// request. The request is served nevertheless: the next read waits for the client and does not fail.
 func TestTimeoutAsLastByteArrives(t *testing.T) {
 	for name, expire := range map[string]func(conn *clientConn, read func()){
 		"head": func(conn *clientConn, read func()) {
@@ -187,7 +187,7 @@
 	conn.stateDeadlinePassed()
 }
 
-// A client that sends requests and reads no response loses its descriptor soon after its deadline.
+// If a client sends requests and reads no response, its connection is closed soon after the deadline of a request.
 func TestUnreadResponses(t *testing.T) {
 	server := newTestServer(t, false)
 	client := server.dial(t)
--- a/internal/proxy/conn_eviction.go
+++ b/internal/proxy/conn_eviction.go
@@ -13,18 +13,19 @@
 	// silentConnTimeout is how long a new connection may stay silent while other clients wait. Clients connect in order to send a request.
 	silentConnTimeout = 250 * time.Millisecond
 	// responseWait is how long a client waits for a response to close a connection before an idle connection is retired. The client of an
-	// idle connection may be about to use it, while a close that a response announces costs its client nothing.
+	// idle connection may be about to use the connection, while a close that a response announces costs the client nothing.
 	responseWait = 4 * budgetRetryInterval
 	// minIdleTime is how long a connection has to be idle before it is retired. Before that, net/http may have its next request in a buffer.
 	minIdleTime = budgetRetryInterval
-	// idleBatchDivisor bounds how many idle connections are retired at a time: one, plus one for each idleBatchDivisor of them. Some of the
-	// waiting clients get the descriptors of connections that close with their responses.
+	// idleBatchDivisor bounds how many idle connections are retired at a time: one, plus one for every idleBatchDivisor idle connections.
+	// Some of the waiting clients get the descriptors of connections that close with their responses.
 	idleBatchDivisor = 8
 )
 
-// freeConnections frees descriptors for waiting clients. waited is how long the first of them has waited. It closes lingering connections
-// and retires those that have sent nothing. If there are none and the client has waited for responseWait, it retires the connections that
-// have been idle longest. It also has the event loop close unused connections to endpoints, at most once per upstream.TrimIdleAfter.
+// freeConnections frees descriptors for waiting clients. waiting is the number of these clients, and waited is how long the first of them
+// has waited. freeConnections closes lingering connections and retires connections that have sent nothing. If there are none of either kind
+// and waited is at least responseWait, it retires the connections that have been idle longest. It also has the event loop close unused
+// connections to endpoints, at most once per upstream.TrimIdleAfter.
 func (l *clientListener) freeConnections(waiting int, waited time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -47,8 +48,8 @@
 		"silent", freed, "retired", retired, "waiting", waiting)
 }
 
-// endIfSilentOrLingering ends a connection that lingers, or retires one that has sent nothing for silentConnTimeout. It reports whether it
-// did either.
+// endIfSilentOrLingering ends a lingering connection, or retires a connection that has sent nothing for silentConnTimeout. It reports
+// whether it did either.
 func (c *clientConn) endIfSilentOrLingering(now time.Time) bool {
 	c.mu.Lock()
 	isSilent := c.state == stateNew && now.Sub(c.stateSince) >= silentConnTimeout
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -8,9 +8,9 @@
 const (
 	// lateArrivalWindow is how long new connections and requests may still arrive after SIGTERM. The protocol sets it.
 	lateArrivalWindow = 700 * time.Millisecond
-	// finalReplyWindow is how long before the end of a drain open requests are answered. It leaves enough time to write the responses.
+	// finalReplyWindow is the time that is left in a drain when open requests are answered. It is long enough to write the responses.
 	finalReplyWindow = 100 * time.Millisecond
-	// refusalWindow is how long before the end of a drain new connections are refused. It leaves enough time, on a busy machine too, to read
+	// refusalWindow is the time that is left in a drain when new connections are refused. It is long enough, on a busy machine too, to read
 	// and answer the requests of connections that wait in the accept queue.
 	refusalWindow = 400 * time.Millisecond
 	// unboundedDrain is the time limit of a drain whose context has no deadline.
@@ -21,8 +21,9 @@
 // A connection that carries no request stays open for its next one, as clients use their connections until these are closed. A connection
 // that stays silent is closed by its idle timeout, or when the drain's time has nearly run out.
 //
-// At that time, requests that are still open are answered, as the process can't answer them later, and new connections are refused. Clients
-// that keep connecting would otherwise have requests in transit when the process exits, which resets their connections.
+// Shortly before the end of the drain, requests that are still open are answered, as the process can't answer them later. New connections
+// are refused: clients that keep connecting would otherwise have requests in transit when the process exits, and the exit resets their
+// connections.
 //
 // http.Server.Shutdown is not used: it closes connections of which half a head has been read, and drops a request without an answer if the
 // request was read completely after Shutdown began.
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -108,12 +108,12 @@
 	}
 }
 
-// Clients that keep connecting do not keep the listener open until the end of the drain. It closes when open requests are answered, early
-// enough to answer the requests that have arrived as well.
+// Clients that keep connecting do not keep the listener open until the end of the drain. The listener closes when open requests are
+// answered, early enough to answer the requests that have arrived as well.
 func TestDrainClosesListenerBeforeItsEnd(t *testing.T) {
 	server := newTestServer(t, false)
 	unfinished := server.dial(t)
-	unfinished.send(rawRequest("lookup")[:9]) // half a head: it stays connected
+	unfinished.send(rawRequest("lookup")[:9]) // half a head, so that the client stays connected
 	server.waitForState(t, unfinished, stateReading)
 	const within = 600 * time.Millisecond
 	start := time.Now()
@@ -132,14 +132,14 @@
 		_ = conn.Close()
 	}
 	if took := time.Since(start); took < within-finalReplyWindow || took >= within {
-		t.Errorf("connections were refused %v after the start of the drain, want a refusal in its last 100 ms", took)
+		t.Errorf("connections were refused %v after the start of the drain, want a refusal in the drain's last 100 ms", took)
 	}
 	if err := <-done; err != nil && !errors.Is(err, context.DeadlineExceeded) { // the client with half a head is still connected
 		t.Errorf("Drain returned %v, want nil or an exceeded deadline", err)
 	}
 }
 
-// A request that a client sends while its idle connection is being closed is dropped, and the client reads EOF and does not get a reset.
+// If a client sends a request while its idle connection is being closed, the request is dropped. The client reads EOF and does not get a reset.
 func TestRequestOnRetiredConnection(t *testing.T) {
 	server := newTestServer(t, false)
 	client := server.dial(t)
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -16,7 +16,7 @@
 
 // Keys of the values in a request's context.
 type (
-	connKey   struct{} // the net.Conn that the request came on
+	connKey   struct{} // the net.Conn on which the request arrived
 	targetKey struct{} // the request's path and query as the client sent them
 )
 
@@ -49,7 +49,7 @@
 		if p.isDraining.Load() {
 			w.Header().Set("Connection", "close")
 		}
-		// A request class may have the name of this path. Its requests have ids, health checks have none.
+		// A request class may have the name of this path. The requests of such a class have ids, health checks have none.
 		if r.URL.Path == healthPath && r.Header.Get(requestIDHeader) == "" {
 			p.serveHealth(w)
 			return
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -30,9 +30,10 @@
 	MaxRetryAfter time.Duration
 	Budget        *connlimit.Budget
 
-	// LastRequestID is the number before that of the first request. The router selects the endpoint of a request without a warm key by the
-	// request's number. When all agents counted from one, the n-th request of each agent went to the same endpoint, and hundreds of agents
-	// that started together filled its queue. So LastRequestID has to differ between agents and between starts of an agent.
+	// LastRequestID is the ID before that of the first request. These IDs identify requests to the policy and are unrelated to
+	// X-Request-Id. The router selects the endpoint of a request without a warm key by the request's ID. When the IDs of all agents started
+	// at one, the n-th request of each agent went to the same endpoint, and hundreds of agents that started together filled that endpoint's
+	// queue. So LastRequestID has to differ between agents and between starts of an agent.
 	LastRequestID uint64
 }
 
--- a/internal/proxy/queue_delay.go
+++ b/internal/proxy/queue_delay.go
@@ -9,8 +9,8 @@
 )
 
 // queueDelay returns how long ago the kernel received the last byte of a request. A request that waited in a queue while the agent was
-// short of CPU time or descriptors has that much less time left. It returns 0 if the kernel does not report the time, or if the time is
-// exchangeTimeout or longer.
+// short of CPU time or descriptors has that much less time left. queueDelay returns 0 if the kernel does not report the delay, or if the
+// delay is exchangeTimeout or longer.
 func queueDelay(r *http.Request) (delay time.Duration) {
 	conn, ok := r.Context().Value(connKey{}).(syscall.Conn)
 	if !ok {
--- a/internal/proxy/random_clients_test.go
+++ b/internal/proxy/random_clients_test.go
@@ -23,7 +23,7 @@
 type randomClient struct {
 	*testClient
 	unsent    string // the part of the next request that has not been sent
-	requests  int    // sent completely
+	requests  int    // number of requests that have been sent completely
 	responses atomic.Int64
 	ended     chan struct{} // closed when no further response can arrive
 }
@@ -50,8 +50,8 @@
 // hasStartedRequest reports whether a part of a request has been sent.
 func (c *randomClient) hasStartedRequest() bool { return len(c.unsent) < len(rawRequest("lookup")) }
 
-// sendBytes sends some bytes of the next request and waits until the server has read them. Without the wait, the server might read them
-// before or after the next step.
+// sendBytes sends up to count bytes of the next request and waits until the server has read them. Without the wait, the server might read
+// them before or after the next step.
 func (c *randomClient) sendBytes(t *testing.T, server *testServer, count int) {
 	t.Helper()
 	count = min(len(c.unsent), count)
--- a/internal/proxy/replies.go
+++ b/internal/proxy/replies.go
@@ -61,7 +61,7 @@
 	return newResponse(r, http.StatusGatewayTimeout, plainText, []byte(failedBody))
 }
 
-// formatSeconds formats a time as seconds with three decimals, the form of Retry-After in the protocol.
+// formatSeconds formats t as seconds with three decimals, the form of Retry-After in the protocol.
 func formatSeconds(t policy.Micros) string {
 	return strconv.FormatFloat(float64(t)/microsPerSecond, 'f', 3, 64)
 }
--- a/internal/proxy/request_decoder.go
+++ b/internal/proxy/request_decoder.go
@@ -16,7 +16,7 @@
 type RequestClass struct {
 	Name        string // the first segment of the path
 	Idempotency policy.Idempotency
-	Timeout     time.Duration // of a request without X-Deadline-Ms
+	Timeout     time.Duration // timeout of a request without X-Deadline-Ms
 }
 
 // clientRequest holds the properties of a client's request that the agent uses.
--- a/internal/proxy/request_headers.go
+++ b/internal/proxy/request_headers.go
@@ -22,13 +22,13 @@
 	retryHeader          = "X-Retry"
 )
 
-// maxCostHintMicros bounds the cost hints that are used; a hint that reaches it is ignored.
+// maxCostHintMicros is the exclusive upper limit of a cost hint. A hint that reaches the limit is ignored.
 const maxCostHintMicros = 1e9
 
 // sessionKeyDigits is the length of a session key that is written as a 64-bit hexadecimal number.
 const sessionKeyDigits = 16
 
-// singleHeaders are the headers that may occur only once in a request. With two values, it would be ambiguous which one an endpoint uses.
+// singleHeaders are the headers that may occur only once in a request. With two values, it would be ambiguous which of them an endpoint uses.
 var singleHeaders = []string{requestIDHeader, classHeader, deadlineHeader, idempotencyKeyHeader}
 
 func checkSingleHeaders(header http.Header) error {
@@ -66,8 +66,8 @@
 	return policy.Micros(hint)
 }
 
-// sessionKey returns the session key of a query. This is the value of sid if it is a 64-bit number other than 0 in 16 hexadecimal digits,
-// or else a hash of the value. It returns 0 if the query has no sid.
+// sessionKey returns the session key of a query. The key is the value of sid if that is a 64-bit number other than 0 in 16 hexadecimal
+// digits, or else a hash of the value. sessionKey returns 0 if the query has no sid.
 func sessionKey(query string) uint64 {
 	for query != "" {
 		var pair string
--- a/internal/proxy/round_trip.go
+++ b/internal/proxy/round_trip.go
@@ -148,9 +148,9 @@
 	return protocol.Hash64(r.RemoteAddr)
 }
 
-// limitWriteTime gives a client until requestTimeout after its deadline, or after now if that is later, to read its response: a client that
-// does not read it holds a descriptor needlessly. The WriteTimeout of http.Server is replaced because it counts from the request and may
-// end before the deadline.
+// limitWriteTime sets the connection's write deadline to requestTimeout after the request's deadline, or after the present time if that is
+// later. A client that does not read its response would otherwise hold a descriptor needlessly. The WriteTimeout of http.Server is replaced
+// because it starts with the request and may end before the request's deadline.
 func limitWriteTime(r *http.Request, request *agent.Request) {
 	conn, ok := r.Context().Value(connKey{}).(*clientConn)
 	if !ok {
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -101,7 +101,7 @@
 	return &testClient{c, t, bufio.NewReader(c)}
 }
 
-// lastTestID numbers requests, so that no two have the same id.
+// lastTestID is the last request id that a test has used. No two requests have the same id.
 var lastTestID atomic.Uint64
 
 // rawRequest encodes a request with a new id. All requests for one path have the same length.
@@ -134,7 +134,7 @@
 	return testResponse{response.StatusCode, response.Close}, err
 }
 
-// expectResponse reads one response and checks its status and whether it closes its connection.
+// expectResponse reads one response and checks its status and whether the response closes the connection.
 func (c *testClient) expectResponse(status int, isLast bool) {
 	c.t.Helper()
 	response, err := c.readResponse()
@@ -186,14 +186,14 @@
 	return conn
 }
 
-// waitForState waits until the server's side of a connection is in a state.
+// waitForState waits until the server's side of a connection is in the state want.
 func (s *testServer) waitForState(t *testing.T, c *testClient, want connState) {
 	t.Helper()
 	conn := s.serverConn(t, c)
 	waitForConn(t, fmt.Sprintf("state %d", want), conn, func() bool { return conn.state == want })
 }
 
-// startDrain starts a drain in the background and sends what Drain returns to the channel.
+// startDrain starts a drain in the background and returns a channel that receives Drain's error.
 func (s *testServer) startDrain(t *testing.T, within time.Duration) chan error {
 	t.Helper()
 	done := make(chan error, 1)
