--- a/internal/proxy/client_conn_test.go
+++ b/internal/proxy/client_conn_test.go
@@ -15,8 +15,8 @@
 	"switchfork/internal/tcpconn"
 )
 
-// A shortage of descriptors, the limit of idle connections or a timeout never closes a connection if a byte of a request has been read
-// from it or waits to be read. A connection that carries nothing is closed instead.
+// Neither a shortage of descriptors nor the retirement of idle connections nor a timeout closes a connection if a byte of a request has
+// been read from the connection or waits to be read. A connection without such a byte is closed.
 func TestRetireSparesStartedRequest(t *testing.T) {
 	server := newTestServer(t, false)
 	reading, silent := server.dial(t), server.dial(t)
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -21,9 +21,9 @@
 // clientListener accepts clients while the budget has descriptors, and keeps connections open between requests until a descriptor is
 // needed. If no descriptor is left, one response for each waiting client closes its connection to free the descriptor. Otherwise clients
 // with an open connection would be served over and over, while a request of a client in the kernel's accept queue would not be read before
-// its deadline. All other responses leave their connections open, apart from the exceptions in closeConnIfNeeded: if those were closed, all
-// these clients would reconnect, and the agent can't afford so many new connections. If no response closes a connection soon, the
-// connections that have been idle longest are retired.
+// its deadline. All other responses leave their connections open, apart from the exceptions in closeConnIfNeeded: a client whose connection
+// is closed reconnects, and the agent can't afford so many new connections. If no response closes a connection soon, the connections that
+// have been idle longest are retired.
 type clientListener struct {
 	tcp    *net.TCPListener
 	budget *connlimit.Budget
@@ -35,7 +35,7 @@
 
 	mu                 sync.Mutex
 	conns              map[*clientConn]bool
-	idleSince          map[*clientConn]time.Time // when net/http reported each as idle; some may have started a request since
+	idleSince          map[*clientConn]time.Time // when net/http reported each connection as idle; some may have started a request since
 	trimRequestedAt    time.Time                 // when closing unused connections to endpoints was last requested
 	closesWhenEmpty    bool                      // the listener closes when no client is connected and the accept queue is empty
 	closesAfterBacklog bool                      // the listener closes when the accept queue is empty
--- a/internal/proxy/conn_state.go
+++ b/internal/proxy/conn_state.go
@@ -25,7 +25,7 @@
 )
 
 // IdleTimeout is how long a connection without a request is kept open. The protocol allows an agent to close such a connection after this
-// time. Keeping it no longer frees the descriptors of clients that send one request and stay connected.
+// time. Closing it as soon as allowed frees the descriptors of clients that send one request and stay connected.
 const IdleTimeout = 2 * time.Second
 
 // pastDeadline is a deadline that ends a pending read at once.
@@ -107,7 +107,7 @@
 	c.setStateDeadline(c.stateSince.Add(IdleTimeout))
 }
 
-// stateDeadlinePassed is called by the timer. If the state has timed out, it ends the pending read or retires the connection.
+// stateDeadlinePassed is called by stateTimer. If the state has timed out, stateDeadlinePassed ends the pending read or retires the connection.
 func (c *clientConn) stateDeadlinePassed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -6,6 +6,6 @@
 // http.RoundTripper of an httputil.ReverseProxy; it checks and decodes the request. An optional AdmissionLoop decides when the request is
 // handed to the event loop.
 //
-// The methods of Proxy may be called by any goroutine once Serve runs. Listen and UseAdmission have to be called before. The admission
-// controller belongs to the goroutine that runs AdmissionLoop.Serve; other goroutines send it messages.
+// The methods of Proxy may be called by any goroutine once Serve runs. Listen and UseAdmission have to be called before Serve. The
+// admission controller belongs to the goroutine that runs AdmissionLoop.Serve; other goroutines send messages to this goroutine.
 package proxy
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -17,9 +17,9 @@
 	unboundedDrain = time.Hour
 )
 
-// Drain serves requests that still arrive, closes each connection with its next response, and returns once all clients have disconnected.
-// A connection that carries no request stays open for its next one, as clients use their connections until these are closed. A connection
-// that stays silent is closed by its idle timeout, or when the drain's time has nearly run out.
+// Drain serves requests that still arrive, closes each connection with its next response, and returns once all clients have disconnected. A
+// connection that carries no request stays open for the client's next request, as clients use their connections until these are closed. A
+// connection that stays silent is closed by its idle timeout, or when the drain's time has nearly run out.
 //
 // Shortly before the end of the drain, requests that are still open are answered, as the process can't answer them later. New connections
 // are refused: clients that keep connecting would otherwise have requests in transit when the process exits, and the exit resets their
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -82,7 +82,7 @@
 	_ = active.Close()
 	silent.expectEOF()
 	if took := time.Since(start); took > IdleTimeout+time.Second {
-		t.Errorf("the connection without a request was closed after %v, want at most IdleTimeout and 1 s", took)
+		t.Errorf("the connection without a request was closed after %v, want at most IdleTimeout plus 1 s", took)
 	}
 	_ = silent.Close()
 	server.assertReleased(t, done)
--- a/internal/rollout/client.go
+++ b/internal/rollout/client.go
@@ -33,7 +33,7 @@
 	voteTimeout time.Duration // see Config.VoteTimeout
 	publisher   *updatePublisher
 	current     *stream // the stream whose updates are published
-	// pending is a stream that replaces the current one when it receives its first update; nil if there is none. See
+	// pending is a stream that replaces the current stream once an update arrives on the pending stream; nil if there is none. See
 	// stream_replacement.go.
 	pending *stream
 	backoff *backoff.Backoff // computes the delay before a stream is opened again
--- a/internal/rollout/refused_vote_test.go
+++ b/internal/rollout/refused_vote_test.go
@@ -8,9 +8,9 @@
 	"switchfork/internal/policy"
 )
 
-// A vote that never reached the controller is not counted as written. Only a vote whose write deadline had passed used to count as not written.
-// A vote whose connection was refused, or was not established in time, was resolved as written: casts_total counted a vote that the controller
-// had never received, and nothing was logged.
+// A vote that never reached the controller is not counted as written. A vote used to count as not written only if its write deadline had
+// passed. A vote whose connection was refused, or was not established in time, was resolved as written: casts_total counted a vote that the
+// controller had never received, and nothing was logged.
 func TestRefusedVoteIsNotWritten(t *testing.T) {
 	closed := agenttest.Listen(t)
 	if err := closed.Close(); err != nil {
--- a/internal/rollout/update_publisher.go
+++ b/internal/rollout/update_publisher.go
@@ -38,9 +38,9 @@
 	return p.count
 }
 
-// publishReply passes the reply to a vote to the event loop. countAtStart is the number of states that had been published when the vote's call
-// began. It returns the update that was passed on, which holds the latest state if one was published since the call began. The observer is
-// not notified.
+// publishReply passes the reply to a vote to the event loop. countAtStart is the number of states that had been published when the vote's
+// call began. publishReply returns the update that was passed on, which holds the latest state if a state was published since the call
+// began. The observer is not notified.
 func (p *updatePublisher) publishReply(reply policy.RolloutUpdate, countAtStart int) policy.RolloutUpdate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/streamclient/http_client.go
+++ b/internal/streamclient/http_client.go
@@ -10,7 +10,7 @@
 	"switchfork/internal/tcpconn"
 )
 
-// NewHTTPClient returns a client for streams and for rare calls. Each of them has a new connection, so that none uses a stale connection.
+// NewHTTPClient returns a client for streams and for rare calls. Each stream or call has a connection of its own, which is never stale.
 // The client follows no redirects and bounds the size of a response's head. A connection has to be established within dialTimeout. Unless
 // unread is nil, unread tracks the connections while they are open.
 func NewHTTPClient(dialTimeout time.Duration, unread *tcpconn.UnreadTracker) *http.Client {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -39,15 +39,15 @@
 type httpExchange struct {
 	Attempt
 	isHealthCheck bool
-	connection    *connection     // nil while the exchange waits for one
+	connection    *connection     // nil while the exchange waits for a connection
 	isWritten     bool            // the request is written completely
 	lostResult    protocol.Result // result for a read error that occurred before the write ended; Succeeded: no such error
 	isFinished    bool
 	timer         *time.Timer // fires at the deadline
 }
 
-// startTimers starts the deadline timer, which fires after wait. If the request has to be written before the deadline, it also starts a
-// timer for the write deadline. Each timer passes its message to put.
+// startTimers starts the deadline timer, which fires after wait. If the request has to be written before the deadline, startTimers also
+// starts a timer for the write deadline. Each timer passes its message to put.
 func (x *httpExchange) startTimers(wait time.Duration, put func(message)) {
 	x.timer = time.AfterFunc(wait, func() { put(deadlineTimer{x}) })
 	if writeDeadline := x.writeDeadline(); writeDeadline.Before(x.Deadline) {
--- a/internal/upstream/export_test.go
+++ b/internal/upstream/export_test.go
@@ -7,8 +7,8 @@
 	"switchfork/internal/connlimit"
 )
 
-// Tests that use the event loop of package agent have to be in package upstream_test, because package agent imports this package. These
-// functions let them change settings that only tests change.
+// Tests that use the event loop of package agent have to be in package upstream_test, because package agent imports this package. The
+// functions below let those tests change settings that only tests change.
 
 // SetDialControl sets the function that is called before each connection is opened.
 func (p *Pool) SetDialControl(control func(network, address string, conn syscall.RawConn) error) {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -25,7 +25,7 @@
 const DefaultSettleTime = 20 * time.Millisecond
 
 // StallThreshold is how late a timer has to fire to show that the process has stalled. What discovery and the rollout controller wrote
-// during the stall counts as received, but may not have been read yet.
+// during the stall counts as received once it has reached the agent's machine, but the process may not have read it yet.
 const StallThreshold = 250 * time.Millisecond
 
 // Config has the settings that the endpoints of a pool share.
