--- a/internal/proxy/conn_state.go
+++ b/internal/proxy/conn_state.go
@@ -25,7 +25,7 @@
 )
 
 // IdleTimeout is how long a connection without a request is kept open. The protocol allows an agent to close such a connection after this
-// time. Keeping it no longer frees the descriptors of clients that send one request and stay connected.
+// time. Closing it as soon as allowed frees the descriptors of clients that send one request and stay connected.
 const IdleTimeout = 2 * time.Second
 
 // pastDeadline is a deadline that ends a pending read at once.
@@ -74,9 +74,9 @@
 }
 
 // clearTimeout undoes a timeout of the state or the retirement of the connection, as the bytes in net/http's buffer arrived in time. The
-// timer may fire, or the listener may retire the connection, after the bytes that end the state have been read and before net/http has
-// reported that. The next read of net/http would then fail. It would take that for the client's disconnection, and a request that was
-// accepted would get no reply. The lock is held.
+// timer may fire, or the listener may retire the connection, after the bytes that end the state have been read and before headReceived or
+// requestReceived is called. The next read of net/http would then fail. net/http would take the failure for the client's disconnection, and
+// a request that was accepted would get no reply. The lock is held.
 func (c *clientConn) clearTimeout() {
 	c.timedOut = false
 	c.setReadDeadline(time.Time{})
@@ -107,7 +107,7 @@
 	c.setStateDeadline(c.stateSince.Add(IdleTimeout))
 }
 
-// stateDeadlinePassed is called by the timer. If the state has timed out, it ends the pending read or retires the connection.
+// stateDeadlinePassed is called by stateTimer. If the state has timed out, stateDeadlinePassed ends the pending read or retires the connection.
 func (c *clientConn) stateDeadlinePassed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/rollout/client.go
+++ b/internal/rollout/client.go
@@ -29,11 +29,11 @@
 	mailbox     *mailbox.Mailbox[message]
 	apiURL      string
 	httpClient  *http.Client
-	timedClient *http.Client  // client for timed votes
+	timedClient *http.Client  // sends timed votes
 	voteTimeout time.Duration // see Config.VoteTimeout
 	publisher   *updatePublisher
 	current     *stream // the stream whose updates are published
-	// pending is a stream that replaces the current one when it receives its first update; nil if there is none. See
+	// pending is a stream that replaces the current stream once an update arrives on the pending stream; nil if there is none. See
 	// stream_replacement.go.
 	pending *stream
 	backoff *backoff.Backoff // computes the delay before a stream is opened again
@@ -76,7 +76,7 @@
 // Vote casts a vote and passes the reply to the event loop.
 func (c *Client) Vote(vote policy.Vote) { c.mailbox.Put(voteRequested{vote}) }
 
-// VoteBefore casts a timed vote.
+// VoteBefore casts a timed vote, which is not written after vote.WriteBefore.
 func (c *Client) VoteBefore(vote TimedVote) { c.mailbox.Put(timedVoteRequested{vote}) }
 
 // Move makes the client use another address of the rollout controller. The old stream is read until the new stream has received the current
