--- a/internal/faulttest/netfault/backlog.go
+++ b/internal/faulttest/netfault/backlog.go
@@ -12,7 +12,7 @@
 	// fillerDialTimeout bounds the dial of a filler, which is a connection that fills the accept queue. A dial within this machine that does
 	// not succeed by then has met a full queue.
 	fillerDialTimeout = 60 * time.Millisecond
-	// maxFillers bounds the number of fillers. A queue of length zero holds one or two.
+	// maxFillers bounds the number of fillers. A queue of length zero holds one or two fillers.
 	maxFillers = 4
 	// openBacklog is the length of the accept queue while the listener is reachable.
 	openBacklog = 1024
--- a/internal/faulttest/netfault/direction.go
+++ b/internal/faulttest/netfault/direction.go
@@ -71,7 +71,7 @@
 
 // writerState is the state that write keeps between segments.
 type writerState struct {
-	hasLostBytes    bool // a black hole has discarded bytes, so the connection cannot continue after it
+	hasLostBytes    bool // a black hole has discarded bytes, so the connection cannot continue when the black hole ends
 	faultVersion    int
 	bytesUntilReset int // bytes left until the fault of faultVersion resets the connection
 }
@@ -107,9 +107,9 @@
 	}
 }
 
-// waitChannels returns the channels on which write waits, besides the one for a change of the fault. Without a pending segment write waits
-// for the next segment, otherwise for the time at which the pending one is due. If the link drops the pending segment, both channels are
-// nil.
+// waitChannels returns the channels on which write waits, besides the channel for a change of the fault. Without a pending segment, write
+// waits for the next segment. Otherwise it waits until the pending segment is due. While the link drops the pending segment, both channels
+// are nil.
 func (d *direction) waitChannels(pending *segment, fault Fault) (incoming <-chan segment, due <-chan time.Time) {
 	if pending == nil {
 		return d.segments, nil
@@ -125,8 +125,8 @@
 	return time.Duration(s.deliverAt-d.conn.relay.now()) * time.Microsecond
 }
 
-// applyFault resets the connection and returns false if the fault refuses connections, or if a black hole that has ended discarded bytes.
-// When the fault has changed, it restarts the byte count until a reset.
+// applyFault resets the connection and returns false if the fault refuses connections, or if a black hole has discarded bytes and has
+// ended. When the fault has changed, applyFault restarts the byte count until a reset.
 func (d *direction) applyFault(fault Fault, version int, state *writerState) bool {
 	if fault.Refuse || state.hasLostBytes && !fault.Blackhole {
 		d.link.recordFaultHit()
--- a/internal/faulttest/netfault/doc.go
+++ b/internal/faulttest/netfault/doc.go
@@ -3,5 +3,5 @@
 // through relays, identified by its index.
 //
 // A Link decides what happens to each datagram or segment of a stream, without I/O and without reading a clock. The relays carry out
-// and count its decisions. All exported methods may be called from any goroutine.
+// and count the decisions. All exported methods may be called from any goroutine.
 package netfault
--- a/internal/faulttest/netfault/fault.go
+++ b/internal/faulttest/netfault/fault.go
@@ -11,7 +11,7 @@
 // Fault describes the network faults of a link. The zero value is a link without a fault.
 type Fault struct {
 	Drop            bool    // datagrams are lost; a stream's bytes are held until the fault ends, as if they were retransmitted then
-	Blackhole       bool    // datagrams are lost; a stream's bytes are discarded while its connection stays up; the connection is reset when the fault ends
+	Blackhole       bool    // datagrams are lost; a stream's bytes are discarded while its connection stays up; a connection that lost bytes is reset when the fault ends
 	Refuse          bool    // datagrams are lost; every connection is reset, a new one at once
 	LossRate        float64 // share of datagrams that are lost, and probability that a transmission of a stream's segment is lost
 	Delay           Micros  // delay of each datagram and each segment of a stream
--- a/internal/faulttest/netfault/helpers_test.go
+++ b/internal/faulttest/netfault/helpers_test.go
@@ -102,7 +102,7 @@
 	return r
 }
 
-// conn waits for the connection with a number, counted from 0, and returns it.
+// conn waits until the listener has accepted the connection with the index number, from 0, and returns the connection.
 func (l *recordingListener) conn(t *testing.T, number int) (c net.Conn) {
 	t.Helper()
 	eventually(t, "a connection", func() bool {
--- a/internal/faulttest/netfault/link.go
+++ b/internal/faulttest/netfault/link.go
@@ -11,7 +11,7 @@
 	initialRetransmitDelay Micros = 200_000
 	// maxRetransmits bounds the losses of one segment: six delays, doubled from 200 ms on, add up to 12.6 s.
 	maxRetransmits = 6
-	// maxReorderWait is the longest time that a datagram waits for another one to overtake it.
+	// maxReorderWait is the longest time that a datagram waits to be overtaken.
 	maxReorderWait Micros = 1_000_000
 	// maxSegmentBytes is the length of the longest segment of a stream.
 	maxSegmentBytes = 16 << 10
@@ -27,7 +27,8 @@
 	Overtakes     bool // the datagram that waits is delivered directly after this one
 }
 
-// Link is one direction between two processes. It decides when traffic in this direction is delivered, and counts it.
+// Link is one direction between two processes. It decides when the datagrams and stream segments in this direction are delivered, and counts
+// them.
 type Link struct {
 	mu              sync.Mutex
 	fault           Fault
@@ -47,8 +48,8 @@
 	return &Link{random: rand.New(rand.NewSource(seed)), faultChanged: make(chan struct{})}
 }
 
-// IgnoreFaults makes the link ignore all faults that are set from now on. A test uses it to prove that a scenario detects that its
-// faults have no effect.
+// IgnoreFaults makes the link ignore all faults that are set from now on. A test uses it to prove that a run fails if the faults of its
+// scenario have no effect.
 func (l *Link) IgnoreFaults() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,7 +121,7 @@
 	return max(now, at)
 }
 
-// draw reports whether an event of a probability happens. For the probability 0 it consumes no random number.
+// draw returns true with this probability. For the probability 0, it consumes no random number.
 func (l *Link) draw(probability float64) bool {
 	return probability > 0 && l.random.Float64() < probability
 }
@@ -142,7 +143,7 @@
 	switch {
 	case l.hasWaiting:
 		l.hasWaiting, d.Overtakes = false, true
-	case l.draw(f.ReorderRate / (1 - f.ReorderRate)): // no draw for a datagram that overtakes; the quotient makes up for it, so that ReorderRate of all datagrams wait
+	case l.draw(f.ReorderRate / (1 - f.ReorderRate)): // no draw for a datagram that overtakes; the quotient compensates for that, so that the share ReorderRate of all datagrams waits
 		l.hasWaiting, d.AwaitsReorder = true, true
 		d.DeliverAt += maxReorderWait
 		l.faultHits++
@@ -159,8 +160,8 @@
 	l.hasWaiting = false
 }
 
-// ScheduleSegment returns when a segment of a stream that arrives now is to be delivered. Since a stream keeps its order, that is not
-// before ahead, the delivery time of the previous segment.
+// ScheduleSegment returns when a segment of a stream that arrives now is to be delivered. A stream keeps its order, so this time is
+// not before ahead, the delivery time of the previous segment.
 func (l *Link) ScheduleSegment(now Micros, bytes int, ahead Micros) Micros {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/faulttest/netfault/mesh.go
+++ b/internal/faulttest/netfault/mesh.go
@@ -22,8 +22,8 @@
 	linkSeedStep = 4096
 )
 
-// Mesh relays datagrams between parties. It has a socket for each party and peer: the party sends to the peer at this socket, and receives
-// the peer's datagrams from it. So a receiver identifies the sender by its address, as the protocol requires.
+// Mesh relays datagrams between parties. It has a socket for each party and peer: the party sends its datagrams for the peer to this socket,
+// and receives the peer's datagrams from this socket. So a receiver identifies the sender by the source address, as the protocol requires.
 type Mesh struct {
 	links      [][]*Link          // indexed by sender and receiver
 	sockets    [][]net.PacketConn // indexed by party and peer; a party reaches all others at [party][party]
--- a/internal/faulttest/netfault/mesh_test.go
+++ b/internal/faulttest/netfault/mesh_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Datagrams of these lengths carry no number and control the test.
+// Datagrams of these lengths are signals to the receiver and carry no sequence number.
 const (
 	endLength   = 1 // marks the last datagram
 	flushLength = 2 // overtakes a datagram that still waits, so that the waiting one is delivered
@@ -26,7 +26,7 @@
 // arrivals holds the numbered datagrams that the receiver got.
 type arrivals struct {
 	numbers []int
-	delays  []float64 // microseconds
+	delays  []float64 // delay of each datagram in microseconds
 }
 
 // run sends datagrams under a fault. It returns what arrived, and the time from the first datagram sent to the last one received.
@@ -113,7 +113,7 @@
 	expectNear(t, "share of reordered datagrams", float64(reordered)/5000, 0.2, 0.1)
 	got, _ = test.run(t, Fault{Delay: 300_000, Jitter: 50_000}, 100, 80, 5*time.Millisecond)
 	slices.Sort(got.delays)
-	expectNear(t, "median delay in us with jitter", got.delays[len(got.delays)/2], 300_000, 0.2) // to keep the order, a datagram may wait for the previous one, up to the jitter
+	expectNear(t, "median delay in us with jitter", got.delays[len(got.delays)/2], 300_000, 0.2) // to keep the order, a datagram may wait for the previous one, which raises the median by at most the jitter
 	if len(got.numbers) != 100 || got.delays[0] < 250_000 {
 		t.Errorf("%d datagrams arrived with a shortest delay of %.0f us, want 100 with at least 250,000 us", len(got.numbers), got.delays[0])
 	}
--- a/internal/faulttest/netfault/packet_schedule.go
+++ b/internal/faulttest/netfault/packet_schedule.go
@@ -11,7 +11,7 @@
 	route
 	payload         []byte
 	sequence        int  // orders packets that are due at the same time
-	reorderTimedOut bool // set by takeDue: the packet waited to be overtaken, and no other came in time
+	reorderTimedOut bool // set by takeDue: the packet waited to be overtaken, and no other packet came in time
 }
 
 // packetSchedule orders packets by the time at which they are due, and holds back those that wait to be overtaken. It is not safe for
@@ -34,8 +34,8 @@
 	return s.queue[0].DeliverAt, true
 }
 
-// add schedules a packet. A packet that waits to be overtaken is queued for the end of its wait. When the packet that overtakes it is
-// added, a copy of the waiting packet is queued directly behind it.
+// add schedules a packet. A packet that waits to be overtaken is queued for the end of its wait. When the overtaking packet is
+// added, a copy of the waiting packet is queued directly behind the overtaking one.
 func (s *packetSchedule) add(p packet) {
 	s.lastSequence++
 	p.sequence = s.lastSequence
--- a/internal/faulttest/netfault/relayed_conn.go
+++ b/internal/faulttest/netfault/relayed_conn.go
@@ -59,7 +59,8 @@
 	var readers sync.WaitGroup
 	defer readers.Wait()
 	defer c.close()
-	// Reading begins before the server is dialled. If the client gives up while nothing passes, the server sees no connection.
+	// Reading from the client begins before the server is dialled. If the client gives up while a fault lets nothing pass, the server sees
+	// no connection.
 	forward := c.forward()
 	readDone := make(chan struct{})
 	readers.Go(func() {
--- a/internal/faulttest/netfault/stream.go
+++ b/internal/faulttest/netfault/stream.go
@@ -82,7 +82,8 @@
 	}
 }
 
-// recordFaultHit records that a fault of either direction had an effect on a whole connection.
+// recordFaultHit counts a fault hit for both directions. It is called if the fault of either direction prevents connections from being
+// established.
 func (s *Stream) recordFaultHit() {
 	s.Forward.recordFaultHit()
 	s.Reverse.recordFaultHit()
--- a/internal/faulttest/netfault/trace.go
+++ b/internal/faulttest/netfault/trace.go
@@ -9,10 +9,10 @@
 // maxProgressEntries bounds the trace of one direction of one connection. No scenario needs more.
 const maxProgressEntries = 1 << 18
 
-// ErrTraceFull means that a trace ends before its connection. It is unknown when later bytes passed.
+// ErrTraceFull means that a trace was full before its connection ended, so it is unknown when later bytes passed.
 var ErrTraceFull = errors.New("a connection's trace is full")
 
-// Progress is the time at which a number of bytes, counted from the start of the connection, had passed.
+// Progress is the number of bytes, counted from the start of the connection, that had passed at the time At.
 type Progress struct {
 	Bytes int64
 	At    Micros
