--- a/internal/fakes/agent_process.go
+++ b/internal/fakes/agent_process.go
@@ -42,9 +42,9 @@
 type AgentOptions struct {
 	Program       string // path of the executable
 	Dir           string // folder for the agent's files
-	Config        string // text of its configuration
-	OperatorFile  string // text of its operator file; empty: no file
-	ListenAddress string // address on which it listens for clients, as given in Config
+	Config        string // text of the agent's configuration
+	OperatorFile  string // text of the agent's operator file; empty: no file
+	ListenAddress string // address on which the agent listens for clients, as given in Config
 	Log           io.Writer
 }
 
--- a/internal/fakes/clients.go
+++ b/internal/fakes/clients.go
@@ -22,7 +22,7 @@
 	maxClientRetries = 2
 	// clientsPerGroup is the number of clients in a group without UniqueClients.
 	clientsPerGroup = 10
-	// clientTimeoutMargin is how long after its deadline a client still waits for the agent's answer.
+	// clientTimeoutMargin is how long a client still waits for the agent's answer after the deadline of the attempt.
 	clientTimeoutMargin = time.Second
 	// postBody is the body of every POST.
 	postBody = "beam=1"
@@ -69,7 +69,7 @@
 	latency *hdrhistogram.Histogram
 }
 
-// clientRequest is a request. All of its attempts have these values in common.
+// clientRequest holds the values that all attempts of a request have in common.
 type clientRequest struct {
 	serial int64
 	tenant string
@@ -77,7 +77,7 @@
 	isPost bool
 }
 
-// NewClients returns clients of an agent whose requests have a latency objective and a timeout.
+// NewClients returns clients that send requests with this latency objective and timeout to the agent at url.
 func NewClients(url string, objective, timeout time.Duration) *Clients {
 	return &Clients{
 		url: url, objective: objective, timeout: timeout,
@@ -274,7 +274,7 @@
 	return copied
 }
 
-// LatencyPercentile returns a percentile of the successes' latencies.
+// LatencyPercentile returns a percentile of the latencies of successful requests.
 func (c *Clients) LatencyPercentile(percent float64) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakes/deployment.go
+++ b/internal/fakes/deployment.go
@@ -29,7 +29,7 @@
 	rolloutUpdate string
 }
 
-// NewDeployment starts discovery and the rollout controller, with a build that has long been released.
+// NewDeployment starts discovery and the rollout controller. At first no rollout is in progress: the agent's build was released long ago.
 func NewDeployment(tenants []string, shares []float64, objective, timeout time.Duration) (*Deployment, error) {
 	d := &Deployment{
 		Tenants: tenants, Shares: shares, LatencyObjective: objective, Timeout: timeout,
@@ -115,7 +115,7 @@
 	d.Rollout.Write(update)
 }
 
-// Votes returns the number of votes with a verdict since the last rollout update.
+// Votes returns the number of votes with this verdict since the last rollout update.
 func (d *Deployment) Votes(verdict string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -142,7 +142,7 @@
 type DeploymentAgentOptions struct {
 	Program      string // path of the executable
 	Dir          string // folder for the agent's files
-	OperatorFile string // text of its operator file; empty: no file
+	OperatorFile string // text of the agent's operator file; empty: no file
 	Build        int    // the released build
 	MemoryMB     int
 	Log          io.Writer
--- a/internal/fakes/documents.go
+++ b/internal/fakes/documents.go
@@ -12,7 +12,7 @@
 	return ListEntryStartedAt(name, dial, health, build, 0)
 }
 
-// ListEntryStartedAt returns the entry of an endpoint that started at a time in Unix milliseconds.
+// ListEntryStartedAt returns the entry of an endpoint that started at startedAtMillis, in Unix milliseconds.
 func ListEntryStartedAt(name, dial, health string, build int, startedAtMillis int64) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"suva","class":"m","block":1,"health":%q,"share":1.0,"born_ms":%d,"build":%d}`,
 		name, dial, health, startedAtMillis, build)
--- a/internal/fakes/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -17,7 +17,7 @@
 type EndpointOptions struct {
 	Name        string
 	Build       int
-	Slots       int           // number of requests that it works on at a time
+	Slots       int           // number of requests that the endpoint works on concurrently
 	ServiceTime time.Duration // mean service time of a request at full speed
 	Seed        int64         // seed of the random service times and failures
 	Observer    Observer      // may be nil
@@ -44,8 +44,8 @@
 type Observer interface {
 	// RequestArrived is called when a request has been read in full. Its result is passed to RequestRuns.
 	RequestArrived(e *Endpoint, r *http.Request) any
-	// RequestRuns is called when a request has got a slot, with the result of RequestArrived. It returns false if the endpoint's group
-	// has run the request before. The request is then answered without any work.
+	// RequestRuns is called when a request has got a slot, with the result of RequestArrived. It returns false if one of
+	// the observed endpoints has run the request before. The request is then answered without any work.
 	RequestRuns(e *Endpoint, arrival any) bool
 }
 
@@ -109,7 +109,7 @@
 // writeBody writes a response's body. It ignores errors, which mean that the client has disconnected.
 func writeBody(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// SetSlowStart begins a slow start now: the speed rises from the fraction initial to full speed over a duration.
+// SetSlowStart begins a slow start now: the speed rises from the fraction initial to full speed over duration.
 func (e *Endpoint) SetSlowStart(initial float64, duration time.Duration) {
 	e.work.slowStart.Store(&slowStart{startedAt: time.Now(), initial: initial, duration: duration})
 }
--- a/internal/fakes/scripted_server.go
+++ b/internal/fakes/scripted_server.go
@@ -13,17 +13,17 @@
 type CapturedRequest struct {
 	RequestLine, Body string
 	Header            http.Header
-	Conn              int // number of the connection, from 1
+	Conn              int // index of the connection, from 1
 }
 
-// ScriptedServer is a fake endpoint that records each complete request and then calls a handler. The handler writes to the
-// connection, is given the request's number from 1, and reports whether the connection stays open.
+// ScriptedServer is a fake endpoint that records each complete request and then calls a handler with the connection and the request's
+// index, from 1. The handler writes the response to the connection, and reports whether the connection stays open.
 type ScriptedServer struct {
 	net.Listener
 	mu          sync.Mutex
 	requests    []CapturedRequest
 	connections int
-	closed      int // connections that have ended, except within a request's body
+	closed      int // number of connections that have ended, except those that ended within a request's body
 	handler     func(conn net.Conn, nth int) bool
 }
 
@@ -96,7 +96,7 @@
 	}
 }
 
-// record stores a request, and returns the handler for it and its number.
+// record stores a request, and returns the handler for it and the request's index, from 1.
 func (s *ScriptedServer) record(request CapturedRequest) (handler func(net.Conn, int) bool, nth int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fakes/stream_server.go
+++ b/internal/fakes/stream_server.go
@@ -25,11 +25,11 @@
 	keepAliveInterval time.Duration
 
 	mu      sync.Mutex
-	calls   []string      // method, path with query, and body
+	calls   []string      // method, path with query, and body of each call
 	streams []chan string // streams that the server has not closed
 	answer  func(call string) string
-	isMuted bool // no keep-alives
-	closed  int  // streams that the client has closed
+	isMuted bool // no keep-alives are sent
+	closed  int  // number of streams that clients have closed
 }
 
 // NewStreamServer serves a listener. The function answer returns the immediate answer to a call: a body, a status and a body
@@ -108,7 +108,7 @@
 	}
 }
 
-// sendKeepAlive writes a keep-alive under the lock, so that none follows once SetMuted(true) has returned.
+// sendKeepAlive writes a keep-alive under the lock, so that no keep-alive follows once SetMuted(true) has returned.
 func (s *StreamServer) sendKeepAlive(w http.ResponseWriter) {
 	s.mu.Lock()
 	if !s.isMuted {
@@ -156,7 +156,7 @@
 	return s.closed
 }
 
-// Publish writes to the stream that was opened last. There has to be one.
+// Publish writes to the stream that was opened last. It panics if there is none.
 func (s *StreamServer) Publish(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fakes/workload.go
+++ b/internal/fakes/workload.go
@@ -18,7 +18,7 @@
 type requestQueue struct {
 	slots      chan struct{}
 	maxQueued  int64
-	inProgress atomic.Int64 // queued or being worked on
+	inProgress atomic.Int64 // number of requests that are queued or being worked on
 }
 
 func newRequestQueue(slots int) *requestQueue {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
 // Package golden compares the output of a test with a file in testdata. It also computes digests of streams of values, so that a
-// changed decision shows as a changed digest.
+// change of any value, such as a decision of the code under test, shows as a changed digest.
 //
 // A digest depends on the values and on the order of struct fields. It does not depend on the names of types and fields, so they
 // may be renamed.
@@ -45,7 +45,7 @@
 // Digest computes a digest of a stream of values. It is not safe for concurrent use.
 type Digest struct {
 	sum  hash.Hash64
-	tags map[reflect.Type]uint64 // position in the list of types, from 1
+	tags map[reflect.Type]uint64 // position of the type in the arguments of NewDigest, from 1
 }
 
 // NewDigest returns a digest that accepts values of the given types. It tells the types apart by their position in the list.
