--- a/internal/faulttest/actions.go
+++ b/internal/faulttest/actions.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Factors on the scenario's seed in the seeds of the loads' random sources.
+// Factors by which the scenario's seed is multiplied in the seeds of the loads' random sources.
 const (
 	openLoadSeedFactor   = 257
 	closedLoadSeedFactor = 389
--- a/internal/faulttest/agent.go
+++ b/internal/faulttest/agent.go
@@ -29,9 +29,9 @@
 	log             *fakes.Log
 
 	mu              sync.Mutex
-	process         *fakes.Agent // nil: none was started yet
+	process         *fakes.Agent // the newest process; nil: none was started yet
 	lifetimes       []ProcessLifetime
-	initialVersions []configuredVersions // by lifetime
+	initialVersions []configuredVersions // versions in the configuration at the start, by lifetime
 }
 
 func newAgent(ctx context.Context, number int, dir string) (*agent, error) {
@@ -133,8 +133,8 @@
 	return n > 0 && a.lifetimes[n-1].End < 0 && a.lifetimes[n-1].TermSentAt < 0 && a.process != nil
 }
 
-// wasKilled reports whether the newest process has ended, or whether the process that ran at a time has ended without being sent SIGTERM.
-// The latter matters because the agent's next process may have been started in the meantime.
+// wasKilled reports whether the newest process has ended, or whether, since the time at, the process that was running then has ended without
+// being sent SIGTERM. The second case matters because the agent's next process may have been started in the meantime.
 func (a *agent) wasKilled(at netfault.Micros) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/faulttest/attempt_sender.go
+++ b/internal/faulttest/attempt_sender.go
@@ -17,9 +17,9 @@
 	latencyObjective = 800 * time.Millisecond
 	// requestTimeout is the request timeout of every class in a scenario.
 	requestTimeout = 2 * time.Second
-	// lateAnswerWait is how long a client still waits for the answer after the timeout, so that a late answer is recorded.
+	// lateAnswerWait is how long a client still waits for the answer after requestTimeout, so that a late answer is recorded.
 	lateAnswerWait = time.Second
-	// defaultRetryAfter is how long a client waits after a rejection that names no time.
+	// defaultRetryAfter is how long a client waits after a rejection without a valid Retry-After header.
 	defaultRetryAfter = 200 * time.Millisecond
 	requestBody       = "beam=1"
 )
@@ -35,8 +35,8 @@
 type attemptSpec struct {
 	agent  int
 	class  string
-	serial int64 // number of the request in the run
-	number int   // number of the attempt at this request, from 0 on
+	serial int64 // serial number of the request in the run, from 1
+	number int   // index of the attempt at this request, from 0
 	style  requestStyle
 }
 
@@ -63,8 +63,8 @@
 type processStates interface {
 	// running returns the agents whose processes run and were not asked to terminate.
 	running() []int
-	// wasKilled reports whether the agent's process that ran at a given time has ended without being asked to, or whether its newest
-	// process has ended. Such a process may have read a request before the connection ended.
+	// wasKilled reports whether the agent's newest process has ended, or whether, since the time at, the process that was running then has
+	// ended without being asked to. Such a process may have read a request before the connection ended.
 	wasKilled(agent int, at netfault.Micros) bool
 }
 
@@ -180,8 +180,8 @@
 	return time.Duration(min(named, requestTimeout.Seconds()) * float64(time.Second))
 }
 
-// mayRunElsewhere reports whether an attempt without an answer can be sent to another agent. That is so if it never reached its agent, or if
-// requests of its class may run twice and its timeout has not passed.
+// mayRunElsewhere reports whether an attempt without an answer can be sent to another agent. That is so if the attempt never reached its
+// agent, or if requests of its class may run twice and the attempt ended within requestTimeout.
 func (a *Attempt) mayRunElsewhere() bool {
 	if a.WasUnreachable {
 		return true
--- a/internal/faulttest/bindings_test.go
+++ b/internal/faulttest/bindings_test.go
@@ -8,7 +8,7 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// Sets of agents and moments are resolved with the names that steps have bound.
+// Agent sets and time references are resolved with the names that steps have bound.
 func TestBindings(t *testing.T) {
 	b := newBindings(4)
 	b.agentNames["old"] = 2
--- a/internal/faulttest/broadcaster.go
+++ b/internal/faulttest/broadcaster.go
@@ -17,12 +17,12 @@
 	keepAliveInterval = time.Second
 )
 
-// delivery is a version that a fake server wrote to an agent. The agent has received it once the relay has delivered the given number of
-// bytes of the connection.
+// delivery is a version that a fake server wrote to an agent. The agent has received the version once the relay has delivered all bytes of
+// the connection up to the end of the version.
 type delivery struct {
 	agent   int
 	bytes   int64           // number of bytes written on the connection, up to the end of the version
-	at      netfault.Micros // when the server wrote it
+	at      netfault.Micros // when the server wrote the version
 	version int             // version of the endpoint list or of the rollout state
 	conn    *countedConn
 }
@@ -33,8 +33,8 @@
 	versions chan int
 }
 
-// broadcaster manages the open responses of one server, which send versions as they are published. Each response is served by its own
-// goroutine. The broadcaster also records the versions that were sent and the calls that were received.
+// broadcaster manages the open responses of one server and sends each published version on all of them. Each response is served by its
+// own goroutine. The broadcaster also records the versions that were sent and the calls that were received.
 type broadcaster struct {
 	now           netfault.Clock
 	mu            sync.Mutex
--- a/internal/faulttest/capacity_rules.go
+++ b/internal/faulttest/capacity_rules.go
@@ -13,15 +13,17 @@
 const (
 	// slowStartDeviations is how far the number of arrivals may exceed the limit by chance, in standard deviations.
 	slowStartDeviations = 3
-	// capDelay, capAllowance and capTolerance are defined by the protocol. A lower cap binds 150 ms after fakes.DrainGrace. Above the cap and
-	// fakes.CapAllowance, 2 attempts and 4 percent of the received requests are permitted.
+	// capDelay, capAllowance and capTolerance are defined by the protocol. A lower cap binds capDelay after the end of fakes.DrainGrace. In
+	// addition to the cap's share and fakes.CapAllowance, capAllowance attempts and the share capTolerance of the received requests are
+	// permitted.
 	capDelay     = 150 * time.Millisecond
 	capAllowance = 2
 	capTolerance = 0.04
-	// receivedSlack extends the window of received requests. Clients write a request before the agent reads it, so a request that was
-	// written this much earlier may count in the agent's window.
+	// receivedSlack extends the window of received requests to earlier times. A client writes a request before the agent reads it, so a
+	// request that was written up to receivedSlack before the window may still count in the agent's window.
 	receivedSlack = 250 * time.Millisecond
-	// unannouncedCap applies to a build with a higher number than the build in the rollout state, as in the rollout's first stage.
+	// unannouncedCap is the cap of a build with a higher number than the build in the rollout state. It equals the cap of a rollout's first
+	// stage.
 	unannouncedCap = 0.2
 	// uncapped is the share at which a cap no longer limits anything.
 	uncapped = 1.0
@@ -38,9 +40,9 @@
 	return countUntil(times, to) - countUntil(times, from)
 }
 
-// checkSlowStart checks that all agents together do not send an endpoint that has just started more than the configured multiple of its
-// capacity for the configured time. The capacity in a window is the number of requests that its slots can serve, at the mean share of its
-// full speed that the endpoint had reached in the window.
+// checkSlowStart checks that in any window of fakes.OverloadAfter, all agents together send an endpoint that has just started at most
+// fakes.OverloadMultiple times its capacity. The capacity in a window is the number of requests that the endpoint's slots can serve at the
+// endpoint's mean speed in the window.
 func checkSlowStart(r *Records) (out []Violation) {
 	window := fakes.OverloadAfter.Microseconds()
 	arrivals := r.slowStartArrivals()
@@ -63,7 +65,7 @@
 	return out
 }
 
-// speedAtAge returns the share of its full speed that an endpoint has reached at an age.
+// speedAtAge returns the speed of an endpoint of this age, as a share of its full speed.
 func speedAtAge(age netfault.Micros) float64 {
 	reached := float64(max(0, age)) / float64(fakes.SlowStartDuration.Microseconds())
 	return min(1, fakes.InitialCapacity+(1-fakes.InitialCapacity)*reached)
@@ -85,9 +87,9 @@
 	return times
 }
 
-// checkExposureCap checks that in any window, an agent's attempts at a build that is being rolled out are at most the permitted allowance
-// plus the cap's share of the requests that the agent received. A lower cap binds after the grace period, and the count then restarts. A
-// released build has no cap.
+// checkExposureCap counts the attempts that each agent sends to a build that is being rolled out. In any window, the count must not exceed
+// the permitted allowance plus the cap's share of the requests that the agent received. A lower cap binds after the grace period, and the
+// count then restarts. A released build has no cap.
 func checkExposureCap(r *Records) (out []Violation) {
 	for agent := range r.Agents {
 		received := r.receivedTimes(agent)
@@ -152,7 +154,7 @@
 	return out
 }
 
-// capOf returns the share of requests that a build may receive in a state of the rollout.
+// capOf returns the share of requests that a build may receive in this state of the rollout.
 func (s Stage) capOf(build int) float64 {
 	switch {
 	case build > s.Build:
@@ -164,14 +166,14 @@
 	}
 }
 
-// exposureWindow compares one agent's attempts at one build with the caps that the agent knew.
+// exposureWindow compares the attempts that one agent sent to one build with the caps that the agent knew.
 type exposureWindow struct {
 	agent, build       int
 	attempts, received []netfault.Micros // sorted
 	caps               []capChange
 }
 
-// check checks the window that ends with the attempt sent at the given time.
+// check checks the window that ends with the attempt that was sent at the time at.
 func (w *exposureWindow) check(at netfault.Micros) (v Violation, isViolated bool) {
 	if w.capAt(at) >= uncapped {
 		return v, false
@@ -191,7 +193,7 @@
 		w.agent, sent, w.build, seconds(at-from), highest, received, limit)}, true
 }
 
-// capAt returns the newest cap that the agent knew at a time.
+// capAt returns the newest cap that the agent knew at the time at, or uncapped if the agent knew none.
 func (w *exposureWindow) capAt(at netfault.Micros) float64 {
 	limit := uncapped
 	for _, c := range w.caps {
@@ -203,10 +205,10 @@
 	return limit
 }
 
-// capGrace returns how long after its notification a lower cap binds.
+// capGrace returns the time from the notification of a lower cap until the cap binds.
 func capGrace() netfault.Micros { return (fakes.DrainGrace + capDelay).Microseconds() }
 
-// countStart returns when the count that ends at a time begins. A lower cap starts a new count once it binds.
+// countStart returns the start of the count that ends at the time at. A new count starts when a lower cap binds.
 func (w *exposureWindow) countStart(at netfault.Micros) netfault.Micros {
 	from := at - fakes.CapWindow.Microseconds()
 	for i, c := range w.caps {
--- a/internal/faulttest/client_conn.go
+++ b/internal/faulttest/client_conn.go
@@ -16,7 +16,7 @@
 // pieceInterval is the time between the two pieces of a split request.
 const pieceInterval = 20 * time.Millisecond
 
-// clientConn is a client's connection to an agent. Its connSource owns it while it is idle, and the attempt that uses it otherwise.
+// clientConn is a client's connection to an agent. An idle connection is owned by its connSource, a connection in use by the attempt.
 type clientConn struct {
 	net.Conn
 	reader   *bufio.Reader
@@ -55,8 +55,8 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// peek checks for input on an idle connection without waiting or consuming it. It returns n > 0 if there is input, n = 0 without an error at
-// the end of the stream, and EAGAIN if there is neither.
+// peek checks whether an idle connection has input, without waiting for input or consuming it. It returns n > 0 if there is input, n = 0
+// without an error at the end of the stream, and EAGAIN if there is neither.
 func (c *clientConn) peek() (n int, err error) {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
--- a/internal/faulttest/client_records.go
+++ b/internal/faulttest/client_records.go
@@ -11,8 +11,8 @@
 // clientRecords holds what the clients of a run recorded. It may be used from several goroutines.
 type clientRecords struct {
 	now                 netfault.Clock
-	connsWithExtraBytes atomic.Int64 // connections on which bytes followed a complete answer while they were idle
-	droppedRequests     atomic.Int64 // attempts without a free connection slot: the scenario's load is too high
+	connsWithExtraBytes atomic.Int64 // number of idle connections on which bytes arrived
+	droppedRequests     atomic.Int64 // number of attempts without a free connection slot; more than 0 means that the scenario's load is too high
 
 	mu         sync.Mutex
 	requests   []*Request
@@ -35,7 +35,7 @@
 }
 
 // finish records the outcome of a request. The request meets the latency objective if it succeeded within the objective, measured from
-// since.
+// the time since.
 func (r *clientRecords) finish(request *Request, outcome string, since netfault.Micros) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faulttest/closed_load.go
+++ b/internal/faulttest/closed_load.go
@@ -30,8 +30,8 @@
 // putConn implements connSource.
 func (c *closedLoadClient) putConn(_ int, conn *clientConn) { c.conn = conn }
 
-// run sends requests with exponentially distributed pauses until the context ends. A client keeps its connection while that is open, even
-// if its agent was asked to terminate. A client without a connection picks a running agent at random.
+// run sends requests with exponentially distributed pauses until the context ends. A client keeps its connection for as long as the
+// connection is open, even if its agent was asked to terminate. A client without a connection picks a running agent at random.
 func (c *closedLoadClient) run(ctx context.Context, agent int) {
 	defer func() {
 		if c.conn != nil {
--- a/internal/faulttest/conn_pool.go
+++ b/internal/faulttest/conn_pool.go
@@ -21,13 +21,13 @@
 	maxConnsPerAgent = 300
 )
 
-// connSource provides connections for attempts. An attempt puts back a connection that the next one can reuse.
+// connSource provides connections for attempts. An attempt puts back a connection that the next attempt can reuse.
 type connSource interface {
 	takeConn(ctx context.Context, agent int) (*clientConn, error)
 	putConn(agent int, conn *clientConn)
 }
 
-// connDialer opens connections to agents, and checks whether idle ones can still be used.
+// connDialer opens connections to agents, and checks whether idle connections can still be used.
 type connDialer struct {
 	now                 netfault.Clock
 	addresses           []string      // listen addresses, by agent
@@ -44,7 +44,8 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn), dialedAt: at}, nil
 }
 
-// isStillOpen reports whether an idle connection can be used, and discards it if not. Bytes that arrived while it was idle make it unusable.
+// isStillOpen reports whether an idle connection can be used, and discards it if not. A connection on which bytes arrived while it was idle
+// cannot be used.
 func (d *connDialer) isStillOpen(conn *clientConn) bool {
 	n, err := conn.peek()
 	if errors.Is(err, unix.EAGAIN) {
--- a/internal/faulttest/counting_listener.go
+++ b/internal/faulttest/counting_listener.go
@@ -13,7 +13,7 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// countedConn is a fake server's end of a connection. It counts bytes, so that they can be compared with the counts of the relay.
+// countedConn is a fake server's end of a connection. It counts the bytes, so that its counts can be compared with those of the relay.
 type countedConn struct {
 	net.Conn
 	agent, port   int // the agent whose relay dialed, and the relay's port
@@ -22,7 +22,7 @@
 	requestStart  atomic.Int64 // number of bytes read before the request that is being served
 	answerStarted atomic.Bool  // the last operation was a write, so the next byte read begins a request
 	wasReset      atomic.Bool
-	writtenAtEOF  atomic.Int64 // number of bytes written when the other side closed, plus 1; 0 before that. Bytes written later may be lost
+	writtenAtEOF  atomic.Int64 // number of bytes that had been written when the other side closed the connection, plus 1; 0: not closed yet. Bytes written later may be lost
 }
 
 func (c *countedConn) Read(b []byte) (int, error) {
--- a/internal/faulttest/deployment.go
+++ b/internal/faulttest/deployment.go
@@ -24,7 +24,7 @@
 }
 
 // startDeployment sets up the servers, relays and clients, and starts the agents at the same time. On an error it closes the deployment and
-// still returns it, for its logs.
+// returns it together with the error, so that the logs can be written.
 func startDeployment(ctx context.Context, s *Scenario, dir string, options RunOptions) (d *deployment, err error) {
 	d = newDeployment(s, options)
 	if err := d.start(ctx, dir); err != nil {
--- a/internal/faulttest/describe_test.go
+++ b/internal/faulttest/describe_test.go
@@ -35,7 +35,7 @@
 	golden.Check(t, "scenario_meanings.golden", out.String())
 }
 
-// recordedWords maps words of the current code to those in the golden file, which was recorded before they were renamed.
+// recordedWords maps words of the current code to the words in the golden file, which was recorded before the words were renamed.
 var recordedWords = map[string]string{
 	transportNone: "no", reloadMalformed: "spoilt", serverRollout: "launcher",
 	processPause: "stop", processResume: "go", processTerminate: "term",
--- a/internal/faulttest/draw.go
+++ b/internal/faulttest/draw.go
@@ -16,7 +16,7 @@
 	// minDrawnClients and maxDrawnClients bound the number of closed-load clients at all agents together.
 	minDrawnClients = 120
 	maxDrawnClients = 300
-	// closedLoadOneIn is the average number of scenarios for each one that has a closed load.
+	// closedLoadOneIn is the number of scenarios of which, on average, one has a closed load.
 	closedLoadOneIn = 4
 	drawnEvents     = 4
 	drawnBuild      = 7
@@ -34,8 +34,8 @@
 
 // DrawScenario returns the text of a random scenario that is drawn from a seed. It has a deployment, a load with clients of all kinds, faults,
 // changes of the endpoint list and planned restarts. The text is in the former notation (see formerWords), so that a seed from an earlier
-// report still gives the same text. Apart from the rules that hold in every run, it expects only that requests were sent, so that any
-// violation is a fault of the agent.
+// report still gives the same text. Apart from the rules that hold in every run, the scenario expects only that requests were sent, so that
+// any violation is a fault of the agent.
 func DrawScenario(seed int64) string {
 	d := &drawer{random: rand.New(rand.NewSource(seed))}
 	d.agents = 1 + d.random.Intn(maxDrawnAgents)
@@ -73,7 +73,7 @@
 	}
 }
 
-// drawEvent draws one fault or change. Faults on links are put on the links of all agents, so that each fault affects some traffic. They are
+// drawEvent draws one fault or change. Faults on links are put on the links of all agents, so that each fault has an effect. They are
 // healed, except for the delay of the endpoint list.
 func (d *drawer) drawEvent(at float64) {
 	endpoint, agent := d.random.Intn(d.endpoints), d.random.Intn(d.agents)
--- a/internal/faulttest/endpoint_group.go
+++ b/internal/faulttest/endpoint_group.go
@@ -14,7 +14,8 @@
 // startedLongAgo is the start time of an endpoint that has its full speed from the beginning of the run.
 const startedLongAgo netfault.Micros = -1
 
-// endpointSeedSpacing is the factor on the scenario's seed in the seeds of the endpoints' random sources. Each endpoint has its own source.
+// endpointSeedSpacing is the factor by which the scenario's seed is multiplied in the seeds of the endpoints' random sources. Each endpoint
+// has its own source.
 const endpointSeedSpacing = 31
 
 // endpointGroup manages the fake endpoints of a run, which are numbered in the order of their start.
--- a/internal/faulttest/fault_injector.go
+++ b/internal/faulttest/fault_injector.go
@@ -133,7 +133,8 @@
 	j.records = append(j.records, record)
 }
 
-// closeRecords counts how often faults took effect on links that are about to be healed; nil means all links.
+// closeRecords adds to the records the hits on links that are about to be healed, and removes these links from the records. If healed is
+// nil, it does so for all links.
 func (j *faultInjector) closeRecords(healed []*netfault.Link) {
 	for _, record := range j.records {
 		for link, before := range record.hitsBefore {
--- a/internal/faulttest/line_reader.go
+++ b/internal/faulttest/line_reader.go
@@ -22,7 +22,7 @@
 	file       string
 	lineNumber int
 	tokens     []string // tokens of the current line that are not consumed yet
-	lineFailed bool     // an error in the current line was reported; further ones are dropped, since they follow from it
+	lineFailed bool     // an error in the current line was reported; further errors in the line are dropped, since they follow from the first
 	errs       []error
 }
 
@@ -61,7 +61,7 @@
 	return token
 }
 
-// accept consumes the next token if it is the given word, in the current or the former notation. It reports whether it did.
+// accept consumes the next token and returns true if the token is word, in the current or the former notation.
 func (r *lineReader) accept(word string) bool {
 	if len(r.tokens) > 0 && currentWord(argumentWord, r.tokens[0]) == word {
 		r.tokens = r.tokens[1:]
--- a/internal/faulttest/open_load.go
+++ b/internal/faulttest/open_load.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// maxAttempts is the largest number of attempts that a client makes at a request, the first included. Users' clients make as many.
+// maxAttempts is the largest number of attempts that a client makes at a request, the first included. The clients that users run make as
+// many.
 const maxAttempts = 3
 
-// Bounds for the random times of clients that disconnect early or that set a short timeout.
+// Bounds for the random time after which a client disconnects early, and for random short timeouts.
 const (
 	maxDisconnectAfter = 100 * time.Millisecond
 	minShortTimeout    = 20 * time.Millisecond
--- a/internal/faulttest/options.go
+++ b/internal/faulttest/options.go
@@ -9,8 +9,8 @@
 // RunOptions are the options for the run of a scenario.
 type RunOptions struct {
 	Programs   map[string]string                  // paths of programs by name; agents are first started with the program that has the empty name
-	Seed       int64                              // random seed; 0: the scenario's
-	Agents     int                                // number of agents; 0: the scenario's
+	Seed       int64                              // random seed; 0: the scenario's seed
+	Agents     int                                // number of agents; 0: as many as the scenario has
 	Keep       string                             // folder for logs and records; empty: they are kept only if the scenario fails
 	IdleRelays bool                               // relays forward everything and apply no faults
 	Direct     bool                               // agents connect directly, without relays
@@ -25,7 +25,7 @@
 	Names        map[string]int // numbers of agents, by the names that the scenario has bound
 }
 
-// ProgramNames returns the names of the programs that the scenario starts besides the first.
+// ProgramNames returns the names of the programs that the scenario starts, without the empty name of the first program.
 func (s *Scenario) ProgramNames() (names []string) {
 	for _, step := range s.Steps {
 		if p, isProcess := step.Action.(processStep); isProcess && p.program != firstProgram && !slices.Contains(names, p.program) {
@@ -35,7 +35,7 @@
 	return names
 }
 
-// CheckRunnable returns an error for everything in a scenario that can't be run with these options, joined.
+// CheckRunnable returns the joined errors of everything in a scenario that can't be run with these options, or nil.
 func (s *Scenario) CheckRunnable(options RunOptions) error {
 	var errs []error
 	for _, step := range s.Steps {
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -25,7 +25,7 @@
 // time that a drain adds.
 const shutdownTimeout = 15 * time.Second
 
-// errNoProcess reports that a step needs a process, but none was started or it has ended.
+// errNoProcess reports that a step needs a process, but the agent's process was not started or has ended.
 var errNoProcess = errors.New("the agent has no running process")
 
 // apply carries out a step on one agent's process.
--- a/internal/faulttest/records.go
+++ b/internal/faulttest/records.go
@@ -50,7 +50,8 @@
 	Version int `json:"Serial"`
 }
 
-// callsKey returns the key of a server's calls in records.json. The key stays the same when the notation of scenarios changes.
+// callsKey returns the key of a server's calls in records.json. The keys stay the same when the notation of scenarios changes, so the key
+// of the rollout controller is the controller's name in the former notation.
 func callsKey(server string) string {
 	if server == serverRollout {
 		return "launcher"
@@ -70,7 +71,7 @@
 	Endpoint    int    `json:"Box"`
 	Health      string // active, leaving; left: no longer in the list
 	Build       int
-	StartedAtMS int64 `json:"Born"` // Unix milliseconds; 0: long before the run
+	StartedAtMS int64 `json:"Born"` // start time in Unix milliseconds; 0: long before the run
 }
 
 // Stage is a state of the rollout.
@@ -170,7 +171,7 @@
 // isOfClass reports whether the request is of a class. The empty class matches any request.
 func (q *Request) isOfClass(class string) bool { return class == "" || q.Attempts[0].Class == class }
 
-// lifetimeAt returns the process of an agent that was running at a time, or nil.
+// lifetimeAt returns the process of an agent that was running at the time at, or nil if there was none.
 func (r *Records) lifetimeAt(agent int, at netfault.Micros) *ProcessLifetime {
 	for i := range r.Lifetimes[agent] {
 		if l := &r.Lifetimes[agent][i]; l.Start <= at && (l.End < 0 || at < l.End) {
--- a/internal/faulttest/relay_network.go
+++ b/internal/faulttest/relay_network.go
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// addServerRelay gives an agent one more relay to a server; the agent reaches the server by the newest one.
+// addServerRelay gives an agent one more relay to a server. The agent reaches the server through its newest relay.
 func (n *relayNetwork) addServerRelay(ctx context.Context, agent int, relays *serverRelays, salt int64) error {
 	if n.isDirect {
 		return nil
@@ -256,7 +256,7 @@
 	return out
 }
 
-// list returns the relays of an agent to the server with the given name.
+// list returns an agent's relays to a server. name is the server's name.
 func (r *serverRelays) list(agent int, name string) (out []streamRelay) {
 	for i, s := range r.streams {
 		out = append(out, streamRelay{
--- a/internal/faulttest/report.go
+++ b/internal/faulttest/report.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// makeReportDir creates the folder in parent, or a temporary folder if parent is empty.
+// makeReportDir creates the folder parent/name. If parent is the empty string, it creates a temporary folder instead.
 func makeReportDir(parent, name string) (string, error) {
 	if parent == "" {
 		return os.MkdirTemp("", "switchfork-faulttest-"+name+"-")
--- a/internal/faulttest/rules.go
+++ b/internal/faulttest/rules.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	// answerSlack is how late an answer may be without breaking a rule, since a busy test machine delays answers. The users' benchmark
-	// counts an answer as lost after half a second.
+	// answerSlack is how late an answer may be without breaking a rule, since a busy test machine delays answers. The benchmark
+	// that users run also counts an answer as lost after half a second.
 	answerSlack = 500 * time.Millisecond
 	// drainSlack is the 50 ms that the protocol allows, plus the time between an agent's write and its relay's timestamp on a busy machine.
 	drainSlack = 150 * time.Millisecond
@@ -36,13 +36,13 @@
 	killDelay = 3700 * time.Millisecond
 	// acceptAfterTerm is how long after SIGTERM new connections still arrive, according to the protocol.
 	acceptAfterTerm = 200 * time.Millisecond
-	// exitSlack is the time before the exit of a process that was not killed, in which its listener may already be closed. A request that
-	// was sent in this time need not be answered.
+	// exitSlack is how long before its exit a process that was not killed may already have closed its listener. A request that was sent in
+	// this time need not be answered.
 	exitSlack = 50 * time.Millisecond
 	// maxCleanCloseRaces is how many requests of a run may be sent on a connection that is cleanly closed at the same moment. The moment
-	// lasts microseconds; it affects a request in about one of a hundred restarts.
+	// lasts microseconds, and affects a request in about one of a hundred restarts.
 	maxCleanCloseRaces = 1
-	// disconnectSlack is how long after its client disconnected an attempt may still be sent: the 0.1 s that the protocol allows, plus
+	// disconnectSlack is how long an attempt may still be sent after its client has disconnected: the 0.1 s that the protocol allows, plus
 	// drainSlack.
 	disconnectSlack = 100*time.Millisecond + drainSlack
 )
@@ -138,8 +138,8 @@
 }
 
 // checkNoDuplicateEffect checks that no request with an idempotency key runs twice. A request that an endpoint dropped as a duplicate did
-// not run. Clients retry a request of a class that must never run twice only after an answer that says that it did not run. They retry a
-// keyed request well within the endpoints' deduplication window.
+// not run. Clients retry a request of a class that must never run twice only after an answer that says that the request did not run. They
+// retry a keyed request well within the endpoints' deduplication window.
 func checkNoDuplicateEffect(r *Records) (out []Violation) {
 	first := map[string]Arrival{}
 	for _, a := range r.Arrivals {
@@ -159,8 +159,8 @@
 	return out
 }
 
-// newestReceived returns the newest version that an agent had received by a time, or -1. An older version that arrives later changes
-// nothing.
+// newestReceived returns the newest version that an agent had received at the time by, or -1 if it had received none. A version that
+// arrives after a newer one changes nothing.
 func newestReceived(receipts []Receipt, by netfault.Micros) int {
 	newest := -1
 	for _, receipt := range receipts {
@@ -275,7 +275,8 @@
 	return out
 }
 
-// findSharedClaim describes two agents that hold the same claim at the same time. It returns an empty text if there are none.
+// findSharedClaim describes two agents that both hold the claim what at the same time within the range in. It returns an empty text if there
+// are no such agents.
 func findSharedClaim(claims []claim, what string, in timeRange) string {
 	for i, a := range claims {
 		for _, b := range claims[i+1:] {
--- a/internal/faulttest/runner.go
+++ b/internal/faulttest/runner.go
@@ -24,7 +24,7 @@
 	faults   *faultInjector
 }
 
-// Run runs a scenario. It is interrupted when the context ends. In every case it stops all processes and servers that it started.
+// Run runs a scenario. The run is interrupted when the context ends. In every case, Run stops all processes and servers that it started.
 func Run(ctx context.Context, s *Scenario, options RunOptions) (v *Verdict) {
 	s = options.applyTo(s)
 	start := time.Now()
@@ -77,7 +77,7 @@
 	return records
 }
 
-// stepError is the failure of a step, which ends the scenario.
+// stepError is the failure of a step. Such a failure ends the run.
 type stepError struct {
 	step Step
 	err  error
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -9,7 +9,7 @@
 import "time"
 
 const (
-	// MaxAgents is the maximum number of agents in a scenario. Tests with more agents belong in simulated time.
+	// MaxAgents is the maximum number of agents in a scenario. Tests with more agents should run in simulated time.
 	MaxAgents = 64
 	// maxEndpoints limits how many endpoints one line starts, and the endpoint numbers that a line may name.
 	maxEndpoints = 250
--- a/internal/faulttest/scenarios_test.go
+++ b/internal/faulttest/scenarios_test.go
@@ -17,7 +17,7 @@
 	"switchfork/internal/fakes"
 )
 
-// programs builds the agent and another version of it, once for all tests.
+// programs builds two versions of the agent's program, once for all tests.
 var programs = sync.OnceValues(func() (map[string]string, error) {
 	dir, err := os.MkdirTemp("", "switchfork")
 	if err != nil {
@@ -63,8 +63,8 @@
 	return Run(t.Context(), scenario, options)
 }
 
-// Every shipped scenario passes. SWITCHFORK_SCENARIOS (formerly SWITCHFORK_NIGHTS) selects the scenarios whose file names contain it,
-// SWITCHFORK_TIMES is the number of runs of each scenario.
+// Every scenario in the folder scenarios passes. SWITCHFORK_SCENARIOS (formerly SWITCHFORK_NIGHTS) selects the scenarios whose file names
+// contain its value. SWITCHFORK_TIMES is the number of runs of each scenario.
 func TestScenarios(t *testing.T) {
 	files, _ := filepath.Glob("scenarios/*.txt")
 	if len(files) == 0 {
@@ -99,8 +99,8 @@
 	}
 }
 
-// A scenario with expectations that are false on purpose fails on the lines of these expectations. If its relays apply no faults, it also
-// fails on the line of its fault.
+// A run of a scenario with expectations that are false on purpose reports a failure for the line of each of these expectations. If the
+// relays apply no faults, the run also reports a failure for the line of the fault.
 func TestFalseExpectationsFail(t *testing.T) {
 	options := runOptions(t)
 	const text = `agents 2
--- a/internal/faulttest/soak_test.go
+++ b/internal/faulttest/soak_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// A seed draws the same scenario each time, every drawn scenario can be parsed, and each kind of step is drawn.
+// The same seed always gives the same scenario, every drawn scenario can be parsed, and each kind of step is drawn.
 func TestDrawScenario(t *testing.T) {
 	drawn := map[string]bool{}
 	for seed := range int64(300) {
--- a/internal/faulttest/steps.go
+++ b/internal/faulttest/steps.go
@@ -88,7 +88,7 @@
 		excluded *AgentSet
 		timeout  time.Duration
 	}
-	// membershipStep changes the election's members by the operator's command.
+	// membershipStep changes the members of the leader election with the operator's command.
 	membershipStep struct {
 		action   string
 		agents   AgentSet
--- a/internal/faulttest/verdict.go
+++ b/internal/faulttest/verdict.go
@@ -20,7 +20,7 @@
 	Scenario   string       `json:"scenario"`
 	Seed       int64        `json:"seed"`
 	Passed     bool         `json:"passed"`
-	Error      string       `json:"error,omitempty"` // why the run failed, apart from lines, violations and mismatches
+	Error      string       `json:"error,omitempty"` // reason for a failure that is not in Lines, Violations or Mismatches
 	Lines      []LineResult `json:"lines"`
 	Violations []string     `json:"violations,omitempty"`
 	Mismatches []string     `json:"mismatches,omitempty"` // differences between the records of servers and relays
@@ -54,8 +54,8 @@
 
 func (v *Verdict) addError(text string) { v.Error = strings.TrimSpace(v.Error + " " + text) }
 
-// fillVerdict checks the expectations and the rules against the records. The line of a fault that had no effect fails, since the scenario
-// then does not test what it claims to.
+// fillVerdict checks the expectations and the rules against the records. If a fault had no effect, its line is reported as failed, since
+// the scenario then does not test what it claims to.
 func (r *runner) fillVerdict(v *Verdict, records *Records, err error) {
 	v.Requests = len(records.Requests)
 	var failed *stepError
