--- a/internal/aimd/aimd.go
+++ b/internal/aimd/aimd.go
@@ -9,12 +9,12 @@
 	decreasedAt int64
 }
 
-// Increase raises the limit after a good answer by 1/Value, and at most to twice its value. So a limit of n rises by about one
-// with n good answers.
+// Increase raises the limit after a good answer by 1/Value, but at most to twice Value. So n good answers raise a limit of n by
+// about one.
 func (l *Limit) Increase() { l.Value += min(l.Value, 1/l.Value) }
 
-// Decrease multiplies the limit by the factor after a bad answer, but does not lower it below the minimum. It does nothing before
-// the interval has passed since the last decrease, so that one burst of late answers counts once.
+// Decrease multiplies the limit by factor after a bad answer, but does not lower the limit below minimum. It does nothing until
+// interval has passed since the last decrease, so that one burst of late answers counts once.
 func (l *Limit) Decrease(now int64, minimum, factor float64, interval int64) {
 	if now >= l.decreasedAt+interval {
 		l.Value, l.decreasedAt = max(minimum, l.Value*factor), now
--- a/internal/exposure/exposure.go
+++ b/internal/exposure/exposure.go
@@ -1,10 +1,10 @@
-// Package exposure counts over a sliding window how many attempts went to a build, against a share of the requests that
+// Package exposure checks over a sliding window whether the attempts at a build stay within a share of the requests that
 // arrived.
 //
 // A Window belongs to its caller and is not safe for concurrent use. Times are in whole microseconds.
 package exposure
 
-// arrival marks an entry that is the arrival of a request and not an attempt at a build.
+// arrival is the build of an entry that records the arrival of a request instead of an attempt.
 const arrival = -1
 
 type entry struct {
@@ -12,7 +12,7 @@
 	build      int
 }
 
-// query holds the arguments of a call of Fits. The result is valid until the next entry.
+// query holds the arguments of a call of Fits.
 type query struct {
 	build     int
 	share     float64
@@ -23,14 +23,14 @@
 type Window struct {
 	entries   []entry
 	lastQuery query
-	isCached  bool // lastFits is valid for lastQuery: nothing was recorded since
+	isCached  bool // lastFits is valid for lastQuery: no entry was recorded since
 	lastFits  bool
 }
 
-// RecordRequest records the arrival of a request, and removes the entries from before the given time.
+// RecordRequest records the arrival of a request at now, and removes the entries older than forgetBefore.
 func (w *Window) RecordRequest(now, forgetBefore int64) { w.record(now, forgetBefore, arrival) }
 
-// RecordAttempt records an attempt at a build, and removes the entries from before the given time.
+// RecordAttempt records an attempt that was sent to a build at now, and removes the entries older than forgetBefore.
 func (w *Window) RecordAttempt(now, forgetBefore int64, build int) {
 	w.record(now, forgetBefore, build)
 }
@@ -43,11 +43,11 @@
 	w.isCached = false
 }
 
-// Fits reports whether one more attempt at the build keeps its attempts, over every window that ends now, within the share
-// of the requests plus the allowance.
+// Fits reports whether one more attempt may be sent to build. Over every window that ends now, the attempts at build, with the
+// new one, must number at most share times the requests, plus allowance. With a share of 0, Fits returns false.
 //
-// The result is cached until the next entry: under overload every pending request calls Fits again at every tick, and at a
-// thousand requests per second the window has thousands of entries.
+// The result is cached until the next entry: under overload, Fits is called again for every pending request at every tick, and
+// at a thousand requests per second the window has thousands of entries.
 func (w *Window) Fits(build int, share, allowance float64) bool {
 	q := query{build, share, allowance}
 	if !w.isCached || w.lastQuery != q {
@@ -61,7 +61,7 @@
 	for i := len(w.entries) - 1; i >= 0; i-- {
 		isBoundary := i < len(w.entries)-1 && w.entries[i].recordedAt != w.entries[i+1].recordedAt
 		if isBoundary && balance > q.allowance {
-			break // entries of the same time belong to the same windows
+			break // entries with the same time belong to the same windows
 		}
 		switch w.entries[i].build {
 		case q.build:
--- a/internal/hashing/hashing.go
+++ b/internal/hashing/hashing.go
@@ -13,8 +13,8 @@
 	secondMultiplier = 0x94d049bb133111eb
 )
 
-// Mix64 returns the number that a SplitMix64 generator in the given state draws next: each bit of the result depends on
-// each bit of the state. It is a bijection, so different states give different numbers.
+// Mix64 returns the number that a SplitMix64 generator draws next from state. Each bit of the number depends on each bit of
+// state. Mix64 is a bijection, so different states give different numbers.
 func Mix64(state uint64) uint64 {
 	state += goldenGamma
 	state = (state ^ state>>30) * firstMultiplier
--- a/internal/hashring/ring.go
+++ b/internal/hashring/ring.go
@@ -1,9 +1,9 @@
 // Package hashring is a consistent-hash ring: it holds the points of endpoints on a circle of 64-bit hashes and finds the owners
-// of the next points clockwise from a position, weighted if wanted. It does not know why an endpoint may or may not be chosen;
-// the caller expresses that by a weight.
+// of the next points clockwise from a position, or the nearest owner by weighted distance. It does not know why an endpoint must
+// not be chosen; the caller gives such an endpoint a weight of 0.
 //
-// No package imports it yet. The routing policy searches the points of each endpoint separately, at a cost that grows with the
-// number of endpoints; this ring is the groundwork for a larger ring there.
+// No package imports hashring yet. The routing policy searches the points of each endpoint separately, at a cost that grows with
+// the number of endpoints; this ring is the groundwork for a larger ring there.
 //
 // The points lie in buckets by their highest bits, so that a lookup reads a bucket instead of searching all points, and a
 // change of one endpoint affects only the buckets of its points. A Ring is not safe for concurrent use; it does no I/O and
@@ -26,7 +26,7 @@
 // Ring is a consistent-hash ring. Create it with New.
 type Ring struct {
 	buckets    [][]Point // each sorted by hash, then owner
-	shift      uint      // from a hash to the index of its bucket
+	shift      uint      // hash>>shift is the index of the hash's bucket
 	pointCount int
 }
 
@@ -129,7 +129,7 @@
 // weighted distance it returns the first one clockwise. weight returns an owner's weight, which is 0 for an owner that must not
 // be chosen, and never more than maxWeight.
 //
-// An owner's first point is its nearest one, and the distances of the walk never decrease. Once the distance is too long even
+// The walk reaches the nearest point of each owner first, and its distances never decrease. Once the distance is too long even
 // for an owner with maxWeight, no later owner can be nearer and the walk ends.
 func (r *Ring) Nearest(position uint64, maxWeight float64, weight func(owner uint32) float64) (owner uint32, weightedDistance float64, found bool) {
 	weightedDistance = math.Inf(1)
--- a/internal/ramp/ramp.go
+++ b/internal/ramp/ramp.go
@@ -8,12 +8,12 @@
 	Duration int64
 }
 
-// At returns the share at an age: Initial before 0, and 1 from Duration on.
+// At returns the share at age: Initial up to age 0, and 1 from Duration on.
 func (l Linear) At(age int64) float64 {
 	return min(1, l.Initial+(1-l.Initial)*float64(max(0, age))/float64(l.Duration))
 }
 
-// Integral returns the integral of the share from age 0 to the given age, which must be within Duration.
+// Integral returns the integral of the share from 0 to age, which must be at most Duration.
 func (l Linear) Integral(age float64) float64 {
 	return age * (l.Initial + (1-l.Initial)*age/2/float64(l.Duration))
 }
--- a/internal/sprt/sprt.go
+++ b/internal/sprt/sprt.go
@@ -12,7 +12,7 @@
 	MinRatio   float64 // lowest ratio of the bad rate to the baseline rate
 }
 
-// Test compares a baseline failure rate with a bad one.
+// Test compares the failure rate of a baseline with a bad failure rate.
 type Test struct {
 	baseline, bad float64
 }
@@ -37,8 +37,8 @@
 	return t.Success()
 }
 
-// ExponentialMean returns the step of count exponentially distributed durations with the given sample mean, in a test of the
-// expected mean against one that is factor times as high.
+// ExponentialMean returns the sum of the steps of count exponentially distributed durations with the sample mean mean, in a test
+// of the mean expected against a mean that is factor times as high.
 func ExponentialMean(count, mean, expected, factor float64) float64 {
 	return count * (mean/expected*(1-1/factor) - math.Log(factor))
 }
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -20,7 +20,7 @@
 	return 0
 }
 
-// Median returns the middle sample, or the upper of the two middle samples of an even number. There must be at least one sample.
+// Median returns the middle sample, or the upper of the two middle samples of an even count. There must be at least one sample.
 // The samples are not modified.
 func Median(samples []float64) float64 {
 	sorted := slices.Clone(samples)
@@ -28,7 +28,7 @@
 	return sorted[len(sorted)/2]
 }
 
-// LowerMedian returns the middle sample, or the lower of the two middle samples of an even number. There must be at least one
+// LowerMedian returns the middle sample, or the lower of the two middle samples of an even count. There must be at least one
 // sample. The samples are not modified.
 func LowerMedian(samples []float64) float64 {
 	sorted := slices.Clone(samples)
