--- a/internal/agent/activity.go
+++ b/internal/agent/activity.go
@@ -28,9 +28,9 @@
 // activity counts what the agent has done in the current interval of the activity log.
 type activity struct {
 	activityCounts
-	dials     atomic.Int64 // like listCalls, counted by other goroutines than the loop's
+	dials     atomic.Int64 // counted, like listCalls, by goroutines other than the loop's
 	listCalls atomic.Int64
-	since     time.Time
+	since     time.Time // start of the current interval
 }
 
 // log ends the interval if it has lasted activityInterval. It writes a line unless nothing was done in the interval.
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -86,7 +86,8 @@
 	endpoint.Send(attempt)
 }
 
-// attemptDeadline returns when an attempt times out: after its own timeout if it has one, but not after its request's deadline.
+// attemptDeadline returns when an attempt times out: timeout after decidedAt, and at requestDeadline at the latest. A timeout of 0 means
+// that the attempt has no timeout of its own.
 func attemptDeadline(requestDeadline, decidedAt time.Time, timeout policy.Micros) time.Time {
 	if timeout == 0 {
 		return requestDeadline
@@ -98,7 +99,7 @@
 	return requestDeadline
 }
 
-// refuseAttempt reports an attempt that can't be sent as not sent. request is nil if it is unknown.
+// refuseAttempt reports the result NotSent for an attempt that can't be sent. request is nil if the request is unknown.
 func (e *commandExecutor) refuseAttempt(command policy.SendAttempt, request *Request) {
 	slog.Error("attempt could not be sent", "request", command.RequestID, "endpoint", command.EndpointID)
 	e.reportAttempt(upstream.AttemptFinished{
@@ -110,7 +111,7 @@
 		Result: protocol.NotSent,
 	})
 	if request != nil {
-		request.inFlight++ // openRequests.finishAttempt decrements it when it handles the report
+		request.inFlight++ // openRequests.finishAttempt decrements inFlight when the report is handled
 	}
 }
 
--- a/internal/agent/endpoint_registry.go
+++ b/internal/agent/endpoint_registry.go
@@ -25,7 +25,7 @@
 func (r *endpointRegistry) get(id uint32) *upstream.Endpoint { return r.byID[id] }
 
 // update applies a change of the endpoint list. It starts new endpoints and gives all listed endpoints their latest entry. An endpoint that
-// has left the list stops once none of its attempts is in flight. If it is listed again, a new one is started.
+// has left the list stops once none of its attempts is in flight. If its ID is listed again, a new endpoint is started.
 func (r *endpointRegistry) update(list EndpointList) {
 	isPresent := map[uint32]bool{}
 	for i, row := range list.Endpoints {
@@ -68,7 +68,7 @@
 	r.order = slices.DeleteFunc(r.order, func(other *upstream.Endpoint) bool { return other == endpoint })
 }
 
-// trimIdle makes all endpoints close the connections that current traffic does not need.
+// trimIdle makes all endpoints close the connections that have been idle for at least upstream.TrimIdleAfter.
 func (r *endpointRegistry) trimIdle() {
 	for _, endpoint := range r.order {
 		endpoint.TrimIdle()
--- a/internal/agent/export_test.go
+++ b/internal/agent/export_test.go
@@ -2,7 +2,7 @@
 
 import "switchfork/internal/policy"
 
-// ReaderGrace is how long the loop waits for readers after a stall, at least.
+// ReaderGrace is the shortest time for which the loop waits for readers after a stall.
 const ReaderGrace = readerGrace
 
 // Handle hands an event to the policy, as the loop's goroutine does.
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -26,8 +26,9 @@
 // idleWait is how long the loop waits for a message before the policy has set its first timer.
 const idleWait = time.Hour
 
-// Loop calls the policy with one event after the other and carries out its commands. Events wait in its two mailboxes (messages.go) and
-// timers (timers.go). It keeps the open requests (open_requests.go) and the listed endpoints (endpoint_registry.go).
+// Loop calls the policy with one event after the other and carries out the policy's commands. Messages wait in the loop's two mailboxes
+// (messages.go), and the policy's timers in a queue (timers.go). The loop keeps the open requests (open_requests.go) and the listed
+// endpoints (endpoint_registry.go).
 type Loop struct {
 	router    policy.Router
 	clock     Clock
@@ -68,7 +69,7 @@
 	return l
 }
 
-// RouteVotes replaces the receiver of the policy's votes that Serve is given. It must be called before Serve.
+// RouteVotes makes receive get the policy's votes instead of the function that Serve is given. It must be called before Serve.
 func (l *Loop) RouteVotes(receive func(policy.Vote)) { l.voteSink = receive }
 
 // Clock returns the clock that the policy's times are read from.
@@ -78,7 +79,7 @@
 func (l *Loop) UnreadInput() *tcpconn.UnreadTracker { return l.stalls.unread }
 
 // AddReader registers a goroutine that reads the endpoint list or rollout updates and hands them to the loop. After a stall, the loop calls
-// flush with a barrier. The reader has to close the barrier's channel once it has handed on all that it had read.
+// flush with a barrier. The reader has to close the barrier's channel once it has handed on all input that it had read before the call.
 func (l *Loop) AddReader(flush func(Barrier)) { l.stalls.addReader(flush) }
 
 // Serve runs the loop until ctx ends. pool creates the endpoints. vote and gossip receive the policy's votes and gossip messages and must
@@ -130,8 +131,8 @@
 	l.frozenNow = 0
 }
 
-// handleUrgent handles endpoint list changes and rollout updates ahead of everything else. If the process has stalled, it first lets
-// their readers catch up, which blocks this goroutine for about maxReaderWait at most.
+// handleUrgent handles endpoint list changes and rollout updates ahead of everything else. If the process has stalled, it first waits for
+// the readers of both, which blocks the loop's goroutine for about maxReaderWait at most.
 func (l *Loop) handleUrgent() {
 	l.stalls.waitAfterStall(&l.timers, l.clock)
 	for _, message := range l.urgent.Take(nil) {
@@ -151,8 +152,8 @@
 	}
 }
 
-// handle is the only place that calls the policy. A panic there ends the process: a policy in an unknown state could break any of its
-// guarantees.
+// handle is the only place that calls the policy. A panic of the policy ends the process: in an unknown state, the policy could break any
+// of its guarantees.
 func (l *Loop) handle(event policy.Event) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -81,7 +81,7 @@
 		r := agenttest.NewRig(t, time.Second)
 		published := make(chan time.Duration, 1)
 		stallOnGossip(r, func() {
-			stalledAt := time.Now() // the grace period begins after it
+			stalledAt := time.Now() // the grace period begins later
 			time.AfterFunc(time.Millisecond, func() {
 				r.Publish(protocol.List{Version: 1, IsFull: true})
 				published <- time.Since(stalledAt)
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -15,7 +15,7 @@
 	// policyEvent is an event for the policy from another goroutine.
 	policyEvent struct{ policy.Event }
 
-	// requestArrived is a new request with what is needed to answer it.
+	// requestArrived is a new request: the event for the policy, and the Request by which it is answered.
 	requestArrived struct {
 		event   policy.RequestArrived
 		request *Request
@@ -64,10 +64,10 @@
 	l.mailbox.Put(requestCoalesced{leaderID, request})
 }
 
-// UpdateEndpoints applies a change of the endpoint list, ahead of all messages that wait in the other mailbox.
+// UpdateEndpoints hands a change of the endpoint list to the loop, which handles it ahead of all waiting messages that are not urgent.
 func (l *Loop) UpdateEndpoints(list EndpointList) { l.urgent.Put(list) }
 
-// UpdateRollout hands the state of a rollout to the policy, ahead of all messages that wait in the other mailbox.
+// UpdateRollout hands the state of a rollout to the policy, ahead of all waiting messages that are not urgent.
 func (l *Loop) UpdateRollout(update policy.RolloutUpdate) { l.urgent.Put(policyEvent{update}) }
 
 // AttemptFinished implements upstream.Events.
@@ -78,7 +78,7 @@
 // HealthChecked implements upstream.Events.
 func (l *Loop) HealthChecked(result policy.HealthCheckResult) { l.mailbox.Put(policyEvent{result}) }
 
-// ConnectionsExhausted implements upstream.Events: all endpoints close the connections that they do not need.
+// ConnectionsExhausted implements upstream.Events: it makes all endpoints close the connections that they do not need.
 func (l *Loop) ConnectionsExhausted() { l.mailbox.Put(connectionsExhausted{}) }
 
 // DialStarted implements upstream.Events: it counts a dial for the activity log.
@@ -87,7 +87,7 @@
 // CountListCall counts a call to discovery for the activity log.
 func (l *Loop) CountListCall() { l.activity.listCalls.Add(1) }
 
-// Flush waits until all messages that were put into the mailbox before the call have been handled, or ctx ends.
+// Flush waits until all messages that were put into the mailboxes before the call have been handled, or ctx ends.
 func (l *Loop) Flush(ctx context.Context) {
 	done := make(chan struct{})
 	l.mailbox.Put(Barrier{done})
--- a/internal/agent/open_requests.go
+++ b/internal/agent/open_requests.go
@@ -26,7 +26,7 @@
 	r.activity.arrived++
 }
 
-// coalesce adds a retry to those that wait for the reply of the request that they repeat, the leader.
+// coalesce makes a retry wait for the reply to the request that it repeats, the leader.
 func (r *openRequests) coalesce(leaderID uint64, retry *Request) {
 	leader := r.byID[leaderID]
 	if leader == nil || leader.answered {
--- a/internal/agent/open_requests_test.go
+++ b/internal/agent/open_requests_test.go
@@ -16,7 +16,7 @@
 	doneCount int
 }
 
-// testRequestID is the number of the one request that a test adds.
+// testRequestID is the ID of the one request that a test adds.
 const testRequestID = 1
 
 func addTestRequest(requests *openRequests) *testRequest {
@@ -35,7 +35,7 @@
 	return finished
 }
 
-// wantReply fails the test if the request has no reply, or if its reply or its result is not the wanted one.
+// wantReply fails the test if the request has no reply, or if the reply differs from wantRejected or the result from wantResult.
 func wantReply(t *testing.T, name string, request *Request, wantRejected bool, wantResult admission.Result) {
 	t.Helper()
 	select {
@@ -85,7 +85,7 @@
 	}
 }
 
-// An attempt that fails leaves its request open for another one.
+// A failed attempt leaves its request open for another attempt.
 func TestFailedAttemptLeavesRequestOpen(t *testing.T) {
 	requests := newOpenRequests(&activity{})
 	request := addTestRequest(&requests)
--- a/internal/agent/request.go
+++ b/internal/agent/request.go
@@ -30,13 +30,13 @@
 	coalesced []chan Reply // channels of the coalesced retries, which get the same reply
 	answered  bool         // the final reply is given, or the client has gone
 	result    admission.Result
-	inFlight  int // attempts that have not ended
-	attempts  int
+	inFlight  int                // attempts that have not ended
+	attempts  int                // attempts that were sent
 	endpoint  *upstream.Endpoint // endpoint of the latest attempt
 }
 
-// NewRequest creates a request that has to be answered by a deadline. onDone is called once it is answered and none of its attempts is in
-// flight.
+// NewRequest creates a request that has to be answered by deadline. onDone is called once the request is answered and none of its attempts
+// is in flight.
 func NewRequest(encoded *protocol.EncodedRequest, deadline time.Time, onDone func()) *Request {
 	return &Request{Encoded: encoded, replies: make(chan Reply, 1), Deadline: deadline, OnDone: onDone}
 }
--- a/internal/agent/stall.go
+++ b/internal/agent/stall.go
@@ -16,14 +16,14 @@
 	// maxReaderWait bounds the wait for readers that have not yet handed on input that has arrived. readerGrace alone is too short for
 	// readers that wait behind hundreds of requests on a fully loaded core.
 	maxReaderWait = 500 * time.Millisecond
-	// unreadPollInterval is how often the connections are checked for unread input during that wait.
+	// unreadPollInterval is how often the connections are checked for unread input while the loop waits for the readers.
 	unreadPollInterval = time.Millisecond
 )
 
 // stallGuard detects that the process has stalled, by a timer that is late by more than upstream.StallThreshold. It then waits until
 // changes of the endpoint list and rollout updates that arrived during the stall have been handed on, because requests must not be routed
-// by the state before the stall. It guards against everything that stops an agent, such as a frozen machine or a core that gives the
-// process no time, and costs a little time if the core is merely fully loaded.
+// by the state before the stall. It guards against everything that stops an agent, such as a frozen machine or a core on which the process
+// is not scheduled. The wait costs a little time if the core is merely fully loaded.
 //
 // Readers may be added by any goroutine; the other methods are for the loop's goroutine, which sleeps in them after a stall.
 type stallGuard struct {
@@ -32,7 +32,7 @@
 	mutex   sync.Mutex
 	readers []func(Barrier) // the goroutines that read from those connections; guarded by mutex
 
-	lateTimer policy.Micros // due time of the late timer for which the loop last waited for the readers
+	lateTimer policy.Micros // due time of the late timer after which the loop last waited for the readers
 }
 
 func newStallGuard() stallGuard { return stallGuard{unread: tcpconn.NewUnreadTracker()} }
--- a/internal/agent/timers.go
+++ b/internal/agent/timers.go
@@ -7,11 +7,10 @@
 	"switchfork/internal/policy"
 )
 
-// timerQueue holds the timers that the policy has set, sorted by time. Timers of the same time stay in the order in which they
+// timerQueue holds the timers that the policy has set, sorted by At. Timers with equal At stay in the order in which they
 // were set. The loop's goroutine owns it.
 type timerQueue []policy.SetTimer
 
-// set adds a timer.
 func (q *timerQueue) set(timer policy.SetTimer) {
 	index := sort.Search(len(*q), func(i int) bool { return (*q)[i].At > timer.At })
 	*q = slices.Insert(*q, index, timer)
--- a/internal/agent/timers_test.go
+++ b/internal/agent/timers_test.go
@@ -7,9 +7,9 @@
 	"switchfork/internal/policy"
 )
 
-// Timers with equal times fire in the order in which they were set. Each used to be inserted before those of the same time, so that they
-// fired in reverse order. The policy sets timers without tokens, so it can't distinguish them. A policy that sets tokens would act on its
-// timers in the wrong order.
+// Timers with equal times fire in the order in which they were set. Each timer used to be inserted before the timers with the same time, so
+// that equal timers fired in reverse order. The policy sets timers without tokens, so it can't distinguish equal timers. A policy that sets
+// tokens would act on its timers in the wrong order.
 func TestEqualTimersKeepTheirOrder(t *testing.T) {
 	var timers timerQueue
 	for token, at := range []policy.Micros{20, 10, 20, 10, 20, 5} {
--- a/internal/agenttest/servers.go
+++ b/internal/agenttest/servers.go
@@ -26,8 +26,8 @@
 	return fakes.NewScriptedServer(Listen(t), respond)
 }
 
-// NewStreamServer starts a server of streams that is closed with the test. It answers each call with what answer returns for it, and writes
-// keepAlive to a stream on which it has written nothing for interval.
+// NewStreamServer starts a server of streams that is closed with the test. It answers each call with the text that answer returns for the
+// call's target, and writes keepAlive to each stream on which it has written nothing for interval.
 func NewStreamServer(t *testing.T, keepAlive string, interval time.Duration, answer func(target string) string) *fakes.StreamServer {
 	t.Helper()
 	server := fakes.NewStreamServer(Listen(t), keepAlive, interval, answer)
@@ -36,9 +36,9 @@
 }
 
 const (
-	// maxCaptureBytes is how much of a connection Capture reads.
+	// maxCaptureBytes is the highest number of bytes that Capture reads from a connection.
 	maxCaptureBytes = 4096
-	// maxCaptures is the number of connections of which Capture keeps the bytes until next is called.
+	// maxCaptures is the number of connections whose bytes Capture keeps until next is called.
 	maxCaptures = 64
 )
 
