--- a/internal/policy/analyzer.go
+++ b/internal/policy/analyzer.go
@@ -124,7 +124,7 @@
 }
 
 // isLatenessEvidence reports whether lateness at an endpoint is evidence on its build: a slow build still answers, but late.
-// It is evidence only while the baseline has most of the traffic, and only at warm endpoints.
+// Lateness is evidence only while the baseline has most of the traffic, and only at warm endpoints.
 func (a *releaseAnalyzer) isLatenessEvidence(e *endpointRecord) bool {
 	return a.evaluators.evaluatesReleases() && a.slowdown.canaryShare < maxLatenessCanaryShare && !e.isWarmingUp()
 }
--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -3,7 +3,7 @@
 //
 // New returns a Router. Its method Handle takes the time in whole microseconds and an event, and returns the commands to carry out
 // before the next event. A Router does no I/O, reads no clock and starts no goroutine: the same events give the same commands.
-// It owns all its state and is not safe for concurrent use; one goroutine calls it, in the order in which things happen.
+// It owns all its state and is not safe for concurrent use; one goroutine passes it the events in the order in which they happen.
 //
 // docs/architecture.md says which file decides what. router.go connects the components and makes no decisions;
 // gossip_codec.go encodes gossip.
@@ -21,20 +21,20 @@
 type Event any
 
 type (
-	// EndpointUpdate is a change of the endpoint list. Full means that it replaces the whole list, Failed that the call for the
-	// list failed.
+	// EndpointUpdate is a change of the endpoint list. Full means that Endpoints replaces the whole list, Failed that the call for
+	// the list failed.
 	EndpointUpdate struct {
 		Full, Failed bool
 		Endpoints    []Endpoint
 	}
-	// Endpoint is one row of the list.
+	// Endpoint is one entry of the endpoint list.
 	Endpoint struct {
 		ID      uint32
 		Build   int
 		Zone    int
 		State   EndpointState
 		Cell    int
-		Started Micros // when its process started; 0: long ago
+		Started Micros // when the endpoint's process started; 0: long ago
 		Weight  float64
 	}
 	// RequestArrived is a request that this agent must answer.
@@ -46,7 +46,7 @@
 		Deadline  Micros
 		CostHint  Micros // expected work; 0: not known
 		IsRetry   bool   // the client says that it has sent the request before
-		ArrivedAt Micros // when the agent received it, if it has waited since; 0: now
+		ArrivedAt Micros // when the agent received the request, if the request has waited since; 0: now
 	}
 	// ResponseStarted reports that a streamed response has started. The policy ignores it.
 	ResponseStarted struct{ RequestID uint64 }
@@ -80,9 +80,9 @@
 		Build, Stage int
 		Phase        Phase
 		IsVoteReply  bool
-		Outcome      Outcome
-		Cap          float64
-		Age          Micros
+		Outcome      Outcome // outcome of the vote, if IsVoteReply
+		Cap          float64 // exposure cap of Stage
+		Age          Micros  // how long the rollout controller has been in this state
 	}
 	// MetricsReport holds the rollout controller's counts for one build and class.
 	MetricsReport struct {
@@ -121,7 +121,7 @@
 // Outcome is the outcome of an attempt, a health check or a vote.
 type Outcome int
 
-// The outcomes. Comments say what they mean for an attempt.
+// The outcomes. Each comment says whether the request may have run at the endpoint of an attempt with this outcome.
 const (
 	OK             Outcome = iota
 	ServerError            // may have run
--- a/internal/policy/build_selector.go
+++ b/internal/policy/build_selector.go
@@ -9,7 +9,7 @@
 const (
 	newestBuild  buildRank = iota // the newest build in the list: in evaluation, released last or not announced yet
 	earlierBuild                  // all builds that have no other rank
-	leavingBuild                  // builds that were rolled back, or are in evaluation although a newer one is ready
+	leavingBuild                  // builds that were rolled back, or are in evaluation although a newer build is ready
 	buildRankCount
 )
 
@@ -19,7 +19,7 @@
 	rollout     *rolloutState
 	endpoints   *endpointSet
 	budget      *slowStartBudget
-	newest      int     // the newest build with a ready endpoint that was not rolled back
+	newest      int     // the newest build that has a ready endpoint and was not rolled back
 	newestShare float64 // share of requests that try the newest build first
 }
 
@@ -40,7 +40,7 @@
 // rank returns the rank of a build as of the last call of updateShare.
 func (b *buildSelector) rank(build int) buildRank { return b.rankOf(build, b.newest) }
 
-// updateShare updates the newest build and the share of requests that try it first: its part of the capacity, limited by its
+// updateShare updates newest and newestShare. The share is the newest build's part of the capacity, limited by the build's
 // exposure cap.
 func (b *buildSelector) updateShare() {
 	newest := b.endpoints.highestBuild(b.rollout.rolledBack)
--- a/internal/policy/capacity.go
+++ b/internal/policy/capacity.go
@@ -43,8 +43,8 @@
 	a.utilization = stats.MovingMean(a.utilization, utilization, endpointReportWeight)
 }
 
-// capacity returns the rate that the endpoint could serve at full utilization, kept within bounds around the mean of all
-// endpoints. It is the mean itself if the utilization is too low to tell.
+// capacity returns the rate that the endpoint could serve at full utilization, bounded by maxCapacityRatio. mean is the mean
+// capacity of all endpoints; capacity returns mean itself if the utilization is too low to tell.
 func (a *loadAverage) capacity(mean float64) float64 {
 	if a.utilization < minUtilization {
 		return mean
@@ -53,7 +53,7 @@
 	return min(max(estimate, mean/maxCapacityRatio), mean*maxCapacityRatio)
 }
 
-// updateMeanCapacity adds one sample to the mean, which starts at the first sample.
+// updateMeanCapacity adds one sample to meanCapacity, which starts at the first sample.
 func (s *endpointSet) updateMeanCapacity(capacity float64) {
 	if s.meanCapacity == 0 {
 		s.meanCapacity = capacity
@@ -61,7 +61,7 @@
 	s.meanCapacity = stats.MovingMean(s.meanCapacity, capacity, fleetReportWeight)
 }
 
-// updateWarmConcurrency estimates by Little's law how many requests a warm endpoint serves concurrently. The mean cost is in µs.
+// updateWarmConcurrency estimates by Little's law how many requests a warm endpoint serves concurrently. meanCost is in µs.
 func (s *endpointSet) updateWarmConcurrency(meanCost float64) {
 	s.warmConcurrency = max(1, s.meanCapacity*meanCost/float64(second))
 }
--- a/internal/policy/concurrency_limit.go
+++ b/internal/policy/concurrency_limit.go
@@ -3,22 +3,23 @@
 import "switchfork/internal/stats"
 
 const (
-	initialEndpointLimit  = 4.0  // at a new endpoint: two requests being served and two waiting
-	quickAnswerFraction   = 0.25 // of the latency objective; a quicker answer shows free capacity
-	lateAnswerFraction    = 0.45 // of the latency objective; a later answer shows that too many attempts are open
+	initialEndpointLimit  = 4.0  // limit of a new endpoint: two requests being served and two waiting
+	quickAnswerFraction   = 0.25 // part of the latency objective; a quicker answer shows free capacity
+	lateAnswerFraction    = 0.45 // part of the latency objective; a later answer shows that too many attempts are open
 	limitDecreaseFactor   = 0.7
 	limitDecreaseInterval = 250 * millisecond // late answers within this time count as one sign of overload
 	// silenceTimeoutFraction is the part of the latency objective after which an endpoint with attempts in flight and no answer
 	// counts as silent. It gets no more attempts until it answers.
 	silenceTimeoutFraction = 0.8
-	// inFlightReportWeight is the weight of a report of the requests in flight. Reports are late and noisy, but they correct the
-	// errors in the count that lost messages cause.
+	// inFlightReportWeight is the weight of an endpoint's report in the count of its requests in flight. Reports are late and
+	// noisy, but they correct the errors that lost messages cause in the count.
 	inFlightReportWeight = 0.2
 )
 
-// isAvailable reports whether an endpoint may take one more attempt of this agent: it is not ejected, within its concurrency
-// limit and not silent. Silence shows that an endpoint hangs (frozen, cut off, stuck) earlier than timeouts do. As a side
-// effect, an endpoint with one long request may be passed over. The endpoint selector calls it for each candidate.
+// isAvailable reports whether an endpoint may take one more attempt of this agent. The endpoint must be within its concurrency
+// limit, and not ejected, in a health check, in the pause after a rejection, or silent. Silence shows earlier than timeouts that
+// an endpoint hangs (frozen, cut off, stuck). As a side effect, an endpoint with one long request may be passed over. The endpoint
+// selector calls isAvailable for each candidate.
 func (e *endpointRecord) isAvailable() bool {
 	if e.isChecking || e.isEjected() || e.now < e.rejectingUntil {
 		return false
@@ -33,10 +34,11 @@
 	return float64(e.now-e.waitingSince) >= silenceTimeoutFraction*float64(e.lastObjective)
 }
 
-// minLimitPerCore returns an agent's lowest concurrency limit for one core. All agents together may have one open attempt there.
+// minLimitPerCore returns an agent's lowest concurrency limit for one core. All agents together may have one open attempt per core.
 func minLimitPerCore(agents int) float64 { return 1 / float64(agents) }
 
-// minLimit returns the lowest concurrency limit of the endpoint, scaled by the number of requests that it serves concurrently.
+// minLimit returns the endpoint's lowest concurrency limit: minLimitPerCore, times the requests that a warm endpoint serves
+// concurrently.
 func (e *endpointRecord) minLimit() float64 {
 	return e.endpoints.minLimitPerCore * e.endpoints.warmConcurrency
 }
@@ -74,8 +76,8 @@
 	return false
 }
 
-// updateTotalInFlight subtracts a request that ended from the count of all agents' requests, and moves the count towards the
-// reported one. A negative value means that there is no report.
+// updateTotalInFlight subtracts a request that ended from totalInFlight, and moves totalInFlight towards the reported count.
+// reported is negative if there is no report.
 func (e *endpointRecord) updateTotalInFlight(reported float64) {
 	e.totalInFlight = max(0, e.totalInFlight-1)
 	if reported >= 0 {
--- a/internal/policy/config.go
+++ b/internal/policy/config.go
@@ -94,18 +94,18 @@
 
 // SlowStart describes how the capacity of a starting endpoint grows and which overload brings it down.
 type SlowStart struct {
-	InitialCapacity  float64 // least share of its capacity that an endpoint starts with
+	InitialCapacity  float64 // least share of its full capacity that an endpoint has at its start
 	Duration         Micros  // time after which an endpoint is warm at the latest
-	OverloadMultiple float64 // load that brings an endpoint down, as a multiple of its capacity at the time
+	OverloadMultiple float64 // load that brings an endpoint down, as a multiple of the endpoint's capacity at that time
 	OverloadAfter    Micros  // how long this load has to last to bring an endpoint down
 }
 
 // RetryLimits are the bounds on attempts and waits.
 type RetryLimits struct {
-	DrainGrace    Micros // how long a draining endpoint may still get requests; none is sent, so no decision depends on it
+	DrainGrace    Micros // how long a draining endpoint may get requests; no decision depends on it, because the agent sends none
 	AnswerGrace   Micros // how long after its deadline an answer still counts; no decision depends on it
 	MaxAttempts   int    // attempts per request
-	MaxRetryAfter Micros // longest Retry-After that clients honor; 0: they honor none
+	MaxRetryAfter Micros // longest Retry-After that clients honor; 0: clients honor none
 }
 
 // Capabilities are what the deployment permits an agent to do.
@@ -116,7 +116,7 @@
 	PollsEndpoints bool // the agent has to request the endpoint list from discovery
 }
 
-// LoadReportFormat gives the position of each figure in a load report, counted from 1. It is 0 for a figure that is not reported.
+// LoadReportFormat gives the position of each figure in a load report, counted from 1, or 0 for a figure that is not reported.
 type LoadReportFormat struct {
 	Utilization int // how busy the endpoint's cores are
 	Rate        int // requests that the endpoint serves per second
--- a/internal/policy/controller_reports.go
+++ b/internal/policy/controller_reports.go
@@ -8,16 +8,16 @@
 
 const (
 	reportDecay       = 0.7  // factor on the counts of earlier reports at each interval
-	maxReportStep     = 2.0  // most that one interval adds to the ratio, so that one alone does not decide
+	maxReportStep     = 2.0  // most that one interval adds to the ratio, so that one interval alone does not decide
 	badLatencyFactor  = 1.6  // a slow build's latency, as a multiple of the expected latency
 	goodLatencyFactor = 1.15 // a good build's latency next to warm endpoints, as a multiple of the baseline's
 )
 
 // controllerReports turns the rollout controller's reports into evidence on the canary. A report holds the requests, failures and
-// mean latency of a build and class over all agents in an interval; all agents get the same reports. The canary is compared with
-// earlier builds in the same interval, to which earlier intervals are added with decaying weight. The reports are used where
-// no evaluators collect the outcomes of all agents by gossip. The analyzer adds reports and evaluates them at a tick; the voter
-// and the slowdown detector read the result.
+// mean latency of a build and class over all agents in an interval; all agents get the same reports. The canary's reports of an
+// interval are compared with the earlier builds' reports of that interval and, with decaying weight, of all intervals before.
+// The reports are used where no evaluators collect the outcomes of all agents by gossip. The analyzer adds reports and evaluates
+// them at a tick; the voter and the slowdown detector read the result.
 type controllerReports struct {
 	release         *releaseState
 	endpoints       *endpointSet
@@ -36,7 +36,7 @@
 // classTotals are the counts of a class, which decay at each interval. The latency is in µs.
 type classTotals struct{ requests, failures, totalLatency float64 }
 
-// intervalReports are the canary's reports of an interval, and the numbers of requests of the baseline and of all builds.
+// intervalReports are the canary's reports of an interval, and the request counts of the baseline and of all builds.
 type intervalReports struct {
 	canary           []MetricsReport
 	baselineRequests float64
@@ -76,7 +76,7 @@
 	return report.Build <= r.release.build && !r.release.rolledBack[report.Build]
 }
 
-// startBuild clears the evidence if it is about another build than the given one, which is now in evaluation.
+// startBuild is called with the build of a changed rollout. It clears the ratio if the ratio is about another build.
 func (r *controllerReports) startBuild(build int) {
 	if build != r.build {
 		r.build = build
@@ -84,7 +84,7 @@
 	}
 }
 
-// evaluate adds the pending reports to the evidence and returns the number of their requests.
+// evaluate adds the pending reports to the evidence and returns the count of the requests in these reports.
 func (r *controllerReports) evaluate(latencies *latencyComparison) (requests float64) {
 	interval := r.takePending(latencies)
 	if step := r.step(interval.canary); interval.baselineRequests >= minOutcomes && !r.release.isEstablished() {
@@ -111,7 +111,7 @@
 }
 
 // expectedFailureRate returns the failure rate of a class's baseline or, if higher, the share of requests that would miss the
-// latency objective with the given mean latency alone, were latencies exponentially distributed.
+// latency objective if latencies were exponentially distributed with the mean meanLatency.
 func (r *controllerReports) expectedFailureRate(class int, meanLatency float64) float64 {
 	totals := &r.baselineTotals[class]
 	objective := float64(r.classes[class].LatencyObjective)
@@ -119,7 +119,7 @@
 	return max(minFailureRate, totals.failures/max(1, totals.requests), lateShare)
 }
 
-// takePending empties the pending reports. It adds the baseline's reports to its totals, and computes the relative
+// takePending empties the pending reports. It adds the baseline's reports to baselineTotals, and computes the relative
 // latency and the canary's share of the requests from all reports.
 func (r *controllerReports) takePending(latencies *latencyComparison) intervalReports {
 	r.decayTotals()
--- a/internal/policy/dispatcher.go
+++ b/internal/policy/dispatcher.go
@@ -10,7 +10,7 @@
 const (
 	// busyTickInterval applies while requests are pending. It is far below the shortest latency objective and grace period.
 	busyTickInterval = 10 * millisecond
-	// idleTickInterval applies otherwise. Votes and ejected endpoints are updated at ticks.
+	// idleTickInterval applies while no request is pending. Votes and ejected endpoints are updated at ticks.
 	idleTickInterval = 50 * millisecond
 )
 
@@ -123,7 +123,7 @@
 	if req.CostHint > 0 {
 		d.traffic.recordCost(req.CostHint)
 	}
-	// For a client that returns after a rejection this is still the same request, so its time runs from the first try.
+	// If the client returns after a rejection, this is still the same request, so acceptedAt is the time of the first try.
 	req.acceptedAt = d.clients.firstArrival(req.clientHash, req.acceptedAt)
 	d.traffic.recordArrival(req.acceptedAt)
 	req.ringPosition = d.placement.ringPosition(req)
--- a/internal/policy/endpoint_evidence.go
+++ b/internal/policy/endpoint_evidence.go
@@ -8,9 +8,9 @@
 // endpointEvidence is the evidence from one endpoint against its build in the current stage, in log likelihood ratios.
 type endpointEvidence struct {
 	failureRatio    float64
-	failureCusum    float64 // cumulative sum of the same steps that never falls below 0
+	failureCusum    float64 // cumulative sum of the steps of failureRatio; it never falls below 0
 	latenessRatio   float64
-	flooredLateness float64 // sum of the same steps with a higher floor; it counts where most endpoints are late
+	flooredLateness float64 // sum of the steps of latenessRatio with a higher floor; it counts where most endpoints are late
 	hasAny          bool
 }
 
@@ -65,7 +65,7 @@
 	return collected
 }
 
-// isEarlierBuildFailing reports whether a ready endpoint with an earlier build has more than the given error rate.
+// isEarlierBuildFailing reports whether a ready endpoint with a build before build has an error rate above errorRate.
 func (s *endpointSet) isEarlierBuildFailing(build int, errorRate float64) bool {
 	return slices.ContainsFunc(s.all, func(e *endpointRecord) bool {
 		return e.isReady() && e.Build < build && e.errorRate > errorRate
@@ -97,7 +97,7 @@
 	return found
 }
 
-// byAge returns the endpoints in order of their start, without endpoints whose start is unknown.
+// byAge returns the endpoints whose start is known, the oldest first.
 func byAge(endpoints []*endpointRecord) []*endpointRecord {
 	known := slices.DeleteFunc(slices.Clone(endpoints), func(e *endpointRecord) bool { return e.Started <= 0 })
 	slices.SortStableFunc(known, func(a, b *endpointRecord) int { return cmp.Compare(a.Started, b.Started) })
--- a/internal/policy/endpoint_poller.go
+++ b/internal/policy/endpoint_poller.go
@@ -1,7 +1,7 @@
 package policy
 
 const (
-	pollRetryDelay   = 400 * millisecond // doubles with each failure in a row
+	pollRetryDelay   = 400 * millisecond // delay after a first failure; it doubles with each failure in a row
 	maxPollDoublings = 3
 )
 
--- a/internal/policy/endpoint_selector.go
+++ b/internal/policy/endpoint_selector.go
@@ -8,8 +8,8 @@
 	// crossZoneFactor times crossZoneCost is the relative increase of the distance to endpoints in other zones, which shrinks
 	// their segments of the ring.
 	crossZoneFactor = 40.0
-	// penaltyFactor multiplies the distance to an endpoint that is loaded, reported as overloaded or already tried, which puts it
-	// behind nearly all others.
+	// penaltyFactor multiplies the distance to an endpoint that is loaded, reported as overloaded or already tried, so that nearly
+	// all other endpoints are preferred.
 	penaltyFactor = 1 << 20
 )
 
@@ -26,8 +26,8 @@
 	crossZoneCost float64 // cost of an attempt in another zone, as a part of the result
 }
 
-// candidateSet holds the endpoints that a request may go to, with the sums of this agent's attempts in flight there and of their
-// capacities.
+// candidateSet holds the endpoints that a request may go to, with the sums of their capacities and of this agent's attempts in
+// flight at them.
 type candidateSet struct {
 	endpoints []*endpointRecord
 	inFlight  float64
@@ -102,7 +102,7 @@
 }
 
 // hasFreeConcurrency reports whether the concurrency limits of all endpoints together allow one more attempt. An endpoint takes
-// one attempt even if its limit is below one; if every agent sent one to each such endpoint, queues would form.
+// one attempt even if its limit is below one; if every agent sent an attempt to each such endpoint, queues would form.
 func (s *endpointSet) hasFreeConcurrency() bool {
 	inFlight, limit := s.openAttempts()
 	return inFlight+1 <= max(1, limit)
--- a/internal/policy/endpoint_set.go
+++ b/internal/policy/endpoint_set.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// forwardTick passes a tick to the endpoints that were ejected or have recent attempts, as both expire.
+// forwardTick passes a tick to the endpoints that were ejected or have recent attempts, because both conditions expire.
 func (s *endpointSet) forwardTick(msg tick) {
 	for _, e := range s.all {
 		if e.ejectedUntil > 0 || len(e.recentAttempts) > 0 {
@@ -123,7 +123,7 @@
 
 // newestStart returns the latest start among a build's ready endpoints, or a time long ago if there are none.
 func (s *endpointSet) newestStart(build int) Micros {
-	newest := Micros(math.MinInt64 / 2) // halved, so that a difference to it does not overflow
+	newest := Micros(math.MinInt64 / 2) // halved, so that subtracting it from a time does not overflow
 	for e := range s.readyWith(build) {
 		newest = max(newest, e.Started)
 	}
@@ -161,7 +161,7 @@
 	return capacity
 }
 
-// meanWarmUpFactor returns the mean over a build's ready endpoints, or 1 if there are none.
+// meanWarmUpFactor returns the mean warm-up factor of a build's ready endpoints, or 1 if there are none.
 func (s *endpointSet) meanWarmUpFactor(build int) float64 {
 	sum := 0.0
 	count := 0.0
@@ -175,7 +175,7 @@
 	return sum / count
 }
 
-// endpointsPerAgent returns this agent's share of a zone's ready endpoints, as if all agents had equal shares.
+// endpointsPerAgent returns the number of a zone's ready endpoints divided by the number of agents.
 func (s *endpointSet) endpointsPerAgent(zone, agents int) float64 {
 	count := 0
 	for _, e := range s.all {
--- a/internal/policy/evaluator_group.go
+++ b/internal/policy/evaluator_group.go
@@ -7,8 +7,8 @@
 	"switchfork/internal/hashing"
 )
 
-// evaluatorCount is the number of agents that evaluate releases for all. Some of them remain when many agents restart, and it
-// costs little to notify them.
+// evaluatorCount is the number of agents that evaluate releases for all agents. It is high enough that some evaluators remain when
+// many agents restart, and low enough that it costs little to notify all evaluators.
 const evaluatorCount = 5
 
 // evaluatorGroup decides which agents evaluate releases for all agents, where gossip is allowed. Every agent selects the same
@@ -22,7 +22,7 @@
 	sharesInFlight bool  // agents report each attempt to the evaluators, which count the requests in flight at endpoints
 }
 
-// newEvaluatorGroup selects evaluators if there are more agents than an evaluator group needs. Without them each agent would see
+// newEvaluatorGroup selects evaluators if there are more agents than evaluatorCount. Without evaluators, each agent would see
 // too few outcomes, and among hundreds of agents the one with the most extreme sample would decide.
 func newEvaluatorGroup(shared *sharedState, config Config) *evaluatorGroup {
 	instance := config.Instance
--- a/internal/policy/evidence.go
+++ b/internal/policy/evidence.go
@@ -35,7 +35,7 @@
 	release           *releaseState
 	endpoints         *endpointSet
 	evaluators        *evaluatorGroup
-	outcomeCount      int     // outcomes of the canary since the last reset; an answer may count for failure and for lateness
+	outcomeCount      int     // outcomes of the canary since the last reset; an answer may count twice, for failure and for lateness
 	buildFailureRatio float64 // log likelihood ratio of failures, over all endpoints of the canary
 	baselineFailures  outcomeCounts
 	baselineLateness  outcomeCounts
@@ -76,8 +76,8 @@
 	b.outcomeCount++
 	step := newRateTest(b.baselineFailures.rate(minFailureRate), badFailureFactor).Step(isFailed)
 	e.enqueue(failureStep{step: step, minRatio: -maxGoodEvidence / b.goodEvidenceShares(e)})
-	// In the sum over the build, each endpoint counts for at most one error. While its own sum is above that, its good outcomes
-	// do not count either.
+	// In the sum over the build, each endpoint counts for at most one error. While the endpoint's own sum is above one error, its
+	// good outcomes do not count either.
 	maxStep := math.Log(badFailureFactor)
 	cusum := e.evidence.failureCusum
 	change := min(cusum+step, maxStep)
@@ -129,14 +129,14 @@
 	case failureRatio > 0:
 		return failureRatio + max(lateness, 0)
 	case lateness <= 0:
-		return boundedSum(collected.combined) // one bound for both, so that a quick answer does not count twice
+		return boundedSum(collected.combined) // one bound for failures and lateness, so that a quick answer does not count twice
 	}
 	return failureRatio + lateness
 }
 
-// largeBuildRatio returns the evidence on failures of a build with many endpoints. It is not summed by endpoint: the good outcomes
-// of each endpoint could then make up for only a small part of an error, and errors that are spread over the whole fleet would
-// make most endpoints count as failing.
+// largeBuildRatio returns the evidence on failures of a build with many endpoints. The evidence is not summed by endpoint: the good
+// outcomes of each endpoint could then make up for only a small part of an error, and errors that are spread over the whole fleet
+// would make most endpoints count as failing.
 func (b *buildEvidence) largeBuildRatio(collected collectedEvidence, endpoints []*endpointRecord) float64 {
 	ratio := b.buildFailureRatio
 	if evidenceQuorum*collected.failingCount < len(endpoints) {
--- a/internal/policy/gossip_codec.go
+++ b/internal/policy/gossip_codec.go
@@ -20,7 +20,7 @@
 // milliseconds, and the requests in flight that the endpoint reports. A verdict's record holds build, stage, verdict and kind.
 const recordBytes = 10
 
-// Offsets of the fields of a record. The first four bytes are the endpoint's id or, in a verdict, the build.
+// Offsets of the fields of a record. The first four bytes are the endpoint's ID or, in a verdict, the build.
 const (
 	buildByte    = 4
 	stageByte    = 4 // in a verdict
@@ -157,7 +157,7 @@
 	digest[index] |= bit
 }
 
-// hasDigestBit reports whether an endpoint's bit is set. It returns false if the bytes are not a digest.
+// hasDigestBit reports whether an endpoint's bit is set in a digest. It returns false if digest does not have the size of a digest.
 func hasDigestBit(digest []byte, id uint32) bool {
 	index, bit := digestBit(id)
 	return len(digest) == digestBytes && digest[index]&bit != 0
--- a/internal/policy/key_placement.go
+++ b/internal/policy/key_placement.go
@@ -16,8 +16,9 @@
 	hotKeyShare = 0.3
 )
 
-// keyPlacement decides the position of a request on the ring. It goes by the request's key if endpoints are faster with keys
-// that they served recently, or else by its ID. A hot key gets several positions. The dispatcher calls it once for each request.
+// keyPlacement decides the position of a request on the ring. The position depends on the request's key if endpoints are faster
+// with keys that they served recently, or else on the request's ID. A hot key gets several positions. The dispatcher calls
+// keyPlacement once for each request.
 type keyPlacement struct {
 	*sharedState
 	traffic     *trafficEstimate
@@ -38,14 +39,16 @@
 
 func (p *keyPlacement) ringPosition(req *request) uint64 {
 	if p.keyAffinity && req.Key != 0 {
-		// The offset is subtracted because endpointPoints adds its own: a key that equals an endpoint's ID must not hit its points.
+		// endpointPoints adds an index to the hash of an endpoint's ID. Here the replica is subtracted, because a key that equals an
+		// endpoint's ID must not hit the points of that endpoint.
 		return hashing.Mix64(hashing.Mix64(req.Key^ringSalt) - 1 - p.replicaOf(req.Key))
 	}
 	return hashing.Mix64(req.ID ^ ringSalt)
 }
 
-// replicaOf returns which of its key's positions a request takes, counted from 0. A key has one position for each request in a
-// window. In the time of a window, one request for the key by each agent uses hotKeyShare of an endpoint's capacity.
+// replicaOf returns the index of the position that a request takes among the positions of its key. A key has one position for each
+// recent request of this agent within a window. The window is so long that one request for the key from each agent in it uses
+// hotKeyShare of an endpoint's capacity.
 func (p *keyPlacement) replicaOf(key uint64) uint64 {
 	window := p.traffic.meanCost * float64(p.agents) / hotKeyShare
 	usage := p.usages.record(key, p.now, window)
@@ -55,7 +58,7 @@
 // keyUsage holds how often a key was requested recently.
 type keyUsage struct {
 	recentLoad float64 // requests in the window, decaying linearly
-	arrivals   uint64
+	arrivals   uint64  // requests so far
 	lastSeenAt Micros
 }
 
--- a/internal/policy/latency_comparison.go
+++ b/internal/policy/latency_comparison.go
@@ -54,7 +54,7 @@
 // isWindowFull reports whether there are enough answers for a median.
 func (c *latencyComparison) isWindowFull() bool { return len(c.relativeLatencies) >= c.windowSize }
 
-// median returns the median relative latency, or 0 if there are too few answers. The first median initializes the baseline's.
+// median returns the median relative latency, or 0 if there are too few answers. The first median initializes baselineMedian.
 func (c *latencyComparison) median() float64 {
 	if !c.isWindowFull() {
 		return 0
@@ -66,7 +66,7 @@
 	return median
 }
 
-// addMedianToBaseline moves the baseline's median towards the given one, unless that is 0 (unknown).
+// addMedianToBaseline moves baselineMedian towards median, unless median is 0 (unknown).
 func (c *latencyComparison) addMedianToBaseline(median, weight float64) {
 	if median > 0 {
 		c.baselineMedian = stats.MovingMean(c.baselineMedian, median, weight)
--- a/internal/policy/lateness_evidence.go
+++ b/internal/policy/lateness_evidence.go
@@ -8,7 +8,7 @@
 
 const (
 	minLateRate    = 0.1  // lowest rate of late answers that is assumed of a baseline
-	badLateFactor  = 4.0  // a bad build's rate, as a multiple of the baseline's; it is high because lateness is common
+	badLateFactor  = 4.0  // a bad build's rate of late answers, as a multiple of the baseline's; high, because lateness is common
 	latenessDecay  = 0.98 // factor on the baseline's lateness counts at each outcome
 	fullWeightFrom = 20   // outcomes of a stage; with fewer, lateness counts less, as the first late answers may come from one queue
 
@@ -16,8 +16,8 @@
 	evaluatorLatenessDecay  = 0.998
 	evaluatorFullWeightFrom = 200
 
-	// maxLatenessCanaryShare is the canary's share of the traffic from which lateness is not evidence on the build: it may come
-	// from the load that the canary has taken over.
+	// maxLatenessCanaryShare is the canary's share of the traffic from which on lateness is not evidence on the build: the load
+	// that the canary has taken over may cause the lateness.
 	maxLatenessCanaryShare = 0.25
 )
 
@@ -48,16 +48,16 @@
 	if b.isLateOnFew(collected.lateness) {
 		ratio = min(ratio, 0)
 	}
-	// All agents follow the evaluators, and endpoints that have just warmed up are late too. So lateness must be stronger evidence
-	// on an evaluator.
+	// All agents follow the evaluators, and endpoints that have just warmed up are late too. So an evaluator needs stronger
+	// evidence from lateness.
 	if b.evaluators.isMember && ratio > 0 {
 		ratio = max(0, ratio-math.Log(float64(b.evaluators.agentCount)))
 	}
 	return ratio
 }
 
-// isLateOnFew reports whether there are enough outcomes to say that half of the endpoints are not late. Lateness then belongs to
-// the other endpoints, or to their load, and not to the build.
+// isLateOnFew reports whether there are enough outcomes to say that half of the endpoints are not late. Then the cause of lateness
+// is the other endpoints, or their load, and not the build.
 func (b *buildEvidence) isLateOnFew(latenessRatios []float64) bool {
 	count := len(latenessRatios)
 	if count <= 1 {
--- a/internal/policy/outcome_sharing.go
+++ b/internal/policy/outcome_sharing.go
@@ -6,7 +6,7 @@
 )
 
 // outcomeSharing decides when an agent sends records of its attempts and requests to the evaluators: in batches, or at once where
-// the evaluators count the requests in flight. The analyzer adds records and calls it at each tick.
+// the evaluators count the requests in flight. The analyzer adds records and calls sendIfDue at each tick.
 type outcomeSharing struct {
 	*sharedState
 	evaluators     *evaluatorGroup
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// eject takes an endpoint out of use for a while. Afterwards the endpoint gets one request at a time at first, because health
+// eject takes an endpoint out of use for a while. Afterwards the endpoint first gets only one request at a time, because health
 // checks may pass while its queue is stuck.
 func (e *endpointRecord) eject() {
 	e.silentOutcomes = maxSilentOutcomes - 1
--- a/internal/policy/overload_digest.go
+++ b/internal/policy/overload_digest.go
@@ -1,13 +1,13 @@
 package policy
 
 const (
-	digestInterval = 1 * second // between digests of one evaluator; the evaluators take turns
+	digestInterval = 1 * second // time between two digests of one evaluator; the evaluators take turns
 	digestLifetime = 1 * second // four of the last five digests may be lost
 )
 
 // overloadDigest decides which endpoints all agents avoid: those with more than their share of the requests in flight. An agent
-// that uses each endpoint about once a minute cannot find them by its own limits, but the evaluators see the attempts of all
-// agents. A digest in use may be a second old. The analyzer calls overloadDigest at each tick.
+// that uses each endpoint about once a minute cannot find such endpoints by its own limits, but the evaluators see the attempts of
+// all agents. A digest in use may be a second old. The analyzer calls overloadDigest at each tick.
 type overloadDigest struct {
 	*sharedState
 	evaluators *evaluatorGroup
--- a/internal/policy/rejected_clients.go
+++ b/internal/policy/rejected_clients.go
@@ -35,7 +35,7 @@
 }
 
 // firstArrival returns when a client first sent a request that arrives now: arrivedAt, or an earlier time if the request was
-// rejected before. It records that such a client has come back.
+// rejected before. In the second case it also records that the client has come back.
 func (c *rejectedClients) firstArrival(clientHash uint64, arrivedAt Micros) Micros {
 	client, hasReturned := c.byHash[clientHash]
 	if !hasReturned {
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -5,16 +5,16 @@
 // request is a client's request that has no final answer yet, or whose last attempt has no result yet.
 type request struct {
 	RequestArrived
-	acceptedAt      Micros  // when the client first sent it
+	acceptedAt      Micros  // when the client first sent the request
 	sentAt          Micros  // when the last attempt was sent
-	trafficFraction float64 // hash of its key or ID, 0 to 1; below the newest build's share the request tries that build first
+	trafficFraction float64 // hash of the key or ID, 0 to 1; below the newest build's share, the request tries the newest build first
 	ringPosition    uint64
-	clientHash      uint64          // hash of its key or ID, class and tenant
+	clientHash      uint64          // hash of the key or ID, the class and the tenant
 	attemptEndpoint *endpointRecord // endpoint of the attempt in flight
 	attempts        int
 	serverErrors    int
 	isClosed        bool      // answered or abandoned; an attempt may still be in flight
-	mayHaveRunOn    *Endpoint // first endpoint at which it may have run
+	mayHaveRunOn    *Endpoint // first endpoint at which the request may have run; nil: none
 	dedupUntil      Micros    // end of the deduplication of the first run that may have happened; 0: there is none
 	triedEndpoints  []*endpointRecord
 }
--- a/internal/policy/rollout_state.go
+++ b/internal/policy/rollout_state.go
@@ -15,8 +15,8 @@
 	return &rolloutState{rolledBack: map[int]bool{}, plan: plan}
 }
 
-// apply applies an update and reports whether build, stage or phase have changed. It ignores the reply to a vote that failed,
-// which does not hold the rollout's state.
+// apply applies an update and reports whether build, stage or phase have changed. It ignores the reply to a failed vote, because
+// such a reply does not hold the rollout's state.
 func (s *rolloutState) apply(update RolloutUpdate) bool {
 	if update.IsVoteReply && update.Outcome != OK {
 		return false
--- a/internal/policy/rules.go
+++ b/internal/policy/rules.go
@@ -2,7 +2,7 @@
 
 // attemptRules decides whether an attempt is allowed at all, by the protocol's rules:
 //
-//  1. A request gets one final answer before its deadline; no attempt starts after it.
+//  1. A request gets one final answer before its deadline; no attempt starts after the deadline.
 //  2. No request takes effect twice: it has one attempt at a time, and once it may have run it is repeated only if it is
 //     idempotent or the endpoint drops the repeat.
 //  3. No new attempt goes to an endpoint that is draining or has left.
@@ -54,7 +54,7 @@
 	return r.isRepeatable(req, r.sharesDedup(req, e))
 }
 
-// sharesDedup reports whether an endpoint drops repeats of requests that ran at the endpoint where this one may have run.
+// sharesDedup reports whether endpoint e drops repeats of requests that ran at the endpoint where req may have run.
 func (r *attemptRules) sharesDedup(req *request, e *endpointRecord) bool {
 	ranOn := req.mayHaveRunOn
 	switch r.classes[req.Class].DedupScope {
@@ -94,8 +94,8 @@
 	return false
 }
 
-// dedupUntil returns the time until which a keyed request that was sent at the given time is deduplicated, or 0 for other
-// requests.
+// dedupUntil returns the time until which endpoints drop repeats of a keyed request that was sent at sentAt. It returns 0 for
+// other requests.
 func (c *RequestClass) dedupUntil(sentAt Micros) Micros {
 	if c.Idempotency != Keyed {
 		return 0
--- a/internal/policy/scenario_events_test.go
+++ b/internal/policy/scenario_events_test.go
@@ -15,7 +15,7 @@
 	}[word]
 }
 
-// runEvent runs an event line, which is given without its time.
+// runEvent runs an event line. kind is the word after the time, and words are the rest of the line.
 func (s *scenario) runEvent(kind string, words []string) {
 	switch kind {
 	case "wait":
@@ -89,7 +89,8 @@
 	return endpoint
 }
 
-// updateRollout sends a rollout update from BUILD STAGE PHASE CAP, followed by an outcome if the update is the reply to a vote.
+// updateRollout sends the rollout update that words describe: BUILD STAGE PHASE CAP, and OUTCOME as a fifth word if the update is
+// the reply to a vote.
 func (s *scenario) updateRollout(words []string) {
 	phases := map[string]Phase{"evaluating": Evaluating, "rolling-back": RollingBack, "released": Released, "rolled-back": RolledBack}
 	update := RolloutUpdate{
@@ -110,7 +111,7 @@
 	})
 }
 
-// attemptsEnd ends the attempts in flight of request ID or of requests ID..LAST.
+// attemptsEnd ends the attempts in flight of the requests in ids, which is ID or FIRST..LAST.
 func (s *scenario) attemptsEnd(ids string, outcome Outcome, elapsed Micros) {
 	first, last, isRange := strings.Cut(ids, "..")
 	if !isRange {
@@ -132,7 +133,7 @@
 	})
 }
 
-// receiveGossip sends messages from peers.
+// receiveGossip passes messages from peers to the router.
 func (s *scenario) receiveGossip(kind string, words []string) {
 	switch kind {
 	case "gossip-outcome": // ENDPOINT OUTCOME TIMES elapsed=: outcomes of a peer's attempts
@@ -166,7 +167,7 @@
 	}
 }
 
-// runTraffic sends requests that are answered at once: until=ms every=ms failing-build=build failing-endpoint=id
+// runTraffic sends requests that are answered at once. The options are until=ms every=ms failing-build=build failing-endpoint=id
 // slow-build=build slow-endpoints=id,id error-every=count keys=count tenants=count failing-tenant=tenant elapsed=ms
 // rates=id:rate,.. utilization=.
 func (s *scenario) runTraffic(given options) {
--- a/internal/policy/scenario_test.go
+++ b/internal/policy/scenario_test.go
@@ -45,7 +45,7 @@
 	now        Micros
 	timers     []Micros
 	builds     map[uint32]int    // by endpoint
-	endpointOf map[uint64]uint32 // by request, the endpoint of its attempt in flight
+	endpointOf map[uint64]uint32 // by request; the endpoint of the request's attempt in flight
 	load       []float32         // load report that is sent with results
 	commands   []Command
 	eventStart int // index of the first command since the last event line
@@ -112,7 +112,7 @@
 
 func (s *scenario) milliseconds(token string) Micros { return Micros(s.number(token)) * millisecond }
 
-// option returns a numeric option, or the default if it is not given.
+// option returns the number that the option key has, or byDefault if the option is not given.
 func (s *scenario) option(from options, key string, byDefault float64) float64 {
 	if value, isGiven := from[key]; isGiven {
 		return s.number(value)
@@ -181,8 +181,8 @@
 	})
 }
 
-// agentIndex returns the agent index of the evaluator with the given number. A number from evaluatorCount on is itself an agent
-// index.
+// agentIndex returns the agent index of the evaluator at position token of the group. From evaluatorCount on, token itself is an
+// agent index.
 func (s *scenario) agentIndex(token string) int {
 	number := int(s.number(token))
 	evaluators := selectAgents(s.count(s.settings, "agents", 1), evaluatorCount)
@@ -205,7 +205,7 @@
 	}
 }
 
-// advanceTo advances the time and fires the timers that are due by then.
+// advanceTo fires the timers that are due by at and advances the time to at.
 func (s *scenario) advanceTo(at Micros) {
 	if s.router == nil {
 		s.start()
--- a/internal/policy/slow_start.go
+++ b/internal/policy/slow_start.go
@@ -19,8 +19,8 @@
 	minSlotChance = 1e-9
 )
 
-// warmUpFactor returns the least share of its capacity that a starting endpoint has. It is 1 if the configuration has no time
-// after which overload brings an endpoint down.
+// warmUpFactor returns the least share of its full capacity that a starting endpoint has. The factor is 1 if the endpoint's start
+// is unknown, or if Duration or OverloadAfter is not configured.
 func (e *endpointRecord) warmUpFactor() float64 {
 	if e.Started <= 0 || e.slowStart.Duration <= 0 || e.slowStart.OverloadAfter <= 0 {
 		return 1
--- a/internal/policy/slowdown.go
+++ b/internal/policy/slowdown.go
@@ -5,8 +5,9 @@
 // Several signs together tell a slowdown from other changes. More traffic lowers the share of requests on time but raises the
 // completion rate; less traffic lowers only the completion rate. The completion rate counts the requests on time.
 //
-// So slowdownFactor counts only with slowdownCompletions, farLessOnTime only with fewerCompletions, and lessOnTime only with
-// collapsedCompletions. To pause a stage, slowdownFactor or farLessOnTime alone is enough for an evaluator.
+// So a latency from slowdownFactor on counts only with a completion rate below slowdownCompletions. A share of requests on time
+// below farLessOnTime counts only with a completion rate below fewerCompletions, and a share below lessOnTime only with a rate
+// below collapsedCompletions. An evaluator pauses a stage for slowdownFactor or farLessOnTime alone.
 const (
 	slowdownFactor       = 1.3  // multiple of the baseline's median latency
 	slowdownCompletions  = 0.8  // fraction of the baseline's completion rate
@@ -15,7 +16,7 @@
 	fewerCompletions     = 0.85 // fraction of the baseline's completion rate
 	collapsedCompletions = 0.5  // fraction of the baseline's completion rate; so low that lost capacity need not be ruled out
 	isolatedSlowdown     = 1.6  // multiple of the baseline's median latency that counts without a drop in completions
-	isolatedWeight       = 0.7  // factor on the time of an isolated slowdown
+	isolatedWeight       = 0.7  // factor on the duration of an isolated slowdown
 	completeFleetShare   = 0.85 // fraction of the baseline's warm capacity; below it the remaining endpoints are slow for that reason
 	slowdownRecovery     = 4.0  // µs of slow time that are subtracted for each µs without a slowdown
 	minBaselineMedian    = 1e-9 // avoids a division by 0
@@ -25,8 +26,8 @@
 // arrivals have not increased.
 const (
 	stepCanaryShare   = 0.1 // lowest share of the traffic
-	stepArrivalFactor = 1.2 // multiple of the baseline's arrival rate from which more traffic may be the reason
-	stepWeight        = 3.0 // factor on the time of such a slowdown
+	stepArrivalFactor = 1.2 // multiple of the baseline's arrival rate from which on more traffic may be the reason for a slowdown
+	stepWeight        = 3.0 // factor on the duration of such a slowdown
 )
 
 const (
@@ -47,7 +48,7 @@
 	reports    *controllerReports
 	latencies  latencyComparison
 
-	completedOnTime        float64 // requests since the last tick
+	completedOnTime        float64 // requests that were answered on time since the last tick
 	completionRate         float64 // requests on time per µs
 	baselineCompletionRate float64
 	onTimeShare            float64
--- a/internal/policy/tenant_errors.go
+++ b/internal/policy/tenant_errors.go
@@ -4,8 +4,8 @@
 
 const (
 	tenantErrorWeight = 0.05 // weight of one result in a tenant's moving mean
-	tenantErrorExcess = 0.2  // above the lowest error rate of any tenant; a bad build or endpoint fails less
-	maxTenants        = 1000 // above this number all tenants are forgotten
+	tenantErrorExcess = 0.2  // excess over the lowest error rate of any tenant; a bad build or endpoint causes a smaller excess
+	maxTenants        = 1000 // with more tenants, all tenants are forgotten
 )
 
 // tenantErrorRates decides whose fault a server error is. It protects healthy endpoints from tenants whose requests fail at
--- a/internal/policy/traffic_estimate.go
+++ b/internal/policy/traffic_estimate.go
@@ -12,7 +12,7 @@
 )
 
 // trafficEstimate estimates the cost of a request and the time between two requests, from the requests and results of this
-// agent. Slow start, key placement and capacity are scaled by it. The dispatcher updates it.
+// agent. Slow start, key placement and capacity are scaled by these estimates. The dispatcher updates them.
 type trafficEstimate struct {
 	meanCost        float64 // in µs; moving mean of the cost hints, or of response times where there is no hint
 	arrivalInterval float64 // in µs; moving mean of the time between two requests
--- a/internal/policy/verdict_exchange.go
+++ b/internal/policy/verdict_exchange.go
@@ -1,12 +1,12 @@
 package policy
 
 const (
-	verdictInterval = 1 * second // between repetitions of an evaluator's verdict
+	verdictInterval = 1 * second // time between two repetitions of an evaluator's verdict
 	verdictLifetime = 3 * second // two messages in a row may be lost
 )
 
-// verdictExchange decides which verdict on a stage the evaluators have agreed on, which is the verdict that a majority of them
-// announced recently. The analyzer passes on the evaluators' verdicts; the voter asks for the majority and announces this agent's
+// verdictExchange decides whether the evaluators have agreed on a verdict on a stage: a majority of them must have announced it
+// recently. The analyzer passes on the evaluators' verdicts; the voter asks for the majority and announces this agent's
 // verdict.
 type verdictExchange struct {
 	release     *releaseState
--- a/internal/policy/voter.go
+++ b/internal/policy/voter.go
@@ -13,7 +13,7 @@
 	noBaselineDelay = 10 * second       // extra stage time without a full latency window; other agents may see a slowdown meanwhile
 	noMajorityDelay = 5 * second        // extra stage time of agents that are not evaluators, while the evaluators have no majority
 	voteRetryDelay  = 250 * millisecond // shortest wait after a failed vote
-	voteRejectDelay = 1 * second        // shortest wait after the rollout controller rejected a vote, as it has too many calls
+	voteRejectDelay = 1 * second        // shortest wait after the rollout controller rejected a vote because of too many calls
 	// Weighted slow time from which the release is held back, an earlier stage is paused, or the build is rolled back. For a
 	// rollback it is longer than most temporary overloads.
 	releaseHoldSlowTime = 500 * millisecond
@@ -190,7 +190,7 @@
 func (v *voter) rollbackThreshold() float64 {
 	switch {
 	case v.evaluators.isMember:
-		return decisionThreshold // its verdict decides for all
+		return decisionThreshold // an evaluator's verdict decides for all agents
 	case v.evaluators.exist(), v.reports.areUsed():
 		return decisionThreshold + math.Log(float64(v.evaluators.agentCount))
 	}
@@ -209,7 +209,8 @@
 	if v.slowdown.canaryShare < pauseCanaryShare {
 		return false
 	}
-	// An evaluator gets the outcomes of all agents and finds them slow while the canary has enough traffic: it need not wait.
+	// An evaluator gets the outcomes of all agents. If these are slow while the canary has enough traffic, the evaluator need not
+	// wait.
 	isSlowNow := v.slowdown.latencyRatio >= slowdownFactor || v.slowdown.isFarLessOnTime()
 	if v.evaluators.isMember && isSlowNow {
 		return true
--- a/internal/policy/zone_limits.go
+++ b/internal/policy/zone_limits.go
@@ -5,9 +5,9 @@
 const (
 	slowShareWeight       = 0.05 // weight of one result in a zone's moving mean
 	maxSlowShare          = 0.25 // share of late results above which the limit falls; a healthy busy zone has a tenth
-	zoneLimitDecrease     = 0.03 // fraction of the limit in use by which one result lowers it
+	zoneLimitDecrease     = 0.03 // fraction by which one result lowers the part of the limit that is in use
 	zoneLimitGrowthFactor = 3    // how many times as fast a limit rises as it falls
-	minOpenPerEndpoint    = 4.0  // open attempts of all agents at one endpoint that cause no queue
+	minOpenPerEndpoint    = 4.0  // count of open attempts of all agents at one endpoint that causes no queue
 	openPerConcurrency    = 2.0  // the same, for each request that the endpoint serves concurrently
 	unlimitedAttempts     = 1e6  // in effect no limit
 )
