--- a/internal/policy/messages.go
+++ b/internal/policy/messages.go
@@ -34,12 +34,12 @@
 	}
 	// requestRejected reports a request that this agent or a peer rejected or failed.
 	requestRejected struct{ fromPeer bool }
-	// attemptStarted reports an attempt by this agent to its endpoint.
+	// attemptStarted reports to an endpoint's record that this agent has sent an attempt to the endpoint.
 	attemptStarted struct {
 		cost             float64 // expected work in µs
 		latencyObjective Micros
 	}
-	// attemptOutcome is an attempt's result, by this agent or by a peer, with the record of its endpoint.
+	// attemptOutcome is the result of an attempt by this agent or by a peer, with the record of the attempt's endpoint.
 	attemptOutcome struct {
 		AttemptResult
 		endpoint         *endpointRecord
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -41,8 +41,8 @@
 	return min(left, req.Deadline-p.now)
 }
 
-// lowReturnRate returns the return rate at one agent below which few clients return. It is lower than the rate over all agents,
-// because clients that are spread over the agents of a zone may come back to any of them.
+// lowReturnRate returns the return rate below which few rejected clients return to this agent. It is lower than
+// lowFleetReturnRate if there are more agents than zones, because a rejected client may come back to any agent of a zone.
 func (p *retryPolicy) lowReturnRate() float64 {
 	return lowFleetReturnRate * min(1, float64(p.endpoints.zoneCount)/float64(p.agents))
 }
--- a/internal/policy/voter.go
+++ b/internal/policy/voter.go
@@ -14,8 +14,8 @@
 	noMajorityDelay = 5 * second        // extra stage time of agents that are not evaluators, while the evaluators have no majority
 	voteRetryDelay  = 250 * millisecond // shortest wait after a failed vote
 	voteRejectDelay = 1 * second        // shortest wait after the rollout controller rejected a vote because of too many calls
-	// Weighted slow time from which the release is held back, an earlier stage is paused, or the build is rolled back. For a
-	// rollback it is longer than most temporary overloads.
+	// Weighted slow times from which on the release is held back, a stage before the last is paused, and the build is rolled back.
+	// rollbackSlowTime is longer than most temporary overloads.
 	releaseHoldSlowTime = 500 * millisecond
 	stagePauseSlowTime  = 200 * millisecond
 	rollbackSlowTime    = 9 * second
