--- a/internal/agent/stall.go
+++ b/internal/agent/stall.go
@@ -23,7 +23,7 @@
 // stallGuard detects that the process has stalled, by a timer that is late by more than upstream.StallThreshold. It then waits until
 // changes of the endpoint list and rollout updates that arrived during the stall have been handed on, because requests must not be routed
 // by the state before the stall. It guards against everything that stops an agent, such as a frozen machine or a core on which the process
-// is not scheduled. The wait costs a little time if the core is merely fully loaded.
+// is not scheduled. If the core is merely fully loaded, the guard costs a little time.
 //
 // Readers may be added by any goroutine; the other methods are for the loop's goroutine, which sleeps in them after a stall.
 type stallGuard struct {
