--- a/internal/cluster/election/acceptor.go
+++ b/internal/cluster/election/acceptor.go
@@ -1,9 +1,9 @@
 package election
 
 // acceptor is the replica in the Paxos role of acceptor. It decides which ballots to promise and which leases to accept, from the
-// ballots that it has seen and the lease that it has accepted. [leaderElection] asks it for each Prepare, Propose, Replicate,
-// CommitMembers and TransferLease message, including those of this replica. [Replica] persists its state before any answer is
-// sent.
+// ballots that it has seen and the lease that it has accepted. [leaderElection] consults the acceptor for each Prepare, Propose,
+// Replicate, CommitMembers and TransferLease message, including this replica's own messages. [Replica] persists the acceptor's
+// state before any answer is sent.
 type acceptor struct {
 	settings Settings
 	disabled DisabledGuards
@@ -36,7 +36,7 @@
 	}
 }
 
-// abstain makes the acceptor promise and accept nothing until a time.
+// abstain makes the acceptor promise and accept nothing before the time until.
 func (a *acceptor) abstain(until Micros) { a.abstainUntil = until }
 
 func (a *acceptor) isAbstaining(now Micros) bool { return now < a.abstainUntil }
@@ -44,12 +44,12 @@
 // isLeaseInForce reports whether the accepted lease has not ended yet, no matter which replica holds it.
 func (a *acceptor) isLeaseInForce(now Micros) bool { return now < a.leaseUntil }
 
-// isSuperseded reports whether a higher ballot than this one has been promised.
+// isSuperseded reports whether a ballot higher than this one has been promised.
 func (a *acceptor) isSuperseded(ballot uint64) bool { return ballot < a.highestPromised }
 
-// promise promises a candidate its ballot, and reports whether it did. It refuses while the replica abstains, while an unreleased
-// lease of another replica is in force, and if a higher ballot has been promised. released is the ballot up to which the
-// candidate knows leases to be released.
+// promise promises ballot to candidate, and reports whether it did. Nothing is promised while the replica abstains, while an
+// unreleased lease of another replica is in force, or if a higher ballot has been promised. The candidate knows that leases of
+// ballots up to released have been released.
 func (a *acceptor) promise(now Micros, candidate int, ballot, released uint64) bool {
 	isBlocked := a.isLeasedToOther(now, candidate) && a.highestAccepted > released
 	if a.isAbstaining(now) || isBlocked || !a.canPromise(candidate, ballot) {
@@ -60,14 +60,14 @@
 	return true
 }
 
-// isLeasedToOther reports whether a lease of a replica other than the candidate is in force. While it is, other candidates are
-// promised nothing, so that a partitioned replica that reconnects can't disturb the leader.
+// isLeasedToOther reports whether a lease of a replica other than candidate is in force. Unless it is released, such a lease
+// prevents the promise of a ballot to candidate, so that a partitioned replica that reconnects can't disturb the leader.
 func (a *acceptor) isLeasedToOther(now Micros, candidate int) bool {
 	return !a.disabled.PromiseAfterLease && a.isLeaseInForce(now) && a.leaseHolder != candidate
 }
 
-// canPromise reports whether a ballot is higher than the highest promised one, or is that same ballot sent again by its owner
-// before it was accepted.
+// canPromise reports whether ballot is higher than the highest promised ballot. The highest promised ballot itself may be
+// promised again, but only to its owner, and only until it is accepted.
 func (a *acceptor) canPromise(candidate int, ballot uint64) bool {
 	if ballot > a.highestPromised {
 		return true
@@ -76,8 +76,8 @@
 	return isResent && ballot > a.highestAccepted
 }
 
-// accept accepts the lease of a ballot, and reports whether it did. It refuses while the replica abstains, if a higher ballot has
-// been promised, and if the lease has been released since.
+// accept accepts the lease of a ballot, and reports whether it did. Nothing is accepted while the replica abstains, if a higher
+// ballot has been promised, or if the lease has already been released.
 func (a *acceptor) accept(now Micros, holder int, ballot uint64) bool {
 	if a.isAbstaining(now) || a.isSuperseded(ballot) || ballot <= a.highestReleased {
 		return false
@@ -89,8 +89,8 @@
 	return true
 }
 
-// acknowledgesRecord reports whether a record of a leader with this ballot may be acknowledged. If so, it also promises the
-// ballot, so that no older leader's record is acknowledged afterwards.
+// acknowledgesRecord reports whether a record from the leader with this ballot may be acknowledged. If so, acknowledgesRecord
+// also promises the ballot, so that no older leader's record is acknowledged afterwards.
 func (a *acceptor) acknowledgesRecord(now Micros, ballot uint64) bool {
 	if !a.acknowledgesMembers(now, ballot) {
 		return false
@@ -104,8 +104,8 @@
 	return !a.isAbstaining(now) && !a.isSuperseded(ballot)
 }
 
-// releaseLease ends the accepted lease when its holder releases it, and reports whether it did. ballot is the one by which the
-// holder got the lease. releaseLease does nothing if the accepted lease is another replica's or a newer one, or while this replica
+// releaseLease ends the accepted lease, because holder has released the lease that it got with ballot. It reports whether it
+// ended the lease. It does nothing if the accepted lease belongs to another replica or to a higher ballot, or while this replica
 // abstains.
 func (a *acceptor) releaseLease(now Micros, holder int, ballot uint64) bool {
 	if a.leaseHolder != holder || a.highestAccepted > ballot || a.isAbstaining(now) {
--- a/internal/cluster/election/candidate.go
+++ b/internal/cluster/election/candidate.go
@@ -1,8 +1,8 @@
 package election
 
 // candidate is the replica in the role that asks for a lease or its renewal. It holds the replica's own ballot and the answers to
-// it, and decides when to propose the lease, whether the ballot has won, and whether to send it again. [leaderElection] starts a
-// ballot when a campaign is due, and passes on each Promise, Accepted and Nack message.
+// that ballot, and decides when to propose the lease, whether the ballot has won, and whether to send the ballot again.
+// [leaderElection] starts a ballot when a campaign is due, and passes on each Promise, Accepted and Nack message.
 type candidate struct {
 	settings Settings
 	disabled DisabledGuards
@@ -60,7 +60,8 @@
 	return now >= c.startedAt+c.settings.renewalInterval()
 }
 
-// messageToSend returns the Prepare or Propose message of the ballot, and records that it is sent to all members now.
+// messageToSend returns the Prepare or Propose message of the ballot, and records now as the time at which the message is sent. A
+// Prepare says that leases of ballots up to released have been released.
 func (c *candidate) messageToSend(now Micros, released uint64) Message {
 	c.sentAt = now
 	if c.disabled.LeaseFromStart {
@@ -98,8 +99,8 @@
 	return true
 }
 
-// leaseEnd returns when the lease of the ballot ends. The lease counts from before the first request was sent, and is shortened by
-// the clock drift, so every replica that accepts the lease holds it for longer than that.
+// leaseEnd returns when the lease of the ballot ends. The lease counts from before the first request was sent, and is shortened
+// by the clock drift, so every replica that accepts the lease holds it beyond the returned time.
 func (c *candidate) leaseEnd() Micros {
 	return c.startedAt + c.settings.driftLowerBound(c.settings.Lease)
 }
--- a/internal/cluster/election/candidate_test.go
+++ b/internal/cluster/election/candidate_test.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// A ballot may win until half a lease has passed, other members are in force, a higher ballot is known, or it is abandoned.
+// A ballot may win until half a lease has passed, other members are in force, a higher ballot is known, or the ballot is
+// abandoned.
 func TestCandidateCanWin(t *testing.T) {
 	members := InitialMembers(3)
 	timeout := testSettings().ballotTimeout()
@@ -85,8 +86,8 @@
 	}
 }
 
-// The lease counts from the start of the ballot, even if the ballot is sent again, unless that guard is off. A new ballot keeps the
-// highest ballot that other replicas have named.
+// The lease counts from the start of the ballot, even if the ballot is sent again, unless the guard LeaseFromStart is off. The
+// highest ballot that other replicas have named is kept when a new ballot is started.
 func TestCandidateSentAgain(t *testing.T) {
 	for _, isDisabled := range []bool{false, true} {
 		c := newCandidate(Config{Settings: testSettings(), DisabledGuards: DisabledGuards{LeaseFromStart: isDisabled}})
--- a/internal/cluster/election/cluster_test.go
+++ b/internal/cluster/election/cluster_test.go
@@ -21,7 +21,7 @@
 	clusterSize = 3
 	// tickInterval is how often the replicas of a cluster get a tick.
 	tickInterval = 20 * ms
-	// electionDone is a time at which every test cluster has elected its first leader.
+	// electionDone is the time by which every test cluster has elected its first leader.
 	electionDone = 3 * second
 )
 
@@ -157,14 +157,14 @@
 	}
 }
 
-// When a leader leaves, the replica with the next number leads at once, and the old leader casts no more votes.
+// When a leader leaves, the replica with the next ID leads at once, and the old leader casts no more votes.
 func TestLeaveTransfersLeadership(t *testing.T) {
 	c := newCluster(false)
 	c.runUntil(electionDone)
 	oldLeader := c.leader()
 	c.execute(oldLeader, c.replicas[oldLeader].Leave(c.now))
 	if newLeader := c.leader(); newLeader != (oldLeader+1)%clusterSize {
-		t.Errorf("replica %d leads after replica %d has left, want the one with the next number", newLeader, oldLeader)
+		t.Errorf("replica %d leads after replica %d has left, want the replica with the next ID", newLeader, oldLeader)
 	}
 	c.recommend(oldLeader, Advance)
 	c.runUntil(c.now + second)
@@ -203,7 +203,8 @@
 	}
 }
 
-// A recommendation to roll back from any replica prevents an advance, even if a rollback needs recommendations of more replicas.
+// One replica's recommendation to roll back prevents an advance, even if a rollback needs the recommendations of several
+// replicas.
 func TestRollbackRecommendationBlocksAdvance(t *testing.T) {
 	settings := testSettings()
 	settings.RollbackQuorum = 2
--- a/internal/cluster/election/command.go
+++ b/internal/cluster/election/command.go
@@ -10,8 +10,8 @@
 		To int
 		Message
 	}
-	// CastVote sends a vote to the rollout controller, unless the time has reached WriteBefore. The time has to be checked just
-	// before the vote is written, because the process may have been paused since the command was issued.
+	// CastVote sends a vote to the rollout controller, unless the replica's clock has reached WriteBefore. The clock has to be
+	// checked just before the vote is written, because the process may have been paused since the command was issued.
 	CastVote struct {
 		Record
 		WriteBefore Micros
@@ -19,9 +19,9 @@
 	// Persist stores the durable state. The state must be on stable storage, if there is any, before a later command of the
 	// same call is carried out.
 	Persist struct{ DurableState }
-	// SelfStop stops or resumes the requests of this replica's own agent to a build. With Stop set the agent stops them, because
-	// its analyzer recommends a rollback and no leader is known; stopping is the safe direction. Otherwise the requests may
-	// resume, because the analyzer recommends something else or the rollout has moved on.
+	// SelfStop stops or resumes the requests of this replica's own agent to a build. With Stop set, the agent stops the requests,
+	// because its analyzer recommends a rollback and no leader is known; stopping is the safe direction. Without Stop, the
+	// requests may resume, because the analyzer recommends something else or the rollout has moved on.
 	SelfStop struct {
 		Decision
 		Stop bool
--- a/internal/cluster/election/decision.go
+++ b/internal/cluster/election/decision.go
@@ -23,13 +23,13 @@
 	return d.Build == other.Build && d.Stage == other.Stage
 }
 
-// Record is an entry of the vote log. A quorum must know it before its decision is cast as a vote.
+// Record is an entry of the vote log. A quorum must know the record before the record's decision is cast as a vote.
 type Record struct {
-	Term  uint64 // the ballot by which the leader that wrote the record got the leadership
-	Index uint32
+	Term  uint64 // the ballot that elected the leader that wrote the record
+	Index uint32 // rises with each record that the leader writes
 	Decision
-	// Prior is another verdict that the same leader has cast on this build and stage. It may still count if no later vote has
-	// taken effect. NoVote means that there is none.
+	// Prior is another verdict that the same leader has cast on this build and stage. The vote with that verdict may still count
+	// if no later vote has taken effect. NoVote means that there is none.
 	Prior Verdict
 }
 
@@ -37,10 +37,11 @@
 
 func (r Record) revision() revision { return revision{r.Term, r.Index} }
 
-// DurableState is the state that a replica must keep across restarts. A replica that restarts with it may take part at once.
+// DurableState is the state that a replica must keep across restarts. A replica that restarts with its durable state may take
+// part at once.
 type DurableState struct {
-	Promised, Accepted, Released uint64
-	LeaseHolder                  int32
-	Newest                       Record
+	Promised, Accepted, Released uint64 // the highest ballots promised, accepted and released
+	LeaseHolder                  int32  // the replica whose lease was accepted; -1: none
+	Newest                       Record // the newest known record of any leader
 	Members                      Members
 }
--- a/internal/cluster/election/doc.go
+++ b/internal/cluster/election/doc.go
@@ -1,6 +1,6 @@
 // Package election elects one of several replicas as the leader that casts the votes on a release, and decides which votes the
 // leader may cast and when. It implements lease-based leader election with a replicated vote log, based on Paxos. The package
-// does no I/O and is driven by messages and by the time.
+// does no I/O and is driven by the events and the time that its caller passes in.
 //
 // # Use
 //
@@ -32,9 +32,9 @@
 // the lease, which counts from the start of the ballot. The leader renews the lease with a further ballot. The first ballot of an
 // uninterrupted leadership is its term.
 //
-// A leader replicates the record of each decision to a quorum before it casts the vote. It sets a time before which the vote
-// must be written. A new leader knows the newest record that its predecessors replicated, and casts no contrary vote (one with
-// another verdict on the same stage) until the votes of its predecessors can no longer count.
+// A leader replicates the record of each decision to a quorum before it casts the vote. For each vote it sets a time before which
+// the vote must be written. A new leader knows the newest record that its predecessors replicated, and casts no contrary vote
+// (one with another verdict on the same stage) until the votes of its predecessors can no longer count.
 //
 // Members join and leave one at a time. The leader stamps each set of members with its term. A leader that leaves releases its
 // lease, and with the same message promises the next member a ballot.
@@ -43,7 +43,7 @@
 //
 //   - Two leases never overlap. The leader counts its lease from before it sent the first request, and shortens it by the clock
 //     drift. Any two quorums have a replica in common, which holds the lease until it has ended by that replica's own clock.
-//   - A vote is cast only after a quorum knows its record, so that every later leader knows it, too.
+//   - A vote is cast only after a quorum knows its record, so that every later leader knows the record, too.
 //   - No two contrary votes on one stage count at the same time.
 //   - Durable state is persisted before any message or vote that depends on it is sent. A replica that restarts without its
 //     state abstains until all leases that it may have accepted have ended, and the votes cast under them can no longer count.
--- a/internal/cluster/election/golden_test.go
+++ b/internal/cluster/election/golden_test.go
@@ -9,8 +9,8 @@
 	"switchfork/internal/golden"
 )
 
-// goldenSteps is the number of steps in a scenario. They are enough for leaders to be lost, replaced and elected again, and for
-// members to change.
+// goldenSteps is the number of steps in a scenario. That many steps are enough for leaders to be lost, replaced and elected
+// again, and for members to change.
 const goldenSteps = 20000
 
 // faultScenario is a group of replicas under faults: messages are lost, delayed, duplicated and reordered, and replicas pause,
@@ -30,7 +30,7 @@
 	lastSeed     int64
 }
 
-// newFaultScenario starts one replica more than there are initial members. number is the number of the scenario, from 0; it
+// newFaultScenario starts one replica more than there are initial members. number is the index of the scenario, from 0, and
 // determines the seeds.
 func newFaultScenario(number, initialMembers int, disabled DisabledGuards) *faultScenario {
 	s := &faultScenario{
--- a/internal/cluster/election/handlers.go
+++ b/internal/cluster/election/handlers.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// adoptMembers adopts newer members. This replica's own ballot is then abandoned, because it was started among other members. Its
-// lease is revoked if the members were stamped in another term, by another leader.
+// adoptMembers adopts newer members. This replica's own ballot is then abandoned, because it was started among other members.
+// This replica's lease is revoked if the members were stamped in another term, by another leader.
 func (e *leaderElection) adoptMembers(members Members) {
 	if !e.membership.adopt(members) {
 		return
@@ -71,8 +71,9 @@
 	}
 	isRemote := from != e.id
 	if isRemote && e.acceptor.isSuperseded(m.Ballot) {
-		// The Nack makes the leader choose a higher ballot. Otherwise, a replica that has campaigned alone would never take part
-		// again: the ballots that it has promised to itself are higher than the leader's, so it rejects those.
+		// The Nack makes the leader choose a higher ballot. Without the Nack, a replica that has campaigned alone would never
+		// take part again: the ballots that it has promised to itself are higher than the leader's ballots, so it would reject
+		// the leader's.
 		e.sendNack(from)
 	}
 	if isRemote && e.membership.current.isNewerThan(m.Members) {
--- a/internal/cluster/election/leader_election.go
+++ b/internal/cluster/election/leader_election.go
@@ -10,13 +10,13 @@
 //   - lease: whether this replica leads.
 //
 // A replica that campaigns also asks itself for a promise and an acceptance. It handles these messages and the answers to them at
-// once, through the same handlers as those of other replicas. [Replica] calls leaderElection and tells it the time of each call.
+// once, through the same handlers as messages of other replicas. [Replica] calls leaderElection and sets the time of each call.
 type leaderElection struct {
 	id       int
 	settings Settings
 	now      Micros // time of the call in progress
 	out      *outbox
-	votes    *voteCaster // its newest record is added to messages
+	votes    *voteCaster // supplies the newest record for messages
 
 	membership membership
 	acceptor   acceptor
@@ -81,9 +81,10 @@
 	return !e.acceptor.isLeasedToOther(e.now, e.id)
 }
 
-// campaign starts a ballot for a lease or its renewal. If the current ballot may still win, campaign sends it again instead. When
-// a message takes a tenth of a lease, a ballot takes longer than the interval between two renewals. With a new ballot at each
-// interval, replicas would supersede their own and each other's ballots before any could win.
+// campaign starts a ballot for a lease or its renewal. If the current ballot may still win, campaign instead sends that ballot
+// again once the resend interval has passed. When a message takes a tenth of a lease, a ballot takes longer than the interval
+// between two renewals. With a new ballot at each interval, replicas would supersede their own and each other's ballots before
+// any could win.
 func (e *leaderElection) campaign() {
 	if !e.candidate.canWin(e.now, e.membership.current, e.acceptor.highestPromised) {
 		highest := max(e.acceptor.highestPromised, e.acceptor.highestAccepted, e.candidate.ballot, e.candidate.highestSeen)
@@ -109,8 +110,8 @@
 	e.out.broadcast(e.membership.current, e.membership.attach(m))
 }
 
-// leave gives up the leadership permanently. If the lease has not ended at now, the time that the caller passed, leave transfers
-// the leadership to the next member.
+// leave gives up the leadership permanently. If the lease has not ended at now, leave transfers the leadership to the next
+// member.
 func (e *leaderElection) leave(now Micros) {
 	wasLeading := e.lease.remaining(now) > 0
 	e.lease.release()
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// commitMembers stamps the members once in a new term, and sends them again until a quorum has acknowledged them.
+// commitMembers stamps the members once in each term, and sends them again until a quorum has acknowledged them.
 func (e *leaderElection) commitMembers() {
 	if !e.membership.isSendDue(e.now) {
 		return
--- a/internal/cluster/election/lease.go
+++ b/internal/cluster/election/lease.go
@@ -1,21 +1,21 @@
 package election
 
-// lease is this replica's own lease of the leadership: its end, its term, and the members among which it was granted. It decides
-// whether the replica may act as the leader at a given time, from what a quorum has accepted and from this replica's own clock.
-// [leaderElection] grants it, and ends it whenever another replica may lead. [Replica] checks it before any action that only a
-// leader may take.
+// lease is this replica's own lease of the leadership: its end, its term, and the members among which it was granted. The lease
+// decides whether the replica may act as the leader, from what a quorum has accepted and from this replica's own clock.
+// [leaderElection] grants the lease, and ends it whenever another replica may lead. [Replica] checks the lease before any action
+// that only a leader may take.
 type lease struct {
 	disabled DisabledGuards
 
 	until   Micros  // end of the lease; 0: there is none
 	members Members // members among which the lease was granted
-	term    uint64  // the ballot by which the replica became the leader; renewals keep it
+	term    uint64  // the ballot that made the replica the leader; renewals do not change the term
 }
 
-// isGranted reports whether there is a lease. One that has run out counts until expire is called.
+// isGranted reports whether there is a lease. A lease that has run out counts until expire is called.
 func (l *lease) isGranted() bool { return l.until > 0 }
 
-// isValid reports whether the replica leads at a time.
+// isValid reports whether the replica leads at now.
 func (l *lease) isValid(now Micros) bool {
 	return now < l.until || l.disabled.LeaseTimeout && l.isGranted()
 }
--- a/internal/cluster/election/lease_test.go
+++ b/internal/cluster/election/lease_test.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// With the guard off, a lease does not time out, is not revoked, and allows late writes. Releasing it always takes effect.
+// With the guard LeaseTimeout off, a lease does not time out, is not revoked, and allows late writes. Releasing it always takes
+// effect.
 func TestLeaseWithoutTimeout(t *testing.T) {
 	for _, isDisabled := range []bool{false, true} {
 		l := lease{disabled: DisabledGuards{LeaseTimeout: isDisabled}}
--- a/internal/cluster/election/members.go
+++ b/internal/cluster/election/members.go
@@ -2,21 +2,21 @@
 
 import "math/bits"
 
-// MaxReplicas is the maximum number of replicas, which are numbered from 0.
+// MaxReplicas is the maximum number of replicas. Their IDs are 0 to MaxReplicas-1.
 const MaxReplicas = 64
 
-// noReplica is used in place of a replica number when there is no replica.
+// noReplica is used in place of a replica's ID when there is no replica.
 const noReplica = -1
 
-// Members is the set of replicas that take part in the quorums. The leader that changes the members stamps them with its term.
-// The newest members that a replica has received are in force for it at once.
+// Members is the set of replicas that take part in the quorums. The leader that changes the members stamps them with its term. A
+// replica uses the newest members that it has received as soon as they arrive.
 type Members struct {
 	Term    uint64
-	Version uint32 // numbers the sets stamped in the same term, from 1
-	Mask    uint64 // bit i is set if replica number i is a member
+	Version uint32 // counts the sets stamped in the same term, from 1
+	Mask    uint64 // bit i is set if the replica with ID i is a member
 }
 
-// InitialMembers returns the members before any change: the replicas with numbers below count.
+// InitialMembers returns the members before any change: the replicas with IDs below count.
 func InitialMembers(count int) Members { return Members{Mask: 1<<count - 1} }
 
 // Contains reports whether a replica is a member.
@@ -31,8 +31,8 @@
 
 func (m Members) revision() revision { return revision{m.Term, m.Version} }
 
-// next returns the member with the next higher number after a replica, and wraps around to the lowest number. Without another
-// member, next returns the replica itself.
+// next returns the member with the next higher ID after the replica, and wraps around to the lowest ID. Without another member,
+// next returns the replica itself.
 func (m Members) next(after int) int {
 	for i := 1; i <= MaxReplicas; i++ {
 		if candidate := (after + i) % MaxReplicas; m.Contains(candidate) {
--- a/internal/cluster/election/membership.go
+++ b/internal/cluster/election/membership.go
@@ -12,10 +12,11 @@
 	ErrNotSingleChange = errors.New("members join and leave one at a time, and one must stay")
 )
 
-// membership holds the members that are in force on this replica. While this replica leads, it also tracks which replicas have
-// acknowledged the members as stamped with the current term. It decides whether the members may change, from these
-// acknowledgements and from the members among which the lease was granted. [leaderElection] passes it the members of each
-// message; on the leader, it has membership stamp the members, and sends them until a quorum has acknowledged them.
+// membership holds the members that are in force on this replica. While this replica leads, membership also tracks which replicas
+// have acknowledged the members as stamped with the current term. From these acknowledgements, and from the members among which
+// the lease was granted, membership decides whether the members may change. [leaderElection] passes on the members of each
+// message. On the leader, [leaderElection] also has membership stamp the members, and sends the stamped members until a quorum
+// has acknowledged them.
 type membership struct {
 	settings Settings
 
@@ -25,7 +26,7 @@
 	sentAt      Micros     // when this replica, as the leader, last sent current
 }
 
-// adopt replaces the members if the given ones are newer, and reports whether they were.
+// adopt puts members in force if they are newer than the current ones, and reports whether they are.
 func (m *membership) adopt(members Members) bool {
 	if !members.isNewerThan(m.current) {
 		return false
@@ -38,12 +39,12 @@
 // startTerm begins a new term, in which the members have to be stamped again.
 func (m *membership) startTerm() { m.isStamped = false }
 
-// checkChange returns why the members can't be replaced by those of mask, or nil if they can.
+// checkChange returns why the current members can't be replaced by the members of mask, or nil if they can.
 //
 // If two sets of members differ in one replica, any quorum of one has a replica in common with any quorum of the other. This
 // need not hold if they differ in more. Before a change, a quorum must therefore know the members as stamped in the current
 // term, and with them the previous change. The lease must also have been granted among the current members: a lease granted by
-// replicas that have been removed does not bind those that are members now.
+// replicas that have been removed does not bind the present members.
 func (m *membership) checkChange(mask uint64, leaseMembers Members) error {
 	switch {
 	case mask == 0 || bits.OnesCount64(mask^m.current.Mask) != 1:
@@ -65,7 +66,7 @@
 	m.committedBy = newReplicaSet(leader)
 }
 
-// acknowledge counts a replica that knows the members, if they are the current ones.
+// acknowledge records that replica from knows members, if these are the current members as stamped.
 func (m *membership) acknowledge(from int, members Members) {
 	if m.isStamped && members == m.current {
 		m.committedBy = m.committedBy.with(from)
--- a/internal/cluster/election/membership_test.go
+++ b/internal/cluster/election/membership_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// The next member after the highest number is the one with the lowest. Replicas that are not members are skipped.
+// After the member with the highest ID, the next member is the one with the lowest ID. Replicas that are not members are skipped.
 func TestNextMember(t *testing.T) {
 	members := Members{Mask: 0b101001}
 	for after, want := range map[int]int{0: 3, 3: 5, 5: 0, 1: 3, MaxReplicas - 1: 0} {
--- a/internal/cluster/election/message.go
+++ b/internal/cluster/election/message.go
@@ -43,8 +43,8 @@
 func (m Message) successorBallot() uint64 { return m.ReleasedBallot }
 
 const (
-	// ballotOwnerBits is the number of low bits of a ballot. They hold the number of the replica that owns the ballot, so that
-	// no two replicas use the same one.
+	// ballotOwnerBits is the number of low bits of a ballot that hold the ID of the replica that owns the ballot. Because of
+	// them, no two replicas use the same ballot.
 	ballotOwnerBits = 8
 	ballotOwnerMask = 1<<ballotOwnerBits - 1
 )
--- a/internal/cluster/election/model_test.go
+++ b/internal/cluster/election/model_test.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// modelReplicas is the number of replicas. Those with numbers from modelInitialMembers on become members only by a change of
+	// modelReplicas is the number of replicas. Replicas with IDs from modelInitialMembers on become members only by a change of
 	// the members.
 	modelReplicas       = 4
 	modelInitialMembers = 3
@@ -38,7 +38,7 @@
 	message  Message
 }
 
-// observedVote is a vote that a replica has cast at a time.
+// observedVote is a vote, the replica that cast it, and the time of the cast.
 type observedVote struct {
 	replica int
 	CastVote
@@ -167,7 +167,7 @@
 	}
 }
 
-// deliverAny delivers messages in any order, some of them more than once.
+// deliverAny delivers up to count messages in any order, some of them more than once.
 func (c *modelCluster) deliverAny(t *rapid.T, count int) {
 	for ; count > 0 && len(c.inFlight) > 0; count-- {
 		index := rapid.IntRange(0, len(c.inFlight)-1).Draw(t, "index")
--- a/internal/cluster/election/outbox.go
+++ b/internal/cluster/election/outbox.go
@@ -3,7 +3,7 @@
 // outbox collects the commands of the call in progress, in the order in which they must be carried out. [Replica] empties it
 // at the beginning of each call.
 type outbox struct {
-	self     int // number of the replica that sends
+	self     int // ID of the replica that sends
 	commands []Command
 }
 
--- a/internal/cluster/election/recommendation.go
+++ b/internal/cluster/election/recommendation.go
@@ -1,7 +1,7 @@
 package election
 
-// recommendations holds the newest recommendation of each replica's release analyzer. It decides which verdict on a stage results
-// from them, depending on their age. [voteCaster] asks it while this replica leads.
+// recommendations holds the newest recommendation of each replica's release analyzer. From those that have not expired, it
+// derives the verdict on the current stage. [voteCaster] asks for this verdict while this replica leads.
 type recommendations struct {
 	self      int
 	settings  Settings
@@ -11,7 +11,7 @@
 // recommendation is the decision that a replica's release analyzer recommends.
 type recommendation struct {
 	Decision
-	receivedAt Micros // 0: never
+	receivedAt Micros // when this replica received the recommendation; 0: never
 }
 
 // put stores a replica's recommendation in place of its earlier one.
@@ -40,7 +40,7 @@
 }
 
 // countRollbacks returns how many replicas recommend a rollback on the current stage. The recommendations of other replicas
-// expire. This replica's own counts until its analyzer changes it.
+// expire. This replica's own recommendation counts until its analyzer recommends something else.
 func (r *recommendations) countRollbacks(rollout rolloutPosition, now Micros) int {
 	wanted := rollout.decision(Rollback)
 	count := 0
--- a/internal/cluster/election/replica.go
+++ b/internal/cluster/election/replica.go
@@ -37,7 +37,7 @@
 // IsLeader reports whether this replica may cast votes now.
 func (r *Replica) IsLeader(now Micros) bool { return r.election.lease.isValid(now) }
 
-// Status returns the state of the replica at a time.
+// Status returns the state of the replica at now.
 func (r *Replica) Status(now Micros) Status {
 	s := Status{
 		IsLeader:          r.IsLeader(now),
@@ -95,7 +95,7 @@
 	return r.runDue()
 }
 
-// NextTick returns when to call Tick, unless another method is called before then.
+// NextTick returns the time at which to call Tick, unless another method is called before then.
 func (r *Replica) NextTick() Micros {
 	return r.election.now + max(1, r.election.settings.retryInterval())
 }
@@ -109,8 +109,8 @@
 	return r.runDue()
 }
 
-// ChangeMembers puts the members of mask in force, which must be one more or one fewer. Only the leader can change the members,
-// and only once a quorum knows the previous change.
+// ChangeMembers puts the members of mask in force. They must differ from the current members by one replica. Only the leader can
+// change the members, and only once a quorum knows the previous change.
 func (r *Replica) ChangeMembers(now Micros, mask uint64) ([]Command, error) {
 	r.beginCall(now)
 	if !r.IsLeader(now) {
@@ -124,7 +124,7 @@
 
 // Leave gives up the leadership permanently. This replica casts no more votes and never campaigns again, but still answers other
 // replicas. The message that releases its lease also gives the next member this replica's promise. The other members send the
-// next member their promises as soon as they receive that message.
+// next member their promises as soon as they receive the release message.
 func (r *Replica) Leave(now Micros) []Command {
 	r.beginCall(now)
 	r.election.leave(now)
--- a/internal/cluster/election/replica_set.go
+++ b/internal/cluster/election/replica_set.go
@@ -2,8 +2,8 @@
 
 import "math/bits"
 
-// replicaSet is a set of replicas, such as those that have acknowledged a record. Bit i is set if the set contains replica
-// number i.
+// replicaSet is a set of replicas, such as those that have acknowledged a record. Bit i is set if the set contains the replica
+// with ID i.
 type replicaSet uint64
 
 func newReplicaSet(replica int) replicaSet { return replicaSet(0).with(replica) }
--- a/internal/cluster/election/self_stop_test.go
+++ b/internal/cluster/election/self_stop_test.go
@@ -14,8 +14,9 @@
 	return stops
 }
 
-// Without a leader, a replica whose release analyzer recommends a rollback stops its own agent's requests to the build, and resumes
-// them when the analyzer recommends something else. While another replica leads, it stops nothing: the leader casts the votes.
+// Without a leader, a replica whose release analyzer recommends a rollback stops its own agent's requests to the build, and
+// resumes the requests when the analyzer recommends something else. While another replica leads, the replica stops nothing,
+// because the leader casts the votes.
 func TestSelfStopWithoutLeader(t *testing.T) {
 	replica := New(Config{Members: InitialMembers(clusterSize), Settings: testSettings(), Now: second, Seed: 1})
 	rollback := Decision{Build: 8, Stage: 1, Verdict: Rollback}
--- a/internal/cluster/election/settings.go
+++ b/internal/cluster/election/settings.go
@@ -17,13 +17,13 @@
 
 // Config configures one replica.
 type Config struct {
-	ID             int           // the replica's number, below MaxReplicas
+	ID             int           // the replica's ID, from 0 to MaxReplicas-1
 	Members        Members       // members at the start, unless State holds newer ones
 	State          *DurableState // the state that the replica last persisted; nil: none
 	Settings       Settings
 	DisabledGuards DisabledGuards
-	// IsFresh marks a replica that has no state although it may have run before. It abstains until all leases that it may
-	// have accepted have ended, and the votes cast under them can no longer count.
+	// IsFresh marks a replica that has no state although it may have run before. Such a replica abstains until all leases that it
+	// may have accepted have ended, and the votes cast under them can no longer count.
 	IsFresh bool
 	Now     Micros // current time by the replica's own clock
 	Seed    int64  // seed of the random delays before campaigns
@@ -66,8 +66,8 @@
 	// ballotResendFraction is the time after which an unanswered ballot is sent again. This happens twice in the interval
 	// between two renewals.
 	ballotResendFraction = sixthOfLease
-	// ballotTimeoutFraction is the age of a ballot from which a campaign starts a new ballot instead of sending the same one
-	// again. If the old ballot won later, most of its lease would be over.
+	// ballotTimeoutFraction is the age at which a ballot times out. A campaign then starts a new ballot instead of sending the
+	// old one again: if the old ballot won later, most of its lease would be over.
 	ballotTimeoutFraction = halfLease
 	// maxCallGapFraction is the longest gap between two calls that does not count as a pause of the process.
 	maxCallGapFraction = halfLease
@@ -75,7 +75,7 @@
 	retryFraction = fifteenthOfLease
 	// minCampaignDelayFraction is the shortest delay before a campaign.
 	minCampaignDelayFraction = thirtiethOfLease
-	// maxCampaignJitterFraction bounds the random delay that is added to the shortest one.
+	// maxCampaignJitterFraction bounds the random delay that is added to the shortest delay before a campaign.
 	maxCampaignJitterFraction = thirdOfLease
 )
 
@@ -84,7 +84,7 @@
 	// same candidate. Without this limit, a candidate whose ballots never get through could keep the replica from ever
 	// campaigning.
 	deferralIntervalLeases = 2
-	// recommendationLeases is how long a recommendation counts, in leases. Replicas repeat theirs twice per lease.
+	// recommendationLeases is how long a recommendation counts, in leases. Replicas repeat their recommendations twice per lease.
 	recommendationLeases = 2
 	// recastLifetimeFraction is the fraction of a vote's lifetime after which the vote is cast again.
 	recastLifetimeFraction = 0.66
@@ -122,15 +122,16 @@
 	return Micros(recastLifetimeFraction * float64(s.VoteLifetime))
 }
 
-// stateLossWindow returns how long a replica that has lost its state abstains. A leader whose lease it has accepted may cast
-// votes for one more lease, and the last of them may take effect and count for its lifetime after that.
+// stateLossWindow returns how long a replica that has lost its state abstains. A leader whose lease the replica has accepted may
+// cast votes for one more lease. The last of these votes may take effect up to MaxVoteDelay later, and then counts for its
+// lifetime.
 func (s Settings) stateLossWindow() Micros {
 	return s.driftUpperBound(s.Lease + s.MaxVoteDelay + s.VoteLifetime)
 }
 
-// effectDelay returns how long after it was cast a vote may still take effect.
+// effectDelay returns how long a vote may still take effect after it was cast.
 func (s Settings) effectDelay() Micros { return s.driftUpperBound(s.MaxVoteDelay) }
 
-// effectWindow returns how long after it was cast a vote may still count. It may take effect late, and then counts for its
+// effectWindow returns how long a vote may still count after it was cast. The vote may take effect late, and then counts for its
 // lifetime.
 func (s Settings) effectWindow() Micros { return s.driftUpperBound(s.MaxVoteDelay + s.VoteLifetime) }
--- a/internal/cluster/election/storage_failure_test.go
+++ b/internal/cluster/election/storage_failure_test.go
@@ -4,9 +4,9 @@
 
 // A replica whose storage has failed never leads again. The test guards against a failure in which the disk of a candidate failed
 // between the promises and the acceptances of its ballot. The replica withdrew and promised nothing more, but its ballot stayed
-// open, and a late Accepted message won it. The replica then led and cast a vote. The coordinator stores nothing once a save has
-// failed, so no record of such votes is kept. After a restart, the replica could answer the same vote differently, which the
-// election must never allow.
+// open and won when a late Accepted message arrived. The replica then led and cast a vote. The coordinator stores nothing once a
+// save has failed, so no record of such votes is kept. After a restart, the replica could answer the same vote differently, which
+// the election must never allow.
 func TestFailedStorageVoidsBallot(t *testing.T) {
 	const peer = 1
 	replica := New(Config{Members: InitialMembers(clusterSize), Settings: testSettings(), Now: second, Seed: 1})
--- a/internal/cluster/election/vote_caster.go
+++ b/internal/cluster/election/vote_caster.go
@@ -1,8 +1,8 @@
 package election
 
-// voteCaster decides which vote a leader casts and when. It derives the decision from the recommendations, waits until no contrary
-// vote may count, replicates the record to a quorum, and then casts the vote if enough of the lease is left. [Replica] calls
-// runDue while it leads; it passes on the position of the rollout and this replica's recommendation at any time.
+// voteCaster decides which vote a leader casts and when. It derives the decision from the recommendations, waits until no
+// contrary vote may count, replicates the record to a quorum, and then casts the vote if enough of the lease is left. [Replica]
+// calls runDue while it leads, and always passes on the position of the rollout and this replica's recommendation.
 // [leaderElection] passes on the records and recommendations of other replicas.
 type voteCaster struct {
 	id       int
@@ -29,7 +29,7 @@
 // leadership holds the lease, the ballot and the members with which a leader casts votes.
 type leadership struct {
 	lease   *lease
-	ballot  uint64 // ballot of the last renewal
+	ballot  uint64 // the leader's newest ballot
 	members Members
 }
 
--- a/internal/cluster/election/vote_caster_test.go
+++ b/internal/cluster/election/vote_caster_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// leaderForTest returns the vote caster of replica 0 of three, whose analyzer recommends to advance, and the leadership with which
-// it casts.
+// leaderForTest returns the vote caster of replica 0 of three, whose analyzer recommends to advance, and a leadership with which
+// the vote caster casts.
 func leaderForTest(leaseUntil Micros, disabled DisabledGuards) (*voteCaster, leadership) {
 	v := newVoteCaster(Config{Settings: testSettings(), DisabledGuards: disabled})
 	v.updateRollout(rolloutPosition{build: 4, stage: 1, isActive: true})
@@ -24,8 +24,8 @@
 	return casts
 }
 
-// A vote is cast once, when a quorum has acknowledged its record. It has to be written before a time that is earlier than the end
-// of the lease.
+// A vote is cast once, when a quorum has acknowledged its record. The time before which the vote has to be written is earlier
+// than the end of the lease.
 func TestVoteIsCastWhenReplicated(t *testing.T) {
 	const leaseUntil = 3 * second
 	v, current := leaderForTest(leaseUntil, DisabledGuards{})
--- a/internal/cluster/election/vote_history.go
+++ b/internal/cluster/election/vote_history.go
@@ -1,8 +1,8 @@
 package election
 
 // voteHistory holds the votes that were cast and may still count: those of this replica in the current term, and those of earlier
-// leaders. It decides whether a new vote would be contrary to any of them, from the times at which they were cast and from the
-// rollout controller's answers. [voteCaster] asks it before it starts to replicate the record of a vote.
+// leaders. It decides whether a new vote has to wait because of a contrary vote, from the times at which votes were cast and from
+// the rollout controller's answers. [voteCaster] consults voteHistory before it replicates the record of a new vote.
 type voteHistory struct {
 	settings Settings
 	disabled DisabledGuards
@@ -11,7 +11,7 @@
 	lastCastAt       Micros
 	lastCastResolved bool // the rollout controller has answered the last vote
 
-	prior      Verdict // the last verdict cast before lastCast that differs from its verdict
+	prior      Verdict // the newest earlier verdict that differs from lastCast's verdict
 	priorUntil Micros  // the vote with the prior verdict may count until then
 
 	predecessor      Record // the newest record of earlier leaders when the term began
@@ -55,7 +55,7 @@
 	return max(0, h.predecessorUntil-now)
 }
 
-// isRecent reports whether a decision was the last one cast, and so recently that it need not be cast again.
+// isRecent reports whether d was the last decision cast, so recently that it need not be cast again.
 func (h *voteHistory) isRecent(d Decision, now Micros) bool {
 	return h.lastCast.Decision == d && now-h.lastCastAt < h.settings.recastInterval()
 }
@@ -65,8 +65,8 @@
 	return h.lastCast.Term != 0 && h.lastCast.isSameStage(d)
 }
 
-// contraryVerdict returns a verdict other than the decision's that was cast on its stage in this term and may still count, or
-// NoVote if there is none.
+// contraryVerdict returns a verdict that was cast on the stage of d in this term and is contrary to d, or NoVote if there is
+// none. A verdict before the last one is returned only while its vote may still count.
 func (h *voteHistory) contraryVerdict(d Decision, now Micros) Verdict {
 	switch {
 	case !h.hasCastOn(d):
@@ -79,7 +79,8 @@
 	return NoVote
 }
 
-// allows reports whether no vote that is contrary to a decision may still count.
+// allows reports whether wanted may be cast now. Otherwise wanted has to wait until a contrary vote can no longer count or take
+// effect.
 func (h *voteHistory) allows(wanted Decision, now Micros) bool {
 	if h.disabled.WaitForEarlierVotes {
 		return true
@@ -99,7 +100,7 @@
 }
 
 // mustWaitForOwnVote reports whether the last vote of this term is contrary, has not been answered, and may still take effect.
-// After a vote to roll back, an advance waits until that vote can no longer count, even if it has been answered.
+// After a vote to roll back, an advance waits until that vote can no longer count, even if the vote has been answered.
 func (h *voteHistory) mustWaitForOwnVote(wanted Decision, now Micros) bool {
 	switch {
 	case !h.hasCastOn(wanted) || h.lastCast.Verdict == wanted.Verdict:
--- a/internal/cluster/election/vote_history_test.go
+++ b/internal/cluster/election/vote_history_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// No vote that is contrary to an earlier leader's newest record, or to the prior verdict in that record, is cast on the same stage
-// until the earlier leader's votes can no longer count.
+// While an earlier leader's votes may still count, a vote on the same stage must not be contrary to that leader's newest record,
+// or to the prior verdict in the record.
 func TestVoteHistoryWaitsForPredecessor(t *testing.T) {
 	end := second + testSettings().effectWindow()
 	for name, tc := range map[string]struct {
@@ -66,7 +66,8 @@
 	}
 }
 
-// The prior verdict of a record is the other verdict that its leader has cast on the stage, as long as that vote may count.
+// The prior verdict of a record is the other verdict that its leader has cast on the stage, as long as the vote with that verdict
+// may count.
 func TestVoteHistoryContraryVerdict(t *testing.T) {
 	settings := testSettings()
 	h := voteHistory{settings: settings}
--- a/internal/cluster/election/vote_log.go
+++ b/internal/cluster/election/vote_log.go
@@ -1,8 +1,8 @@
 package election
 
 // voteLog is the replicated log of decisions. A replica keeps only the newest record. The log decides from the acknowledgements
-// whether a quorum knows a leader's own record. [voteCaster] appends to it, and [leaderElection] passes on the records of all
-// messages.
+// whether a quorum knows the pending record of this replica as the leader. [voteCaster] appends records to the log, and
+// [leaderElection] passes on the records of all messages.
 type voteLog struct {
 	settings Settings
 
@@ -10,17 +10,17 @@
 	pending      Record     // record of this replica as the leader, not cast yet; the zero value: none
 	replicatedTo replicaSet // replicas that know the pending record
 	sentAt       Micros     // when the pending record was last sent
-	lastIndex    uint32
+	lastIndex    uint32     // index of the last appended record
 }
 
-// learn keeps a record if it is newer than the newest one known.
+// learn keeps record if it is newer than the newest known record.
 func (l *voteLog) learn(record Record) {
 	if record.isNewerThan(l.newest) {
 		l.newest = record
 	}
 }
 
-// append gives a record the next index and makes it the pending one. A quorum has to know it before it is cast.
+// append gives record the next index and makes it the pending record. A quorum has to know the record before its vote is cast.
 func (l *voteLog) append(leader int, record Record) {
 	l.lastIndex++
 	record.Index = l.lastIndex
@@ -31,10 +31,10 @@
 
 func (l *voteLog) hasPending() bool { return l.pending.Term != 0 }
 
-// discardPending drops the pending record. If it has not been cast by then, it never will be.
+// discardPending drops the pending record. A record that is dropped before its vote is cast is never cast.
 func (l *voteLog) discardPending() { l.pending = Record{} }
 
-// acknowledge counts a replica that knows a record, if the record is the pending one.
+// acknowledge records that replica from knows record, if record is the pending one.
 func (l *voteLog) acknowledge(from int, record Record) {
 	if record == l.pending {
 		l.replicatedTo = l.replicatedTo.with(from)
