--- a/internal/cluster/coordinator/admin_client.go
+++ b/internal/cluster/coordinator/admin_client.go
@@ -85,5 +85,5 @@
 }
 
 func closeBody(response *http.Response) {
-	_ = response.Body.Close() // nothing more is read from it, so an error has no consequence
+	_ = response.Body.Close() // nothing more is read from the body, so an error has no consequence
 }
--- a/internal/cluster/coordinator/admin_mode_test.go
+++ b/internal/cluster/coordinator/admin_mode_test.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// Other users can't connect to the admin socket at any moment. Guards against opening the socket with the permissions that the umask
-// leaves and changing its mode afterwards: between the two calls another local user could connect, and a connection outlives the change.
+// Other users can't connect to the admin socket at any moment. The test guards against opening the socket with the permissions that the
+// umask leaves and changing its mode afterwards: between the two calls another local user could connect, and a connection outlives the
+// change.
 func TestAdminSocketIsNeverOpenToOthers(t *testing.T) {
 	const opens = 300
 	earlier := syscall.Umask(0)
--- a/internal/cluster/coordinator/admin_scenario_test.go
+++ b/internal/cluster/coordinator/admin_scenario_test.go
@@ -38,7 +38,7 @@
 expect settled >= 0.9 of=others:lead
 `
 
-// withoutStateDir is the same scenario with datagrams and without state folders. At its end the first leader is started again.
+// withoutStateDir is queryScenario with datagrams and without state folders. At its end the first leader is started again.
 var withoutStateDir = strings.NewReplacer(
 	"talk tcp", "talk datagrams",
 	"lease=600ms", "lease=600ms no-folders",
--- a/internal/cluster/coordinator/admin_server.go
+++ b/internal/cluster/coordinator/admin_server.go
@@ -126,7 +126,7 @@
 	if err != nil {
 		return false
 	}
-	_ = conn.Close() // nothing was sent on it
+	_ = conn.Close() // nothing was sent on the connection
 	return true
 }
 
--- a/internal/cluster/coordinator/blocking_test.go
+++ b/internal/cluster/coordinator/blocking_test.go
@@ -24,8 +24,9 @@
 }
 
 // The rest of the agent never blocks when it passes something to the coordinator. All messages once shared one channel with room for 1,024.
-// When it was full of frames from other agents, Recommend waited for room, and in a trial was still blocked after 500 ms. The event loop
-// calls Recommend, and the whole agent waits while the event loop is blocked. After the end of Serve, Recommend would wait forever.
+// While the channel was full of frames from other agents, Recommend waited for room, and in a trial was still blocked after 500 ms. The
+// event loop calls Recommend, and the whole agent waits while the event loop is blocked. After the end of Serve, Recommend would wait
+// forever.
 func TestCallersNeverWait(t *testing.T) {
 	var resolve func(written bool)
 	c, _ := newTestCoordinator(nil, Callbacks{CastVote: func(_ policy.Vote, _ time.Time, resolved func(bool)) { resolve = resolved }})
--- a/internal/cluster/coordinator/commands.go
+++ b/internal/cluster/coordinator/commands.go
@@ -10,7 +10,7 @@
 )
 
 // execute carries out the replica's commands in order. It iterates over a copy, because the replica reuses the slice in its next call.
-// Messages and votes that follow a Persist rely on the state being stored, and are dropped if it was not stored.
+// Messages and votes that follow a Persist rely on the state being stored, and are dropped if the state was not stored.
 func (c *Coordinator) execute(commands []election.Command) {
 	isStored := true
 	for _, command := range slices.Clone(commands) {
@@ -32,8 +32,8 @@
 	}
 }
 
-// persist saves the state, and reports whether the messages and votes that follow it may be sent. Once a save has failed, the replica
-// no longer participates in the election.
+// persist saves the state, and reports whether the messages and votes that follow the Persist command may be sent. Once a save has failed,
+// the replica no longer participates in the election.
 func (c *Coordinator) persist(state election.DurableState) bool {
 	if c.state.hasFailed {
 		return false
--- a/internal/cluster/coordinator/coordinator.go
+++ b/internal/cluster/coordinator/coordinator.go
@@ -4,8 +4,8 @@
 // timer and the metrics, and serves the admin address.
 //
 // The goroutine that calls Coordinator.Serve owns the replica and all state that depends on it. All other methods may be called
-// from any goroutine. Those that concern the replica put a message into a queue, which never blocks. Leave, Status and ChangeMembers
-// then wait until the message has been handled or the context ends.
+// from any goroutine. Methods that concern the replica put a message into a queue, which never blocks. Leave, Status and
+// ChangeMembers then wait until the message has been handled or the context ends.
 package coordinator
 
 import (
@@ -30,7 +30,7 @@
 
 // Callbacks are the functions of the rest of the agent that the coordinator calls.
 type Callbacks struct {
-	// CastVote sends a vote to the rollout controller, unless it can't be written before the time writeBefore. It calls resolved once
+	// CastVote sends a vote to the rollout controller, unless the vote can't be written before the time writeBefore. It calls resolved once
 	// the vote is known to have been carried out, or known never to be; written reports whether the vote was sent at all.
 	CastVote func(vote policy.Vote, writeBefore time.Time, resolved func(written bool))
 	// UpdateRollout gives the routing policy the state of a rollout.
@@ -39,12 +39,12 @@
 
 // Config describes this agent's replica.
 type Config struct {
-	Index    int
+	Index    int // this agent's index, which is its replica's ID
 	Members  election.Members
 	State    *election.DurableState // nil: no state has been stored yet
 	Settings election.Settings
 	Group    uint64 // group of agents; messages of another group are dropped
-	Seed     int64
+	Seed     int64  // seed of the replica's random delays
 }
 
 // frameQueueCapacity is how many received frames may wait to be handled. Further frames are dropped.
@@ -57,8 +57,8 @@
 	transport Transport
 	castVote  func(vote policy.Vote, writeBefore time.Time, resolved func(written bool))
 	clock     clock
-	mailbox   *mailbox.Mailbox[message] // of other parts of this agent, which must not wait; unbounded, because they are few
-	frames    chan []byte               // received from other agents
+	mailbox   *mailbox.Mailbox[message] // messages from other parts of this agent; unbounded, because the senders must not wait and send few
+	frames    chan []byte               // frames received from other agents
 	metrics   *replicaMetrics
 
 	// Owned by the goroutine of Serve.
--- a/internal/cluster/coordinator/messages.go
+++ b/internal/cluster/coordinator/messages.go
@@ -9,8 +9,9 @@
 	"switchfork/internal/policy"
 )
 
-// ErrNoStateDir is the refusal of a member change by an agent without a state folder. An agent that restarts without stored state
-// counts quorums among its configured members. After a member change these could agree without any of the current members.
+// ErrNoStateDir is returned when an agent without a state folder is asked for a member change. An agent that restarts without stored state
+// counts quorums among its configured members. After a member change, the configured members could agree without any of the current
+// members.
 var ErrNoStateDir = errors.New("members change only where each agent has a state folder")
 
 // message is an entry of the mailbox. Its handle method runs on the goroutine of Serve.
--- a/internal/cluster/coordinator/metrics.go
+++ b/internal/cluster/coordinator/metrics.go
@@ -23,10 +23,10 @@
 	electionsWon     *metrics.Counter // terms in which this agent has led
 	handOvers        *metrics.Counter // leases handed over when the agent shut down
 	votesCast        *metrics.Counter
-	votesRefused     *metrics.Counter // not written, because it was too late or the controller could not be reached
+	votesRefused     *metrics.Counter // votes not written, because it was too late or the controller could not be reached
 	messagesReceived *metrics.Counter
 	messagesSent     *metrics.Counter
-	messagesDropped  *metrics.Counter // received but not used
+	messagesDropped  *metrics.Counter // messages received but not used
 	stateSyncs       *metrics.Counter
 
 	leaseRemaining atomic.Int64 // microseconds
--- a/internal/cluster/coordinator/requests.go
+++ b/internal/cluster/coordinator/requests.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// Recommend gives the replica the vote that this agent's release analyzer would cast. It never blocks, because the event loop calls
+// Recommend gives the replica the vote that this agent's release analyzer would cast. Recommend never blocks, because the event loop calls
 // it and the whole agent waits while the event loop is blocked.
 func (c *Coordinator) Recommend(vote policy.Vote) { c.mailbox.Put(voteRecommendation{vote}) }
 
--- a/internal/cluster/coordinator/status.go
+++ b/internal/cluster/coordinator/status.go
@@ -21,7 +21,7 @@
 type StatusReport struct {
 	Replica                int    `json:"me"`
 	IsLeader               bool   `json:"leads"`
-	LeaseHolder            int    `json:"owner"` // -1: none that this agent knows of
+	LeaseHolder            int    `json:"owner"` // the agent that holds the lease; -1: none that this agent knows of
 	Term                   uint64 `json:"term"`
 	LeaseRemainingMS       int64  `json:"left_ms"`
 	HasUnresolvedVote      bool   `json:"unresolved"`
--- a/internal/cluster/coordinator/traffic_stop.go
+++ b/internal/cluster/coordinator/traffic_stop.go
@@ -25,7 +25,7 @@
 	s.hasRollout = true
 }
 
-// reapply stops the traffic again after an update of the stopped stage, because the update has set the traffic cap.
+// reapply sets the traffic cap to zero again after an update of the stopped stage, because the update has overwritten the cap.
 func (s *trafficStop) reapply(update policy.RolloutUpdate) {
 	if s.stopped != nil && int(s.stopped.Build) == update.Build && int(s.stopped.Stage) == update.Stage {
 		s.stop(*s.stopped)
--- a/internal/cluster/storage/damaged_bucket_test.go
+++ b/internal/cluster/storage/damaged_bucket_test.go
@@ -16,9 +16,10 @@
 // openFolderEnv is the environment variable with the folder that a child process of TestBucketOutsideFileIsRefused opens.
 const openFolderEnv = "SWITCHFORK_TEST_OPEN"
 
-// A file whose bucket points outside the file is refused and does not end the process. bbolt checks the pages of a file in a
-// separate goroutine, in which guardMappedMemory can't catch a memory fault. A page number beyond the mapped file once ended the
-// agent at its start with "unexpected fault address". The file was not renamed, so every further start failed in the same way.
+// Open refuses a file whose bucket points outside the file, and the process continues to run. bbolt checks the pages of a file in
+// a separate goroutine, in which guardMappedMemory can't catch a memory fault. A page number beyond the mapped file once ended
+// the agent at its start with "unexpected fault address". The file was not renamed, so every further start failed in the same
+// way.
 func TestBucketOutsideFileIsRefused(t *testing.T) {
 	if folder := os.Getenv(openFolderEnv); folder != "" {
 		if _, _, err := Open(folder, testGroup, testAgent); !errors.Is(err, ErrCorrupt) {
--- a/internal/cluster/storage/file.go
+++ b/internal/cluster/storage/file.go
@@ -17,7 +17,8 @@
 	lockTimeout = time.Second
 )
 
-// openFile opens and checks a file, and reads its record, which is nil if there is none. A file that is refused is closed again.
+// openFile opens and checks a file, and reads the record in the file. The record is nil if nothing was ever saved. A file that is
+// refused is closed again.
 func openFile(path string, readOnly bool) (*bbolt.DB, *record, error) {
 	if err := checkNotEmpty(path); err != nil {
 		return nil, nil, err
--- a/internal/cluster/storage/golden_test.go
+++ b/internal/cluster/storage/golden_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// A record is encoded in the same bytes as by an earlier version, so that the earlier version can read it too.
+// A record is encoded to the same bytes as by an earlier version, so that the earlier version can read it too.
 func TestGoldenRecord(t *testing.T) {
 	db, stored, err := openFile(filepath.Join("testdata", fileName), true)
 	if err != nil {
--- a/internal/cluster/storage/inspect.go
+++ b/internal/cluster/storage/inspect.go
@@ -8,7 +8,7 @@
 	"switchfork/internal/cluster/election"
 )
 
-// noAgent is the agent number in Contents if the file holds no record.
+// noAgent is the value of Contents.Agent if the file holds no record.
 const noAgent = -1
 
 // Contents is the content of a state folder.
--- a/internal/cluster/storage/record.go
+++ b/internal/cluster/storage/record.go
@@ -22,7 +22,7 @@
 	State  election.DurableState
 }
 
-// durableState returns the state of a record, or nil without a record.
+// durableState returns the state of a record, or nil for a nil record.
 func (r *record) durableState() *election.DurableState {
 	if r == nil {
 		return nil
--- a/internal/cluster/storage/store.go
+++ b/internal/cluster/storage/store.go
@@ -21,8 +21,8 @@
 const (
 	fileName = "decider.db"
 	dirMode  = 0o700
-	// maxFileBytes is far more than one small record needs, even though it is written again and again, because bbolt reuses free
-	// pages.
+	// maxFileBytes is far more than one small record needs. The file stays small although the record is written again and again,
+	// because bbolt reuses free pages.
 	maxFileBytes = 1 << 20
 )
 
@@ -38,9 +38,9 @@
 	owner Owner
 }
 
-// Open opens a replica's folder, which it creates if necessary, and reads the state stored there, which is nil if nothing was ever
-// saved. A file that is damaged or belongs to another agent is refused and renamed, and the error wraps ErrCorrupt. If another
-// process has the file open, the error wraps ErrLocked.
+// Open opens a replica's folder, and creates the folder if necessary. It returns the state stored there, or nil if nothing was
+// ever saved. A file that is damaged or belongs to another agent is refused and renamed, and the error wraps ErrCorrupt. If
+// another process has the file open, the error wraps ErrLocked.
 func Open(folder string, group uint64, agent int) (*Store, *election.DurableState, error) {
 	if err := os.MkdirAll(folder, dirMode); err != nil {
 		return nil, nil, fmt.Errorf("creating the state folder: %w", err)
@@ -57,7 +57,7 @@
 	return &Store{db: db, owner: owner}, stored.durableState(), nil
 }
 
-// openOwnFile opens a file for writing, and refuses one that holds another agent's record.
+// openOwnFile opens a file for writing, and refuses a file that holds another agent's record.
 func openOwnFile(path string, owner Owner) (*bbolt.DB, *record, error) {
 	db, stored, err := openFile(path, false)
 	if err != nil {
--- a/internal/cluster/storage/store_test.go
+++ b/internal/cluster/storage/store_test.go
@@ -22,7 +22,7 @@
 	testAgent = 1
 )
 
-// numberedState returns a state that differs for each number.
+// numberedState returns a state that is different for each n.
 func numberedState(n uint64) election.DurableState {
 	return election.DurableState{
 		Promised:    n,
@@ -207,7 +207,8 @@
 	}
 }
 
-// writeOrder lists the offsets of the bytes that differ. Those in the two meta pages at the start of the file come last.
+// writeOrder lists the offsets of the bytes that differ between before and after. Offsets in the two meta pages at the start of
+// the file come last.
 func writeOrder(before, after []byte) (order []int) {
 	metaSize := 2 * os.Getpagesize()
 	for _, isMeta := range []bool{false, true} {
