--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -57,7 +57,7 @@
 	errInvalidField = fmt.Errorf("%w: a field has a value that no replica sends", ErrCorrupt)
 )
 
-// Encode returns the frame of a message that the agent from sends to others of its group.
+// Encode returns the frame of a message that the agent with index from sends to other agents of its group.
 func Encode(group uint64, from int, m election.Message) []byte {
 	f := frame{
 		Magic:          frameMagic,
@@ -82,7 +82,7 @@
 	return len(b) >= magicBytes && binary.LittleEndian.Uint32(b) == frameMagic
 }
 
-// Decode decodes a frame of the group, and returns its sender and message. It returns no part of a damaged frame.
+// Decode decodes a frame of the group, and returns the sender's index and the message. It returns no part of a damaged frame.
 func Decode(group uint64, b []byte) (from int, m election.Message, err error) {
 	if !IsFrame(b) || len(b) != frameBytes {
 		return 0, m, errNotFrame
--- a/internal/cluster/transport/length_prefix.go
+++ b/internal/cluster/transport/length_prefix.go
@@ -13,12 +13,13 @@
 	lengthBytes = 2
 	// maxMessageBytes bounds the messages that are written and read. Receiving a longer message ends its connection.
 	maxMessageBytes = 1 << 10
-	// writeTimeout bounds the writing of a message. A message that takes longer is of no use to a lease of some seconds.
+	// writeTimeout bounds the writing of a message. A message that takes longer arrives too late to be of use, because a lease lasts some
+	// seconds.
 	writeTimeout = 500 * time.Millisecond
 )
 
-// messageSizeError reports a message with a length that is not allowed. Such a message is not sent. If a peer announces one, the connection
-// ends.
+// messageSizeError reports a message with a length that is not allowed. Such a message is not sent. If a peer announces such a length, the
+// connection ends.
 type messageSizeError struct{ size int }
 
 func (e *messageSizeError) Error() string {
@@ -32,7 +33,7 @@
 	return nil
 }
 
-// writeMessage writes a message, preceded by its length, in one call. It does not write a message of a length that readers reject: a length
+// writeMessage writes a message, preceded by its length, in one call. It refuses a message whose length readers reject. Otherwise a length
 // over 16 bits would be truncated, and the rest of the message would be read as further messages.
 func writeMessage(conn net.Conn, message []byte) error {
 	if err := checkMessageSize(len(message)); err != nil {
--- a/internal/cluster/transport/link.go
+++ b/internal/cluster/transport/link.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// send writes a message to the connection, which it opens if necessary. If that fails, the message is dropped, because it would arrive
-// late.
+// send writes a message to the connection, which it opens if necessary. If connecting or writing fails, the message is dropped, because it
+// would arrive late.
 func (l *link) send(ctx context.Context, message []byte) {
 	if l.conn == nil && !l.connect(ctx) {
 		return
@@ -91,7 +91,7 @@
 	case errors.As(err, &wrongSize):
 		slog.Error("message to a replica not sent", "to", l.address, "bytes", len(message), "err", err)
 	case err != nil:
-		l.disconnect() // part of the message may have been sent, so the next one needs a new connection
+		l.disconnect() // part of the message may have been sent, so the next message needs a new connection
 	}
 }
 
--- a/internal/cluster/transport/tcp.go
+++ b/internal/cluster/transport/tcp.go
@@ -15,13 +15,13 @@
 	dialTimeout = 500 * time.Millisecond
 	// acceptRetryDelay is the pause after a failed Accept.
 	acceptRetryDelay = 20 * time.Millisecond
-	// idleTimeout is how long a peer may send nothing before its connection is closed. Replicas send several times a lease.
+	// idleTimeout is how long a peer may send nothing before its connection is closed. Replicas send several messages per lease.
 	idleTimeout = 2 * time.Minute
-	// maxInboundConnections bounds the open connections that others have made to this agent.
+	// maxInboundConnections bounds the number of open connections that other agents have made to this agent.
 	maxInboundConnections = 128
 )
 
-// TCP sends messages over one connection to each peer, and receives messages on the connections that others open. Each connection carries
+// TCP sends messages over one connection to each peer, and receives messages on the connections that peers open. Each connection carries
 // messages in one direction only. Messages that can't be sent soon are dropped, the oldest first: a replica repeats what matters, and an
 // old message is worth less than a new one.
 //
@@ -114,7 +114,7 @@
 	}
 }
 
-// Send queues a message for a peer, and drops the oldest one if the queue is full. A message to an unknown peer is dropped.
+// Send queues a message for a peer, and drops the oldest queued message if the queue is full. A message to an unknown peer is dropped.
 func (t *TCP) Send(to int, message []byte) {
 	t.mu.Lock()
 	l := t.links[to]
--- a/internal/cluster/transport/tcp_test.go
+++ b/internal/cluster/transport/tcp_test.go
@@ -167,10 +167,10 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// A message that is longer than readers accept is not sent. Guards against truncating its length to 16 bits: a message over 64 KiB would
-// have been read as a short one, and the rest of it as further messages; one between 1 KiB and 64 KiB ended the connection at the reader.
-// A message now has 85 bytes for any number of members. With an encoding that grows with the number of members, the fault would first
-// have shown in a large fleet.
+// A message that is longer than readers accept is not sent. The test guards against truncating the length to 16 bits: a message over 64 KiB
+// would have been read as a short message, and the rest of it as further messages; a message between 1 KiB and 64 KiB ended the connection
+// at the reader. A message now has 85 bytes for any number of members. With an encoding that grows with the number of members, the fault
+// would first have shown in a large fleet.
 func TestLongMessageIsNotSent(t *testing.T) {
 	near, far := net.Pipe()
 	defer func() { _ = near.Close() }()
--- a/internal/gossip/messenger.go
+++ b/internal/gossip/messenger.go
@@ -17,7 +17,7 @@
 const (
 	// maxDatagramBytes is the protocol's limit on the size of a message.
 	maxDatagramBytes = 256
-	// broadcastIndex is the peer index of messages to all agents, as an unsigned 32-bit number.
+	// broadcastIndex is the peer index that stands for all agents, as an unsigned 32-bit number.
 	broadcastIndex = math.MaxUint32
 )
 
@@ -38,7 +38,7 @@
 	Broadcast string   // address that reaches all agents; may be empty
 }
 
-// NewMessenger returns a messenger. Its socket is open if there is an address to listen on.
+// NewMessenger returns a messenger. Its socket is open if config.Listen is set.
 func NewMessenger(loop *agent.Loop, config Config) (*Messenger, error) {
 	m := &Messenger{loop: loop, mailbox: mailbox.New[policy.SendGossip]()}
 	if config.Listen == "" {
@@ -77,16 +77,16 @@
 	return nil
 }
 
-// Intercept has each datagram from an agent passed to interceptor first. A datagram for which interceptor returns true is not passed to
-// the event loop. Intercept must be called before Serve.
+// Intercept sets a function that is given each datagram from an agent before the event loop. A datagram for which interceptor returns true
+// is not passed to the event loop. Intercept must be called before Serve.
 func (m *Messenger) Intercept(interceptor func([]byte) bool) { m.interceptor = interceptor }
 
-// Send sends a payload to the agent with the given index.
+// Send sends a payload to the agent with index to.
 func (m *Messenger) Send(to int, payload []byte) {
 	m.SendCommand(policy.SendGossip{To: to, Payload: payload})
 }
 
-// SendCommand carries out a command of the router.
+// SendCommand queues the message that a command of the router asks for.
 func (m *Messenger) SendCommand(command policy.SendGossip) { m.mailbox.Put(command) }
 
 // Serve sends the messages in the mailbox, and passes received datagrams to the event loop, until the context ends.
@@ -119,7 +119,7 @@
 	}
 }
 
-// address returns the address to which messages for an index are sent, or an invalid address if there is none.
+// address returns the address to which messages for the given peer index are sent, or an invalid address if there is none.
 func (m *Messenger) address(index int) netip.AddrPort {
 	switch {
 	case uint32(index) == broadcastIndex:
--- a/internal/gossip/messenger_test.go
+++ b/internal/gossip/messenger_test.go
@@ -10,7 +10,7 @@
 	"switchfork/internal/policy"
 )
 
-// Datagrams are attributed to their sender. Those from unknown senders and those that are too long are dropped.
+// Datagrams are attributed to their sender. Datagrams from unknown senders and datagrams that are too long are dropped.
 func TestDatagramsOfPeers(t *testing.T) {
 	own, peer, unknown := listenUDP(t), listenUDP(t), listenUDP(t)
 	ownAddress := own.LocalAddr().String()
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // fails if the test has closed it already
+	t.Cleanup(func() { _ = conn.Close() }) // fails if the test has already closed the connection
 	return conn
 }
 
