--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -12,12 +12,12 @@
 // AdmissionScenario describes a load and the endpoints that serve it.
 type AdmissionScenario struct {
 	Seed         int64
-	Seconds      int
+	Seconds      int // how long clients send new requests
 	Endpoints    int
 	Slots        int       // requests that an endpoint serves at the same time
 	MeanWork     int64     // mean service time of a request, in microseconds
 	Load         float64   // load of all tenants together, as a fraction of the endpoints' capacity
-	TenantShares []float64 // fraction of the load by tenant, which is also the tenant's weight
+	TenantShares []float64 // each tenant's fraction of the load, which is also its weight
 
 	NoisyTenants       []int   // tenants that send NoiseFactor times their share of the load
 	NoiseFactor        float64 // 1: no tenant is noisy
@@ -53,13 +53,13 @@
 
 // TenantResult counts the outcomes of a tenant's requests.
 type TenantResult struct {
-	Offered   int
-	InTime    int // requests that succeeded within the latency objective
-	GivenUp   int // requests that failed, or were rejected and not retried again
-	Succeeded int // requests that succeeded before the end of the scenario
-	Attempts  int // requests and the clients' retries
-	Rejected  int
-	Latency   *hdrhistogram.Histogram // of the attempts that succeeded, in microseconds
+	Offered   int                     // requests without the clients' retries
+	InTime    int                     // requests that succeeded within the latency objective
+	GivenUp   int                     // requests that failed, or were rejected and not retried again
+	Succeeded int                     // requests that succeeded before the end of the scenario
+	Attempts  int                     // requests and the clients' retries
+	Rejected  int                     // attempts that were rejected
+	Latency   *hdrhistogram.Histogram // latencies of the attempts that succeeded, in microseconds
 }
 
 // AdmissionResult is the outcome of an admission scenario.
@@ -67,7 +67,7 @@
 	Tenants           []TenantResult
 	AdmittedCost      []float64 // by tenant, in microseconds of work
 	Counters          admission.Counters
-	RetryAfterRatios  []float64 // of rejected requests: Retry-After divided by the wait that was needed
+	RetryAfterRatios  []float64 // Retry-After of a rejected request, divided by the wait that was needed
 	ConcurrencyLimits []float64 // sampled once a second
 }
 
--- a/internal/simulation/admission_clients.go
+++ b/internal/simulation/admission_clients.go
@@ -10,15 +10,17 @@
 const (
 	// clientsPerTenant is the number of clients of a tenant, unless each of its requests comes from a new client.
 	clientsPerTenant = 20
-	// firstUniqueClient is added to the client numbers of a noisy tenant whose requests all come from new clients. The numbers
-	// are above those of clients that send several requests.
+	// firstUniqueClient is added to the client indices of a noisy tenant whose requests all come from new clients. The sums are
+	// higher than the indices of clients that send several requests.
 	firstUniqueClient = 1000
-	// tenantKeyShift is the position of the tenant in an idempotency key. The bits below it number the tenant's requests.
+	// tenantKeyShift is the position of the tenant in an idempotency key. The lower bits hold the index of the request among the
+	// tenant's requests.
 	tenantKeyShift = 40
-	// tenantClientShift is the position of the tenant in a client number. The bits below it number the tenant's clients.
+	// tenantClientShift is the position of the tenant in a client ID. The lower bits hold the index of the client among the
+	// tenant's clients.
 	tenantClientShift = 32
-	// firstOneOffClient is the client number and the idempotency key of the first one-off client. It is above all other clients'
-	// numbers and keys.
+	// firstOneOffClient is the client ID and the idempotency key of the first one-off client. It is higher than all other client
+	// IDs and keys.
 	firstOneOffClient = 1 << 50
 	// maxRetryJitter bounds the random time that a client waits in addition to Retry-After.
 	maxRetryJitter = 3 * ms
@@ -38,7 +40,7 @@
 	id        uint64
 	arrivedAt int64
 	deadline  int64
-	isSent    bool // the router has sent it to an endpoint
+	isSent    bool // the router has sent the attempt to an endpoint
 	isDone    bool
 }
 
@@ -53,8 +55,8 @@
 	}
 }
 
-// scheduleTenant schedules a tenant's requests. Each tenant has its own random source, so that a noisy tenant does not change
-// the requests of the others.
+// scheduleTenant schedules a tenant's requests. Each tenant has its own random source, so that a noisy tenant does not change the
+// requests of other tenants.
 func (r *admissionRun) scheduleTenant(tenant int, share float64) {
 	s := &r.scenario
 	random := rand.New(rand.NewSource(s.Seed*1000 + int64(tenant)))
@@ -116,7 +118,7 @@
 	r.admit(request)
 }
 
-// rejectRequest rejects an attempt. The client retries after Retry-After. It gives up if it was sent no Retry-After, or after
+// rejectRequest rejects an attempt. The client retries after retryAfter. It gives up if retryAfter is 0, or after
 // maxClientRetries retries.
 func (r *admissionRun) rejectRequest(request *clientRequest, retryAfter int64) {
 	tenant := &r.result.Tenants[request.tenant]
--- a/internal/simulation/admission_endpoints.go
+++ b/internal/simulation/admission_endpoints.go
@@ -12,7 +12,7 @@
 	queueLengthPerSlot = 8
 )
 
-// endpointModel models a server that works on one attempt per slot and queues others.
+// endpointModel models a server that works on one attempt per slot and queues further attempts.
 type endpointModel struct {
 	id        uint32
 	slots     int
@@ -133,7 +133,7 @@
 	return r.scenario.SlowFactor > 1 && r.now >= r.scenario.SlowFrom && r.now < r.scenario.SlowTo
 }
 
-// finishAttempt reports an attempt's outcome to the router, unless it has already reported one.
+// finishAttempt reports an attempt's outcome to the router, unless an outcome of the attempt was reported before.
 func (r *admissionRun) finishAttempt(endpoint *endpointModel, attempt *endpointAttempt, outcome policy.Outcome) {
 	if attempt.isDone {
 		return
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -14,10 +14,10 @@
 type ElectionSchedule struct {
 	Seed              int64
 	Agents            int
-	Seconds           int
+	Seconds           int // simulated duration
 	DisabledGuards    election.DisabledGuards
-	LeaderFaultOnly   bool  // the only fault is a crash of the leader, after a third of the time
-	LeaderLeaves      bool  // with LeaderFaultOnly: the leader leaves as planned and does not crash
+	LeaderFaultOnly   bool  // no random faults; the leader crashes when a third of Seconds has passed
+	LeaderLeaves      bool  // with LeaderFaultOnly: the leader leaves as planned instead of crashing
 	NoFaults          bool  // with LeaderFaultOnly: the leader neither crashes nor leaves
 	VoteIndependently bool  // the baseline: every agent casts its own votes, without a leader
 	MessageDelay      int64 // added to the delay of each message, varied by up to a third; in microseconds
@@ -25,13 +25,13 @@
 
 // ElectionResult is the outcome of a schedule. Times are in microseconds.
 type ElectionResult struct {
-	Violations     []string
-	Leaderships    int
-	LeaderChanges  int
-	Gaps           []int64 // periods without a leader
-	RollbackAfter  int64   // from when the build turned bad until a vote to roll back took effect; -1: never
-	Messages       int
-	EffectiveVotes int // votes that the rollout controller carried out
+	Violations     []string // descriptions of violations, at most maxViolations
+	Leaderships    int      // times that an agent other than the previous leader began to lead
+	LeaderChanges  int      // leaderships except the first
+	Gaps           []int64  // periods without a leader
+	RollbackAfter  int64    // time from when the build turned bad until a vote to roll back took effect; -1: never
+	Messages       int      // messages that agents sent before the end of the schedule
+	EffectiveVotes int      // votes that the rollout controller carried out
 	MemberChanges  int
 }
 
@@ -85,7 +85,7 @@
 	random *rand.Rand
 
 	agents         []*electionAgent
-	changesMembers bool // if set, each agent has a disk, since without one it would forget the members
+	changesMembers bool // if set, each agent has a disk, because an agent without a disk would forget the members
 	network        *electionNetwork
 	controller     *rolloutController
 	leadership     *leadershipObserver
@@ -127,7 +127,7 @@
 	}
 }
 
-// play runs all events up to the end of the schedule. If a bad build has not been rolled back by then, it continues for up to
+// play runs all events up to the end of the schedule. If a bad build has not been rolled back by then, play continues for up to
 // settlingTime.
 func (r *electionRun) play() {
 	end := r.end()
@@ -159,8 +159,8 @@
 // clock returns the current time by an agent's clock.
 func (r *electionRun) clock(a *electionAgent) int64 { return a.clock(r.now) }
 
-// start starts or restarts an agent's process, with the durable state that is on the agent's disk. If there is none, isFresh is
-// passed on to the replica.
+// start starts or restarts an agent's process, with the durable state that is on the agent's disk. If there is no durable state,
+// isFresh is passed on to the replica.
 func (r *electionRun) start(i int, isFresh bool) {
 	a := r.agents[i]
 	a.reset()
@@ -237,8 +237,8 @@
 	})
 }
 
-// writeVote sends a vote to the rollout controller. The process may be paused just before it writes the vote, so it checks the
-// time when it writes.
+// writeVote sends a vote to the rollout controller. The process may be paused just before it writes the vote, so the time is
+// checked at the moment of writing.
 func (r *electionRun) writeVote(i int, vote election.CastVote) {
 	epoch := r.agents[i].epoch
 	castAt := r.now
@@ -277,7 +277,7 @@
 	})
 }
 
-// leaderOrAny returns an agent that leads, even if it is paused, or else a random agent.
+// leaderOrAny returns an agent that leads, even if it is paused, or a random agent if none leads.
 func (r *electionRun) leaderOrAny() int {
 	for i, a := range r.agents {
 		if a.isLeader(r.now) {
--- a/internal/simulation/election_agent.go
+++ b/internal/simulation/election_agent.go
@@ -6,7 +6,7 @@
 // durable state.
 type electionAgent struct {
 	replica        *election.Replica
-	clockRate      float64 // of the agent's clock, as a multiple of simulated time
+	clockRate      float64 // rate of the agent's clock, as a multiple of the rate of simulated time
 	isDown         bool
 	pausedUntil    int64
 	deferred       []func() // calls to make at the end of the pause
@@ -16,7 +16,7 @@
 	persisted      *election.DurableState // the last state that the replica persisted; nil: none
 }
 
-// reset starts a new process of the agent. The calls that the previous process deferred are dropped.
+// reset starts a new process of the agent. Calls that were deferred to the end of the previous process's pause are dropped.
 func (a *electionAgent) reset() {
 	a.epoch++
 	a.isDown = false
@@ -38,7 +38,7 @@
 	return a.persisted
 }
 
-// clock returns the time by the agent's clock.
+// clock returns the time by the agent's clock at the simulated time now.
 func (a *electionAgent) clock(now int64) int64 { return int64(float64(now)*a.clockRate) + 1 }
 
 // isRunning reports whether the agent is neither down nor paused.
@@ -60,7 +60,7 @@
 	}
 }
 
-// pause pauses the agent for a time. The deferred calls are made at the end of the pause.
+// pause pauses the agent for span. The deferred calls are made at the end of the pause.
 func (a *electionAgent) pause(t *timeline, span int64) {
 	if a.isDown {
 		return
--- a/internal/simulation/election_faults.go
+++ b/internal/simulation/election_faults.go
@@ -33,7 +33,8 @@
 	maxLossRate = 0.5
 	// leaderFaultRate is the fraction of the faults that hit the leader, if there is one.
 	leaderFaultRate = 0.6
-	// inboundRate is the fraction of the cutOneDirection faults that cut what an agent receives. The others cut what it sends.
+	// inboundRate is the fraction of the cutOneDirection faults that cut what an agent receives. The other cutOneDirection faults
+	// cut what an agent sends.
 	inboundRate = 0.5
 
 	// memberFaultRate is the fraction of the faults that change the members, in schedules that change the members.
@@ -62,8 +63,8 @@
 	f.schedule(at, func() { f.inject(fault, span) })
 }
 
-// inject injects a fault that lasts for span; an agent that crashes is restarted after a quarter of it. A fault of one agent hits
-// the leader or a random agent.
+// inject injects a fault that lasts for span. An agent that crashes is restarted after a quarter of span. A fault of one agent
+// hits the leader or a random agent.
 func (f faultInjector) inject(fault electionFault, span int64) {
 	i := f.random.Intn(f.Agents)
 	if f.random.Float64() < leaderFaultRate {
@@ -95,7 +96,7 @@
 	}
 }
 
-// cutOneDirection cuts the connections to an agent, or those from it.
+// cutOneDirection cuts the connections to an agent, or the connections from it.
 func (f faultInjector) cutOneDirection(i int, span int64) {
 	isInbound := f.random.Float64() < inboundRate
 	f.network.partition(span, func(from, to int) bool {
--- a/internal/simulation/election_leadership.go
+++ b/internal/simulation/election_leadership.go
@@ -3,15 +3,15 @@
 // noAgent is used in place of an agent's index when there is no agent.
 const noAgent = -1
 
-// leadershipObserver records changes of the leader and the periods without one, and checks that at most one agent leads at a
-// time.
+// leadershipObserver records changes of the leader and the periods without a leader, and checks that no two agents lead at the
+// same time.
 type leadershipObserver struct {
 	result       *ElectionResult
-	leader       int // the most recent leader, or noAgent
-	gapStartedAt int64
+	leader       int   // the most recent leader, or noAgent
+	gapStartedAt int64 // start of the current period without a leader; 0: there is none
 }
 
-// observe records which agents lead at a time.
+// observe records which agents lead at now.
 func (o *leadershipObserver) observe(now int64, leaders []int) {
 	if len(leaders) > 1 {
 		o.result.addViolation("at %d us %d agents lead", now, len(leaders))
--- a/internal/simulation/election_model_test.go
+++ b/internal/simulation/election_model_test.go
@@ -8,7 +8,8 @@
 	"switchfork/internal/cluster/election"
 )
 
-// A partition cuts the given connections for its duration. The end of any partition heals all connections.
+// A partition cuts the connections for which isApart returns true, for its duration. The end of any partition heals all
+// connections.
 func TestPartitionCutsConnections(t *testing.T) {
 	var line timeline
 	network := newElectionNetwork(&line, rand.New(rand.NewSource(1)), 3, 0)
@@ -34,7 +35,7 @@
 	}
 }
 
-// Messages arrive within the maximum delay, and are lost and duplicated at about the rates of the network.
+// Messages arrive within defaultDelay, and are lost and duplicated at about the rates of the network.
 func TestNetworkLosesAndDuplicatesMessages(t *testing.T) {
 	const messages = 20_000
 	var line timeline
@@ -56,7 +57,8 @@
 	}
 }
 
-// Calls to a paused agent are deferred to the end of the pause. They are dropped if the process is replaced before then.
+// Calls to a paused agent are deferred to the end of the pause. Deferred calls are dropped if the process is replaced before
+// then.
 func TestPausedAgentDefersWhatComesIn(t *testing.T) {
 	for _, isRestarted := range []bool{false, true} {
 		var line timeline
--- a/internal/simulation/election_network.go
+++ b/internal/simulation/election_network.go
@@ -34,7 +34,7 @@
 	return n
 }
 
-// send delivers a message after a delay. The message may be duplicated or lost.
+// send calls deliver after a delay. The message may be duplicated, which calls deliver twice, or lost.
 func (n *electionNetwork) send(from, to int, deliver func()) {
 	copies := 1
 	if n.random.Float64() < n.lossRate/duplicateDivisor {
@@ -57,19 +57,19 @@
 	return delay
 }
 
-// loseMessages loses a random fraction of the messages for a time.
+// loseMessages loses a random fraction of the messages for span.
 func (n *electionNetwork) loseMessages(span int64) {
 	n.lossRate = n.random.Float64() * maxLossRate
 	n.timeline.schedule(n.timeline.now+span, func() { n.lossRate = 0 })
 }
 
-// delayMessages draws a new bound for the delay of messages, which applies for a time.
+// delayMessages draws a new bound for the delay of messages, which applies for span.
 func (n *electionNetwork) delayMessages(span int64) {
 	n.maxDelay = 1 + n.random.Int63n(maxFaultDelay)
 	n.timeline.schedule(n.timeline.now+span, func() { n.maxDelay = defaultDelay })
 }
 
-// partition cuts the connections for which isApart returns true, for a time. The end of any partition heals all connections.
+// partition cuts the connections for which isApart returns true, for span. The end of any partition heals all connections.
 func (n *electionNetwork) partition(span int64, isApart func(from, to int) bool) {
 	for from := range n.isCut {
 		for to := range n.isCut[from] {
--- a/internal/simulation/election_script.go
+++ b/internal/simulation/election_script.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// recommendRepeatedly makes an agent repeat its recommendation, as its release analyzer would. In schedules with random faults
-// the recommendation changes at times. Once the build is bad, the agent recommends a rollback.
+// recommendRepeatedly makes an agent repeat its recommendation, as its release analyzer would. In schedules with random faults,
+// the verdict is sometimes drawn again. Once the build is bad, the agent recommends a rollback.
 func (s *electionScript) recommendRepeatedly(i int, verdict election.Verdict) {
 	switch {
 	case s.controller.isBad:
@@ -72,8 +72,8 @@
 	})
 }
 
-// endLeadership is the only event of a schedule with LeaderFaultOnly. The build turns bad, and the leader crashes or leaves
-// unless NoFaults is set.
+// endLeadership is the only event besides the recommendations in a schedule with LeaderFaultOnly. The build turns bad, and the
+// leader crashes or leaves unless NoFaults is set.
 func (s *electionScript) endLeadership() {
 	s.controller.markBad(s.now)
 	if s.NoFaults {
--- a/internal/simulation/retry_after_meter.go
+++ b/internal/simulation/retry_after_meter.go
@@ -3,7 +3,7 @@
 import "switchfork/internal/admission"
 
 // retryAfterMeter compares the Retry-After times of rejected requests with the waits that were needed. A needed wait ends when
-// the tenant's admitted cost reaches the cost that had been admitted, was waiting or was reserved at the rejection.
+// the tenant's admitted cost reaches the sum of the costs that had been admitted, were waiting or were reserved at the rejection.
 type retryAfterMeter struct {
 	rejections [][]waitingClient // by tenant, in the order of rejection
 	ratios     []float64         // Retry-After divided by the needed wait
--- a/internal/simulation/timeline.go
+++ b/internal/simulation/timeline.go
@@ -17,8 +17,8 @@
 	events   eventHeap
 }
 
-// schedule runs do at a time, or at the current time if that is later. Events of the same time run in the order in which they
-// were scheduled.
+// schedule has do run at the time at, or at the current time if at has passed. Events of the same time run in the order in which
+// they were scheduled.
 func (t *timeline) schedule(at int64, do func()) {
 	t.sequence++
 	heap.Push(&t.events, event{at: max(at, t.now), sequence: t.sequence, do: do})
@@ -36,7 +36,7 @@
 // pop removes and returns the next event. There must be one.
 func (t *timeline) pop() event { return heap.Pop(&t.events).(event) }
 
-// event is a function to run at a given time.
+// event is a function that runs when the simulated time reaches at.
 type event struct {
 	at       int64
 	sequence int
