--- a/internal/cluster/coordinator/admin_test.go
+++ b/internal/cluster/coordinator/admin_test.go
@@ -17,7 +17,7 @@
 
 func (discardTransport) Send(int, []byte) {}
 
-// startCoordinator runs replica 0 of three, without a store. No leader is ever elected, because its messages are discarded.
+// startCoordinator runs replica 0 of three, without a store. No leader is ever elected, because the replica's messages are discarded.
 func startCoordinator(ctx context.Context) *coordinator.Coordinator {
 	c := coordinator.New(coordinator.Config{
 		Members:  election.InitialMembers(3),
--- a/internal/cluster/coordinator/coordinator.go
+++ b/internal/cluster/coordinator/coordinator.go
@@ -1,5 +1,5 @@
-// Package coordinator runs this agent's replica of the leader election and connects it to the rest of the agent. It passes on to the
-// replica what the release analyzer recommends, what the rollout controller reports and what other agents send, and executes the
+// Package coordinator runs this agent's replica of the leader election and connects the replica to the rest of the agent. It passes on
+// to the replica what the release analyzer recommends, what the rollout controller reports and what other agents send, and executes the
 // commands that the replica returns. Every decision is made in package election; this package keeps the clock, the mailbox, the
 // timer and the metrics, and serves the admin address.
 //
--- a/internal/cluster/coordinator/requests.go
+++ b/internal/cluster/coordinator/requests.go
@@ -25,7 +25,7 @@
 	c.mailbox.Put(rolloutUpdate{update})
 }
 
-// Leave hands over the lease if this agent holds it. It returns when the handover has been sent to the other agents or the context ends.
+// Leave hands over the lease if this agent holds it. Leave returns when the handover has been sent to the other agents or the context ends.
 func (c *Coordinator) Leave(ctx context.Context) {
 	done := make(chan struct{})
 	c.mailbox.Put(leaveRequest{done})
@@ -42,7 +42,7 @@
 	return await(ctx, answer)
 }
 
-// ChangeMembers adds or removes a member. Only the leader can do this. If the change is refused, the error says why.
+// ChangeMembers adds or removes a member. Only the leader can change the members. If the change is refused, the error says why.
 func (c *Coordinator) ChangeMembers(ctx context.Context, change MemberChange) error {
 	answer := make(chan error, 1)
 	c.mailbox.Put(memberChangeRequest{change, answer})
--- a/internal/cluster/election/acceptor.go
+++ b/internal/cluster/election/acceptor.go
@@ -60,8 +60,8 @@
 	return true
 }
 
-// isLeasedToOther reports whether a lease of a replica other than candidate is in force. Unless it is released, such a lease
-// prevents the promise of a ballot to candidate, so that a partitioned replica that reconnects can't disturb the leader.
+// isLeasedToOther reports whether a lease of a replica other than candidate is in force. Unless released, such a lease prevents
+// the promise of a ballot to candidate, so that a partitioned replica that reconnects can't disturb the leader.
 func (a *acceptor) isLeasedToOther(now Micros, candidate int) bool {
 	return !a.disabled.PromiseAfterLease && a.isLeaseInForce(now) && a.leaseHolder != candidate
 }
--- a/internal/cluster/election/acceptor_test.go
+++ b/internal/cluster/election/acceptor_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// Acknowledging a record promises its ballot, so that an older leader's record is not acknowledged after it. Acknowledging members
-// promises nothing.
+// Acknowledging a record promises its ballot, so that an older leader's record is not acknowledged afterwards. Acknowledging
+// members promises nothing.
 func TestAcceptorAcknowledges(t *testing.T) {
 	a := newTestAcceptor()
 	older, newer := ballotOf(1, firstCandidate), ballotOf(2, secondCandidate)
--- a/internal/cluster/election/cluster_test.go
+++ b/internal/cluster/election/cluster_test.go
@@ -53,7 +53,7 @@
 	return c
 }
 
-// execute carries out the commands of a replica. It copies them first, because delivering a message calls replicas again, and a
+// execute carries out the commands of a replica. It first copies them, because delivering a message calls replicas again, and a
 // replica reuses the slice of its commands.
 func (c *cluster) execute(from int, commands []Command) {
 	for _, command := range append([]Command(nil), commands...) {
--- a/internal/cluster/election/doc.go
+++ b/internal/cluster/election/doc.go
@@ -9,7 +9,7 @@
 // reads no clock.
 //
 // A Replica belongs to one goroutine: its methods must not be called concurrently, and the commands returned by a call are valid
-// until the next call. Package coordinator runs it in production, package simulation in simulated time.
+// until the next call. Package coordinator runs a Replica in production, package simulation in simulated time.
 //
 // # Parts
 //
@@ -32,9 +32,9 @@
 // the lease, which counts from the start of the ballot. The leader renews the lease with a further ballot. The first ballot of an
 // uninterrupted leadership is its term.
 //
-// A leader replicates the record of each decision to a quorum before it casts the vote. For each vote it sets a time before which
-// the vote must be written. A new leader knows the newest record that its predecessors replicated, and casts no contrary vote
-// (one with another verdict on the same stage) until the votes of its predecessors can no longer count.
+// A leader replicates the record of each decision to a quorum before it casts the vote. For each vote, the leader sets a time
+// before which the vote must be written. A new leader knows the newest record that its predecessors replicated, and casts no
+// contrary vote (one with another verdict on the same stage) until the votes of its predecessors can no longer count.
 //
 // Members join and leave one at a time. The leader stamps each set of members with its term. A leader that leaves releases its
 // lease, and with the same message promises the next member a ballot.
@@ -42,7 +42,8 @@
 // # Invariants
 //
 //   - Two leases never overlap. The leader counts its lease from before it sent the first request, and shortens it by the clock
-//     drift. Any two quorums have a replica in common, which holds the lease until it has ended by that replica's own clock.
+//     drift. Any two quorums have a replica in common, which holds the lease until the lease has ended by that replica's
+//     own clock.
 //   - A vote is cast only after a quorum knows its record, so that every later leader knows the record, too.
 //   - No two contrary votes on one stage count at the same time.
 //   - Durable state is persisted before any message or vote that depends on it is sent. A replica that restarts without its
--- a/internal/cluster/election/handlers.go
+++ b/internal/cluster/election/handlers.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// handlePrepare answers a candidate with a Promise, or with a Nack if its ballot or its members are out of date. The candidate gets
-// no answer while this replica abstains, or if only another replica's lease prevents the promise.
+// handlePrepare answers a candidate with a Promise, or with a Nack if the candidate's ballot or members are out of date. The
+// candidate gets no answer while this replica abstains, or if only another replica's lease prevents the promise.
 func (e *leaderElection) handlePrepare(from int, m Message) {
 	if e.acceptor.isAbstaining(e.now) {
 		return
@@ -113,8 +113,8 @@
 	e.handle(e.id, e.membership.attach(Message{Kind: Propose, Ballot: e.candidate.ballot}))
 }
 
-// handlePropose accepts a candidate's lease, unless the candidate knows only older members. If it accepts the lease of another
-// replica, this replica's own lease is revoked.
+// handlePropose accepts a candidate's lease, unless the candidate knows only older members. The acceptance of another replica's
+// lease revokes this replica's own lease.
 func (e *leaderElection) handlePropose(from int, m Message) {
 	if e.membership.current.isNewerThan(m.Members) || !e.acceptor.accept(e.now, from, m.Ballot) {
 		return
@@ -125,7 +125,7 @@
 	e.reply(from, Message{Kind: Accepted, Ballot: m.Ballot, Record: e.votes.log.newest})
 }
 
-// handleAccepted begins or renews this replica's lease once a quorum has accepted it.
+// handleAccepted begins or renews this replica's lease once a quorum has accepted the lease.
 func (e *leaderElection) handleAccepted(from int, m Message) {
 	if !e.candidate.addAcceptance(e.now, from, m.Ballot, e.membership.current) {
 		return
--- a/internal/cluster/election/leader_election.go
+++ b/internal/cluster/election/leader_election.go
@@ -1,7 +1,7 @@
 package election
 
 // leaderElection decides which replica leads, and among which members, with the messages of Paxos. It passes each message to the
-// part that decides on it, and sends the resulting messages. The parts decide on the following:
+// responsible part, and sends the resulting messages. The parts decide on the following:
 //
 //   - membership: which members are in force;
 //   - acceptor: which ballots are promised and which leases are accepted;
@@ -51,7 +51,7 @@
 }
 
 // setTime sets the time of the call that begins. A gap of more than half a lease between two calls ends the leadership of this
-// replica, because it does not know yet what has happened in the meantime.
+// replica, because the replica does not know yet what has happened in the meantime.
 func (e *leaderElection) setTime(now Micros) {
 	if now-e.now > e.settings.maxCallGap() {
 		e.lease.revoke()
--- a/internal/cluster/election/members.go
+++ b/internal/cluster/election/members.go
@@ -9,7 +9,7 @@
 const noReplica = -1
 
 // Members is the set of replicas that take part in the quorums. The leader that changes the members stamps them with its term. A
-// replica uses the newest members that it has received as soon as they arrive.
+// replica puts newer members in force as soon as it receives them.
 type Members struct {
 	Term    uint64
 	Version uint32 // counts the sets stamped in the same term, from 1
--- a/internal/cluster/election/recommendation.go
+++ b/internal/cluster/election/recommendation.go
@@ -1,7 +1,7 @@
 package election
 
-// recommendations holds the newest recommendation of each replica's release analyzer. From those that have not expired, it
-// derives the verdict on the current stage. [voteCaster] asks for this verdict while this replica leads.
+// recommendations holds the newest recommendation of each replica's release analyzer, and derives the verdict on the current
+// stage from the recommendations that have not expired. [voteCaster] asks for this verdict while this replica leads.
 type recommendations struct {
 	self      int
 	settings  Settings
@@ -22,9 +22,9 @@
 // own returns the decision that this replica's analyzer recommends.
 func (r *recommendations) own() Decision { return r.byReplica[r.self].Decision }
 
-// verdict returns the verdict that results from the recommendations for the current stage. This is a rollback if enough replicas
-// recommend it, and otherwise the verdict that this replica's analyzer recommends. While any replica recommends a rollback, the
-// result is never to advance.
+// verdict returns the verdict that results from the recommendations for the current stage. The result is a rollback if enough
+// replicas recommend one, and otherwise the verdict that this replica's analyzer recommends. While any replica recommends a
+// rollback, the result is never to advance.
 func (r *recommendations) verdict(rollout rolloutPosition, now Micros) Verdict {
 	rollbacks := r.countRollbacks(rollout, now)
 	own := r.own()
--- a/internal/cluster/election/settings.go
+++ b/internal/cluster/election/settings.go
@@ -35,7 +35,7 @@
 	// LeaseTimeout: a leader stops casting when its lease has ended or when the process may have been paused, because another
 	// replica may lead by then.
 	LeaseTimeout bool
-	// QuorumBeforeCast: a vote is cast only after a quorum knows its record, so that the next leader knows it.
+	// QuorumBeforeCast: a vote is cast only after a quorum knows its record, so that the next leader knows the record.
 	QuorumBeforeCast bool
 	// WaitForEarlierVotes: a contrary vote waits until earlier votes can no longer count.
 	WaitForEarlierVotes bool
--- a/internal/cluster/election/vote_log.go
+++ b/internal/cluster/election/vote_log.go
@@ -31,7 +31,7 @@
 
 func (l *voteLog) hasPending() bool { return l.pending.Term != 0 }
 
-// discardPending drops the pending record. A record that is dropped before its vote is cast is never cast.
+// discardPending drops the pending record. If the vote of the record has not been cast yet, it is never cast.
 func (l *voteLog) discardPending() { l.pending = Record{} }
 
 // acknowledge records that replica from knows record, if record is the pending one.
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -48,8 +48,8 @@
 func ElectionLease() int64 { return electionSettings.Lease }
 
 const (
-	// settlingTime is how long a schedule may continue after its end until a bad build is rolled back. A few leases and the
-	// lifetime of a vote are enough for that.
+	// settlingTime is how long a schedule may continue after its end for a bad build to be rolled back. A few leases and the
+	// lifetime of a vote are enough.
 	settlingTime = 20 * second
 	// spareAgents is the number of additional agents in schedules that change the members. They are not members at the start.
 	spareAgents = 2
--- a/internal/simulation/election_script.go
+++ b/internal/simulation/election_script.go
@@ -89,7 +89,7 @@
 	s.schedule(s.now+s.end()/4, func() { s.start(i, true) })
 }
 
-// nextStage moves the rollout to the next stage. Each agent learns of it after a random delay.
+// nextStage moves the rollout to the next stage. Each agent learns of the new stage after a random delay.
 func (s *electionScript) nextStage() {
 	s.controller.nextStage()
 	for i := range s.agents {
--- a/internal/simulation/timeline.go
+++ b/internal/simulation/timeline.go
@@ -17,8 +17,8 @@
 	events   eventHeap
 }
 
-// schedule has do run at the time at, or at the current time if at has passed. Events of the same time run in the order in which
-// they were scheduled.
+// schedule schedules do for the time at, or for the current time if at has passed. Events of the same time run in the order in
+// which they were scheduled.
 func (t *timeline) schedule(at int64, do func()) {
 	t.sequence++
 	heap.Push(&t.events, event{at: max(at, t.now), sequence: t.sequence, do: do})
