--- a/internal/cluster/election/acceptor.go
+++ b/internal/cluster/election/acceptor.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// abstain makes the acceptor promise and accept nothing before the time until.
+// abstain makes the acceptor promise and accept nothing while the time is before until.
 func (a *acceptor) abstain(until Micros) { a.abstainUntil = until }
 
 func (a *acceptor) isAbstaining(now Micros) bool { return now < a.abstainUntil }
@@ -48,8 +48,8 @@
 func (a *acceptor) isSuperseded(ballot uint64) bool { return ballot < a.highestPromised }
 
 // promise promises ballot to candidate, and reports whether it did. Nothing is promised while the replica abstains, while an
-// unreleased lease of another replica is in force, or if a higher ballot has been promised. The candidate knows that leases of
-// ballots up to released have been released.
+// unreleased lease of another replica is in force, or if a higher ballot has been promised. released is the ballot up to which
+// the candidate knows all leases to be released.
 func (a *acceptor) promise(now Micros, candidate int, ballot, released uint64) bool {
 	isBlocked := a.isLeasedToOther(now, candidate) && a.highestAccepted > released
 	if a.isAbstaining(now) || isBlocked || !a.canPromise(candidate, ballot) {
--- a/internal/cluster/election/candidate.go
+++ b/internal/cluster/election/candidate.go
@@ -60,8 +60,8 @@
 	return now >= c.startedAt+c.settings.renewalInterval()
 }
 
-// messageToSend returns the Prepare or Propose message of the ballot, and records now as the time at which the message is sent. A
-// Prepare says that leases of ballots up to released have been released.
+// messageToSend returns the Prepare or Propose message of the ballot, and records now as the time at which the message is sent.
+// released is the ballot up to which this replica knows all leases to be released; a Prepare carries it.
 func (c *candidate) messageToSend(now Micros, released uint64) Message {
 	c.sentAt = now
 	if c.disabled.LeaseFromStart {
--- a/internal/cluster/election/membership.go
+++ b/internal/cluster/election/membership.go
@@ -66,7 +66,7 @@
 	m.committedBy = newReplicaSet(leader)
 }
 
-// acknowledge records that replica from knows members, if these are the current members as stamped.
+// acknowledge adds from to the replicas that know members, if these are the current members as stamped.
 func (m *membership) acknowledge(from int, members Members) {
 	if m.isStamped && members == m.current {
 		m.committedBy = m.committedBy.with(from)
--- a/internal/cluster/election/vote_log.go
+++ b/internal/cluster/election/vote_log.go
@@ -34,7 +34,7 @@
 // discardPending drops the pending record. If the vote of the record has not been cast yet, it is never cast.
 func (l *voteLog) discardPending() { l.pending = Record{} }
 
-// acknowledge records that replica from knows record, if record is the pending one.
+// acknowledge adds from to the replicas that know record, if record is the pending one.
 func (l *voteLog) acknowledge(from int, record Record) {
 	if record == l.pending {
 		l.replicatedTo = l.replicatedTo.with(from)
--- a/internal/cluster/transport/frame.go
+++ b/internal/cluster/transport/frame.go
@@ -57,7 +57,7 @@
 	errInvalidField = fmt.Errorf("%w: a field has a value that no replica sends", ErrCorrupt)
 )
 
-// Encode returns the frame of a message that the agent with index from sends to other agents of its group.
+// Encode returns the frame of m, a message that the agent with the index from sends to other agents of the group.
 func Encode(group uint64, from int, m election.Message) []byte {
 	f := frame{
 		Magic:          frameMagic,
--- a/internal/cluster/transport/length_prefix.go
+++ b/internal/cluster/transport/length_prefix.go
@@ -13,8 +13,8 @@
 	lengthBytes = 2
 	// maxMessageBytes bounds the messages that are written and read. Receiving a longer message ends its connection.
 	maxMessageBytes = 1 << 10
-	// writeTimeout bounds the writing of a message. A message that takes longer arrives too late to be of use, because a lease lasts some
-	// seconds.
+	// writeTimeout bounds the writing of a message. A message that takes longer arrives too late to be of use, because a lease lasts only a
+	// few seconds.
 	writeTimeout = 500 * time.Millisecond
 )
 
--- a/internal/gossip/messenger.go
+++ b/internal/gossip/messenger.go
@@ -81,7 +81,7 @@
 // is not passed to the event loop. Intercept must be called before Serve.
 func (m *Messenger) Intercept(interceptor func([]byte) bool) { m.interceptor = interceptor }
 
-// Send sends a payload to the agent with index to.
+// Send sends a payload to the agent whose index is to.
 func (m *Messenger) Send(to int, payload []byte) {
 	m.SendCommand(policy.SendGossip{To: to, Payload: payload})
 }
--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -17,7 +17,7 @@
 	Slots        int       // requests that an endpoint serves at the same time
 	MeanWork     int64     // mean service time of a request, in microseconds
 	Load         float64   // load of all tenants together, as a fraction of the endpoints' capacity
-	TenantShares []float64 // each tenant's fraction of the load, which is also its weight
+	TenantShares []float64 // each tenant's fraction of the load, which is also the tenant's weight
 
 	NoisyTenants       []int   // tenants that send NoiseFactor times their share of the load
 	NoiseFactor        float64 // 1: no tenant is noisy
