--- a/internal/cluster/election/handlers.go
+++ b/internal/cluster/election/handlers.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// adoptMembers adopts newer members. This replica's own ballot is then abandoned, because it was started among other members. Its
-// lease is revoked if the members were stamped in another term, by another leader.
+// adoptMembers adopts newer members. This replica's own ballot is then abandoned, because it was started among other members.
+// This replica's lease is revoked if the members were stamped in another term, by another leader.
 func (e *leaderElection) adoptMembers(members Members) {
 	if !e.membership.adopt(members) {
 		return
@@ -63,16 +63,17 @@
 	}
 }
 
-// handlePrepare answers a candidate with a Promise, or with a Nack if its ballot or its members are out of date. The candidate gets
-// no answer while this replica abstains, or if only another replica's lease prevents the promise.
+// handlePrepare answers a candidate with a Promise, or with a Nack if the candidate's ballot or members are out of date. The
+// candidate gets no answer while this replica abstains, or if only another replica's lease prevents the promise.
 func (e *leaderElection) handlePrepare(from int, m Message) {
 	if e.acceptor.isAbstaining(e.now) {
 		return
 	}
 	isRemote := from != e.id
 	if isRemote && e.acceptor.isSuperseded(m.Ballot) {
-		// The Nack makes the leader choose a higher ballot. Otherwise, a replica that has campaigned alone would never take part
-		// again: the ballots that it has promised to itself are higher than the leader's, so it rejects those.
+		// The Nack makes the leader choose a higher ballot. Without the Nack, a replica that has campaigned alone would never
+		// take part again: the ballots that it has promised to itself are higher than the leader's ballots, so it would reject
+		// the leader's.
 		e.sendNack(from)
 	}
 	if isRemote && e.membership.current.isNewerThan(m.Members) {
@@ -112,8 +113,8 @@
 	e.handle(e.id, e.membership.attach(Message{Kind: Propose, Ballot: e.candidate.ballot}))
 }
 
-// handlePropose accepts a candidate's lease, unless the candidate knows only older members. If it accepts the lease of another
-// replica, this replica's own lease is revoked.
+// handlePropose accepts a candidate's lease, unless the candidate knows only older members. The acceptance of another replica's
+// lease revokes this replica's own lease.
 func (e *leaderElection) handlePropose(from int, m Message) {
 	if e.membership.current.isNewerThan(m.Members) || !e.acceptor.accept(e.now, from, m.Ballot) {
 		return
@@ -124,7 +125,7 @@
 	e.reply(from, Message{Kind: Accepted, Ballot: m.Ballot, Record: e.votes.log.newest})
 }
 
-// handleAccepted begins or renews this replica's lease once a quorum has accepted it.
+// handleAccepted begins or renews this replica's lease once a quorum has accepted the lease.
 func (e *leaderElection) handleAccepted(from int, m Message) {
 	if !e.candidate.addAcceptance(e.now, from, m.Ballot, e.membership.current) {
 		return
--- a/internal/cluster/election/recommendation.go
+++ b/internal/cluster/election/recommendation.go
@@ -1,7 +1,7 @@
 package election
 
-// recommendations holds the newest recommendation of each replica's release analyzer. It decides which verdict on a stage results
-// from them, depending on their age. [voteCaster] asks it while this replica leads.
+// recommendations holds the newest recommendation of each replica's release analyzer, and derives the verdict on the current
+// stage from the recommendations that have not expired. [voteCaster] asks for this verdict while this replica leads.
 type recommendations struct {
 	self      int
 	settings  Settings
@@ -11,7 +11,7 @@
 // recommendation is the decision that a replica's release analyzer recommends.
 type recommendation struct {
 	Decision
-	receivedAt Micros // 0: never
+	receivedAt Micros // when this replica received the recommendation; 0: never
 }
 
 // put stores a replica's recommendation in place of its earlier one.
@@ -22,9 +22,9 @@
 // own returns the decision that this replica's analyzer recommends.
 func (r *recommendations) own() Decision { return r.byReplica[r.self].Decision }
 
-// verdict returns the verdict that results from the recommendations for the current stage. This is a rollback if enough replicas
-// recommend it, and otherwise the verdict that this replica's analyzer recommends. While any replica recommends a rollback, the
-// result is never to advance.
+// verdict returns the verdict that results from the recommendations for the current stage. The result is a rollback if enough
+// replicas recommend one, and otherwise the verdict that this replica's analyzer recommends. While any replica recommends a
+// rollback, the result is never to advance.
 func (r *recommendations) verdict(rollout rolloutPosition, now Micros) Verdict {
 	rollbacks := r.countRollbacks(rollout, now)
 	own := r.own()
@@ -40,7 +40,7 @@
 }
 
 // countRollbacks returns how many replicas recommend a rollback on the current stage. The recommendations of other replicas
-// expire. This replica's own counts until its analyzer changes it.
+// expire. This replica's own recommendation counts until its analyzer recommends something else.
 func (r *recommendations) countRollbacks(rollout rolloutPosition, now Micros) int {
 	wanted := rollout.decision(Rollback)
 	count := 0
