--- a/internal/proxy/admission_loop.go
+++ b/internal/proxy/admission_loop.go
@@ -13,7 +13,7 @@
 const (
 	// summaryInterval is how often a summary of the admission loop is logged if there is anything to report.
 	summaryInterval = 10 * time.Second
-	// idleTimerInterval is the interval of the admission loop's timer while the controller has no timer.
+	// idleTimerInterval is the duration of the admission loop's timer while no timer of the controller is pending.
 	idleTimerInterval = time.Hour
 )
 
--- a/internal/proxy/admission_loop_test.go
+++ b/internal/proxy/admission_loop_test.go
@@ -120,7 +120,7 @@
 // A queued request whose client disconnects is removed. A drain rejects all requests that can't be admitted before its deadline.
 func TestCancelAndDrain(t *testing.T) {
 	rig := newTestAdmission(t, admission.Limits{Requests: 40, Bytes: 1 << 20, Queues: 4}, false)
-	for id := uint64(1); id <= 32; id++ { // the initial concurrency limit
+	for id := uint64(1); id <= 32; id++ { // 32 is the initial concurrency limit
 		rig.arrive(id, id)
 	}
 	agenttest.Eventually(t, "the 32 requests that the limit admits", func() bool { return rig.admitted() == 32 })
--- a/internal/proxy/admission_messages.go
+++ b/internal/proxy/admission_messages.go
@@ -14,7 +14,7 @@
 // requestArrival asks for a request to be admitted.
 type requestArrival struct {
 	arrival admission.Arrival
-	event   policy.RequestArrived // for the router, once the request is admitted
+	event   policy.RequestArrived // passed to the router once the request is admitted
 	request *agent.Request
 }
 
--- a/internal/proxy/client_conn_test.go
+++ b/internal/proxy/client_conn_test.go
@@ -15,8 +15,8 @@
 	"switchfork/internal/tcpconn"
 )
 
-// Neither a shortage of descriptors nor the retirement of idle connections nor a timeout closes a connection if a byte of a request has
-// been read from the connection or waits to be read. A connection without such a byte is closed.
+// If a byte of a request has been read from a connection or waits to be read, the connection is not closed by a shortage of descriptors,
+// the retirement of idle connections, or a timeout. A connection without such a byte is closed.
 func TestRetireSparesStartedRequest(t *testing.T) {
 	server := newTestServer(t, false)
 	reading, silent := server.dial(t), server.dial(t)
--- a/internal/proxy/client_listener.go
+++ b/internal/proxy/client_listener.go
@@ -19,11 +19,11 @@
 const budgetRetryInterval = 5 * time.Millisecond
 
 // clientListener accepts clients while the budget has descriptors, and keeps connections open between requests until a descriptor is
-// needed. If no descriptor is left, one response for each waiting client closes its connection to free the descriptor. Otherwise clients
-// with an open connection would be served over and over, while a request of a client in the kernel's accept queue would not be read before
-// its deadline. All other responses leave their connections open, apart from the exceptions in closeConnIfNeeded: a client whose connection
-// is closed reconnects, and the agent can't afford so many new connections. If no response closes a connection soon, the connections that
-// have been idle longest are retired.
+// needed. If no descriptor is left, one connection is closed for each waiting client, with a response that announces the close. Otherwise
+// clients with an open connection would be served over and over, while a request of a client in the kernel's accept queue would not be read
+// before its deadline. All other responses leave their connections open, apart from the exceptions in closeConnIfNeeded, because a client
+// whose connection is closed reconnects, and the agent can't afford so many new connections. If no response closes a connection soon, the
+// connections that have been idle longest are retired.
 type clientListener struct {
 	tcp    *net.TCPListener
 	budget *connlimit.Budget
--- a/internal/proxy/conn_eviction.go
+++ b/internal/proxy/conn_eviction.go
@@ -12,14 +12,15 @@
 const (
 	// silentConnTimeout is how long a new connection may stay silent while other clients wait. Clients connect in order to send a request.
 	silentConnTimeout = 250 * time.Millisecond
-	// responseWait is how long a client waits for a response to close a connection before an idle connection is retired. The client of an
-	// idle connection may be about to use the connection, while a close that a response announces costs the client nothing.
+	// responseWait is how long clients wait for descriptors of connections that close with a response. After that, idle connections are
+	// retired. The client of an idle connection may be about to use the connection, while a close that a response announces costs the
+	// client nothing.
 	responseWait = 4 * budgetRetryInterval
 	// minIdleTime is how long a connection has to be idle before it is retired. Until then, net/http may have the client's next request in
 	// a buffer.
 	minIdleTime = budgetRetryInterval
 	// idleBatchDivisor bounds how many idle connections are retired at a time: one, plus one for every idleBatchDivisor idle connections.
-	// Some of the waiting clients get the descriptors of connections that close with their responses.
+	// The other waiting clients may still get the descriptors of connections that close with a response.
 	idleBatchDivisor = 8
 )
 
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -8,9 +8,10 @@
 const (
 	// lateArrivalWindow is how long new connections and requests may still arrive after SIGTERM. The protocol sets it.
 	lateArrivalWindow = 700 * time.Millisecond
-	// finalReplyWindow is the time that is left in a drain when open requests are answered. It is long enough to write the responses.
+	// finalReplyWindow is the time between answering the requests that are still open and the end of a drain. It is long enough to write
+	// the responses.
 	finalReplyWindow = 100 * time.Millisecond
-	// refusalWindow is the time that is left in a drain when new connections are refused. It is long enough, on a busy machine too, to read
+	// refusalWindow is the time between refusing new connections and the end of a drain. Even on a busy machine, it is long enough to read
 	// and answer the requests of connections that wait in the accept queue.
 	refusalWindow = 400 * time.Millisecond
 	// unboundedDrain is the time limit of a drain whose context has no deadline.
@@ -25,7 +26,7 @@
 // are refused: clients that keep connecting would otherwise have requests in transit when the process exits, and the exit resets their
 // connections.
 //
-// http.Server.Shutdown is not used: it closes connections of which half a head has been read, and drops a request without an answer if the
+// http.Server.Shutdown is not used: it closes connections on which half a head has been read, and drops a request without an answer if the
 // request was read completely after Shutdown began.
 func (p *Proxy) Drain(ctx context.Context) error {
 	p.startDrain(ctx)
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -13,8 +13,8 @@
 	"switchfork/internal/policy"
 )
 
-// A request of which half the head was read when the drain starts is answered once the rest arrives, on a kept connection as well as on a
-// new one. A connection that stays silent is closed by its idle timeout, without a reset.
+// If half the head of a request has been read when a drain starts, the request is answered once the rest arrives. This holds on kept
+// connections and on new ones. A connection that stays silent is closed by its idle timeout, without a reset.
 func TestDrainAnswersPartialHead(t *testing.T) {
 	server := newTestServer(t, false)
 	kept, fresh, silent := server.dial(t), server.dial(t), server.dial(t)
@@ -109,7 +109,7 @@
 }
 
 // Clients that keep connecting do not keep the listener open until the end of the drain. The listener closes when open requests are
-// answered, early enough to answer the requests that have arrived as well.
+// answered. That is early enough to answer the requests that have arrived by then as well.
 func TestDrainClosesListenerBeforeItsEnd(t *testing.T) {
 	server := newTestServer(t, false)
 	unfinished := server.dial(t)
--- a/internal/proxy/listener_shutdown.go
+++ b/internal/proxy/listener_shutdown.go
@@ -18,8 +18,8 @@
 )
 
 // retireIdle retires the connections that have carried no request for minIdle. It is meant for the end of a drain. Retiring a connection
-// that its client still uses may lose the client's next request, which would otherwise get a response that announces the close. A
-// connection that was just accepted is about to receive a request.
+// that its client still uses may lose the client's next request, which would otherwise get a response that announces the close. minIdle
+// also spares connections that were just accepted, because their clients are about to send a request.
 func (l *clientListener) retireIdle(minIdle time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/proxy/round_trip.go
+++ b/internal/proxy/round_trip.go
@@ -23,8 +23,8 @@
 	receivedAt := time.Now().Add(-queueDelay(r))
 	defer p.openRequests.Add(-1)
 	if p.exceedsOpenRequests(p.openRequests.Add(1)) {
-		// The request is rejected before the router gets it, as when the router is at its own limit. This is overload, so clients should not
-		// retry soon.
+		// The request is rejected before it reaches the router, with the reply that the router gives at its own limit. This is overload, so
+		// clients should not retry soon.
 		return replyResponse(agent.Reply{Rejected: true, RetryAfter: p.maxRetryAfter}, r), nil
 	}
 	requestID := r.Header.Get(requestIDHeader)
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -48,7 +48,7 @@
 				return []policy.Command{rejection}
 			}
 			pending = append(pending, rejection)
-		case policy.GossipReceived: // rejectAll
+		case policy.GossipReceived: // sent by rejectAll
 			return slices.Clone(pending)
 		}
 		return nil
@@ -73,7 +73,7 @@
 	return server
 }
 
-// rejectAll has the router reject all requests that it holds.
+// rejectAll has the router reject all requests that it holds. The event GossipReceived is the signal for this.
 func (s *testServer) rejectAll() { s.Loop.Enqueue(policy.GossipReceived{}) }
 
 // waitForRequests waits until the router has received n requests.
