--- a/internal/tcpconn/reset_conn.go
+++ b/internal/tcpconn/reset_conn.go
@@ -9,14 +9,14 @@
 )
 
 // ResetConn is a connection that Close resets if nothing has been read since the last write. After an ordinary close, the kernel continues
-// to send the unacknowledged data for a quarter of an hour. If the network path dropped all packets for some time, requests and votes that
-// had been given up were delivered seconds or minutes later, when no caller waited for them. The reset also discards data that a full send
-// window holds back. A drawback is that a peer that reads slowly never sees the data that it has not read before the reset. That is
+// to send the unacknowledged data for a quarter of an hour. If the network path drops all packets for some time, requests and votes that
+// have been given up would be delivered seconds or minutes later, when no caller waits for them. The reset also discards data that a full
+// send window holds back. A drawback is that a peer that reads slowly never sees the data that it has not read before the reset. That is
 // acceptable for a call that was given up.
 type ResetConn struct {
 	tcp        *net.TCPConn
 	unanswered atomic.Bool    // something was written and nothing has been read since
-	isReading  atomic.Bool    // a reader is in Read, and has handed on all that it read before
+	isReading  atomic.Bool    // a reader is in Read, and has processed all that it read before
 	tracker    *UnreadTracker // nil: not tracked
 }
 
--- a/internal/tcpconn/unread_tracker.go
+++ b/internal/tcpconn/unread_tracker.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// UnreadTracker tracks a set of connections and reports whether any of them has input that its reader has not handed on. It may be used by
+// UnreadTracker tracks a set of connections and reports whether any of them has input that its reader has not processed. It may be used by
 // any goroutine.
 type UnreadTracker struct {
 	mu   sync.Mutex
@@ -12,8 +12,8 @@
 // NewUnreadTracker returns a tracker without connections. Dial adds them.
 func NewUnreadTracker() *UnreadTracker { return &UnreadTracker{open: map[*ResetConn]bool{}} }
 
-// HasUnread reports whether any of the connections may have input that its reader has not handed on. This is so if the connection's reader
-// is not in Read, or if the connection has unread input.
+// HasUnread reports whether any of the connections may have input that its reader has not processed. This is the case if the connection's
+// reader is not in Read, or if the connection has unread input.
 func (t *UnreadTracker) HasUnread() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -5,8 +5,8 @@
 	"switchfork/internal/protocol"
 )
 
-// Endpoint is one server that requests are forwarded to. Its methods put messages into the mailbox of its worker, a goroutine that handles
-// them in the order of the calls. Any goroutine may call the methods. They do not block.
+// Endpoint sends attempts and health checks to one server. Its methods put messages into the mailbox of its worker, a goroutine that
+// handles them in the order of the calls. Any goroutine may call the methods. They do not block.
 type Endpoint struct {
 	id      uint32
 	mailbox *mailbox.Mailbox[message]
--- a/internal/upstream/idle_pool.go
+++ b/internal/upstream/idle_pool.go
@@ -18,7 +18,8 @@
 )
 
 // idlePool holds the idle connections of one endpoint. It decides which of them carries the next exchange and which have been idle for too
-// long. It also closes all connections of the endpoint, so that each descriptor is released once. Only the worker's goroutine uses it.
+// long. Every connection of the endpoint, idle or not, is closed through the pool, so that each descriptor is released once. Only the
+// worker's goroutine uses it.
 type idlePool struct {
 	config         *Config
 	requestSweep   func()        // makes the worker's goroutine call sweep; any goroutine may call it
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -20,12 +20,13 @@
 )
 
 // DefaultSettleTime is the usual Config.SettleTime. When a connection becomes idle, a second response to the previous request may still
-// arrive, according to the protocol for some milliseconds. The next request on the connection would get the body of that response.
-// DefaultSettleTime is several times as long. The cost is an additional connection whenever a connection would otherwise be reused at once.
+// arrive, and the next request on the connection would get the body of that response. According to the protocol, this may happen for some
+// milliseconds. DefaultSettleTime is several times as long. The cost is an additional connection whenever a connection would otherwise be
+// reused at once.
 const DefaultSettleTime = 20 * time.Millisecond
 
-// StallThreshold is how late a timer has to fire to show that the process has stalled. What discovery and the rollout controller wrote
-// during the stall counts as received once it has reached the agent's machine, but the process may not have read it yet.
+// StallThreshold is how late a timer has to fire to show that the process has stalled. Messages that discovery and the rollout controller
+// sent during the stall count as received once they have reached the agent's machine, even if the process has not read them yet.
 const StallThreshold = 250 * time.Millisecond
 
 // Config has the settings that the endpoints of a pool share.
--- a/internal/upstream/results_test.go
+++ b/internal/upstream/results_test.go
@@ -187,7 +187,7 @@
 	agenttest.Eventually(t, "the attempt", func() bool { return len(server.Requests()) == 1 })
 	server.SetHandler(fakes.Respond("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"queue\":3}"))
 	r.Loop.Enqueue(policy.RequestCancelled{RequestID: 7})
-	r.Loop.Enqueue(policy.RequestCancelled{RequestID: 7}) // must not be reported again
+	r.Loop.Enqueue(policy.RequestCancelled{RequestID: 7}) // the router must not receive this second cancellation
 	agenttest.Eventually(t, "the health check's result", func() bool { return len(agenttest.Events[policy.HealthCheckResult](r.Router)) == 1 })
 	if p := agenttest.Events[policy.HealthCheckResult](r.Router)[0]; p.Outcome != policy.OK || len(p.Load) != 1 || p.Load[0] != 3 {
 		t.Errorf("got health check result %+v, want OK with load 3", p)
