--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -22,7 +22,7 @@
 	return &listPublisher{loop: loop, zones: zones, numbers: newEndpointNumbers()}
 }
 
-// publish passes a list, which is full or holds changes, to the event loop.
+// publish passes a full list or a list of changes to the event loop.
 func (p *listPublisher) publish(list protocol.List) {
 	p.version = list.Version
 	update := p.endpointUpdate(list)
--- a/internal/discovery/message.go
+++ b/internal/discovery/message.go
@@ -8,7 +8,7 @@
 // message is a message in a client's mailbox.
 type message interface{ isMessage() }
 
-// listReceived reports a list, which is full or holds changes, that a watcher has received.
+// listReceived reports that a watcher has received a full list or a list of changes.
 type listReceived struct {
 	from *watcher
 	list protocol.List
--- a/internal/protocol/list_reader.go
+++ b/internal/protocol/list_reader.go
@@ -13,7 +13,7 @@
 )
 
 // ListReader assembles JSON lists from lines. A list may be indented and span several lines. A list is complete when all its brackets are
-// closed. A JSON string can't span lines, so a line that ends within a string completes a document too, which then fails to decode.
+// closed. A JSON string can't span lines. A line that ends within a string therefore completes the document, which then fails to decode.
 type ListReader struct {
 	document []byte // the lines of the incomplete list
 	depth    int    // number of brackets that are open
@@ -41,7 +41,7 @@
 	return document, nil
 }
 
-// End returns ErrListCutOff if a list has begun and is not complete. It is called at the end of the input.
+// End returns ErrListCutOff if a list has begun and is not complete. It has to be called at the end of the input.
 func (r *ListReader) End() error {
 	if len(r.document) > 0 {
 		return ErrListCutOff
--- a/internal/rollout/rig_test.go
+++ b/internal/rollout/rig_test.go
@@ -26,7 +26,7 @@
 	return agenttest.Events[policy.RolloutUpdate](r.Router)
 }
 
-// awaitUpdates waits until the router has received the given number of updates. what names the wait in a failure.
+// awaitUpdates waits until the router has received the given number of updates. what describes the awaited state in a failure message.
 func (r *rig) awaitUpdates(t *testing.T, what string, count int) {
 	t.Helper()
 	agenttest.Eventually(t, what, func() bool { return len(r.updates()) == count })
--- a/internal/rollout/stream.go
+++ b/internal/rollout/stream.go
@@ -15,7 +15,7 @@
 	streamPath = "bulletin"
 	// heartbeatInterval is the interval at which the rollout controller sends heartbeats on the stream.
 	heartbeatInterval = time.Second
-	// maxMissedHeartbeats is the number of heartbeat intervals without an update or a heartbeat after which a stream is replaced.
+	// maxMissedHeartbeats is how many heartbeat intervals may pass without an update or a heartbeat before a stream is replaced.
 	maxMissedHeartbeats = 3
 )
 
--- a/internal/rollout/vote_results.go
+++ b/internal/rollout/vote_results.go
@@ -8,8 +8,8 @@
 	"switchfork/internal/protocol"
 )
 
-// wasWritten reports whether a resolved vote may have reached the controller. A vote without a connection has not. Counting such a vote as
-// cast would hide from operators that the controller can't be reached.
+// wasWritten reports whether a resolved vote may have reached the controller. A vote for which no connection was established has not
+// reached it. Counting such a vote as cast would hide from operators that the controller can't be reached.
 func wasWritten(result protocol.Result) bool {
 	switch result {
 	case protocol.NotSent, protocol.ConnectionRefused, protocol.ConnectTimeout:
--- a/internal/rollout/votes.go
+++ b/internal/rollout/votes.go
@@ -21,7 +21,7 @@
 	Resolved func(wrote bool)
 }
 
-// castVote casts a vote and publishes exactly one reply, at the latest when the vote timeout expires.
+// castVote casts a vote and publishes exactly one update with the vote's outcome, at the latest when the vote timeout expires.
 func (c *Client) castVote(ctx context.Context, apiURL string, vote policy.Vote) {
 	ctx, cancel := context.WithTimeout(ctx, c.voteTimeout)
 	defer cancel()
--- a/internal/rollout/votes_test.go
+++ b/internal/rollout/votes_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Each reply to a vote has the outcome that the protocol defines for it. Each vote gets exactly one reply, at the latest when the vote timeout
-// expires.
+// Each reply to a vote has the outcome that the protocol defines for it. For each vote, exactly one update is published, at the latest when
+// the vote timeout expires.
 func TestVoteReplies(t *testing.T) {
 	for _, c := range []struct {
 		reply string
@@ -81,7 +81,7 @@
 	}
 }
 
-// If the controller does not reply to a vote, an outcome of the vote is published nevertheless.
+// If the controller does not reply to a vote, an update with the vote's outcome is published nevertheless.
 func TestVoteWithoutReply(t *testing.T) {
 	silent, closed := agenttest.NewScriptedServer(t, fakes.NeverRespond), agenttest.Listen(t)
 	if err := closed.Close(); err != nil {
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -5,7 +5,8 @@
 // endpointEntryBytes is the encoded length of one endpoint in a list, in bytes.
 const endpointEntryBytes = 25
 
-// endpointLists holds endpoint lists by number. The simulator sends a list before the endpoint updates that refer to it by its number.
+// endpointLists holds endpoint lists by number. The simulator sends a list before the endpoint updates that refer to
+// the list by its number.
 type endpointLists map[int][]policy.Endpoint
 
 // decodeEvent decodes the fields of an event that follow the instance number. This function and the functions below have
