--- a/internal/proxy/client_conn.go
+++ b/internal/proxy/client_conn.go
@@ -40,7 +40,7 @@
 	requestStart  time.Time // when the first byte of the request was read
 	stateDeadline time.Time // when the state times out; zero: never
 	stateTimer    *time.Timer
-	timedOut      bool   // the request took too long to arrive
+	timedOut      bool   // the head or the body of the request took too long to arrive
 	readAhead     []byte // bytes that the client sent before the response to its last request
 	hasWritten    bool   // something was written since the connection was last idle
 	isHalfClosed  bool   // half closed by retire, so that the client is notified of the close
--- a/internal/proxy/client_conn_test.go
+++ b/internal/proxy/client_conn_test.go
@@ -127,7 +127,7 @@
 			read()
 			conn.headReceived()
 			conn.requestReceived()
-			conn.becomeIdle() // with the next request in the buffer of net/http
+			conn.becomeIdle() // while the next request is in the buffer of net/http
 			if !conn.retire() {
 				t.Error("an idle connection was not retired")
 			}
--- a/internal/proxy/conn_state.go
+++ b/internal/proxy/conn_state.go
@@ -73,10 +73,10 @@
 	c.setStateDeadline(c.requestStart.Add(requestTimeout))
 }
 
-// clearTimeout undoes a timeout of the state or the retirement of the connection, as the bytes in net/http's buffer arrived in time. The
-// timer may fire, or the listener may retire the connection, after the bytes that end the state have been read and before headReceived or
-// requestReceived is called. The next read of net/http would then fail. net/http would take the failure for the client's disconnection, and
-// a request that was accepted would get no reply. The lock is held.
+// clearTimeout undoes a timeout of the state or the retirement of the connection, as the bytes in net/http's buffer arrived in time. Either
+// may happen after the last byte of a head or body has been read and before headReceived or requestReceived is called. The next read of
+// net/http would then fail. net/http would take the failure for the client's disconnection, and a request that was accepted would get no
+// reply. The lock is held.
 func (c *clientConn) clearTimeout() {
 	c.timedOut = false
 	c.setReadDeadline(time.Time{})
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -24,9 +24,9 @@
 }
 
 // isOutdated reports whether it is too late to write the request. The agent's process may have stalled since the policy chose this
-// endpoint, and the endpoint list may have changed. An attempt is therefore outdated once its age exceeds dialTimeout plus StallThreshold:
-// a dial and a stall that is not detected can't take longer. The policy then chooses an endpoint again. If the agent is short of CPU time,
-// this may also happen to a request that has only waited for the CPU.
+// endpoint, and the endpoint list may have changed. An attempt is therefore outdated once its age exceeds dialTimeout plus StallThreshold,
+// because a dial and an undetected stall together can't take longer. The policy then chooses an endpoint again. If the agent is short of
+// CPU time, this may also happen to a request that has only waited for the CPU.
 func (a *Attempt) isOutdated(dialTimeout time.Duration) bool {
 	now := time.Now()
 	if now.Sub(a.DecidedAt) > dialTimeout+StallThreshold {
--- a/internal/upstream/worker.go
+++ b/internal/upstream/worker.go
@@ -7,7 +7,7 @@
 	"switchfork/internal/protocol"
 )
 
-// worker is the goroutine of one Endpoint, which runs serve, and the state that only this goroutine uses. Its parts:
+// worker is the state of one Endpoint's goroutine, which runs serve. Only this goroutine uses the state. Its parts:
 //
 //   - idlePool holds the idle connections and closes connections (idle_pool.go).
 //   - inFlight tracks the attempts, health checks and dials that have not ended (in_flight.go).
