--- a/internal/cluster/election/candidate.go
+++ b/internal/cluster/election/candidate.go
@@ -43,8 +43,8 @@
 // observe records a ballot that another replica has named.
 func (c *candidate) observe(ballot uint64) { c.highestSeen = max(c.highestSeen, ballot) }
 
-// canWin reports whether the ballot may still win a useful lease among the members. promised is the highest ballot that this
-// replica has promised.
+// canWin reports whether the ballot may still win a lease among the members and has not timed out. promised is the highest ballot
+// that this replica has promised.
 func (c *candidate) canWin(now Micros, members Members, promised uint64) bool {
 	isPending := c.isOpen && !c.hasWon
 	isSuperseded := max(promised, c.highestSeen) > c.ballot
@@ -99,8 +99,8 @@
 	return true
 }
 
-// leaseEnd returns when the lease of the ballot ends. The lease counts from before the first request was sent, and is shortened
-// by the clock drift, so every replica that accepts the lease holds it beyond the returned time.
+// leaseEnd returns when the lease of the ballot ends. The lease counts from the start of the ballot, before the first Prepare was
+// sent, and is shortened by the clock drift. Every replica that accepts the lease therefore holds it beyond the returned time.
 func (c *candidate) leaseEnd() Micros {
 	return c.startedAt + c.settings.driftLowerBound(c.settings.Lease)
 }
--- a/internal/cluster/election/candidate_test.go
+++ b/internal/cluster/election/candidate_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// A ballot may win until half a lease has passed, other members are in force, a higher ballot is known, or the ballot is
-// abandoned.
+// A ballot can no longer win once half a lease has passed, other members are in force, a higher ballot is known, or the ballot
+// is abandoned.
 func TestCandidateCanWin(t *testing.T) {
 	members := InitialMembers(3)
 	timeout := testSettings().ballotTimeout()
@@ -107,7 +107,7 @@
 	}
 }
 
-// A campaign starts after a random delay of a thirtieth of a lease to a little over a third.
+// A campaign starts after a random delay between a thirtieth and a little over a third of a lease.
 func TestCampaignDelay(t *testing.T) {
 	minDelay, jitter := testSettings().minCampaignDelay(), testSettings().maxCampaignJitter()
 	for seed := range int64(100) {
--- a/internal/cluster/election/doc.go
+++ b/internal/cluster/election/doc.go
@@ -41,7 +41,7 @@
 //
 // # Invariants
 //
-//   - Two leases never overlap. The leader counts its lease from before it sent the first request, and shortens it by the clock
+//   - Two leases never overlap. The leader counts its lease from before it sent the first Prepare, and shortens it by the clock
 //     drift. Any two quorums have a replica in common, which holds the lease until the lease has ended by that replica's
 //     own clock.
 //   - A vote is cast only after a quorum knows its record, so that every later leader knows the record, too.
--- a/internal/cluster/election/handlers.go
+++ b/internal/cluster/election/handlers.go
@@ -11,7 +11,8 @@
 	e.dispatch(from, m)
 }
 
-// isMember reports whether a sender is a member, or knows newer members that this replica has not adopted yet.
+// isMember reports whether a sender is a member. It also reports true if the sender knows a newer set of members, which this
+// replica has not adopted yet.
 func (e *leaderElection) isMember(sender int, known Members) bool {
 	return e.membership.current.Contains(sender) || known.isNewerThan(e.membership.current)
 }
@@ -131,8 +132,8 @@
 		return
 	}
 	if !e.lease.isValid(e.now) {
-		// A new term begins even if this replica led before and its lease has lapsed, because another replica may have led in
-		// between.
+		// A new term begins even if this replica led before and its lease has lapsed, because another replica may have led
+		// since then.
 		e.lease.startTerm(e.candidate.ballot)
 		e.membership.startTerm()
 		e.votes.startTerm(e.now)
@@ -157,7 +158,8 @@
 // handleTransferLease releases the lease of a leader that leaves, and promises the successor's ballot. If this replica is the
 // successor, it starts that ballot.
 func (e *leaderElection) handleTransferLease(from int, m Message) {
-	// The ballot may be a renewal that other replicas have promised already. They would reject a lower ballot of this replica.
+	// The ballot of the leader that leaves may be a renewal that other replicas have promised already. They would reject a lower
+	// ballot of this replica.
 	e.candidate.observe(m.Ballot)
 	if !e.acceptor.releaseLease(e.now, from, m.Ballot) {
 		return
--- a/internal/cluster/election/leader_election.go
+++ b/internal/cluster/election/leader_election.go
@@ -51,7 +51,7 @@
 }
 
 // setTime sets the time of the call that begins. A gap of more than half a lease between two calls ends the leadership of this
-// replica, because the replica does not know yet what has happened in the meantime.
+// replica, because the replica does not know yet what has happened during the gap.
 func (e *leaderElection) setTime(now Micros) {
 	if now-e.now > e.settings.maxCallGap() {
 		e.lease.revoke()
--- a/internal/cluster/election/lease.go
+++ b/internal/cluster/election/lease.go
@@ -1,7 +1,7 @@
 package election
 
-// lease is this replica's own lease of the leadership: its end, its term, and the members among which it was granted. The lease
-// decides whether the replica may act as the leader, from what a quorum has accepted and from this replica's own clock.
+// lease is this replica's own lease of the leadership: its end, its term, and the members among which it was granted. The
+// replica may act as the leader while its own clock has not reached the end of a lease that a quorum has accepted.
 // [leaderElection] grants the lease, and ends it whenever another replica may lead. [Replica] checks the lease before any action
 // that only a leader may take.
 type lease struct {
@@ -12,7 +12,7 @@
 	term    uint64  // the ballot that made the replica the leader; renewals do not change the term
 }
 
-// isGranted reports whether there is a lease. A lease that has run out counts until expire is called.
+// isGranted reports whether there is a lease. A lease that has run out still counts as granted until expire is called.
 func (l *lease) isGranted() bool { return l.until > 0 }
 
 // isValid reports whether the replica leads at now.
--- a/internal/cluster/election/membership.go
+++ b/internal/cluster/election/membership.go
@@ -20,7 +20,7 @@
 type membership struct {
 	settings Settings
 
-	current     Members    // newest members known to this replica
+	current     Members    // newest set of members that this replica knows
 	isStamped   bool       // this replica, as the leader, has stamped current in the current term
 	committedBy replicaSet // replicas that have acknowledged current since it was stamped
 	sentAt      Micros     // when this replica, as the leader, last sent current
@@ -66,7 +66,8 @@
 	m.committedBy = newReplicaSet(leader)
 }
 
-// acknowledge adds from to the replicas that know members, if these are the current members as stamped.
+// acknowledge records that replica from knows members. It has no effect unless members is the current set, as stamped by this
+// replica in the current term.
 func (m *membership) acknowledge(from int, members Members) {
 	if m.isStamped && members == m.current {
 		m.committedBy = m.committedBy.with(from)
--- a/internal/cluster/election/membership_test.go
+++ b/internal/cluster/election/membership_test.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// Members change one at a time, once a quorum knows them as stamped in the current term and the lease was granted among them.
+// Members change one at a time. The current members can be changed only once a quorum knows them as stamped in the current term,
+// and only if the lease was granted among them.
 func TestMembershipCheckChange(t *testing.T) {
 	const term = 256
 	m := membership{settings: testSettings(), current: InitialMembers(3)}
--- a/internal/cluster/election/message.go
+++ b/internal/cluster/election/message.go
@@ -13,7 +13,7 @@
 	Replicated                       // acknowledges the record
 	Recommend                        // carries the verdict that the sender's release analyzer recommends
 	TransferLease                    // releases the lease and appoints the successor
-	Nack                             // rejects a ballot, and carries the higher ballot that was promised or newer members
+	Nack                             // rejects a ballot; tells the candidate which higher ballot the sender has promised, or which members are in force
 	CommitMembers                    // asks the receiver to store the members
 	MembersCommitted                 // acknowledges the members
 )
@@ -30,7 +30,7 @@
 	ReleasedBallot uint64
 	Record         Record   // set in Promise, Accepted, Replicate, Replicated, TransferLease and CommitMembers
 	Recommendation Decision // set in Recommend
-	Members        Members  // newest members that the sender knows; set in all kinds but Recommend, Replicate and Replicated
+	Members        Members  // newest set of members that the sender knows; set in all kinds except Recommend, Replicate and Replicated
 }
 
 // newTransferLease returns the message with which a leader releases the lease of its ballot. The leader has already promised
--- a/internal/cluster/election/settings.go
+++ b/internal/cluster/election/settings.go
@@ -9,7 +9,7 @@
 // Settings holds the parameters that must be the same on all replicas.
 type Settings struct {
 	Lease          Micros  // how long a leadership lasts unless it is renewed
-	ClockDrift     float64 // upper bound of how much faster or slower any clock runs, as a fraction
+	ClockDrift     float64 // the most that any clock may run fast or slow, as a fraction of real time
 	MaxVoteDelay   Micros  // a vote takes effect within this time after it was written, or never
 	VoteLifetime   Micros  // how long a vote counts after it has taken effect
 	RollbackQuorum int     // how many replicas must recommend a rollback
@@ -60,6 +60,7 @@
 
 func (f leaseFraction) of(lease Micros) Micros { return lease / Micros(f) }
 
+// Times and intervals of the protocol, each as a fraction of a lease.
 const (
 	// renewalFraction is the interval between renewals of a lease. If a renewal fails, the leader has time for two more tries.
 	renewalFraction = thirdOfLease
@@ -71,7 +72,8 @@
 	ballotTimeoutFraction = halfLease
 	// maxCallGapFraction is the longest gap between two calls that does not count as a pause of the process.
 	maxCallGapFraction = halfLease
-	// retryFraction is the interval at which an unanswered message is sent again and at which a replica needs a tick.
+	// retryFraction is how often a record or a set of members is sent again until a quorum has acknowledged it. The caller has
+	// to call Tick at least as often, unless it calls another method in between.
 	retryFraction = fifteenthOfLease
 	// minCampaignDelayFraction is the shortest delay before a campaign.
 	minCampaignDelayFraction = thirtiethOfLease
@@ -84,18 +86,19 @@
 	// same candidate. Without this limit, a candidate whose ballots never get through could keep the replica from ever
 	// campaigning.
 	deferralIntervalLeases = 2
-	// recommendationLeases is how long a recommendation counts, in leases. Replicas repeat their recommendations twice per lease.
+	// recommendationLeases is how long another replica's recommendation counts after its receipt, in leases. Replicas repeat
+	// their recommendations twice per lease.
 	recommendationLeases = 2
 	// recastLifetimeFraction is the fraction of a vote's lifetime after which the vote is cast again.
 	recastLifetimeFraction = 0.66
 )
 
-// driftUpperBound returns a duration by this clock after which span has surely ended by any other clock.
+// driftUpperBound returns a duration by this clock. When it has passed, span has passed by any other clock, too.
 func (s Settings) driftUpperBound(span Micros) Micros {
 	return Micros(float64(span) * (1 + 2*s.ClockDrift))
 }
 
-// driftLowerBound returns a duration by this clock after which span has surely not ended by any other clock.
+// driftLowerBound returns a duration by this clock. When it has passed, span has not yet passed by any other clock.
 func (s Settings) driftLowerBound(span Micros) Micros {
 	return Micros(float64(span) * (1 - 2*s.ClockDrift))
 }
--- a/internal/cluster/election/vote_caster.go
+++ b/internal/cluster/election/vote_caster.go
@@ -1,7 +1,7 @@
 package election
 
 // voteCaster decides which vote a leader casts and when. It derives the decision from the recommendations, waits until no
-// contrary vote may count, replicates the record to a quorum, and then casts the vote if enough of the lease is left. [Replica]
+// contrary vote can still count, replicates the record to a quorum, and then casts the vote if enough of the lease is left. [Replica]
 // calls runDue while it leads, and always passes on the position of the rollout and this replica's recommendation.
 // [leaderElection] passes on the records and recommendations of other replicas.
 type voteCaster struct {
@@ -26,7 +26,7 @@
 	return Decision{Build: p.build, Stage: p.stage, Verdict: verdict}
 }
 
-// leadership holds the lease, the ballot and the members with which a leader casts votes.
+// leadership holds the lease, the newest ballot and the members of a leader that casts votes.
 type leadership struct {
 	lease   *lease
 	ballot  uint64 // the leader's newest ballot
--- a/internal/cluster/election/vote_caster_test.go
+++ b/internal/cluster/election/vote_caster_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// leaderForTest returns the vote caster of replica 0 of three, whose analyzer recommends to advance, and a leadership with which
-// the vote caster casts.
+// leaderForTest returns the vote caster of replica 0 of three, and a leadership under which it casts votes. The replica's release
+// analyzer recommends to advance.
 func leaderForTest(leaseUntil Micros, disabled DisabledGuards) (*voteCaster, leadership) {
 	v := newVoteCaster(Config{Settings: testSettings(), DisabledGuards: disabled})
 	v.updateRollout(rolloutPosition{build: 4, stage: 1, isActive: true})
--- a/internal/cluster/election/vote_history.go
+++ b/internal/cluster/election/vote_history.go
@@ -1,8 +1,8 @@
 package election
 
 // voteHistory holds the votes that were cast and may still count: those of this replica in the current term, and those of earlier
-// leaders. It decides whether a new vote has to wait because of a contrary vote, from the times at which votes were cast and from
-// the rollout controller's answers. [voteCaster] consults voteHistory before it replicates the record of a new vote.
+// leaders. From the times at which votes were cast and the rollout controller's answers, it decides whether a new vote has to wait
+// because of a contrary vote. [voteCaster] consults voteHistory before it replicates the record of a new vote.
 type voteHistory struct {
 	settings Settings
 	disabled DisabledGuards
@@ -55,7 +55,7 @@
 	return max(0, h.predecessorUntil-now)
 }
 
-// isRecent reports whether d was the last decision cast, so recently that it need not be cast again.
+// isRecent reports whether d is the last decision that was cast, and need not be cast again yet.
 func (h *voteHistory) isRecent(d Decision, now Micros) bool {
 	return h.lastCast.Decision == d && now-h.lastCastAt < h.settings.recastInterval()
 }
@@ -79,8 +79,8 @@
 	return NoVote
 }
 
-// allows reports whether wanted may be cast now. Otherwise wanted has to wait until a contrary vote can no longer count or take
-// effect.
+// allows reports whether the decision wanted may be cast now. If not, it has to wait until a contrary vote can no longer take
+// effect or count.
 func (h *voteHistory) allows(wanted Decision, now Micros) bool {
 	if h.disabled.WaitForEarlierVotes {
 		return true
@@ -88,8 +88,8 @@
 	return !h.mustWaitForPredecessor(wanted, now) && !h.mustWaitForOwnVote(wanted, now)
 }
 
-// mustWaitForPredecessor reports whether a contrary vote of an earlier leader on the same stage may still take effect or be in
-// force.
+// mustWaitForPredecessor reports whether an earlier leader's contrary vote on the same stage may still take effect or still
+// count.
 func (h *voteHistory) mustWaitForPredecessor(wanted Decision, now Micros) bool {
 	earlier := h.predecessor
 	if earlier.Term == 0 || now >= h.predecessorUntil || !earlier.isSameStage(wanted) {
--- a/internal/cluster/election/vote_log.go
+++ b/internal/cluster/election/vote_log.go
@@ -1,13 +1,13 @@
 package election
 
-// voteLog is the replicated log of decisions. A replica keeps only the newest record. The log decides from the acknowledgements
-// whether a quorum knows the pending record of this replica as the leader. [voteCaster] appends records to the log, and
-// [leaderElection] passes on the records of all messages.
+// voteLog is the replicated log of decisions. A replica keeps only the newest record. On the leader, the log counts
+// the acknowledgements of the pending record, to decide whether a quorum knows it. [voteCaster] appends records to the log, and
+// [leaderElection] passes the records of all messages to the log.
 type voteLog struct {
 	settings Settings
 
 	newest       Record     // the newest known record of any leader
-	pending      Record     // record of this replica as the leader, not cast yet; the zero value: none
+	pending      Record     // record of a vote that this replica, as the leader, has not cast yet; the zero value: none
 	replicatedTo replicaSet // replicas that know the pending record
 	sentAt       Micros     // when the pending record was last sent
 	lastIndex    uint32     // index of the last appended record
@@ -34,7 +34,7 @@
 // discardPending drops the pending record. If the vote of the record has not been cast yet, it is never cast.
 func (l *voteLog) discardPending() { l.pending = Record{} }
 
-// acknowledge adds from to the replicas that know record, if record is the pending one.
+// acknowledge records that replica from knows record. It has no effect unless record is the pending one.
 func (l *voteLog) acknowledge(from int, record Record) {
 	if record == l.pending {
 		l.replicatedTo = l.replicatedTo.with(from)
