--- a/internal/cluster/coordinator/admin_scenario_test.go
+++ b/internal/cluster/coordinator/admin_scenario_test.go
@@ -38,7 +38,8 @@
 expect settled >= 0.9 of=others:lead
 `
 
-// withoutStateDir is queryScenario with datagrams and without state folders. At its end the first leader is started again.
+// withoutStateDir is queryScenario with datagrams instead of TCP, and without state folders. At the end of the scenario, the first leader is
+// started again.
 var withoutStateDir = strings.NewReplacer(
 	"talk tcp", "talk datagrams",
 	"lease=600ms", "lease=600ms no-folders",
--- a/internal/cluster/coordinator/coordinator.go
+++ b/internal/cluster/coordinator/coordinator.go
@@ -31,7 +31,7 @@
 // Callbacks are the functions of the rest of the agent that the coordinator calls.
 type Callbacks struct {
 	// CastVote sends a vote to the rollout controller, unless the vote can't be written before the time writeBefore. It calls resolved once
-	// the vote is known to have been carried out, or known never to be; written reports whether the vote was sent at all.
+	// it is known that the vote was carried out, or that it never will be. written reports whether the vote was sent at all.
 	CastVote func(vote policy.Vote, writeBefore time.Time, resolved func(written bool))
 	// UpdateRollout gives the routing policy the state of a rollout.
 	UpdateRollout func(policy.RolloutUpdate)
@@ -57,7 +57,7 @@
 	transport Transport
 	castVote  func(vote policy.Vote, writeBefore time.Time, resolved func(written bool))
 	clock     clock
-	mailbox   *mailbox.Mailbox[message] // messages from other parts of this agent; unbounded, because the senders must not wait and send few
+	mailbox   *mailbox.Mailbox[message] // messages from other parts of this agent; unbounded: the senders must not wait, and send few messages
 	frames    chan []byte               // frames received from other agents
 	metrics   *replicaMetrics
 
--- a/internal/cluster/coordinator/leadership.go
+++ b/internal/cluster/coordinator/leadership.go
@@ -9,7 +9,7 @@
 // leadershipObserver exports the remaining lease as a metric, and logs and counts when this agent gains or loses the leadership.
 type leadershipObserver struct {
 	metrics *replicaMetrics
-	term    uint64 // term in which this agent is the leader; 0: it is not
+	term    uint64 // term in which this agent is the leader; 0: this agent is not the leader
 	hasLeft bool   // this agent was asked to hand over its leadership
 }
 
--- a/internal/cluster/coordinator/messages.go
+++ b/internal/cluster/coordinator/messages.go
@@ -10,8 +10,8 @@
 )
 
 // ErrNoStateDir is returned when an agent without a state folder is asked for a member change. An agent that restarts without stored state
-// counts quorums among its configured members. After a member change, the configured members could agree without any of the current
-// members.
+// counts quorums among its configured members. After a member change, a quorum of the configured members could agree although no
+// current member takes part.
 var ErrNoStateDir = errors.New("members change only where each agent has a state folder")
 
 // message is an entry of the mailbox. Its handle method runs on the goroutine of Serve.
--- a/internal/cluster/storage/inspect.go
+++ b/internal/cluster/storage/inspect.go
@@ -14,7 +14,7 @@
 // Contents is the content of a state folder.
 type Contents struct {
 	Group uint64
-	Agent int                    // -1: nothing was ever saved
+	Agent int                    // index of the agent whose state is stored; -1: nothing was ever saved
 	State *election.DurableState // nil: nothing was ever saved
 }
 
--- a/internal/cluster/storage/integrity.go
+++ b/internal/cluster/storage/integrity.go
@@ -47,8 +47,8 @@
 // touched keeps the compiler from removing the reads in touch.
 var touched atomic.Uint32
 
-// touch reads the first and the last byte of a key or a value. The bytes between them need not be read, because a key or a value
-// never spans more than the file.
+// touch reads the first and the last byte of a key or a value. The bytes between them need not be read: a key or a value
+// is never longer than the file, so if both of its ends lie in the file, the rest does too.
 func touch(content []byte) {
 	if len(content) > 0 {
 		touched.Store(uint32(content[0]) + uint32(content[len(content)-1]))
--- a/internal/cluster/transport/length_prefix.go
+++ b/internal/cluster/transport/length_prefix.go
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// writeMessage writes a message, preceded by its length, in one call. It refuses a message whose length readers reject. Otherwise a length
-// over 16 bits would be truncated, and the rest of the message would be read as further messages.
+// writeMessage writes a message, preceded by its length, in one call. It refuses a message with a length that a reader would reject.
+// Otherwise a length over 16 bits would be truncated, and the rest of the message would be read as further messages.
 func writeMessage(conn net.Conn, message []byte) error {
 	if err := checkMessageSize(len(message)); err != nil {
 		return err
--- a/internal/cluster/transport/tcp.go
+++ b/internal/cluster/transport/tcp.go
@@ -30,9 +30,9 @@
 	listener net.Listener
 	dial     dialFunc // TLS would be added here
 	receive  func(message []byte)
-	inbound  chan struct{} // semaphore: holds one value for each connection that is read
+	inbound  chan struct{} // semaphore that limits inbound connections; holds one value for each connection that is being read
 	updates  chan peerUpdate
-	ended    chan struct{} // closed when no more updates are accepted
+	ended    chan struct{} // closed when no more peer updates are accepted
 
 	mu    sync.Mutex
 	links map[int]*link // by the peer's index; changed only by the goroutine of serveLinks
--- a/internal/gossip/messenger.go
+++ b/internal/gossip/messenger.go
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// Intercept sets a function that is given each datagram from an agent before the event loop. A datagram for which interceptor returns true
-// is not passed to the event loop. Intercept must be called before Serve.
+// Intercept sets a function that is called with each datagram from an agent, before the datagram is passed to the event loop. A datagram for
+// which interceptor returns true is not passed on. Intercept must be called before Serve.
 func (m *Messenger) Intercept(interceptor func([]byte) bool) { m.interceptor = interceptor }
 
 // Send sends a payload to the agent whose index is to.
