--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -53,11 +53,11 @@
 
 // TenantResult counts the outcomes of a tenant's requests.
 type TenantResult struct {
-	Offered   int                     // requests without the clients' retries
+	Offered   int                     // requests, not counting the clients' retries
 	InTime    int                     // requests that succeeded within the latency objective
 	GivenUp   int                     // requests that failed, or were rejected and not retried again
 	Succeeded int                     // requests that succeeded before the end of the scenario
-	Attempts  int                     // requests and the clients' retries
+	Attempts  int                     // requests, counting each retry of a client as well
 	Rejected  int                     // attempts that were rejected
 	Latency   *hdrhistogram.Histogram // latencies of the attempts that succeeded, in microseconds
 }
@@ -68,7 +68,7 @@
 	AdmittedCost      []float64 // by tenant, in microseconds of work
 	Counters          admission.Counters
 	RetryAfterRatios  []float64 // Retry-After of a rejected request, divided by the wait that was needed
-	ConcurrencyLimits []float64 // sampled once a second
+	ConcurrencyLimits []float64 // the admission controller's concurrency limit, sampled once a second
 }
 
 // admissionRun is the state of a scenario while it runs.
--- a/internal/simulation/admission_policies.go
+++ b/internal/simulation/admission_policies.go
@@ -29,7 +29,7 @@
 type admitter struct {
 	*admission.Controller
 	queueTenant     func(tenant int) int             // returns the controller's index for a tenant of the scenario
-	fixedRetryAfter int64                            // sent instead of the controller's Retry-After, unless 0
+	fixedRetryAfter int64                            // in microseconds; sent instead of the controller's Retry-After; 0: the controller's is sent
 	allows          func(now int64, tenant int) bool // reports whether a request may reach the controller
 }
 
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -60,7 +60,7 @@
 	// maxViolations bounds the number of violations that are recorded for a schedule.
 	maxViolations = 5
 
-	// memberChangeRate is the fraction of the schedules with random faults that change the members.
+	// memberChangeRate is the share of schedules that change the members, among the schedules with random faults.
 	memberChangeRate = 0.3
 	// diskRate is the fraction of the agents that have a disk, in schedules that don't change the members.
 	diskRate = 0.5
--- a/internal/simulation/election_controller.go
+++ b/internal/simulation/election_controller.go
@@ -17,7 +17,7 @@
 	badSince     int64
 	stalledUntil int64
 	votes        []effectiveVote // on the current stage
-	newestVote   effectiveVote   // the last vote carried out; here, until is when the vote took effect
+	newestVote   effectiveVote   // the last vote carried out; its field until holds when the vote took effect
 }
 
 // effectiveVote is a vote that the rollout controller has carried out.
--- a/internal/simulation/election_faults.go
+++ b/internal/simulation/election_faults.go
@@ -31,7 +31,8 @@
 	maxFaultDelay = 600 * ms
 	// maxLossRate bounds the fraction of the messages that is lost during a loseMessages fault.
 	maxLossRate = 0.5
-	// leaderFaultRate is the fraction of the faults that hit the leader, if there is one.
+	// leaderFaultRate is the fraction of the faults of one agent that are aimed at the leader, if there is one. The other faults of
+	// one agent hit a random agent.
 	leaderFaultRate = 0.6
 	// inboundRate is the fraction of the cutOneDirection faults that cut what an agent receives. The other cutOneDirection faults
 	// cut what an agent sends.
--- a/internal/simulation/election_test.go
+++ b/internal/simulation/election_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// If a message takes a tenth of a lease, a ballot lasts longer than the pause between two ballots. A new leader is still elected
-// soon after the leader has crashed, and it stays the leader.
+// If a message takes a tenth of a lease, a ballot takes longer than the interval between two renewals. A new leader is still
+// elected soon after the leader has crashed, and it stays the leader.
 func TestSlowNetworkElectsLeader(t *testing.T) {
 	for _, agents := range []int{3, 4, 5} {
 		for seed := range int64(40) {
--- a/internal/simulation/retry_after_meter_test.go
+++ b/internal/simulation/retry_after_meter_test.go
@@ -7,8 +7,8 @@
 	"switchfork/internal/admission"
 )
 
-// A wait ends when the cost that was ahead of the client at its rejection has been admitted. A client that needed no wait is not
-// measured.
+// The needed wait of a rejected client ends when its tenant has been admitted as much further cost as was waiting or reserved at
+// the rejection. A client that needed no wait is not measured.
 func TestRetryAfterIsComparedWithNeededWait(t *testing.T) {
 	meter := newRetryAfterMeter(2)
 	status := admission.TenantStatus{AdmittedCost: 100, Cost: 20, ReservedCost: 5}
