--- a/internal/fakes/agent_config.go
+++ b/internal/fakes/agent_config.go
@@ -38,7 +38,7 @@
 // InitialState is what an agent knows before it has called any server.
 type InitialState struct {
 	Endpoints string // the endpoint list, see ListDocument
-	Rollout   string // the rollout state, see RolloutJSON; empty: Build has long been released
+	Rollout   string // the rollout state, see RolloutJSON; empty: AgentConfig.Build was released releasedAge ago
 }
 
 // RequestSettings holds what an agent knows about the requests of its clients.
--- a/internal/fakes/client_pool.go
+++ b/internal/fakes/client_pool.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Limits on the connections of a tenant. They keep the connections of all tenants together to a part of what an agent with 1,024
+// Limits on the connections of a tenant. With them, the connections of all tenants together are only a part of what an agent with 1,024
 // descriptors accepts. A tenant that sends at more than highRate gets the larger limit.
 const (
 	defaultConnections  = 50
@@ -19,7 +19,7 @@
 
 // clientPool holds the connections that a tenant's clients share.
 type clientPool struct {
-	slots chan struct{} // one for each request in progress
+	slots chan struct{} // holds one value for each request in progress
 	http  *http.Client
 }
 
--- a/internal/fakes/deployment.go
+++ b/internal/fakes/deployment.go
@@ -56,8 +56,8 @@
 	return d.listDocument()
 }
 
-// answerRollout answers the call for a stream with the last rollout update. It counts a vote and answers it with an error, because the
-// vote itself does not change the rollout.
+// answerRollout answers the call for a stream with the last rollout update. It counts each vote and answers it with an error, because
+// votes do not change the rollout of this fake.
 func (d *Deployment) answerRollout(request string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fakes/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -44,8 +44,8 @@
 type Observer interface {
 	// RequestArrived is called when a request has been read in full. Its result is passed to RequestRuns.
 	RequestArrived(e *Endpoint, r *http.Request) any
-	// RequestRuns is called when a request has got a slot, with the result of RequestArrived. It returns false if one of
-	// the observed endpoints has run the request before. The request is then answered without any work.
+	// RequestRuns is called when a request has got one of the endpoint's slots, with the result of RequestArrived. It returns false if
+	// one of the observed endpoints has run the request before. The request is then answered without any work.
 	RequestRuns(e *Endpoint, arrival any) bool
 }
 
--- a/internal/fakes/scripted_server.go
+++ b/internal/fakes/scripted_server.go
@@ -17,7 +17,8 @@
 }
 
 // ScriptedServer is a fake endpoint that records each complete request and then calls a handler with the connection and the request's
-// index, from 1. The handler writes the response to the connection, and reports whether the connection stays open.
+// index among all requests to the server, from 1. The handler writes the response to the connection, and reports whether the connection
+// stays open.
 type ScriptedServer struct {
 	net.Listener
 	mu          sync.Mutex
--- a/internal/fakes/stream_server.go
+++ b/internal/fakes/stream_server.go
@@ -17,7 +17,7 @@
 // maxPendingWrites bounds the writes that wait for a stream whose client does not read.
 const maxPendingWrites = 64
 
-// StreamServer is a fake of a peer that answers calls and keeps streams open: discovery, or the rollout controller.
+// StreamServer is a fake server that answers calls and keeps streams open: discovery, or the rollout controller.
 type StreamServer struct {
 	net.Listener
 	server            *http.Server
--- a/internal/fakes/workload.go
+++ b/internal/fakes/workload.go
@@ -51,7 +51,7 @@
 	random   *rand.Rand
 }
 
-// slowStart describes an endpoint that starts with a fraction of its full speed. The speed rises linearly.
+// slowStart describes an endpoint that starts with a fraction of its full speed. The speed rises linearly to full speed.
 type slowStart struct {
 	startedAt time.Time
 	initial   float64
