--- a/internal/faulttest/netfault/backlog.go
+++ b/internal/faulttest/netfault/backlog.go
@@ -66,7 +66,7 @@
 	return isFiller
 }
 
-// setBacklog changes the length of the accept queue. It fails only if the listener is closed, when the length no longer matters.
+// setBacklog changes the length of the accept queue. It fails only if the listener is closed. The length no longer matters then.
 func (b *backlogBlocker) setBacklog(length int) {
 	raw, err := b.listener.SyscallConn()
 	if err != nil {
--- a/internal/faulttest/netfault/direction.go
+++ b/internal/faulttest/netfault/direction.go
@@ -108,8 +108,8 @@
 }
 
 // waitChannels returns the channels on which write waits, besides the channel for a change of the fault. Without a pending segment, write
-// waits for the next segment. Otherwise it waits until the pending segment is due. While the link drops the pending segment, both channels
-// are nil.
+// waits for the next segment. Otherwise it waits until the pending segment is due. While the link drops everything, the pending segment is
+// held and both channels are nil.
 func (d *direction) waitChannels(pending *segment, fault Fault) (incoming <-chan segment, due <-chan time.Time) {
 	if pending == nil {
 		return d.segments, nil
@@ -126,7 +126,7 @@
 }
 
 // applyFault resets the connection and returns false if the fault refuses connections, or if a black hole has discarded bytes and has
-// ended. When the fault has changed, applyFault restarts the byte count until a reset.
+// ended. When the fault has changed, applyFault restarts the count of bytes left until a reset.
 func (d *direction) applyFault(fault Fault, version int, state *writerState) bool {
 	if fault.Refuse || state.hasLostBytes && !fault.Blackhole {
 		d.link.recordFaultHit()
--- a/internal/faulttest/netfault/link.go
+++ b/internal/faulttest/netfault/link.go
@@ -36,7 +36,7 @@
 	faultChanged    chan struct{} // closed by the next call of SetFault
 	random          *rand.Rand
 	bandwidthFreeAt Micros // time at which the rate limit lets the next bytes pass
-	lastDeliveryAt  Micros // delivery time of the previous datagram that was not held back
+	lastDeliveryAt  Micros // delivery time of the previous datagram, leaving out lost ones and those that wait to be overtaken
 	hasWaiting      bool   // a datagram is waiting to be overtaken
 	counters        Counters
 	faultHits       int64
@@ -143,7 +143,7 @@
 	switch {
 	case l.hasWaiting:
 		l.hasWaiting, d.Overtakes = false, true
-	case l.draw(f.ReorderRate / (1 - f.ReorderRate)): // no draw for a datagram that overtakes; the quotient compensates for that, so that the share ReorderRate of all datagrams waits
+	case l.draw(f.ReorderRate / (1 - f.ReorderRate)): // there is no draw for a datagram that overtakes; the quotient compensates for that, so that ReorderRate is the share of all datagrams that wait
 		l.hasWaiting, d.AwaitsReorder = true, true
 		d.DeliverAt += maxReorderWait
 		l.faultHits++
@@ -161,7 +161,7 @@
 }
 
 // ScheduleSegment returns when a segment of a stream that arrives now is to be delivered. A stream keeps its order, so this time is
-// not before ahead, the delivery time of the previous segment.
+// never earlier than ahead, which is the delivery time of the previous segment.
 func (l *Link) ScheduleSegment(now Micros, bytes int, ahead Micros) Micros {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/faulttest/netfault/mesh.go
+++ b/internal/faulttest/netfault/mesh.go
@@ -111,7 +111,7 @@
 			return
 		}
 		if err != nil {
-			continue // the system reports that a party which has ended refused an earlier datagram
+			continue // the system reports that an earlier datagram was refused, because its receiver has ended
 		}
 		if sender, isUDP := source.(*net.UDPAddr); !isUDP || sender.AddrPort() != m.parties[from] {
 			m.links[from][to].add(Counters{Foreign: 1})
--- a/internal/faulttest/netfault/relayed_conn.go
+++ b/internal/faulttest/netfault/relayed_conn.go
@@ -28,7 +28,7 @@
 func (c *relayedConn) close() {
 	c.closeOnce.Do(func() {
 		close(c.closed)
-		_ = c.client.Close() // everything to be delivered has been written, or was given up
+		_ = c.client.Close() // every segment has been written or given up
 		if server := c.serverConn(); server != nil {
 			_ = server.Close()
 		}
@@ -59,8 +59,8 @@
 	var readers sync.WaitGroup
 	defer readers.Wait()
 	defer c.close()
-	// Reading from the client begins before the server is dialled. If the client gives up while a fault lets nothing pass, the server sees
-	// no connection.
+	// Reading from the client begins before the server is dialled, so that the relay notices if the client gives up while a fault lets
+	// nothing pass. The server then sees no connection.
 	forward := c.forward()
 	readDone := make(chan struct{})
 	readers.Go(func() {
--- a/internal/faulttest/netfault/trace.go
+++ b/internal/faulttest/netfault/trace.go
@@ -39,7 +39,7 @@
 	isFull     bool
 }
 
-// appendProgress records that more bytes have passed. The direction is fromClient or toClient of this trace.
+// appendProgress records that more bytes have passed. The parameter direction points to fromClient or toClient of this trace.
 func (t *Trace) appendProgress(direction *[]Progress, bytes int, now Micros) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
