--- a/internal/faulttest/agent.go
+++ b/internal/faulttest/agent.go
@@ -31,7 +31,7 @@
 	mu              sync.Mutex
 	process         *fakes.Agent // the newest process; nil: none was started yet
 	lifetimes       []ProcessLifetime
-	initialVersions []configuredVersions // versions in the configuration at the start, by lifetime
+	initialVersions []configuredVersions // versions in the configuration that each process started with, by lifetime
 }
 
 func newAgent(ctx context.Context, number int, dir string) (*agent, error) {
@@ -71,8 +71,8 @@
 	return a.process
 }
 
-// beginLifetime records that a process is about to be started with a configuration of these versions, and returns the index of its
-// lifetime.
+// beginLifetime records that a process is about to be started, and which versions its configuration contains. It returns the index of the
+// process's lifetime.
 func (a *agent) beginLifetime(versions configuredVersions) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -87,8 +87,8 @@
 	a.process = process
 }
 
-// recordExit records that the process of a lifetime has ended, unless its end is already recorded. The agent's next process may have been
-// started in the meantime.
+// recordExit records that the process of a lifetime has ended, unless its end is already recorded. The parameter lifetime is its
+// index, because the agent's next process may have been started in the meantime.
 func (a *agent) recordExit(lifetime int, at netfault.Micros, exitErr error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -118,14 +118,15 @@
 	}
 }
 
-// updateLifetime changes the newest lifetime. The change may also signal the process; other goroutines see the lifetime only after both.
+// updateLifetime changes the newest lifetime. The function change may also signal the process. Other goroutines see the lifetime only after
+// the change and the signal.
 func (a *agent) updateLifetime(change func(*ProcessLifetime) error) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return change(&a.lifetimes[len(a.lifetimes)-1])
 }
 
-// isRunning reports whether the newest process runs and was not sent SIGTERM.
+// isRunning reports whether the newest process is running and has not been sent SIGTERM.
 func (a *agent) isRunning() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -133,8 +134,8 @@
 	return n > 0 && a.lifetimes[n-1].End < 0 && a.lifetimes[n-1].TermSentAt < 0 && a.process != nil
 }
 
-// wasKilled reports whether the newest process has ended, or whether, since the time at, the process that was running then has ended without
-// being sent SIGTERM. The second case matters because the agent's next process may have been started in the meantime.
+// wasKilled reports whether one of these holds: the newest process has ended, or the process that was running at the time at has since
+// ended without being sent SIGTERM. The second case matters because the agent's next process may have been started in the meantime.
 func (a *agent) wasKilled(at netfault.Micros) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/faulttest/agent_group.go
+++ b/internal/faulttest/agent_group.go
@@ -21,7 +21,7 @@
 	healthPollInterval = pollInterval
 )
 
-// agentGroup manages the agents of a run: it starts their processes and tracks which of them run.
+// agentGroup manages the agents of a run: it starts their processes and tracks which processes are running.
 type agentGroup struct {
 	scenario *Scenario
 	now      netfault.Clock
@@ -91,8 +91,8 @@
 	g.events.record(sourceDeployment, "agent %d's process ended", a.number)
 }
 
-// running implements processStates. It returns roughly the agents that pass a load balancer's health checks. Processes that are starting or
-// paused are included too.
+// running implements processStates. These are roughly the agents that pass a load balancer's health checks, but agents whose processes
+// are starting or paused are included too.
 func (g *agentGroup) running() (out []int) {
 	for i, a := range g.all {
 		if a.isRunning() {
--- a/internal/faulttest/attempt_sender.go
+++ b/internal/faulttest/attempt_sender.go
@@ -40,7 +40,7 @@
 	style  requestStyle
 }
 
-// newAttempt returns the record of an attempt that was not sent yet.
+// newAttempt returns the record of an attempt that has not been sent yet.
 func (s attemptSpec) newAttempt() Attempt {
 	a := Attempt{
 		Agent: s.agent, ID: fmt.Sprintf("%x-%d", s.serial, s.number), Class: s.class, SentAt: -1, Timeout: s.style.timeout.Microseconds(),
@@ -59,12 +59,12 @@
 	records   *clientRecords
 }
 
-// processStates reports to clients which processes of agents run.
+// processStates tells clients which agent processes are running.
 type processStates interface {
-	// running returns the agents whose processes run and were not asked to terminate.
+	// running returns the agents whose processes are running and have not been asked to terminate.
 	running() []int
-	// wasKilled reports whether the agent's newest process has ended, or whether, since the time at, the process that was running then has
-	// ended without being asked to. Such a process may have read a request before the connection ended.
+	// wasKilled reports whether one of these holds: the agent's newest process has ended, or the process that was running at the time at
+	// has since ended without being asked to. Such a process may have read a request before the connection ended.
 	wasKilled(agent int, at netfault.Micros) bool
 }
 
--- a/internal/faulttest/broadcaster.go
+++ b/internal/faulttest/broadcaster.go
@@ -17,11 +17,11 @@
 	keepAliveInterval = time.Second
 )
 
-// delivery is a version that a fake server wrote to an agent. The agent has received the version once the relay has delivered all bytes of
-// the connection up to the end of the version.
+// delivery is a version that a fake server wrote to an agent. The agent has received the version once the relay has delivered as many
+// bytes of the connection as the field bytes says.
 type delivery struct {
 	agent   int
-	bytes   int64           // number of bytes written on the connection, up to the end of the version
+	bytes   int64           // number of bytes written on the connection up to and including this version's text
 	at      netfault.Micros // when the server wrote the version
 	version int             // version of the endpoint list or of the rollout state
 	conn    *countedConn
--- a/internal/faulttest/capacity_rules.go
+++ b/internal/faulttest/capacity_rules.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// slowStartDeviations is how far the number of arrivals may exceed the limit by chance, in standard deviations.
+	// slowStartDeviations is the number of standard deviations by which the number of arrivals may exceed the limit by chance.
 	slowStartDeviations = 3
-	// capDelay, capAllowance and capTolerance are defined by the protocol. A lower cap binds capDelay after the end of fakes.DrainGrace. In
-	// addition to the cap's share and fakes.CapAllowance, capAllowance attempts and the share capTolerance of the received requests are
-	// permitted.
+	// capDelay, capAllowance and capTolerance are defined by the protocol. A lower cap takes effect once fakes.DrainGrace plus capDelay have
+	// passed since the agent was notified. An agent may send the build fakes.CapAllowance plus capAllowance attempts, and in addition
+	// the share cap plus capTolerance of the requests that it received.
 	capDelay     = 150 * time.Millisecond
 	capAllowance = 2
 	capTolerance = 0.04
@@ -87,9 +87,9 @@
 	return times
 }
 
-// checkExposureCap counts the attempts that each agent sends to a build that is being rolled out. In any window, the count must not exceed
-// the permitted allowance plus the cap's share of the requests that the agent received. A lower cap binds after the grace period, and the
-// count then restarts. A released build has no cap.
+// checkExposureCap counts the attempts that each agent sends to a build that is being rolled out. In any window of
+// fakes.CapWindow, the count must not exceed the permitted allowance plus the cap's share of the requests that the agent received. A lower
+// cap takes effect after capGrace, and the count then restarts. A released build has no cap.
 func checkExposureCap(r *Records) (out []Violation) {
 	for agent := range r.Agents {
 		received := r.receivedTimes(agent)
@@ -205,10 +205,10 @@
 	return limit
 }
 
-// capGrace returns the time from the notification of a lower cap until the cap binds.
+// capGrace returns the time from the notification of a lower cap until the cap takes effect.
 func capGrace() netfault.Micros { return (fakes.DrainGrace + capDelay).Microseconds() }
 
-// countStart returns the start of the count that ends at the time at. A new count starts when a lower cap binds.
+// countStart returns when the count that ends at the time at begins: fakes.CapWindow earlier, or when a lower cap took effect, if later.
 func (w *exposureWindow) countStart(at netfault.Micros) netfault.Micros {
 	from := at - fakes.CapWindow.Microseconds()
 	for i, c := range w.caps {
--- a/internal/faulttest/client_conn.go
+++ b/internal/faulttest/client_conn.go
@@ -16,7 +16,8 @@
 // pieceInterval is the time between the two pieces of a split request.
 const pieceInterval = 20 * time.Millisecond
 
-// clientConn is a client's connection to an agent. An idle connection is owned by its connSource, a connection in use by the attempt.
+// clientConn is a client's connection to an agent. An idle connection is owned by its connSource; a connection in use is
+// owned by the attempt.
 type clientConn struct {
 	net.Conn
 	reader   *bufio.Reader
@@ -41,8 +42,8 @@
 	return err
 }
 
-// closedWhileIdle reports whether an error means that the agent closed a connection on which it had answered before, without sending any byte
-// of a further answer.
+// closedWhileIdle reports whether an error means that the agent closed an idle connection: the agent had answered on it before, and has sent
+// no byte of a further answer.
 func (c *clientConn) closedWhileIdle(err error) bool {
 	if !c.wasUsed || c.reader.Buffered() > 0 {
 		return false
--- a/internal/faulttest/client_records.go
+++ b/internal/faulttest/client_records.go
@@ -12,7 +12,7 @@
 type clientRecords struct {
 	now                 netfault.Clock
 	connsWithExtraBytes atomic.Int64 // number of idle connections on which bytes arrived
-	droppedRequests     atomic.Int64 // number of attempts without a free connection slot; more than 0 means that the scenario's load is too high
+	droppedRequests     atomic.Int64 // number of attempts not sent for lack of a connection slot; more than 0 means that the scenario's load is too high
 
 	mu         sync.Mutex
 	requests   []*Request
@@ -34,8 +34,8 @@
 	request.Attempts = append(request.Attempts, attempt)
 }
 
-// finish records the outcome of a request. The request meets the latency objective if it succeeded within the objective, measured from
-// the time since.
+// finish records the outcome of a request. The request meets the latency objective if it succeeded and its last attempt ended no
+// later than latencyObjective after since.
 func (r *clientRecords) finish(request *Request, outcome string, since netfault.Micros) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faulttest/conn_pool.go
+++ b/internal/faulttest/conn_pool.go
@@ -61,7 +61,7 @@
 // connPool holds the connections that the open loads share: the idle connections to each agent, and a slot for each connection in use.
 type connPool struct {
 	*connDialer
-	slots []chan struct{} // by agent
+	slots []chan struct{} // by agent; each holds one value for each connection in use
 
 	mu   sync.Mutex
 	idle [][]*clientConn // by agent
--- a/internal/faulttest/draw.go
+++ b/internal/faulttest/draw.go
@@ -16,7 +16,7 @@
 	// minDrawnClients and maxDrawnClients bound the number of closed-load clients at all agents together.
 	minDrawnClients = 120
 	maxDrawnClients = 300
-	// closedLoadOneIn is the number of scenarios of which, on average, one has a closed load.
+	// closedLoadOneIn sets how many scenarios have a closed load: on average, one in this number.
 	closedLoadOneIn = 4
 	drawnEvents     = 4
 	drawnBuild      = 7
--- a/internal/faulttest/measure.go
+++ b/internal/faulttest/measure.go
@@ -144,7 +144,7 @@
 	return counted(n, measureDuplicates)
 }
 
-// busiest returns the number of arrivals at the busiest endpoint, as a multiple of the mean over the endpoints.
+// busiest returns the number of arrivals at the busiest endpoint, as a multiple of the mean number per endpoint.
 func (q query) busiest() measurement {
 	arrivals := q.arrivals()
 	if len(arrivals) == 0 {
@@ -184,7 +184,7 @@
 	return counted(n, "datagrams delivered")
 }
 
-// alive counts the processes that run at the end of the range.
+// alive counts the processes that are running at the end of the range.
 func (q query) alive() measurement {
 	n := 0
 	for agent := range q.records.Lifetimes {
--- a/internal/faulttest/open_load.go
+++ b/internal/faulttest/open_load.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// drawStyle draws how a request is sent. It draws no random number for a share that is 0, so that the arrivals of a load with plain requests
-// only do not depend on these options.
+// drawStyle draws how a request is sent. The arrival times come from the same random source. No number is drawn for a share that
+// is 0, so a load of only plain requests has the same arrivals as it would have without this draw.
 func (a openLoadStep) drawStyle(random *rand.Rand) (style requestStyle) {
 	if a.splitShare > 0 {
 		style.isSplit = random.Float64() < a.splitShare
@@ -73,8 +73,8 @@
 }
 
 // runRequest makes attempts at a request until one succeeds or no further attempt is allowed. A rejected attempt is retried after the time
-// that the agent names. An attempt without an answer is retried at any running agent, as a simple load balancer in front of the agents would
-// do, if it did not reach its agent or if its request may run twice.
+// that the agent names. An attempt without an answer is retried if it did not reach its agent, or if its request may run twice. It is retried
+// at any running agent, as a simple load balancer in front of the agents would do.
 func (c *clients) runRequest(ctx context.Context, request *Request, class string, style requestStyle) {
 	began := c.now()
 	spec := attemptSpec{agent: request.Agent, class: class, serial: c.lastSerial.Add(1), style: style}
@@ -100,7 +100,8 @@
 	c.records.finish(request, outcome, began)
 }
 
-// sendPooled makes an attempt on a connection of the pool. If the agent has no free slot, the attempt is not sent and counts as unreachable.
+// sendPooled makes an attempt on a connection of the pool. If the agent has no free connection slot, the attempt is not sent and counts as
+// unreachable.
 func (c *clients) sendPooled(ctx context.Context, spec attemptSpec) Attempt {
 	if !c.pool.acquireSlot(spec.agent) {
 		c.records.droppedRequests.Add(1)
--- a/internal/faulttest/parse_condition.go
+++ b/internal/faulttest/parse_condition.go
@@ -139,7 +139,8 @@
 	return e
 }
 
-// exclusiveClaim parses "hold" and the words for what no two agents may hold at the same time. It stops before the range.
+// exclusiveClaim parses "hold" and the words for what no two agents may hold at the same time. It consumes no token of the range,
+// see expectationRange.
 func (p *conditionParser) exclusiveClaim() string {
 	if !p.accept("hold") {
 		p.fail("two is not followed by hold, expected hold and what is held")
--- a/internal/faulttest/records.go
+++ b/internal/faulttest/records.go
@@ -30,7 +30,7 @@
 	// ReceivedLists and ReceivedStages hold, by agent, when the agent received each version, ordered by time.
 	ReceivedLists  [][]Receipt `json:"HadList"`
 	ReceivedStages [][]Receipt `json:"HadNews"`
-	// SentAt is when each of Arrivals was sent by its agent; -1 if the relay's trace does not show it.
+	// SentAt holds, by index in Arrivals, when the agent sent the request to the endpoint; -1 if the relay's trace does not show it.
 	SentAt []netfault.Micros
 }
 
@@ -41,7 +41,7 @@
 	TermSentAt netfault.Micros      `json:"Left"`       // when SIGTERM was sent; -1: never
 	Pauses     [][2]netfault.Micros `json:"Standstill"` // start and end of each pause by SIGSTOP; the end is -1 while the pause lasts
 	WasKilled  bool                 `json:"Killed"`
-	ExitError  string               // exit error of a process that was not killed; empty: it exited with status 0, or it runs
+	ExitError  string               // exit error of a process that was not killed; empty: it exited with status 0, or is still running
 }
 
 // Receipt records when a version of the endpoint list or of the rollout state was delivered to an agent.
@@ -74,7 +74,7 @@
 	StartedAtMS int64 `json:"Born"` // start time in Unix milliseconds; 0: long before the run
 }
 
-// Stage is a state of the rollout.
+// Stage is one version of the rollout state: a build, its stage, phase and traffic cap, and the time At from which the state holds.
 type Stage struct {
 	Build, Stage int
 	Phase        string
@@ -82,7 +82,7 @@
 	At           netfault.Micros
 }
 
-// Vote is a vote of an agent, as the rollout controller received it.
+// Vote is an agent's vote, as the rollout controller received it.
 type Vote struct {
 	At             netfault.Micros
 	Agent          int
@@ -97,8 +97,8 @@
 	Build           int
 	Agent           int
 	conn            *countedConn
-	StreamOffset    int64           `json:"From"` // position of the request's first byte in what the endpoint read from the connection
-	ID, Key         string          // the client's id of the attempt; the idempotency key, for classNonIdempotent the sid parameter
+	StreamOffset    int64           `json:"From"` // number of bytes that the endpoint read from the connection before the request
+	ID, Key         string          // the client's ID of the attempt; the idempotency key, or for classNonIdempotent the sid parameter
 	Class           string          `json:"Product"`
 	RanAt           netfault.Micros `json:"Ran"` // -1: the request did not run, or was dropped as a duplicate
 	WasDeduplicated bool            `json:"Dropped"`
@@ -141,7 +141,7 @@
 }
 
 // CloseRace is a request that was sent on a reused connection at the moment at which the connection ended. It got no answer, and the client
-// sent it again. Right before, the client had checked that the connection was still open.
+// sent it again. Right before the first sending, the client had checked that the connection was still open.
 type CloseRace struct {
 	Agent   int
 	At      netfault.Micros
--- a/internal/faulttest/relay_network.go
+++ b/internal/faulttest/relay_network.go
@@ -8,9 +8,9 @@
 	"switchfork/internal/faulttest/netfault"
 )
 
-// Parts of the seeds of the relays' random sources: a factor on the scenario's seed for each kind of relay, a step for each agent, and a
-// salt for each server. They keep the random sequences of the relays apart, except that the relays of one agent to a moved discovery and to a
-// moved rollout controller can get the same seed.
+// Parts of the seeds of the relays' random sources. The scenario's seed is multiplied by a factor for each kind of relay. Successive agents
+// are a step apart, and each server has a salt. The random sequences of the relays thus differ, except that the relays of one agent to a moved
+// discovery and to a moved rollout controller can get the same seed.
 const (
 	meshSeedFactor     = 7919
 	serverSeedFactor   = 6151
@@ -41,7 +41,8 @@
 	toRollout   []serverRelays       // by agent
 }
 
-// serverRelays are an agent's relays to discovery or to the rollout controller. The agent uses the newest one; a reload adds one.
+// serverRelays are an agent's relays to discovery or to the rollout controller. The agent uses the newest one. Moving the server
+// adds one.
 type serverRelays struct {
 	server  *countingListener
 	streams []*netfault.Stream
--- a/internal/faulttest/rules.go
+++ b/internal/faulttest/rules.go
@@ -36,14 +36,14 @@
 	killDelay = 3700 * time.Millisecond
 	// acceptAfterTerm is how long after SIGTERM new connections still arrive, according to the protocol.
 	acceptAfterTerm = 200 * time.Millisecond
-	// exitSlack is how long before its exit a process that was not killed may already have closed its listener. A request that was sent in
-	// this time need not be answered.
+	// exitSlack is how early before its exit a process that was not killed may close its listener. A request that was sent in this time need
+	// not be answered.
 	exitSlack = 50 * time.Millisecond
-	// maxCleanCloseRaces is how many requests of a run may be sent on a connection that is cleanly closed at the same moment. The moment
+	// maxCleanCloseRaces is how often in a run a connection may be closed cleanly at the moment at which a request is sent on it. The moment
 	// lasts microseconds, and affects a request in about one of a hundred restarts.
 	maxCleanCloseRaces = 1
-	// disconnectSlack is how long an attempt may still be sent after its client has disconnected: the 0.1 s that the protocol allows, plus
-	// drainSlack.
+	// disconnectSlack is how long an agent may still send attempts for a client that has disconnected: the 0.1 s that the protocol allows,
+	// plus drainSlack.
 	disconnectSlack = 100*time.Millisecond + drainSlack
 )
 
@@ -138,8 +138,8 @@
 }
 
 // checkNoDuplicateEffect checks that no request with an idempotency key runs twice. A request that an endpoint dropped as a duplicate did
-// not run. Clients retry a request of a class that must never run twice only after an answer that says that the request did not run. They
-// retry a keyed request well within the endpoints' deduplication window.
+// not run. Clients do not cause a second run themselves. They retry a request of a class that must never run twice only after an answer that
+// says that the request did not run. They retry a keyed request well within the endpoints' deduplication window.
 func checkNoDuplicateEffect(r *Records) (out []Violation) {
 	first := map[string]Arrival{}
 	for _, a := range r.Arrivals {
@@ -210,9 +210,9 @@
 	return out
 }
 
-// inactiveSince returns since when an agent has known, at the time by, that an endpoint is not active. That is when the agent received the
-// first version in which the endpoint is not active, after the last version in which it is active. The result is -1 if the endpoint is
-// active in the newest version.
+// inactiveSince returns when an agent learned that an endpoint is not active, from the versions that the agent had received at the time by.
+// That is when the agent received the first version in which the endpoint is not active, after the last version in which it is active. The
+// result is -1 if the endpoint is active in the newest version.
 func (r *Records) inactiveSince(receipts []Receipt, endpoint int, by netfault.Micros) netfault.Micros {
 	since := netfault.Micros(-1)
 	newest := -1
@@ -275,8 +275,8 @@
 	return out
 }
 
-// findSharedClaim describes two agents that both hold the claim what at the same time within the range in. It returns an empty text if there
-// are no such agents.
+// findSharedClaim describes two agents that hold the same thing, named by what, at the same time within the range in. It returns an empty
+// text if there are no such agents.
 func findSharedClaim(claims []claim, what string, in timeRange) string {
 	for i, a := range claims {
 		for _, b := range claims[i+1:] {
--- a/internal/faulttest/shutdown_rules.go
+++ b/internal/faulttest/shutdown_rules.go
@@ -64,7 +64,7 @@
 	return isEarly && a.WasUnreachable && strings.Contains(a.Err, "refused")
 }
 
-// checkNothingAfterDisconnect checks that no attempt is sent for a client that has disconnected.
+// checkNothingAfterDisconnect checks that agents send endpoints nothing for a client that disconnected more than disconnectSlack before.
 func checkNothingAfterDisconnect(r *Records) (out []Violation) {
 	disconnectedAt := map[string]netfault.Micros{}
 	for _, request := range r.Requests {
--- a/internal/faulttest/steps.go
+++ b/internal/faulttest/steps.go
@@ -15,7 +15,7 @@
 type (
 	// openLoadStep sends requests at a rate, whether or not earlier requests have been answered.
 	openLoadStep struct {
-		number             int     // index among the scenario's load steps, from 0; part of the random seed
+		number             int     // index among the scenario's open-load steps, from 0; part of the random seed
 		rate               float64 // requests per second at each agent
 		agents             AgentSet
 		keyedShare         float64
