--- a/internal/admission/concurrency_limit.go
+++ b/internal/admission/concurrency_limit.go
@@ -17,20 +17,20 @@
 	maxDecreaseFraction = 0.3
 	// increaseFraction is the fraction by which the limit increases, after slow start, in each round in which it was reached.
 	increaseFraction = 0.05
-	// headroomFraction is how far the requests of clients that return at their reserved time may exceed the limit, as a fraction of
-	// the limit.
+	// headroomFraction is how far the limit may be exceeded for clients that return at their reserved time, as a fraction of the
+	// limit.
 	headroomFraction = 0.1
 	// extraHeadroom, in requests, is added to the headroom that headroomFraction gives, so that two clients can return together even
 	// at the smallest limit.
 	extraHeadroom = 1
 )
 
-// At any time some requests in progress have not been sent: no endpoint in their group accepts them, a cap on the requests to a
-// new build holds them back, or they are on the way between two goroutines. As long as there are unsent requests, the dispatcher
-// is not short of requests.
+// At any time some requests in progress have not been sent: no endpoint that is eligible for them accepts them, a cap on the
+// requests to a new build holds them back, or they are on the way between two goroutines. As long as there are unsent requests, the
+// dispatcher is not short of requests.
 const (
-	// unsentFraction is how many requests in progress may be unsent, as a fraction of the limit. A fraction of the requests in
-	// progress would reduce the limit to the demand whenever there is little load.
+	// unsentFraction is how many requests in progress may be unsent, as a fraction of the limit. It is not a fraction of the
+	// requests in progress, because that would reduce the limit to the demand whenever there is little load.
 	unsentFraction = 0.05
 	// minUnsentAllowance is the number of requests in progress that may be unsent however low the limit is. This many requests are
 	// some tens of milliseconds of work for a small deployment. If the allowance were much smaller, a dispatcher that has lowered
@@ -140,7 +140,7 @@
 	unsentAllowance := max(minUnsentAllowance, unsentFraction*l.current)
 	switch {
 	case l.round.unsentTime > unsentAllowance*float64(elapsed):
-		// The largest number of sent requests plus the allowance is never less than what the endpoints can handle.
+		// The round's largest number of sent requests, plus the allowance, is at least what the endpoints can handle.
 		l.current = min(l.current, float64(l.round.peakSent)+unsentAllowance)
 		l.inSlowStart = false
 	case l.round.rejectedRatio() > maxRejectedRatio:
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -49,8 +49,8 @@
 	bytesPerRequest = 64 << 10
 )
 
-// LimitsFor derives the limits from the process's memory budget in MiB, from upstreamSlots, the number of requests that the
-// process's connections allow to be open, and from the number of queues per tenant.
+// LimitsFor derives the limits from the process's memory budget in MiB and the number of queues per tenant. upstreamSlots is the
+// number of open requests that the process's connections allow.
 func LimitsFor(budgetMB, upstreamSlots, queues int) Limits {
 	admissionBytes := int64(budgetMB) << 20 / budgetDivisor
 	return Limits{
--- a/internal/admission/cost_estimator.go
+++ b/internal/admission/cost_estimator.go
@@ -22,7 +22,7 @@
 	// responseTimeMultiple is how much of the latency objective has to remain after the wait, in mean response times. A request
 	// that is admitted with less time left is likely to be given up after an endpoint has worked on it.
 	responseTimeMultiple = 3.0
-	// minWaitFraction is how long a request may wait however slow responses are, as a fraction of its latency objective.
+	// minWaitFraction is the fraction of its latency objective that a request may always wait, however slow responses are.
 	minWaitFraction = 0.05
 )
 
--- a/internal/admission/cost_estimator_test.go
+++ b/internal/admission/cost_estimator_test.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// A request may wait for half of its latency objective, for less if responses are slow, and always for a small fraction of it.
+// A request may wait for half of its latency objective. If responses are slow, the longest wait is shorter, but never shorter than a
+// small fraction of the objective.
 func TestMaxWaitLeavesTimeForResponse(t *testing.T) {
 	estimator := newCostEstimator(testClasses())
 	for meanResponseTime, want := range map[Micros]Micros{
--- a/internal/admission/fair_queues.go
+++ b/internal/admission/fair_queues.go
@@ -38,7 +38,7 @@
 	queues         []clientQueue
 	waitingCount   int
 	waitingCost    float64
-	admittedCost   float64 // total since the process started
+	admittedCost   float64 // total cost of the requests admitted since the process started
 }
 
 // queuePlace is the place of a request in fairQueues.
@@ -227,8 +227,8 @@
 // the request in its queue, and as much again for each other queue with requests, since the queues are served in turn.
 func (q *fairQueues) costAhead(request *trackedRequest) float64 {
 	tenant, queue := request.queuePlace.tenant, request.queuePlace.queue
-	// The queue is served when the virtual time reaches its start tag. Until then, every other queue that has requests is served
-	// about as much cost as this distance.
+	// The queue is served when the virtual time reaches the queue's start tag. Until then, about this much cost is served from
+	// each other queue that has requests.
 	tagDistance := queue.flow.startTag - tenant.queueScheduler.virtualTime
 	aheadInQueue := max(0, tagDistance+queue.costThrough(request)-request.cost)
 	return min(tenant.waitingCost-request.cost, aheadInQueue*float64(len(tenant.queueScheduler.active)))
--- a/internal/admission/request_records_test.go
+++ b/internal/admission/request_records_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// requestRecords returns the open requests, counts the size of their bodies, and reuses released records.
+// requestRecords returns the open requests, adds up the sizes of their bodies, and reuses released records.
 func TestRequestRecordsAreReused(t *testing.T) {
 	records := newRequestRecords()
 	first := records.add(Arrival{ID: 1, Bytes: 100})
--- a/internal/admission/reservations.go
+++ b/internal/admission/reservations.go
@@ -10,13 +10,13 @@
 	// errors of the estimate. The clients of a tenant that floods therefore get the longest Retry-After times, without a
 	// reservation.
 	reservableFraction = 0.5
-	// reservationGrace is added to the width of a slot. The sum is how long after the return time a client still counts as on time,
-	// because clients sleep at least as long as the Retry-After says, and the network adds its delay.
+	// reservationGrace is added to the width of a calendar slot. A client still counts as on time until this sum has passed after
+	// the return time, because clients sleep at least as long as the Retry-After says, and the network adds its delay.
 	reservationGrace = 100 * millisecond
 	// earlyTolerance is how long before the return time a client already counts as on time.
 	earlyTolerance = 2 * millisecond
 	// minFallbackFraction is the shortest Retry-After time without a reservation, as a fraction of the longest Retry-After time.
-	// The rest is random, so that a thousand clients that were rejected together don't return together.
+	// Each time is drawn at random between the two, so that a thousand clients that were rejected together don't return together.
 	minFallbackFraction = 0.75
 )
 
@@ -32,10 +32,12 @@
 
 // reservationTable decides the Retry-After time of each rejected request, and whether a client has returned on time. The
 // Retry-After time depends on the rate and the waiting cost of the request's tenant, and on what is already reserved. Each
-// tenant has a calendar of time slots of equal width. A slot has room for a reservation if the cost that is reserved up to this
-// slot, with the new reservation, is at most reservableFraction of the cost that the tenant's rate admits until then. A client
-// that returns on time is admitted ahead of the waiting requests. A reservation is honored, missed if there is no capacity when
-// the client returns, given up if the client returns early, or unclaimed.
+// tenant has a calendar of time slots of equal width. A slot has room for a reservation if the sum of the reserved costs
+// up to and including this slot, with the new reservation, is at most reservableFraction of the cost that the tenant's rate
+// admits until then. A client that returns on time is admitted ahead of the waiting requests.
+//
+// A reservation is honored if the client returns on time and is admitted at once. It is missed if there is no capacity when the
+// client returns on time, given up if the client returns early, and unclaimed if the client returns late or not at all.
 //
 // The controller calls reservationTable for each rejection and each arrival. Wait estimates allow for the reserved cost.
 type reservationTable struct {
--- a/internal/admission/reservations_test.go
+++ b/internal/admission/reservations_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A rejected client is sent a Retry-After time of at most RetryAfterLimits.Max. A client with a reservation that returns at that
-// time is admitted at once in nine of ten cases.
+// A rejected client is sent a Retry-After time of at most RetryAfterLimits.Max. Of the clients that have a
+// reservation and return at that time, at least nine in ten are admitted at once.
 func TestReservationsAreHonored(t *testing.T) {
 	c := newTestController([]float64{0.5, 0.5}, Limits{Requests: 60, Bytes: 1 << 20, Queues: 8}, false)
 	fixLimit(c, 8)
@@ -54,7 +54,7 @@
 				}
 			}
 		}
-		if random.Float64() < 0.8 { // twice the capacity, all of one tenant
+		if random.Float64() < 0.8 { // the new requests are twice the capacity, and all are of one tenant
 			id++
 			arrive(Arrival{ID: id, Tenant: 0, Client: id, Key: id, Class: 1, CostHint: 20 * millisecond})
 		}
@@ -64,7 +64,7 @@
 	}
 }
 
-// A reservation can be claimed once: early, which releases its cost, on time, or late.
+// A reservation can be claimed once. An early claim releases the reserved cost; a claim that is on time or late does not.
 func TestReservationIsClaimedByTimeOfReturn(t *testing.T) {
 	const retryKey = 5
 	request := &trackedRequest{cost: 1000, retryKey: retryKey}
@@ -72,7 +72,7 @@
 		name     string
 		returnAt func(*reservation) Micros
 		want     claimResult
-		cost     float64 // reserved after the claim
+		cost     float64 // cost that is still reserved after the claim
 	}{
 		{"early", func(r *reservation) Micros { return r.returnAt - earlyTolerance - 1 }, claimedEarly, 0},
 		{"early within the tolerance", func(r *reservation) Micros { return r.returnAt - earlyTolerance }, claimedOnTime, 1000},
--- a/internal/admission/retry_index.go
+++ b/internal/admission/retry_index.go
@@ -15,8 +15,9 @@
 }
 
 // keyOf returns the retry key, which is the same for all attempts of a request. In a keyed class it is a hash of
-// tenant, class and idempotency key, in other classes of tenant, class, client and the object that the request concerns. A
-// request with neither key nor object is never found by its retry key, which then only identifies the client's reservation.
+// tenant, class and idempotency key. In other classes it is a hash of tenant, class, client and the object that the request
+// concerns. The retry key of a request with neither key nor object identifies only the client's reservation; the request is never
+// found by it.
 func (x *retryIndex) keyOf(arrival *Arrival) uint64 {
 	hash := hashing.Mix64(x.hashSeed ^ uint64(arrival.Tenant)<<32 ^ uint64(arrival.Class))
 	switch {
--- a/internal/admission/status.go
+++ b/internal/admission/status.go
@@ -4,15 +4,15 @@
 type Counters struct {
 	Arrived   uint64
 	Admitted  uint64
-	Rejoined  uint64 // retries that replaced or followed an earlier attempt
+	Rejoined  uint64 // retries that replaced a queued attempt or joined one in progress
 	Coalesced uint64 // rejoined retries that share the earlier attempt's answer
 	Rejected  [reasonCount]uint64
 
 	Reserved              uint64
-	ReservationsHonored   uint64 // the client returned on time and was admitted at once
-	ReservationsMissed    uint64 // the client returned on time and had to wait
-	ReservationsUnclaimed uint64 // the client did not return on time
-	EarlyRetries          uint64 // the client returned too early
+	ReservationsHonored   uint64 // reservations whose client returned on time and was admitted at once
+	ReservationsMissed    uint64 // reservations whose client returned on time and had to wait
+	ReservationsUnclaimed uint64 // reservations whose client returned too late or not at all
+	EarlyRetries          uint64 // reservations whose client returned too early
 
 	Finished [resultCount]uint64 // admitted requests that have finished, by result
 }
@@ -40,9 +40,9 @@
 // TenantStatus is a snapshot of one tenant. Costs are in microseconds of work.
 type TenantStatus struct {
 	Waiting      int
-	Cost         float64 // of the waiting requests
-	AdmittedCost float64 // total since the process started
-	ReservedCost float64 // in the current slot and later ones
+	Cost         float64 // total cost of the waiting requests
+	AdmittedCost float64 // total cost of the requests admitted since the process started
+	ReservedCost float64 // total cost reserved in the current calendar slot and later ones
 }
 
 // Tenant returns a snapshot of the tenant with the given index.
--- a/internal/admission/timing_wheel.go
+++ b/internal/admission/timing_wheel.go
@@ -1,11 +1,11 @@
 package admission
 
 const (
-	// tickInterval is the granularity of wait deadlines, and how often the concurrency limit is checked while any request waits.
-	// It is short compared with any latency objective.
+	// tickInterval is the granularity of wait deadlines, and the interval at which the concurrency limit is checked while any request
+	// waits. It is short compared with any latency objective.
 	tickInterval = 10 * millisecond
-	// timingWheelSlots is the number of slots of one tick each, which together cover ten seconds. A request with a later deadline
-	// is skipped until its tick is due.
+	// timingWheelSlots is the number of slots of the wheel. A slot is one tick long, and all slots together cover ten seconds. A
+	// request with a later deadline shares its slot with requests of an earlier tick, and is skipped until its own tick is due.
 	timingWheelSlots = 1024
 )
 
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -25,8 +25,8 @@
 // Constants of the delay after Unreachable.
 const (
 	// minReconnectDelay is the delay after the first Unreachable, before jitter. Each further Unreachable doubles the delay, up to
-	// maxReconnectDelay. The first delay is short, so that a service that is back is found at once, since the changes that it
-	// reports have to take effect from that moment.
+	// maxReconnectDelay. The first delay is short, so that the caller reconnects at once when the service is back. The
+	// changes that the service reports have to take effect from that moment.
 	minReconnectDelay = 50 * millisecond
 	maxReconnectDelay = 800 * millisecond
 	// maxDoublings keeps the doubled delay from overflowing. Fewer doublings already exceed maxReconnectDelay.
@@ -76,9 +76,9 @@
 }
 
 // Initial returns the delay before the first call. The calls of agents that start at the same time are spread over up to half of
-// the deadline. If there are few agents, the delay is close to 0. Without a deadline there is no delay, since the endpoint list is
-// then pushed by the service, and a drain that was announced while an agent was disconnected has to take effect as soon as the
-// agent is connected again.
+// the deadline. If there are few agents, the delay is close to 0. Without a deadline there is no delay: the service
+// then pushes the endpoint list, and a drain that was announced while an agent was disconnected has to take effect as soon as
+// the agent is connected again.
 func (b *Backoff) Initial(agents int) Micros {
 	if !b.hasDeadline {
 		return 0
--- a/internal/connlimit/budget.go
+++ b/internal/connlimit/budget.go
@@ -13,7 +13,8 @@
 	// holds, and requests on connections in the kernel's accept queue would not be read until their deadlines.
 	reservedShare = 0.125
 
-	// freeShare is the part of the limit that is kept free of idle connections to clients, for connections to endpoints.
+	// freeShare is the part of the limit that is kept free for connections to endpoints. When less than this part is free,
+	// connections to clients are not kept open between requests.
 	freeShare = 0.0625
 )
 
@@ -52,7 +53,7 @@
 // isExhausted reports whether no descriptor is free. The caller holds mu.
 func (b *Budget) isExhausted() bool { return b.clientConns+b.upstreamConns >= b.limit }
 
-// AcquireUpstream takes a descriptor for a connection to an endpoint, and reports whether there was one.
+// AcquireUpstream takes a descriptor for a connection to an endpoint, and reports whether one was free.
 func (b *Budget) AcquireUpstream() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -63,7 +64,7 @@
 	return true
 }
 
-// AcquireClient takes a descriptor for a connection to a client, and reports whether there was one left for clients.
+// AcquireClient takes a descriptor for a connection to a client, and reports whether one was free for clients.
 func (b *Budget) AcquireClient() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
