--- a/internal/admission/fair_queues_test.go
+++ b/internal/admission/fair_queues_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Two tenants that always have waiting requests are served by their weights. Weighted cost is cost
-// divided by the tenant's weight. Whatever the requests cost, the two tenants' totals of served weighted cost differ at most by the
-// sum of the weighted costs of each tenant's most expensive request.
+// Two tenants that always have waiting requests are served by their weights. The weighted cost of a request is its cost divided by the
+// tenant's weight. Whatever the requests cost, the total weighted costs served for the two tenants differ at most by the sum of the weighted
+// costs of each tenant's most expensive request.
 func TestCostIsSharedByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := []float64{rapid.Float64Range(0.1, 1).Draw(t, "w0"), rapid.Float64Range(0.1, 1).Draw(t, "w1")}
--- a/internal/admission/rate_estimator_test.go
+++ b/internal/admission/rate_estimator_test.go
@@ -10,7 +10,7 @@
 func TestRateIsWhatIsAdmittedUnderBacklog(t *testing.T) {
 	const (
 		cost             = 20_000.0
-		interval         = 10 * millisecond // time between admissions; two microseconds of work are admitted per microsecond
+		interval         = 10 * millisecond // time between admissions; at this cost, two microseconds of work are admitted per microsecond
 		meanResponseTime = 20_000.0
 	)
 	estimator := newRateEstimator()
--- a/internal/admission/reservations.go
+++ b/internal/admission/reservations.go
@@ -32,9 +32,9 @@
 
 // reservationTable decides the Retry-After time of each rejected request, and whether a client has returned on time. The
 // Retry-After time depends on the rate and the waiting cost of the request's tenant, and on what is already reserved. Each
-// tenant has a calendar of time slots of equal width. A slot has room for a reservation if the sum of the reserved costs
-// up to and including this slot, with the new reservation, is at most reservableFraction of the cost that the tenant's rate
-// admits until then. A client that returns on time is admitted ahead of the waiting requests.
+// tenant has a calendar of time slots of equal width. A slot has room for a reservation if the sum of the reserved costs up to
+// and including this slot, with the new reservation, is at most reservableFraction of the cost that the tenant's rate admits
+// until then. A client that returns on time is admitted ahead of the waiting requests.
 //
 // A reservation is honored if the client returns on time and is admitted at once. It is missed if there is no capacity when the
 // client returns on time, given up if the client returns early, and unclaimed if the client returns late or not at all.
--- a/internal/admission/reservations_test.go
+++ b/internal/admission/reservations_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A rejected client is sent a Retry-After time of at most RetryAfterLimits.Max. Of the clients that have a
-// reservation and return at that time, at least nine in ten are admitted at once.
+// A rejected client is sent a Retry-After time of at most RetryAfterLimits.Max. Of the clients that have a reservation
+// and return at that time, at least nine in ten are admitted at once.
 func TestReservationsAreHonored(t *testing.T) {
 	c := newTestController([]float64{0.5, 0.5}, Limits{Requests: 60, Bytes: 1 << 20, Queues: 8}, false)
 	fixLimit(c, 8)
--- a/internal/admission/retries.go
+++ b/internal/admission/retries.go
@@ -1,8 +1,8 @@
 package admission
 
-// joinEarlierAttempt looks for an earlier attempt of an arriving request, and reports whether there is one. If the
-// earlier attempt is queued, the arriving attempt takes its place. If an earlier attempt is in progress, the arriving attempt shares
-// its answer or waits until it has finished.
+// joinEarlierAttempt looks for an earlier attempt of an arriving request, and reports whether there is one. If the earlier
+// attempt is queued, the arriving attempt takes its place. If an earlier attempt is in progress, the arriving attempt shares its
+// answer or waits until it has finished.
 func (c *Controller) joinEarlierAttempt(retry *trackedRequest) bool {
 	earlier := c.retries.earlierAttempt(retry)
 	if earlier == nil {
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -76,9 +76,9 @@
 }
 
 // Initial returns the delay before the first call. The calls of agents that start at the same time are spread over up to half of
-// the deadline. If there are few agents, the delay is close to 0. Without a deadline there is no delay: the service
-// then pushes the endpoint list, and a drain that was announced while an agent was disconnected has to take effect as soon as
-// the agent is connected again.
+// the deadline. If there are few agents, the delay is close to 0. Without a deadline there is no delay: the service then
+// pushes the endpoint list, and a drain that was announced while an agent was disconnected has to take effect as soon as the agent
+// is connected again.
 func (b *Backoff) Initial(agents int) Micros {
 	if !b.hasDeadline {
 		return 0
