--- a/cmd/switchfork-lab/admission_report.go
+++ b/cmd/switchfork-lab/admission_report.go
@@ -11,11 +11,11 @@
 
 // Thresholds of the simulated experiment.
 const (
-	minOthersInTime        = 0.97 // requests in time of a tenant that is not noisy, as a fraction of their number without noise
+	minOthersInTime        = 0.97 // for tenants that are not noisy: share of requests in time, as a fraction of the share without noise
 	minJainIndex           = 0.98
 	minThroughput          = 0.98 // as a fraction of the throughput under FIFO
 	minReservationsHonored = 0.9
-	maxRetryAfterRatio     = 2.0 // median of Retry-After divided by the wait needed
+	maxRetryAfterRatio     = 2.0 // median of the Retry-After times, each divided by the wait that was needed
 	maxHeapGrowthBytes     = 1 << 20
 )
 
--- a/cmd/switchfork-lab/admission_sockets.go
+++ b/cmd/switchfork-lab/admission_sockets.go
@@ -43,7 +43,7 @@
 	usageSamples = 4
 )
 
-// socketRun is a run of a load on the real agent, with its measurements.
+// socketRun is one run of the real agent under a load, with the measurements.
 type socketRun struct {
 	name         string
 	operatorFile string
--- a/cmd/switchfork-lab/admission_test.go
+++ b/cmd/switchfork-lab/admission_test.go
@@ -61,8 +61,8 @@
 	if slow.ConcurrencyLimit > 0.7*before.ConcurrencyLimit || after.ConcurrencyLimit < 1.4*slow.ConcurrencyLimit {
 		t.Errorf("concurrency limit: got %.0f before, %.0f while slow, %.0f after, want while slow at most 0.7 times the first, and after at least 1.4 times the second", before.ConcurrencyLimit, slow.ConcurrencyLimit, after.ConcurrencyLimit)
 	}
-	// At a fifth of the speed, at most a fifth of the requests can succeed. The router alone, whose answers then come late, serves
-	// about half of these requests. Admission control must not serve far fewer requests than the router alone (docs/ROADMAP.md).
+	// At a fifth of the speed, at most a fifth of the requests can succeed. The router without admission control, whose answers then
+	// come late, serves about half of these requests. Admission control must not serve far fewer than that (docs/ROADMAP.md).
 	if slow.Succeeded < before.Succeeded/25 || after.Succeeded < 0.7*before.Succeeded {
 		t.Errorf("requests succeeded in ten seconds: got %.0f before, %.0f while slow, %.0f after, want while slow at least a 25th of the first, and after at least 0.7 times the first", before.Succeeded, slow.Succeeded, after.Succeeded)
 	}
--- a/cmd/switchfork-lab/election.go
+++ b/cmd/switchfork-lab/election.go
@@ -91,7 +91,7 @@
 		e.seconds >= 10 && e.seconds <= 600
 }
 
-// draw returns the first schedules of the experiment, at most count.
+// draw returns the experiment's schedules, but only the first count of them if there are more.
 func (e *electionExperiment) draw(count int) []simulation.ElectionSchedule {
 	schedules := make([]simulation.ElectionSchedule, 0, count)
 	for i := range min(e.schedules, count) {
--- a/cmd/switchfork-lab/logs.go
+++ b/cmd/switchfork-lab/logs.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxShareOverRate is the fraction of the seconds with votes in which there may be more votes than the configured rate
-	// allows. When a stage changes, the few agents that evaluate the release vote at the same time.
+	// maxShareOverRate bounds the number of seconds with more votes than the configured rate allows, as a fraction of all seconds
+	// with votes. When a stage changes, the few agents that evaluate the release vote at the same time.
 	maxShareOverRate = 0.1
 
 	defaultInterval     = 5 * time.Second
--- a/cmd/switchfork-lab/soak_test.go
+++ b/cmd/switchfork-lab/soak_test.go
@@ -9,7 +9,7 @@
 	"switchfork/internal/faulttest"
 )
 
-// Invalid flags are usage errors that name the flag.
+// An invalid flag is reported as a usage error that names the flag.
 func TestSoakFlags(t *testing.T) {
 	valid := soakOptions{seeds: 1, from: 1, parallel: 1, print: -1}
 	if err := valid.check(); err != nil {
--- a/cmd/switchfork-lab/testbed.go
+++ b/cmd/switchfork-lab/testbed.go
@@ -137,7 +137,7 @@
 	return fakes.NewClients(t.agent.URL, testbedObjective, testbedTimeout)
 }
 
-// testbedClients returns the clients of each tenant, who send its share of the load.
+// testbedClients returns a group of clients for each tenant. Each group sends its tenant's share of the load.
 func testbedClients() (groups []fakes.ClientGroup) {
 	for i, name := range tenantNames {
 		groups = append(groups, fakes.ClientGroup{Tenant: name, Rate: testbedLoad * tenantShares[i], PostShare: testbedPostShare})
--- a/cmd/switchfork/drain.go
+++ b/cmd/switchfork/drain.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// A drain has to end before SIGKILL. By the platform's protocol, the time from SIGTERM to SIGKILL is at least killDelay plus the longest
-// request timeout or maxDrainTimeout, whichever is shorter. drainReserve leaves time for logging, and for a system that is slow to
-// notice the exit.
+// A drain has to end before SIGKILL. By the platform's protocol, the time from SIGTERM to SIGKILL is at least killDelay plus the shorter of
+// maxDrainTimeout and the longest request timeout. drainReserve leaves time for logging, and for a system that is slow to notice the exit.
 const (
 	killDelay       = 700 * time.Millisecond
 	maxDrainTimeout = 3 * time.Second
--- a/cmd/switchfork/serve.go
+++ b/cmd/switchfork/serve.go
@@ -25,7 +25,7 @@
 	// listener, gossip, discovery, the rollout controller, the log and the runtime need some of them, and some are spare.
 	reservedDescriptors = 32
 
-	// requestIDShift shortens a random number of 64 bits to 52 bits. Request IDs begin after the result.
+	// requestIDShift shortens a random number of 64 bits to 52 bits. The agent's request IDs begin after this number.
 	requestIDShift = 12
 )
 
--- a/internal/config/key_values.go
+++ b/internal/config/key_values.go
@@ -17,9 +17,9 @@
 	microsPerMillis = 1000
 )
 
-// keyValues are flat key=value pairs. An accessor that finds an error records it, unless an earlier one was recorded, and
-// returns as usual. The caller can thus read a whole section and call Err once at the end. Values that an accessor
-// returns after an error are meaningless.
+// keyValues are flat key=value pairs. An accessor that finds an error does not return the error but records it, unless
+// an earlier one was recorded. The caller can thus read a whole section and call Err once at the end. Values that an
+// accessor returns after an error are meaningless.
 type keyValues struct {
 	prefix string // added in front of each key in messages
 	values map[string]string
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -43,8 +43,8 @@
 	return reloaded, nil
 }
 
-// changedKeys returns the full keys that need a restart and whose values differ between previous and next, or that only one
-// of them has.
+// changedKeys returns the full keys that need a restart and that differ between previous and next. A key that only one of
+// the two has differs, too.
 func changedKeys(previous, next *Settings) []string {
 	var changed []string
 	for key, value := range previous.values {
@@ -62,8 +62,9 @@
 	return changed
 }
 
-// needsRestart returns false for keys that a reload applies, for the "settings" object, whose keys are compared separately,
-// and for keys that are used only at the start, such as the seed.
+// needsRestart reports whether a change of the key is to be reported as one that needs a restart. It returns false for keys
+// that a reload applies, for keys of the "settings" object, which are compared separately, and for keys that are used only
+// at the start, such as the seed.
 func needsRestart(key string) bool {
 	switch key {
 	case keyDiscoveryServer, keySeed:
--- a/internal/endtoend/connection_reuse_test.go
+++ b/internal/endtoend/connection_reuse_test.go
@@ -31,8 +31,8 @@
 }
 
 // Like TestRestartAnswersKeptConnections, but with clients that follow the protocol: they open new connections for only 0.2 to 0.4 s after
-// SIGTERM, and use open connections until the agent closes them. Such clients lose no request on a busy machine either, where a client that
-// continues to connect may still have a connection reset when the listener closes.
+// SIGTERM, and use open connections until the agent closes them. Such clients lose no request even on a busy machine. There, a client
+// that continues to connect may still have a connection reset when the listener closes.
 func TestRestartWithinProtocol(t *testing.T) {
 	const restarts, clients, thinkTime, connectsFor = 3, 150, 50 * time.Millisecond, 300 * time.Millisecond
 	for range restarts {
--- a/internal/endtoend/routing_test.go
+++ b/internal/endtoend/routing_test.go
@@ -197,8 +197,9 @@
 }
 
 // If endpoints may be told of cancelled requests, the attempt of a request ends when the request's client disconnects. The test fails as
-// long as the policy closes such a request without returning a CancelAttempt: the attempt then holds its connection and its slot at the
-// endpoint until its deadline (2.01 s in a trial). Clients that disconnect early thus cost capacity, most of all in an overload.
+// long as the policy closes such a request without returning a CancelAttempt: the attempt then holds its connection and one of the
+// endpoint's concurrency slots until its deadline (2.01 s in a trial). Clients that disconnect early thus cost capacity, most of all in an
+// overload.
 func TestAttemptEndsWithItsClient(t *testing.T) {
 	endpoint := agenttest.NewScriptedServer(t, fakes.NeverRespond)
 	agent := startAgent(t, func(config string) string {
--- a/internal/options/keyword.go
+++ b/internal/options/keyword.go
@@ -26,7 +26,7 @@
 	isRepeatable bool   // may occur on several lines if the first values differ
 	isReloadable bool   // a reload applies changed values
 	parse        func(o *Options, values []string) error
-	format       func(o *Options) []string // returns the values that are written after the keyword, one element a line
+	format       func(o *Options) []string // returns the text to write after the keyword, one element for each line
 }
 
 func (k keyword) reloadable() keyword {
