--- a/cmd/switchfork-lab/admission.go
+++ b/cmd/switchfork-lab/admission.go
@@ -17,7 +17,7 @@
 	simulatedEndpoints      = 12
 	simulatedSlots          = 4 // requests that an endpoint serves at the same time
 	simulatedMeanWorkMicros = 40_000
-	simulatedLoad           = 0.6 // as a fraction of the endpoints' capacity
+	simulatedLoad           = 0.6 // load of tenants that all send their share, as a fraction of the endpoints' capacity
 	overloadFactor          = 3   // load of the overload scenario, as a multiple of the endpoints' capacity
 	// slowFactor is the factor by which the endpoints slow down in the middle third of the slow scenario.
 	slowFactor = 5
--- a/cmd/switchfork/coordinator.go
+++ b/cmd/switchfork/coordinator.go
@@ -26,7 +26,7 @@
 	// voteProcessingTime is how long the rollout controller may take to apply a vote after reading it. It is added to the timeout of a
 	// call.
 	voteProcessingTime = 500 * time.Millisecond
-	// rollbackQuorum is the number of agents whose release analyzers have to ask for a rollback.
+	// rollbackQuorum is how many agents' release analyzers have to recommend a rollback before the leader votes for it.
 	rollbackQuorum = 1
 )
 
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -38,9 +38,9 @@
 	return false
 }
 
-// admitReserved admits a queued request that arrived at its reserved time, ahead of all other waiting requests, if the headroom
-// of the concurrency limit has room for the request. The request's tenant is charged as usual. admitReserved reports whether
-// the request was admitted.
+// admitReserved admits a queued request that arrived at its reserved time, ahead of all other waiting requests. It does so only
+// if the concurrency limit with its headroom has capacity for the request. The request's tenant is charged as usual.
+// admitReserved reports whether the request was admitted.
 func (c *Controller) admitReserved(request *trackedRequest) bool {
 	if !c.concurrency.hasReservedCapacity() {
 		c.Counters.ReservationsMissed++
@@ -128,8 +128,8 @@
 	return openCount > c.limits.Requests || c.requests.bodyBytes > c.limits.Bytes
 }
 
-// estimatedWait returns how long a queued request is expected to wait. This is the time to serve the cost ahead of the request
-// with the part of the tenant's rate that is not reserved for returning clients.
+// estimatedWait returns how long a queued request is expected to wait. This is the time in which the tenant's requests
+// ahead of it are served, at the part of the tenant's rate that is not reserved for returning clients.
 func (c *Controller) estimatedWait(request *trackedRequest) Micros {
 	costAhead := c.waiting.queues.costAhead(request)
 	return c.reservations.timeToServe(c.now, request.Tenant, costAhead, c.tenantRate(request.Tenant))
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -25,7 +25,7 @@
 // in status.go. The decisions behind them are in admit.go and retries.go.
 type Controller struct {
 	limits           Limits
-	coalescesRetries bool // as Config.CoalesceRetries
+	coalescesRetries bool // see Config.CoalesceRetries
 
 	now      Micros
 	drain    drain
--- a/internal/admission/fair_queues.go
+++ b/internal/admission/fair_queues.go
@@ -46,8 +46,8 @@
 	tenant   *tenantQueues
 	queue    *clientQueue
 	priority int             // index into queue.priorities
-	previous *trackedRequest // in the list of this priority
-	next     *trackedRequest // in the list of this priority
+	previous *trackedRequest // previous request in the list of this priority
+	next     *trackedRequest // next request in the list of this priority
 }
 
 func newFairQueues(config Config, hashSeed uint64) fairQueues {
--- a/internal/admission/reservations.go
+++ b/internal/admission/reservations.go
@@ -78,8 +78,9 @@
 
 func (t *reservationTable) count() int { return len(t.byRetryKey) }
 
-// reserve returns the Retry-After time for a rejected request, and reserves capacity for the client's return if a slot has
-// enough left. rate and waitingCost are those of the request's tenant. retryAfter is 0 if clients are sent no Retry-After.
+// reserve returns the Retry-After time for a rejected request, and reserves capacity for the client's return if a
+// calendar slot has enough left. rate and waitingCost are those of the request's tenant. retryAfter is 0 if clients are sent no
+// Retry-After.
 func (t *reservationTable) reserve(now Micros, request *trackedRequest, rate, waitingCost float64) (retryAfter Micros, isReserved bool) {
 	unreserved := t.unreservedRetryAfter() // drawn for each rejection, so that this draw does not depend on what is reserved
 	if t.maxRetryAfter == 0 || t.count() >= t.capacity {
--- a/internal/admission/timing_wheel.go
+++ b/internal/admission/timing_wheel.go
@@ -13,7 +13,7 @@
 // that adding and removing take the same time however many requests wait. A request expires up to two ticks before its deadline,
 // and never after it. waitingRequests adds and removes requests; the controller calls expire.
 type timingWheel struct {
-	slots         [timingWheelSlots]*trackedRequest // head of the list of each slot
+	slots         [timingWheelSlots]*trackedRequest // first request in the list of each slot
 	processedTick int64                             // the last tick whose requests have expired
 	count         int
 }
@@ -21,8 +21,8 @@
 // wheelPlace is the place of a request in a timingWheel.
 type wheelPlace struct {
 	tick     int64           // the tick at which the request expires
-	previous *trackedRequest // in the list of its slot
-	next     *trackedRequest // in the list of its slot
+	previous *trackedRequest // previous request in the list of the wheel's slot
+	next     *trackedRequest // next request in the list of the wheel's slot
 }
 
 // add adds a request, which expires shortly before its wait deadline.
--- a/internal/endtoend/descriptors_test.go
+++ b/internal/endtoend/descriptors_test.go
@@ -84,7 +84,7 @@
 // may have, the connection that has been idle longest is closed before its idle timeout, and each new client is served at once. While
 // descriptors are free, no connection is closed before its idle timeout.
 func TestIdleConnectionsMakeRoom(t *testing.T) {
-	const fewClients, manyClients = 8, 40 // of 64 descriptors, clients may hold 19
+	const fewClients, manyClients = 8, 40 // clients may hold 19 of the 64 descriptors
 	endpoint := agenttest.NewScriptedServer(t, fakes.Respond(fakes.OKResponse("done")))
 	for _, clients := range []int{fewClients, manyClients} {
 		agent := startAgent(t, withFewDescriptors, fakes.ListEntry("s-1", endpoint.Addr(), "active", 41))
@@ -102,7 +102,7 @@
 			if first == nil {
 				first = conn
 			}
-			for idleSince := time.Now(); time.Since(idleSince) < 10*time.Millisecond; { // connections are ordered by when they became idle
+			for idleSince := time.Now(); time.Since(idleSince) < 10*time.Millisecond; { // each connection becomes idle at a different time, so that their order is known
 				time.Sleep(time.Millisecond)
 			}
 		}
