--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -79,7 +79,8 @@
 func (l *Loop) UnreadInput() *tcpconn.UnreadTracker { return l.stalls.unread }
 
 // AddReader registers a goroutine that reads the endpoint list or rollout updates and hands them to the loop. After a stall, the loop calls
-// flush with a barrier. The reader has to close the barrier's channel once it has handed on all input that it had read before the call.
+// flush with a barrier. The reader has to close the barrier's channel once it has handed the loop all input that it had read before the
+// call.
 func (l *Loop) AddReader(flush func(Barrier)) { l.stalls.addReader(flush) }
 
 // Serve runs the loop until ctx ends. pool creates the endpoints. vote and gossip receive the policy's votes and gossip messages and must
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -96,7 +96,7 @@
 	t.Errorf("the list was not published within the grace period in any of %d runs", maxRuns)
 }
 
-// The readers get longer than the grace period if input has arrived that they have not handed on yet.
+// The readers get longer than the grace period if input has arrived that they have not handed to the loop yet.
 func TestUnreadEndpointListFirstAfterStall(t *testing.T) {
 	r := agenttest.NewRig(t, time.Second)
 	l := agenttest.Listen(t)
--- a/internal/agent/stall.go
+++ b/internal/agent/stall.go
@@ -13,17 +13,17 @@
 const (
 	// readerGrace is how long the readers of the endpoint list and of rollout updates get after a stall before requests are handled.
 	readerGrace = 20 * time.Millisecond
-	// maxReaderWait bounds the wait for readers that have not yet handed on input that has arrived. readerGrace alone is too short for
+	// maxReaderWait bounds the wait for readers that have not yet handed all arrived input to the loop. readerGrace alone is too short for
 	// readers that wait behind hundreds of requests on a fully loaded core.
 	maxReaderWait = 500 * time.Millisecond
 	// unreadPollInterval is how often the connections are checked for unread input while the loop waits for the readers.
 	unreadPollInterval = time.Millisecond
 )
 
-// stallGuard detects that the process has stalled, by a timer that is late by more than upstream.StallThreshold. It then waits until
-// changes of the endpoint list and rollout updates that arrived during the stall have been handed on, because requests must not be routed
-// by the state before the stall. It guards against everything that stops an agent, such as a frozen machine or a core on which the process
-// is not scheduled. If the core is merely fully loaded, the guard costs a little time.
+// stallGuard detects that the process has stalled, by a timer that is late by more than upstream.StallThreshold. It then waits until the
+// readers have handed the loop the endpoint list changes and rollout updates that arrived during the stall, because requests must not be
+// routed by outdated state. It guards against everything that stops an agent, such as a frozen machine or a core on which the process is
+// not scheduled. Timers may also be late on a core that is merely fully loaded; the guard then delays requests a little.
 //
 // Readers may be added by any goroutine; the other methods are for the loop's goroutine, which sleeps in them after a stall.
 type stallGuard struct {
@@ -37,7 +37,7 @@
 
 func newStallGuard() stallGuard { return stallGuard{unread: tcpconn.NewUnreadTracker()} }
 
-// addReader registers a goroutine that hands on the endpoint list or rollout updates; see Loop.AddReader.
+// addReader registers a goroutine that hands the endpoint list or rollout updates to the loop; see Loop.AddReader.
 func (g *stallGuard) addReader(flush func(Barrier)) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
