--- a/internal/policy/controller_reports.go
+++ b/internal/policy/controller_reports.go
@@ -9,8 +9,8 @@
 const (
 	reportDecay       = 0.7  // factor on the counts of earlier reports at each interval
 	maxReportStep     = 2.0  // most that one interval adds to the ratio, so that one interval alone does not decide
-	badLatencyFactor  = 1.6  // a slow build's latency, as a multiple of the expected latency
-	goodLatencyFactor = 1.15 // a good build's latency next to warm endpoints, as a multiple of the baseline's
+	badLatencyFactor  = 1.6  // a slow build's latency, as a multiple of the latency expected of a good build
+	goodLatencyFactor = 1.15 // a good build's latency, compared with warm baseline endpoints, as a multiple of the baseline's
 )
 
 // controllerReports turns the rollout controller's reports into evidence on the canary. A report holds the requests, failures and
@@ -23,17 +23,17 @@
 	endpoints       *endpointSet
 	evaluators      *evaluatorGroup
 	classes         []RequestClass
-	interval        Micros          // between reports; 0: no reports
-	pending         []MetricsReport // not evaluated yet
+	interval        Micros          // time between two reports; 0: no reports
+	pending         []MetricsReport // reports that are not evaluated yet
 	hasReceived     bool
-	baselineTotals  []classTotals // of earlier builds, by class
+	baselineTotals  []classTotals // totals of the baseline builds, by class
 	build           int           // the build that ratio is about
 	ratio           float64       // log likelihood ratio against the build
-	relativeLatency float64       // mean latency divided by the baseline's
+	relativeLatency float64       // mean latency of all builds divided by the baseline's
 	canaryShare     float64       // the canary's share of the requests
 }
 
-// classTotals are the counts of a class, which decay at each interval. The latency is in µs.
+// classTotals are the counts of a class, which decay at each interval. totalLatency is in µs.
 type classTotals struct{ requests, failures, totalLatency float64 }
 
 // intervalReports are the canary's reports of an interval, and the request counts of the baseline and of all builds.
--- a/internal/policy/endpoint_evidence.go
+++ b/internal/policy/endpoint_evidence.go
@@ -10,7 +10,7 @@
 	failureRatio    float64
 	failureCusum    float64 // cumulative sum of the steps of failureRatio; it never falls below 0
 	latenessRatio   float64
-	flooredLateness float64 // sum of the steps of latenessRatio with a higher floor; it counts where most endpoints are late
+	flooredLateness float64 // sum of the latenessRatio steps, with a higher floor; counts against the build if most endpoints are late
 	hasAny          bool
 }
 
@@ -65,7 +65,7 @@
 	return collected
 }
 
-// isEarlierBuildFailing reports whether a ready endpoint with a build before build has an error rate above errorRate.
+// isEarlierBuildFailing reports whether any ready endpoint whose build is earlier than build has an error rate above errorRate.
 func (s *endpointSet) isEarlierBuildFailing(build int, errorRate float64) bool {
 	return slices.ContainsFunc(s.all, func(e *endpointRecord) bool {
 		return e.isReady() && e.Build < build && e.errorRate > errorRate
--- a/internal/policy/evaluator_group.go
+++ b/internal/policy/evaluator_group.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// selectAgents returns count of the agents' indices, selected by hash, so that every agent selects the same ones.
+// selectAgents returns the indices of count agents, selected by hash, so that every agent selects the same ones.
 func selectAgents(agents, count int) []int {
 	all := make([]int, agents)
 	for i := range all {
--- a/internal/policy/evidence.go
+++ b/internal/policy/evidence.go
@@ -9,7 +9,7 @@
 
 // The evidence on a build is the log likelihood ratio between "the build is bad" and "the build is like the baseline".
 const (
-	minOutcomes       = 10                    // outcomes before the evidence decides; fewer where a rollback needs several votes
+	minOutcomes       = 10                    // outcomes that a decision needs; fewer where a rollback needs several votes
 	decisionThreshold = 3                     // at or above it the build is bad, at or below its negative the build is good
 	holdThreshold     = 1                     // above it the build does not advance
 	maxGoodEvidence   = decisionThreshold + 1 // limit on the evidence from good outcomes, as a build may turn bad late
@@ -22,11 +22,11 @@
 	minRateRatio       = 1.05       // lowest ratio of a bad rate to the baseline's, so that they differ
 	failureDecay       = 0.997      // factor on the baseline's failure counts at each outcome
 	minEndpointAge     = 2 * second // a canary endpoint's outcomes are not evidence before this age
-	largeBuildSize     = 24         // endpoints; in a larger build the failures of all endpoints go into one sum
+	largeBuildSize     = 24         // number of endpoints above which the failures of all endpoints of a build go into one sum
 	evidenceQuorum     = 4          // one in this many endpoints must have evidence against a build for the sum to be conclusive
-	maxEndpointSum     = 2.0        // most evidence against a build that one of several endpoints adds
+	maxEndpointSum     = 2.0        // most evidence that each endpoint adds against a build with several endpoints
 	oldestFailingShare = 0.6        // share of the oldest endpoints that must be failing for their sum to count
-	minEndpoints       = 3          // endpoints of a build; evidence from fewer may be due to these endpoints alone
+	minEndpoints       = 3          // lowest number of a build's endpoints; evidence from fewer may be due to these endpoints alone
 )
 
 // buildEvidence measures how strong the evidence against the canary is. It runs a sequential probability ratio test against the
@@ -99,8 +99,8 @@
 
 // goodEvidenceShares returns the number of endpoints among which the limit on evidence from good outcomes is divided. In a small
 // build it is divided among all ready endpoints, so that an early advance needs good outcomes from all of them. In a large build
-// it is divided among the ready endpoints that have evidence, as one agent uses few endpoints of a large build. In contrast, ratio
-// decides by the endpoints that have evidence whether a build is large, because only these are in its sums.
+// it is divided among the ready endpoints that have evidence, as one agent uses few endpoints of a large build. In contrast, the
+// method ratio counts only endpoints with evidence to decide whether a build is large, because only these are in its sums.
 func (b *buildEvidence) goodEvidenceShares(e *endpointRecord) float64 {
 	if count := b.endpoints.readyCount(e.Build); count <= largeBuildSize {
 		return float64(max(1, count))
@@ -108,8 +108,8 @@
 	return float64(b.endpoints.evidenceCount(e))
 }
 
-// ratio returns the log likelihood ratio against the canary. It sums the evidence of the build's endpoints on failures and on
-// lateness separately. Each endpoint's part is bounded, as a bad build fails, or is late, on most of its endpoints. Where
+// ratio returns the log likelihood ratio against the canary. It sums the evidence on failures and the evidence on lateness over the
+// build's endpoints separately. Each endpoint's part is bounded, as a bad build fails, or is late, on most of its endpoints. Where
 // endpoints with earlier builds fail too, failing endpoints are not evidence against the canary.
 func (b *buildEvidence) ratio() float64 {
 	isEarlierFailing := b.endpoints.isEarlierBuildFailing(b.release.build, ejectErrorRate)
@@ -148,10 +148,10 @@
 	return ratio
 }
 
-// oldestEndpointsRatio returns the highest sum of evidence on failures over the n oldest endpoints of a build, for any n from
-// minEndpoints on for which enough of the n endpoints are failing. A build that decays fails on its oldest endpoints first, while
-// the good outcomes of the younger endpoints outweigh these failures in the sum over all. Where the oldest endpoints fail for
-// other reasons than their build, the result is wrongly evidence against a good build.
+// oldestEndpointsRatio returns the highest sum of evidence on failures over the n oldest endpoints of a build. It tries each n from
+// minEndpoints on, and skips those for which too few of the n endpoints are failing. A build that decays fails on its oldest
+// endpoints first, while the good outcomes of the younger endpoints outweigh these failures in the sum over all. Where the oldest
+// endpoints fail for other reasons than their build, the result is wrongly evidence against a good build.
 func oldestEndpointsRatio(endpoints []*endpointRecord) float64 {
 	highest := 0.0
 	sum := 0.0
--- a/internal/policy/latency_comparison.go
+++ b/internal/policy/latency_comparison.go
@@ -3,18 +3,18 @@
 import "switchfork/internal/stats"
 
 const (
-	latencyWindowSize          = 30   // answers over which the median is taken
+	latencyWindowSize          = 30   // number of answers over which the median is taken
 	evaluatorLatencyWindowSize = 300  // the same for an evaluator, which gets the answers of all agents
 	baselineLatencyWeight      = 0.02 // lowest weight of one answer in its class's baseline mean
 )
 
 // latencyComparison compares the latency of answers with the mean latency of their class in the baseline. The slowdown detector
-// adds the answers.
+// passes it the latencies.
 type latencyComparison struct {
 	baselineMeans     []float64 // µs, by class
-	baselineCounts    []float64 // answers in the baseline, by class
+	baselineCounts    []float64 // number of answers in the baseline, by class
 	relativeLatencies []float64 // latencies of the last answers, each divided by the baseline mean of its class
-	windowSize        int       // answers
+	windowSize        int       // number of relative latencies that are kept, and that a median needs
 	baselineMedian    float64   // median relative latency in the baseline; 0: unknown
 }
 
--- a/internal/policy/lateness_evidence.go
+++ b/internal/policy/lateness_evidence.go
@@ -10,7 +10,7 @@
 	minLateRate    = 0.1  // lowest rate of late answers that is assumed of a baseline
 	badLateFactor  = 4.0  // a bad build's rate of late answers, as a multiple of the baseline's; high, because lateness is common
 	latenessDecay  = 0.98 // factor on the baseline's lateness counts at each outcome
-	fullWeightFrom = 20   // outcomes of a stage; with fewer, lateness counts less, as the first late answers may come from one queue
+	fullWeightFrom = 20   // outcomes of a stage from which on lateness counts in full; the first late answers may come from one queue
 
 	// The same for an evaluator, which gets the outcomes of all agents.
 	evaluatorLatenessDecay  = 0.998
@@ -56,8 +56,8 @@
 	return ratio
 }
 
-// isLateOnFew reports whether there are enough outcomes to say that half of the endpoints are not late. Then the cause of lateness
-// is the other endpoints, or their load, and not the build.
+// isLateOnFew reports whether at least half of the endpoints are not late, and there are enough outcomes to tell. The cause of the
+// lateness is then the late endpoints or their load, and not the build.
 func (b *buildEvidence) isLateOnFew(latenessRatios []float64) bool {
 	count := len(latenessRatios)
 	if count <= 1 {
--- a/internal/policy/overload_digest.go
+++ b/internal/policy/overload_digest.go
@@ -2,7 +2,7 @@
 
 const (
 	digestInterval = 1 * second // time between two digests of one evaluator; the evaluators take turns
-	digestLifetime = 1 * second // four of the last five digests may be lost
+	digestLifetime = 1 * second // how long a received digest is valid; four of the last five digests may be lost
 )
 
 // overloadDigest decides which endpoints all agents avoid: those with more than their share of the requests in flight. An agent
--- a/internal/policy/scenario_test.go
+++ b/internal/policy/scenario_test.go
@@ -181,8 +181,8 @@
 	})
 }
 
-// agentIndex returns the agent index of the evaluator at position token of the group. From evaluatorCount on, token itself is an
-// agent index.
+// agentIndex returns the agent index of the evaluator at position token of the group. A token of evaluatorCount or more is itself
+// an agent index.
 func (s *scenario) agentIndex(token string) int {
 	number := int(s.number(token))
 	evaluators := selectAgents(s.count(s.settings, "agents", 1), evaluatorCount)
--- a/internal/policy/slowdown.go
+++ b/internal/policy/slowdown.go
@@ -5,9 +5,9 @@
 // Several signs together tell a slowdown from other changes. More traffic lowers the share of requests on time but raises the
 // completion rate; less traffic lowers only the completion rate. The completion rate counts the requests on time.
 //
-// So a latency from slowdownFactor on counts only with a completion rate below slowdownCompletions. A share of requests on time
-// below farLessOnTime counts only with a completion rate below fewerCompletions, and a share below lessOnTime only with a rate
-// below collapsedCompletions. An evaluator pauses a stage for slowdownFactor or farLessOnTime alone.
+// So a latency ratio of at least slowdownFactor counts only with a completion rate below slowdownCompletions. A share of requests
+// on time below farLessOnTime counts only with a completion rate below fewerCompletions, and a share below lessOnTime only with a
+// rate below collapsedCompletions. An evaluator pauses a stage for slowdownFactor or farLessOnTime alone.
 const (
 	slowdownFactor       = 1.3  // multiple of the baseline's median latency
 	slowdownCompletions  = 0.8  // fraction of the baseline's completion rate
@@ -17,7 +17,7 @@
 	collapsedCompletions = 0.5  // fraction of the baseline's completion rate; so low that lost capacity need not be ruled out
 	isolatedSlowdown     = 1.6  // multiple of the baseline's median latency that counts without a drop in completions
 	isolatedWeight       = 0.7  // factor on the duration of an isolated slowdown
-	completeFleetShare   = 0.85 // fraction of the baseline's warm capacity; below it the remaining endpoints are slow for that reason
+	completeFleetShare   = 0.85 // fraction of the baseline's warm capacity; below it, lost capacity is the reason for slow endpoints
 	slowdownRecovery     = 4.0  // µs of slow time that are subtracted for each µs without a slowdown
 	minBaselineMedian    = 1e-9 // avoids a division by 0
 )
@@ -25,7 +25,7 @@
 // Where the outcomes of all agents are known, a slowdown is attributed to the build if the canary has enough of the traffic and
 // arrivals have not increased.
 const (
-	stepCanaryShare   = 0.1 // lowest share of the traffic
+	stepCanaryShare   = 0.1 // lowest canary share of the traffic
 	stepArrivalFactor = 1.2 // multiple of the baseline's arrival rate from which on more traffic may be the reason for a slowdown
 	stepWeight        = 3.0 // factor on the duration of such a slowdown
 )
@@ -33,8 +33,8 @@
 const (
 	completionWindow  = 3 * second  // window over which rates are averaged
 	baselineWindow    = 10 * second // window over which the baseline's rates are averaged
-	canaryShareWeight = 0.02        // weight of one outcome in the moving mean
-	onTimeShareWeight = 0.02        // weight of one outcome in the moving mean
+	canaryShareWeight = 0.02        // weight of one outcome in the moving mean canaryShare
+	onTimeShareWeight = 0.02        // weight of one outcome in the moving mean onTimeShare
 )
 
 // slowdownDetector measures for how long the fleet has been slow since a release began, as a build may slow down endpoints with
--- a/internal/policy/verdict_exchange.go
+++ b/internal/policy/verdict_exchange.go
@@ -2,7 +2,7 @@
 
 const (
 	verdictInterval = 1 * second // time between two repetitions of an evaluator's verdict
-	verdictLifetime = 3 * second // two messages in a row may be lost
+	verdictLifetime = 3 * second // how long a received verdict is valid; two messages in a row may be lost
 )
 
 // verdictExchange decides whether the evaluators have agreed on a verdict on a stage: a majority of them must have announced it
--- a/internal/policy/voter.go
+++ b/internal/policy/voter.go
@@ -14,12 +14,12 @@
 	noMajorityDelay = 5 * second        // extra stage time of agents that are not evaluators, while the evaluators have no majority
 	voteRetryDelay  = 250 * millisecond // shortest wait after a failed vote
 	voteRejectDelay = 1 * second        // shortest wait after the rollout controller rejected a vote because of too many calls
-	// Weighted slow times from which on the release is held back, a stage before the last is paused, and the build is rolled back.
-	// rollbackSlowTime is longer than most temporary overloads.
+	// Weighted slow times from which on, in this order, the release is held back, a stage before the last is paused, and the build
+	// is rolled back. rollbackSlowTime is longer than most temporary overloads.
 	releaseHoldSlowTime = 500 * millisecond
 	stagePauseSlowTime  = 200 * millisecond
 	rollbackSlowTime    = 9 * second
-	// pauseCanaryShare is the canary's share of the traffic from which a slowdown pauses a stage before the last. With a smaller
+	// pauseCanaryShare is the canary's share of the traffic from which on a slowdown pauses a stage before the last. With a smaller
 	// share a slowdown is more likely an overload that the canary did not cause.
 	pauseCanaryShare = 0.15
 	// minOnTimeShare is the share of requests on time that a release needs, even without a baseline.
@@ -121,7 +121,7 @@
 // isTimeToAdvance reports whether the stage has run long enough. With good evidence less time is enough.
 func (v *voter) isTimeToAdvance(ratio float64, hasMajority bool) bool {
 	if v.endpoints.readyCount(v.release.build) == 0 {
-		return false // this agent's list is out of date, and to advance would remove endpoints that it still knows
+		return false // this agent's list is out of date, and an advance would remove endpoints that it still knows
 	}
 	sinceStart := v.release.now - v.endpoints.newestStart(v.release.build)
 	elapsed := v.stageTime(sinceStart, hasMajority)
