--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -166,7 +166,7 @@
 		RequestID  uint64
 		RetryAfter Micros
 	}
-	// Fail is a final answer after which the request may have run.
+	// Fail is a final answer to a request that may have run.
 	Fail struct{ RequestID uint64 }
 	// SetTimer asks for a TimerFired.
 	SetTimer struct {
--- a/internal/policy/build_selector.go
+++ b/internal/policy/build_selector.go
@@ -40,8 +40,8 @@
 // rank returns the rank of a build as of the last call of updateShare.
 func (b *buildSelector) rank(build int) buildRank { return b.rankOf(build, b.newest) }
 
-// updateShare updates newest and newestShare. The share is the newest build's part of the capacity, limited by the build's
-// exposure cap.
+// updateShare updates newest and newestShare. The share is the newest build's part of the capacity, limited to capUtilization
+// times the build's exposure cap.
 func (b *buildSelector) updateShare() {
 	newest := b.endpoints.highestBuild(b.rollout.rolledBack)
 	capacity := b.capacityByRank(newest)
--- a/internal/policy/capacity.go
+++ b/internal/policy/capacity.go
@@ -6,12 +6,12 @@
 	endpointReportWeight = 0.1  // weight of one load report in the moving means of its endpoint
 	fleetReportWeight    = 0.01 // weight of one load report in the mean over all endpoints
 	minUtilization       = 0.15 // lowest utilization at which a load report shows the capacity
-	maxCapacityRatio     = 3.0  // largest factor, up or down, from the mean of all endpoints to one endpoint's reported capacity
+	maxCapacityRatio     = 3.0  // highest ratio of an endpoint's reported capacity to the mean of all; the lowest is its inverse
 	minCapacity          = 1e-9 // avoids a division by 0
 )
 
-// capacity returns the capacity of an endpoint, by which traffic is distributed. It is the weight in the endpoint list, or else
-// the requests per second that load reports show, times the warm-up factor.
+// capacity returns the capacity of an endpoint, by which traffic is distributed. It is the endpoint's weight in the list or, if
+// the list gives no weights, the requests per second that load reports show. Both are multiplied by the warm-up factor.
 func (e *endpointRecord) capacity() float64 {
 	capacity := e.Weight
 	if mean := e.endpoints.meanCapacity; !e.endpoints.hasWeights && mean > 0 {
--- a/internal/policy/concurrency_limit.go
+++ b/internal/policy/concurrency_limit.go
@@ -17,9 +17,9 @@
 )
 
 // isAvailable reports whether an endpoint may take one more attempt of this agent. The endpoint must be within its concurrency
-// limit, and not ejected, in a health check, in the pause after a rejection, or silent. Silence shows earlier than timeouts that
-// an endpoint hangs (frozen, cut off, stuck). As a side effect, an endpoint with one long request may be passed over. The endpoint
-// selector calls isAvailable for each candidate.
+// limit. It must not be ejected, in a health check, in the pause after a rejection, or silent. An endpoint that hangs (frozen, cut
+// off, stuck) is noticed earlier by its silence than by timeouts. As a side effect, an endpoint with one long request may be passed
+// over. The endpoint selector calls isAvailable for each candidate.
 func (e *endpointRecord) isAvailable() bool {
 	if e.isChecking || e.isEjected() || e.now < e.rejectingUntil {
 		return false
--- a/internal/policy/config.go
+++ b/internal/policy/config.go
@@ -102,7 +102,7 @@
 
 // RetryLimits are the bounds on attempts and waits.
 type RetryLimits struct {
-	DrainGrace    Micros // how long a draining endpoint may get requests; no decision depends on it, because the agent sends none
+	DrainGrace    Micros // how long a draining endpoint may get requests; no decision depends on it, because agents stop at once
 	AnswerGrace   Micros // how long after its deadline an answer still counts; no decision depends on it
 	MaxAttempts   int    // attempts per request
 	MaxRetryAfter Micros // longest Retry-After that clients honor; 0: clients honor none
--- a/internal/policy/dispatcher.go
+++ b/internal/policy/dispatcher.go
@@ -8,9 +8,10 @@
 )
 
 const (
-	// busyTickInterval applies while requests are pending. It is far below the shortest latency objective and grace period.
+	// busyTickInterval is the time between ticks while requests are pending. It is far below the shortest latency objective and
+	// grace period.
 	busyTickInterval = 10 * millisecond
-	// idleTickInterval applies while no request is pending. Votes and ejected endpoints are updated at ticks.
+	// idleTickInterval is the time between ticks while no request is pending. Votes and ejected endpoints are updated at ticks.
 	idleTickInterval = 50 * millisecond
 )
 
@@ -132,8 +133,9 @@
 	d.routeRequest(req)
 }
 
-// retryPending enqueues one message for each pending request, in descending order of priority weight. Endpoints process their
-// messages in between; without that, all requests would go to the same endpoint.
+// retryPending enqueues one message for each pending request, in descending order of priority weight. Between two of these
+// messages, the endpoint records process theirs, so that they count the attempt just sent. If all requests were routed at once,
+// all would go to the same endpoint.
 func (d *dispatcher) retryPending() {
 	priority := func(i int) float64 { return d.classes[d.pending[i].Class].PriorityWeight }
 	sort.SliceStable(d.pending, func(i, j int) bool { return priority(i) > priority(j) })
--- a/internal/policy/endpoint_record.go
+++ b/internal/policy/endpoint_record.go
@@ -25,7 +25,7 @@
 type endpointHealth struct {
 	evidence       endpointEvidence
 	limit          aimd.Limit // limits this agent's attempts in flight
-	errorRate      float64    // moving mean
+	errorRate      float64    // share of errors among the answers, as a moving mean
 	waitingSince   Micros     // since when attempts are in flight and none has ended
 	lastObjective  Micros     // latency objective of the last attempt
 	silentOutcomes int        // number of outcomes in a row without an answer
--- a/internal/policy/endpoint_selector.go
+++ b/internal/policy/endpoint_selector.go
@@ -6,7 +6,7 @@
 	// loadBound is the highest load of an endpoint relative to the mean, as usual for consistent hashing with bounded loads.
 	loadBound = 1.25
 	// crossZoneFactor times crossZoneCost is the relative increase of the distance to endpoints in other zones, which shrinks
-	// their segments of the ring.
+	// the segments of these endpoints on the ring.
 	crossZoneFactor = 40.0
 	// penaltyFactor multiplies the distance to an endpoint that is loaded, reported as overloaded or already tried, so that nearly
 	// all other endpoints are preferred.
@@ -70,7 +70,7 @@
 	distance := e.ringDistance(req.ringPosition) / e.capacity()
 	switch {
 	case s.budget.usesSlots(e):
-		distance = 0 // the slot is short, and may be over before the next key in the endpoint's segment arrives
+		distance = 0 // the time slot is short, and may be over before the next key in the endpoint's segment arrives
 	case e.Zone != s.ownZone:
 		distance *= 1 + crossZoneFactor*s.crossZoneCost
 	}
@@ -101,8 +101,8 @@
 	return nearest
 }
 
-// hasFreeConcurrency reports whether the concurrency limits of all endpoints together allow one more attempt. An endpoint takes
-// one attempt even if its limit is below one; if every agent sent an attempt to each such endpoint, queues would form.
+// hasFreeConcurrency reports whether the concurrency limits of all endpoints together allow one more attempt. A single endpoint
+// takes one attempt even if its limit is below one, so queues would form if every agent sent an attempt to each such endpoint.
 func (s *endpointSet) hasFreeConcurrency() bool {
 	inFlight, limit := s.openAttempts()
 	return inFlight+1 <= max(1, limit)
--- a/internal/policy/endpoint_set.go
+++ b/internal/policy/endpoint_set.go
@@ -61,7 +61,7 @@
 }
 
 // update adds and removes records according to the list, and sends each endpoint its entry. The record of an endpoint that
-// leaves is removed with the next list, because the endpoint still has to process its last entry.
+// leaves is removed with the next list, because the record still has to process its last entry.
 func (s *endpointSet) update(list EndpointUpdate) {
 	if list.Full {
 		for _, e := range s.all {
--- a/internal/policy/exposure.go
+++ b/internal/policy/exposure.go
@@ -11,7 +11,7 @@
 
 // buildLimit is the limit on the exposure of a build.
 type buildLimit struct {
-	share    float64 // highest share of the requests
+	share    float64 // highest number of attempts at the build, as a share of the requests
 	stage    int
 	isCapped bool // false: there is no limit, and share and stage are not set
 }
@@ -38,7 +38,7 @@
 	rollout   *rolloutState
 	classes   []RequestClass
 	limit     ExposureLimit
-	windows   []*exposure.Window // by class; only the first one is used without PerClass
+	windows   []*exposure.Window // one per class; without PerClass, only the first one is used
 	keyBuilds map[uint64]int     // the highest build that answered each key; only filled with KeysNeverGoBack
 }
 
@@ -71,7 +71,7 @@
 }
 
 // fitsKey reports whether a key may go to a build. Once a build has answered the key, the key may not go to earlier builds, unless
-// that build was rolled back.
+// the build that answered was rolled back.
 func (g *exposureGuard) fitsKey(key uint64, build int) bool {
 	if key == 0 {
 		return true
--- a/internal/policy/key_placement.go
+++ b/internal/policy/key_placement.go
@@ -39,16 +39,16 @@
 
 func (p *keyPlacement) ringPosition(req *request) uint64 {
 	if p.keyAffinity && req.Key != 0 {
-		// endpointPoints adds an index to the hash of an endpoint's ID. Here the replica is subtracted, because a key that equals an
-		// endpoint's ID must not hit the points of that endpoint.
+		// endpointPoints adds an index to the hash of an endpoint's ID. Here the index of the key's position is subtracted,
+		// because a key that equals an endpoint's ID must not hit the points of that endpoint.
 		return hashing.Mix64(hashing.Mix64(req.Key^ringSalt) - 1 - p.replicaOf(req.Key))
 	}
 	return hashing.Mix64(req.ID ^ ringSalt)
 }
 
 // replicaOf returns the index of the position that a request takes among the positions of its key. A key has one position for each
-// recent request of this agent within a window. The window is so long that one request for the key from each agent in it uses
-// hotKeyShare of an endpoint's capacity.
+// recent request of this agent within a window. The length of the window is such that one request for the key from each agent per
+// window uses hotKeyShare of an endpoint's capacity.
 func (p *keyPlacement) replicaOf(key uint64) uint64 {
 	window := p.traffic.meanCost * float64(p.agents) / hotKeyShare
 	usage := p.usages.record(key, p.now, window)
--- a/internal/policy/messages.go
+++ b/internal/policy/messages.go
@@ -52,9 +52,9 @@
 	}
 )
 
-// messageQueue holds the messages to a component, first in, first out. It is not there for concurrency: the router's goroutine
-// empties all queues within one call of Handle. It is there for the order of processing: a component finishes a message before
-// any component processes the messages that follow from it, and endpoints process their messages before any other component
+// messageQueue holds the messages to a component, first in, first out. Its purpose is not concurrency: the router's goroutine
+// empties all queues within one call of Handle. Its purpose is the order of processing. A component finishes a message before
+// any component processes the messages that follow from it. Endpoint records process their messages before any other component
 // makes its next decision.
 type messageQueue struct {
 	messages []message
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -5,14 +5,14 @@
 const (
 	ejectionTime   = 1 * second // about the time that a restart takes to show its first signs
 	ejectionJitter = 500 * millisecond
-	// rejectionBackoff is about the time in which a full endpoint completes a request.
+	// rejectionBackoff is the pause after a rejected attempt. It is about the time in which a full endpoint completes a request.
 	rejectionBackoff = 300 * millisecond
-	// maxSilentOutcomes is the number of outcomes in a row without an answer that eject an endpoint. A single timeout may be due
-	// to a heavy request, and a single lost connection to the connection itself.
+	// maxSilentOutcomes is the number of outcomes in a row without an answer after which an endpoint is ejected. A single timeout
+	// may be due to a heavy request, and a single lost connection to the connection itself.
 	maxSilentOutcomes = 2
 	errorRateWeight   = 0.2  // weight of one result in an endpoint's moving mean
-	ejectErrorRate    = 0.45 // exceeded after three errors in a row
-	elevatedErrorRate = 0.3  // exceeded after two errors in a row
+	ejectErrorRate    = 0.45 // an endpoint with a higher error rate is ejected; exceeded after three errors in a row
+	elevatedErrorRate = 0.3  // a higher error rate is suspect where earlier builds fail too; exceeded after two errors in a row
 )
 
 // updateHealth ejects an endpoint that cannot be reached, does not answer or answers with errors. It is called with the outcome
--- a/internal/policy/rejected_clients.go
+++ b/internal/policy/rejected_clients.go
@@ -5,7 +5,7 @@
 const (
 	returnRateWeight  = 0.1 // weight of one rejected client in the moving mean
 	initialReturnRate = 0.5
-	clientReturnGrace = 500 * millisecond // added to the longest Retry-After that clients honor
+	clientReturnGrace = 500 * millisecond // a client is expected back within the longest Retry-After that clients honor plus this time
 )
 
 // rejectedClient is a client that was rejected and has not come back yet.
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -15,7 +15,7 @@
 	serverErrors    int
 	isClosed        bool      // answered or abandoned; an attempt may still be in flight
 	mayHaveRunOn    *Endpoint // first endpoint at which the request may have run; nil: none
-	dedupUntil      Micros    // end of the deduplication of the first run that may have happened; 0: there is none
+	dedupUntil      Micros    // until when endpoints drop repeats of the first attempt that may have run; 0: no repeats are dropped
 	triedEndpoints  []*endpointRecord
 }
 
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -1,8 +1,8 @@
 package policy
 
 const (
-	// lowFleetReturnRate is the share of rejected clients that return, over all agents. Below it, ending late attempts frees
-	// more capacity than the retries cost.
+	// lowFleetReturnRate is a share of the rejected clients of all agents. If fewer of these clients return, ending late attempts
+	// frees more capacity than the retries cost.
 	lowFleetReturnRate = 0.3
 	// pendingShare is the share of its latency objective for which a request may stay pending.
 	pendingShare = 0.5
@@ -11,8 +11,8 @@
 	// maxServerErrors is the number of server errors after which a request is not retried. A single one may be the fault of the
 	// build or the endpoint; this many, at different endpoints, are the fault of the request.
 	maxServerErrors = 3
-	// maxServerErrorsOfFailingTenant applies to tenants with a high error rate, because each of their retries uses up exposure
-	// that other tenants could use.
+	// maxServerErrorsOfFailingTenant replaces maxServerErrors for tenants with a high error rate, because each of their retries
+	// uses up exposure that other tenants could use.
 	maxServerErrorsOfFailingTenant = 1
 )
 
--- a/internal/policy/slow_start.go
+++ b/internal/policy/slow_start.go
@@ -10,12 +10,14 @@
 	// overloadMargin is the part of the configured overload multiple that is used. The rest allows for errors in the cost
 	// estimates.
 	overloadMargin = 0.8
-	// slotLoad is the load that slots put on an endpoint in slow start. It is the load of a busy fleet.
+	// slotLoad is the load that the agents' time slots put on an endpoint in slow start, as a fraction of the endpoint's capacity
+	// at that time. It is the load of endpoints in a busy fleet.
 	slotLoad = 0.6
-	// slotCapacityLoss is the part by which the build selector reduces the capacity of an endpoint with slots. Such an endpoint
-	// gets fewer requests than its segment of the ring holds, and the warm endpoints would get the rest.
+	// slotCapacityLoss is the fraction by which the build selector reduces the capacity of an endpoint with time slots. Such an
+	// endpoint gets fewer requests than its segment of the ring holds. Without the reduction, the warm endpoints of its build
+	// would get the rest.
 	slotCapacityLoss = 0.7
-	// minSlotChance is the least chance that an agent has a request in its slot. It avoids a division by 0.
+	// minSlotChance is a lower bound on the chance that an agent has a request in its time slot. It avoids a division by 0.
 	minSlotChance = 1e-9
 )
 
@@ -79,9 +81,9 @@
 	return cost <= r.budget.of(e)
 }
 
-// isInSlot reports whether this agent has an unused slot at an endpoint now. A slot is for one request and lasts for
-// OverloadAfter; its time depends on the agent's index. Slots protect the endpoint from all agents together, also with hot keys
-// and moved traffic, but may leave it idle.
+// isInSlot reports whether this agent has an unused time slot at an endpoint now. A slot is for one request and lasts for
+// OverloadAfter; its time depends on the agent's index. Slots limit the load from all agents together, even with hot keys and
+// moved traffic, but may leave the endpoint idle.
 func (r *slowStartRule) isInSlot(e *endpointRecord) bool {
 	if r.hasUsedSlot(e) {
 		return false
@@ -101,8 +103,9 @@
 	return count > 0 && e.recentAttempts[count-1].sentAt > r.now-r.limits.OverloadAfter
 }
 
-// slotLoad returns the load, in concurrent requests, that determines how quickly slots follow one another. If agents have
-// little traffic, few of them have a request in their slot, so more slots may overlap.
+// slotLoad returns the load that the agents' time slots would put on an endpoint at full capacity if every slot were used, in
+// concurrent requests. The higher this load, the more quickly slots follow one another and the more of them overlap. If agents
+// have little traffic, few of them have a request in their slot, so more slots may overlap.
 func (r *slowStartRule) slotLoad(e *endpointRecord) float64 {
 	share := r.builds.newestShare
 	if r.builds.rank(e.Build) != newestBuild {
--- a/internal/policy/tenant_errors.go
+++ b/internal/policy/tenant_errors.go
@@ -4,8 +4,11 @@
 
 const (
 	tenantErrorWeight = 0.05 // weight of one result in a tenant's moving mean
-	tenantErrorExcess = 0.2  // excess over the lowest error rate of any tenant; a bad build or endpoint causes a smaller excess
-	maxTenants        = 1000 // with more tenants, all tenants are forgotten
+	// tenantErrorExcess is how far a tenant's error rate must exceed the lowest error rate of any tenant before the tenant's errors
+	// count as its own fault. A bad build or endpoint causes a smaller excess.
+	tenantErrorExcess = 0.2
+	// maxTenants is the number of known tenants above which the error rates of all tenants are discarded.
+	maxTenants = 1000
 )
 
 // tenantErrorRates decides whose fault a server error is. It protects healthy endpoints from tenants whose requests fail at
--- a/internal/policy/traffic_estimate.go
+++ b/internal/policy/traffic_estimate.go
@@ -7,7 +7,8 @@
 	trafficMeanWeight = 0.02
 	// initialCostShare is the mean cost before the first request, as a share of the longest latency objective.
 	initialCostShare = 0.25
-	// maxArrivalInterval is the longest interval that counts, which bounds the effect of one pause in the traffic.
+	// maxArrivalInterval is an upper bound on each measured time between two requests. It limits the effect of one pause in the
+	// traffic.
 	maxArrivalInterval = 10 * second
 )
 
--- a/internal/policy/zone_limits.go
+++ b/internal/policy/zone_limits.go
@@ -4,18 +4,18 @@
 
 const (
 	slowShareWeight       = 0.05 // weight of one result in a zone's moving mean
-	maxSlowShare          = 0.25 // share of late results above which the limit falls; a healthy busy zone has a tenth
-	zoneLimitDecrease     = 0.03 // fraction by which one result lowers the part of the limit that is in use
+	maxSlowShare          = 0.25 // share of late or failed results above which the limit falls; a healthy busy zone has a tenth
+	zoneLimitDecrease     = 0.03 // fraction by which a result lowers the limit, counted from the attempts in flight if these are fewer
 	zoneLimitGrowthFactor = 3    // how many times as fast a limit rises as it falls
 	minOpenPerEndpoint    = 4.0  // count of open attempts of all agents at one endpoint that causes no queue
 	openPerConcurrency    = 2.0  // the same, for each request that the endpoint serves concurrently
 	unlimitedAttempts     = 1e6  // in effect no limit
 )
 
-// zoneLimits decides how many attempts this agent may have open in each zone, by the share of late results there. It guards
-// against overload of a zone or of the fleet (moved traffic, retries) where one agent uses each endpoint too rarely for limits
-// on single endpoints to help: requests then use another zone, or wait and are rejected. As a side effect, requests that are
-// late for other reasons than load may be held back. The dispatcher counts attempts in it; the endpoint selector consults it.
+// zoneLimits decides how many attempts this agent may have open in each zone, by the share of late or failed results there. It
+// guards against overload of a zone or of the fleet (moved traffic, retries) where one agent uses each endpoint too rarely for
+// limits on single endpoints to help: requests then use another zone, or wait and are rejected. As a side effect, requests that
+// are late for other reasons than load may be held back. The dispatcher counts attempts in it; the endpoint selector consults it.
 type zoneLimits struct {
 	endpoints *endpointSet
 	agents    int
@@ -25,7 +25,7 @@
 // zoneState is what this agent knows about a zone as a whole.
 type zoneState struct {
 	limit     float64 // limit on this agent's attempts in flight
-	slowShare float64 // share of late results, as a moving mean
+	slowShare float64 // share of late or failed results, as a moving mean
 	inFlight  int
 }
 
