--- a/internal/policy/endpoint_selector.go
+++ b/internal/policy/endpoint_selector.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	// loadBound is the highest load of an endpoint relative to the mean, as usual for consistent hashing with bounded loads.
+	// loadBound is the highest load of an endpoint relative to the mean load, as in consistent hashing with bounded loads.
 	loadBound = 1.25
 	// crossZoneFactor times crossZoneCost is the relative increase of the distance to endpoints in other zones, which shrinks
 	// the segments of these endpoints on the ring.
--- a/internal/policy/rejected_clients.go
+++ b/internal/policy/rejected_clients.go
@@ -15,8 +15,8 @@
 	clientHash uint64
 }
 
-// rejectedClients decides which requests are retries by rejected clients, and tracks how many of these clients come back.
-// Retries and attempt timeouts depend on it. The dispatcher updates it.
+// rejectedClients decides which requests are retries by rejected clients, and tracks how many of these clients come back. A retry
+// counts from the time of the first try, and attempt timeouts depend on the return rate. The dispatcher updates rejectedClients.
 type rejectedClients struct {
 	byHash     map[uint64]rejectedClient
 	queue      []rejectedClient // by time of rejection, oldest first
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -41,13 +41,13 @@
 	return min(left, req.Deadline-p.now)
 }
 
-// lowReturnRate returns the return rate below which few rejected clients return to this agent. It is lower than
+// lowReturnRate returns the bound below which this agent's return rate of rejected clients is low. It is lower than
 // lowFleetReturnRate if there are more agents than zones, because a rejected client may come back to any agent of a zone.
 func (p *retryPolicy) lowReturnRate() float64 {
 	return lowFleetReturnRate * min(1, float64(p.endpoints.zoneCount)/float64(p.agents))
 }
 
-// isTooLate reports whether an attempt would cause load for no value: the latency objective has passed, and either the request
+// isTooLate reports whether an attempt would cause load without benefit: the latency objective has passed, and either the request
 // has been attempted before or the agent is overloaded.
 func (p *retryPolicy) isTooLate(req *request) bool {
 	if p.now < req.acceptedAt+p.classes[req.Class].LatencyObjective {
--- a/internal/policy/scenario_test.go
+++ b/internal/policy/scenario_test.go
@@ -205,7 +205,7 @@
 	}
 }
 
-// advanceTo fires the timers that are due by at and advances the time to at.
+// advanceTo advances the scenario's time to at. On the way, it fires the timers that are due by then.
 func (s *scenario) advanceTo(at Micros) {
 	if s.router == nil {
 		s.start()
--- a/internal/policy/verdict_exchange.go
+++ b/internal/policy/verdict_exchange.go
@@ -55,8 +55,8 @@
 	return isKnown && x.release.now-peer.receivedAt < verdictLifetime
 }
 
-// announce broadcasts this evaluator's verdict: at once if it has changed, and once per verdictInterval while it is not NoVote or
-// the build is in evaluation.
+// announce broadcasts this evaluator's verdict at once if it has changed. It repeats the verdict once per verdictInterval if the
+// verdict is not NoVote, or if the build is in evaluation.
 func (x *verdictExchange) announce(verdict Verdict) {
 	isRepeated := verdict != NoVote || x.release.phase == Evaluating
 	isDue := isRepeated && x.release.now >= x.announcedAt+verdictInterval
--- a/internal/sprt/sprt.go
+++ b/internal/sprt/sprt.go
@@ -37,7 +37,7 @@
 	return t.Success()
 }
 
-// ExponentialMean returns the sum of the steps of count exponentially distributed durations with the sample mean mean, in a test
+// ExponentialMean returns the sum of the steps of count exponentially distributed durations whose sample mean is mean, in a test
 // of the mean expected against a mean that is factor times as high.
 func ExponentialMean(count, mean, expected, factor float64) float64 {
 	return count * (mean/expected*(1-1/factor) - math.Log(factor))
