--- a/internal/policy/rejected_clients.go
+++ b/internal/policy/rejected_clients.go
@@ -5,7 +5,7 @@
 const (
 	returnRateWeight  = 0.1 // weight of one rejected client in the moving mean
 	initialReturnRate = 0.5
-	clientReturnGrace = 500 * millisecond // added to the longest Retry-After that clients honor
+	clientReturnGrace = 500 * millisecond // a client is expected back within the longest Retry-After that clients honor plus this time
 )
 
 // rejectedClient is a client that was rejected and has not come back yet.
@@ -15,8 +15,8 @@
 	clientHash uint64
 }
 
-// rejectedClients decides which requests are retries by rejected clients, and tracks how many of these clients come back.
-// Retries and attempt timeouts depend on it. The dispatcher updates it.
+// rejectedClients decides which requests are retries by rejected clients, and tracks how many of these clients come back. A retry
+// counts from the time of the first try, and attempt timeouts depend on the return rate. The dispatcher updates rejectedClients.
 type rejectedClients struct {
 	byHash     map[uint64]rejectedClient
 	queue      []rejectedClient // by time of rejection, oldest first
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -1,8 +1,8 @@
 package policy
 
 const (
-	// lowFleetReturnRate is the share of rejected clients that return, over all agents. Below it, ending late attempts frees
-	// more capacity than the retries cost.
+	// lowFleetReturnRate is a share of the rejected clients of all agents. If fewer of these clients return, ending late attempts
+	// frees more capacity than the retries cost.
 	lowFleetReturnRate = 0.3
 	// pendingShare is the share of its latency objective for which a request may stay pending.
 	pendingShare = 0.5
@@ -11,8 +11,8 @@
 	// maxServerErrors is the number of server errors after which a request is not retried. A single one may be the fault of the
 	// build or the endpoint; this many, at different endpoints, are the fault of the request.
 	maxServerErrors = 3
-	// maxServerErrorsOfFailingTenant applies to tenants with a high error rate, because each of their retries uses up exposure
-	// that other tenants could use.
+	// maxServerErrorsOfFailingTenant replaces maxServerErrors for tenants with a high error rate, because each of their retries
+	// uses up exposure that other tenants could use.
 	maxServerErrorsOfFailingTenant = 1
 )
 
@@ -41,13 +41,13 @@
 	return min(left, req.Deadline-p.now)
 }
 
-// lowReturnRate returns the return rate below which few rejected clients return to this agent. It is lower than
+// lowReturnRate returns the bound below which this agent's return rate of rejected clients is low. It is lower than
 // lowFleetReturnRate if there are more agents than zones, because a rejected client may come back to any agent of a zone.
 func (p *retryPolicy) lowReturnRate() float64 {
 	return lowFleetReturnRate * min(1, float64(p.endpoints.zoneCount)/float64(p.agents))
 }
 
-// isTooLate reports whether an attempt would cause load for no value: the latency objective has passed, and either the request
+// isTooLate reports whether an attempt would cause load without benefit: the latency objective has passed, and either the request
 // has been attempted before or the agent is overloaded.
 func (p *retryPolicy) isTooLate(req *request) bool {
 	if p.now < req.acceptedAt+p.classes[req.Class].LatencyObjective {
--- a/internal/policy/scenario_test.go
+++ b/internal/policy/scenario_test.go
@@ -181,8 +181,8 @@
 	})
 }
 
-// agentIndex returns the agent index of the evaluator at position token of the group. From evaluatorCount on, token itself is an
-// agent index.
+// agentIndex returns the agent index of the evaluator at position token of the group. A token of evaluatorCount or more is itself
+// an agent index.
 func (s *scenario) agentIndex(token string) int {
 	number := int(s.number(token))
 	evaluators := selectAgents(s.count(s.settings, "agents", 1), evaluatorCount)
@@ -205,7 +205,7 @@
 	}
 }
 
-// advanceTo fires the timers that are due by at and advances the time to at.
+// advanceTo advances the scenario's time to at. On the way, it fires the timers that are due by then.
 func (s *scenario) advanceTo(at Micros) {
 	if s.router == nil {
 		s.start()
