--- a/cmd/switchfork-lab/election.go
+++ b/cmd/switchfork-lab/election.go
@@ -32,7 +32,7 @@
 	// one and a half round trips in a network whose messages take at most 2 ms.
 	maxLeaveGapMillis = 6.0
 	// maxMessageGrowth bounds the factor by which the messages per agent and second grow from the smallest to the largest cluster
-	// size in idleAgents. The messages may grow no faster than the number of agents.
+	// size in idleAgents. This rate may grow no faster than the number of agents.
 	maxMessageGrowth = 9.0 / 3
 	// slowMessagesPerLease divides a lease. The quotient is the delay of the messages in a slow network. A ballot takes four
 	// messages in sequence, so with a tenth of a lease for each message, a ballot lasts longer than the pause between two
--- a/cmd/switchfork-lab/soak.go
+++ b/cmd/switchfork-lab/soak.go
@@ -21,7 +21,7 @@
 	defaultSoakSeeds    = 50
 	defaultSoakParallel = 4
 	maxSoakParallel     = 64
-	// maxSoakSeeds is the maximum of --seeds, and the number of seeds of a run that only --for limits.
+	// maxSoakSeeds is the maximum of --seeds. If --seeds is 0 and --for is set, at most this many seeds are run.
 	maxSoakSeeds = 1_000_000
 )
 
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -52,5 +52,5 @@
 	queuePlace queuePlace      // owned by fairQueues
 	wheelPlace wheelPlace      // owned by timingWheel
 	follower   *trackedRequest // the retry that waits for this request to finish; owned by waitingRequests
-	leader     *trackedRequest // the earlier attempt that this request waits for; owned by waitingRequests
+	leader     *trackedRequest // the client's earlier attempt of the request, for which this retry waits; owned by waitingRequests
 }
--- a/internal/admission/retry_index.go
+++ b/internal/admission/retry_index.go
@@ -2,12 +2,12 @@
 
 import "switchfork/internal/hashing"
 
-// retryIndex recognizes arrivals that are attempts of the same request, and finds the earlier attempt of a retry. The controller
-// consults it for each arrival.
+// retryIndex recognizes arrivals that are attempts of the same request, and finds the earlier attempt of a retry. An attempt is
+// here one try of the client, either its first or a retry. The controller consults retryIndex for each arrival.
 type retryIndex struct {
 	classes  []RequestClass
 	hashSeed uint64
-	byKey    map[uint64]*trackedRequest // the latest attempt of each open request, by retry key
+	byKey    map[uint64]*trackedRequest // the client's latest attempt of each open request, by retry key
 }
 
 func newRetryIndex(classes []RequestClass, hashSeed uint64) retryIndex {
--- a/internal/cluster/coordinator/coordinator.go
+++ b/internal/cluster/coordinator/coordinator.go
@@ -28,7 +28,7 @@
 	Close() error
 }
 
-// Callbacks are the functions of the rest of the agent that the coordinator calls.
+// Callbacks are the functions through which the coordinator calls the rest of the agent.
 type Callbacks struct {
 	// CastVote sends a vote to the rollout controller, unless the vote can't be written before the time writeBefore. It calls resolved once
 	// it is known that the vote was carried out, or that it never will be. written reports whether the vote was sent at all.
@@ -89,7 +89,7 @@
 			Members:  config.Members,
 			State:    config.State,
 			Settings: config.Settings,
-			IsFresh:  config.State == nil, // the agent may have run before
+			IsFresh:  config.State == nil, // no stored state, although the agent may have run before: the replica abstains at first
 			Now:      replicaClock.now(),
 			Seed:     config.Seed,
 		}),
--- a/internal/cluster/coordinator/state_writer.go
+++ b/internal/cluster/coordinator/state_writer.go
@@ -8,8 +8,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// stateWriter saves the replica's durable state. Nothing is saved after a save has failed: the replica has stopped participating, and a
-// state saved after that must not be mistaken for what the replica promised before.
+// stateWriter saves the replica's durable state. Nothing is saved after a save has failed, because the replica has then stopped
+// participating. After a restart, a state saved later would be mistaken for what the replica promised before it stopped.
 type stateWriter struct {
 	store     Store // nil: this agent has no state folder
 	hasFailed bool
--- a/internal/cluster/election/members.go
+++ b/internal/cluster/election/members.go
@@ -12,7 +12,7 @@
 // replica puts newer members in force as soon as it receives them.
 type Members struct {
 	Term    uint64
-	Version uint32 // counts the sets stamped in the same term, from 1
+	Version uint32 // number of this set of members among those stamped in the same term, from 1
 	Mask    uint64 // bit i is set if the replica with ID i is a member
 }
 
--- a/internal/cluster/election/settings.go
+++ b/internal/cluster/election/settings.go
@@ -70,7 +70,8 @@
 	// ballotTimeoutFraction is the age at which a ballot times out. A campaign then starts a new ballot instead of sending the
 	// old one again: if the old ballot won later, most of its lease would be over.
 	ballotTimeoutFraction = halfLease
-	// maxCallGapFraction is the longest gap between two calls that does not count as a pause of the process.
+	// maxCallGapFraction is the maximum time between two calls to the replica's methods. If more time passes, the process may
+	// have been paused, and the replica's leadership ends.
 	maxCallGapFraction = halfLease
 	// retryFraction is how often a record or a set of members is sent again until a quorum has acknowledged it. The caller has
 	// to call Tick at least as often, unless it calls another method in between.
--- a/internal/cluster/election/vote_history_test.go
+++ b/internal/cluster/election/vote_history_test.go
@@ -34,7 +34,7 @@
 }
 
 // A contrary vote of the same leader waits until the previous vote is answered or can no longer take effect. An advance after a
-// rollback waits in any case until the rollback can no longer count.
+// rollback waits until the rollback can no longer take effect or count, even if the rollback was answered.
 func TestVoteHistoryWaitsForOwnVote(t *testing.T) {
 	settings := testSettings()
 	for name, tc := range map[string]struct {
--- a/internal/connlimit/budget.go
+++ b/internal/connlimit/budget.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// InUse returns how many descriptors connections to clients and to endpoints hold.
+// InUse returns the numbers of descriptors that are held by client connections and by endpoint connections.
 func (b *Budget) InUse() (clients, upstreams int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -14,11 +14,11 @@
 // listPath is the URL path at which discovery serves the endpoint list and its watch.
 const listPath = "/catalog/members"
 
-// watchConfig holds what all watchers of a client have in common.
+// watchConfig holds what all watchers of a Client have in common.
 type watchConfig struct {
 	httpClient *http.Client
 	countCall  func()        // called before each call to discovery
-	report     func(message) // passes a message to the client
+	report     func(message) // passes a message to the Client that owns the watcher
 	pollWithin time.Duration // see Config.PollWithin
 	agentCount int
 	seed       int64
--- a/internal/faulttest/agent.go
+++ b/internal/faulttest/agent.go
@@ -54,7 +54,7 @@
 // operatorFile returns the text of the agent's operator file.
 func (a *agent) operatorFile() string { return strings.Join(a.operator, "\n") + "\n" }
 
-// setOperatorLine replaces the lines with the same keyword in the text of the operator file.
+// setOperatorLine removes the lines with the keyword tokens[0] from the text of the operator file, and adds one line of the given tokens.
 func (a *agent) setOperatorLine(tokens []string) {
 	a.operator = slices.DeleteFunc(slices.Clone(a.operator), func(line string) bool { return strings.Fields(line)[0] == tokens[0] })
 	a.operator = append(a.operator, strings.Join(tokens, " "))
--- a/internal/faulttest/records.go
+++ b/internal/faulttest/records.go
@@ -87,7 +87,7 @@
 	At             netfault.Micros
 	Agent          int
 	Build, Stage   int
-	Recommendation string `json:"Opinion"` // on, back, hold, none
+	Recommendation string `json:"Opinion"` // "on" (advance), "back" (roll back), "hold" or "none"
 }
 
 // Arrival is a request that an endpoint received completely.
--- a/internal/faulttest/scenario.go
+++ b/internal/faulttest/scenario.go
@@ -27,7 +27,7 @@
 	Transport     string // how agents reach each other: datagrams, tcp, none
 	Election      ElectionSetup
 	Seed          int64
-	Timeout       time.Duration // maximum duration of a run, to which startupTimeout is added
+	Timeout       time.Duration // maximum duration of a run; the runner adds startupTimeout to it
 	Steps         []Step
 	Expectations  []Expectation
 }
--- a/internal/options/parse.go
+++ b/internal/options/parse.go
@@ -55,7 +55,7 @@
 type parser struct {
 	options   *Options
 	line      int
-	firstUses map[string]firstUse // by the keyword's current name, to which the first value is added if the keyword is repeatable
+	firstUses map[string]firstUse // the key is the keyword's current name, followed by the first value if the keyword is repeatable
 	errors    FileErrors
 }
 
--- a/internal/policy/concurrency_limit.go
+++ b/internal/policy/concurrency_limit.go
@@ -43,9 +43,9 @@
 	return e.endpoints.minLimitPerCore * e.endpoints.warmConcurrency
 }
 
-// updateLimit adjusts the concurrency limit by an attempt's outcome. It guards against endpoints that answer too slowly (slowed
-// down, overloaded, warming up, with a slow build): requests then go elsewhere. As a side effect, a class whose requests always
-// take almost their latency objective may be held back.
+// updateLimit adjusts the concurrency limit according to an attempt's outcome. It guards against endpoints that answer too slowly
+// (slowed down, overloaded, warming up, with a slow build): requests then go elsewhere. As a side effect, a class whose requests
+// always take almost as long as their latency objective may be held back.
 func (e *endpointRecord) updateLimit(outcome attemptOutcome) {
 	switch {
 	case outcome.isQuick() && e.isHalfFull():
--- a/internal/policy/slowdown.go
+++ b/internal/policy/slowdown.go
@@ -31,8 +31,8 @@
 )
 
 const (
-	completionWindow  = 3 * second  // window over which rates are averaged
-	baselineWindow    = 10 * second // window over which the baseline's rates are averaged
+	completionWindow  = 3 * second  // window of the moving means of the arrival rate and the completion rate
+	baselineWindow    = 10 * second // window of the moving means of the baseline's rates, capacity and median relative latency
 	canaryShareWeight = 0.02        // weight of one outcome in the moving mean canaryShare
 	onTimeShareWeight = 0.02        // weight of one outcome in the moving mean onTimeShare
 )
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -26,8 +26,8 @@
 // are refused: clients that keep connecting would otherwise have requests in transit when the process exits, and the exit resets their
 // connections.
 //
-// http.Server.Shutdown is not used: it closes connections on which half a head has been read, and drops a request without an answer if the
-// request was read completely after Shutdown began.
+// http.Server.Shutdown is not used: it closes connections on which part of a request head has been read, and drops a request without an
+// answer if the request was read completely after Shutdown began.
 func (p *Proxy) Drain(ctx context.Context) error {
 	p.startDrain(ctx)
 	deadlineTimer := time.NewTimer(time.Until(p.drainDeadline))
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -113,7 +113,7 @@
 func TestDrainClosesListenerBeforeItsEnd(t *testing.T) {
 	server := newTestServer(t, false)
 	unfinished := server.dial(t)
-	unfinished.send(rawRequest("lookup")[:9]) // half a head, so that the client stays connected
+	unfinished.send(rawRequest("lookup")[:9]) // part of a request head, so that the client stays connected
 	server.waitForState(t, unfinished, stateReading)
 	const within = 600 * time.Millisecond
 	start := time.Now()
@@ -134,7 +134,7 @@
 	if took := time.Since(start); took < within-finalReplyWindow || took >= within {
 		t.Errorf("connections were refused %v after the start of the drain, want a refusal in the drain's last 100 ms", took)
 	}
-	if err := <-done; err != nil && !errors.Is(err, context.DeadlineExceeded) { // the client with half a head is still connected
+	if err := <-done; err != nil && !errors.Is(err, context.DeadlineExceeded) { // the client that sent part of a request head is still connected
 		t.Errorf("Drain returned %v, want nil or an exceeded deadline", err)
 	}
 }
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -81,9 +81,9 @@
 	invalid.log()
 }
 
-// closeConnIfNeeded has a response close its connection during a drain, while few descriptors are left for endpoints, and once for each
-// client that waits for a descriptor. A close that a response announces is the only kind that can't coincide with the client's next
-// request.
+// closeConnIfNeeded makes a response announce that its connection closes. It does so during a drain, while few descriptors are left for
+// endpoints, and once for each client that waits for a descriptor. A close that a response announces is the only kind that can't coincide
+// with the client's next request.
 func (p *Proxy) closeConnIfNeeded(response *http.Response) error {
 	if p.isDraining.Load() || p.budget.IsShort() || p.listener.takeWaitingClient() {
 		response.Header.Set("Connection", "close")
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -112,7 +112,7 @@
 	return phasesByCode[code]
 }
 
-// decodeEndpointList decodes the number of a list and its endpoints.
+// decodeEndpointList decodes the number that identifies an endpoint list, and the list's endpoints.
 func decodeEndpointList(r *reader) (number int, endpoints []policy.Endpoint, err error) {
 	number = r.u8()
 	count := int(r.u32())
--- a/internal/simulation/election_model_test.go
+++ b/internal/simulation/election_model_test.go
@@ -83,8 +83,9 @@
 	}
 }
 
-// A vote that contradicts another agent's vote in effect is a violation. So is a deposed leader's vote to advance that was cast
-// before a contrary vote took effect. An agent may contradict its own vote.
+// It is a violation if a vote takes effect while a contrary vote of another agent is in effect. It is also a violation if a deposed
+// leader's vote to advance was cast before a contrary vote of another agent took effect, and takes effect after it, even if the
+// contrary vote has expired by then. An agent may contradict its own vote.
 func TestRolloutControllerReportsContraryVotes(t *testing.T) {
 	decide := func(verdict election.Verdict) election.Record {
 		return election.Record{Term: 1, Decision: election.Decision{Build: 1, Verdict: verdict}}
