--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -47,7 +47,7 @@
 		return false
 	}
 	c.Counters.ReservationsHonored++
-	c.waiting.dequeueOutOfTurn(request)
+	c.waiting.dequeueOutOfOrder(request)
 	c.admit(request)
 	return true
 }
--- a/internal/admission/waiting.go
+++ b/internal/admission/waiting.go
@@ -43,8 +43,8 @@
 	return request
 }
 
-// dequeueOutOfTurn removes a request that is served out of turn. The request's queue and tenant are charged as usual.
-func (w *waitingRequests) dequeueOutOfTurn(request *trackedRequest) {
+// dequeueOutOfOrder removes a request that is served out of order. The request's queue and tenant are charged as usual.
+func (w *waitingRequests) dequeueOutOfOrder(request *trackedRequest) {
 	w.remove(request)
 	w.queues.charge(request)
 }
--- a/internal/admission/waiting_test.go
+++ b/internal/admission/waiting_test.go
@@ -41,9 +41,9 @@
 // However a request is removed, neither the queues nor the timing wheel still hold it.
 func TestRemovedRequestsLeaveNothingBehind(t *testing.T) {
 	for name, takeOut := range map[string]func(*waitingRequests, *trackedRequest){
-		"removed":     (*waitingRequests).remove,
-		"out of turn": (*waitingRequests).dequeueOutOfTurn,
-		"served":      func(w *waitingRequests, _ *trackedRequest) { w.dequeue() },
+		"removed":      (*waitingRequests).remove,
+		"out of order": (*waitingRequests).dequeueOutOfOrder,
+		"served":       func(w *waitingRequests, _ *trackedRequest) { w.dequeue() },
 		"replaced": func(w *waitingRequests, old *trackedRequest) {
 			replacement := &trackedRequest{cost: 3, waitDeadline: second}
 			w.replace(old, replacement)
--- a/internal/policy/overload_digest.go
+++ b/internal/policy/overload_digest.go
@@ -15,14 +15,15 @@
 	sentAt     Micros
 }
 
-// announceIfDue broadcasts a digest if this agent is an evaluator and its turn has come, and applies the digest to this agent.
+// announceIfDue broadcasts a digest if this agent is an evaluator and its time to send has come, and applies the digest to
+// this agent.
 func (d *overloadDigest) announceIfDue() {
 	if !d.evaluators.isMember || !d.evaluators.sharesInFlight || d.now < d.sentAt+digestInterval {
 		return
 	}
 	if d.sentAt == 0 {
-		turn := Micros(d.evaluators.indexOf(d.evaluators.agentIndex))
-		d.sentAt = d.now - digestInterval*turn/evaluatorCount
+		position := Micros(d.evaluators.indexOf(d.evaluators.agentIndex))
+		d.sentAt = d.now - digestInterval*position/evaluatorCount
 		return
 	}
 	digest := d.encode()
--- a/internal/policy/voter.go
+++ b/internal/policy/voter.go
@@ -165,8 +165,8 @@
 		}
 		return NoVote
 	}
-	isHeldByReports := v.reports.areUsed() && v.reports.ratio > holdThreshold
-	if ratio > holdThreshold || isHeldByReports || v.isPausedBySlowdown() {
+	areReportsUnfavorable := v.reports.areUsed() && v.reports.ratio > holdThreshold
+	if ratio > holdThreshold || areReportsUnfavorable || v.isPausedBySlowdown() {
 		return NoVote
 	}
 	return Advance
